--- /dev/null
+++ b/tests/golden/peer_examples.py
@@ -0,0 +1,124 @@
+"""Messages between control plane nodes.
+
+Each with all fields set and by its defaults; `data/messages.json` has the bytes.
+"""
+
+from __future__ import annotations
+
+from msgspec import Struct
+
+from reedspoke.control_plane.peer_messages import (
+    Hello,
+    LeaseAnswer,
+    LeaseRelease,
+    LeaseRequest,
+    QuotaLoan,
+    QuotaLoanRequest,
+    SessionEntry,
+    SessionTable,
+)
+
+PEER_MESSAGES: dict[str, Struct] = {
+    "hello": Hello(address="text1", zone="text2"),
+    "hello by default": Hello(address="text1", zone="text2"),
+    "sessions": SessionTable(
+        entries=(
+            SessionEntry(
+                node_name="text1",
+                incarnation="text2",
+                zone="text3",
+                silent_s=4.5,
+                running={
+                    "text5": (
+                        6,
+                        7,
+                    )
+                },
+                suspects=(
+                    "text8",
+                    "text9",
+                ),
+            ),
+            SessionEntry(
+                node_name="text10",
+                incarnation="text11",
+                zone="text12",
+                silent_s=13.5,
+                running={
+                    "text14": (
+                        15,
+                        16,
+                    )
+                },
+                suspects=(
+                    "text17",
+                    "text18",
+                ),
+            ),
+        ),
+        workers=(
+            19,
+            20,
+        ),
+        workers_seen=(
+            21,
+            22,
+        ),
+        life=23,
+        number=24,
+    ),
+    "sessions by default": SessionTable(
+        entries=(
+            SessionEntry(
+                node_name="text1",
+                incarnation="text2",
+                zone="text3",
+                silent_s=4.5,
+                running={
+                    "text5": (
+                        6,
+                        7,
+                    )
+                },
+                suspects=(
+                    "text8",
+                    "text9",
+                ),
+            ),
+            SessionEntry(
+                node_name="text10",
+                incarnation="text11",
+                zone="text12",
+                silent_s=13.5,
+                running={
+                    "text14": (
+                        15,
+                        16,
+                    )
+                },
+                suspects=(
+                    "text17",
+                    "text18",
+                ),
+            ),
+        ),
+        workers=(
+            19,
+            20,
+        ),
+        workers_seen=(
+            21,
+            22,
+        ),
+    ),
+    "lease_request": LeaseRequest(term=1),
+    "lease_request by default": LeaseRequest(term=1),
+    "lease_answer": LeaseAnswer(term=1, granted=True, highest_term=2, retry_after_s=3.5),
+    "lease_answer by default": LeaseAnswer(term=1, granted=True, highest_term=2),
+    "lease_release": LeaseRelease(term=1),
+    "lease_release by default": LeaseRelease(term=1),
+    "quota_loan_request": QuotaLoanRequest(tenant="text1", units=2.5),
+    "quota_loan_request by default": QuotaLoanRequest(tenant="text1", units=2.5),
+    "quota_loan": QuotaLoan(tenant="text1", units=2.5),
+    "quota_loan by default": QuotaLoan(tenant="text1", units=2.5),
+}
--- /dev/null
+++ b/tests/golden/replica_examples.py
@@ -0,0 +1,302 @@
+"""Messages between replicas, and records of the control log.
+
+Each with all fields set and by its defaults; `data/messages.json` has the bytes.
+"""
+
+from __future__ import annotations
+
+from msgspec import Struct
+
+from reedspoke.control_plane.change_history import Acknowledged
+from reedspoke.control_plane.events import ChainLink, Member, View
+from reedspoke.control_plane.replica_messages import (
+    Accept,
+    Accepted,
+    Append,
+    Ballot,
+    ChainState,
+    Commit,
+    ContactGrant,
+    Entry,
+    GetReply,
+    GetRequest,
+    LeaseGrant,
+    Ping,
+    Prepare,
+    Promise,
+    PutReply,
+    PutRequest,
+    Rejected,
+    Resigned,
+    ResignRequest,
+    Snapshot,
+    ViewTold,
+)
+from reedspoke.control_plane.replica_records import (
+    AcceptorRecord,
+    BootstrapRecord,
+    EntryRecord,
+    HistoryRecord,
+    ListedHistoryRecord,
+    ProbeRecord,
+    SyncedRecord,
+    ViewRecord,
+)
+
+REPLICA_MESSAGES: dict[str, Struct] = {
+    "ping": Ping(
+        member=Member(folder_id="text1", address="text2", zone="text3"),
+        view=4,
+        heard=(
+            "text5",
+            "text6",
+        ),
+        disk_ok=True,
+        synced_since=7,
+        committed=8,
+        leaving=True,
+        bootstrap=True,
+        undecided=True,
+        lease_sent=9.5,
+        sent=10.5,
+        starts_new=True,
+    ),
+    "ping by default": Ping(
+        member=Member(folder_id="text1", address="text2", zone="text3"),
+        view=4,
+        heard=(
+            "text5",
+            "text6",
+        ),
+        disk_ok=True,
+        synced_since=7,
+        committed=8,
+    ),
+    "contact_grant": ContactGrant(folder_id="text1", view=2, sent=3.5),
+    "contact_grant by default": ContactGrant(folder_id="text1", view=2, sent=3.5),
+    "lease_grant": LeaseGrant(folder_id="text1", view=2, sent=3.5),
+    "lease_grant by default": LeaseGrant(folder_id="text1", view=2, sent=3.5),
+    "view": ViewTold(
+        view=View(
+            number=1,
+            voters=(
+                Member(folder_id="text2", address="text3", zone="text4"),
+                Member(folder_id="text5", address="text6", zone="text7"),
+            ),
+            chain=(
+                ChainLink(member=Member(folder_id="text8", address="text9", zone="text10"), joined=11),
+                ChainLink(member=Member(folder_id="text12", address="text13", zone="text14"), joined=15),
+            ),
+        )
+    ),
+    "view by default": ViewTold(
+        view=View(
+            number=1,
+            voters=(
+                Member(folder_id="text2", address="text3", zone="text4"),
+                Member(folder_id="text5", address="text6", zone="text7"),
+            ),
+            chain=(
+                ChainLink(member=Member(folder_id="text8", address="text9", zone="text10"), joined=11),
+                ChainLink(member=Member(folder_id="text12", address="text13", zone="text14"), joined=15),
+            ),
+        )
+    ),
+    "prepare": Prepare(number=1, ballot=Ballot(round=2, proposer="text3")),
+    "prepare by default": Prepare(number=1, ballot=Ballot(round=2, proposer="text3")),
+    "promise": Promise(
+        acceptor=Member(folder_id="text1", address="text2", zone="text3"),
+        number=4,
+        ballot=Ballot(round=5, proposer="text6"),
+        accepted_ballot=Ballot(round=7, proposer="text8"),
+        accepted=View(
+            number=9,
+            voters=(
+                Member(folder_id="text10", address="text11", zone="text12"),
+                Member(folder_id="text13", address="text14", zone="text15"),
+            ),
+            chain=(
+                ChainLink(member=Member(folder_id="text16", address="text17", zone="text18"), joined=19),
+                ChainLink(member=Member(folder_id="text20", address="text21", zone="text22"), joined=23),
+            ),
+        ),
+    ),
+    "promise by default": Promise(
+        acceptor=Member(folder_id="text1", address="text2", zone="text3"),
+        number=4,
+        ballot=Ballot(round=5, proposer="text6"),
+        accepted_ballot=Ballot(round=7, proposer="text8"),
+        accepted=View(
+            number=9,
+            voters=(
+                Member(folder_id="text10", address="text11", zone="text12"),
+                Member(folder_id="text13", address="text14", zone="text15"),
+            ),
+            chain=(
+                ChainLink(member=Member(folder_id="text16", address="text17", zone="text18"), joined=19),
+                ChainLink(member=Member(folder_id="text20", address="text21", zone="text22"), joined=23),
+            ),
+        ),
+    ),
+    "accept": Accept(
+        number=1,
+        ballot=Ballot(round=2, proposer="text3"),
+        view=View(
+            number=4,
+            voters=(
+                Member(folder_id="text5", address="text6", zone="text7"),
+                Member(folder_id="text8", address="text9", zone="text10"),
+            ),
+            chain=(
+                ChainLink(member=Member(folder_id="text11", address="text12", zone="text13"), joined=14),
+                ChainLink(member=Member(folder_id="text15", address="text16", zone="text17"), joined=18),
+            ),
+        ),
+        resigned_at=19.5,
+    ),
+    "accept by default": Accept(
+        number=1,
+        ballot=Ballot(round=2, proposer="text3"),
+        view=View(
+            number=4,
+            voters=(
+                Member(folder_id="text5", address="text6", zone="text7"),
+                Member(folder_id="text8", address="text9", zone="text10"),
+            ),
+            chain=(
+                ChainLink(member=Member(folder_id="text11", address="text12", zone="text13"), joined=14),
+                ChainLink(member=Member(folder_id="text15", address="text16", zone="text17"), joined=18),
+            ),
+        ),
+    ),
+    "accepted": Accepted(
+        acceptor=Member(folder_id="text1", address="text2", zone="text3"),
+        number=4,
+        ballot=Ballot(round=5, proposer="text6"),
+    ),
+    "accepted by default": Accepted(
+        acceptor=Member(folder_id="text1", address="text2", zone="text3"),
+        number=4,
+        ballot=Ballot(round=5, proposer="text6"),
+    ),
+    "rejected": Rejected(
+        number=1, ballot=Ballot(round=2, proposer="text3"), promised=Ballot(round=4, proposer="text5")
+    ),
+    "rejected by default": Rejected(
+        number=1, ballot=Ballot(round=2, proposer="text3"), promised=Ballot(round=4, proposer="text5")
+    ),
+    "resign_request": ResignRequest(view=1),
+    "resign_request by default": ResignRequest(view=1),
+    "resigned": Resigned(view=1, at=2.5),
+    "resigned by default": Resigned(view=1, at=2.5),
+    "chain_state": ChainState(view=1, folder_id="text2", joined=3, complete=True, sequence=4),
+    "chain_state by default": ChainState(view=1, folder_id="text2", joined=3, complete=True, sequence=4),
+    "append": Append(view=1, entry=Entry(sequence=2, view=3, generation=4, document=b"bytes5")),
+    "append by default": Append(view=1, entry=Entry(sequence=2, view=3, generation=4, document=b"bytes5")),
+    "snapshot": Snapshot(
+        view=1,
+        joined=2,
+        entry=Entry(sequence=3, view=4, generation=5, document=b"bytes6"),
+        history=bytes(range(40)),
+    ),
+    "snapshot by default": Snapshot(
+        view=1,
+        joined=2,
+        entry=Entry(sequence=3, view=4, generation=5, document=b"bytes6"),
+        history=bytes(range(40)),
+    ),
+    "commit": Commit(view=1, sequence=2),
+    "commit by default": Commit(view=1, sequence=2),
+    "put_request": PutRequest(view=1, request="text2", match=3, generation=4, document=b"bytes5"),
+    "put_request by default": PutRequest(view=1, request="text2", match=3, generation=4, document=b"bytes5"),
+    "put_reply": PutReply(view=1, request="text2", error=3, message="text4"),
+    "put_reply by default": PutReply(view=1, request="text2", error=3),
+    "get_request": GetRequest(view=1, request="text2", have=3),
+    "get_request by default": GetRequest(view=1, request="text2", have=3),
+    "get_reply": GetReply(
+        view=1,
+        request="text2",
+        ready=True,
+        sequence=3,
+        entry=Entry(sequence=4, view=5, generation=6, document=b"bytes7"),
+    ),
+    "get_reply by default": GetReply(view=1, request="text2", ready=True),
+}
+
+LOG_RECORDS: dict[str, Struct] = {
+    "bootstrap": BootstrapRecord(
+        seeds=(
+            "text1",
+            "text2",
+        )
+    ),
+    "bootstrap by default": BootstrapRecord(
+        seeds=(
+            "text1",
+            "text2",
+        )
+    ),
+    "view": ViewRecord(
+        view=View(
+            number=1,
+            voters=(
+                Member(folder_id="text2", address="text3", zone="text4"),
+                Member(folder_id="text5", address="text6", zone="text7"),
+            ),
+            chain=(
+                ChainLink(member=Member(folder_id="text8", address="text9", zone="text10"), joined=11),
+                ChainLink(member=Member(folder_id="text12", address="text13", zone="text14"), joined=15),
+            ),
+        )
+    ),
+    "view by default": ViewRecord(
+        view=View(
+            number=1,
+            voters=(
+                Member(folder_id="text2", address="text3", zone="text4"),
+                Member(folder_id="text5", address="text6", zone="text7"),
+            ),
+            chain=(
+                ChainLink(member=Member(folder_id="text8", address="text9", zone="text10"), joined=11),
+                ChainLink(member=Member(folder_id="text12", address="text13", zone="text14"), joined=15),
+            ),
+        )
+    ),
+    "acceptor": AcceptorRecord(
+        number=1,
+        promised=Ballot(round=2, proposer="text3"),
+        accepted_ballot=Ballot(round=4, proposer="text5"),
+        accepted=View(
+            number=6,
+            voters=(
+                Member(folder_id="text7", address="text8", zone="text9"),
+                Member(folder_id="text10", address="text11", zone="text12"),
+            ),
+            chain=(
+                ChainLink(member=Member(folder_id="text13", address="text14", zone="text15"), joined=16),
+                ChainLink(member=Member(folder_id="text17", address="text18", zone="text19"), joined=20),
+            ),
+        ),
+    ),
+    "acceptor by default": AcceptorRecord(number=1, promised=Ballot(round=2, proposer="text3")),
+    "entry": EntryRecord(entry=Entry(sequence=1, view=2, generation=3, document=b"bytes4")),
+    "entry by default": EntryRecord(entry=Entry(sequence=1, view=2, generation=3, document=b"bytes4")),
+    "packed_history": HistoryRecord(history=bytes(range(40))),
+    "packed_history by default": HistoryRecord(history=bytes(range(40))),
+    "history": ListedHistoryRecord(
+        history=(
+            Acknowledged(generation=1, digest=b"bytes2"),
+            Acknowledged(generation=3, digest=b"bytes4"),
+        )
+    ),
+    "history by default": ListedHistoryRecord(
+        history=(
+            Acknowledged(generation=1, digest=b"bytes2"),
+            Acknowledged(generation=3, digest=b"bytes4"),
+        )
+    ),
+    "synced": SyncedRecord(joined=1),
+    "synced by default": SyncedRecord(joined=1),
+    "probe": ProbeRecord(),
+    "probe by default": ProbeRecord(),
+}
--- /dev/null
+++ b/tests/golden/session_examples.py
@@ -0,0 +1,286 @@
+"""Messages between data plane and control plane.
+
+Each with all fields set and by its defaults; `data/messages.json` has the bytes.
+"""
+
+from __future__ import annotations
+
+from msgspec import Struct
+
+from reedspoke.cluster.messages import (
+    ConfigurationDelta,
+    ConfigurationSnapshot,
+    ControlMember,
+    EdgeMember,
+    Fetch,
+    MemberList,
+    QuotaAnswer,
+    QuotaAsk,
+    QuotaVerdict,
+    Unconfirmed,
+    Versions,
+    Watch,
+    WorkerEntry,
+    WorkerList,
+)
+
+EDGE_MESSAGES: dict[str, Struct] = {
+    "watch": Watch(
+        request_id=1,
+        node_name="text2",
+        incarnation="text3",
+        zone="text4",
+        versions={
+            "text5": (
+                6,
+                7,
+            )
+        },
+        running={
+            "text8": (
+                9,
+                10,
+            )
+        },
+        draining=True,
+        suspects=(
+            "text11",
+            "text12",
+        ),
+    ),
+    "watch by default": Watch(
+        request_id=1,
+        node_name="text2",
+        incarnation="text3",
+        zone="text4",
+        versions={
+            "text5": (
+                6,
+                7,
+            )
+        },
+    ),
+    "fetch": Fetch(
+        source="text1",
+        have=(
+            2,
+            3,
+        ),
+        unconfirmed_too=True,
+    ),
+    "fetch by default": Fetch(source="text1"),
+    "quota_ask": QuotaAsk(request_id=1, tenant="text2", units=3.5),
+    "quota_ask by default": QuotaAsk(request_id=1, tenant="text2", units=3.5),
+}
+
+CONTROL_MESSAGES: dict[str, Struct] = {
+    "versions": Versions(
+        request_id=1,
+        node_name="text2",
+        versions={
+            "text3": (
+                4,
+                5,
+            )
+        },
+        running={
+            "text6": (
+                7,
+                8,
+            )
+        },
+        held_s=9.5,
+        confirmed_ago_s=10.5,
+        suspects={"text11": 12},
+    ),
+    "versions by default": Versions(
+        request_id=1,
+        node_name="text2",
+        versions={
+            "text3": (
+                4,
+                5,
+            )
+        },
+    ),
+    "unconfirmed": Unconfirmed(
+        request_id=1,
+        node_name="text2",
+        control=(
+            ControlMember(address="text3", zone="text4"),
+            ControlMember(address="text5", zone="text6"),
+        ),
+        versions={
+            "text7": (
+                8,
+                9,
+            )
+        },
+    ),
+    "unconfirmed by default": Unconfirmed(request_id=1, node_name="text2"),
+    "workers": WorkerList(
+        version=(
+            1,
+            2,
+        ),
+        workers=(
+            WorkerEntry(
+                instance_id="text3",
+                upstream="text4",
+                address="text5",
+                zone="text6",
+                generation="text7",
+                capacity=8,
+                draining=True,
+                cold_left_ms=9.5,
+                models=(
+                    "text10",
+                    "text11",
+                ),
+            ),
+            WorkerEntry(
+                instance_id="text12",
+                upstream="text13",
+                address="text14",
+                zone="text15",
+                generation="text16",
+                capacity=17,
+                draining=True,
+                cold_left_ms=18.5,
+                models=(
+                    "text19",
+                    "text20",
+                ),
+            ),
+        ),
+    ),
+    "workers by default": WorkerList(
+        version=(
+            1,
+            2,
+        ),
+        workers=(
+            WorkerEntry(
+                instance_id="text3",
+                upstream="text4",
+                address="text5",
+                zone="text6",
+                generation="text7",
+                capacity=8,
+                draining=True,
+                cold_left_ms=9.5,
+                models=(
+                    "text10",
+                    "text11",
+                ),
+            ),
+            WorkerEntry(
+                instance_id="text12",
+                upstream="text13",
+                address="text14",
+                zone="text15",
+                generation="text16",
+                capacity=17,
+                draining=True,
+                cold_left_ms=18.5,
+                models=(
+                    "text19",
+                    "text20",
+                ),
+            ),
+        ),
+    ),
+    "configuration": ConfigurationSnapshot(
+        version=(
+            1,
+            2,
+        ),
+        document=b"bytes3",
+    ),
+    "configuration by default": ConfigurationSnapshot(
+        version=(
+            1,
+            2,
+        ),
+        document=b"bytes3",
+    ),
+    "configuration_delta": ConfigurationDelta(
+        base=(
+            1,
+            2,
+        ),
+        version=(
+            3,
+            4,
+        ),
+        generation=5,
+        routes=b"bytes6",
+        removed_routes=(
+            "text7",
+            "text8",
+        ),
+        upstreams=b"bytes9",
+        removed_upstreams=(
+            "text10",
+            "text11",
+        ),
+        limits=b"bytes12",
+        keyed=True,
+        tenants=b"bytes13",
+        removed_tenants=(
+            "text14",
+            "text15",
+        ),
+    ),
+    "configuration_delta by default": ConfigurationDelta(
+        base=(
+            1,
+            2,
+        ),
+        version=(
+            3,
+            4,
+        ),
+        generation=5,
+        routes=b"bytes6",
+        removed_routes=(
+            "text7",
+            "text8",
+        ),
+        upstreams=b"bytes9",
+        removed_upstreams=(
+            "text10",
+            "text11",
+        ),
+    ),
+    "members": MemberList(
+        version=(
+            1,
+            2,
+        ),
+        control=(
+            ControlMember(address="text3", zone="text4"),
+            ControlMember(address="text5", zone="text6"),
+        ),
+        edges=(
+            EdgeMember(node_name="text7", incarnation="text8", zone="text9"),
+            EdgeMember(node_name="text10", incarnation="text11", zone="text12"),
+        ),
+    ),
+    "members by default": MemberList(
+        version=(
+            1,
+            2,
+        ),
+        control=(
+            ControlMember(address="text3", zone="text4"),
+            ControlMember(address="text5", zone="text6"),
+        ),
+        edges=(
+            EdgeMember(node_name="text7", incarnation="text8", zone="text9"),
+            EdgeMember(node_name="text10", incarnation="text11", zone="text12"),
+        ),
+    ),
+    "quota_answer": QuotaAnswer(request_id=1, verdict=QuotaVerdict.UNAVAILABLE, retry_after_s=2.5),
+    "quota_answer by default": QuotaAnswer(request_id=1, verdict=QuotaVerdict.UNAVAILABLE),
+}
