--- /dev/null
+++ b/reedspoke/control_plane/api/__init__.py
@@ -0,0 +1,1 @@
+"""The operators' HTTP API."""
--- a/reedspoke/control_plane/operator_api.py
+++ b/reedspoke/control_plane/api/operator_api.py
@@ -11,8 +11,8 @@
 
 from reedspoke.cluster.configuration import Configuration
 from reedspoke.cluster.errors import ErrorCode, FleetError
-from reedspoke.control_plane.events import GetAnswer, PutAnswer
-from reedspoke.control_plane.http_server import Request, Response
+from reedspoke.control_plane.api.http_server import Request, Response
+from reedspoke.control_plane.replication.events import GetAnswer, PutAnswer
 
 CONFIGURATION_PATH = "/reedspoke/configuration"
 STATUS_PATH = "/reedspoke/status"
--- /dev/null
+++ b/reedspoke/control_plane/delivery/__init__.py
@@ -0,0 +1,1 @@
+"""Delivery of published state to data plane schedulers over sessions, and fleet membership."""
--- a/reedspoke/control_plane/configuration_cache.py
+++ b/reedspoke/control_plane/delivery/configuration_cache.py
@@ -8,7 +8,7 @@
 
 from reedspoke.cluster.configuration import Configuration, difference, parse_configuration
 from reedspoke.cluster.messages import NO_VERSION, ConfigurationSnapshot, Version, encode
-from reedspoke.control_plane.events import Committed
+from reedspoke.control_plane.replication.events import Committed
 
 MOST_KEPT = 8  # parsed configurations
 MOST_KEPT_BYTES = 8 * 1024 * 1024  # of documents; the newest one is kept whatever its size
--- a/reedspoke/control_plane/edge_sessions.py
+++ b/reedspoke/control_plane/delivery/edge_sessions.py
@@ -23,7 +23,7 @@
     Watch,
 )
 from reedspoke.cluster.transport import Channel
-from reedspoke.control_plane.published_state import PublishedState
+from reedspoke.control_plane.delivery.published_state import PublishedState
 
 MOST_SESSIONS = 2048
 MOST_WAITING = 12 * 1024 * 1024  # bytes for a data plane scheduler that does not read them
--- a/reedspoke/control_plane/membership.py
+++ b/reedspoke/control_plane/delivery/membership.py
@@ -17,8 +17,8 @@
     Version,
     Watch,
 )
-from reedspoke.control_plane.events import Member
-from reedspoke.control_plane.peer_messages import SessionEntry, SessionTable
+from reedspoke.control_plane.peers.messages import SessionEntry, SessionTable
+from reedspoke.control_plane.replication.events import Member
 
 TABLE_LIFE_S = 2.0  # what another control scheduler told holds for so long
 MOST_EDGES = 1024
--- a/reedspoke/control_plane/published_state.py
+++ b/reedspoke/control_plane/delivery/published_state.py
@@ -15,9 +15,9 @@
     Version,
     encode,
 )
-from reedspoke.control_plane.configuration_cache import ConfigurationCache
-from reedspoke.control_plane.membership import Membership
-from reedspoke.control_plane.worker_list import WorkerBook, aged
+from reedspoke.control_plane.delivery.configuration_cache import ConfigurationCache
+from reedspoke.control_plane.delivery.membership import Membership
+from reedspoke.control_plane.workers.worker_list import WorkerBook, aged
 
 WORKERS_FRAME_LIFE_S = 0.5  # a frame with workers that are still cold is older than this only in its encoding
 
--- a/reedspoke/control_plane/figures.py
+++ b/reedspoke/control_plane/figures.py
@@ -6,7 +6,7 @@
 
 from reedspoke.cluster.json_log import INFO, WARNING, log
 from reedspoke.cluster.line_budget import LineBudget
-from reedspoke.control_plane.operator_api import AnsweredCall, StatusAnswer
+from reedspoke.control_plane.api.operator_api import AnsweredCall, StatusAnswer
 from reedspoke.telemetry.metrics import Registry
 
 CALL_EVENT = "operator call"
--- /dev/null
+++ b/reedspoke/control_plane/peers/__init__.py
@@ -0,0 +1,1 @@
+"""Connections and messages between control plane nodes."""
--- a/reedspoke/control_plane/peer_transport.py
+++ b/reedspoke/control_plane/peers/transport.py
@@ -19,7 +19,7 @@
 from reedspoke.cluster.messages import EdgeMessage, Fetch, Watch, WorkerList, encode
 from reedspoke.cluster.node_settings import split_address
 from reedspoke.cluster.transport import CONNECTION_ENDED, Channel, open_channel
-from reedspoke.control_plane.peer_messages import (
+from reedspoke.control_plane.peers.messages import (
     Hello,
     LeaseAnswer,
     LeaseRelease,
@@ -28,7 +28,7 @@
     QuotaLoanRequest,
     SessionTable,
 )
-from reedspoke.control_plane.replica_messages import ReplicaMessage
+from reedspoke.control_plane.replication.messages import ReplicaMessage
 
 REDIAL_PAUSE_S = 0.15
 MOST_WAITING = 8 * 1024 * 1024  # bytes for a peer that does not read them
--- a/reedspoke/control_plane/process.py
+++ b/reedspoke/control_plane/process.py
@@ -16,25 +16,21 @@
 from reedspoke.cluster.messages import ControlMember, WorkerList, encode
 from reedspoke.cluster.node_settings import NodeSettings, load_settings, settings_path
 from reedspoke.cluster.unhandled_errors import end_process
-from reedspoke.control_plane.configuration_cache import ConfigurationCache, Prepared
-from reedspoke.control_plane.driver import ReplicaDriver
-from reedspoke.control_plane.duty_lease import DutyLease, Outgoing
-from reedspoke.control_plane.edge_sessions import EdgeSessions
-from reedspoke.control_plane.events import Committed, GetAnswer, PutAnswer, SendTo, View
-from reedspoke.control_plane.figures import CallLog, add_process_figures
-from reedspoke.control_plane.file_stamp import stamp_of
-from reedspoke.control_plane.http_server import HttpServer
-from reedspoke.control_plane.job_thread import JobThread
-from reedspoke.control_plane.list_duty import ListDuty
-from reedspoke.control_plane.membership import Membership
-from reedspoke.control_plane.operator_api import (
+from reedspoke.control_plane.api.http_server import HttpServer
+from reedspoke.control_plane.api.operator_api import (
     AnsweredCall,
     Calls,
     OperatorApi,
     StatusAnswer,
     http_error_body,
 )
-from reedspoke.control_plane.peer_messages import (
+from reedspoke.control_plane.delivery.configuration_cache import ConfigurationCache, Prepared
+from reedspoke.control_plane.delivery.edge_sessions import EdgeSessions
+from reedspoke.control_plane.delivery.membership import Membership
+from reedspoke.control_plane.delivery.published_state import PublishedState
+from reedspoke.control_plane.figures import CallLog, add_process_figures
+from reedspoke.control_plane.file_stamp import stamp_of
+from reedspoke.control_plane.peers.messages import (
     LeaseAnswer,
     LeaseRelease,
     LeaseRequest,
@@ -42,10 +38,14 @@
     QuotaLoanRequest,
     SessionTable,
 )
-from reedspoke.control_plane.peer_transport import PeerMessage, PeerTransport
-from reedspoke.control_plane.published_state import PublishedState
-from reedspoke.control_plane.quota_service import QuotaService
-from reedspoke.control_plane.worker_list import UNLEASED_TERM, WorkerBook
+from reedspoke.control_plane.peers.transport import PeerMessage, PeerTransport
+from reedspoke.control_plane.quota.service import QuotaService
+from reedspoke.control_plane.replication.driver import ReplicaDriver
+from reedspoke.control_plane.replication.events import Committed, GetAnswer, PutAnswer, SendTo, View
+from reedspoke.control_plane.storage.job_thread import JobThread
+from reedspoke.control_plane.workers.duty_lease import DutyLease, Outgoing
+from reedspoke.control_plane.workers.list_duty import ListDuty
+from reedspoke.control_plane.workers.worker_list import UNLEASED_TERM, WorkerBook
 from reedspoke.telemetry.invariants import Invariant, check
 from reedspoke.telemetry.metrics import Registry
 
--- a/reedspoke/control_plane/quota_grants.py
+++ b/reedspoke/control_plane/quota/grants.py
@@ -16,9 +16,9 @@
 from reedspoke.cluster.messages import QuotaAnswer, QuotaAsk, QuotaVerdict
 from reedspoke.cluster.quota_rule import QuotaRule, bound
 from reedspoke.cluster.tenants import Tenant
-from reedspoke.control_plane.peer_messages import QuotaLoan, QuotaLoanRequest
-from reedspoke.control_plane.quota_bucket import QuotaBucket
-from reedspoke.control_plane.quota_share import QuotaShare
+from reedspoke.control_plane.peers.messages import QuotaLoan, QuotaLoanRequest
+from reedspoke.control_plane.quota.bucket import QuotaBucket
+from reedspoke.control_plane.quota.share import QuotaShare
 from reedspoke.telemetry.invariants import Invariant, check
 
 ROUND_S = 0.02  # a round of loans is over after this
--- a/reedspoke/control_plane/quota_service.py
+++ b/reedspoke/control_plane/quota/service.py
@@ -11,9 +11,9 @@
 from reedspoke.cluster.quota_rule import QuotaRule
 from reedspoke.cluster.tenants import Tenant
 from reedspoke.cluster.transport import Channel
-from reedspoke.control_plane.peer_messages import QuotaLoan, QuotaLoanRequest
-from reedspoke.control_plane.quota_grants import AnswerTo, QuotaEffect, QuotaGrants
-from reedspoke.control_plane.quota_share import QuotaShare
+from reedspoke.control_plane.peers.messages import QuotaLoan, QuotaLoanRequest
+from reedspoke.control_plane.quota.grants import AnswerTo, QuotaEffect, QuotaGrants
+from reedspoke.control_plane.quota.share import QuotaShare
 
 SendLoan = Callable[[str, QuotaLoanRequest | QuotaLoan], None]
 
--- a/reedspoke/control_plane/chain.py
+++ b/reedspoke/control_plane/replication/chain.py
@@ -8,11 +8,11 @@
 from msgspec import Struct
 
 from reedspoke.cluster.errors import ErrorCode
-from reedspoke.control_plane.chain_register import Register
-from reedspoke.control_plane.events import ChainLink, Committed, Member, View
-from reedspoke.control_plane.replica_messages import Append, ChainState, Commit, Entry, Snapshot
-from reedspoke.control_plane.replica_outbox import Outbox
-from reedspoke.control_plane.replica_settings import (
+from reedspoke.control_plane.replication.chain_register import Register
+from reedspoke.control_plane.replication.events import ChainLink, Committed, Member, View
+from reedspoke.control_plane.replication.messages import Append, ChainState, Commit, Entry, Snapshot
+from reedspoke.control_plane.replication.outbox import Outbox
+from reedspoke.control_plane.replication.settings import (
     MOST_RESEND_S,
     PING_INTERVAL_S,
     RESEND_BYTES_PER_S,
@@ -20,7 +20,7 @@
     RESEND_S,
     ReplicaSettings,
 )
-from reedspoke.control_plane.view_acceptor import FIRST_VIEW
+from reedspoke.control_plane.views.acceptor import FIRST_VIEW
 from reedspoke.telemetry.invariants import Invariant, check
 
 
--- a/reedspoke/control_plane/chain_register.py
+++ b/reedspoke/control_plane/replication/chain_register.py
@@ -7,11 +7,11 @@
 from msgspec import Struct
 
 from reedspoke.cluster.errors import ErrorCode
-from reedspoke.control_plane.change_history import Acknowledged, ChangeHistory
-from reedspoke.control_plane.events import Committed
-from reedspoke.control_plane.replica_messages import Entry
-from reedspoke.control_plane.replica_outbox import Outbox
-from reedspoke.control_plane.replica_records import (
+from reedspoke.control_plane.replication.change_history import Acknowledged, ChangeHistory
+from reedspoke.control_plane.replication.events import Committed
+from reedspoke.control_plane.replication.messages import Entry
+from reedspoke.control_plane.replication.outbox import Outbox
+from reedspoke.control_plane.storage.records import (
     EntryRecord,
     HistoryRecord,
     RestoredState,
--- a/reedspoke/control_plane/change_history.py
+++ b/reedspoke/control_plane/replication/change_history.py
@@ -10,7 +10,7 @@
 
 from msgspec import Struct
 
-from reedspoke.control_plane.replica_settings import HISTORY_LIMIT
+from reedspoke.control_plane.replication.settings import HISTORY_LIMIT
 
 ROW = struct.Struct(">q32s")  # generation, SHA-256 of the document
 
--- a/reedspoke/control_plane/driver.py
+++ b/reedspoke/control_plane/replication/driver.py
@@ -15,7 +15,7 @@
 from reedspoke.cluster.json_log import ERROR, INFO, log
 from reedspoke.cluster.node_settings import NodeSettings
 from reedspoke.cluster.unhandled_errors import end_process, unhandled_errors
-from reedspoke.control_plane.events import (
+from reedspoke.control_plane.replication.events import (
     Committed,
     Deliver,
     Effect,
@@ -35,11 +35,11 @@
     View,
     ViewChanged,
 )
-from reedspoke.control_plane.job_thread import JobThread
-from reedspoke.control_plane.log_file import OpenedLog, open_log, set_aside
-from reedspoke.control_plane.replica import Replica
-from reedspoke.control_plane.replica_messages import ReplicaMessage
-from reedspoke.control_plane.replica_settings import TICK_S, ReplicaSettings
+from reedspoke.control_plane.replication.messages import ReplicaMessage
+from reedspoke.control_plane.replication.replica import Replica
+from reedspoke.control_plane.replication.settings import TICK_S, ReplicaSettings
+from reedspoke.control_plane.storage.job_thread import JobThread
+from reedspoke.control_plane.storage.log_file import OpenedLog, open_log, set_aside
 from reedspoke.telemetry.invariants import Invariant, check
 
 OPEN_RETRY_S = 0.5
--- a/reedspoke/control_plane/replica_forwarding.py
+++ b/reedspoke/control_plane/replication/forwarding.py
@@ -6,10 +6,10 @@
 
 from msgspec import Struct
 
-from reedspoke.control_plane.events import View
-from reedspoke.control_plane.majority_contact import Contact
-from reedspoke.control_plane.replica_outbox import Outbox
-from reedspoke.control_plane.replica_settings import CONTACT_WAIT_S
+from reedspoke.control_plane.replication.events import View
+from reedspoke.control_plane.replication.outbox import Outbox
+from reedspoke.control_plane.replication.settings import CONTACT_WAIT_S
+from reedspoke.control_plane.views.majority_contact import Contact
 
 
 class Outstanding(Struct, kw_only=True):
--- a/reedspoke/control_plane/replica_gets.py
+++ b/reedspoke/control_plane/replication/gets.py
@@ -5,15 +5,15 @@
 from collections.abc import Callable
 
 from reedspoke.cluster.errors import ErrorCode
-from reedspoke.control_plane.chain import Chain
-from reedspoke.control_plane.chain_register import Register, committed_of
-from reedspoke.control_plane.events import Committed, Get, GetAnswer, View
-from reedspoke.control_plane.majority_contact import Contact
-from reedspoke.control_plane.replica_forwarding import Forwarder, Outstanding
-from reedspoke.control_plane.replica_messages import GetReply, GetRequest
-from reedspoke.control_plane.replica_outbox import Outbox
-from reedspoke.control_plane.replica_settings import GET_RETRY_S, RESEND_S
-from reedspoke.control_plane.view_lease import tail_of
+from reedspoke.control_plane.replication.chain import Chain
+from reedspoke.control_plane.replication.chain_register import Register, committed_of
+from reedspoke.control_plane.replication.events import Committed, Get, GetAnswer, View
+from reedspoke.control_plane.replication.forwarding import Forwarder, Outstanding
+from reedspoke.control_plane.replication.messages import GetReply, GetRequest
+from reedspoke.control_plane.replication.outbox import Outbox
+from reedspoke.control_plane.replication.settings import GET_RETRY_S, RESEND_S
+from reedspoke.control_plane.views.lease import tail_of
+from reedspoke.control_plane.views.majority_contact import Contact
 
 
 class OutstandingGet(Outstanding):
--- a/reedspoke/control_plane/replica_head.py
+++ b/reedspoke/control_plane/replication/head.py
@@ -10,16 +10,16 @@
 from msgspec import Struct
 
 from reedspoke.cluster.errors import ErrorCode
-from reedspoke.control_plane.chain import Chain
-from reedspoke.control_plane.chain_register import Register
-from reedspoke.control_plane.change_history import Acknowledged
-from reedspoke.control_plane.events import View
-from reedspoke.control_plane.replica_messages import Entry, PutReply, PutRequest
-from reedspoke.control_plane.replica_outbox import Outbox
-from reedspoke.control_plane.replica_records import acknowledged
-from reedspoke.control_plane.replica_refusals import Refusals
-from reedspoke.control_plane.replica_verdict import Verdict, verdict_on
-from reedspoke.control_plane.view_lease import tail_of
+from reedspoke.control_plane.replication.chain import Chain
+from reedspoke.control_plane.replication.chain_register import Register
+from reedspoke.control_plane.replication.change_history import Acknowledged
+from reedspoke.control_plane.replication.events import View
+from reedspoke.control_plane.replication.messages import Entry, PutReply, PutRequest
+from reedspoke.control_plane.replication.outbox import Outbox
+from reedspoke.control_plane.replication.refusals import Refusals
+from reedspoke.control_plane.replication.verdict import Verdict, verdict_on
+from reedspoke.control_plane.storage.records import acknowledged
+from reedspoke.control_plane.views.lease import tail_of
 
 REPLIES_KEPT = 512
 MOST_WAITING_BYTES = (
--- a/reedspoke/control_plane/replica_invariants.py
+++ b/reedspoke/control_plane/replication/invariants.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from reedspoke.control_plane.events import Committed, View
-from reedspoke.control_plane.replica_messages import Entry
+from reedspoke.control_plane.replication.events import Committed, View
+from reedspoke.control_plane.replication.messages import Entry
 from reedspoke.telemetry.invariants import Invariant, check
 
 
--- a/reedspoke/control_plane/replica_messages.py
+++ b/reedspoke/control_plane/replication/messages.py
@@ -4,8 +4,8 @@
 
 from msgspec import Struct
 
-from reedspoke.control_plane.change_history import check_packed
-from reedspoke.control_plane.events import Member, View
+from reedspoke.control_plane.replication.change_history import check_packed
+from reedspoke.control_plane.replication.events import Member, View
 
 
 class Ballot(Struct, array_like=True, frozen=True, order=True):
--- a/reedspoke/control_plane/replica_outbox.py
+++ b/reedspoke/control_plane/replication/outbox.py
@@ -8,15 +8,15 @@
 from msgspec import Struct
 
 from reedspoke.cluster.errors import ErrorCode
-from reedspoke.control_plane.events import Effect, LogLine, SendTo, Store, Stored
-from reedspoke.control_plane.log_format import COPIES, encoded_size
-from reedspoke.control_plane.replica_records import EntryRecord, ProbeRecord, encode_record
-from reedspoke.control_plane.replica_settings import (
+from reedspoke.control_plane.replication.events import Effect, LogLine, SendTo, Store, Stored
+from reedspoke.control_plane.replication.settings import (
     DISK_BYTES_PER_S,
     DISK_PROBE_S,
     DISK_STALL_S,
     REWRITE_BYTES,
 )
+from reedspoke.control_plane.storage.log_format import COPIES, encoded_size
+from reedspoke.control_plane.storage.records import EntryRecord, ProbeRecord, encode_record
 
 StoreEnd = Callable[[ErrorCode | None], None]
 SnapshotRecords = Callable[[], tuple[bytes, ...]]
--- a/reedspoke/control_plane/replica_peers.py
+++ b/reedspoke/control_plane/replication/peers.py
@@ -6,9 +6,9 @@
 
 from msgspec import Struct
 
-from reedspoke.control_plane.events import Member
-from reedspoke.control_plane.replica_messages import Ping
-from reedspoke.control_plane.replica_settings import ESTABLISHED_AFTER_S, GONE_S, HEARD_S, JOIN_AFTER_S
+from reedspoke.control_plane.replication.events import Member
+from reedspoke.control_plane.replication.messages import Ping
+from reedspoke.control_plane.replication.settings import ESTABLISHED_AFTER_S, GONE_S, HEARD_S, JOIN_AFTER_S
 
 
 class Peer(Struct):
--- a/reedspoke/control_plane/replica_puts.py
+++ b/reedspoke/control_plane/replication/puts.py
@@ -3,11 +3,11 @@
 from __future__ import annotations
 
 from reedspoke.cluster.errors import ErrorCode
-from reedspoke.control_plane.events import Put, PutAnswer, View
-from reedspoke.control_plane.majority_contact import Contact
-from reedspoke.control_plane.replica_forwarding import Forwarder, Outstanding
-from reedspoke.control_plane.replica_messages import PutReply, PutRequest
-from reedspoke.control_plane.replica_settings import RESEND_BYTES_PER_S, RESEND_S
+from reedspoke.control_plane.replication.events import Put, PutAnswer, View
+from reedspoke.control_plane.replication.forwarding import Forwarder, Outstanding
+from reedspoke.control_plane.replication.messages import PutReply, PutRequest
+from reedspoke.control_plane.replication.settings import RESEND_BYTES_PER_S, RESEND_S
+from reedspoke.control_plane.views.majority_contact import Contact
 
 
 class OutstandingPut(Outstanding):
--- a/reedspoke/control_plane/replica_refusals.py
+++ b/reedspoke/control_plane/replication/refusals.py
@@ -10,10 +10,10 @@
 
 from msgspec import Struct
 
-from reedspoke.control_plane.events import Member
-from reedspoke.control_plane.replica_messages import GetReply, GetRequest
-from reedspoke.control_plane.replica_outbox import Outbox
-from reedspoke.control_plane.replica_settings import GET_RETRY_S
+from reedspoke.control_plane.replication.events import Member
+from reedspoke.control_plane.replication.messages import GetReply, GetRequest
+from reedspoke.control_plane.replication.outbox import Outbox
+from reedspoke.control_plane.replication.settings import GET_RETRY_S
 
 KEY_PREFIX = "refusal "  # tells the keys from the names of reads
 
--- a/reedspoke/control_plane/replica_repair.py
+++ b/reedspoke/control_plane/replication/repair.py
@@ -4,22 +4,22 @@
 
 from collections.abc import Callable
 
-from reedspoke.control_plane.events import View
-from reedspoke.control_plane.replica_messages import Ping
-from reedspoke.control_plane.replica_outbox import Outbox
-from reedspoke.control_plane.replica_peers import Peers
-from reedspoke.control_plane.replica_settings import (
+from reedspoke.control_plane.replication.events import View
+from reedspoke.control_plane.replication.messages import Ping
+from reedspoke.control_plane.replication.outbox import Outbox
+from reedspoke.control_plane.replication.peers import Peers
+from reedspoke.control_plane.replication.settings import (
     ESTABLISHED_AFTER_S,
     HEARD_S,
     PROPOSE_AFTER_S,
     RANK_DELAY_S,
     ReplicaSettings,
 )
-from reedspoke.control_plane.view_acceptor import FIRST_VIEW
-from reedspoke.control_plane.view_agreement import ViewAgreement
-from reedspoke.control_plane.view_choice import Condition, Surroundings, choose_view
-from reedspoke.control_plane.view_first import first_view
-from reedspoke.control_plane.view_lease import majority
+from reedspoke.control_plane.views.acceptor import FIRST_VIEW
+from reedspoke.control_plane.views.agreement import ViewAgreement
+from reedspoke.control_plane.views.choice import Condition, Surroundings, choose_view
+from reedspoke.control_plane.views.first import first_view
+from reedspoke.control_plane.views.lease import majority
 
 SEED_STARTS_WITHIN_S = 1.0  # a seed that is heard for longer and has no part in the first start gets none
 SEED_COMES_WITHIN_S = 2.4  # a seed that is not heard by then is lost: the first start goes on without it
--- a/reedspoke/control_plane/replica.py
+++ b/reedspoke/control_plane/replication/replica.py
@@ -12,9 +12,9 @@
 from msgspec import Struct, structs
 
 from reedspoke.cluster.errors import ErrorCode
-from reedspoke.control_plane.chain import Chain
-from reedspoke.control_plane.chain_register import Register
-from reedspoke.control_plane.events import (
+from reedspoke.control_plane.replication.chain import Chain
+from reedspoke.control_plane.replication.chain_register import Register
+from reedspoke.control_plane.replication.events import (
     Committed,
     Deliver,
     Effect,
@@ -32,11 +32,10 @@
     View,
     ViewChanged,
 )
-from reedspoke.control_plane.majority_contact import Contact, MajorityContact
-from reedspoke.control_plane.replica_gets import GetForwarder, TailReader
-from reedspoke.control_plane.replica_head import HeadQueue
-from reedspoke.control_plane.replica_invariants import ReplicaInvariants
-from reedspoke.control_plane.replica_messages import (
+from reedspoke.control_plane.replication.gets import GetForwarder, TailReader
+from reedspoke.control_plane.replication.head import HeadQueue
+from reedspoke.control_plane.replication.invariants import ReplicaInvariants
+from reedspoke.control_plane.replication.messages import (
     ContactGrant,
     GetReply,
     GetRequest,
@@ -47,20 +46,21 @@
     Resigned,
     ResignRequest,
 )
-from reedspoke.control_plane.replica_outbox import Outbox
-from reedspoke.control_plane.replica_peers import Peers
-from reedspoke.control_plane.replica_puts import PutForwarder
-from reedspoke.control_plane.replica_records import BootstrapRecord, encode_record, restore
-from reedspoke.control_plane.replica_repair import Repair
-from reedspoke.control_plane.replica_settings import (
+from reedspoke.control_plane.replication.outbox import Outbox
+from reedspoke.control_plane.replication.peers import Peers
+from reedspoke.control_plane.replication.puts import PutForwarder
+from reedspoke.control_plane.replication.repair import Repair
+from reedspoke.control_plane.replication.settings import (
     PING_INTERVAL_S,
     REPAIR_INTERVAL_S,
     TICK_S,
     WAKE_GAP_S,
     ReplicaSettings,
 )
-from reedspoke.control_plane.view_agreement import ViewAgreement
-from reedspoke.control_plane.view_lease import TailLease, tail_of
+from reedspoke.control_plane.storage.records import BootstrapRecord, encode_record, restore
+from reedspoke.control_plane.views.agreement import ViewAgreement
+from reedspoke.control_plane.views.lease import TailLease, tail_of
+from reedspoke.control_plane.views.majority_contact import Contact, MajorityContact
 
 __all__ = ["TICK_S", "Replica", "ReplicaSettings"]
 
--- a/reedspoke/control_plane/replica_settings.py
+++ b/reedspoke/control_plane/replication/settings.py
@@ -4,7 +4,7 @@
 
 from msgspec import Struct
 
-from reedspoke.control_plane.events import Member
+from reedspoke.control_plane.replication.events import Member
 
 TICK_S = 0.05  # the shell sends `Tick` this often
 PING_INTERVAL_S = 0.15
--- a/reedspoke/control_plane/replica_verdict.py
+++ b/reedspoke/control_plane/replication/verdict.py
@@ -7,9 +7,9 @@
 
 from enum import Enum
 
-from reedspoke.control_plane.chain_register import Register
-from reedspoke.control_plane.change_history import Acknowledged
-from reedspoke.control_plane.replica_messages import PutRequest
+from reedspoke.control_plane.replication.chain_register import Register
+from reedspoke.control_plane.replication.change_history import Acknowledged
+from reedspoke.control_plane.replication.messages import PutRequest
 
 
 class Verdict(Enum):
--- a/reedspoke/control_plane/replica_records.py
+++ b/reedspoke/control_plane/storage/records.py
@@ -9,9 +9,9 @@
 from msgspec import Struct, ValidationError, convert, field, to_builtins
 
 from reedspoke.cluster.errors import ErrorCode, FleetError
-from reedspoke.control_plane.change_history import Acknowledged, ChangeHistory, check_packed
-from reedspoke.control_plane.events import View
-from reedspoke.control_plane.replica_messages import Ballot, Entry
+from reedspoke.control_plane.replication.change_history import Acknowledged, ChangeHistory, check_packed
+from reedspoke.control_plane.replication.events import View
+from reedspoke.control_plane.replication.messages import Ballot, Entry
 
 NO_BALLOT = Ballot()
 
--- a/reedspoke/control_plane/view_acceptor.py
+++ b/reedspoke/control_plane/views/acceptor.py
@@ -7,12 +7,12 @@
 from msgspec import Struct, structs
 
 from reedspoke.cluster.errors import ErrorCode
-from reedspoke.control_plane.events import Member, View
-from reedspoke.control_plane.replica_messages import Accept, Accepted, Ballot, Prepare, Promise, Rejected
-from reedspoke.control_plane.replica_outbox import Outbox
-from reedspoke.control_plane.replica_records import AcceptorRecord, RestoredState
-from reedspoke.control_plane.replica_settings import PROPOSER_BUSY_S
-from reedspoke.control_plane.view_lease import VoterLease
+from reedspoke.control_plane.replication.events import Member, View
+from reedspoke.control_plane.replication.messages import Accept, Accepted, Ballot, Prepare, Promise, Rejected
+from reedspoke.control_plane.replication.outbox import Outbox
+from reedspoke.control_plane.replication.settings import PROPOSER_BUSY_S
+from reedspoke.control_plane.storage.records import AcceptorRecord, RestoredState
+from reedspoke.control_plane.views.lease import VoterLease
 
 FIRST_VIEW = 1
 
--- a/reedspoke/control_plane/view_agreement.py
+++ b/reedspoke/control_plane/views/agreement.py
@@ -7,8 +7,8 @@
 from msgspec import Struct
 
 from reedspoke.cluster.errors import ErrorCode
-from reedspoke.control_plane.events import Member, View
-from reedspoke.control_plane.replica_messages import (
+from reedspoke.control_plane.replication.events import Member, View
+from reedspoke.control_plane.replication.messages import (
     Accept,
     Accepted,
     Prepare,
@@ -18,12 +18,12 @@
     ResignRequest,
     ViewTold,
 )
-from reedspoke.control_plane.replica_outbox import Outbox
-from reedspoke.control_plane.replica_records import RestoredState, ViewRecord
-from reedspoke.control_plane.replica_settings import ReplicaSettings
-from reedspoke.control_plane.view_acceptor import FIRST_VIEW, Acceptor
-from reedspoke.control_plane.view_lease import VoterLease, keeps_lease, tail_of
-from reedspoke.control_plane.view_proposer import Proposer, acceptor_key
+from reedspoke.control_plane.replication.outbox import Outbox
+from reedspoke.control_plane.replication.settings import ReplicaSettings
+from reedspoke.control_plane.storage.records import RestoredState, ViewRecord
+from reedspoke.control_plane.views.acceptor import FIRST_VIEW, Acceptor
+from reedspoke.control_plane.views.lease import VoterLease, keeps_lease, tail_of
+from reedspoke.control_plane.views.proposer import Proposer, acceptor_key
 
 
 class ViewAgreement:
--- a/reedspoke/control_plane/view_choice.py
+++ b/reedspoke/control_plane/views/choice.py
@@ -6,8 +6,8 @@
 
 from msgspec import Struct
 
-from reedspoke.control_plane.events import ChainLink, Member, View
-from reedspoke.control_plane.largest_chain import Links, largest_chain
+from reedspoke.control_plane.replication.events import ChainLink, Member, View
+from reedspoke.control_plane.views.largest_chain import Links, largest_chain
 
 
 class Condition(Struct, frozen=True):
--- a/reedspoke/control_plane/view_first.py
+++ b/reedspoke/control_plane/views/first.py
@@ -4,9 +4,9 @@
 
 from collections.abc import Iterable
 
-from reedspoke.control_plane.events import ChainLink, View
-from reedspoke.control_plane.replica_messages import Ping
-from reedspoke.control_plane.view_acceptor import FIRST_VIEW
+from reedspoke.control_plane.replication.events import ChainLink, View
+from reedspoke.control_plane.replication.messages import Ping
+from reedspoke.control_plane.views.acceptor import FIRST_VIEW
 
 
 def first_view(seeds: tuple[str, ...], pings: Iterable[Ping], least: int, wanted: int) -> View | None:
--- a/reedspoke/control_plane/largest_chain.py
+++ b/reedspoke/control_plane/views/largest_chain.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable, Sequence
 
-from reedspoke.control_plane.events import ChainLink
+from reedspoke.control_plane.replication.events import ChainLink
 
 Links = tuple[ChainLink, ...]
 
--- a/reedspoke/control_plane/view_lease.py
+++ b/reedspoke/control_plane/views/lease.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from reedspoke.control_plane.events import Member, View
-from reedspoke.control_plane.replica_settings import GRANT_PAUSE_S, LEASE_MARGIN_S, LEASE_S
+from reedspoke.control_plane.replication.events import Member, View
+from reedspoke.control_plane.replication.settings import GRANT_PAUSE_S, LEASE_MARGIN_S, LEASE_S
 
 
 def majority(count: int) -> int:
--- a/reedspoke/control_plane/majority_contact.py
+++ b/reedspoke/control_plane/views/majority_contact.py
@@ -13,9 +13,9 @@
 
 from enum import Enum
 
-from reedspoke.control_plane.events import Member
-from reedspoke.control_plane.replica_settings import CONTACT_S
-from reedspoke.control_plane.view_lease import majority
+from reedspoke.control_plane.replication.events import Member
+from reedspoke.control_plane.replication.settings import CONTACT_S
+from reedspoke.control_plane.views.lease import majority
 
 NEVER = float("-inf")
 
--- a/reedspoke/control_plane/view_proposer.py
+++ b/reedspoke/control_plane/views/proposer.py
@@ -4,8 +4,8 @@
 
 from msgspec import Struct, field
 
-from reedspoke.control_plane.events import Member, View
-from reedspoke.control_plane.replica_messages import (
+from reedspoke.control_plane.replication.events import Member, View
+from reedspoke.control_plane.replication.messages import (
     Accept,
     Accepted,
     Ballot,
@@ -13,14 +13,14 @@
     Promise,
     Rejected,
 )
-from reedspoke.control_plane.replica_outbox import Outbox
-from reedspoke.control_plane.replica_settings import (
+from reedspoke.control_plane.replication.outbox import Outbox
+from reedspoke.control_plane.replication.settings import (
     PROPOSAL_LIMIT_S,
     PROPOSAL_RESEND_S,
     REJECTED_PAUSE_S,
 )
-from reedspoke.control_plane.view_acceptor import FIRST_VIEW
-from reedspoke.control_plane.view_lease import majority
+from reedspoke.control_plane.views.acceptor import FIRST_VIEW
+from reedspoke.control_plane.views.lease import majority
 
 
 def acceptor_key(number: int, acceptor: Member) -> str:
--- a/reedspoke/control_plane/duty_lease.py
+++ b/reedspoke/control_plane/workers/duty_lease.py
@@ -17,7 +17,7 @@
 
 from msgspec import Struct
 
-from reedspoke.control_plane.peer_messages import LeaseAnswer, LeaseMessage, LeaseRelease, LeaseRequest
+from reedspoke.control_plane.peers.messages import LeaseAnswer, LeaseMessage, LeaseRelease, LeaseRequest
 
 LEASE_S = 1.2
 MARGIN_S = 0.1
--- a/reedspoke/control_plane/list_duty.py
+++ b/reedspoke/control_plane/workers/list_duty.py
@@ -13,9 +13,9 @@
 from reedspoke.cluster.json_log import INFO, WARNING, log
 from reedspoke.cluster.messages import Version, WorkerEntry, WorkerList
 from reedspoke.cluster.node_settings import CloudApi
-from reedspoke.control_plane.duty_lease import DutyLease, Outgoing
-from reedspoke.control_plane.platform_client import PlatformClient, PlatformError, PlatformRateError
-from reedspoke.control_plane.worker_list import UNLEASED_TERM, PlatformPage, WorkerBook, merge_pages
+from reedspoke.control_plane.workers.duty_lease import DutyLease, Outgoing
+from reedspoke.control_plane.workers.platform_client import PlatformClient, PlatformError, PlatformRateError
+from reedspoke.control_plane.workers.worker_list import UNLEASED_TERM, PlatformPage, WorkerBook, merge_pages
 
 LIST_INTERVAL_S = 0.8  # between calls of the whole list; each call has a price
 RETRY_S = 0.25  # after a call that failed
--- a/reedspoke/control_plane/platform_client.py
+++ b/reedspoke/control_plane/workers/platform_client.py
@@ -8,7 +8,7 @@
 
 from reedspoke.cluster.errors import ErrorCode, FleetError
 from reedspoke.cluster.node_settings import split_address
-from reedspoke.control_plane.worker_list import PlatformPage, parse_page
+from reedspoke.control_plane.workers.worker_list import PlatformPage, parse_page
 from reedspoke.net.http import Answers, Buffer, End, Head, MalformedError
 
 LIST_PATH = "/workers"
--- a/tests/control_plane/chain_replica.py
+++ b/tests/control_plane/chain_replica.py
@@ -5,15 +5,23 @@
 from msgspec import Struct
 
 from reedspoke.cluster.errors import ErrorCode
-from reedspoke.control_plane.chain import Chain
-from reedspoke.control_plane.chain_register import Register
-from reedspoke.control_plane.change_history import ChangeHistory
-from reedspoke.control_plane.events import ChainLink, Committed, Member, SendTo, Store, Stored, View
-from reedspoke.control_plane.replica_head import HeadQueue
-from reedspoke.control_plane.replica_messages import Entry
-from reedspoke.control_plane.replica_outbox import Outbox
-from reedspoke.control_plane.replica_records import RestoredState, acknowledged
-from reedspoke.control_plane.replica_settings import ReplicaSettings
+from reedspoke.control_plane.replication.chain import Chain
+from reedspoke.control_plane.replication.chain_register import Register
+from reedspoke.control_plane.replication.change_history import ChangeHistory
+from reedspoke.control_plane.replication.events import (
+    ChainLink,
+    Committed,
+    Member,
+    SendTo,
+    Store,
+    Stored,
+    View,
+)
+from reedspoke.control_plane.replication.head import HeadQueue
+from reedspoke.control_plane.replication.messages import Entry
+from reedspoke.control_plane.replication.outbox import Outbox
+from reedspoke.control_plane.replication.settings import ReplicaSettings
+from reedspoke.control_plane.storage.records import RestoredState, acknowledged
 
 START = 100.0
 ANSWER_LIMIT_S = 1.0
--- a/tests/control_plane/direct_core.py
+++ b/tests/control_plane/direct_core.py
@@ -8,8 +8,17 @@
 from collections import deque
 
 from reedspoke.cluster.errors import ErrorCode
-from reedspoke.control_plane.events import Event, Put, PutAnswer, Received, SendTo, Store, Stored, Tick
-from reedspoke.control_plane.replica import TICK_S, Replica, ReplicaSettings
+from reedspoke.control_plane.replication.events import (
+    Event,
+    Put,
+    PutAnswer,
+    Received,
+    SendTo,
+    Store,
+    Stored,
+    Tick,
+)
+from reedspoke.control_plane.replication.replica import TICK_S, Replica, ReplicaSettings
 
 START_S = 3.0
 
--- a/tests/control_plane/judge.py
+++ b/tests/control_plane/judge.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 
 from reedspoke.cluster.errors import ErrorCode
-from reedspoke.control_plane.events import Committed, GetAnswer, PutAnswer
+from reedspoke.control_plane.replication.events import Committed, GetAnswer, PutAnswer
 
 REFUSALS = {
     ErrorCode.CONFIGURATION_STALE_MATCH,
--- a/tests/control_plane/loss_check.py
+++ b/tests/control_plane/loss_check.py
@@ -14,12 +14,12 @@
 from hashlib import sha256
 
 from reedspoke.cluster.errors import ErrorCode
-from reedspoke.control_plane.change_history import Acknowledged
-from reedspoke.control_plane.events import Member, View
-from reedspoke.control_plane.replica_records import RestoredState, restore
-from reedspoke.control_plane.replica_settings import HEARD_S
-from reedspoke.control_plane.view_acceptor import FIRST_VIEW
-from reedspoke.control_plane.view_lease import majority
+from reedspoke.control_plane.replication.change_history import Acknowledged
+from reedspoke.control_plane.replication.events import Member, View
+from reedspoke.control_plane.replication.settings import HEARD_S
+from reedspoke.control_plane.storage.records import RestoredState, restore
+from reedspoke.control_plane.views.acceptor import FIRST_VIEW
+from reedspoke.control_plane.views.lease import majority
 from tests.control_plane.schedule import check_end
 from tests.control_plane.simulated_parts import Disk, Machine
 from tests.control_plane.simulation import Simulation
--- a/tests/control_plane/loss_schedule.py
+++ b/tests/control_plane/loss_schedule.py
@@ -10,8 +10,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from reedspoke.control_plane.events import Leave, SendTo, View
-from reedspoke.control_plane.replica_messages import ViewTold
+from reedspoke.control_plane.replication.events import Leave, SendTo, View
+from reedspoke.control_plane.replication.messages import ViewTold
 from tests.control_plane.loss_check import check_by_trial, check_records, further_losses
 from tests.control_plane.schedule import Operator
 from tests.control_plane.simulated_parts import DiskMode
--- a/tests/control_plane/simulated_control.py
+++ b/tests/control_plane/simulated_control.py
@@ -21,18 +21,18 @@
     decode,
 )
 from reedspoke.cluster.node_settings import NodeSettings
-from reedspoke.control_plane.configuration_cache import ConfigurationCache
-from reedspoke.control_plane.duty_lease import DutyLease
-from reedspoke.control_plane.edge_sessions import EdgeSessions
-from reedspoke.control_plane.events import Committed, SendTo, View
-from reedspoke.control_plane.list_duty import ListDuty
-from reedspoke.control_plane.membership import Membership
-from reedspoke.control_plane.peer_transport import PeerMessage
-from reedspoke.control_plane.platform_client import PlatformClient
+from reedspoke.control_plane.delivery.configuration_cache import ConfigurationCache
+from reedspoke.control_plane.delivery.edge_sessions import EdgeSessions
+from reedspoke.control_plane.delivery.membership import Membership
+from reedspoke.control_plane.delivery.published_state import PublishedState
+from reedspoke.control_plane.peers.transport import PeerMessage
 from reedspoke.control_plane.process import EDGE_LIFE_HEARTBEATS, ControlProcess
-from reedspoke.control_plane.published_state import PublishedState
-from reedspoke.control_plane.replica_messages import ReplicaMessage
-from reedspoke.control_plane.worker_list import PlatformPage, WorkerBook
+from reedspoke.control_plane.replication.events import Committed, SendTo, View
+from reedspoke.control_plane.replication.messages import ReplicaMessage
+from reedspoke.control_plane.workers.duty_lease import DutyLease
+from reedspoke.control_plane.workers.list_duty import ListDuty
+from reedspoke.control_plane.workers.platform_client import PlatformClient
+from reedspoke.control_plane.workers.worker_list import PlatformPage, WorkerBook
 from tests.control_plane.list_judge import ListJudge
 from tests.control_plane.process_loop import ProcessLoop
 from tests.control_plane.simulated_channel import SimulatedChannel
--- a/tests/control_plane/simulated_core.py
+++ b/tests/control_plane/simulated_core.py
@@ -15,7 +15,7 @@
 
 from reedspoke.cluster.errors import ErrorCode
 from reedspoke.cluster.messages import decode, encode
-from reedspoke.control_plane.events import (
+from reedspoke.control_plane.replication.events import (
     Deliver,
     Effect,
     Event,
@@ -28,8 +28,8 @@
     Tick,
     ViewChanged,
 )
-from reedspoke.control_plane.replica import TICK_S, Replica, ReplicaSettings
-from reedspoke.control_plane.replica_messages import ContactGrant, LeaseGrant, Ping, ReplicaMessage
+from reedspoke.control_plane.replication.messages import ContactGrant, LeaseGrant, Ping, ReplicaMessage
+from reedspoke.control_plane.replication.replica import TICK_S, Replica, ReplicaSettings
 from tests.control_plane.calm import Calm
 from tests.control_plane.judge import Judge
 from tests.control_plane.simulated_parts import (
--- a/tests/control_plane/simulated_files.py
+++ b/tests/control_plane/simulated_files.py
@@ -16,8 +16,8 @@
 
 import pytest
 
-from reedspoke.control_plane import log_file
-from reedspoke.control_plane.log_format import COPIES, SINGLE_COPY_HEADER, encode_batch
+from reedspoke.control_plane.storage import log_file
+from reedspoke.control_plane.storage.log_format import COPIES, SINGLE_COPY_HEADER, encode_batch
 
 FOLDER = Path("/data")
 TORN_PARTS = 20  # into which a write may be torn
--- a/tests/control_plane/simulated_parts.py
+++ b/tests/control_plane/simulated_parts.py
@@ -12,8 +12,8 @@
 from msgspec import Struct
 
 from reedspoke.cluster.errors import ErrorCode
-from reedspoke.control_plane.events import Committed, Event, Store, View
-from reedspoke.control_plane.replica import Replica
+from reedspoke.control_plane.replication.events import Committed, Event, Store, View
+from reedspoke.control_plane.replication.replica import Replica
 
 
 class DiskMode(Enum):
--- a/tests/control_plane/simulated_platform.py
+++ b/tests/control_plane/simulated_platform.py
@@ -10,8 +10,8 @@
 
 from msgspec import structs
 
-from reedspoke.control_plane.platform_client import PlatformClient, PlatformError
-from reedspoke.control_plane.worker_list import STATE_DRAINING, PlatformInstance, PlatformPage
+from reedspoke.control_plane.workers.platform_client import PlatformClient, PlatformError
+from reedspoke.control_plane.workers.worker_list import STATE_DRAINING, PlatformInstance, PlatformPage
 from tests.control_plane.simulated_parts import VirtualTime
 
 LAG_S = 0.8
--- a/tests/control_plane/storage_simulation.py
+++ b/tests/control_plane/storage_simulation.py
@@ -16,11 +16,11 @@
 from msgspec import Struct
 
 from reedspoke.cluster.errors import ErrorCode, FleetError
-from reedspoke.control_plane.events import Store
-from reedspoke.control_plane.log_file import SLOT_NAMES, OpenedLog, open_log, set_aside
-from reedspoke.control_plane.log_format import encoded_size
-from reedspoke.control_plane.peer_transport import LARGE_BYTES
-from reedspoke.control_plane.replica_messages import Append, Snapshot
+from reedspoke.control_plane.peers.transport import LARGE_BYTES
+from reedspoke.control_plane.replication.events import Store
+from reedspoke.control_plane.replication.messages import Append, Snapshot
+from reedspoke.control_plane.storage.log_file import SLOT_NAMES, OpenedLog, open_log, set_aside
+from reedspoke.control_plane.storage.log_format import encoded_size
 from tests.control_plane.simulated_files import FOLDER, PowerLost, SimulatedFiles, use
 from tests.control_plane.simulated_parts import Disk, DiskMode
 from tests.control_plane.simulation import Simulation
--- a/tests/control_plane/test_guards_agreement.py
+++ b/tests/control_plane/test_guards_agreement.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from reedspoke.control_plane.events import ChainLink, Member, SendTo, View
-from reedspoke.control_plane.replica_messages import (
+from reedspoke.control_plane.replication.events import ChainLink, Member, SendTo, View
+from reedspoke.control_plane.replication.messages import (
     Accept,
     Accepted,
     Ballot,
@@ -16,11 +16,11 @@
     Resigned,
     ViewTold,
 )
-from reedspoke.control_plane.replica_outbox import Outbox
-from reedspoke.control_plane.replica_records import NO_BALLOT
-from reedspoke.control_plane.view_first import first_view
-from reedspoke.control_plane.view_lease import TailLease, VoterLease
-from reedspoke.control_plane.view_proposer import Proposer
+from reedspoke.control_plane.replication.outbox import Outbox
+from reedspoke.control_plane.storage.records import NO_BALLOT
+from reedspoke.control_plane.views.first import first_view
+from reedspoke.control_plane.views.lease import TailLease, VoterLease
+from reedspoke.control_plane.views.proposer import Proposer
 from tests.control_plane.test_view_agreement import MEMBERS, PRESENT, START, Voter
 
 A, B, C = MEMBERS
--- a/tests/control_plane/test_guards_answers.py
+++ b/tests/control_plane/test_guards_answers.py
@@ -7,7 +7,7 @@
 import pytest
 
 from reedspoke.cluster.errors import ErrorCode
-from reedspoke.control_plane.events import (
+from reedspoke.control_plane.replication.events import (
     ChainLink,
     Effect,
     Event,
@@ -19,7 +19,7 @@
     SendTo,
     View,
 )
-from reedspoke.control_plane.replica_messages import (
+from reedspoke.control_plane.replication.messages import (
     ContactGrant,
     GetReply,
     GetRequest,
@@ -28,7 +28,7 @@
     Snapshot,
     ViewTold,
 )
-from reedspoke.control_plane.replica_settings import CONTACT_S, PING_INTERVAL_S, TICK_S
+from reedspoke.control_plane.replication.settings import CONTACT_S, PING_INTERVAL_S, TICK_S
 from tests.control_plane.chain_replica import HEAD, MIDDLE, TAIL, VIEW_NUMBER, entry, packed_history, view_of
 from tests.control_plane.test_guards_replica import LoneReplica
 
--- a/tests/control_plane/test_guards_chain.py
+++ b/tests/control_plane/test_guards_chain.py
@@ -6,8 +6,8 @@
 from msgspec import Struct
 
 from reedspoke.cluster.errors import ErrorCode
-from reedspoke.control_plane.events import Member
-from reedspoke.control_plane.replica_messages import Append, ChainState, Commit, Snapshot
+from reedspoke.control_plane.replication.events import Member
+from reedspoke.control_plane.replication.messages import Append, ChainState, Commit, Snapshot
 from tests.control_plane.chain_replica import (
     HEAD,
     MIDDLE,
--- a/tests/control_plane/test_guards_choice.py
+++ b/tests/control_plane/test_guards_choice.py
@@ -4,9 +4,9 @@
 
 from msgspec import structs
 
-from reedspoke.control_plane.events import View
-from reedspoke.control_plane.largest_chain import largest_chain
-from reedspoke.control_plane.view_choice import Surroundings, choose_view
+from reedspoke.control_plane.replication.events import View
+from reedspoke.control_plane.views.choice import Surroundings, choose_view
+from reedspoke.control_plane.views.largest_chain import largest_chain
 from tests.control_plane.test_view_choice import _around, _chain, _member, _view, _voters
 
 
--- a/tests/control_plane/test_guards_contact.py
+++ b/tests/control_plane/test_guards_contact.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from reedspoke.control_plane.events import Member
-from reedspoke.control_plane.majority_contact import MajorityContact
+from reedspoke.control_plane.replication.events import Member
+from reedspoke.control_plane.views.majority_contact import MajorityContact
 
 STARTED = 100.0
 VOTERS = tuple(Member(folder, f"at-{folder}") for folder in ("a", "b", "c"))
--- a/tests/control_plane/test_guards_duty_lease.py
+++ b/tests/control_plane/test_guards_duty_lease.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from reedspoke.control_plane.duty_lease import LEASE_S, MARGIN_S, DutyLease, Granter, Outgoing
-from reedspoke.control_plane.peer_messages import LeaseAnswer, LeaseRequest
+from reedspoke.control_plane.peers.messages import LeaseAnswer, LeaseRequest
+from reedspoke.control_plane.workers.duty_lease import LEASE_S, MARGIN_S, DutyLease, Granter, Outgoing
 
 OWN, OTHER, THIRD, FOURTH, STRANGER = "at-a", "at-b", "at-c", "at-d", "at-z"
 VOTERS = (OWN, OTHER, THIRD)
--- a/tests/control_plane/test_guards_head.py
+++ b/tests/control_plane/test_guards_head.py
@@ -5,10 +5,9 @@
 import pytest
 
 from reedspoke.cluster.errors import ErrorCode
-from reedspoke.control_plane.events import Member, Put, PutAnswer, View
-from reedspoke.control_plane.majority_contact import Contact
-from reedspoke.control_plane.replica_head import MOST_WAITING_BYTES, WAIT_SHARE
-from reedspoke.control_plane.replica_messages import (
+from reedspoke.control_plane.replication.events import Member, Put, PutAnswer, View
+from reedspoke.control_plane.replication.head import MOST_WAITING_BYTES, WAIT_SHARE
+from reedspoke.control_plane.replication.messages import (
     ChainState,
     Commit,
     GetReply,
@@ -16,9 +15,10 @@
     PutReply,
     PutRequest,
 )
-from reedspoke.control_plane.replica_outbox import Outbox
-from reedspoke.control_plane.replica_puts import PutForwarder
-from reedspoke.control_plane.replica_refusals import Refusals
+from reedspoke.control_plane.replication.outbox import Outbox
+from reedspoke.control_plane.replication.puts import PutForwarder
+from reedspoke.control_plane.replication.refusals import Refusals
+from reedspoke.control_plane.views.majority_contact import Contact
 from tests.control_plane.chain_replica import (
     ANSWER_LIMIT_S,
     HEAD,
--- a/tests/control_plane/test_guards_lists.py
+++ b/tests/control_plane/test_guards_lists.py
@@ -8,10 +8,11 @@
 
 from reedspoke.cluster.messages import ControlMember, Watch, WorkerEntry, WorkerList
 from reedspoke.cluster.node_settings import CloudApi
-from reedspoke.control_plane import list_duty, membership, worker_list
-from reedspoke.control_plane.list_duty import ListDuty
-from reedspoke.control_plane.membership import Membership
-from reedspoke.control_plane.worker_list import PlatformInstance, PlatformPage, WorkerBook
+from reedspoke.control_plane.delivery import membership
+from reedspoke.control_plane.delivery.membership import Membership
+from reedspoke.control_plane.workers import list_duty, worker_list
+from reedspoke.control_plane.workers.list_duty import ListDuty
+from reedspoke.control_plane.workers.worker_list import PlatformInstance, PlatformPage, WorkerBook
 
 EDGE_LIFE_S = 3.0
 
--- a/tests/control_plane/test_guards_log_file.py
+++ b/tests/control_plane/test_guards_log_file.py
@@ -10,8 +10,8 @@
 import pytest
 
 from reedspoke.cluster.errors import ErrorCode, FleetError
-from reedspoke.control_plane.log_file import LOG_NAME, open_log, set_aside
-from reedspoke.control_plane.log_format import HEADER, SINGLE_COPY_HEADER, encode_batch, read_content
+from reedspoke.control_plane.storage.log_file import LOG_NAME, open_log, set_aside
+from reedspoke.control_plane.storage.log_format import HEADER, SINGLE_COPY_HEADER, encode_batch, read_content
 
 FILE, DIRECTORY, REPLACED, REMOVED = "file synced", "directory synced", "name replaced", "name removed"
 
--- a/tests/control_plane/test_guards_outbox.py
+++ b/tests/control_plane/test_guards_outbox.py
@@ -3,10 +3,10 @@
 from __future__ import annotations
 
 from reedspoke.cluster.errors import ErrorCode
-from reedspoke.control_plane.events import Store, Stored
-from reedspoke.control_plane.replica_outbox import Outbox
-from reedspoke.control_plane.replica_records import ProbeRecord
-from reedspoke.control_plane.replica_settings import DISK_PROBE_S
+from reedspoke.control_plane.replication.events import Store, Stored
+from reedspoke.control_plane.replication.outbox import Outbox
+from reedspoke.control_plane.replication.settings import DISK_PROBE_S
+from reedspoke.control_plane.storage.records import ProbeRecord
 
 START = 100.0
 
--- a/tests/control_plane/test_guards_peer_transport.py
+++ b/tests/control_plane/test_guards_peer_transport.py
@@ -8,8 +8,8 @@
 
 from reedspoke.cluster.messages import encode
 from reedspoke.cluster.transport import CONNECTION_ENDED, open_channel
-from reedspoke.control_plane import peer_transport
-from reedspoke.control_plane.peer_messages import Hello, LeaseRelease
+from reedspoke.control_plane.peers import transport as peer_transport
+from reedspoke.control_plane.peers.messages import Hello, LeaseRelease
 from tests.control_plane_process.test_peer_transport import Scheduler, two
 
 LAST_TERM = 99
--- a/tests/control_plane/test_guards_peers.py
+++ b/tests/control_plane/test_guards_peers.py
@@ -3,12 +3,11 @@
 from __future__ import annotations
 
 from reedspoke.cluster.errors import ErrorCode
-from reedspoke.control_plane.events import Effect, Member, Store, Stored
-from reedspoke.control_plane.replica_messages import Ping
-from reedspoke.control_plane.replica_outbox import Outbox
-from reedspoke.control_plane.replica_peers import Peers
-from reedspoke.control_plane.replica_records import ProbeRecord
-from reedspoke.control_plane.replica_settings import (
+from reedspoke.control_plane.replication.events import Effect, Member, Store, Stored
+from reedspoke.control_plane.replication.messages import Ping
+from reedspoke.control_plane.replication.outbox import Outbox
+from reedspoke.control_plane.replication.peers import Peers
+from reedspoke.control_plane.replication.settings import (
     DISK_PROBE_S,
     DISK_STALL_S,
     GONE_S,
@@ -16,7 +15,8 @@
     JOIN_AFTER_S,
     PING_INTERVAL_S,
 )
-from reedspoke.control_plane.view_first import first_view
+from reedspoke.control_plane.storage.records import ProbeRecord
+from reedspoke.control_plane.views.first import first_view
 from tests.control_plane.chain_replica import HEAD, MIDDLE, START, TAIL
 
 
--- a/tests/control_plane/test_guards_process.py
+++ b/tests/control_plane/test_guards_process.py
@@ -8,9 +8,9 @@
 from typing import Any
 
 from reedspoke.cluster.node_settings import NodeSettings
-from reedspoke.control_plane.configuration_cache import ConfigurationCache, Prepared
-from reedspoke.control_plane.events import Committed
+from reedspoke.control_plane.delivery.configuration_cache import ConfigurationCache, Prepared
 from reedspoke.control_plane.process import ControlProcess
+from reedspoke.control_plane.replication.events import Committed
 from tests.control_plane_process.stand_ins import configuration
 
 FAR_AHEAD_S = 1000.0
--- a/tests/control_plane/test_guards_reads.py
+++ b/tests/control_plane/test_guards_reads.py
@@ -5,10 +5,10 @@
 import pytest
 
 from reedspoke.cluster.errors import ErrorCode
-from reedspoke.control_plane.events import Committed, Get, GetAnswer, Member, View
-from reedspoke.control_plane.majority_contact import Contact
-from reedspoke.control_plane.replica_gets import GetForwarder, TailReader
-from reedspoke.control_plane.replica_messages import GetReply, GetRequest
+from reedspoke.control_plane.replication.events import Committed, Get, GetAnswer, Member, View
+from reedspoke.control_plane.replication.gets import GetForwarder, TailReader
+from reedspoke.control_plane.replication.messages import GetReply, GetRequest
+from reedspoke.control_plane.views.majority_contact import Contact
 from tests.control_plane.chain_replica import (
     ANSWER_LIMIT_S,
     HEAD,
--- a/tests/control_plane/test_guards_register.py
+++ b/tests/control_plane/test_guards_register.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from reedspoke.cluster.errors import ErrorCode
-from reedspoke.control_plane.replica_messages import Entry
-from reedspoke.control_plane.replica_records import (
+from reedspoke.control_plane.replication.messages import Entry
+from reedspoke.control_plane.storage.records import (
     EntryRecord,
     HistoryRecord,
     ViewRecord,
--- a/tests/control_plane/test_guards_replica.py
+++ b/tests/control_plane/test_guards_replica.py
@@ -6,7 +6,7 @@
 from msgspec import Struct
 
 from reedspoke.cluster.errors import ErrorCode
-from reedspoke.control_plane.events import (
+from reedspoke.control_plane.replication.events import (
     Effect,
     Member,
     Received,
@@ -16,8 +16,7 @@
     Tick,
     View,
 )
-from reedspoke.control_plane.replica import Replica, ReplicaSettings
-from reedspoke.control_plane.replica_messages import (
+from reedspoke.control_plane.replication.messages import (
     Accept,
     Accepted,
     Ballot,
@@ -30,8 +29,8 @@
     ResignRequest,
     Snapshot,
 )
-from reedspoke.control_plane.replica_records import ViewRecord, encode_record
-from reedspoke.control_plane.replica_settings import (
+from reedspoke.control_plane.replication.replica import Replica, ReplicaSettings
+from reedspoke.control_plane.replication.settings import (
     HEARD_S,
     LEASE_S,
     PING_INTERVAL_S,
@@ -39,6 +38,7 @@
     RANK_DELAY_S,
     TICK_S,
 )
+from reedspoke.control_plane.storage.records import ViewRecord, encode_record
 from tests.control_plane.chain_replica import HEAD, MIDDLE, START, TAIL, VIEW_NUMBER, WHOLE, entry, view_of
 
 OTHER_TAIL = View(VIEW_NUMBER + 1, WHOLE.voters, WHOLE.chain[:-1])
--- a/tests/control_plane/test_invariant_checks.py
+++ b/tests/control_plane/test_invariant_checks.py
@@ -13,10 +13,10 @@
 from reedspoke.cluster.errors import ErrorCode
 from reedspoke.cluster.messages import WorkerList
 from reedspoke.cluster.node_settings import NodeSettings
-from reedspoke.control_plane.driver import ReplicaDriver
-from reedspoke.control_plane.duty_lease import DutyLease
-from reedspoke.control_plane.events import Committed, GetAnswer, PutAnswer, View
-from reedspoke.control_plane.replica_invariants import ReplicaInvariants
+from reedspoke.control_plane.replication.driver import ReplicaDriver
+from reedspoke.control_plane.replication.events import Committed, GetAnswer, PutAnswer, View
+from reedspoke.control_plane.replication.invariants import ReplicaInvariants
+from reedspoke.control_plane.workers.duty_lease import DutyLease
 from reedspoke.telemetry.invariants import Invariant, monitor
 from tests.control_plane.chain_replica import MIDDLE, ChainReplica, entry
 from tests.control_plane.test_guards_process import Process, play
--- a/tests/control_plane/test_log_file.py
+++ b/tests/control_plane/test_log_file.py
@@ -11,15 +11,15 @@
 import pytest
 
 from reedspoke.cluster.errors import ErrorCode, FleetError
-from reedspoke.control_plane import log_file
-from reedspoke.control_plane.log_file import (
+from reedspoke.control_plane.storage import log_file
+from reedspoke.control_plane.storage.log_file import (
     LOG_NAME,
     OLD_TEMPORARY_NAME,
     OTHER_SLOT_NAME,
     open_log,
     set_aside,
 )
-from reedspoke.control_plane.log_format import HEADER
+from reedspoke.control_plane.storage.log_format import HEADER
 from tests.control_plane.simulated_files import single_copies
 
 BATCHES = [[b"one"], [b"two", b"three"], [b"x" * 60]]
--- a/tests/control_plane/test_losses_members.py
+++ b/tests/control_plane/test_losses_members.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from reedspoke.control_plane.events import SendTo
-from reedspoke.control_plane.replica_messages import Accept, Promise, Snapshot
+from reedspoke.control_plane.replication.events import SendTo
+from reedspoke.control_plane.replication.messages import Accept, Promise, Snapshot
 from tests.control_plane.loss_check import check_by_trial, check_records, further_losses
 from tests.control_plane.loss_schedule import depart
 from tests.control_plane.simulated_parts import DiskMode
--- a/tests/control_plane/test_losses_strength.py
+++ b/tests/control_plane/test_losses_strength.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from reedspoke.control_plane.replica_settings import ESTABLISHED_AFTER_S
+from reedspoke.control_plane.replication.settings import ESTABLISHED_AFTER_S
 from tests.control_plane.simulation import Simulation
 from tests.control_plane.strength import (
     Loss,
--- a/tests/control_plane/test_losses_view_choice.py
+++ b/tests/control_plane/test_losses_view_choice.py
@@ -9,9 +9,9 @@
 
 import pytest
 
-from reedspoke.control_plane.events import ChainLink, Member, View
-from reedspoke.control_plane.largest_chain import Links, largest_chain
-from reedspoke.control_plane.view_choice import Condition, Surroundings, choose_view
+from reedspoke.control_plane.replication.events import ChainLink, Member, View
+from reedspoke.control_plane.views.choice import Condition, Surroundings, choose_view
+from reedspoke.control_plane.views.largest_chain import Links, largest_chain
 
 LARGE_CHAIN = 15
 LARGE_CHOICE_LIMIT_S = 0.05
--- a/tests/control_plane/test_majority_contact.py
+++ b/tests/control_plane/test_majority_contact.py
@@ -6,11 +6,11 @@
 from msgspec import Struct
 
 from reedspoke.cluster.errors import ErrorCode
-from reedspoke.control_plane.events import Leave, Member, Received, View
-from reedspoke.control_plane.majority_contact import MajorityContact
-from reedspoke.control_plane.replica_messages import Ballot, ContactGrant
-from reedspoke.control_plane.replica_records import AcceptorRecord
-from reedspoke.control_plane.replica_settings import CONTACT_S
+from reedspoke.control_plane.replication.events import Leave, Member, Received, View
+from reedspoke.control_plane.replication.messages import Ballot, ContactGrant
+from reedspoke.control_plane.replication.settings import CONTACT_S
+from reedspoke.control_plane.storage.records import AcceptorRecord
+from reedspoke.control_plane.views.majority_contact import MajorityContact
 from tests.control_plane.schedule import Faults, Operator
 from tests.control_plane.simulated_parts import DiskMode
 from tests.control_plane.simulation import Simulation
--- a/tests/control_plane/test_orders_history.py
+++ b/tests/control_plane/test_orders_history.py
@@ -11,16 +11,16 @@
 
 from reedspoke.cluster.errors import ErrorCode, FleetError
 from reedspoke.cluster.messages import decode, encode
-from reedspoke.control_plane.change_history import ROW, Acknowledged, ChangeHistory
-from reedspoke.control_plane.replica_messages import Entry, ReplicaMessage, Snapshot
-from reedspoke.control_plane.replica_records import (
+from reedspoke.control_plane.replication.change_history import ROW, Acknowledged, ChangeHistory
+from reedspoke.control_plane.replication.messages import Entry, ReplicaMessage, Snapshot
+from reedspoke.control_plane.replication.settings import HISTORY_LIMIT
+from reedspoke.control_plane.storage.records import (
     EntryRecord,
     HistoryRecord,
     ListedHistoryRecord,
     encode_record,
     restore,
 )
-from reedspoke.control_plane.replica_settings import HISTORY_LIMIT
 from tests.control_plane.direct_core import DirectCore
 
 LATER_CHANGES = 5000
--- a/tests/control_plane/test_orders_invalid.py
+++ b/tests/control_plane/test_orders_invalid.py
@@ -10,16 +10,16 @@
 
 from reedspoke.cluster.configuration import Configuration, parse_configuration
 from reedspoke.cluster.errors import ErrorCode
-from reedspoke.control_plane.events import PutAnswer
-from reedspoke.control_plane.http_server import Request
-from reedspoke.control_plane.operator_api import (
+from reedspoke.control_plane.api.http_server import Request
+from reedspoke.control_plane.api.operator_api import (
     CONFIGURATION_PATH,
     OPERATIONS,
     Calls,
     OperatorApi,
     status_of,
 )
-from reedspoke.control_plane.replica_records import EntryRecord, decode_record
+from reedspoke.control_plane.replication.events import PutAnswer
+from reedspoke.control_plane.storage.records import EntryRecord, decode_record
 from tests.control_plane.direct_core import DirectCore
 from tests.control_plane_process.stand_ins import configuration
 
--- a/tests/control_plane/test_orders_refused.py
+++ b/tests/control_plane/test_orders_refused.py
@@ -5,9 +5,9 @@
 import pytest
 
 from reedspoke.cluster.errors import ErrorCode
-from reedspoke.control_plane.events import Received
-from reedspoke.control_plane.replica_messages import PutReply, PutRequest
-from reedspoke.control_plane.replica_records import EntryRecord, decode_record
+from reedspoke.control_plane.replication.events import Received
+from reedspoke.control_plane.replication.messages import PutReply, PutRequest
+from reedspoke.control_plane.storage.records import EntryRecord, decode_record
 from tests.control_plane.direct_core import DirectCore
 from tests.control_plane.rivals import REFUSED
 from tests.control_plane.schedule import Faults, check_end, come_back
--- a/tests/control_plane/test_orders_requests.py
+++ b/tests/control_plane/test_orders_requests.py
@@ -11,13 +11,13 @@
 
 from reedspoke.cluster.errors import ErrorCode
 from reedspoke.cluster.node_settings import NodeSettings
-from reedspoke.control_plane import driver as driver_module
-from reedspoke.control_plane.driver import ReplicaDriver, Surroundings
-from reedspoke.control_plane.events import Committed, Member, SendTo, View
-from reedspoke.control_plane.replica import Replica, ReplicaSettings
-from reedspoke.control_plane.replica_messages import GetReply, GetRequest, PutReply, PutRequest
-from reedspoke.control_plane.replica_outbox import Outbox
-from reedspoke.control_plane.replica_refusals import Refusals
+from reedspoke.control_plane.replication import driver as driver_module
+from reedspoke.control_plane.replication.driver import ReplicaDriver, Surroundings
+from reedspoke.control_plane.replication.events import Committed, Member, SendTo, View
+from reedspoke.control_plane.replication.messages import GetReply, GetRequest, PutReply, PutRequest
+from reedspoke.control_plane.replication.outbox import Outbox
+from reedspoke.control_plane.replication.refusals import Refusals
+from reedspoke.control_plane.replication.replica import Replica, ReplicaSettings
 from tests.control_plane.schedule import Faults, Operator, check_end, come_back
 from tests.control_plane.simulation import Simulation
 
--- a/tests/control_plane/test_orders_verdicts.py
+++ b/tests/control_plane/test_orders_verdicts.py
@@ -6,12 +6,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from reedspoke.control_plane.chain_register import Register
-from reedspoke.control_plane.change_history import Acknowledged
-from reedspoke.control_plane.replica_messages import Entry, PutRequest
-from reedspoke.control_plane.replica_outbox import Outbox
-from reedspoke.control_plane.replica_records import EntryRecord, acknowledged, encode_record, restore
-from reedspoke.control_plane.replica_verdict import Verdict, verdict_on
+from reedspoke.control_plane.replication.chain_register import Register
+from reedspoke.control_plane.replication.change_history import Acknowledged
+from reedspoke.control_plane.replication.messages import Entry, PutRequest
+from reedspoke.control_plane.replication.outbox import Outbox
+from reedspoke.control_plane.replication.verdict import Verdict, verdict_on
+from reedspoke.control_plane.storage.records import EntryRecord, acknowledged, encode_record, restore
 
 REFUSED = {Verdict.STALE_MATCH, Verdict.OLD_GENERATION}
 NOT_TAKEN = REFUSED | {Verdict.FORGOTTEN}
--- a/tests/control_plane/test_orders_views.py
+++ b/tests/control_plane/test_orders_views.py
@@ -6,9 +6,9 @@
 from msgspec import Struct
 
 from reedspoke.cluster.errors import ErrorCode
-from reedspoke.control_plane.events import Deliver, Effect, Event, Member, Received, SendTo, Store
-from reedspoke.control_plane.replica_messages import Commit, GetReply, Ping, PutReply, PutRequest
-from reedspoke.control_plane.replica_records import restore
+from reedspoke.control_plane.replication.events import Deliver, Effect, Event, Member, Received, SendTo, Store
+from reedspoke.control_plane.replication.messages import Commit, GetReply, Ping, PutReply, PutRequest
+from reedspoke.control_plane.storage.records import restore
 from tests.control_plane.simulation import Simulation
 
 ASIDE = 10_000  # id of a call that the test makes itself
--- a/tests/control_plane/test_replica_answers.py
+++ b/tests/control_plane/test_replica_answers.py
@@ -5,12 +5,12 @@
 import pytest
 
 from reedspoke.cluster.errors import ErrorCode
-from reedspoke.control_plane.change_history import Acknowledged
-from reedspoke.control_plane.events import SendTo
-from reedspoke.control_plane.log_format import COPIES
-from reedspoke.control_plane.replica_messages import Append
-from reedspoke.control_plane.replica_records import restore
-from reedspoke.control_plane.replica_settings import HISTORY_LIMIT, LEASE_S, REWRITE_BYTES
+from reedspoke.control_plane.replication.change_history import Acknowledged
+from reedspoke.control_plane.replication.events import SendTo
+from reedspoke.control_plane.replication.messages import Append
+from reedspoke.control_plane.replication.settings import HISTORY_LIMIT, LEASE_S, REWRITE_BYTES
+from reedspoke.control_plane.storage.log_format import COPIES
+from reedspoke.control_plane.storage.records import restore
 from tests.control_plane.schedule import come_back
 from tests.control_plane.simulated_parts import DiskMode
 from tests.control_plane.simulation import Simulation
--- a/tests/control_plane/test_replica_membership.py
+++ b/tests/control_plane/test_replica_membership.py
@@ -7,7 +7,7 @@
 import pytest
 
 from reedspoke.cluster.errors import ErrorCode
-from reedspoke.control_plane.replica_settings import ESTABLISHED_AFTER_S
+from reedspoke.control_plane.replication.settings import ESTABLISHED_AFTER_S
 from tests.control_plane.schedule import check_end
 from tests.control_plane.simulation import Simulation
 
--- a/tests/control_plane/test_replica_stale.py
+++ b/tests/control_plane/test_replica_stale.py
@@ -5,7 +5,7 @@
 import pytest
 
 from reedspoke.cluster.errors import ErrorCode
-from reedspoke.control_plane.events import (
+from reedspoke.control_plane.replication.events import (
     ChainLink,
     Effect,
     Event,
@@ -16,8 +16,7 @@
     SendTo,
     View,
 )
-from reedspoke.control_plane.majority_contact import Contact
-from reedspoke.control_plane.replica_messages import (
+from reedspoke.control_plane.replication.messages import (
     Accept,
     Append,
     Ballot,
@@ -29,9 +28,10 @@
     PutRequest,
     Snapshot,
 )
-from reedspoke.control_plane.replica_outbox import Outbox
-from reedspoke.control_plane.replica_puts import PutForwarder
-from reedspoke.control_plane.replica_records import restore
+from reedspoke.control_plane.replication.outbox import Outbox
+from reedspoke.control_plane.replication.puts import PutForwarder
+from reedspoke.control_plane.storage.records import restore
+from reedspoke.control_plane.views.majority_contact import Contact
 from tests.control_plane.simulation import Simulation
 
 OLD_VIEW = 1
--- a/tests/control_plane/test_storage_changes.py
+++ b/tests/control_plane/test_storage_changes.py
@@ -13,9 +13,9 @@
 from msgspec import Struct
 
 from reedspoke.cluster.errors import ErrorCode
-from reedspoke.control_plane import replica_outbox
-from reedspoke.control_plane.events import Store
-from reedspoke.control_plane.replica_messages import Append, ChainState, Commit, Snapshot
+from reedspoke.control_plane.replication import outbox as replica_outbox
+from reedspoke.control_plane.replication.events import Store
+from reedspoke.control_plane.replication.messages import Append, ChainState, Commit, Snapshot
 from tests.control_plane.simulated_parts import DiskMode
 from tests.control_plane.storage_simulation import StorageSimulation
 
--- a/tests/control_plane/test_storage_damage.py
+++ b/tests/control_plane/test_storage_damage.py
@@ -5,14 +5,14 @@
 import pytest
 
 from reedspoke.cluster.errors import ErrorCode, FleetError
-from reedspoke.control_plane.log_file import (
+from reedspoke.control_plane.storage.log_file import (
     ASIDE_NAME,
     LOG_NAME,
     OLD_TEMPORARY_NAME,
     open_log,
     set_aside,
 )
-from reedspoke.control_plane.log_format import encode_batch
+from reedspoke.control_plane.storage.log_format import encode_batch
 from tests.control_plane.simulated_files import FOLDER, PowerLost, SimulatedFiles, single_copies, use
 
 BATCHES = ([b"one"], [b"two", b""], [b"three" * 5], [b"three" * 5], [b"newest", b"x" * 30])
--- a/tests/control_plane/test_storage_driver.py
+++ b/tests/control_plane/test_storage_driver.py
@@ -11,12 +11,12 @@
 import pytest
 
 from reedspoke.cluster.node_settings import NodeSettings
-from reedspoke.control_plane import driver as driver_module
-from reedspoke.control_plane.driver import ReplicaDriver
-from reedspoke.control_plane.events import Committed, SendTo, View
-from reedspoke.control_plane.log_file import ASIDE_NAME, LOG_NAME, open_log
-from reedspoke.control_plane.replica import Replica
-from reedspoke.control_plane.replica_settings import ReplicaSettings
+from reedspoke.control_plane.replication import driver as driver_module
+from reedspoke.control_plane.replication.driver import ReplicaDriver
+from reedspoke.control_plane.replication.events import Committed, SendTo, View
+from reedspoke.control_plane.replication.replica import Replica
+from reedspoke.control_plane.replication.settings import ReplicaSettings
+from reedspoke.control_plane.storage.log_file import ASIDE_NAME, LOG_NAME, open_log
 
 ADDRESS = "127.0.0.1:7660"
 LIMIT_S = 5.0
--- a/tests/control_plane/test_storage_lost_copy.py
+++ b/tests/control_plane/test_storage_lost_copy.py
@@ -6,10 +6,10 @@
 from msgspec import Struct
 
 from reedspoke.cluster.errors import ErrorCode
-from reedspoke.control_plane.events import Received
-from reedspoke.control_plane.log_format import encode_batch
-from reedspoke.control_plane.replica_messages import Append, ChainState, Commit, Ping
-from reedspoke.control_plane.replica_records import EntryRecord, encode_record
+from reedspoke.control_plane.replication.events import Received
+from reedspoke.control_plane.replication.messages import Append, ChainState, Commit, Ping
+from reedspoke.control_plane.storage.log_format import encode_batch
+from reedspoke.control_plane.storage.records import EntryRecord, encode_record
 from tests.control_plane.simulated_files import SimulatedFiles
 from tests.control_plane.storage_simulation import StorageSimulation
 
--- a/tests/control_plane/test_storage_random.py
+++ b/tests/control_plane/test_storage_random.py
@@ -11,7 +11,7 @@
 import pytest
 
 from reedspoke.cluster.errors import ErrorCode
-from reedspoke.control_plane import replica_outbox
+from reedspoke.control_plane.replication import outbox as replica_outbox
 from tests.control_plane.schedule import check_end, come_back, play
 from tests.control_plane.storage_simulation import StorageSimulation
 
--- a/tests/control_plane/test_storage_size.py
+++ b/tests/control_plane/test_storage_size.py
@@ -9,11 +9,11 @@
 
 import pytest
 
-from reedspoke.control_plane import replica_outbox
-from reedspoke.control_plane.events import Store, Stored
-from reedspoke.control_plane.log_format import COPIES, encode_batch, encoded_size
-from reedspoke.control_plane.replica_outbox import Outbox
-from reedspoke.control_plane.replica_settings import REWRITE_BYTES
+from reedspoke.control_plane.replication import outbox as replica_outbox
+from reedspoke.control_plane.replication.events import Store, Stored
+from reedspoke.control_plane.replication.outbox import Outbox
+from reedspoke.control_plane.replication.settings import REWRITE_BYTES
+from reedspoke.control_plane.storage.log_format import COPIES, encode_batch, encoded_size
 from tests.control_plane.storage_simulation import StorageSimulation
 
 MEGABYTE = 1 << 20
--- a/tests/control_plane/test_unexpected_errors.py
+++ b/tests/control_plane/test_unexpected_errors.py
@@ -12,11 +12,11 @@
 from reedspoke.cluster.node_settings import NodeSettings
 from reedspoke.cluster.transport import Channel, open_channel
 from reedspoke.cluster.unhandled_errors import unhandled_errors
-from reedspoke.control_plane import driver as driver_module
-from reedspoke.control_plane import peer_transport
-from reedspoke.control_plane.driver import ReplicaDriver
-from reedspoke.control_plane.peer_messages import LeaseRelease
-from reedspoke.control_plane.replica import Replica
+from reedspoke.control_plane.peers import transport as peer_transport
+from reedspoke.control_plane.peers.messages import LeaseRelease
+from reedspoke.control_plane.replication import driver as driver_module
+from reedspoke.control_plane.replication.driver import ReplicaDriver
+from reedspoke.control_plane.replication.replica import Replica
 from tests.control_plane.test_storage_driver import ADDRESS, Surroundings
 from tests.control_plane_process.test_peer_transport import Scheduler, two
 
--- a/tests/control_plane/test_view_agreement.py
+++ b/tests/control_plane/test_view_agreement.py
@@ -6,8 +6,8 @@
 from hypothesis import strategies as st
 
 from reedspoke.cluster.errors import ErrorCode
-from reedspoke.control_plane.events import ChainLink, Member, SendTo, Store, Stored, View
-from reedspoke.control_plane.replica_messages import (
+from reedspoke.control_plane.replication.events import ChainLink, Member, SendTo, Store, Stored, View
+from reedspoke.control_plane.replication.messages import (
     Accept,
     Accepted,
     Ballot,
@@ -16,10 +16,10 @@
     Rejected,
     ViewTold,
 )
-from reedspoke.control_plane.replica_outbox import Outbox
-from reedspoke.control_plane.replica_records import ViewRecord, encode_record, restore
-from reedspoke.control_plane.replica_settings import LEASE_S, ReplicaSettings
-from reedspoke.control_plane.view_agreement import ViewAgreement
+from reedspoke.control_plane.replication.outbox import Outbox
+from reedspoke.control_plane.replication.settings import LEASE_S, ReplicaSettings
+from reedspoke.control_plane.storage.records import ViewRecord, encode_record, restore
+from reedspoke.control_plane.views.agreement import ViewAgreement
 
 MEMBERS = tuple(Member(folder_id=name, address=f"at-{name}") for name in "abc")
 PRESENT = View(1, MEMBERS, tuple(ChainLink(member, 1) for member in MEMBERS))
--- a/tests/control_plane/test_view_choice.py
+++ b/tests/control_plane/test_view_choice.py
@@ -8,8 +8,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from reedspoke.control_plane.events import ChainLink, Member, View
-from reedspoke.control_plane.view_choice import Condition, Surroundings, choose_view
+from reedspoke.control_plane.replication.events import ChainLink, Member, View
+from reedspoke.control_plane.views.choice import Condition, Surroundings, choose_view
 
 
 def _member(name: str, address: str = "") -> Member:
--- a/tests/control_plane/test_view_lease.py
+++ b/tests/control_plane/test_view_lease.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from reedspoke.control_plane.events import ChainLink, Member, View
-from reedspoke.control_plane.replica_settings import GRANT_PAUSE_S, LEASE_MARGIN_S, LEASE_S
-from reedspoke.control_plane.view_lease import TailLease, VoterLease
+from reedspoke.control_plane.replication.events import ChainLink, Member, View
+from reedspoke.control_plane.replication.settings import GRANT_PAUSE_S, LEASE_MARGIN_S, LEASE_S
+from reedspoke.control_plane.views.lease import TailLease, VoterLease
 
 A, B, C, D = (Member(folder_id=name, address=f"at-{name}") for name in "abcd")
 
--- a/tests/control_plane_process/quota_simulation.py
+++ b/tests/control_plane_process/quota_simulation.py
@@ -22,9 +22,9 @@
 from reedspoke.cluster.messages import QuotaAsk, QuotaVerdict
 from reedspoke.cluster.quota_rule import LAG_S, QuotaRule, bound
 from reedspoke.cluster.tenants import Tenant
-from reedspoke.control_plane.peer_messages import QuotaLoanRequest
-from reedspoke.control_plane.quota_grants import AnswerTo, QuotaEffect, QuotaGrants
-from reedspoke.control_plane.quota_share import QuotaShare
+from reedspoke.control_plane.peers.messages import QuotaLoanRequest
+from reedspoke.control_plane.quota.grants import AnswerTo, QuotaEffect, QuotaGrants
+from reedspoke.control_plane.quota.share import QuotaShare
 from reedspoke.data_plane.quota_outage import OutageAllowance
 
 TENANT = "t"
--- a/tests/control_plane_process/stand_ins.py
+++ b/tests/control_plane_process/stand_ins.py
@@ -29,7 +29,7 @@
 )
 from reedspoke.cluster.node_settings import split_address
 from reedspoke.cluster.transport import LENGTH
-from reedspoke.control_plane.worker_list import UNLEASED_TERM
+from reedspoke.control_plane.workers.worker_list import UNLEASED_TERM
 
 POLL_S = 0.02
 CHUNK = 50_000
--- a/tests/control_plane_process/test_configuration_cache.py
+++ b/tests/control_plane_process/test_configuration_cache.py
@@ -15,9 +15,9 @@
 )
 from reedspoke.cluster.errors import FleetError
 from reedspoke.cluster.messages import ConfigurationDelta, ConfigurationSnapshot, Version, decode
-from reedspoke.control_plane import configuration_cache
-from reedspoke.control_plane.configuration_cache import MOST_KEPT, ConfigurationCache
-from reedspoke.control_plane.events import Committed
+from reedspoke.control_plane.delivery import configuration_cache
+from reedspoke.control_plane.delivery.configuration_cache import MOST_KEPT, ConfigurationCache
+from reedspoke.control_plane.replication.events import Committed
 from tests.control_plane_process.stand_ins import configuration
 
 VIEW = 3
--- a/tests/control_plane_process/test_duty_lease.py
+++ b/tests/control_plane_process/test_duty_lease.py
@@ -4,7 +4,8 @@
 
 import pytest
 
-from reedspoke.control_plane.duty_lease import (
+from reedspoke.control_plane.peers.messages import LeaseAnswer, LeaseRelease, LeaseRequest
+from reedspoke.control_plane.workers.duty_lease import (
     GIVE_UP_PAUSE_S,
     LEASE_S,
     RENEW_S,
@@ -12,7 +13,6 @@
     DutyLease,
     Outgoing,
 )
-from reedspoke.control_plane.peer_messages import LeaseAnswer, LeaseRelease, LeaseRequest
 
 STEP_S = 0.05
 TRANSIT_S = 0.02
--- a/tests/control_plane_process/test_duty_lease_rivals.py
+++ b/tests/control_plane_process/test_duty_lease_rivals.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from reedspoke.control_plane.duty_lease import LEASE_S, RANK_DELAY_S, RETRY_S, ROUND_S, DutyLease
+from reedspoke.control_plane.workers.duty_lease import LEASE_S, RANK_DELAY_S, RETRY_S, ROUND_S, DutyLease
 from tests.control_plane_process.test_duty_lease import NAMES, STEP_S, Network
 
 FREE_AGAIN_S = LEASE_S + ROUND_S + RETRY_S + len(NAMES) * RANK_DELAY_S + 2 * STEP_S
--- a/tests/control_plane_process/test_edge_sessions.py
+++ b/tests/control_plane_process/test_edge_sessions.py
@@ -21,15 +21,15 @@
     WorkerList,
 )
 from reedspoke.cluster.transport import CONNECTION_ENDED, Channel, open_channel
-from reedspoke.control_plane import edge_sessions
-from reedspoke.control_plane.configuration_cache import ConfigurationCache
-from reedspoke.control_plane.edge_sessions import EdgeSessions
-from reedspoke.control_plane.events import Committed, Member
-from reedspoke.control_plane.membership import Membership
-from reedspoke.control_plane.peer_messages import Hello, SessionTable
-from reedspoke.control_plane.peer_transport import PeerMessage, PeerTransport
-from reedspoke.control_plane.published_state import PublishedState
-from reedspoke.control_plane.worker_list import WorkerBook
+from reedspoke.control_plane.delivery import edge_sessions
+from reedspoke.control_plane.delivery.configuration_cache import ConfigurationCache
+from reedspoke.control_plane.delivery.edge_sessions import EdgeSessions
+from reedspoke.control_plane.delivery.membership import Membership
+from reedspoke.control_plane.delivery.published_state import PublishedState
+from reedspoke.control_plane.peers.messages import Hello, SessionTable
+from reedspoke.control_plane.peers.transport import PeerMessage, PeerTransport
+from reedspoke.control_plane.replication.events import Committed, Member
+from reedspoke.control_plane.workers.worker_list import WorkerBook
 from tests.control_plane_process.stand_ins import Answer, configuration
 from tests.ports import free_port
 
--- a/tests/control_plane_process/test_list_duty.py
+++ b/tests/control_plane_process/test_list_duty.py
@@ -9,11 +9,11 @@
 
 from reedspoke.cluster.messages import WorkerList
 from reedspoke.cluster.node_settings import CloudApi
-from reedspoke.control_plane import list_duty, platform_client
-from reedspoke.control_plane.duty_lease import DutyLease, Outgoing
-from reedspoke.control_plane.list_duty import ListDuty
-from reedspoke.control_plane.platform_client import PlatformClient, PlatformError, PlatformRateError
-from reedspoke.control_plane.worker_list import WorkerBook
+from reedspoke.control_plane.workers import list_duty, platform_client
+from reedspoke.control_plane.workers.duty_lease import DutyLease, Outgoing
+from reedspoke.control_plane.workers.list_duty import ListDuty
+from reedspoke.control_plane.workers.platform_client import PlatformClient, PlatformError, PlatformRateError
+from reedspoke.control_plane.workers.worker_list import WorkerBook
 from tests.control_plane_process.stand_ins import Platform, instance
 
 OWN = "own"
--- a/tests/control_plane_process/test_membership.py
+++ b/tests/control_plane_process/test_membership.py
@@ -6,9 +6,9 @@
 from hypothesis import strategies as st
 
 from reedspoke.cluster.messages import ControlMember, EdgeMember, Watch
-from reedspoke.control_plane.events import Member
-from reedspoke.control_plane.membership import TABLE_LIFE_S, Membership, Running
-from reedspoke.control_plane.peer_messages import SessionEntry, SessionTable
+from reedspoke.control_plane.delivery.membership import TABLE_LIFE_S, Membership, Running
+from reedspoke.control_plane.peers.messages import SessionEntry, SessionTable
+from reedspoke.control_plane.replication.events import Member
 
 OWN = ControlMember("10.0.0.1:1", "za")
 EDGE_LIFE_S = 3.0
--- a/tests/control_plane_process/test_openapi.py
+++ b/tests/control_plane_process/test_openapi.py
@@ -12,8 +12,8 @@
 
 from reedspoke.cluster.configuration import Document
 from reedspoke.cluster.errors import ErrorCode
-from reedspoke.control_plane.http_server import Request
-from reedspoke.control_plane.operator_api import (
+from reedspoke.control_plane.api.http_server import Request
+from reedspoke.control_plane.api.operator_api import (
     OPERATIONS,
     Accepted,
     ErrorAnswer,
@@ -22,8 +22,8 @@
     http_error_body,
     status_of,
 )
-from reedspoke.control_plane.platform_client import LIST_PATH, PAGE_PARAMETER
-from reedspoke.control_plane.worker_list import PlatformPage, parse_page
+from reedspoke.control_plane.workers.platform_client import LIST_PATH, PAGE_PARAMETER
+from reedspoke.control_plane.workers.worker_list import PlatformPage, parse_page
 from tests.control_plane_process.stand_ins import configuration, instance
 
 FOLDER = Path(__file__).resolve().parents[2] / "openapi"
--- a/tests/control_plane_process/test_operator_api.py
+++ b/tests/control_plane_process/test_operator_api.py
@@ -10,10 +10,10 @@
 
 from reedspoke.cluster.configuration import Configuration, parse_configuration
 from reedspoke.cluster.errors import ErrorCode, FleetError
-from reedspoke.control_plane import operator_api
-from reedspoke.control_plane.events import Committed, GetAnswer, PutAnswer
-from reedspoke.control_plane.http_server import Request, Response
-from reedspoke.control_plane.operator_api import OPERATIONS, Calls, OperatorApi, StatusAnswer, status_of
+from reedspoke.control_plane.api import operator_api
+from reedspoke.control_plane.api.http_server import Request, Response
+from reedspoke.control_plane.api.operator_api import OPERATIONS, Calls, OperatorApi, StatusAnswer, status_of
+from reedspoke.control_plane.replication.events import Committed, GetAnswer, PutAnswer
 from tests.control_plane_process.stand_ins import configuration
 
 PATH = "/reedspoke/configuration"
--- a/tests/control_plane_process/test_peer_connections.py
+++ b/tests/control_plane_process/test_peer_connections.py
@@ -13,8 +13,8 @@
 from reedspoke.cluster.messages import EdgeMessage, encode
 from reedspoke.cluster.node_settings import split_address
 from reedspoke.cluster.transport import CONNECTION_ENDED, LENGTH, MOST_FRAME, Channel, FramingError
-from reedspoke.control_plane.peer_messages import Hello, LeaseRelease
-from reedspoke.control_plane.peer_transport import PeerMessage, PeerTransport
+from reedspoke.control_plane.peers.messages import Hello, LeaseRelease
+from reedspoke.control_plane.peers.transport import PeerMessage, PeerTransport
 from tests.ports import free_port
 
 HOST = "127.0.0.1"
--- a/tests/control_plane_process/test_peer_transport.py
+++ b/tests/control_plane_process/test_peer_transport.py
@@ -10,9 +10,9 @@
 from reedspoke.cluster.messages import EdgeMessage
 from reedspoke.cluster.node_settings import split_address
 from reedspoke.cluster.transport import Channel
-from reedspoke.control_plane import peer_transport
-from reedspoke.control_plane.peer_messages import LeaseRelease
-from reedspoke.control_plane.peer_transport import PeerMessage, PeerTransport
+from reedspoke.control_plane.peers import transport as peer_transport
+from reedspoke.control_plane.peers.messages import LeaseRelease
+from reedspoke.control_plane.peers.transport import PeerMessage, PeerTransport
 from tests.ports import free_port
 
 HOST = "127.0.0.1"
--- a/tests/control_plane_process/test_process.py
+++ b/tests/control_plane_process/test_process.py
@@ -10,7 +10,7 @@
 
 from reedspoke.cluster.configuration import apply_difference, parse_configuration
 from reedspoke.cluster.messages import ConfigurationDelta
-from reedspoke.control_plane.log_format import COPIES, encode_batch
+from reedspoke.control_plane.storage.log_format import COPIES, encode_batch
 from tests.control_plane_process.fleet import HEARTBEAT_MS, HOSTS, UP_S, Fleet
 from tests.control_plane_process.stand_ins import (
     Answer,
--- a/tests/control_plane_process/test_quota_bucket.py
+++ b/tests/control_plane_process/test_quota_bucket.py
@@ -15,7 +15,7 @@
     allowance,
     bound,
 )
-from reedspoke.control_plane.quota_bucket import QuotaBucket
+from reedspoke.control_plane.quota.bucket import QuotaBucket
 
 RULE = QuotaRule(window_s=8.0, excess=0.0, slack=0.0)
 PART = 1000.0  # units within any window
--- a/tests/control_plane_process/test_quota_grants.py
+++ b/tests/control_plane_process/test_quota_grants.py
@@ -7,9 +7,9 @@
 from reedspoke.cluster.messages import QuotaAnswer, QuotaAsk, QuotaVerdict
 from reedspoke.cluster.quota_rule import QuotaRule, allowance, bound
 from reedspoke.cluster.tenants import Tenant
-from reedspoke.control_plane.peer_messages import QuotaLoan, QuotaLoanRequest
-from reedspoke.control_plane.quota_bucket import LOAN_SHARE
-from reedspoke.control_plane.quota_grants import (
+from reedspoke.control_plane.peers.messages import QuotaLoan, QuotaLoanRequest
+from reedspoke.control_plane.quota.bucket import LOAN_SHARE
+from reedspoke.control_plane.quota.grants import (
     FRESH_S,
     MOST_WAITING,
     RETRY_LEAST_S,
@@ -21,7 +21,7 @@
     QuotaEffect,
     QuotaGrants,
 )
-from reedspoke.control_plane.quota_share import QuotaShare
+from reedspoke.control_plane.quota.share import QuotaShare
 from reedspoke.telemetry.invariants import Invariant, monitor
 from tests.control_plane_process.quota_simulation import Simulation, broken, drawn
 
--- a/tests/control_plane_process/test_quota_share.py
+++ b/tests/control_plane_process/test_quota_share.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from reedspoke.control_plane.quota_share import LEASE_MARGIN_S, LEASE_S, OWNERS, QuotaShare, owners_of
+from reedspoke.control_plane.quota.share import LEASE_MARGIN_S, LEASE_S, OWNERS, QuotaShare, owners_of
 
 TENANT = "t"
 ALL = frozenset("abcd")
--- a/tests/control_plane_process/test_worker_list.py
+++ b/tests/control_plane_process/test_worker_list.py
@@ -6,7 +6,7 @@
 import pytest
 
 from reedspoke.cluster.messages import WorkerEntry, WorkerList
-from reedspoke.control_plane.worker_list import (
+from reedspoke.control_plane.workers.worker_list import (
     RELAY_AFTER_S,
     UNLEASED_TERM,
     PlatformPage,
--- a/tests/data_plane/test_session_wire.py
+++ b/tests/data_plane/test_session_wire.py
@@ -23,12 +23,12 @@
     encode,
 )
 from reedspoke.cluster.transport import Channel
-from reedspoke.control_plane.configuration_cache import ConfigurationCache
-from reedspoke.control_plane.edge_sessions import EdgeSessions
-from reedspoke.control_plane.events import Committed
-from reedspoke.control_plane.membership import Membership
-from reedspoke.control_plane.published_state import PublishedState
-from reedspoke.control_plane.worker_list import WorkerBook
+from reedspoke.control_plane.delivery.configuration_cache import ConfigurationCache
+from reedspoke.control_plane.delivery.edge_sessions import EdgeSessions
+from reedspoke.control_plane.delivery.membership import Membership
+from reedspoke.control_plane.delivery.published_state import PublishedState
+from reedspoke.control_plane.replication.events import Committed
+from reedspoke.control_plane.workers.worker_list import WorkerBook
 from reedspoke.data_plane import control_session
 from reedspoke.data_plane.session_choice import DIAL_BURST, DIALS_PER_S, SESSIONS
 from reedspoke.data_plane.subscription import UNCONFIRMED_AFTER_S
--- a/tests/golden/peer_examples.py
+++ b/tests/golden/peer_examples.py
@@ -7,7 +7,7 @@
 
 from msgspec import Struct
 
-from reedspoke.control_plane.peer_messages import (
+from reedspoke.control_plane.peers.messages import (
     Hello,
     LeaseAnswer,
     LeaseRelease,
--- a/tests/golden/replica_examples.py
+++ b/tests/golden/replica_examples.py
@@ -7,9 +7,9 @@
 
 from msgspec import Struct
 
-from reedspoke.control_plane.change_history import Acknowledged
-from reedspoke.control_plane.events import ChainLink, Member, View
-from reedspoke.control_plane.replica_messages import (
+from reedspoke.control_plane.replication.change_history import Acknowledged
+from reedspoke.control_plane.replication.events import ChainLink, Member, View
+from reedspoke.control_plane.replication.messages import (
     Accept,
     Accepted,
     Append,
@@ -32,7 +32,7 @@
     Snapshot,
     ViewTold,
 )
-from reedspoke.control_plane.replica_records import (
+from reedspoke.control_plane.storage.records import (
     AcceptorRecord,
     BootstrapRecord,
     EntryRecord,
--- a/tests/golden/test_messages.py
+++ b/tests/golden/test_messages.py
@@ -17,8 +17,9 @@
 
 from reedspoke.booking import words as booking_messages
 from reedspoke.cluster import messages as session_messages
-from reedspoke.control_plane import peer_messages, replica_messages
-from reedspoke.control_plane import replica_records as log_records
+from reedspoke.control_plane.peers import messages as peer_messages
+from reedspoke.control_plane.replication import messages as replica_messages
+from reedspoke.control_plane.storage import records as log_records
 from reedspoke.fleet import frames as fleet_messages
 from tests.golden import booking_examples, fleet_examples, peer_examples, replica_examples, session_examples
 
--- a/tests/golden/test_stored_files.py
+++ b/tests/golden/test_stored_files.py
@@ -17,8 +17,8 @@
 from reedspoke.acme.account import Account
 from reedspoke.acme.record import Record as RenewalRecord
 from reedspoke.acme.record import packed, unpacked
-from reedspoke.control_plane import log_file
-from reedspoke.control_plane.replica_records import RestoredState, restore
+from reedspoke.control_plane.storage import log_file
+from reedspoke.control_plane.storage.records import RestoredState, restore
 from reedspoke.fleet.record import Change, Kind, Record
 from reedspoke.fleet.shelf import Shelf
 from reedspoke.identity.signing import Entry as SigningKeyEntry
