--- a/reedspoke/cluster/background.py
+++ b/reedspoke/common/background.py
@@ -5,7 +5,7 @@
 import asyncio
 from collections.abc import Awaitable, Callable
 
-from reedspoke.cluster.unhandled_errors import unhandled_errors
+from reedspoke.common.unhandled_errors import unhandled_errors
 
 PAUSE_S = 0.5  # before work that has failed begins again
 
--- a/reedspoke/cluster/configuration.py
+++ b/reedspoke/common/configuration.py
@@ -13,9 +13,9 @@
 from expression import Error, Ok, Result
 from msgspec import Struct
 
-from reedspoke.cluster.errors import ErrorCode, FleetError
-from reedspoke.cluster.messages import ConfigurationDelta, Version
-from reedspoke.cluster.tenants import Tenant, tenants_fault
+from reedspoke.common.errors import ErrorCode, FleetError
+from reedspoke.common.messages import ConfigurationDelta, Version
+from reedspoke.common.tenants import Tenant, tenants_fault
 
 
 class Split(TypedDict):
--- a/reedspoke/cluster/entry.py
+++ b/reedspoke/common/entry_point.py
@@ -7,10 +7,10 @@
 from collections.abc import Callable, Coroutine
 from typing import Any
 
-from reedspoke.cluster import json_log
-from reedspoke.cluster.errors import FleetError
-from reedspoke.cluster.node_settings import NodeSettings, load_settings
-from reedspoke.cluster.unhandled_errors import handle_all_errors
+from reedspoke.common import json_log
+from reedspoke.common.errors import FleetError
+from reedspoke.common.node_settings import NodeSettings, load_settings
+from reedspoke.common.unhandled_errors import handle_all_errors
 
 SETTINGS_EXIT = 2
 GC_THRESHOLDS = (20000, 20, 20)  # fewer and longer intervals between collections than by default
--- a/reedspoke/cluster/line_budget.py
+++ b/reedspoke/common/log_rate_limit.py
@@ -8,7 +8,7 @@
 PER_S = 50.0  # and in the long run
 
 
-class LineBudget:
+class LogRateLimiter:
     """Says whether a line may be written, and counts those that were not."""
 
     def __init__(self, clock: Callable[[], float], burst: float = BURST, per_s: float = PER_S) -> None:
--- a/reedspoke/cluster/figures.py
+++ b/reedspoke/common/metrics_endpoint.py
@@ -4,10 +4,10 @@
 
 import asyncio
 
-from reedspoke.cluster.json_log import ERROR, WARNING, log
-from reedspoke.cluster.line_budget import LineBudget
-from reedspoke.cluster.node_settings import NodeSettings
-from reedspoke.cluster.unhandled_errors import unhandled_errors
+from reedspoke.common.json_log import ERROR, WARNING, log
+from reedspoke.common.log_rate_limit import LogRateLimiter
+from reedspoke.common.node_settings import NodeSettings
+from reedspoke.common.unhandled_errors import unhandled_errors
 from reedspoke.telemetry.invariants import Invariant, Violation, monitor
 from reedspoke.telemetry.metrics import Registry
 from reedspoke.telemetry.metrics_server import MetricsServer
@@ -15,18 +15,18 @@
 VIOLATION_EVENT = "invariant violated"
 
 
-async def serve_figures(settings: NodeSettings, registry: Registry) -> MetricsServer | None:
+async def serve_metrics(settings: NodeSettings, registry: Registry) -> MetricsServer | None:
     """Log violations from now on, and listen where the settings say.
 
     A port that is in use is logged, and the process goes on without.
     """
-    add_invariants(registry)
+    add_invariant_metrics(registry)
     registry.gauge(
         "reedspoke_unhandled_errors_total",
         "Errors that no code has handled.",
         lambda: float(unhandled_errors.count),
     )
-    log_violations(LineBudget(asyncio.get_running_loop().time))
+    log_violations(LogRateLimiter(asyncio.get_running_loop().time))
     port, slash, path = settings.metrics.partition("/")
     if not port.isdigit():
         return None
@@ -39,7 +39,7 @@
     return server
 
 
-def add_invariants(registry: Registry) -> None:
+def add_invariant_metrics(registry: Registry) -> None:
     """How often each invariant was evaluated, and violated."""
     registry.by_label(
         "reedspoke_invariant_evaluations_total",
@@ -55,7 +55,7 @@
     )
 
 
-def log_violations(lines: LineBudget) -> None:
+def log_violations(lines: LogRateLimiter) -> None:
     """Write each violation to the log from now on, as far as lines are allowed."""
 
     def report(violation: Violation) -> None:
--- a/reedspoke/cluster/node_settings.py
+++ b/reedspoke/common/node_settings.py
@@ -8,7 +8,7 @@
 import msgspec
 from msgspec import Struct, field
 
-from reedspoke.cluster.errors import ErrorCode, FleetError
+from reedspoke.common.errors import ErrorCode, FleetError
 
 SETTINGS_VARIABLE = "REEDSPOKE_NODE_FILE"
 SETTINGS_DEFAULT_PATH = "/etc/reedspoke/settings.json"
--- a/reedspoke/cluster/patient_timer.py
+++ b/reedspoke/common/stall_tolerant_timer.py
@@ -14,7 +14,7 @@
 LATE_S = 0.02  # a loop that is busy, and has not stood still, runs its timers sooner than this
 
 
-class PatientTimer:
+class StallTolerantTimer:
     """Calls `callback` at `when` on the loop's clock, once."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, when: float, callback: Callable[[], None]) -> None:
--- a/reedspoke/cluster/tenants.py
+++ b/reedspoke/common/tenants.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterable
 from typing import NotRequired, TypedDict
 
-from reedspoke.cluster.errors import ErrorCode, FleetError
+from reedspoke.common.errors import ErrorCode, FleetError
 
 TOKENS = "token_count"  # the `unit` of quotas that are counted in tokens
 
--- a/reedspoke/cluster/transport.py
+++ b/reedspoke/common/transport.py
@@ -10,9 +10,9 @@
 import msgspec
 import ormsgpack
 
-from reedspoke.cluster.errors import ErrorCode, FleetError
-from reedspoke.cluster.messages import decode, encode
-from reedspoke.cluster.node_settings import split_address
+from reedspoke.common.errors import ErrorCode, FleetError
+from reedspoke.common.messages import decode, encode
+from reedspoke.common.node_settings import split_address
 
 LENGTH = struct.Struct(">I")
 MOST_FRAME = 16 * 1024 * 1024  # bytes; a larger one is no message of ours
--- a/reedspoke/cluster/unhandled_errors.py
+++ b/reedspoke/common/unhandled_errors.py
@@ -9,7 +9,7 @@
 import traceback
 from typing import Any
 
-from reedspoke.cluster.json_log import ERROR, WARNING, log
+from reedspoke.common.json_log import ERROR, WARNING, log
 
 UNHANDLED_EVENT = "unhandled error"
 LIBRARY_EVENT = "library message"
--- a/reedspoke/control_plane/__main__.py
+++ b/reedspoke/control_plane/__main__.py
@@ -4,7 +4,7 @@
 
 import sys
 
-from reedspoke.cluster.early_signals import remember_signals
+from reedspoke.common.early_signals import remember_signals
 
 
 def run() -> int:
--- a/reedspoke/control_plane/api/http_server.py
+++ b/reedspoke/control_plane/api/http_server.py
@@ -8,9 +8,9 @@
 
 from msgspec import Struct, field
 
-from reedspoke.cluster.json_log import ERROR, log
-from reedspoke.cluster.lingering_close import LingeringClose
-from reedspoke.cluster.node_settings import split_address
+from reedspoke.common.json_log import ERROR, log
+from reedspoke.common.lingering_close import LingeringClose
+from reedspoke.common.node_settings import split_address
 from reedspoke.net.http import Buffer, Head, MalformedError, Requests
 
 MOST_BODY = 8 * 1024 * 1024
--- a/reedspoke/control_plane/api/operator_api.py
+++ b/reedspoke/control_plane/api/operator_api.py
@@ -9,8 +9,8 @@
 import msgspec
 from msgspec import Struct
 
-from reedspoke.cluster.configuration import Configuration
-from reedspoke.cluster.errors import ErrorCode, FleetError
+from reedspoke.common.configuration import Configuration
+from reedspoke.common.errors import ErrorCode, FleetError
 from reedspoke.control_plane.api.http_server import Request, Response
 from reedspoke.control_plane.replication.events import GetAnswer, PutAnswer
 
--- a/reedspoke/control_plane/delivery/configuration_cache.py
+++ b/reedspoke/control_plane/delivery/configuration_cache.py
@@ -6,8 +6,8 @@
 
 from msgspec import Struct
 
-from reedspoke.cluster.configuration import Configuration, difference, parse_configuration
-from reedspoke.cluster.messages import NO_VERSION, ConfigurationSnapshot, Version, encode
+from reedspoke.common.configuration import Configuration, difference, parse_configuration
+from reedspoke.common.messages import NO_VERSION, ConfigurationSnapshot, Version, encode
 from reedspoke.control_plane.replication.events import Committed
 
 MOST_KEPT = 8  # parsed configurations
--- a/reedspoke/control_plane/delivery/edge_sessions.py
+++ b/reedspoke/control_plane/delivery/edge_sessions.py
@@ -11,8 +11,8 @@
 
 from msgspec import Struct, field
 
-from reedspoke.cluster.json_log import INFO, log
-from reedspoke.cluster.messages import (
+from reedspoke.common.json_log import INFO, log
+from reedspoke.common.messages import (
     WORKERS,
     EdgeMessage,
     Fetch,
@@ -22,7 +22,7 @@
     Versions,
     Watch,
 )
-from reedspoke.cluster.transport import Channel
+from reedspoke.common.transport import Channel
 from reedspoke.control_plane.delivery.published_state import PublishedState
 
 MOST_SESSIONS = 2048
--- a/reedspoke/control_plane/delivery/membership.py
+++ b/reedspoke/control_plane/delivery/membership.py
@@ -9,7 +9,7 @@
 
 from msgspec import Struct
 
-from reedspoke.cluster.messages import (
+from reedspoke.common.messages import (
     NO_VERSION,
     ControlMember,
     EdgeMember,
--- a/reedspoke/control_plane/delivery/published_state.py
+++ b/reedspoke/control_plane/delivery/published_state.py
@@ -7,7 +7,7 @@
 
 from collections.abc import Callable
 
-from reedspoke.cluster.messages import (
+from reedspoke.common.messages import (
     CONFIGURATION,
     MEMBERS,
     NO_VERSION,
--- a/reedspoke/control_plane/figures.py
+++ b/reedspoke/control_plane/figures.py
@@ -4,8 +4,8 @@
 
 from typing import Protocol
 
-from reedspoke.cluster.json_log import INFO, WARNING, log
-from reedspoke.cluster.line_budget import LineBudget
+from reedspoke.common.json_log import INFO, WARNING, log
+from reedspoke.common.log_rate_limit import LogRateLimiter
 from reedspoke.control_plane.api.operator_api import AnsweredCall, StatusAnswer
 from reedspoke.telemetry.metrics import Registry
 
@@ -53,7 +53,7 @@
 class CallLog:
     """Counts the operators' calls, and writes a line for each change and for each read that failed."""
 
-    def __init__(self, registry: Registry, lines: LineBudget) -> None:
+    def __init__(self, registry: Registry, lines: LogRateLimiter) -> None:
         self._lines = lines
         self._calls = registry.counter(
             "reedspoke_operator_calls_total", "Calls of operators.", ("method", "path", "status", "code")
--- a/reedspoke/control_plane/peers/messages.py
+++ b/reedspoke/control_plane/peers/messages.py
@@ -4,7 +4,7 @@
 
 from msgspec import Struct
 
-from reedspoke.cluster.messages import Version
+from reedspoke.common.messages import Version
 
 
 class Hello(Struct, tag="hello", array_like=True):
--- a/reedspoke/control_plane/peers/transport.py
+++ b/reedspoke/control_plane/peers/transport.py
@@ -14,11 +14,11 @@
 
 from msgspec import Struct
 
-from reedspoke.cluster.background import keep_running
-from reedspoke.cluster.json_log import DEBUG, INFO, log
-from reedspoke.cluster.messages import EdgeMessage, Fetch, Watch, WorkerList, encode
-from reedspoke.cluster.node_settings import split_address
-from reedspoke.cluster.transport import CONNECTION_ENDED, Channel, open_channel
+from reedspoke.common.background import keep_running
+from reedspoke.common.json_log import DEBUG, INFO, log
+from reedspoke.common.messages import EdgeMessage, Fetch, Watch, WorkerList, encode
+from reedspoke.common.node_settings import split_address
+from reedspoke.common.transport import CONNECTION_ENDED, Channel, open_channel
 from reedspoke.control_plane.peers.messages import (
     Hello,
     LeaseAnswer,
--- a/reedspoke/control_plane/process.py
+++ b/reedspoke/control_plane/process.py
@@ -6,16 +6,16 @@
 import os
 from pathlib import Path
 
-from reedspoke.cluster.background import keep_running
-from reedspoke.cluster.configuration import Configuration
-from reedspoke.cluster.early_signals import handle_signals
-from reedspoke.cluster.errors import ErrorCode, FleetError
-from reedspoke.cluster.figures import serve_figures
-from reedspoke.cluster.json_log import ERROR, INFO, WARNING, log
-from reedspoke.cluster.line_budget import LineBudget
-from reedspoke.cluster.messages import ControlMember, WorkerList, encode
-from reedspoke.cluster.node_settings import NodeSettings, load_settings, settings_path
-from reedspoke.cluster.unhandled_errors import end_process
+from reedspoke.common.background import keep_running
+from reedspoke.common.configuration import Configuration
+from reedspoke.common.early_signals import handle_signals
+from reedspoke.common.errors import ErrorCode, FleetError
+from reedspoke.common.json_log import ERROR, INFO, WARNING, log
+from reedspoke.common.log_rate_limit import LogRateLimiter
+from reedspoke.common.messages import ControlMember, WorkerList, encode
+from reedspoke.common.metrics_endpoint import serve_metrics
+from reedspoke.common.node_settings import NodeSettings, load_settings, settings_path
+from reedspoke.common.unhandled_errors import end_process
 from reedspoke.control_plane.api.http_server import HttpServer
 from reedspoke.control_plane.api.operator_api import (
     AnsweredCall,
@@ -108,7 +108,7 @@
         self._driver = ReplicaDriver(settings, self._address, self)
         self._registry = Registry()
         add_process_figures(self._registry, self)
-        self._call_log = CallLog(self._registry, LineBudget(self._loop.time))
+        self._call_log = CallLog(self._registry, LogRateLimiter(self._loop.time))
         self._api = HttpServer(OperatorApi(self).handle, http_error_body)
 
     def _build_quota(self, settings: NodeSettings) -> None:
@@ -130,7 +130,7 @@
         duty = self._loop.create_task(self._duty.run())
         duty.add_done_callback(self._duty_ended)
         first_list = self._loop.create_task(keep_running("the first list", self._duty.first_list))
-        figures = await serve_figures(self._settings, self._registry)
+        figures = await serve_metrics(self._settings, self._registry)
         log(INFO, "control plane up", node=self._settings.node_name, address=self._address)
         await self._ended.wait()
         await self._leave()
--- a/reedspoke/control_plane/program.py
+++ b/reedspoke/control_plane/program.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from reedspoke.cluster.entry import run
-from reedspoke.cluster.errors import ErrorCode, FleetError
-from reedspoke.cluster.node_settings import NodeSettings
+from reedspoke.common.entry_point import run
+from reedspoke.common.errors import ErrorCode, FleetError
+from reedspoke.common.node_settings import NodeSettings
 from reedspoke.control_plane.process import serve
 
 
--- a/reedspoke/control_plane/quota/bucket.py
+++ b/reedspoke/control_plane/quota/bucket.py
@@ -12,7 +12,7 @@
 
 from msgspec import Struct
 
-from reedspoke.cluster.quota_rule import QuotaRule, allowance
+from reedspoke.common.quota_rule import QuotaRule, allowance
 
 RESERVE_DECAY = 0.98  # of the largest request seen, with each further one
 MOST_RESERVE = 0.9  # of the capacity
--- a/reedspoke/control_plane/quota/grants.py
+++ b/reedspoke/control_plane/quota/grants.py
@@ -13,9 +13,9 @@
 
 from msgspec import Struct, field
 
-from reedspoke.cluster.messages import QuotaAnswer, QuotaAsk, QuotaVerdict
-from reedspoke.cluster.quota_rule import QuotaRule, bound
-from reedspoke.cluster.tenants import Tenant
+from reedspoke.common.messages import QuotaAnswer, QuotaAsk, QuotaVerdict
+from reedspoke.common.quota_rule import QuotaRule, bound
+from reedspoke.common.tenants import Tenant
 from reedspoke.control_plane.peers.messages import QuotaLoan, QuotaLoanRequest
 from reedspoke.control_plane.quota.bucket import QuotaBucket
 from reedspoke.control_plane.quota.share import QuotaShare
--- a/reedspoke/control_plane/quota/service.py
+++ b/reedspoke/control_plane/quota/service.py
@@ -5,12 +5,12 @@
 import asyncio
 from collections.abc import Callable, Collection, Mapping
 
-from reedspoke.cluster.messages import QuotaAsk
-from reedspoke.cluster.node_settings import NodeSettings
-from reedspoke.cluster.patient_timer import PatientTimer
-from reedspoke.cluster.quota_rule import QuotaRule
-from reedspoke.cluster.tenants import Tenant
-from reedspoke.cluster.transport import Channel
+from reedspoke.common.messages import QuotaAsk
+from reedspoke.common.node_settings import NodeSettings
+from reedspoke.common.quota_rule import QuotaRule
+from reedspoke.common.stall_tolerant_timer import StallTolerantTimer
+from reedspoke.common.tenants import Tenant
+from reedspoke.common.transport import Channel
 from reedspoke.control_plane.peers.messages import QuotaLoan, QuotaLoanRequest
 from reedspoke.control_plane.quota.grants import AnswerTo, QuotaEffect, QuotaGrants
 from reedspoke.control_plane.quota.share import QuotaShare
@@ -34,7 +34,7 @@
         now = self._loop.time()
         self._share = QuotaShare(address, settings.fault_tolerance.machines, now)
         self._grants = QuotaGrants(quota_rule(settings), self._share, majority_as_of, reached, now)
-        self._timer: PatientTimer | None = None
+        self._timer: StallTolerantTimer | None = None
 
     def configure(self, tenants: Mapping[str, Tenant]) -> None:
         """The newest committed configuration has these tenants."""
@@ -68,7 +68,7 @@
                 self._send(effect.address, effect.message)
         wake_at = self._grants.wake_at()
         if wake_at is not None and self._timer is None:
-            self._timer = PatientTimer(self._loop, wake_at, self._round_ends)
+            self._timer = StallTolerantTimer(self._loop, wake_at, self._round_ends)
 
     def _round_ends(self) -> None:
         self._timer = None
--- a/reedspoke/control_plane/replication/chain.py
+++ b/reedspoke/control_plane/replication/chain.py
@@ -7,7 +7,7 @@
 
 from msgspec import Struct
 
-from reedspoke.cluster.errors import ErrorCode
+from reedspoke.common.errors import ErrorCode
 from reedspoke.control_plane.replication.chain_register import Register
 from reedspoke.control_plane.replication.events import ChainLink, Committed, Member, View
 from reedspoke.control_plane.replication.messages import Append, ChainState, Commit, Entry, Snapshot
--- a/reedspoke/control_plane/replication/chain_register.py
+++ b/reedspoke/control_plane/replication/chain_register.py
@@ -6,7 +6,7 @@
 
 from msgspec import Struct
 
-from reedspoke.cluster.errors import ErrorCode
+from reedspoke.common.errors import ErrorCode
 from reedspoke.control_plane.replication.change_history import Acknowledged, ChangeHistory
 from reedspoke.control_plane.replication.events import Committed
 from reedspoke.control_plane.replication.messages import Entry
--- a/reedspoke/control_plane/replication/driver.py
+++ b/reedspoke/control_plane/replication/driver.py
@@ -11,10 +11,10 @@
 
 from msgspec import Struct
 
-from reedspoke.cluster.errors import ErrorCode, FleetError
-from reedspoke.cluster.json_log import ERROR, INFO, log
-from reedspoke.cluster.node_settings import NodeSettings
-from reedspoke.cluster.unhandled_errors import end_process, unhandled_errors
+from reedspoke.common.errors import ErrorCode, FleetError
+from reedspoke.common.json_log import ERROR, INFO, log
+from reedspoke.common.node_settings import NodeSettings
+from reedspoke.common.unhandled_errors import end_process, unhandled_errors
 from reedspoke.control_plane.replication.events import (
     Committed,
     Deliver,
--- a/reedspoke/control_plane/replication/events.py
+++ b/reedspoke/control_plane/replication/events.py
@@ -7,7 +7,7 @@
 
 from msgspec import Struct
 
-from reedspoke.cluster.errors import ErrorCode
+from reedspoke.common.errors import ErrorCode
 
 
 class Member(Struct, array_like=True, frozen=True):
--- a/reedspoke/control_plane/replication/gets.py
+++ b/reedspoke/control_plane/replication/gets.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from reedspoke.cluster.errors import ErrorCode
+from reedspoke.common.errors import ErrorCode
 from reedspoke.control_plane.replication.chain import Chain
 from reedspoke.control_plane.replication.chain_register import Register, committed_of
 from reedspoke.control_plane.replication.events import Committed, Get, GetAnswer, View
--- a/reedspoke/control_plane/replication/head.py
+++ b/reedspoke/control_plane/replication/head.py
@@ -9,7 +9,7 @@
 
 from msgspec import Struct
 
-from reedspoke.cluster.errors import ErrorCode
+from reedspoke.common.errors import ErrorCode
 from reedspoke.control_plane.replication.chain import Chain
 from reedspoke.control_plane.replication.chain_register import Register
 from reedspoke.control_plane.replication.change_history import Acknowledged
--- a/reedspoke/control_plane/replication/outbox.py
+++ b/reedspoke/control_plane/replication/outbox.py
@@ -7,7 +7,7 @@
 
 from msgspec import Struct
 
-from reedspoke.cluster.errors import ErrorCode
+from reedspoke.common.errors import ErrorCode
 from reedspoke.control_plane.replication.events import Effect, LogLine, SendTo, Store, Stored
 from reedspoke.control_plane.replication.settings import (
     DISK_BYTES_PER_S,
--- a/reedspoke/control_plane/replication/puts.py
+++ b/reedspoke/control_plane/replication/puts.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from reedspoke.cluster.errors import ErrorCode
+from reedspoke.common.errors import ErrorCode
 from reedspoke.control_plane.replication.events import Put, PutAnswer, View
 from reedspoke.control_plane.replication.forwarding import Forwarder, Outstanding
 from reedspoke.control_plane.replication.messages import PutReply, PutRequest
--- a/reedspoke/control_plane/replication/replica.py
+++ b/reedspoke/control_plane/replication/replica.py
@@ -11,7 +11,7 @@
 
 from msgspec import Struct, structs
 
-from reedspoke.cluster.errors import ErrorCode
+from reedspoke.common.errors import ErrorCode
 from reedspoke.control_plane.replication.chain import Chain
 from reedspoke.control_plane.replication.chain_register import Register
 from reedspoke.control_plane.replication.events import (
--- a/reedspoke/control_plane/storage/log_file.py
+++ b/reedspoke/control_plane/storage/log_file.py
@@ -18,7 +18,7 @@
 
 from msgspec import Struct
 
-from reedspoke.cluster.errors import ErrorCode, FleetError
+from reedspoke.common.errors import ErrorCode, FleetError
 from reedspoke.control_plane.storage.log_format import HEADER, LogContent, encode_batch, read_content
 
 LOG_NAME = "control.log"
--- a/reedspoke/control_plane/storage/log_format.py
+++ b/reedspoke/control_plane/storage/log_format.py
@@ -14,7 +14,7 @@
 
 from msgspec import Struct
 
-from reedspoke.cluster.errors import ErrorCode, FleetError
+from reedspoke.common.errors import ErrorCode, FleetError
 
 HEADER = b"RSCTLOG2"
 SINGLE_COPY_HEADER = b"RSCTLOG1"  # of files made before batches were doubled
--- a/reedspoke/control_plane/storage/records.py
+++ b/reedspoke/control_plane/storage/records.py
@@ -8,7 +8,7 @@
 import ormsgpack
 from msgspec import Struct, ValidationError, convert, field, to_builtins
 
-from reedspoke.cluster.errors import ErrorCode, FleetError
+from reedspoke.common.errors import ErrorCode, FleetError
 from reedspoke.control_plane.replication.change_history import Acknowledged, ChangeHistory, check_packed
 from reedspoke.control_plane.replication.events import View
 from reedspoke.control_plane.replication.messages import Ballot, Entry
--- a/reedspoke/control_plane/views/acceptor.py
+++ b/reedspoke/control_plane/views/acceptor.py
@@ -6,7 +6,7 @@
 
 from msgspec import Struct, structs
 
-from reedspoke.cluster.errors import ErrorCode
+from reedspoke.common.errors import ErrorCode
 from reedspoke.control_plane.replication.events import Member, View
 from reedspoke.control_plane.replication.messages import Accept, Accepted, Ballot, Prepare, Promise, Rejected
 from reedspoke.control_plane.replication.outbox import Outbox
--- a/reedspoke/control_plane/views/agreement.py
+++ b/reedspoke/control_plane/views/agreement.py
@@ -6,7 +6,7 @@
 
 from msgspec import Struct
 
-from reedspoke.cluster.errors import ErrorCode
+from reedspoke.common.errors import ErrorCode
 from reedspoke.control_plane.replication.events import Member, View
 from reedspoke.control_plane.replication.messages import (
     Accept,
--- a/reedspoke/control_plane/workers/list_duty.py
+++ b/reedspoke/control_plane/workers/list_duty.py
@@ -10,9 +10,9 @@
 import asyncio
 from collections.abc import Callable
 
-from reedspoke.cluster.json_log import INFO, WARNING, log
-from reedspoke.cluster.messages import Version, WorkerEntry, WorkerList
-from reedspoke.cluster.node_settings import CloudApi
+from reedspoke.common.json_log import INFO, WARNING, log
+from reedspoke.common.messages import Version, WorkerEntry, WorkerList
+from reedspoke.common.node_settings import CloudApi
 from reedspoke.control_plane.workers.duty_lease import DutyLease, Outgoing
 from reedspoke.control_plane.workers.platform_client import PlatformClient, PlatformError, PlatformRateError
 from reedspoke.control_plane.workers.worker_list import UNLEASED_TERM, PlatformPage, WorkerBook, merge_pages
--- a/reedspoke/control_plane/workers/platform_client.py
+++ b/reedspoke/control_plane/workers/platform_client.py
@@ -6,8 +6,8 @@
 
 import msgspec
 
-from reedspoke.cluster.errors import ErrorCode, FleetError
-from reedspoke.cluster.node_settings import split_address
+from reedspoke.common.errors import ErrorCode, FleetError
+from reedspoke.common.node_settings import split_address
 from reedspoke.control_plane.workers.worker_list import PlatformPage, parse_page
 from reedspoke.net.http import Answers, Buffer, End, Head, MalformedError
 
--- a/reedspoke/control_plane/workers/worker_list.py
+++ b/reedspoke/control_plane/workers/worker_list.py
@@ -8,7 +8,7 @@
 import msgspec
 from msgspec import Struct, field, structs
 
-from reedspoke.cluster.messages import NO_VERSION, Version, WorkerEntry, WorkerList
+from reedspoke.common.messages import NO_VERSION, Version, WorkerEntry, WorkerList
 
 STATE_DRAINING = "draining"
 MOST_WORKERS = 20000
--- a/reedspoke/data_plane/address_book.py
+++ b/reedspoke/data_plane/address_book.py
@@ -10,7 +10,7 @@
 
 from msgspec import Struct
 
-from reedspoke.cluster.messages import ControlMember
+from reedspoke.common.messages import ControlMember
 
 MOST_ADDRESSES = 128
 FORGET_S = 1800.0  # an address that nobody has named for so long goes at the next list
--- a/reedspoke/data_plane/answers.py
+++ b/reedspoke/data_plane/answers.py
@@ -7,7 +7,7 @@
 import msgspec
 from msgspec import Struct
 
-from reedspoke.cluster.errors import ErrorCode
+from reedspoke.common.errors import ErrorCode
 from reedspoke.data_plane.headers import status_line
 from reedspoke.decision.messages import Fail, FailReason, Refuse
 
--- a/reedspoke/data_plane/client_connection.py
+++ b/reedspoke/data_plane/client_connection.py
@@ -8,9 +8,9 @@
 
 from msgspec import Struct
 
-from reedspoke.cluster.configuration import RequestLimits
-from reedspoke.cluster.errors import ErrorCode
-from reedspoke.cluster.lingering_close import LingeringClose
+from reedspoke.common.configuration import RequestLimits
+from reedspoke.common.errors import ErrorCode
+from reedspoke.common.lingering_close import LingeringClose
 from reedspoke.data_plane.answers import WholeAnswer, own_answer
 from reedspoke.net.http import Buffer, Head, MalformedError, Requests
 from reedspoke.telemetry.invariants import Invariant, check
--- a/reedspoke/data_plane/confirmation.py
+++ b/reedspoke/data_plane/confirmation.py
@@ -8,7 +8,7 @@
 
 import math
 
-from reedspoke.cluster.messages import NO_VERSION, Version
+from reedspoke.common.messages import NO_VERSION, Version
 
 DOUBT_SHARE = 0.7  # of the time within which a change has to be in force; the rest is for its way here
 MOST_AWAITED = 16
--- a/reedspoke/data_plane/control_session.py
+++ b/reedspoke/data_plane/control_session.py
@@ -9,10 +9,10 @@
 
 from msgspec import Struct
 
-from reedspoke.cluster.background import keep_running
-from reedspoke.cluster.json_log import INFO, WARNING, log
-from reedspoke.cluster.messages import QuotaAnswer, QuotaAsk
-from reedspoke.cluster.transport import CONNECTION_ENDED, Channel, open_channel
+from reedspoke.common.background import keep_running
+from reedspoke.common.json_log import INFO, WARNING, log
+from reedspoke.common.messages import QuotaAnswer, QuotaAsk
+from reedspoke.common.transport import CONNECTION_ENDED, Channel, open_channel
 from reedspoke.data_plane.conversation import Conversation, OnQuota, OwnState, SessionPace
 from reedspoke.data_plane.session_choice import SessionChoice
 from reedspoke.data_plane.subscription import Subscription
--- a/reedspoke/data_plane/conversation.py
+++ b/reedspoke/data_plane/conversation.py
@@ -7,7 +7,7 @@
 
 from msgspec import Struct
 
-from reedspoke.cluster.messages import (
+from reedspoke.common.messages import (
     CONFIGURATION,
     MEMBERS,
     NO_VERSION,
@@ -26,7 +26,7 @@
     Watch,
     WorkerList,
 )
-from reedspoke.cluster.transport import Channel
+from reedspoke.common.transport import Channel
 from reedspoke.data_plane.confirmation import confirmed_as_of
 from reedspoke.data_plane.session_choice import SessionChoice
 from reedspoke.data_plane.subscription import FETCH_S, Subscription
--- a/reedspoke/data_plane/event_stream.py
+++ b/reedspoke/data_plane/event_stream.py
@@ -4,7 +4,7 @@
 
 from msgspec import Struct
 
-from reedspoke.cluster.errors import ErrorCode, FleetError
+from reedspoke.common.errors import ErrorCode, FleetError
 
 SEPARATOR = b"\n\n"
 ID_FIELD = b"id:"
--- a/reedspoke/data_plane/exchange.py
+++ b/reedspoke/data_plane/exchange.py
@@ -8,7 +8,7 @@
 
 import asyncio
 
-from reedspoke.cluster.unhandled_errors import unhandled_errors
+from reedspoke.common.unhandled_errors import unhandled_errors
 from reedspoke.data_plane.answer_reader import SUCCESS_STATUS
 from reedspoke.data_plane.answers import (
     WholeAnswer,
--- a/reedspoke/data_plane/forwarder.py
+++ b/reedspoke/data_plane/forwarder.py
@@ -4,10 +4,10 @@
 
 import asyncio
 
-from reedspoke.cluster.configuration import Configuration
-from reedspoke.cluster.configuration import Upstream as ConfiguredUpstream
-from reedspoke.cluster.messages import WorkerEntry as ListedWorker
-from reedspoke.cluster.messages import WorkerList
+from reedspoke.common.configuration import Configuration
+from reedspoke.common.configuration import Upstream as ConfiguredUpstream
+from reedspoke.common.messages import WorkerEntry as ListedWorker
+from reedspoke.common.messages import WorkerList
 from reedspoke.data_plane.client_connection import ClientConnection, ClientRequest
 from reedspoke.data_plane.exchange import Exchange
 from reedspoke.data_plane.forwarder_invariants import check_forgotten, check_idle
--- a/reedspoke/data_plane/key_check.py
+++ b/reedspoke/data_plane/key_check.py
@@ -13,7 +13,7 @@
 
 from msgspec import Struct
 
-from reedspoke.cluster.node_settings import Bounds
+from reedspoke.common.node_settings import Bounds
 from reedspoke.data_plane.tenant_directory import KeyHolder, TenantDirectory
 
 MARGIN_S = 0.25  # of the bound: steady clocks of different machines drift
--- a/reedspoke/data_plane/process.py
+++ b/reedspoke/data_plane/process.py
@@ -8,15 +8,15 @@
 from contextlib import suppress
 from random import Random
 
-from reedspoke.cluster.background import keep_running
-from reedspoke.cluster.configuration import Configuration, RequestLimits
-from reedspoke.cluster.early_signals import handle_signals
-from reedspoke.cluster.errors import FleetError
-from reedspoke.cluster.figures import serve_figures
-from reedspoke.cluster.json_log import INFO, WARNING, log
-from reedspoke.cluster.line_budget import LineBudget
-from reedspoke.cluster.messages import CONFIGURATION, NO_VERSION, WORKERS, MemberList, Version, WorkerList
-from reedspoke.cluster.node_settings import NodeSettings, load_settings, split_address
+from reedspoke.common.background import keep_running
+from reedspoke.common.configuration import Configuration, RequestLimits
+from reedspoke.common.early_signals import handle_signals
+from reedspoke.common.errors import FleetError
+from reedspoke.common.json_log import INFO, WARNING, log
+from reedspoke.common.log_rate_limit import LogRateLimiter
+from reedspoke.common.messages import CONFIGURATION, NO_VERSION, WORKERS, MemberList, Version, WorkerList
+from reedspoke.common.metrics_endpoint import serve_metrics
+from reedspoke.common.node_settings import NodeSettings, load_settings, split_address
 from reedspoke.data_plane.client_connection import ClientConnection, ClientRequest, Exchange
 from reedspoke.data_plane.confirmation import Confirmation
 from reedspoke.data_plane.control_session import ControlSessions
@@ -58,7 +58,7 @@
         self._dispatcher = self._make_dispatcher()
         self._pool = UpstreamPool(self._loop)
         self._registry = Registry()
-        self._request_log = RequestLog(self._registry, LineBudget(self._loop.time))
+        self._request_log = RequestLog(self._registry, LogRateLimiter(self._loop.time))
         add_process_figures(self._registry, self)
         self._forwarder = Forwarder(self._loop, self._pool, self._dispatcher, self._request_log.ended)
         listener = Listener(
@@ -110,7 +110,7 @@
         )
         following = self._loop.create_task(self._sessions.run())
         reloading = self._loop.create_task(keep_running("settings", self._poll_settings))
-        figures = await serve_figures(self._settings, self._registry)
+        figures = await serve_metrics(self._settings, self._registry)
         log(INFO, "data plane up", node=self._settings.node_name)
         await self._first_state()
         frontend = await self._loop.create_server(  # without its own backlog it would set one of 100
--- a/reedspoke/data_plane/quota_client.py
+++ b/reedspoke/data_plane/quota_client.py
@@ -14,9 +14,9 @@
 
 from msgspec import Struct, field
 
-from reedspoke.cluster.messages import QuotaAnswer, QuotaAsk, QuotaVerdict
-from reedspoke.cluster.patient_timer import PatientTimer
-from reedspoke.cluster.quota_rule import CREDIT_S
+from reedspoke.common.messages import QuotaAnswer, QuotaAsk, QuotaVerdict
+from reedspoke.common.quota_rule import CREDIT_S
+from reedspoke.common.stall_tolerant_timer import StallTolerantTimer
 from reedspoke.data_plane.quota_outage import OutageAllowance
 
 SECOND_ASK_S = 0.012  # without an answer from the first control scheduler
@@ -55,7 +55,7 @@
     unanswered: int = 0
     spent: bool = False
     retry_after_s: float = 0.0
-    timer: PatientTimer | None = None
+    timer: StallTolerantTimer | None = None
 
 
 class QuotaClient:
@@ -141,7 +141,7 @@
     def _look_later(self, pending: Pending, at: float) -> None:
         if pending.timer is not None:
             pending.timer.cancel()
-        pending.timer = PatientTimer(self._loop, at, partial(self._ask_next, pending))
+        pending.timer = StallTolerantTimer(self._loop, at, partial(self._ask_next, pending))
 
     def _refuse(self, pending: Pending) -> None:
         ask = pending.ask
--- a/reedspoke/data_plane/request_entry.py
+++ b/reedspoke/data_plane/request_entry.py
@@ -6,10 +6,10 @@
 import math
 from collections.abc import Callable
 
-from reedspoke.cluster.configuration import Configuration
-from reedspoke.cluster.errors import ErrorCode
-from reedspoke.cluster.messages import Version
-from reedspoke.cluster.node_settings import Bounds
+from reedspoke.common.configuration import Configuration
+from reedspoke.common.errors import ErrorCode
+from reedspoke.common.messages import Version
+from reedspoke.common.node_settings import Bounds
 from reedspoke.data_plane.answers import WholeAnswer, key_in_doubt, own_answer, status_of
 from reedspoke.data_plane.client_connection import ClientConnection, ClientRequest, Exchange
 from reedspoke.data_plane.confirmation import Confirmation
--- a/reedspoke/data_plane/request_log.py
+++ b/reedspoke/data_plane/request_log.py
@@ -8,8 +8,8 @@
 from collections import deque
 from collections.abc import Callable
 
-from reedspoke.cluster.json_log import INFO, WARNING, log
-from reedspoke.cluster.line_budget import LineBudget
+from reedspoke.common.json_log import INFO, WARNING, log
+from reedspoke.common.log_rate_limit import LogRateLimiter
 from reedspoke.data_plane.request_trace import RequestOutcome, RequestTrace
 from reedspoke.telemetry.metrics import Registry
 
@@ -24,7 +24,7 @@
 class RequestLog:
     """Takes the traces of requests that have ended."""
 
-    def __init__(self, registry: Registry, lines: LineBudget) -> None:
+    def __init__(self, registry: Registry, lines: LogRateLimiter) -> None:
         self.kept: deque[RequestTrace] = deque(maxlen=MOST_KEPT)
         self._lines = lines
         self._suppressed_told = 0
--- a/reedspoke/data_plane/request_trace.py
+++ b/reedspoke/data_plane/request_trace.py
@@ -10,7 +10,7 @@
 
 from msgspec import Struct, field
 
-from reedspoke.cluster.messages import NO_VERSION, Version
+from reedspoke.common.messages import NO_VERSION, Version
 from reedspoke.decision.attempt_fate import Evidence, fate_of
 from reedspoke.decision.messages import Job
 
--- a/reedspoke/data_plane/route_table.py
+++ b/reedspoke/data_plane/route_table.py
@@ -6,8 +6,8 @@
 
 from msgspec import Struct
 
-from reedspoke.cluster.configuration import Configuration, Route, targets
-from reedspoke.cluster.messages import NO_VERSION, Version
+from reedspoke.common.configuration import Configuration, Route, targets
+from reedspoke.common.messages import NO_VERSION, Version
 
 DEFAULT_TIMEOUT_MS = 30_000.0
 DEFAULT_TARGET_MS = 1_000.0
--- a/reedspoke/data_plane/session_choice.py
+++ b/reedspoke/data_plane/session_choice.py
@@ -16,7 +16,7 @@
 
 from msgspec import Struct
 
-from reedspoke.cluster.messages import ControlMember
+from reedspoke.common.messages import ControlMember
 from reedspoke.data_plane.address_book import AddressBook, Entry
 
 SESSIONS = 2
--- a/reedspoke/data_plane/subscription.py
+++ b/reedspoke/data_plane/subscription.py
@@ -9,12 +9,12 @@
 
 from msgspec import Struct, field
 
-from reedspoke.cluster.configuration import (
+from reedspoke.common.configuration import (
     Configuration,
     apply_difference,
     read_checked,
 )
-from reedspoke.cluster.messages import (
+from reedspoke.common.messages import (
     CONFIGURATION,
     NO_VERSION,
     WORKERS,
--- a/reedspoke/data_plane/tenant_directory.py
+++ b/reedspoke/data_plane/tenant_directory.py
@@ -11,8 +11,8 @@
 
 from msgspec import Struct
 
-from reedspoke.cluster.configuration import Configuration
-from reedspoke.cluster.tenants import TOKENS, Tenant
+from reedspoke.common.configuration import Configuration
+from reedspoke.common.tenants import TOKENS, Tenant
 
 HASH_KEY = os.urandom(16)  # of this process
 HASH_SIZE = 16  # bytes
--- a/reedspoke/data_plane/upstream_pool.py
+++ b/reedspoke/data_plane/upstream_pool.py
@@ -7,9 +7,9 @@
 
 from msgspec import Struct
 
-from reedspoke.cluster.node_settings import split_address
-from reedspoke.cluster.patient_timer import PASSES_WHEN_LATE
-from reedspoke.cluster.unhandled_errors import unhandled_errors
+from reedspoke.common.node_settings import split_address
+from reedspoke.common.stall_tolerant_timer import PASSES_WHEN_LATE
+from reedspoke.common.unhandled_errors import unhandled_errors
 from reedspoke.data_plane.upstream_connection import UpstreamConnection
 
 MOST_IDLE = 16  # kept for one worker
--- a/reedspoke/lab/fleet_emulator/layout.py
+++ b/reedspoke/lab/fleet_emulator/layout.py
@@ -7,8 +7,8 @@
 import msgspec
 from msgspec import Struct
 
-from reedspoke.cluster.configuration import Document, RequestLimits, Route, Upstream
-from reedspoke.cluster.node_settings import Bind, CloudApi, Limits, NodeSettings
+from reedspoke.common.configuration import Document, RequestLimits, Route, Upstream
+from reedspoke.common.node_settings import Bind, CloudApi, Limits, NodeSettings
 from reedspoke.lab.fleet_emulator.workload import (
     IDEMPOTENT,
     NON_IDEMPOTENT,
--- a/reedspoke/lab/fleet_emulator/process.py
+++ b/reedspoke/lab/fleet_emulator/process.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from reedspoke.cluster.node_settings import SETTINGS_VARIABLE, NodeSettings
+from reedspoke.common.node_settings import SETTINGS_VARIABLE, NodeSettings
 
 CONTROL_PLANE = "reedspoke.control_plane"
 DATA_PLANE = "reedspoke.data_plane"
--- a/reedspoke/lab/fleet_soak/findings.py
+++ b/reedspoke/lab/fleet_soak/findings.py
@@ -8,8 +8,8 @@
 
 import msgspec
 
-from reedspoke.cluster.figures import VIOLATION_EVENT
-from reedspoke.cluster.unhandled_errors import LIBRARY_EVENT, UNHANDLED_EVENT
+from reedspoke.common.metrics_endpoint import VIOLATION_EVENT
+from reedspoke.common.unhandled_errors import LIBRARY_EVENT, UNHANDLED_EVENT
 from reedspoke.lab.fleet_emulator.client import FailedTry
 
 SUSPECT_EVENTS = (
--- a/reedspoke/lab/fleet_soak/node.py
+++ b/reedspoke/lab/fleet_soak/node.py
@@ -4,7 +4,7 @@
 
 import os
 
-from reedspoke.cluster.early_signals import remember_signals
+from reedspoke.common.early_signals import remember_signals
 
 ENTERED_LINE = b'{"event": "entered"}\n'  # from here on no signal ends the process unasked
 
--- a/reedspoke/lab/fleet_soak/soak_fleet.py
+++ b/reedspoke/lab/fleet_soak/soak_fleet.py
@@ -12,7 +12,7 @@
 import msgspec
 from msgspec import structs
 
-from reedspoke.cluster.node_settings import FaultTolerance, NodeSettings
+from reedspoke.common.node_settings import FaultTolerance, NodeSettings
 from reedspoke.lab.fleet_emulator.ingress import EdgeAddress
 from reedspoke.lab.fleet_emulator.layout import Layout, control_settings, edge_settings
 from reedspoke.lab.fleet_emulator.process import CONTROL_PLANE, DATA_PLANE, FleetProcess
--- a/reedspoke/lab/fleet_soak/soak_tenants.py
+++ b/reedspoke/lab/fleet_soak/soak_tenants.py
@@ -4,9 +4,9 @@
 
 from collections.abc import Iterable
 
-from reedspoke.cluster.node_settings import Bounds
-from reedspoke.cluster.quota_rule import QuotaRule, bound
-from reedspoke.cluster.tenants import Tenant
+from reedspoke.common.node_settings import Bounds
+from reedspoke.common.quota_rule import QuotaRule, bound
+from reedspoke.common.tenants import Tenant
 from reedspoke.lab.fleet_emulator.ledger import Ledger
 from reedspoke.lab.fleet_emulator.workload import KeyUse
 
--- a/reedspoke/operator_cli/__main__.py
+++ b/reedspoke/operator_cli/__main__.py
@@ -6,7 +6,7 @@
 import sys
 from collections.abc import Sequence
 
-from reedspoke.cluster.errors import FleetError
+from reedspoke.common.errors import FleetError
 from reedspoke.operator_cli.arguments import build_parser
 from reedspoke.operator_cli.client import OperatorClient, parse_addresses
 from reedspoke.operator_cli.commands import COMMANDS, check_configuration
--- a/reedspoke/operator_cli/errors.py
+++ b/reedspoke/operator_cli/errors.py
@@ -4,7 +4,7 @@
 
 from enum import IntEnum
 
-from reedspoke.cluster.errors import NumberedError
+from reedspoke.common.errors import NumberedError
 
 
 class OperatorErrorCode(IntEnum):
--- a/tests/cluster/test_background.py
+++ b/tests/common/test_background.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from reedspoke.cluster.background import keep_running
-from reedspoke.cluster.unhandled_errors import unhandled_errors
+from reedspoke.common.background import keep_running
+from reedspoke.common.unhandled_errors import unhandled_errors
 
 
 class Work:
--- a/tests/cluster/test_configuration.py
+++ b/tests/common/test_configuration.py
@@ -9,7 +9,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from reedspoke.cluster.configuration import (
+from reedspoke.common.configuration import (
     Configuration,
     apply_difference,
     difference,
@@ -17,8 +17,8 @@
     read_checked,
     targets,
 )
-from reedspoke.cluster.errors import ErrorCode, FleetError
-from reedspoke.cluster.messages import ConfigurationDelta, decode, encode
+from reedspoke.common.errors import ErrorCode, FleetError
+from reedspoke.common.messages import ConfigurationDelta, decode, encode
 
 
 def route(**changes: Any) -> dict[str, Any]:
--- a/tests/cluster/test_early_signals.py
+++ b/tests/common/test_early_signals.py
@@ -15,7 +15,7 @@
 
 ROOT = Path(__file__).resolve().parents[2]
 DEADLINE_S = 30.0
-POINTS = ("asyncio", "msgspec", "ormsgpack", "picologging", "reedspoke.cluster.entry")
+POINTS = ("asyncio", "msgspec", "ormsgpack", "picologging", "reedspoke.common.entry_point")
 FAULT = """
 import os, sys
 class SignalAtImport:
--- a/tests/cluster/test_entry.py
+++ b/tests/common/test_entry_point.py
@@ -10,13 +10,13 @@
 
 import pytest
 
-from reedspoke.cluster import json_log
-from reedspoke.cluster.entry import SETTINGS_EXIT, run
-from reedspoke.cluster.errors import ErrorCode, FleetError
-from reedspoke.cluster.node_settings import SETTINGS_VARIABLE, NodeSettings, parse_settings
+from reedspoke.common import json_log
+from reedspoke.common.entry_point import SETTINGS_EXIT, run
+from reedspoke.common.errors import ErrorCode, FleetError
+from reedspoke.common.node_settings import SETTINGS_VARIABLE, NodeSettings, parse_settings
 from reedspoke.control_plane.program import check_settings as check_control_plane
 from reedspoke.data_plane.program import check_settings as check_data_plane
-from tests.cluster.test_node_settings import FILE
+from tests.common.test_node_settings import FILE
 
 
 @pytest.fixture
--- a/tests/cluster/test_messages.py
+++ b/tests/common/test_messages.py
@@ -6,7 +6,7 @@
 import pytest
 from msgspec import Struct
 
-from reedspoke.cluster.messages import (
+from reedspoke.common.messages import (
     ConfigurationDelta,
     ConfigurationSnapshot,
     ControlMember,
--- a/tests/cluster/test_node_settings.py
+++ b/tests/common/test_node_settings.py
@@ -9,8 +9,8 @@
 
 import pytest
 
-from reedspoke.cluster.errors import ErrorCode, FleetError
-from reedspoke.cluster.node_settings import (
+from reedspoke.common.errors import ErrorCode, FleetError
+from reedspoke.common.node_settings import (
     METRICS,
     SETTINGS_VARIABLE,
     internal_address,
--- a/tests/cluster/test_patient_timer.py
+++ b/tests/common/test_stall_tolerant_timer.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from reedspoke.cluster.patient_timer import LATE_S, PASSES_WHEN_LATE, PatientTimer
+from reedspoke.common.stall_tolerant_timer import LATE_S, PASSES_WHEN_LATE, StallTolerantTimer
 from tests.data_plane.virtual_loop import VirtualLoop
 
 LIMIT_S = 0.02
@@ -31,7 +31,7 @@
 def test_it_rings_at_its_time(loop: VirtualLoop) -> None:
     rang: list[float] = []
     began = loop.time()
-    PatientTimer(loop, began + LIMIT_S, lambda: rang.append(loop.time()))
+    StallTolerantTimer(loop, began + LIMIT_S, lambda: rang.append(loop.time()))
     loop.run_for(LIMIT_S / 2)
     assert rang == []
     loop.run_for(LIMIT_S)
@@ -41,7 +41,7 @@
 @pytest.mark.parametrize("passes", range(1, PASSES_WHEN_LATE - 1))
 def test_what_came_while_the_process_stood_still_is_heard_first(loop: VirtualLoop, passes: int) -> None:
     order: list[str] = []
-    PatientTimer(loop, loop.time() + LIMIT_S, lambda: order.append("limit"))
+    StallTolerantTimer(loop, loop.time() + LIMIT_S, lambda: order.append("limit"))
     loop._virtual.now += STALL_S
     after_passes(loop, passes, order)
     loop.settle()
@@ -50,7 +50,7 @@
 
 def test_on_time_it_waits_for_nothing(loop: VirtualLoop) -> None:
     order: list[str] = []
-    PatientTimer(loop, loop.time() + LIMIT_S, lambda: order.append("limit"))
+    StallTolerantTimer(loop, loop.time() + LIMIT_S, lambda: order.append("limit"))
     loop.call_at(loop.time() + LIMIT_S, after_passes, loop, 4, order)
     loop.run_for(2 * LIMIT_S)
     assert order == ["limit", "answer"]
@@ -59,7 +59,7 @@
 @pytest.mark.parametrize("stalled", [False, True])
 def test_once_cancelled_it_does_not_ring(loop: VirtualLoop, stalled: bool) -> None:
     rang: list[bool] = []
-    timer = PatientTimer(loop, loop.time() + LIMIT_S, lambda: rang.append(True))
+    timer = StallTolerantTimer(loop, loop.time() + LIMIT_S, lambda: rang.append(True))
     if stalled:
         loop._virtual.now += STALL_S
         loop.call_soon(loop.call_soon, timer.cancel)
--- a/tests/cluster/test_tenants.py
+++ b/tests/common/test_tenants.py
@@ -6,10 +6,10 @@
 
 import pytest
 
-from reedspoke.cluster.configuration import apply_difference, difference
-from reedspoke.cluster.errors import ErrorCode, FleetError
-from reedspoke.cluster.messages import ConfigurationDelta, decode, encode
-from tests.cluster.test_configuration import document, parse, route
+from reedspoke.common.configuration import apply_difference, difference
+from reedspoke.common.errors import ErrorCode, FleetError
+from reedspoke.common.messages import ConfigurationDelta, decode, encode
+from tests.common.test_configuration import document, parse, route
 
 SECRET = "k-very-secret"
 
--- a/tests/control_plane/direct_core.py
+++ b/tests/control_plane/direct_core.py
@@ -7,7 +7,7 @@
 
 from collections import deque
 
-from reedspoke.cluster.errors import ErrorCode
+from reedspoke.common.errors import ErrorCode
 from reedspoke.control_plane.replication.events import (
     Event,
     Put,
--- a/tests/control_plane/hunt.py
+++ b/tests/control_plane/hunt.py
@@ -13,7 +13,7 @@
 
 import picologging
 
-from reedspoke.cluster.json_log import LOGGER_NAME
+from reedspoke.common.json_log import LOGGER_NAME
 from reedspoke.telemetry.invariants import Violation, monitor
 from tests.control_plane.random_schedule import Step, draw_steps, play_schedule
 
--- a/tests/control_plane/judge.py
+++ b/tests/control_plane/judge.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from reedspoke.cluster.errors import ErrorCode
+from reedspoke.common.errors import ErrorCode
 from reedspoke.control_plane.replication.events import Committed, GetAnswer, PutAnswer
 
 REFUSALS = {
--- a/tests/control_plane/list_judge.py
+++ b/tests/control_plane/list_judge.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, field
 
-from reedspoke.cluster.messages import NO_VERSION, Version, WorkerEntry, WorkerList
+from reedspoke.common.messages import NO_VERSION, Version, WorkerEntry, WorkerList
 from reedspoke.control_plane.workers.worker_list import STATE_DRAINING, UNLEASED_TERM
 from tests.control_plane.simulated_parts import VirtualTime
 from tests.control_plane.simulated_platform import SimulatedPlatform
--- a/tests/control_plane/loss_check.py
+++ b/tests/control_plane/loss_check.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 from hashlib import sha256
 
-from reedspoke.cluster.errors import ErrorCode
+from reedspoke.common.errors import ErrorCode
 from reedspoke.control_plane.replication.change_history import Acknowledged
 from reedspoke.control_plane.replication.events import Member, View
 from reedspoke.control_plane.replication.settings import HEARD_S
--- a/tests/control_plane/operators.py
+++ b/tests/control_plane/operators.py
@@ -8,7 +8,7 @@
 
 from msgspec import json
 
-from reedspoke.cluster.errors import ErrorCode
+from reedspoke.common.errors import ErrorCode
 from reedspoke.control_plane.replication.events import PutAnswer
 from tests.control_plane.calm import CONTACT_S
 from tests.control_plane.simulation import Simulation
--- a/tests/control_plane/rivals.py
+++ b/tests/control_plane/rivals.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, field
 
-from reedspoke.cluster.errors import ErrorCode
+from reedspoke.common.errors import ErrorCode
 from tests.control_plane.simulation import Simulation
 
 REFUSED = {ErrorCode.CONFIGURATION_STALE_MATCH, ErrorCode.CONFIGURATION_OLD_GENERATION}
--- a/tests/control_plane/schedule.py
+++ b/tests/control_plane/schedule.py
@@ -4,7 +4,7 @@
 
 import itertools
 
-from reedspoke.cluster.errors import ErrorCode
+from reedspoke.common.errors import ErrorCode
 from tests.control_plane.simulated_parts import DiskMode, Machine
 from tests.control_plane.simulation import Simulation
 
--- a/tests/control_plane/simulated_channel.py
+++ b/tests/control_plane/simulated_channel.py
@@ -11,7 +11,7 @@
 
 from msgspec import Struct
 
-from reedspoke.cluster.messages import decode, encode
+from reedspoke.common.messages import decode, encode
 from tests.control_plane.process_loop import ProcessLoop
 from tests.control_plane.simulated_parts import VirtualTime
 
--- a/tests/control_plane/simulated_control.py
+++ b/tests/control_plane/simulated_control.py
@@ -12,7 +12,7 @@
 
 from msgspec import Struct
 
-from reedspoke.cluster.messages import (
+from reedspoke.common.messages import (
     ControlMember,
     EdgeMessage,
     Version,
@@ -20,7 +20,7 @@
     WorkerList,
     decode,
 )
-from reedspoke.cluster.node_settings import NodeSettings
+from reedspoke.common.node_settings import NodeSettings
 from reedspoke.control_plane.delivery.configuration_cache import ConfigurationCache
 from reedspoke.control_plane.delivery.edge_sessions import EdgeSessions
 from reedspoke.control_plane.delivery.membership import Membership
--- a/tests/control_plane/simulated_core.py
+++ b/tests/control_plane/simulated_core.py
@@ -13,8 +13,8 @@
 
 from msgspec import Struct, structs
 
-from reedspoke.cluster.errors import ErrorCode
-from reedspoke.cluster.messages import decode, encode
+from reedspoke.common.errors import ErrorCode
+from reedspoke.common.messages import decode, encode
 from reedspoke.control_plane.replication.events import (
     Deliver,
     Effect,
--- a/tests/control_plane/simulated_data_plane.py
+++ b/tests/control_plane/simulated_data_plane.py
@@ -11,8 +11,8 @@
 from random import Random
 from typing import Any
 
-from reedspoke.cluster.configuration import Configuration
-from reedspoke.cluster.messages import MemberList, Version, WorkerList
+from reedspoke.common.configuration import Configuration
+from reedspoke.common.messages import MemberList, Version, WorkerList
 from reedspoke.data_plane.confirmation import Confirmation
 from reedspoke.data_plane.control_session import ControlSessions
 from reedspoke.data_plane.conversation import OwnState
--- a/tests/control_plane/simulated_parts.py
+++ b/tests/control_plane/simulated_parts.py
@@ -11,7 +11,7 @@
 
 from msgspec import Struct
 
-from reedspoke.cluster.errors import ErrorCode
+from reedspoke.common.errors import ErrorCode
 from reedspoke.control_plane.replication.events import Committed, Event, Store, View
 from reedspoke.control_plane.replication.replica import Replica
 
--- a/tests/control_plane/simulation.py
+++ b/tests/control_plane/simulation.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable, Iterable
 
-from reedspoke.cluster.errors import ErrorCode
+from reedspoke.common.errors import ErrorCode
 from reedspoke.control_plane.replication.events import Event, Get, GetAnswer, Leave, Put, SeedsChanged, View
 from reedspoke.control_plane.replication.replica import Replica
 from tests.control_plane.simulated_core import SimulatedCore
--- a/tests/control_plane/storage_simulation.py
+++ b/tests/control_plane/storage_simulation.py
@@ -15,7 +15,7 @@
 import pytest
 from msgspec import Struct
 
-from reedspoke.cluster.errors import ErrorCode, FleetError
+from reedspoke.common.errors import ErrorCode, FleetError
 from reedspoke.control_plane.peers.transport import LARGE_BYTES
 from reedspoke.control_plane.replication.events import Store
 from reedspoke.control_plane.replication.messages import Append, Snapshot
--- a/tests/control_plane/test_clocks.py
+++ b/tests/control_plane/test_clocks.py
@@ -9,7 +9,7 @@
 
 import reedspoke
 
-PACKAGES = ("cluster", "control_plane", "data_plane", "decision", "telemetry")
+PACKAGES = ("common", "control_plane", "data_plane", "decision", "telemetry")
 TIME_OF_DAY_MODULES = {"time", "datetime"}
 LOG_LINES = "json_log.py"
 ROOT = Path(reedspoke.__file__).parent
--- a/tests/control_plane/test_guards_answers.py
+++ b/tests/control_plane/test_guards_answers.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from reedspoke.cluster.errors import ErrorCode
+from reedspoke.common.errors import ErrorCode
 from reedspoke.control_plane.replication.events import (
     ChainLink,
     Effect,
--- a/tests/control_plane/test_guards_head.py
+++ b/tests/control_plane/test_guards_head.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from reedspoke.cluster.errors import ErrorCode
+from reedspoke.common.errors import ErrorCode
 from reedspoke.control_plane.replication.events import Member, Put, PutAnswer, View
 from reedspoke.control_plane.replication.head import MOST_WAITING_BYTES, WAIT_SHARE
 from reedspoke.control_plane.replication.messages import (
--- a/tests/control_plane/test_guards_lists.py
+++ b/tests/control_plane/test_guards_lists.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from reedspoke.cluster.messages import ControlMember, Watch, WorkerEntry, WorkerList
-from reedspoke.cluster.node_settings import CloudApi
+from reedspoke.common.messages import ControlMember, Watch, WorkerEntry, WorkerList
+from reedspoke.common.node_settings import CloudApi
 from reedspoke.control_plane.delivery import membership
 from reedspoke.control_plane.delivery.membership import Membership
 from reedspoke.control_plane.workers import list_duty, worker_list
--- a/tests/control_plane/test_guards_log_file.py
+++ b/tests/control_plane/test_guards_log_file.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from reedspoke.cluster.errors import ErrorCode, FleetError
+from reedspoke.common.errors import ErrorCode, FleetError
 from reedspoke.control_plane.storage.log_file import LOG_NAME, open_log, set_aside
 from reedspoke.control_plane.storage.log_format import HEADER, SINGLE_COPY_HEADER, encode_batch, read_content
 
--- a/tests/control_plane/test_guards_peer_transport.py
+++ b/tests/control_plane/test_guards_peer_transport.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from reedspoke.cluster.messages import encode
-from reedspoke.cluster.transport import CONNECTION_ENDED, open_channel
+from reedspoke.common.messages import encode
+from reedspoke.common.transport import CONNECTION_ENDED, open_channel
 from reedspoke.control_plane.peers import transport as peer_transport
 from reedspoke.control_plane.peers.messages import Hello, LeaseRelease
 from tests.control_plane_process.test_peer_transport import Scheduler, two
--- a/tests/control_plane/test_guards_peers.py
+++ b/tests/control_plane/test_guards_peers.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from reedspoke.cluster.errors import ErrorCode
+from reedspoke.common.errors import ErrorCode
 from reedspoke.control_plane.replication.events import Effect, Member, Store, Stored
 from reedspoke.control_plane.replication.messages import Ping
 from reedspoke.control_plane.replication.outbox import Outbox
--- a/tests/control_plane/test_guards_process.py
+++ b/tests/control_plane/test_guards_process.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 from typing import Any
 
-from reedspoke.cluster.node_settings import NodeSettings
+from reedspoke.common.node_settings import NodeSettings
 from reedspoke.control_plane.delivery.configuration_cache import ConfigurationCache, Prepared
 from reedspoke.control_plane.process import ControlProcess
 from reedspoke.control_plane.replication.events import Committed
--- a/tests/control_plane/test_guards_register.py
+++ b/tests/control_plane/test_guards_register.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from reedspoke.cluster.errors import ErrorCode
+from reedspoke.common.errors import ErrorCode
 from reedspoke.control_plane.replication.messages import Entry
 from reedspoke.control_plane.storage.records import (
     EntryRecord,
--- a/tests/control_plane/test_guards_replica.py
+++ b/tests/control_plane/test_guards_replica.py
@@ -5,7 +5,7 @@
 import pytest
 from msgspec import Struct
 
-from reedspoke.cluster.errors import ErrorCode
+from reedspoke.common.errors import ErrorCode
 from reedspoke.control_plane.replication.events import (
     Effect,
     Member,
--- a/tests/control_plane/test_invariant_checks.py
+++ b/tests/control_plane/test_invariant_checks.py
@@ -10,9 +10,9 @@
 import pytest
 from msgspec import structs
 
-from reedspoke.cluster.errors import ErrorCode
-from reedspoke.cluster.messages import WorkerList
-from reedspoke.cluster.node_settings import NodeSettings
+from reedspoke.common.errors import ErrorCode
+from reedspoke.common.messages import WorkerList
+from reedspoke.common.node_settings import NodeSettings
 from reedspoke.control_plane.replication.driver import ReplicaDriver
 from reedspoke.control_plane.replication.events import Committed, GetAnswer, PutAnswer, View
 from reedspoke.control_plane.replication.invariants import ReplicaInvariants
--- a/tests/control_plane/test_log_file.py
+++ b/tests/control_plane/test_log_file.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from reedspoke.cluster.errors import ErrorCode, FleetError
+from reedspoke.common.errors import ErrorCode, FleetError
 from reedspoke.control_plane.storage import log_file
 from reedspoke.control_plane.storage.log_file import (
     LOG_NAME,
--- a/tests/control_plane/test_orders_features.py
+++ b/tests/control_plane/test_orders_features.py
@@ -7,7 +7,7 @@
 import pytest
 from pytest_bdd import given, parsers, scenarios, then, when
 
-from reedspoke.cluster.errors import ErrorCode
+from reedspoke.common.errors import ErrorCode
 from tests.control_plane.rivals import Contest
 from tests.control_plane.simulation import Simulation
 
--- a/tests/control_plane/test_orders_history.py
+++ b/tests/control_plane/test_orders_history.py
@@ -9,8 +9,8 @@
 import pytest
 from msgspec import to_builtins
 
-from reedspoke.cluster.errors import ErrorCode, FleetError
-from reedspoke.cluster.messages import decode, encode
+from reedspoke.common.errors import ErrorCode, FleetError
+from reedspoke.common.messages import decode, encode
 from reedspoke.control_plane.replication.change_history import ROW, Acknowledged, ChangeHistory
 from reedspoke.control_plane.replication.messages import Entry, ReplicaMessage, Snapshot
 from reedspoke.control_plane.replication.settings import HISTORY_LIMIT
--- a/tests/control_plane/test_orders_refused.py
+++ b/tests/control_plane/test_orders_refused.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from reedspoke.cluster.errors import ErrorCode
+from reedspoke.common.errors import ErrorCode
 from reedspoke.control_plane.replication.events import Received
 from reedspoke.control_plane.replication.messages import PutReply, PutRequest
 from reedspoke.control_plane.storage.records import EntryRecord, decode_record
--- a/tests/control_plane/test_orders_requests.py
+++ b/tests/control_plane/test_orders_requests.py
@@ -9,8 +9,8 @@
 import pytest
 from msgspec import Struct
 
-from reedspoke.cluster.errors import ErrorCode
-from reedspoke.cluster.node_settings import NodeSettings
+from reedspoke.common.errors import ErrorCode
+from reedspoke.common.node_settings import NodeSettings
 from reedspoke.control_plane.replication import driver as driver_module
 from reedspoke.control_plane.replication.driver import ReplicaDriver, Surroundings
 from reedspoke.control_plane.replication.events import Committed, Member, SendTo, View
--- a/tests/control_plane/test_replica_membership.py
+++ b/tests/control_plane/test_replica_membership.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from reedspoke.cluster.errors import ErrorCode
+from reedspoke.common.errors import ErrorCode
 from reedspoke.control_plane.replication.settings import ESTABLISHED_AFTER_S
 from tests.control_plane.schedule import check_end
 from tests.control_plane.simulation import Simulation
--- a/tests/control_plane/test_replica_repair.py
+++ b/tests/control_plane/test_replica_repair.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from reedspoke.cluster.errors import ErrorCode
+from reedspoke.common.errors import ErrorCode
 from tests.control_plane.simulated_parts import DiskMode
 from tests.control_plane.simulation import Simulation
 
--- a/tests/control_plane/test_replica_stale.py
+++ b/tests/control_plane/test_replica_stale.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from reedspoke.cluster.errors import ErrorCode
+from reedspoke.common.errors import ErrorCode
 from reedspoke.control_plane.replication.events import (
     ChainLink,
     Effect,
--- a/tests/control_plane/test_storage_changes.py
+++ b/tests/control_plane/test_storage_changes.py
@@ -12,7 +12,7 @@
 import pytest
 from msgspec import Struct
 
-from reedspoke.cluster.errors import ErrorCode
+from reedspoke.common.errors import ErrorCode
 from reedspoke.control_plane.replication import outbox as replica_outbox
 from reedspoke.control_plane.replication.events import Store
 from reedspoke.control_plane.replication.messages import Append, ChainState, Commit, Snapshot
--- a/tests/control_plane/test_storage_damage.py
+++ b/tests/control_plane/test_storage_damage.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from reedspoke.cluster.errors import ErrorCode, FleetError
+from reedspoke.common.errors import ErrorCode, FleetError
 from reedspoke.control_plane.storage.log_file import (
     ASIDE_NAME,
     LOG_NAME,
--- a/tests/control_plane/test_storage_driver.py
+++ b/tests/control_plane/test_storage_driver.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from reedspoke.cluster.node_settings import NodeSettings
+from reedspoke.common.node_settings import NodeSettings
 from reedspoke.control_plane.replication import driver as driver_module
 from reedspoke.control_plane.replication.driver import ReplicaDriver
 from reedspoke.control_plane.replication.events import Committed, SendTo, View
--- a/tests/control_plane/test_storage_faults.py
+++ b/tests/control_plane/test_storage_faults.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from reedspoke.cluster.errors import FleetError
+from reedspoke.common.errors import FleetError
 from reedspoke.control_plane.storage.log_file import LOG_NAME, OTHER_SLOT_NAME, OpenedLog, open_log
 from tests.control_plane.simulated_files import FOLDER, PowerLost, SimulatedFiles, use
 
--- a/tests/control_plane/test_storage_random.py
+++ b/tests/control_plane/test_storage_random.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from reedspoke.cluster.errors import ErrorCode
+from reedspoke.common.errors import ErrorCode
 from reedspoke.control_plane.replication import outbox as replica_outbox
 from tests.control_plane.schedule import check_end, come_back, play
 from tests.control_plane.storage_simulation import StorageSimulation
--- a/tests/control_plane/test_unexpected_errors.py
+++ b/tests/control_plane/test_unexpected_errors.py
@@ -9,9 +9,9 @@
 
 import pytest
 
-from reedspoke.cluster.node_settings import NodeSettings
-from reedspoke.cluster.transport import Channel, open_channel
-from reedspoke.cluster.unhandled_errors import unhandled_errors
+from reedspoke.common.node_settings import NodeSettings
+from reedspoke.common.transport import Channel, open_channel
+from reedspoke.common.unhandled_errors import unhandled_errors
 from reedspoke.control_plane.peers import transport as peer_transport
 from reedspoke.control_plane.peers.messages import LeaseRelease
 from reedspoke.control_plane.replication import driver as driver_module
--- a/tests/control_plane/test_view_agreement.py
+++ b/tests/control_plane/test_view_agreement.py
@@ -5,7 +5,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from reedspoke.cluster.errors import ErrorCode
+from reedspoke.common.errors import ErrorCode
 from reedspoke.control_plane.replication.events import ChainLink, Member, SendTo, Store, Stored, View
 from reedspoke.control_plane.replication.messages import (
     Accept,
--- a/tests/control_plane/test_worst_days_cut.py
+++ b/tests/control_plane/test_worst_days_cut.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from reedspoke.cluster.errors import ErrorCode
+from reedspoke.common.errors import ErrorCode
 from tests.control_plane.random_schedule import World
 from tests.control_plane.simulated_parts import Direction
 from tests.control_plane.worst_day import acknowledged, fleet_in_service, run_with_orders
--- a/tests/control_plane/test_worst_days_operators.py
+++ b/tests/control_plane/test_worst_days_operators.py
@@ -7,7 +7,7 @@
 import pytest
 from pytest_bdd import given, parsers, scenarios, then, when
 
-from reedspoke.cluster.errors import ErrorCode
+from reedspoke.common.errors import ErrorCode
 from tests.control_plane.operators import Order
 from tests.control_plane.random_schedule import ACK_LOSS, World
 from tests.control_plane.worst_day import acknowledged, fleet_in_service
--- a/tests/control_plane_process/fleet.py
+++ b/tests/control_plane_process/fleet.py
@@ -11,8 +11,8 @@
 from pathlib import Path
 from typing import Any
 
-from reedspoke.cluster.figures import VIOLATION_EVENT
-from reedspoke.cluster.unhandled_errors import UNHANDLED_EVENT
+from reedspoke.common.metrics_endpoint import VIOLATION_EVENT
+from reedspoke.common.unhandled_errors import UNHANDLED_EVENT
 from reedspoke.lab.fleet_soak.findings import event_of
 from tests.control_plane_process.stand_ins import Platform, Reply, call, configuration, until
 from tests.ports import free_port
--- a/tests/control_plane_process/quota_simulation.py
+++ b/tests/control_plane_process/quota_simulation.py
@@ -19,9 +19,9 @@
 
 from msgspec import Struct, field
 
-from reedspoke.cluster.messages import QuotaAsk, QuotaVerdict
-from reedspoke.cluster.quota_rule import LAG_S, QuotaRule, bound
-from reedspoke.cluster.tenants import Tenant
+from reedspoke.common.messages import QuotaAsk, QuotaVerdict
+from reedspoke.common.quota_rule import LAG_S, QuotaRule, bound
+from reedspoke.common.tenants import Tenant
 from reedspoke.control_plane.peers.messages import QuotaLoanRequest
 from reedspoke.control_plane.quota.grants import AnswerTo, QuotaEffect, QuotaGrants
 from reedspoke.control_plane.quota.share import QuotaShare
--- a/tests/control_plane_process/stand_ins.py
+++ b/tests/control_plane_process/stand_ins.py
@@ -14,7 +14,7 @@
 
 from msgspec import Struct
 
-from reedspoke.cluster.messages import (
+from reedspoke.common.messages import (
     ConfigurationDelta,
     ConfigurationSnapshot,
     Fetch,
@@ -27,8 +27,8 @@
     decode,
     encode,
 )
-from reedspoke.cluster.node_settings import split_address
-from reedspoke.cluster.transport import LENGTH
+from reedspoke.common.node_settings import split_address
+from reedspoke.common.transport import LENGTH
 from reedspoke.control_plane.workers.worker_list import UNLEASED_TERM
 
 POLL_S = 0.02
--- a/tests/control_plane_process/test_configuration_cache.py
+++ b/tests/control_plane_process/test_configuration_cache.py
@@ -8,13 +8,13 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from reedspoke.cluster.configuration import (
+from reedspoke.common.configuration import (
     Configuration,
     apply_difference,
     parse_configuration,
 )
-from reedspoke.cluster.errors import FleetError
-from reedspoke.cluster.messages import ConfigurationDelta, ConfigurationSnapshot, Version, decode
+from reedspoke.common.errors import FleetError
+from reedspoke.common.messages import ConfigurationDelta, ConfigurationSnapshot, Version, decode
 from reedspoke.control_plane.delivery import configuration_cache
 from reedspoke.control_plane.delivery.configuration_cache import MOST_KEPT, ConfigurationCache
 from reedspoke.control_plane.replication.events import Committed
--- a/tests/control_plane_process/test_edge_sessions.py
+++ b/tests/control_plane_process/test_edge_sessions.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from reedspoke.cluster.messages import (
+from reedspoke.common.messages import (
     ConfigurationSnapshot,
     ControlMember,
     Fetch,
@@ -20,7 +20,7 @@
     WorkerEntry,
     WorkerList,
 )
-from reedspoke.cluster.transport import CONNECTION_ENDED, Channel, open_channel
+from reedspoke.common.transport import CONNECTION_ENDED, Channel, open_channel
 from reedspoke.control_plane.delivery import edge_sessions
 from reedspoke.control_plane.delivery.configuration_cache import ConfigurationCache
 from reedspoke.control_plane.delivery.edge_sessions import EdgeSessions
--- a/tests/control_plane_process/test_http_server.py
+++ b/tests/control_plane_process/test_http_server.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from reedspoke.cluster.node_settings import split_address
+from reedspoke.common.node_settings import split_address
 from reedspoke.control_plane.api import http_server
 from reedspoke.control_plane.api.http_server import HttpServer, Request, Response
 from reedspoke.control_plane.api.operator_api import http_error_body
--- a/tests/control_plane_process/test_list_duty.py
+++ b/tests/control_plane_process/test_list_duty.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from reedspoke.cluster.messages import WorkerList
-from reedspoke.cluster.node_settings import CloudApi
+from reedspoke.common.messages import WorkerList
+from reedspoke.common.node_settings import CloudApi
 from reedspoke.control_plane.workers import list_duty, platform_client
 from reedspoke.control_plane.workers.duty_lease import DutyLease, Outgoing
 from reedspoke.control_plane.workers.list_duty import ListDuty
--- a/tests/control_plane_process/test_membership.py
+++ b/tests/control_plane_process/test_membership.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from reedspoke.cluster.messages import ControlMember, EdgeMember, Watch
+from reedspoke.common.messages import ControlMember, EdgeMember, Watch
 from reedspoke.control_plane.delivery.membership import TABLE_LIFE_S, Membership, Running
 from reedspoke.control_plane.peers.messages import SessionEntry, SessionTable
 from reedspoke.control_plane.replication.events import Member
--- a/tests/control_plane_process/test_openapi.py
+++ b/tests/control_plane_process/test_openapi.py
@@ -10,8 +10,8 @@
 import msgspec
 import pytest
 
-from reedspoke.cluster.configuration import Document
-from reedspoke.cluster.errors import ErrorCode
+from reedspoke.common.configuration import Document
+from reedspoke.common.errors import ErrorCode
 from reedspoke.control_plane.api.http_server import Request
 from reedspoke.control_plane.api.operator_api import (
     OPERATIONS,
@@ -115,7 +115,7 @@
 
 
 def _error(code: ErrorCode) -> Any:
-    from reedspoke.cluster.errors import FleetError
+    from reedspoke.common.errors import FleetError
 
     return FleetError(code, "text")
 
--- a/tests/control_plane_process/test_operator_api.py
+++ b/tests/control_plane_process/test_operator_api.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from reedspoke.cluster.configuration import Configuration, parse_configuration
-from reedspoke.cluster.errors import ErrorCode, FleetError
+from reedspoke.common.configuration import Configuration, parse_configuration
+from reedspoke.common.errors import ErrorCode, FleetError
 from reedspoke.control_plane.api import operator_api
 from reedspoke.control_plane.api.http_server import Request, Response
 from reedspoke.control_plane.api.operator_api import OPERATIONS, Calls, OperatorApi, StatusAnswer, status_of
--- a/tests/control_plane_process/test_peer_connections.py
+++ b/tests/control_plane_process/test_peer_connections.py
@@ -10,9 +10,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from reedspoke.cluster.messages import EdgeMessage, encode
-from reedspoke.cluster.node_settings import split_address
-from reedspoke.cluster.transport import CONNECTION_ENDED, LENGTH, MOST_FRAME, Channel, FramingError
+from reedspoke.common.messages import EdgeMessage, encode
+from reedspoke.common.node_settings import split_address
+from reedspoke.common.transport import CONNECTION_ENDED, LENGTH, MOST_FRAME, Channel, FramingError
 from reedspoke.control_plane.peers.messages import Hello, LeaseRelease
 from reedspoke.control_plane.peers.transport import PeerMessage, PeerTransport
 from tests.ports import free_port
--- a/tests/control_plane_process/test_peer_transport.py
+++ b/tests/control_plane_process/test_peer_transport.py
@@ -7,9 +7,9 @@
 
 import pytest
 
-from reedspoke.cluster.messages import EdgeMessage
-from reedspoke.cluster.node_settings import split_address
-from reedspoke.cluster.transport import Channel
+from reedspoke.common.messages import EdgeMessage
+from reedspoke.common.node_settings import split_address
+from reedspoke.common.transport import Channel
 from reedspoke.control_plane.peers import transport as peer_transport
 from reedspoke.control_plane.peers.messages import LeaseRelease
 from reedspoke.control_plane.peers.transport import PeerMessage, PeerTransport
--- a/tests/control_plane_process/test_process.py
+++ b/tests/control_plane_process/test_process.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from reedspoke.cluster.configuration import apply_difference, parse_configuration
-from reedspoke.cluster.messages import ConfigurationDelta
+from reedspoke.common.configuration import apply_difference, parse_configuration
+from reedspoke.common.messages import ConfigurationDelta
 from reedspoke.control_plane.storage.log_format import COPIES, encode_batch
 from tests.control_plane_process.fleet import HEARTBEAT_MS, HOSTS, UP_S, Fleet
 from tests.control_plane_process.stand_ins import (
--- a/tests/control_plane_process/test_process_data_plane.py
+++ b/tests/control_plane_process/test_process_data_plane.py
@@ -6,7 +6,7 @@
 import signal
 import time
 
-from reedspoke.cluster.messages import ConfigurationDelta, ConfigurationSnapshot, MemberList, WorkerList
+from reedspoke.common.messages import ConfigurationDelta, ConfigurationSnapshot, MemberList, WorkerList
 from tests.control_plane_process.fleet import HEARTBEAT_MS, UP_S, Fleet
 from tests.control_plane_process.stand_ins import (
     WORKERS_S,
--- a/tests/control_plane_process/test_quota_bucket.py
+++ b/tests/control_plane_process/test_quota_bucket.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from reedspoke.cluster.quota_rule import (
+from reedspoke.common.quota_rule import (
     COUNTED_SHARE,
     LAG_S,
     LEAST_CAPACITY,
--- a/tests/control_plane_process/test_quota_grants.py
+++ b/tests/control_plane_process/test_quota_grants.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from reedspoke.cluster.messages import QuotaAnswer, QuotaAsk, QuotaVerdict
-from reedspoke.cluster.quota_rule import QuotaRule, allowance, bound
-from reedspoke.cluster.tenants import Tenant
+from reedspoke.common.messages import QuotaAnswer, QuotaAsk, QuotaVerdict
+from reedspoke.common.quota_rule import QuotaRule, allowance, bound
+from reedspoke.common.tenants import Tenant
 from reedspoke.control_plane.peers.messages import QuotaLoan, QuotaLoanRequest
 from reedspoke.control_plane.quota.bucket import LOAN_SHARE
 from reedspoke.control_plane.quota.grants import (
--- a/tests/control_plane_process/test_worker_list.py
+++ b/tests/control_plane_process/test_worker_list.py
@@ -5,7 +5,7 @@
 import msgspec
 import pytest
 
-from reedspoke.cluster.messages import WorkerEntry, WorkerList
+from reedspoke.common.messages import WorkerEntry, WorkerList
 from reedspoke.control_plane.workers.worker_list import (
     RELAY_AFTER_S,
     UNLEASED_TERM,
--- a/tests/data_plane/control_stand_in.py
+++ b/tests/data_plane/control_stand_in.py
@@ -9,7 +9,7 @@
 import pytest
 from msgspec import Struct
 
-from reedspoke.cluster.messages import ControlMember, Fetch, Unconfirmed, Version, Versions, Watch
+from reedspoke.common.messages import ControlMember, Fetch, Unconfirmed, Version, Versions, Watch
 from reedspoke.data_plane import control_session
 from reedspoke.data_plane.control_session import DEFAULT_PACE, ControlSessions
 from reedspoke.data_plane.conversation import OwnState, SessionPace
--- a/tests/data_plane/fleet_model.py
+++ b/tests/data_plane/fleet_model.py
@@ -12,7 +12,7 @@
 
 from msgspec import Struct
 
-from reedspoke.cluster.messages import (
+from reedspoke.common.messages import (
     CONFIGURATION,
     MEMBERS,
     ConfigurationSnapshot,
--- a/tests/data_plane/loopback.py
+++ b/tests/data_plane/loopback.py
@@ -10,9 +10,9 @@
 
 from msgspec import Struct, field
 
-from reedspoke.cluster.configuration import parse_configuration
-from reedspoke.cluster.messages import WorkerEntry, WorkerList
-from reedspoke.cluster.node_settings import split_address
+from reedspoke.common.configuration import parse_configuration
+from reedspoke.common.messages import WorkerEntry, WorkerList
+from reedspoke.common.node_settings import split_address
 from reedspoke.data_plane.client_connection import ClientConnection
 from reedspoke.data_plane.forwarder import Forwarder
 from reedspoke.data_plane.route_table import RouteTable
--- a/tests/data_plane/plane.py
+++ b/tests/data_plane/plane.py
@@ -8,8 +8,8 @@
 
 from msgspec import Struct
 
-from reedspoke.cluster.messages import ConfigurationSnapshot, WorkerEntry, WorkerList
-from reedspoke.cluster.node_settings import Bounds, NodeSettings
+from reedspoke.common.messages import ConfigurationSnapshot, WorkerEntry, WorkerList
+from reedspoke.common.node_settings import Bounds, NodeSettings
 from reedspoke.data_plane.client_connection import ClientConnection
 from reedspoke.data_plane.process import DataPlane
 from tests.data_plane.virtual_loop import VirtualLoop
--- a/tests/data_plane/session_world.py
+++ b/tests/data_plane/session_world.py
@@ -7,7 +7,7 @@
 
 from msgspec import Struct
 
-from reedspoke.cluster.messages import ControlMember
+from reedspoke.common.messages import ControlMember
 from reedspoke.data_plane.session_choice import SessionChoice
 
 STEP_S = 0.01
--- a/tests/data_plane/stand_ins.py
+++ b/tests/data_plane/stand_ins.py
@@ -15,7 +15,7 @@
 from pathlib import Path
 from typing import Any, TypeVar
 
-from reedspoke.cluster.messages import (
+from reedspoke.common.messages import (
     CONFIGURATION,
     MEMBERS,
     WORKERS,
@@ -30,8 +30,8 @@
     WorkerEntry,
     WorkerList,
 )
-from reedspoke.cluster.node_settings import split_address
-from reedspoke.cluster.transport import CONNECTION_ENDED, Channel
+from reedspoke.common.node_settings import split_address
+from reedspoke.common.transport import CONNECTION_ENDED, Channel
 from tests.control_plane_process.stand_ins import until
 from tests.data_plane.wire import SeenRequest, chunked, event, read_requests
 
--- a/tests/data_plane/test_address_book.py
+++ b/tests/data_plane/test_address_book.py
@@ -5,7 +5,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from reedspoke.cluster.messages import ControlMember
+from reedspoke.common.messages import ControlMember
 from reedspoke.data_plane.address_book import (
     FORGET_S,
     LATELY_S,
--- a/tests/data_plane/test_attempts_connections.py
+++ b/tests/data_plane/test_attempts_connections.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from reedspoke.cluster.messages import WorkerEntry, WorkerList
+from reedspoke.common.messages import WorkerEntry, WorkerList
 from tests.data_plane.wire import HIGH_WATER, chunked, event
 from tests.data_plane.world import AGAIN, ONCE, RESUME, STREAM, TIMEOUT_S, Arrival, Client, World, fresh_world
 
--- a/tests/data_plane/test_attempts_process.py
+++ b/tests/data_plane/test_attempts_process.py
@@ -14,7 +14,7 @@
 import pytest
 from msgspec import Struct
 
-from reedspoke.cluster.messages import WorkerEntry
+from reedspoke.common.messages import WorkerEntry
 from tests.control_plane_process.stand_ins import until
 from tests.data_plane.stand_ins import (
     CALL_S,
--- a/tests/data_plane/test_broken_transports.py
+++ b/tests/data_plane/test_broken_transports.py
@@ -6,8 +6,8 @@
 import os
 from typing import NoReturn
 
-from reedspoke.cluster.messages import WorkerEntry
-from reedspoke.cluster.unhandled_errors import unhandled_errors
+from reedspoke.common.messages import WorkerEntry
+from reedspoke.common.unhandled_errors import unhandled_errors
 from tests.data_plane.plane import Plane, answer, fresh_plane
 from tests.data_plane.wire import TransportStandIn
 from tests.data_plane.world import request_bytes
--- a/tests/data_plane/test_client_requests.py
+++ b/tests/data_plane/test_client_requests.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from reedspoke.cluster.errors import ErrorCode
+from reedspoke.common.errors import ErrorCode
 from reedspoke.data_plane.client_connection import LINGER_S
 from tests.data_plane.wire import chunked
 from tests.data_plane.world import AGAIN, LIMITS, ONCE, STREAM, Client, World, fresh_world, request_bytes
--- a/tests/data_plane/test_confirmation.py
+++ b/tests/data_plane/test_confirmation.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from reedspoke.cluster.messages import NO_VERSION, Version
+from reedspoke.common.messages import NO_VERSION, Version
 from reedspoke.data_plane.confirmation import (
     DOUBT_SHARE,
     MOST_AWAITED,
--- a/tests/data_plane/test_conversation.py
+++ b/tests/data_plane/test_conversation.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from reedspoke.cluster.messages import (
+from reedspoke.common.messages import (
     CONFIGURATION,
     MEMBERS,
     WORKERS,
@@ -246,8 +246,8 @@
 
 def test_a_frame_that_takes_long_is_no_silence(monkeypatch: pytest.MonkeyPatch) -> None:
     """A large configuration over a narrow link: its bytes keep coming."""
-    from reedspoke.cluster.messages import encode
-    from reedspoke.cluster.transport import LENGTH, Channel
+    from reedspoke.common.messages import encode
+    from reedspoke.common.transport import LENGTH, Channel
 
     loop = VirtualLoop()
     reader = asyncio.StreamReader(loop=loop, limit=2**20)
--- a/tests/data_plane/test_data_plane.py
+++ b/tests/data_plane/test_data_plane.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from reedspoke.cluster.errors import ErrorCode
-from reedspoke.cluster.messages import ConfigurationSnapshot
+from reedspoke.common.errors import ErrorCode
+from reedspoke.common.messages import ConfigurationSnapshot
 from reedspoke.data_plane.process import LINGER_S
 from reedspoke.data_plane.readiness import ReadinessConnection
 from tests.data_plane.plane import GRACE_S, Plane, answer
--- a/tests/data_plane/test_doubt.py
+++ b/tests/data_plane/test_doubt.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from reedspoke.cluster.errors import ErrorCode
-from reedspoke.cluster.messages import ConfigurationSnapshot
+from reedspoke.common.errors import ErrorCode
+from reedspoke.common.messages import ConfigurationSnapshot
 from reedspoke.data_plane.confirmation import DOUBT_SHARE
 from tests.data_plane.plane import Plane, answer, settings
 from tests.data_plane.world import LIMITS, ONCE, document, request_bytes
--- a/tests/data_plane/test_exchange_whole.py
+++ b/tests/data_plane/test_exchange_whole.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from reedspoke.cluster.errors import ErrorCode
+from reedspoke.common.errors import ErrorCode
 from reedspoke.decision.messages import Decision
 from tests.data_plane.wire import chunked, event
 from tests.data_plane.world import AGAIN, ONCE, SEAL, STREAM, TIMEOUT_S, Arrival, World, fresh_world
--- a/tests/data_plane/test_guards_conversation.py
+++ b/tests/data_plane/test_guards_conversation.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from reedspoke.cluster.messages import Unconfirmed, Versions, Watch
+from reedspoke.common.messages import Unconfirmed, Versions, Watch
 from tests.data_plane.control_stand_in import ChannelStandIn, Control
 
 LONG_AGO_S = 100.0
--- a/tests/data_plane/test_guards_exchange.py
+++ b/tests/data_plane/test_guards_exchange.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from reedspoke.cluster.errors import ErrorCode
+from reedspoke.common.errors import ErrorCode
 from reedspoke.data_plane import exchange
 from reedspoke.data_plane.answers import WholeAnswer
 from reedspoke.data_plane.client_connection import ClientRequest
--- a/tests/data_plane/test_invariant_checks.py
+++ b/tests/data_plane/test_invariant_checks.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from reedspoke.cluster.errors import ErrorCode
-from reedspoke.cluster.messages import WorkerList
+from reedspoke.common.errors import ErrorCode
+from reedspoke.common.messages import WorkerList
 from reedspoke.data_plane.answers import own_answer
 from reedspoke.data_plane.exchange_invariants import check_success
 from reedspoke.data_plane.headers import RESPONSE_SEAL
--- a/tests/data_plane/test_job_builder.py
+++ b/tests/data_plane/test_job_builder.py
@@ -8,7 +8,7 @@
 from hypothesis import example, given, settings
 from hypothesis import strategies as st
 
-from reedspoke.cluster.messages import Watch, encode
+from reedspoke.common.messages import Watch, encode
 from reedspoke.data_plane.job_builder import build_job, parse_parts, parse_token_count, repeat_of, time_limit
 from reedspoke.data_plane.permit import Permit
 from reedspoke.data_plane.route_table import CompiledRoute, Target
--- a/tests/data_plane/test_key_check.py
+++ b/tests/data_plane/test_key_check.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from reedspoke.cluster.configuration import Configuration, RequestLimits
-from reedspoke.cluster.node_settings import Bounds
-from reedspoke.cluster.tenants import Tenant
+from reedspoke.common.configuration import Configuration, RequestLimits
+from reedspoke.common.node_settings import Bounds
+from reedspoke.common.tenants import Tenant
 from reedspoke.data_plane.key_check import (
     MARGIN_S,
     Certainty,
--- a/tests/data_plane/test_process.py
+++ b/tests/data_plane/test_process.py
@@ -8,8 +8,8 @@
 import signal
 import socket
 
-from reedspoke.cluster.messages import CONFIGURATION
-from reedspoke.cluster.node_settings import split_address
+from reedspoke.common.messages import CONFIGURATION
+from reedspoke.common.node_settings import split_address
 from tests.control_plane_process.stand_ins import until
 from tests.data_plane.stage import HOST, HOSTS, Stage
 from tests.data_plane.stand_ins import (
--- a/tests/data_plane/test_process_doubt.py
+++ b/tests/data_plane/test_process_doubt.py
@@ -6,9 +6,9 @@
 import signal
 import time
 
-from reedspoke.cluster.errors import ErrorCode
-from reedspoke.cluster.messages import CONFIGURATION
-from reedspoke.cluster.node_settings import split_address
+from reedspoke.common.errors import ErrorCode
+from reedspoke.common.messages import CONFIGURATION
+from reedspoke.common.node_settings import split_address
 from reedspoke.data_plane.subscription import UNCONFIRMED_AFTER_S
 from tests.control_plane_process.stand_ins import until
 from tests.data_plane.stage import HOST, HOSTS, Stage
--- a/tests/data_plane/test_quota_client.py
+++ b/tests/data_plane/test_quota_client.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from reedspoke.cluster.messages import QuotaAnswer, QuotaAsk, QuotaVerdict
-from reedspoke.cluster.quota_rule import CREDIT_S
+from reedspoke.common.messages import QuotaAnswer, QuotaAsk, QuotaVerdict
+from reedspoke.common.quota_rule import CREDIT_S
 from reedspoke.data_plane.quota_client import (
     SECOND_ASK_S,
     UNAVAILABLE_RETRY_S,
--- a/tests/data_plane/test_request_keys.py
+++ b/tests/data_plane/test_request_keys.py
@@ -7,9 +7,9 @@
 
 import pytest
 
-from reedspoke.cluster.errors import ErrorCode
-from reedspoke.cluster.messages import ConfigurationSnapshot, QuotaAnswer, QuotaAsk, QuotaVerdict
-from reedspoke.cluster.node_settings import Bounds, NodeSettings
+from reedspoke.common.errors import ErrorCode
+from reedspoke.common.messages import ConfigurationSnapshot, QuotaAnswer, QuotaAsk, QuotaVerdict
+from reedspoke.common.node_settings import Bounds, NodeSettings
 from reedspoke.data_plane.key_check import MARGIN_S
 from reedspoke.telemetry.invariants import Invariant, monitor
 from tests.data_plane import plane as plane_module
--- a/tests/data_plane/test_request_log.py
+++ b/tests/data_plane/test_request_log.py
@@ -8,7 +8,7 @@
 import msgspec
 import pytest
 
-from reedspoke.cluster.line_budget import LineBudget
+from reedspoke.common.log_rate_limit import LogRateLimiter
 from reedspoke.data_plane import request_log
 from reedspoke.data_plane.request_log import RequestLog
 from reedspoke.data_plane.request_trace import RequestOutcome, RequestTrace
@@ -143,7 +143,7 @@
 
 def test_lines_are_bounded_and_what_was_left_out_is_told(told: Lines) -> None:
     now = [0.0]
-    made = RequestLog(Registry(), LineBudget(lambda: now[0], burst=2, per_s=1))
+    made = RequestLog(Registry(), LogRateLimiter(lambda: now[0], burst=2, per_s=1))
     for number in range(5):
         made.ended(refused(f"a{number}"))
     assert [line["attempt_id"] for _, line in told] == ["a0", "a1"]
--- a/tests/data_plane/test_session_choice.py
+++ b/tests/data_plane/test_session_choice.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from reedspoke.cluster.messages import ControlMember
+from reedspoke.common.messages import ControlMember
 from reedspoke.data_plane.session_choice import (
     DIAL_BURST,
     DIALS_PER_S,
--- a/tests/data_plane/test_session_model.py
+++ b/tests/data_plane/test_session_model.py
@@ -13,7 +13,7 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-from reedspoke.cluster.messages import CONFIGURATION
+from reedspoke.common.messages import CONFIGURATION
 from reedspoke.data_plane import control_session
 from reedspoke.data_plane.session_choice import DIAL_BURST, DIALS_PER_S, SESSIONS
 from tests.data_plane.fleet_model import APPLY_S, CATCH_UP_S, CONTACT_S, FleetModel
--- a/tests/data_plane/test_session_wire.py
+++ b/tests/data_plane/test_session_wire.py
@@ -12,7 +12,7 @@
 import pytest
 from msgspec import Struct
 
-from reedspoke.cluster.messages import (
+from reedspoke.common.messages import (
     CONFIGURATION,
     ControlMember,
     ControlMessage,
@@ -22,7 +22,7 @@
     decode,
     encode,
 )
-from reedspoke.cluster.transport import Channel
+from reedspoke.common.transport import Channel
 from reedspoke.control_plane.delivery.configuration_cache import ConfigurationCache
 from reedspoke.control_plane.delivery.edge_sessions import EdgeSessions
 from reedspoke.control_plane.delivery.membership import Membership
--- a/tests/data_plane/test_subscription.py
+++ b/tests/data_plane/test_subscription.py
@@ -9,9 +9,9 @@
 from hypothesis import strategies as st
 from msgspec import Struct, field
 
-from reedspoke.cluster.configuration import Configuration, difference, parse_configuration
-from reedspoke.cluster.errors import FleetError
-from reedspoke.cluster.messages import (
+from reedspoke.common.configuration import Configuration, difference, parse_configuration
+from reedspoke.common.errors import FleetError
+from reedspoke.common.messages import (
     CONFIGURATION,
     NO_VERSION,
     WORKERS,
--- a/tests/data_plane/test_unconfirmed_sessions.py
+++ b/tests/data_plane/test_unconfirmed_sessions.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from reedspoke.cluster.messages import (
+from reedspoke.common.messages import (
     CONFIGURATION,
     WORKERS,
     ControlMember,
@@ -19,8 +19,8 @@
     Watch,
     encode,
 )
-from reedspoke.cluster.node_settings import Bounds, NodeSettings
-from reedspoke.cluster.transport import LENGTH, Channel
+from reedspoke.common.node_settings import Bounds, NodeSettings
+from reedspoke.common.transport import LENGTH, Channel
 from reedspoke.data_plane.confirmation import DOUBT_SHARE
 from reedspoke.data_plane.conversation import SessionPace
 from reedspoke.data_plane.session_choice import DIAL_BURST, DIALS_PER_S, MOST_OPEN, SESSIONS
--- a/tests/data_plane/test_unexpected_errors.py
+++ b/tests/data_plane/test_unexpected_errors.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from reedspoke.cluster.unhandled_errors import unhandled_errors
+from reedspoke.common.unhandled_errors import unhandled_errors
 from reedspoke.data_plane.session_choice import SessionChoice
 from reedspoke.data_plane.upstream_pool import ConnectFailure, ConnectResult, UpstreamPool
 from tests.data_plane.control_stand_in import Control
--- a/tests/data_plane/world.py
+++ b/tests/data_plane/world.py
@@ -10,9 +10,9 @@
 
 from msgspec import Struct, field
 
-from reedspoke.cluster.configuration import RequestLimits, parse_configuration
-from reedspoke.cluster.errors import ErrorCode
-from reedspoke.cluster.messages import WorkerEntry, WorkerList
+from reedspoke.common.configuration import RequestLimits, parse_configuration
+from reedspoke.common.errors import ErrorCode
+from reedspoke.common.messages import WorkerEntry, WorkerList
 from reedspoke.data_plane.answers import own_answer
 from reedspoke.data_plane.client_connection import ClientConnection, ClientRequest, Exchange
 from reedspoke.data_plane.forwarder import Forwarder
--- a/tests/golden/session_examples.py
+++ b/tests/golden/session_examples.py
@@ -7,7 +7,7 @@
 
 from msgspec import Struct
 
-from reedspoke.cluster.messages import (
+from reedspoke.common.messages import (
     ConfigurationDelta,
     ConfigurationSnapshot,
     ControlMember,
--- a/tests/golden/test_messages.py
+++ b/tests/golden/test_messages.py
@@ -16,7 +16,7 @@
 from msgspec import Struct
 
 from reedspoke.booking import words as booking_messages
-from reedspoke.cluster import messages as session_messages
+from reedspoke.common import messages as session_messages
 from reedspoke.control_plane.peers import messages as peer_messages
 from reedspoke.control_plane.replication import messages as replica_messages
 from reedspoke.control_plane.storage import records as log_records
--- a/tests/lab_soak/test_soak_tenants.py
+++ b/tests/lab_soak/test_soak_tenants.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from reedspoke.cluster.quota_rule import bound
-from reedspoke.cluster.tenants import tenants_fault
+from reedspoke.common.quota_rule import bound
+from reedspoke.common.tenants import tenants_fault
 from reedspoke.lab.fleet_emulator.ledger import Ledger, Run, SentRequest
 from reedspoke.lab.fleet_soak.soak_tenants import (
     BURST,
--- a/tests/operator_cli/test_error_table.py
+++ b/tests/operator_cli/test_error_table.py
@@ -6,7 +6,7 @@
 from enum import IntEnum
 from pathlib import Path
 
-from reedspoke.cluster.errors import ErrorCode
+from reedspoke.common.errors import ErrorCode
 from reedspoke.operator_cli.errors import EXIT_CODES, ExitCode, OperatorErrorCode
 
 PAGE = Path(__file__).parents[2] / "docs" / "errors.md"
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -13,8 +13,8 @@
 
 import reedspoke
 from reedspoke.acme.challenges import CommandError, command
-from reedspoke.cluster.errors import NumberedError
-from reedspoke.cluster.transport import FramingError
+from reedspoke.common.errors import NumberedError
+from reedspoke.common.transport import FramingError
 from reedspoke.control_plane.workers.platform_client import PlatformError, PlatformRateError
 from reedspoke.data_plane.event_stream import EventTooLargeError
 from reedspoke.errors import ReedspokeError
