--- a/reedspoke/common/messages.py
+++ b/reedspoke/common/messages.py
@@ -1,17 +1,21 @@
 """Messages between data plane and control plane over a session, each a typed, tagged structure.
 
-A data plane scheduler opens a session to the internal port of a control scheduler. It sends `Watch` with the
-versions that it holds; the answer `Versions` comes as soon as any source has a newer version, or after the
-heartbeat. What it lacks it asks for with `Fetch`, answered by the source's own message. One `Watch` is out at
-a time on a session, and any number of `Fetch`. A control scheduler that no majority of voters stands behind
-answers `Unconfirmed` in place of `Versions`, as soon as that is so, and hands over no state.
+A data plane node opens a session to the internal port of a control plane node. It sends `WatchRequest` with
+the versions that it has; the `WatchResponse` comes as soon as any source has a newer version, or after the
+heartbeat (a long poll). What it lacks it requests with `FetchRequest`, answered by the source's own message.
+One `WatchRequest` is in flight at a time on a session, and any number of `FetchRequest`. A control plane node
+that no majority of voters stands behind answers `UnconfirmedResponse` in place of `WatchResponse`, as soon as
+that is so, and hands over no state.
 
-On the same session `QuotaAsk` is answered with `QuotaAnswer`, at any time and in any order.
+On the same session `QuotaRequest` is answered with `QuotaResponse`, at any time and in any order.
 
 Sources, with their versions (compared as pairs, the larger is newer):
 - `configuration`: (view in which the chain's head took it, sequence on the chain)
-- `workers`: (term of the list duty's lease, count within the term)
-- `members`: (0, count); it is local to one control scheduler and compared for equality only.
+- `workers`: (term of the worker discovery lease, count within the term)
+- `members`: (0, count); it is local to one control plane node and compared for equality only.
+
+Compatibility: a message is an array on the wire, so the tag, the order of the fields and their defaults are
+fixed; a new field goes to the end, with a default. Names of classes and fields are free to change.
 """
 
 from __future__ import annotations
@@ -30,11 +34,12 @@
 MEMBERS = "members"
 
 
-class Watch(Struct, tag="watch", array_like=True):
-    """Data plane to control plane: what I hold; also the heartbeat and my own load.
+class WatchRequest(Struct, tag="watch", array_like=True):
+    """Data plane to control plane: the versions that the sender has; also its heartbeat and its load.
 
-    `running` has for each worker's instance id the requests and the prompt tokens that I have there now.
-    `draining` is true from SIGTERM on. `suspects` are workers that have lately failed requests of mine.
+    `running` has for each worker's instance id the requests and the prompt tokens that the sender has in
+    flight there. `draining` is true from SIGTERM on. `suspects` are workers that have lately failed requests
+    of the sender.
     """
 
     request_id: int
@@ -47,39 +52,39 @@
     suspects: tuple[str, ...] = ()
 
 
-class Versions(Struct, tag="versions", array_like=True):
-    """Control plane to data plane: the newest versions that this control scheduler has.
+class WatchResponse(Struct, tag="versions", array_like=True):
+    """Control plane to data plane: the newest versions that this control plane node has.
 
-    `held_s` is how long the `Watch` waited here for this answer. `confirmed_ago_s` is how long before the
-    answer the configuration told here was certainly the newest, by the grants of a majority of voters. Both
-    are seconds of the sender's steady clock. So the receiver knows that it was the newest when it sent the
-    `Watch`, plus `held_s`, minus `confirmed_ago_s`, on its own clock.
+    `wait_s` is how long the `WatchRequest` waited here for this response. `confirmed_ago_s` is how long
+    before the response the configuration version in it was certainly the newest, by the grants of a majority
+    of voters. Both are seconds of the sender's steady clock. So the receiver knows that it was the newest
+    when it sent the `WatchRequest`, plus `wait_s`, minus `confirmed_ago_s`, on its own clock.
 
-    `running` and `suspects` are of all data plane schedulers but the asker: what they hold at each worker,
-    and how many of them suspect a worker.
+    `running` and `suspects` are of all data plane nodes but the receiver: what they have in flight at each
+    worker, and how many of them suspect a worker.
     """
 
     request_id: int
     node_name: str
     versions: dict[str, Version]
     running: dict[str, tuple[int, int]] = field(default_factory=dict)
-    held_s: float = 0.0
+    wait_s: float = 0.0
     confirmed_ago_s: float = 0.0
     suspects: dict[str, int] = field(default_factory=dict)
 
 
 class ControlMember(Struct, array_like=True, frozen=True):
-    """A control scheduler: its address for other schedulers and its zone."""
+    """A control plane node: its address for other nodes and its zone."""
 
     address: str
     zone: str
 
 
-class Unconfirmed(Struct, tag="unconfirmed", array_like=True):
-    """Control plane to data plane: no majority of voters stands behind this control scheduler now.
+class UnconfirmedResponse(Struct, tag="unconfirmed", array_like=True):
+    """Control plane to data plane: no majority of voters stands behind this control plane node now.
 
-    `control` are control schedulers where the asker may look for one that has a majority. `versions` is what
-    this one held last; it is fetched only with `Fetch.unconfirmed_too`.
+    `control` are control plane nodes where the receiver may look for one that has a majority. `versions` is
+    the last state of this one; it is sent only on `FetchRequest.allow_unconfirmed`.
     """
 
     request_id: int
@@ -88,16 +93,16 @@
     versions: dict[str, Version] = field(default_factory=dict)
 
 
-class Fetch(Struct, tag="fetch", array_like=True):
-    """Data plane to control plane: send me this source, I hold `have` of it.
+class FetchRequest(Struct, tag="fetch", array_like=True):
+    """Data plane to control plane: send this source, of which the sender has `known_version`.
 
-    `unconfirmed_too` asks for what the control scheduler holds even while no majority stands behind it; a
-    data plane scheduler does so when it holds nothing and has found no better source for a while.
+    `allow_unconfirmed` requests the control plane node's state even while no majority stands behind it; a
+    data plane node does so when it has no state and has found no better source for a while.
     """
 
     source: str
-    have: Version = NO_VERSION
-    unconfirmed_too: bool = False
+    known_version: Version = NO_VERSION
+    allow_unconfirmed: bool = False
 
 
 class WorkerEntry(Struct, array_like=True, frozen=True):
@@ -122,7 +127,7 @@
 
 
 class ConfigurationSnapshot(Struct, tag="configuration", array_like=True):
-    """The whole configuration: `document` is the operator's JSON, as it was sent."""
+    """The complete configuration: `document` is the operator's JSON, as it was sent."""
 
     version: Version
     document: bytes
@@ -148,7 +153,7 @@
     removed_tenants: tuple[str, ...] = ()
 
 
-class QuotaAsk(Struct, tag="quota_ask", array_like=True, frozen=True):
+class QuotaRequest(Struct, tag="quota_ask", array_like=True, frozen=True):
     """Data plane to control plane: may this tenant's request of so many units go to a worker?"""
 
     request_id: int
@@ -156,24 +161,27 @@
     units: float
 
 
-class QuotaVerdict(Enum):
-    """What a control scheduler says to a `QuotaAsk`."""
+class QuotaOutcome(Enum):
+    """What a control plane node decided on a `QuotaRequest`; the values are on the wire."""
 
     GRANTED = "granted"
-    SPENT = "spent"  # the tenant's quota, as far as this control scheduler could get at it
-    UNAVAILABLE = "unavailable"  # it has no part of the quota to grant from, or does not know the tenant
+    SPENT = "spent"  # the tenant's quota, as far as this control plane node could get at it
+    UNAVAILABLE = "unavailable"  # it has no share of the quota to grant from, or does not know the tenant
+
 
+class QuotaResponse(Struct, tag="quota_answer", array_like=True, frozen=True):
+    """Control plane to data plane: the outcome of a `QuotaRequest`. What is granted is used at once or lost.
 
-class QuotaAnswer(Struct, tag="quota_answer", array_like=True, frozen=True):
-    """Control plane to data plane: the answer to a `QuotaAsk`. What is granted is spent at once or lost."""
+    `retry_after_s` is set where the quota is spent: after so long another request may succeed.
+    """
 
     request_id: int
-    verdict: QuotaVerdict
-    retry_after_s: float = 0.0  # where it is spent: when it may be worth to ask again
+    outcome: QuotaOutcome
+    retry_after_s: float = 0.0
 
 
 class EdgeMember(Struct, array_like=True, frozen=True):
-    """A data plane scheduler whose session with some control scheduler stands."""
+    """A data plane node that has a session with some control plane node."""
 
     node_name: str
     incarnation: str
@@ -181,30 +189,34 @@
 
 
 class MemberList(Struct, tag="members", array_like=True):
-    """Who is in the fleet, by the word of one control scheduler."""
+    """The members of the fleet, as one control plane node sees them."""
 
     version: Version
     control: tuple[ControlMember, ...]
     edges: tuple[EdgeMember, ...]
 
 
-EdgeMessage = Watch | Fetch | QuotaAsk
+EdgeMessage = WatchRequest | FetchRequest | QuotaRequest
 ControlMessage = (
-    Versions
-    | Unconfirmed
+    WatchResponse
+    | UnconfirmedResponse
     | WorkerList
     | ConfigurationSnapshot
     | ConfigurationDelta
     | MemberList
-    | QuotaAnswer
+    | QuotaResponse
 )
 
 
 def encode(message: Struct) -> bytes:
-    """Bytes of one message for the wire, without framing."""
+    """The MessagePack bytes of one message, without framing."""
     return ormsgpack.packb(to_builtins(message, builtin_types=(bytes,)))
 
 
 def decode(payload: bytes, expected: Any) -> Any:
-    """A message of the type (or union of types) `expected`; msgspec.ValidationError for anything else."""
+    """The message in `payload`, of the type (or union of types) `expected`.
+
+    Raises msgspec.ValidationError for a message of another type, and ormsgpack.MsgpackDecodeError for bytes
+    that are no MessagePack.
+    """
     return convert(ormsgpack.unpackb(payload), type=expected)
--- a/reedspoke/common/node_settings.py
+++ b/reedspoke/common/node_settings.py
@@ -100,7 +100,7 @@
     metrics: str = METRICS  # port and path of the process's figures, at `ip_address`; empty: none are served
 
     def watch_hold_s(self) -> float:
-        """A control scheduler answers a `Watch` after this at the latest.
+        """A control scheduler answers a `WatchRequest` after this at the latest.
 
         It is also bounded by `apply_ms`: a data plane scheduler that hears less often could not know that its
         configuration is as new as it has to be.
--- a/reedspoke/control_plane/delivery/edge_sessions.py
+++ b/reedspoke/control_plane/delivery/edge_sessions.py
@@ -1,7 +1,9 @@
-"""Sessions with data plane schedulers: `Watch` is answered when something is new, `Fetch` at once.
+"""Sessions with data plane schedulers: `WatchRequest` is answered when something is new, `FetchRequest` at
+once.
 
-While no majority of voters stands behind this control scheduler, both are answered with `Unconfirmed`. That
-is decided anew for each message, in the same step in which the message is handed to the connection.
+While no majority of voters stands behind this control scheduler, both are answered with
+`UnconfirmedResponse`. That is decided anew for each message, in the same step in which the message is handed
+to the connection.
 """
 
 from __future__ import annotations
@@ -15,32 +17,32 @@
 from reedspoke.common.messages import (
     WORKERS,
     EdgeMessage,
-    Fetch,
-    QuotaAsk,
-    Unconfirmed,
+    FetchRequest,
+    QuotaRequest,
+    UnconfirmedResponse,
     Version,
-    Versions,
-    Watch,
+    WatchRequest,
+    WatchResponse,
 )
 from reedspoke.common.transport import Channel
 from reedspoke.control_plane.delivery.published_state import PublishedState
 
 MOST_SESSIONS = 2048
 MOST_WAITING = 12 * 1024 * 1024  # bytes for a data plane scheduler that does not read them
-NO_REQUEST = 0  # in an answer that belongs to no `Watch`
+NO_REQUEST = 0  # in an answer that belongs to no `WatchRequest`
 
 
-OnQuotaAsk = Callable[[Channel, QuotaAsk], None]
+OnQuotaAsk = Callable[[Channel, QuotaRequest], None]
 
 
 class Session(Struct, eq=False):
     """One connection of a data plane scheduler."""
 
     channel: Channel
-    watch: Watch | None = None  # not answered yet
+    watch: WatchRequest | None = None  # not answered yet
     watched_at: float = 0.0
     timer: asyncio.TimerHandle | None = None
-    last: Watch | None = None
+    last: WatchRequest | None = None
     told: dict[str, Version] = field(default_factory=dict)  # in our last answer
     told_unconfirmed: bool = False  # and nothing else since
 
@@ -82,11 +84,11 @@
                 return
             session = self._sessions[channel] = Session(channel)
         match message:
-            case Watch():
+            case WatchRequest():
                 self._watched(session, message)
-            case Fetch():
+            case FetchRequest():
                 self._fetched(session, message)
-            case QuotaAsk():
+            case QuotaRequest():
                 self._on_quota(channel, message)
 
     def ended(self, channel: Channel) -> None:
@@ -121,7 +123,7 @@
         for session in list(self._sessions.values()):
             session.channel.close()
 
-    def _watched(self, session: Session, watch: Watch) -> None:
+    def _watched(self, session: Session, watch: WatchRequest) -> None:
         session.last = session.watch = watch
         session.watched_at = self._loop.time()
         if WORKERS in watch.versions:
@@ -136,7 +138,7 @@
         elif session.timer is None:
             session.timer = self._loop.call_later(self._heartbeat_s, self._heartbeat, session)
 
-    def _has_news(self, session: Session, watch: Watch) -> bool:
+    def _has_news(self, session: Session, watch: WatchRequest) -> bool:
         """Each set of versions is told at once one time only, or the two sides would do nothing else."""
         if self._state.confirmed_ago(self._loop.time()) is None:
             return not session.told_unconfirmed
@@ -168,7 +170,7 @@
         session.told_unconfirmed = False
         held_s = now - session.watched_at
         session.channel.send(
-            Versions(
+            WatchResponse(
                 watch.request_id, self._node_name, session.told, running, held_s, confirmed_ago_s, suspects
             )
         )
@@ -176,17 +178,19 @@
     def _tell_unconfirmed(self, session: Session, request_id: int) -> None:
         session.told_unconfirmed = True
         control = self._state.membership.known_control()
-        session.channel.send(Unconfirmed(request_id, self._node_name, control, self._state.versions()))
+        session.channel.send(
+            UnconfirmedResponse(request_id, self._node_name, control, self._state.versions())
+        )
 
-    def _fetched(self, session: Session, fetch: Fetch) -> None:
+    def _fetched(self, session: Session, fetch: FetchRequest) -> None:
         if session.channel.waiting() > MOST_WAITING:
             log(INFO, "data plane scheduler does not read", node=session.last and session.last.node_name)
             session.channel.close()
             return
         confirmed = self._state.confirmed_ago(self._loop.time()) is not None
-        if not confirmed and not fetch.unconfirmed_too:
+        if not confirmed and not fetch.allow_unconfirmed:
             self._tell_unconfirmed(session, NO_REQUEST)
             return
-        payload = self._state.frame(fetch.source, fetch.have, self._loop.time())
+        payload = self._state.frame(fetch.source, fetch.known_version, self._loop.time())
         if payload is not None:
             session.channel.send_encoded(payload)
--- a/reedspoke/control_plane/delivery/membership.py
+++ b/reedspoke/control_plane/delivery/membership.py
@@ -15,7 +15,7 @@
     EdgeMember,
     MemberList,
     Version,
-    Watch,
+    WatchRequest,
 )
 from reedspoke.control_plane.peers.messages import SessionEntry, SessionTable
 from reedspoke.control_plane.replication.events import Member
@@ -134,7 +134,7 @@
 
     # ---- what happens ----
 
-    def watched(self, watch: Watch, now: float) -> bool:
+    def watched(self, watch: WatchRequest, now: float) -> bool:
         """Word of a data plane scheduler. True where it is a new one or a new life of one."""
         known = self._edges.get(watch.node_name)
         if known is None and len(self._edges) >= MOST_EDGES:
--- a/reedspoke/control_plane/peers/transport.py
+++ b/reedspoke/control_plane/peers/transport.py
@@ -16,7 +16,7 @@
 
 from reedspoke.common.background import keep_running
 from reedspoke.common.json_log import DEBUG, INFO, log
-from reedspoke.common.messages import EdgeMessage, Fetch, Watch, WorkerList, encode
+from reedspoke.common.messages import EdgeMessage, FetchRequest, WatchRequest, WorkerList, encode
 from reedspoke.common.node_settings import split_address
 from reedspoke.common.transport import CONNECTION_ENDED, Channel, open_channel
 from reedspoke.control_plane.peers.messages import (
@@ -51,7 +51,7 @@
     | QuotaLoan
     | WorkerList
 )
-FirstMessage = Hello | Watch | Fetch
+FirstMessage = Hello | WatchRequest | FetchRequest
 
 PeerHandler = Callable[[str, PeerMessage], None]
 
--- a/reedspoke/control_plane/quota/grants.py
+++ b/reedspoke/control_plane/quota/grants.py
@@ -13,7 +13,7 @@
 
 from msgspec import Struct, field
 
-from reedspoke.common.messages import QuotaAnswer, QuotaAsk, QuotaVerdict
+from reedspoke.common.messages import QuotaOutcome, QuotaRequest, QuotaResponse
 from reedspoke.common.quota_rule import QuotaRule, bound
 from reedspoke.common.tenants import Tenant
 from reedspoke.control_plane.peers.messages import QuotaLoan, QuotaLoanRequest
@@ -40,7 +40,7 @@
     """Send this answer to who asked."""
 
     asker: Asker
-    answer: QuotaAnswer
+    answer: QuotaResponse
 
 
 class LoanTo(Struct, frozen=True):
@@ -57,7 +57,7 @@
     """An ask that waits for loans."""
 
     asker: Asker
-    ask: QuotaAsk
+    ask: QuotaRequest
 
 
 class TenantQuota(Struct, eq=False):
@@ -117,16 +117,16 @@
         quota.bound = units
         return quota
 
-    def asked(self, asker: Asker, ask: QuotaAsk, now: float) -> list[QuotaEffect]:
+    def asked(self, asker: Asker, ask: QuotaRequest, now: float) -> list[QuotaEffect]:
         """A data plane scheduler asks; it is answered now or after a round of loans."""
         quota = self._quotas.get(ask.tenant)
         if quota is None or not self._may_grant(now):
             unlimited = quota is None and ask.tenant in self._known
-            verdict = QuotaVerdict.GRANTED if unlimited else QuotaVerdict.UNAVAILABLE
-            return [AnswerTo(asker, QuotaAnswer(ask.request_id, verdict))]
+            outcome = QuotaOutcome.GRANTED if unlimited else QuotaOutcome.UNAVAILABLE
+            return [AnswerTo(asker, QuotaResponse(ask.request_id, outcome))]
         self._bring_up(ask.tenant, quota, now)
         if not quota.waiting and self._grant(quota, ask, now):
-            return [AnswerTo(asker, QuotaAnswer(ask.request_id, QuotaVerdict.GRANTED))]
+            return [AnswerTo(asker, QuotaResponse(ask.request_id, QuotaOutcome.GRANTED))]
         lenders = self._lenders(ask.tenant)
         if len(quota.waiting) >= MOST_WAITING or now < quota.next_round or not lenders:
             return [self._refusal(quota, WaitingAsk(asker, ask), now)]
@@ -185,7 +185,7 @@
         share = self._share.share(tenant, now, self._majority_as_of())
         quota.bucket.set_part(quota.bound * share, self._rule, now)
 
-    def _grant(self, quota: TenantQuota, ask: QuotaAsk, now: float) -> bool:
+    def _grant(self, quota: TenantQuota, ask: QuotaRequest, now: float) -> bool:
         granted = quota.bucket.grant(ask.units, is_short=quota.is_short(now))
         if granted:
             self.granted += ask.units
@@ -216,7 +216,7 @@
         effects: list[QuotaEffect] = []
         while quota.waiting and self._grant(quota, quota.waiting[0].ask, now):
             first = quota.waiting.pop(0)
-            answer = QuotaAnswer(first.ask.request_id, QuotaVerdict.GRANTED)
+            answer = QuotaResponse(first.ask.request_id, QuotaOutcome.GRANTED)
             effects.append(AnswerTo(first.asker, answer))
         return effects
 
@@ -243,6 +243,6 @@
         wait_s = quota.bucket.seconds_until(waiting.ask.units)
         retry_after_s = min(RETRY_MOST_S, max(RETRY_LEAST_S, wait_s))
         is_fresh = now - self._started < FRESH_S
-        verdict = QuotaVerdict.UNAVAILABLE if is_fresh else QuotaVerdict.SPENT
-        answer = QuotaAnswer(waiting.ask.request_id, verdict, retry_after_s)
+        outcome = QuotaOutcome.UNAVAILABLE if is_fresh else QuotaOutcome.SPENT
+        answer = QuotaResponse(waiting.ask.request_id, outcome, retry_after_s)
         return AnswerTo(waiting.asker, answer)
--- a/reedspoke/control_plane/quota/service.py
+++ b/reedspoke/control_plane/quota/service.py
@@ -5,7 +5,7 @@
 import asyncio
 from collections.abc import Callable, Collection, Mapping
 
-from reedspoke.common.messages import QuotaAsk
+from reedspoke.common.messages import QuotaRequest
 from reedspoke.common.node_settings import NodeSettings
 from reedspoke.common.quota_rule import QuotaRule
 from reedspoke.common.stall_tolerant_timer import StallTolerantTimer
@@ -48,7 +48,7 @@
         """A little time has passed."""
         self._grants.refresh(self._loop.time())
 
-    def asked(self, channel: Channel, ask: QuotaAsk) -> None:
+    def asked(self, channel: Channel, ask: QuotaRequest) -> None:
         """A data plane scheduler asks."""
         self._carry_out(self._grants.asked(channel, ask, self._loop.time()))
 
--- a/reedspoke/data_plane/confirmation.py
+++ b/reedspoke/data_plane/confirmation.py
@@ -83,8 +83,9 @@
 def confirmed_as_of(sent_at: float, held_s: float, confirmed_ago_s: float, now: float) -> float:
     """The time for which an answer vouches, on the asker's clock.
 
-    `sent_at` is when the `Watch` was sent, the others are as in `Versions`. The control scheduler got the
-    `Watch` no earlier, so the time is never later than the true one; it is never in the future either.
+    `sent_at` is when the `WatchRequest` was sent, the others are as in `WatchResponse`. The control scheduler
+    got the `WatchRequest` no earlier, so the time is never later than the true one; it is never in the future
+    either.
     """
     if not (held_s >= 0 and confirmed_ago_s >= 0):  # also where one of them is not a number
         return -math.inf
--- a/reedspoke/data_plane/control_session.py
+++ b/reedspoke/data_plane/control_session.py
@@ -11,7 +11,7 @@
 
 from reedspoke.common.background import keep_running
 from reedspoke.common.json_log import INFO, WARNING, log
-from reedspoke.common.messages import QuotaAnswer, QuotaAsk
+from reedspoke.common.messages import QuotaRequest, QuotaResponse
 from reedspoke.common.transport import CONNECTION_ENDED, Channel, open_channel
 from reedspoke.data_plane.conversation import Conversation, OnQuota, OwnState, SessionPace
 from reedspoke.data_plane.session_choice import SessionChoice
@@ -20,7 +20,7 @@
 DEFAULT_PACE = SessionPace()
 
 
-def no_quota(answer: QuotaAnswer) -> None:
+def no_quota(answer: QuotaResponse) -> None:
     """Where nobody has asked for any."""
 
 
@@ -58,7 +58,7 @@
         """Sessions with control schedulers behind which a majority stands."""
         return 0 if self._loop is None else len(self._choice.sound(self._loop.time()))
 
-    def ask_quota(self, ask: QuotaAsk, tried: Collection[str]) -> str | None:
+    def ask_quota(self, ask: QuotaRequest, tried: Collection[str]) -> str | None:
         """Ask on a session that was not tried yet, one with a majority and in the own zone if there is any.
         Its address; None where there is none left."""
         open_now = {
--- a/reedspoke/data_plane/conversation.py
+++ b/reedspoke/data_plane/conversation.py
@@ -1,4 +1,4 @@
-"""One session with a control scheduler: a `Watch` is always out, and what is lacking is fetched."""
+"""One session with a control scheduler: a `WatchRequest` is always out, and what is lacking is fetched."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
     ConfigurationSnapshot,
     ControlMember,
     ControlMessage,
-    Fetch,
+    FetchRequest,
     MemberList,
-    QuotaAnswer,
-    QuotaAsk,
-    Unconfirmed,
+    QuotaRequest,
+    QuotaResponse,
+    UnconfirmedResponse,
     Version,
-    Versions,
-    Watch,
+    WatchRequest,
+    WatchResponse,
     WorkerList,
 )
 from reedspoke.common.transport import Channel
@@ -31,15 +31,15 @@
 from reedspoke.data_plane.session_choice import SessionChoice
 from reedspoke.data_plane.subscription import FETCH_S, Subscription
 
-SILENCE_MARGIN_S = 0.8  # beyond the time in which a `Watch` is answered
+SILENCE_MARGIN_S = 0.8  # beyond the time in which a `WatchRequest` is answered
 QUIET_MARGIN_S = 0.4
 
 
-OnQuota = Callable[[QuotaAnswer], None]
+OnQuota = Callable[[QuotaResponse], None]
 
 
 class SessionPace(Struct, frozen=True):
-    """Time limits of a session; `watch_hold_s` is when a `Watch` is answered at the latest."""
+    """Time limits of a session; `watch_hold_s` is when a `WatchRequest` is answered at the latest."""
 
     watch_hold_s: float = 0.4
 
@@ -92,11 +92,11 @@
         self._on_quota = on_quota
         self._loop = asyncio.get_running_loop()
         self._request_id = 0
-        self._watch_sent_at: float | None = None  # None: no `Watch` is out
+        self._watch_sent_at: float | None = None  # None: no `WatchRequest` is out
         self._members_version: Version = NO_VERSION  # is local to the control scheduler of this session
         self._fetching: dict[str, Version] = {}
         self._fetched_at = 0.0
-        self._unconfirmed: Unconfirmed | None = None  # the last answer, if it was one
+        self._unconfirmed: UnconfirmedResponse | None = None  # the last answer, if it was one
         self._is_sound: bool | None = None  # what the last answer was worth
 
     async def run(self) -> None:
@@ -110,22 +110,23 @@
 
     def _take(self, message: ControlMessage) -> None:
         match message:
-            case Versions():
+            case WatchResponse():
                 self._take_versions(message)
-            case Unconfirmed():
+            case UnconfirmedResponse():
                 self._take_unconfirmed(message)
-            case QuotaAnswer():
+            case QuotaResponse():
                 self._on_quota(message)
             case _:
                 self._take_state(message)
 
-    def ask_quota(self, ask: QuotaAsk) -> None:
+    def ask_quota(self, ask: QuotaRequest) -> None:
         """Ask for what a request costs of its tenant's quota."""
         self._channel.send(ask)
 
     def look(self) -> None:
-        """Some time has passed. After `Unconfirmed` the next `Watch` is sent from here, which is called about
-        each tenth of a second then; so is the one that finds out why a fetch stays unanswered.
+        """Some time has passed. After `UnconfirmedResponse` the next `WatchRequest` is sent from here, which
+        is called about each tenth of a second then; so is the one that finds out why a fetch stays
+        unanswered.
         """
         now = self._loop.time()
         if self._unconfirmed is not None:
@@ -134,7 +135,7 @@
         if self._watch_sent_at is None and (fetch_is_late or not self._fetching):
             self._watch()
 
-    # ---- Watch ----
+    # ---- WatchRequest ----
 
     def _watch(self) -> None:
         self._request_id += 1
@@ -146,7 +147,7 @@
         versions[MEMBERS] = self._members_version
         self._watch_sent_at = now
         self._channel.send(
-            Watch(
+            WatchRequest(
                 self._request_id,
                 own.node_name,
                 own.incarnation,
@@ -158,7 +159,7 @@
             )
         )
 
-    def _take_versions(self, message: Versions) -> None:
+    def _take_versions(self, message: WatchResponse) -> None:
         now = self._loop.time()
         self._unconfirmed = None
         self._note_confirmation(message, now)
@@ -172,12 +173,12 @@
             self._fetch(MEMBERS, offered, self._members_version)
         self._watch_if_idle()
 
-    def _note_confirmation(self, message: Versions, now: float) -> None:
+    def _note_confirmation(self, message: WatchResponse, now: float) -> None:
         """An answer that was long on its way, as around a stop of either side, vouches for the past only."""
         if self._watch_sent_at is None or message.request_id != self._request_id:
             return
         confirmation = self._subscription.confirmation
-        as_of = confirmed_as_of(self._watch_sent_at, message.held_s, message.confirmed_ago_s, now)
+        as_of = confirmed_as_of(self._watch_sent_at, message.wait_s, message.confirmed_ago_s, now)
         confirmation.told(message.versions.get(CONFIGURATION, NO_VERSION), as_of)
         self._report(confirmation.is_fresh(as_of, now), (), now)
 
@@ -190,7 +191,7 @@
             self._is_sound = is_sound
             self._on_change()
 
-    def _take_unconfirmed(self, message: Unconfirmed) -> None:
+    def _take_unconfirmed(self, message: UnconfirmedResponse) -> None:
         """No majority stands behind the control scheduler: its hints are of use, its state is not."""
         now = self._loop.time()
         self._unconfirmed = message
@@ -201,7 +202,8 @@
     def _note_answered(self, request_id: int) -> None:
         """Answers keep their order, so what was fetched before will not come any more.
 
-        `Unconfirmed` answers a `Fetch` too, without the id of any request; a `Watch` may be out then.
+        `UnconfirmedResponse` answers a `FetchRequest` too, without the id of any request; a `WatchRequest`
+        may be out then.
         """
         self._give_up_fetches()
         if request_id == self._request_id:
@@ -211,19 +213,19 @@
         if not self._fetching and self._watch_sent_at is None:
             self._watch()
 
-    # ---- Fetch ----
+    # ---- FetchRequest ----
 
     def _fetch(self, source: str, wanted: Version, have: Version) -> None:
         self._fetching[source] = wanted
         self._fetched_at = self._loop.time()
-        self._channel.send(Fetch(source, have, unconfirmed_too=self._unconfirmed is not None))
+        self._channel.send(FetchRequest(source, have, allow_unconfirmed=self._unconfirmed is not None))
 
     def _give_up_fetches(self) -> None:
         for source, version in self._fetching.items():
             self._subscription.end_fetch(source, version)
         self._fetching.clear()
 
-    def _fetch_unconfirmed(self, offer: Unconfirmed, now: float) -> None:
+    def _fetch_unconfirmed(self, offer: UnconfirmedResponse, now: float) -> None:
         for source in self._subscription.lacks(offer.versions, now):
             if source not in self._fetching and self._subscription.may_take_unconfirmed(source, now):
                 self._subscription.begin_fetch(source, offer.versions[source], now)
--- a/reedspoke/data_plane/quota_client.py
+++ b/reedspoke/data_plane/quota_client.py
@@ -14,7 +14,7 @@
 
 from msgspec import Struct, field
 
-from reedspoke.common.messages import QuotaAnswer, QuotaAsk, QuotaVerdict
+from reedspoke.common.messages import QuotaOutcome, QuotaRequest, QuotaResponse
 from reedspoke.common.quota_rule import CREDIT_S
 from reedspoke.common.stall_tolerant_timer import StallTolerantTimer
 from reedspoke.data_plane.quota_outage import OutageAllowance
@@ -34,7 +34,9 @@
 
 
 GRANTED = QuotaDecision(True)
-SendAsk = Callable[[QuotaAsk, Collection[str]], str | None]  # to a session that was not tried; its address
+SendAsk = Callable[
+    [QuotaRequest, Collection[str]], str | None
+]  # to a session that was not tried; its address
 OnDecision = Callable[[QuotaDecision], None]
 
 
@@ -48,7 +50,7 @@
 class Pending(Struct, eq=False):
     """A request that waits for its grant."""
 
-    ask: QuotaAsk
+    ask: QuotaRequest
     deadline: float
     on_decision: OnDecision
     tried: list[str] = field(default_factory=list)
@@ -67,7 +69,7 @@
         self._pending: dict[int, Pending] = {}
         self._credits: dict[str, list[Credit]] = {}
         self.went_on = 0  # requests that were sent without an answer
-        self._late: dict[int, QuotaAsk] = {}  # decided, and not all answers are in
+        self._late: dict[int, QuotaRequest] = {}  # decided, and not all answers are in
         self._next_id = 0
         self._outage = OutageAllowance(window_s)
 
@@ -85,7 +87,7 @@
         self._next_id += 1
         if self._next_id % FORGET_EVERY == 0:
             self._outage.forget_old(self._loop.time())
-        ask = QuotaAsk(self._next_id, tenant, units)
+        ask = QuotaRequest(self._next_id, tenant, units)
         pending = Pending(ask, self._loop.time() + wait_s, on_decision)
         self._pending[ask.request_id] = pending
         self._ask_next(pending)
@@ -103,7 +105,7 @@
         if len(credits) < MOST_CREDITS:
             credits.append(Credit(units, self._loop.time() + CREDIT_S))
 
-    def answered(self, answer: QuotaAnswer) -> None:
+    def answered(self, answer: QuotaResponse) -> None:
         """A control scheduler has answered."""
         pending = self._pending.get(answer.request_id)
         if pending is None:
@@ -111,19 +113,19 @@
             return
         pending.unanswered -= 1
         ask = pending.ask
-        if answer.verdict is QuotaVerdict.GRANTED:
+        if answer.outcome is QuotaOutcome.GRANTED:
             self._outage.granted(ask.tenant, ask.units, self._loop.time())
             self._decide(pending, GRANTED)
             return
-        if answer.verdict is QuotaVerdict.SPENT:
+        if answer.outcome is QuotaOutcome.SPENT:
             self._outage.spent(ask.tenant, self._loop.time())
             pending.retry_after_s = max(pending.retry_after_s, answer.retry_after_s)
             pending.spent = True
         self._ask_next(pending)
 
-    def _answered_late(self, answer: QuotaAnswer) -> None:
+    def _answered_late(self, answer: QuotaResponse) -> None:
         ask = self._late.pop(answer.request_id, None)
-        if ask is not None and answer.verdict is QuotaVerdict.GRANTED:
+        if ask is not None and answer.outcome is QuotaOutcome.GRANTED:
             self.give_back(ask.tenant, ask.units)
 
     def _ask_next(self, pending: Pending) -> None:
--- a/reedspoke/data_plane/session_choice.py
+++ b/reedspoke/data_plane/session_choice.py
@@ -75,7 +75,7 @@
     """The sessions of one data plane scheduler and all addresses that it has learnt.
 
     `quiet_s` is how long after its last answer a session counts: above the time in which a control scheduler
-    answers each `Watch`.
+    answers each `WatchRequest`.
     """
 
     def __init__(self, random: Random, quiet_s: float = DEFAULT_QUIET_S) -> None:
@@ -117,14 +117,14 @@
             entry.set_back(now, unconfirmed=False)
 
     def confirmed(self, address: str, now: float) -> None:
-        """The session brought `Versions`: a majority stands behind its control scheduler."""
+        """The session brought `WatchResponse`: a majority stands behind its control scheduler."""
         self._answered(address, SessionState.CONFIRMED, now)
         entry = self._book.get(address)
         if entry is not None:
             entry.setbacks = 0
 
     def unconfirmed(self, address: str, control: Iterable[ControlMember], now: float) -> None:
-        """The session brought `Unconfirmed`, with these as hints where to look."""
+        """The session brought `UnconfirmedResponse`, with these as hints where to look."""
         self.learnt(control, now)
         session = self._sessions.get(address)
         entry = self._book.get(address)
--- a/reedspoke/data_plane/subscription.py
+++ b/reedspoke/data_plane/subscription.py
@@ -23,7 +23,7 @@
     ControlMessage,
     MemberList,
     Version,
-    Versions,
+    WatchResponse,
     WorkerList,
 )
 from reedspoke.data_plane.confirmation import Confirmation
@@ -118,7 +118,7 @@
             case MemberList():
                 self.state.members = message
                 self._listener.on_members(message)
-            case Versions():
+            case WatchResponse():
                 self._listener.on_running(message.running)
                 self._listener.on_suspects(message.suspects)
         return True
--- a/tests/common/test_messages.py
+++ b/tests/common/test_messages.py
@@ -13,11 +13,11 @@
     ControlMessage,
     EdgeMember,
     EdgeMessage,
-    Fetch,
+    FetchRequest,
     MemberList,
-    Unconfirmed,
-    Versions,
-    Watch,
+    UnconfirmedResponse,
+    WatchRequest,
+    WatchResponse,
     WorkerEntry,
     WorkerList,
     decode,
@@ -26,18 +26,18 @@
 
 WORKER = WorkerEntry("i-1", "u1", "10.0.0.1:80", "za", "v1", 64, False, 1500.5, ("m", "n"))
 EDGE_MESSAGES: list[Struct] = [
-    Watch(1, "edge-1", "ab12", "za", {}),
-    Watch(2**40, "edge-1", "ab12", "zä", {"workers": (3, 4)}, {"i-1": (2, 300)}, True),
-    Fetch("configuration"),
-    Fetch("workers", (7, 9)),
-    Fetch("configuration", unconfirmed_too=True),
+    WatchRequest(1, "edge-1", "ab12", "za", {}),
+    WatchRequest(2**40, "edge-1", "ab12", "zä", {"workers": (3, 4)}, {"i-1": (2, 300)}, True),
+    FetchRequest("configuration"),
+    FetchRequest("workers", (7, 9)),
+    FetchRequest("configuration", allow_unconfirmed=True),
 ]
 CONTROL_MESSAGES: list[Struct] = [
-    Versions(1, "core-1", {"configuration": (5, 0), "workers": (2, 3), "members": (0, 1)}),
-    Versions(1, "core-1", {}, {"i-1": (0, 0)}),
-    Versions(2, "core-1", {"configuration": (5, 9)}, {}, 0.4, 0.25),
-    Unconfirmed(3, "core-2", (ControlMember("10.0.0.3:7660", "za"),), {"configuration": (5, 9)}),
-    Unconfirmed(4, "core-2"),
+    WatchResponse(1, "core-1", {"configuration": (5, 0), "workers": (2, 3), "members": (0, 1)}),
+    WatchResponse(1, "core-1", {}, {"i-1": (0, 0)}),
+    WatchResponse(2, "core-1", {"configuration": (5, 9)}, {}, 0.4, 0.25),
+    UnconfirmedResponse(3, "core-2", (ControlMember("10.0.0.3:7660", "za"),), {"configuration": (5, 9)}),
+    UnconfirmedResponse(4, "core-2"),
     WorkerList((1, 2), ()),
     WorkerList((1, 2), (WORKER, WorkerEntry("i-2", "u2", "10.0.0.2:80", "zb", "v2", 1, True))),
     ConfigurationSnapshot((5, 0), b'{"generation":1}\x00\xff'),
@@ -79,11 +79,11 @@
     import ormsgpack
 
     later = ormsgpack.packb(["fetch", "workers", [1, 2], True, "a later field"])
-    assert decode(later, EdgeMessage) == Fetch("workers", (1, 2), True)
+    assert decode(later, EdgeMessage) == FetchRequest("workers", (1, 2), True)
 
 
 def test_fields_that_an_earlier_version_lacks_take_their_defaults() -> None:
     import ormsgpack
 
     earlier = ormsgpack.packb(["watch", 1, "edge-1", "ab12", "za", {}])
-    assert decode(earlier, EdgeMessage) == Watch(1, "edge-1", "ab12", "za", {})
+    assert decode(earlier, EdgeMessage) == WatchRequest(1, "edge-1", "ab12", "za", {})
--- a/tests/control_plane/test_guards_lists.py
+++ b/tests/control_plane/test_guards_lists.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from reedspoke.common.messages import ControlMember, Watch, WorkerEntry, WorkerList
+from reedspoke.common.messages import ControlMember, WatchRequest, WorkerEntry, WorkerList
 from reedspoke.common.node_settings import CloudApi
 from reedspoke.control_plane.delivery import membership
 from reedspoke.control_plane.delivery.membership import Membership
@@ -42,7 +42,7 @@
     monkeypatch.setattr(membership, "MOST_EDGES", 1)
     members = Membership(ControlMember("10.0.0.1:1", "za"), EDGE_LIFE_S, 77)
     for name in ("e1", "e2"):
-        members.watched(Watch(1, name, "1", "zx", {}, {}), 0.0)
+        members.watched(WatchRequest(1, name, "1", "zx", {}, {}), 0.0)
     members.refresh(0.0)
     assert [edge.node_name for edge in members.members.edges] == ["e1"]
 
--- a/tests/control_plane_process/quota_simulation.py
+++ b/tests/control_plane_process/quota_simulation.py
@@ -19,7 +19,7 @@
 
 from msgspec import Struct, field
 
-from reedspoke.common.messages import QuotaAsk, QuotaVerdict
+from reedspoke.common.messages import QuotaOutcome, QuotaRequest
 from reedspoke.common.quota_rule import LAG_S, QuotaRule, bound
 from reedspoke.common.tenants import Tenant
 from reedspoke.control_plane.peers.messages import QuotaLoanRequest
@@ -181,7 +181,7 @@
         for effect in effects:
             if isinstance(effect, AnswerTo):
                 answer = effect.answer
-                self._later(lambda answer=answer: self._answered(answer.request_id, answer.verdict))  # type: ignore[misc]
+                self._later(lambda answer=answer: self._answered(answer.request_id, answer.outcome))  # type: ignore[misc]
                 continue
             receiver, message = self._controls[effect.address], effect.message
             if control.is_cut or receiver.is_cut:
@@ -227,7 +227,7 @@
             self._go_on(number)
             return
         control = self._controls[sessions.pop(0)]
-        ask = QuotaAsk(number, TENANT, units)
+        ask = QuotaRequest(number, TENANT, units)
         if control.is_up:
             self._later(lambda: self._asked(control, ask))
         else:
@@ -245,18 +245,18 @@
         if self.now >= WARM_UP_S:
             self.outcome.granted += units
 
-    def _asked(self, control: Control, ask: QuotaAsk) -> None:
+    def _asked(self, control: Control, ask: QuotaRequest) -> None:
         if control.is_up:
             self._carry_out(control, control.grants.asked(None, ask, self.now))
 
-    def _answered(self, number: int, verdict: QuotaVerdict) -> None:
+    def _answered(self, number: int, outcome: QuotaOutcome) -> None:
         if number not in self._requests:
             return
         edge, _ = self._edge_of[number]
-        if verdict is QuotaVerdict.SPENT:
+        if outcome is QuotaOutcome.SPENT:
             self._outages[edge].spent(TENANT, self.now)
             self._edge_of[number] = (edge, True)
-        if verdict is not QuotaVerdict.GRANTED:
+        if outcome is not QuotaOutcome.GRANTED:
             self._ask(number)
             return
         units, _ = self._requests.pop(number)
--- a/tests/control_plane_process/stand_ins.py
+++ b/tests/control_plane_process/stand_ins.py
@@ -17,12 +17,12 @@
 from reedspoke.common.messages import (
     ConfigurationDelta,
     ConfigurationSnapshot,
-    Fetch,
+    FetchRequest,
     MemberList,
-    Unconfirmed,
+    UnconfirmedResponse,
     Version,
-    Versions,
-    Watch,
+    WatchRequest,
+    WatchResponse,
     WorkerList,
     decode,
     encode,
@@ -34,7 +34,9 @@
 POLL_S = 0.02
 CHUNK = 50_000
 WORKERS_S = 6.0
-Answer = Versions | Unconfirmed | WorkerList | ConfigurationSnapshot | ConfigurationDelta | MemberList
+Answer = (
+    WatchResponse | UnconfirmedResponse | WorkerList | ConfigurationSnapshot | ConfigurationDelta | MemberList
+)
 Found = TypeVar("Found")
 
 
@@ -130,11 +132,11 @@
         draining: bool = False,
         running: dict[str, tuple[int, int]] | None = None,
         suspects: tuple[str, ...] = (),
-    ) -> Versions:
+    ) -> WatchResponse:
         """The versions, as soon as a majority stands behind the control scheduler."""
         while True:
             answer = self.watch_once(draining=draining, running=running, suspects=suspects)
-            if isinstance(answer, Versions):
+            if isinstance(answer, WatchResponse):
                 return answer
 
     def watch_once(
@@ -143,9 +145,9 @@
         draining: bool = False,
         running: dict[str, tuple[int, int]] | None = None,
         suspects: tuple[str, ...] = (),
-    ) -> Versions | Unconfirmed:
+    ) -> WatchResponse | UnconfirmedResponse:
         self._request_id += 1
-        asked = Watch(
+        asked = WatchRequest(
             self._request_id,
             self.node_name,
             self.incarnation,
@@ -157,12 +159,12 @@
         )
         self._send(asked)
         answer = self.receive()
-        assert isinstance(answer, Versions | Unconfirmed)
+        assert isinstance(answer, WatchResponse | UnconfirmedResponse)
         assert answer.request_id == self._request_id
         return answer
 
     def fetch(self, source: str, have: Version = (0, 0)) -> Answer:
-        self._send(Fetch(source, have))
+        self._send(FetchRequest(source, have))
         return self.receive()
 
     def catch_up(self) -> dict[str, Answer]:
--- a/tests/control_plane_process/test_edge_sessions.py
+++ b/tests/control_plane_process/test_edge_sessions.py
@@ -11,12 +11,12 @@
 from reedspoke.common.messages import (
     ConfigurationSnapshot,
     ControlMember,
-    Fetch,
+    FetchRequest,
     MemberList,
-    Unconfirmed,
+    UnconfirmedResponse,
     Version,
-    Versions,
-    Watch,
+    WatchRequest,
+    WatchResponse,
     WorkerEntry,
     WorkerList,
 )
@@ -87,14 +87,14 @@
 
     def watch(self, *, draining: bool = False) -> None:
         self.asked += 1
-        self.channel.send(Watch(self.asked, self.name, "1", "za", self.held, {}, draining))
+        self.channel.send(WatchRequest(self.asked, self.name, "1", "za", self.held, {}, draining))
 
-    async def versions(self) -> Versions:
+    async def versions(self) -> WatchResponse:
         answer = await self.channel.receive(Answer)
-        assert isinstance(answer, Versions)
+        assert isinstance(answer, WatchResponse)
         return answer
 
-    async def watched(self) -> Versions:
+    async def watched(self) -> WatchResponse:
         self.watch()
         return await self.versions()
 
@@ -103,7 +103,7 @@
             await self.channel.receive(Answer)
 
     async def fetch(self, source: str, have: Version = (0, 0)) -> Answer:
-        self.channel.send(Fetch(source, have))
+        self.channel.send(FetchRequest(source, have))
         answer: Answer = await self.channel.receive(Answer)
         return answer
 
@@ -177,9 +177,9 @@
         edge.held = {"configuration": (VIEW, 9), "workers": (8, 1)}
         await edge.watched()
         assert side.book.seen == (8, 1)
-        edge.channel.send(Fetch("configuration", (VIEW, 9)))
-        edge.channel.send(Fetch("workers", (8, 1)))
-        edge.channel.send(Fetch("no such source", (0, 0)))
+        edge.channel.send(FetchRequest("configuration", (VIEW, 9)))
+        edge.channel.send(FetchRequest("workers", (8, 1)))
+        edge.channel.send(FetchRequest("no such source", (0, 0)))
         assert isinstance(await edge.fetch("members"), MemberList)
 
     play(scene)
@@ -240,7 +240,7 @@
     async def scene(side: Side, edge: Edge) -> None:
         side.commit(3, configuration(6, routes=20_000))
         for _ in range(200):
-            edge.channel.send(Fetch("configuration", (0, 0)))
+            edge.channel.send(FetchRequest("configuration", (0, 0)))
             await asyncio.sleep(0.001)
         with pytest.raises(CONNECTION_ENDED):
             await edge.everything()
@@ -253,7 +253,7 @@
         edge.held = (await edge.watched()).versions
         side.confirmed_ago_s = 0.25
         answer = await edge.watched()
-        assert answer.held_s == pytest.approx(HEARTBEAT_S, abs=HEARTBEAT_S / 2)
+        assert answer.wait_s == pytest.approx(HEARTBEAT_S, abs=HEARTBEAT_S / 2)
         assert answer.confirmed_ago_s == pytest.approx(0.25, abs=0.01)
 
     play(scene)
@@ -266,10 +266,10 @@
         side.confirmed = False
         edge.watch()
         answer = await edge.channel.receive(Answer)
-        assert isinstance(answer, Unconfirmed)
+        assert isinstance(answer, UnconfirmedResponse)
         assert (answer.request_id, answer.versions["configuration"]) == (1, (VIEW, 3))
         for source in ("configuration", "workers", "members"):
-            assert isinstance(await edge.fetch(source), Unconfirmed)
+            assert isinstance(await edge.fetch(source), UnconfirmedResponse)
 
     play(scene)
 
@@ -278,7 +278,7 @@
     async def scene(side: Side, edge: Edge) -> None:
         side.commit(3, configuration(6))
         side.confirmed = False
-        edge.channel.send(Fetch("configuration", unconfirmed_too=True))
+        edge.channel.send(FetchRequest("configuration", allow_unconfirmed=True))
         assert isinstance(await edge.channel.receive(Answer), ConfigurationSnapshot)
 
     play(scene)
@@ -293,14 +293,14 @@
         side.confirmed = False
         side.sessions.look()
         took, answer = await elapsed(edge.channel.receive(Answer))
-        assert isinstance(answer, Unconfirmed)
+        assert isinstance(answer, UnconfirmedResponse)
         assert took < HEARTBEAT_S / 2
         edge.watch()
         await asyncio.sleep(0.02)
         side.confirmed = True
         side.sessions.look()
         took, answer = await elapsed(edge.channel.receive(Answer))
-        assert isinstance(answer, Versions)
+        assert isinstance(answer, WatchResponse)
         assert took < HEARTBEAT_S / 2
 
     play(scene)
@@ -328,7 +328,7 @@
         side.confirmed = False
         side.commit(3, configuration(6))
         answer = await edge.channel.receive(Answer)
-        assert isinstance(answer, Unconfirmed)
+        assert isinstance(answer, UnconfirmedResponse)
 
     play(scene)
 
@@ -339,7 +339,7 @@
         side.confirmed = False
         edge.watch()
         answer = await edge.channel.receive(Answer)
-        assert isinstance(answer, Unconfirmed)
+        assert isinstance(answer, UnconfirmedResponse)
         assert answer.control == (ControlMember("10.0.0.9:7660", "zb"),)
 
     play(scene)
--- a/tests/control_plane_process/test_membership.py
+++ b/tests/control_plane_process/test_membership.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from reedspoke.common.messages import ControlMember, EdgeMember, Watch
+from reedspoke.common.messages import ControlMember, EdgeMember, WatchRequest
 from reedspoke.control_plane.delivery.membership import TABLE_LIFE_S, Membership, Running
 from reedspoke.control_plane.peers.messages import SessionEntry, SessionTable
 from reedspoke.control_plane.replication.events import Member
@@ -18,8 +18,8 @@
 
 def watch(
     name: str, incarnation: str = "1", running: Running | None = None, suspects: tuple[str, ...] = ()
-) -> Watch:
-    return Watch(1, name, incarnation, "zx", {}, running or {}, suspects=suspects)
+) -> WatchRequest:
+    return WatchRequest(1, name, incarnation, "zx", {}, running or {}, suspects=suspects)
 
 
 def table(*entries: SessionEntry) -> SessionTable:
--- a/tests/control_plane_process/test_quota_grants.py
+++ b/tests/control_plane_process/test_quota_grants.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from reedspoke.common.messages import QuotaAnswer, QuotaAsk, QuotaVerdict
+from reedspoke.common.messages import QuotaOutcome, QuotaRequest, QuotaResponse
 from reedspoke.common.quota_rule import QuotaRule, allowance, bound
 from reedspoke.common.tenants import Tenant
 from reedspoke.control_plane.peers.messages import QuotaLoan, QuotaLoanRequest
@@ -50,7 +50,7 @@
         self.grants.configure({"limited": limited, "free": Tenant(name="free")}, 0.0)
 
     def ask(self, units: float, tenant: str = "limited", number: int = 1) -> list[QuotaEffect]:
-        return self.grants.asked("edge", QuotaAsk(number, tenant, units), self.now)
+        return self.grants.asked("edge", QuotaRequest(number, tenant, units), self.now)
 
 
 @pytest.fixture
@@ -58,30 +58,30 @@
     return Scene()
 
 
-def answers(effects: list[QuotaEffect]) -> list[QuotaVerdict]:
-    return [effect.answer.verdict for effect in effects if isinstance(effect, AnswerTo)]
+def answers(effects: list[QuotaEffect]) -> list[QuotaOutcome]:
+    return [effect.answer.outcome for effect in effects if isinstance(effect, AnswerTo)]
 
 
 def test_what_the_bucket_holds_is_granted_at_once(scene: Scene) -> None:
-    assert scene.ask(FULL) == [AnswerTo("edge", QuotaAnswer(1, QuotaVerdict.GRANTED))]
+    assert scene.ask(FULL) == [AnswerTo("edge", QuotaResponse(1, QuotaOutcome.GRANTED))]
 
 
 def test_a_fresh_control_scheduler_does_not_call_a_quota_spent() -> None:
     scene = Scene()
     scene.grants = QuotaGrants(RULE, scene.grants._share, lambda: START, lambda: (), START)
     scene.configure()
-    assert answers(scene.ask(1.0)) == [QuotaVerdict.UNAVAILABLE]
+    assert answers(scene.ask(1.0)) == [QuotaOutcome.UNAVAILABLE]
     scene.now = scene.majority_as_of = START + FRESH_S
     scene.grants._majority_as_of = lambda: START + FRESH_S
-    assert answers(scene.ask(1e9)) == [QuotaVerdict.SPENT]
+    assert answers(scene.ask(1e9)) == [QuotaOutcome.SPENT]
 
 
 def test_a_tenant_without_limit_is_granted_all(scene: Scene) -> None:
-    assert answers(scene.ask(1e9, "free")) == [QuotaVerdict.GRANTED]
+    assert answers(scene.ask(1e9, "free")) == [QuotaOutcome.GRANTED]
 
 
 def test_a_tenant_that_is_not_known_here_is_sent_elsewhere(scene: Scene) -> None:
-    assert answers(scene.ask(1.0, "unknown")) == [QuotaVerdict.UNAVAILABLE]
+    assert answers(scene.ask(1.0, "unknown")) == [QuotaOutcome.UNAVAILABLE]
 
 
 @pytest.mark.parametrize("majority_as_of", [None, START - 60.0])
@@ -89,7 +89,7 @@
     scene: Scene, majority_as_of: float | None
 ) -> None:
     scene.majority_as_of = majority_as_of
-    assert answers(scene.ask(1.0)) == [QuotaVerdict.UNAVAILABLE]
+    assert answers(scene.ask(1.0)) == [QuotaOutcome.UNAVAILABLE]
     lent = scene.grants.loan_requested("b", QuotaLoanRequest("limited", 1.0), START)
     assert lent == [LoanTo("b", QuotaLoan("limited", 0.0))]
     assert scene.grants.loan_came(QuotaLoan("limited", 1.0), START) == []
@@ -99,7 +99,7 @@
     effects = scene.ask(FULL + 10)
     assert [effect.address for effect in effects if isinstance(effect, LoanTo)] == ["b", "c"]
     assert answers(effects) == []
-    assert answers(scene.grants.loan_came(QuotaLoan("limited", 12.0), START)) == [QuotaVerdict.GRANTED]
+    assert answers(scene.grants.loan_came(QuotaLoan("limited", 12.0), START)) == [QuotaOutcome.GRANTED]
 
 
 def test_who_is_not_heard_is_not_asked(scene: Scene) -> None:
@@ -110,7 +110,7 @@
 
 def test_where_nobody_is_heard_it_is_refused_at_once(scene: Scene) -> None:
     scene.reached = set()
-    assert answers(scene.ask(FULL + 10)) == [QuotaVerdict.SPENT]
+    assert answers(scene.ask(FULL + 10)) == [QuotaOutcome.SPENT]
 
 
 def test_a_round_without_success_ends_in_a_refusal_and_a_pause(scene: Scene) -> None:
@@ -118,9 +118,9 @@
     scene.grants.loan_came(QuotaLoan("limited", 0.0), START)
     (refusal,) = scene.grants.loan_came(QuotaLoan("limited", 0.0), START)
     assert isinstance(refusal, AnswerTo)
-    assert refusal.answer.verdict is QuotaVerdict.SPENT
+    assert refusal.answer.outcome is QuotaOutcome.SPENT
     assert RETRY_LEAST_S <= refusal.answer.retry_after_s <= RETRY_MOST_S
-    assert answers(scene.ask(FULL + 10)) == [QuotaVerdict.SPENT]
+    assert answers(scene.ask(FULL + 10)) == [QuotaOutcome.SPENT]
     scene.now = START + ROUND_PAUSE_S
     assert answers(scene.ask(FULL + 20)) == []
 
@@ -128,7 +128,7 @@
 def test_a_round_whose_loans_are_lost_ends_by_time(scene: Scene) -> None:
     scene.ask(FULL + 10)
     assert scene.grants.end_rounds(START + ROUND_S - 0.01) == []
-    assert answers(scene.grants.end_rounds(START + ROUND_S)) == [QuotaVerdict.SPENT]
+    assert answers(scene.grants.end_rounds(START + ROUND_S)) == [QuotaOutcome.SPENT]
     assert scene.grants.end_rounds(START + 60) == []
 
 
@@ -143,7 +143,7 @@
 def test_not_all_asks_may_wait(scene: Scene) -> None:
     for number in range(MOST_WAITING):
         scene.ask(FULL + 10, number=number)
-    assert answers(scene.ask(FULL + 10)) == [QuotaVerdict.SPENT]
+    assert answers(scene.ask(FULL + 10)) == [QuotaOutcome.SPENT]
 
 
 def test_what_was_borrowed_and_not_used_goes_back(scene: Scene) -> None:
--- a/tests/data_plane/control_stand_in.py
+++ b/tests/data_plane/control_stand_in.py
@@ -9,7 +9,14 @@
 import pytest
 from msgspec import Struct
 
-from reedspoke.common.messages import ControlMember, Fetch, Unconfirmed, Version, Versions, Watch
+from reedspoke.common.messages import (
+    ControlMember,
+    FetchRequest,
+    UnconfirmedResponse,
+    Version,
+    WatchRequest,
+    WatchResponse,
+)
 from reedspoke.data_plane import control_session
 from reedspoke.data_plane.control_session import DEFAULT_PACE, ControlSessions
 from reedspoke.data_plane.conversation import OwnState, SessionPace
@@ -17,7 +24,7 @@
 from tests.data_plane.virtual_loop import VirtualLoop
 
 SILENCE_S = SessionPace().silence_s
-ANSWER_S = 0.1  # a new session's first `Watch` is answered at once, as its list of members is lacking
+ANSWER_S = 0.1  # a new session's first `WatchRequest` is answered at once, as its list of members is lacking
 OWN = OwnState("edge-1", "ab12", "za", False, {"i-1": (2, 30)})
 
 
@@ -51,22 +58,22 @@
             self._incoming.put_nowait(message)
         self.loop.settle()
 
-    def watch(self) -> Watch:
+    def watch(self) -> WatchRequest:
         """The latest message, a watch."""
         found = self.sent[-1]
-        assert isinstance(found, Watch)
+        assert isinstance(found, WatchRequest)
         return found
 
     def offer(self, **versions: Version) -> None:
         """Answer the watch that is out."""
-        self.say(Versions(self.watch().request_id, self.address, versions))
+        self.say(WatchResponse(self.watch().request_id, self.address, versions))
 
     def refuse(self, *control: ControlMember, **versions: Version) -> None:
         """Answer the watch that is out: no majority stands behind this control scheduler."""
-        self.say(Unconfirmed(self.watch().request_id, self.address, control, versions))
+        self.say(UnconfirmedResponse(self.watch().request_id, self.address, control, versions))
 
-    def fetches(self) -> list[Fetch]:
-        return [message for message in self.sent if isinstance(message, Fetch)]
+    def fetches(self) -> list[FetchRequest]:
+        return [message for message in self.sent if isinstance(message, FetchRequest)]
 
 
 class Control:
@@ -104,7 +111,7 @@
         """All live sessions answer each watch for so long."""
         for _ in range(round(seconds / ANSWER_S)):
             for channel in self.live():
-                if isinstance(channel.sent[-1], Watch):
+                if isinstance(channel.sent[-1], WatchRequest):
                     channel.offer()
             self.loop.run_for(ANSWER_S)
 
--- a/tests/data_plane/fleet_model.py
+++ b/tests/data_plane/fleet_model.py
@@ -1,7 +1,8 @@
 """A small control plane in virtual time, for the sessions of one data plane scheduler.
 
 It knows the truth: which configuration was acknowledged when. A control scheduler in the larger part of a cut
-is confirmed; one outside goes on for `CONTACT_S` on the grants that it has, and then says `Unconfirmed`.
+is confirmed; one outside goes on for `CONTACT_S` on the grants that it has, and then says
+`UnconfirmedResponse`.
 """
 
 from __future__ import annotations
@@ -17,12 +18,12 @@
     MEMBERS,
     ConfigurationSnapshot,
     ControlMember,
-    Fetch,
+    FetchRequest,
     MemberList,
-    Unconfirmed,
+    UnconfirmedResponse,
     Version,
-    Versions,
-    Watch,
+    WatchRequest,
+    WatchResponse,
 )
 from reedspoke.data_plane.control_session import ControlSessions
 from tests.data_plane.control_stand_in import OWN
@@ -44,7 +45,7 @@
     def __init__(self, model: FleetModel, control: ModelControl) -> None:
         self.silence_s: float | None = None
         self.closed = False
-        self.watch: Watch | None = None
+        self.watch: WatchRequest | None = None
         self.watched_at = 0.0
         self.told_unconfirmed = False
         self.members_told = False
@@ -118,14 +119,14 @@
         if channel.closed:
             return
         self.channels.add(channel)
-        if isinstance(message, Watch):
+        if isinstance(message, WatchRequest):
             channel.watch, channel.watched_at = message, self._model.loop.time()
             self._look_at(channel)
-        elif isinstance(message, Fetch):
+        elif isinstance(message, FetchRequest):
             self._fetched(channel, message)
 
-    def _fetched(self, channel: ModelChannel, fetch: Fetch) -> None:
-        if not self.is_confirmed() and not fetch.unconfirmed_too:
+    def _fetched(self, channel: ModelChannel, fetch: FetchRequest) -> None:
+        if not self.is_confirmed() and not fetch.allow_unconfirmed:
             channel.answer(self._unconfirmed(0))
         elif fetch.source == MEMBERS:
             channel.members_told = True
@@ -153,11 +154,11 @@
             return
         versions = {CONFIGURATION: self.version, MEMBERS: (0, 1)}
         ago = now - self.as_of()
-        channel.answer(Versions(watch.request_id, self.member.address, versions, {}, waited, ago))
+        channel.answer(WatchResponse(watch.request_id, self.member.address, versions, {}, waited, ago))
 
-    def _unconfirmed(self, request_id: int) -> Unconfirmed:
+    def _unconfirmed(self, request_id: int) -> UnconfirmedResponse:
         hints = self._model.members_seen_by(self)
-        return Unconfirmed(request_id, self.member.address, hints, {CONFIGURATION: self.version})
+        return UnconfirmedResponse(request_id, self.member.address, hints, {CONFIGURATION: self.version})
 
 
 class FleetModel:
--- a/tests/data_plane/stand_ins.py
+++ b/tests/data_plane/stand_ins.py
@@ -21,12 +21,12 @@
     WORKERS,
     ConfigurationSnapshot,
     EdgeMessage,
-    Fetch,
+    FetchRequest,
     MemberList,
-    Unconfirmed,
+    UnconfirmedResponse,
     Version,
-    Versions,
-    Watch,
+    WatchRequest,
+    WatchResponse,
     WorkerEntry,
     WorkerList,
 )
@@ -69,10 +69,10 @@
         self.document = b""
         self.versions: dict[str, Version] = {CONFIGURATION: (0, 0), WORKERS: (0, 0), MEMBERS: (0, 0)}
         self.workers: tuple[WorkerEntry, ...] = ()
-        self.watches: list[Watch] = []
+        self.watches: list[WatchRequest] = []
         self.confirmed = True  # whether a majority stands behind it
         self._channels: set[Channel] = set()
-        self._waiting: list[tuple[Channel, Watch]] = []
+        self._waiting: list[tuple[Channel, WatchRequest]] = []
         self._told_unconfirmed: set[Channel] = set()
         self._server: asyncio.Server | None = None
 
@@ -130,9 +130,9 @@
         finally:
             self._channels.discard(channel)
 
-    def _received(self, channel: Channel, message: Watch | Fetch) -> None:
-        if isinstance(message, Fetch):
-            served = self.confirmed or message.unconfirmed_too
+    def _received(self, channel: Channel, message: WatchRequest | FetchRequest) -> None:
+        if isinstance(message, FetchRequest):
+            served = self.confirmed or message.allow_unconfirmed
             channel.send(self._state(message.source) if served else self._unconfirmed(0))
             return
         self.watches.append(message)
@@ -142,25 +142,25 @@
         self._waiting.append((channel, message))
         self.background.loop.call_later(HEARTBEAT_S, self._heartbeat, channel, message)
 
-    def _has_news(self, channel: Channel, watch: Watch) -> bool:
+    def _has_news(self, channel: Channel, watch: WatchRequest) -> bool:
         if not self.confirmed:
             return channel not in self._told_unconfirmed
         return any(version > watch.versions[source] for source, version in self.versions.items())
 
-    def _heartbeat(self, channel: Channel, watch: Watch) -> None:
+    def _heartbeat(self, channel: Channel, watch: WatchRequest) -> None:
         if (channel, watch) in self._waiting:
             self._waiting.remove((channel, watch))
             self._answer(channel, watch)
 
-    def _answer(self, channel: Channel, watch: Watch) -> None:
+    def _answer(self, channel: Channel, watch: WatchRequest) -> None:
         if not self.confirmed:
             self._told_unconfirmed.add(channel)
             channel.send(self._unconfirmed(watch.request_id))
             return
-        channel.send(Versions(watch.request_id, f"core-{self.host}", self.versions))
+        channel.send(WatchResponse(watch.request_id, f"core-{self.host}", self.versions))
 
-    def _unconfirmed(self, request_id: int) -> Unconfirmed:
-        return Unconfirmed(request_id, f"core-{self.host}", (), self.versions)
+    def _unconfirmed(self, request_id: int) -> UnconfirmedResponse:
+        return UnconfirmedResponse(request_id, f"core-{self.host}", (), self.versions)
 
     def _state(self, source: str) -> ConfigurationSnapshot | WorkerList | MemberList:
         if source == CONFIGURATION:
--- a/tests/data_plane/test_conversation.py
+++ b/tests/data_plane/test_conversation.py
@@ -15,9 +15,9 @@
     WORKERS,
     ConfigurationSnapshot,
     ControlMember,
-    Fetch,
+    FetchRequest,
     MemberList,
-    Watch,
+    WatchRequest,
 )
 from reedspoke.data_plane import control_session
 from reedspoke.data_plane.conversation import Conversation, SessionPace
@@ -62,7 +62,7 @@
 def test_what_is_lacking_is_fetched_and_then_watched(control: Control, heard: Heard) -> None:
     channel = control.channels[0]
     channel.offer(configuration=(3, 0), workers=(1, 2), members=(0, 5))
-    assert channel.fetches() == [Fetch(CONFIGURATION), Fetch(WORKERS), Fetch(MEMBERS)]
+    assert channel.fetches() == [FetchRequest(CONFIGURATION), FetchRequest(WORKERS), FetchRequest(MEMBERS)]
     channel.say(snapshot(3), workers(1, 2), MemberList((0, 5), (), ()))
     assert heard.configurations == [(3, (3, 0))]
     assert heard.workers == [(1, 2)]
@@ -74,7 +74,7 @@
     one, two = control.channels
     one.offer(configuration=(3, 0))
     two.offer(configuration=(3, 0))
-    assert one.fetches() == [Fetch(CONFIGURATION)]
+    assert one.fetches() == [FetchRequest(CONFIGURATION)]
     assert two.fetches() == []
     assert two.watch().versions[CONFIGURATION] == (3, 0)
 
@@ -84,7 +84,7 @@
     one.offer(configuration=(3, 0))
     one.say(ConnectionResetError())
     two.offer(configuration=(3, 0))
-    assert two.fetches() == [Fetch(CONFIGURATION)]
+    assert two.fetches() == [FetchRequest(CONFIGURATION)]
     two.say(snapshot(3))
     assert heard.configurations == [(3, (3, 0))]
 
@@ -94,12 +94,12 @@
     one.offer(configuration=(3, 0))
     one.say(snapshot(3))
     one.offer(configuration=(6, 0))
-    assert one.fetches()[-1] == Fetch(CONFIGURATION, (3, 0))
+    assert one.fetches()[-1] == FetchRequest(CONFIGURATION, (3, 0))
     one.say(delta(2, 6))
-    assert one.fetches()[-1] == Fetch(CONFIGURATION, (0, 0))
+    assert one.fetches()[-1] == FetchRequest(CONFIGURATION, (0, 0))
     one.say(snapshot(6))
     assert heard.configurations == [(3, (3, 0)), (6, (6, 0))]
-    assert isinstance(one.sent[-1], Watch)
+    assert isinstance(one.sent[-1], WatchRequest)
 
 
 def test_a_scheduler_that_is_behind_changes_nothing(control: Control, heard: Heard) -> None:
@@ -118,7 +118,7 @@
     for number in range(1, 6):
         assert len(one.sent) == number
         one.offer()
-    assert all(isinstance(message, Watch) for message in one.sent)
+    assert all(isinstance(message, WatchRequest) for message in one.sent)
 
 
 def test_a_silent_scheduler_is_left_for_another(control: Control) -> None:
--- a/tests/data_plane/test_guards_conversation.py
+++ b/tests/data_plane/test_guards_conversation.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from reedspoke.common.messages import Unconfirmed, Versions, Watch
+from reedspoke.common.messages import UnconfirmedResponse, WatchRequest, WatchResponse
 from tests.data_plane.control_stand_in import ChannelStandIn, Control
 
 LONG_AGO_S = 100.0
@@ -22,7 +22,7 @@
 
 
 def watches(channel: ChannelStandIn) -> int:
-    return sum(isinstance(message, Watch) for message in channel.sent)
+    return sum(isinstance(message, WatchRequest) for message in channel.sent)
 
 
 def earlier_request(channel: ChannelStandIn) -> int:
@@ -31,7 +31,7 @@
 
 def test_an_answer_to_another_request_vouches_for_nothing(control: Control) -> None:
     channel = control.channels[0]
-    channel.say(Versions(earlier_request(channel), channel.address, {}))
+    channel.say(WatchResponse(earlier_request(channel), channel.address, {}))
     assert control.made.confirmation.as_of() is None
     assert control.sessions.sessions() == 0
     channel.offer()
@@ -41,7 +41,7 @@
 
 def test_an_answer_to_another_request_leaves_the_watch_out(control: Control) -> None:
     channel = control.channels[0]
-    channel.say(Versions(earlier_request(channel), channel.address, {}))
+    channel.say(WatchResponse(earlier_request(channel), channel.address, {}))
     assert watches(channel) == 1
     channel.offer()
     assert watches(channel) == 2
@@ -49,7 +49,7 @@
 
 def test_the_word_of_a_lost_majority_for_a_fetch_leaves_the_watch_out(control: Control) -> None:
     channel = control.channels[0]
-    channel.say(Unconfirmed(earlier_request(channel), channel.address))
+    channel.say(UnconfirmedResponse(earlier_request(channel), channel.address))
     control.loop.run_for(0.5)
     assert watches(channel) == 1
 
@@ -57,6 +57,6 @@
 def test_an_answer_that_vouches_for_the_past_only_makes_no_sound_session(control: Control) -> None:
     channel = control.channels[0]
     watch = channel.watch()
-    channel.say(Versions(watch.request_id, channel.address, {}, confirmed_ago_s=LONG_AGO_S))
+    channel.say(WatchResponse(watch.request_id, channel.address, {}, confirmed_ago_s=LONG_AGO_S))
     assert control.sessions.sessions() == 0
     assert control.made.confirmation.in_doubt(control.loop.time())
--- a/tests/data_plane/test_job_builder.py
+++ b/tests/data_plane/test_job_builder.py
@@ -8,7 +8,7 @@
 from hypothesis import example, given, settings
 from hypothesis import strategies as st
 
-from reedspoke.common.messages import Watch, encode
+from reedspoke.common.messages import WatchRequest, encode
 from reedspoke.data_plane.job_builder import build_job, parse_parts, parse_token_count, repeat_of, time_limit
 from reedspoke.data_plane.permit import Permit
 from reedspoke.data_plane.route_table import CompiledRoute, Target
@@ -121,7 +121,7 @@
     for field in (b"Reedspoke-Token-Count: " + count + b"," + count, b"Reedspoke-Prompt-Prefix: a:" + count):
         job = job_of(field)
         held = {"i-1": (1, job.prompt_tokens + job.output_tokens)}
-        assert encode(Watch(1, "edge-1", "ab", "za", {}, held))
+        assert encode(WatchRequest(1, "edge-1", "ab", "za", {}, held))
 
 
 @settings(max_examples=150, deadline=None)
--- a/tests/data_plane/test_process_doubt.py
+++ b/tests/data_plane/test_process_doubt.py
@@ -75,7 +75,7 @@
     until(lambda: bool(control.watches), UP_S, "its session stands")
     first = time.monotonic()
     until(lambda: stage.edge.is_ready() == 200, UNCONFIRMED_AFTER_S + UP_S, "it is ready in the end")
-    assert time.monotonic() - first > UNCONFIRMED_AFTER_S - 1  # its start was before its first `Watch`
+    assert time.monotonic() - first > UNCONFIRMED_AFTER_S - 1  # its start was before its first `WatchRequest`
     assert stage.ask("/one/")[0] == 200
     assert stage.ask("/nowhere/")[0] == 503
     control.regain_majority()
--- a/tests/data_plane/test_quota_client.py
+++ b/tests/data_plane/test_quota_client.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from reedspoke.common.messages import QuotaAnswer, QuotaAsk, QuotaVerdict
+from reedspoke.common.messages import QuotaOutcome, QuotaRequest, QuotaResponse
 from reedspoke.common.quota_rule import CREDIT_S
 from reedspoke.data_plane.quota_client import (
     SECOND_ASK_S,
@@ -19,7 +19,7 @@
 
 WAIT_S = 0.1
 WINDOW_S = 8.0
-YES, NO, NOBODY = QuotaVerdict.GRANTED, QuotaVerdict.SPENT, QuotaVerdict.UNAVAILABLE
+YES, NO, NOBODY = QuotaOutcome.GRANTED, QuotaOutcome.SPENT, QuotaOutcome.UNAVAILABLE
 
 
 class Scene:
@@ -28,11 +28,11 @@
     def __init__(self, loop: VirtualLoop) -> None:
         self.loop = loop
         self.addresses = ["c1", "c2"]
-        self.asked: list[tuple[str, QuotaAsk]] = []
+        self.asked: list[tuple[str, QuotaRequest]] = []
         self.decisions: list[QuotaDecision] = []
         self.client = QuotaClient(loop, self._send, WINDOW_S)
 
-    def _send(self, ask: QuotaAsk, tried: Collection[str]) -> str | None:
+    def _send(self, ask: QuotaRequest, tried: Collection[str]) -> str | None:
         address = next((item for item in self.addresses if item not in tried), None)
         if address is not None:
             self.asked.append((address, ask))
@@ -41,8 +41,8 @@
     def ask(self, units: float = 10.0) -> int | None:
         return self.client.ask("t", units, WAIT_S, self.decisions.append)
 
-    def answer(self, verdict: QuotaVerdict, index: int = -1, retry_after_s: float = 0.0) -> None:
-        self.client.answered(QuotaAnswer(self.asked[index][1].request_id, verdict, retry_after_s))
+    def answer(self, outcome: QuotaOutcome, index: int = -1, retry_after_s: float = 0.0) -> None:
+        self.client.answered(QuotaResponse(self.asked[index][1].request_id, outcome, retry_after_s))
 
     def to(self) -> list[str]:
         return [address for address, _ in self.asked]
@@ -64,10 +64,10 @@
     assert scene.client.waiting == 0
 
 
-@pytest.mark.parametrize("verdict", [NO, NOBODY])
-def test_a_refusal_is_taken_to_the_next_control_scheduler(scene: Scene, verdict: QuotaVerdict) -> None:
+@pytest.mark.parametrize("outcome", [NO, NOBODY])
+def test_a_refusal_is_taken_to_the_next_control_scheduler(scene: Scene, outcome: QuotaOutcome) -> None:
     scene.ask()
-    scene.answer(verdict)
+    scene.answer(outcome)
     assert scene.to() == ["c1", "c2"]
     scene.answer(YES)
     assert [item.granted for item in scene.decisions] == [True]
@@ -147,7 +147,7 @@
 
 
 def test_an_answer_to_nobody_is_of_no_account(scene: Scene) -> None:
-    scene.client.answered(QuotaAnswer(77, YES))
+    scene.client.answered(QuotaResponse(77, YES))
     assert scene.ask() is not None
 
 
--- a/tests/data_plane/test_request_keys.py
+++ b/tests/data_plane/test_request_keys.py
@@ -8,7 +8,7 @@
 import pytest
 
 from reedspoke.common.errors import ErrorCode
-from reedspoke.common.messages import ConfigurationSnapshot, QuotaAnswer, QuotaAsk, QuotaVerdict
+from reedspoke.common.messages import ConfigurationSnapshot, QuotaOutcome, QuotaRequest, QuotaResponse
 from reedspoke.common.node_settings import Bounds, NodeSettings
 from reedspoke.data_plane.key_check import MARGIN_S
 from reedspoke.telemetry.invariants import Invariant, monitor
@@ -181,17 +181,17 @@
 
     def __init__(self, plane: Plane, monkeypatch: pytest.MonkeyPatch) -> None:
         self.plane = plane.plane
-        self.asked: list[QuotaAsk] = []
+        self.asked: list[QuotaRequest] = []
         monkeypatch.setattr(plane.plane._sessions, "ask_quota", self._ask)
 
-    def _ask(self, ask: QuotaAsk, tried: Collection[str]) -> str | None:
+    def _ask(self, ask: QuotaRequest, tried: Collection[str]) -> str | None:
         if tried:
             return None
         self.asked.append(ask)
         return "c1"
 
-    def answer(self, verdict: QuotaVerdict, retry_after_s: float = 0.0) -> None:
-        self.plane._quota.answered(QuotaAnswer(self.asked[-1].request_id, verdict, retry_after_s))
+    def answer(self, outcome: QuotaOutcome, retry_after_s: float = 0.0) -> None:
+        self.plane._quota.answered(QuotaResponse(self.asked[-1].request_id, outcome, retry_after_s))
 
 
 @pytest.fixture
@@ -213,14 +213,14 @@
     assert keyed.network.arrivals == []
     assert keyed.plane.open_requests() == 1
     assert (controller.asked[0].tenant, controller.asked[0].units) == ("limited", units)
-    controller.answer(QuotaVerdict.GRANTED)
+    controller.answer(QuotaOutcome.GRANTED)
     keyed.loop.settle()
     assert b"tenant-name: limited" in head_at_worker(keyed)
 
 
 def test_a_spent_quota_is_answered_with_429(keyed: Plane, controller: Controller) -> None:
     client = ask(keyed, Reedspoke_Key="k3")
-    controller.answer(QuotaVerdict.SPENT, 0.4)
+    controller.answer(QuotaOutcome.SPENT, 0.4)
     told = answer(client)
     assert (told.status, told.get("retry-after")) == (429, "0.40")
     assert json.loads(told.body)["error"]["code"] == ErrorCode.QUOTA_SPENT
@@ -236,7 +236,7 @@
 def test_a_client_that_leaves_before_the_grant_costs_nothing(keyed: Plane, controller: Controller) -> None:
     ask(keyed, Reedspoke_Key="k3").abort()
     keyed.loop.settle()
-    controller.answer(QuotaVerdict.GRANTED)
+    controller.answer(QuotaOutcome.GRANTED)
     keyed.loop.settle()
     assert keyed.network.arrivals == []
     assert keyed.plane.open_requests() == 0
--- a/tests/data_plane/test_session_wire.py
+++ b/tests/data_plane/test_session_wire.py
@@ -17,7 +17,7 @@
     ControlMember,
     ControlMessage,
     EdgeMessage,
-    Fetch,
+    FetchRequest,
     Version,
     decode,
     encode,
@@ -51,7 +51,7 @@
 
     def __init__(self, model: FleetModel, control: WireControl) -> None:
         self.silence_s: float | None = None
-        self.fetched: list[Fetch] = []
+        self.fetched: list[FetchRequest] = []
         self._model = model
         self._control = control
         self._incoming: asyncio.Queue[bytes | Exception] = asyncio.Queue()
@@ -60,7 +60,7 @@
     # ---- the end of the data plane ----
 
     def send(self, message: Struct) -> None:
-        if isinstance(message, Fetch):
+        if isinstance(message, FetchRequest):
             self.fetched.append(message)
         self._later(self._control.sessions.received, self._far_end, decode(encode(message), EdgeMessage))
 
--- a/tests/data_plane/test_subscription.py
+++ b/tests/data_plane/test_subscription.py
@@ -19,7 +19,7 @@
     ConfigurationSnapshot,
     MemberList,
     Version,
-    Versions,
+    WatchResponse,
     WorkerList,
 )
 from reedspoke.data_plane.confirmation import Confirmation
@@ -181,7 +181,7 @@
     made, heard = subscription()
     made.take(MemberList((0, 7), (), ()))
     made.take(MemberList((0, 2), (), ()))
-    made.take(Versions(1, "core-1", {}, {"i-1": (1, 20)}, suspects={"i-2": 3}))
+    made.take(WatchResponse(1, "core-1", {}, {"i-1": (1, 20)}, suspects={"i-2": 3}))
     assert heard.suspects == [{"i-2": 3}]
     assert heard.members == [(0, 7), (0, 2)]
     assert heard.running == [{"i-1": (1, 20)}]
--- a/tests/data_plane/test_unconfirmed_sessions.py
+++ b/tests/data_plane/test_unconfirmed_sessions.py
@@ -12,11 +12,11 @@
     WORKERS,
     ControlMember,
     ControlMessage,
-    Fetch,
+    FetchRequest,
     MemberList,
-    Unconfirmed,
-    Versions,
-    Watch,
+    UnconfirmedResponse,
+    WatchRequest,
+    WatchResponse,
     encode,
 )
 from reedspoke.common.node_settings import Bounds, NodeSettings
@@ -47,7 +47,7 @@
     """All live sessions say for so long that no majority stands behind them, as soon as they are asked."""
     for _ in range(round(seconds / ANSWER_S)):
         for channel in control.live():
-            if isinstance(channel.sent[-1], Watch):
+            if isinstance(channel.sent[-1], WatchRequest):
                 channel.refuse(**versions)
         control.loop.run_for(ANSWER_S)
 
@@ -81,7 +81,7 @@
     cut_off = {"c1:1", "c2:1", "c3:1"}
     for _ in range(10):
         for channel in control.live():
-            if not isinstance(channel.sent[-1], Watch):
+            if not isinstance(channel.sent[-1], WatchRequest):
                 continue
             if channel.address in cut_off:
                 channel.refuse(named[0], named[1])
@@ -109,14 +109,15 @@
 
 
 def test_where_all_are_unconfirmed_neither_dials_nor_watches_run_wild(control: Control) -> None:
-    """Also where each `Watch` is answered at once, which a control scheduler does only the first time."""
+    """Also where each `WatchRequest` is answered at once, which a control scheduler does only the first time.
+    """
     control.tried.clear()
     before = sum(len(channel.sent) for channel in control.channels)
     answered_at_once = 0
     for _ in range(3000):
         for channel in control.live():
-            if isinstance(channel.sent[-1], Watch):
-                channel._incoming.put_nowait(Unconfirmed(channel.watch().request_id, channel.address))
+            if isinstance(channel.sent[-1], WatchRequest):
+                channel._incoming.put_nowait(UnconfirmedResponse(channel.watch().request_id, channel.address))
                 answered_at_once += 1
         control.loop.run_for(0.01)
     assert len(control.live()) >= SESSIONS
@@ -145,7 +146,7 @@
         while True:
             await channel.receive(ControlMessage)
 
-    frame = encode(Versions(1, "c1", {}))
+    frame = encode(WatchResponse(1, "c1", {}))
     task = loop.create_task(listen())
     loop.settle()
     reader.feed_data(LENGTH.pack(len(frame)) + frame)
@@ -188,7 +189,7 @@
     one = control.channels[0]
     one.offer(members=(0, 3))
     control.channels[1].refuse()
-    one._incoming.put_nowait(Unconfirmed(one.sent[-2].request_id, one.address))  # type: ignore[attr-defined]
+    one._incoming.put_nowait(UnconfirmedResponse(one.sent[-2].request_id, one.address))  # type: ignore[attr-defined]
     one.say(MemberList((0, 3), (ControlMember("c9:1", "zb"),), ()))
     assert control.heard.members == []
     control.loop.run_for(2 * ANSWER_S)
@@ -197,7 +198,7 @@
 
 def test_loads_come_with_confirmed_answers_only(control: Control) -> None:
     one, two = control.channels
-    one.say(Versions(1, one.address, {}, {"i-1": (2, 40)}))
+    one.say(WatchResponse(1, one.address, {}, {"i-1": (2, 40)}))
     two.refuse()
     assert control.heard.running == [{"i-1": (2, 40)}]
 
@@ -216,7 +217,7 @@
 # ---- a start without any majority ----
 
 
-def fetched(control: Control) -> list[tuple[ChannelStandIn, Fetch]]:
+def fetched(control: Control) -> list[tuple[ChannelStandIn, FetchRequest]]:
     return [(channel, fetch) for channel in control.channels for fetch in channel.fetches()]
 
 
@@ -224,7 +225,7 @@
     refuse_all(control, UNCONFIRMED_AFTER_S + 0.5, configuration=(4, 0), workers=(2, 1))
     asked = fetched(control)
     assert asked
-    assert all(fetch.unconfirmed_too for _, fetch in asked)
+    assert all(fetch.allow_unconfirmed for _, fetch in asked)
     channel = asked[0][0]
     channel.say(snapshot(4), workers(2, 1))
     assert control.heard.configurations == [(4, (4, 0))]
@@ -240,7 +241,7 @@
     sound = control.live()[0]
     control.loop.run_for(ANSWER_S)
     sound.offer(configuration=(5, 0))
-    assert sound.fetches()[-1] == Fetch(CONFIGURATION, (4, 0))
+    assert sound.fetches()[-1] == FetchRequest(CONFIGURATION, (4, 0))
     sound.say(snapshot(5))
     assert control.heard.configurations == [(4, (4, 0)), (5, (5, 0))]
     assert not in_doubt(control)
@@ -253,7 +254,7 @@
     fetched(control)[0][0].say(snapshot(4))
     for _ in range(20):
         refuse_all(control, ANSWER_S, configuration=(6, 0))
-        asked = [channel for channel, fetch in fetched(control) if fetch.have == (4, 0)]
+        asked = [channel for channel, fetch in fetched(control) if fetch.known_version == (4, 0)]
         if asked:
             break
     asked[0].say(delta(4, 6))
@@ -265,7 +266,7 @@
     one.offer(configuration=(4, 0))
     one.say(snapshot(4))
     refuse_all(control, 20, configuration=(9, 0), workers=(2, 1))
-    asked = {fetch.source for _, fetch in fetched(control) if fetch.unconfirmed_too}
+    asked = {fetch.source for _, fetch in fetched(control) if fetch.allow_unconfirmed}
     assert asked == {WORKERS}  # nothing is held of these: without them the process would never be ready
 
 
@@ -290,16 +291,16 @@
 
 
 def test_a_fetch_to_one_that_lost_its_majority_is_followed_by_a_watch(control: Control) -> None:
-    """It does not answer the fetch any more; only a `Watch` brings to light why."""
+    """It does not answer the fetch any more; only a `WatchRequest` brings to light why."""
     one = control.channels[0]
     one.offer(configuration=(4, 0))
-    assert isinstance(one.sent[-1], Fetch)
+    assert isinstance(one.sent[-1], FetchRequest)
     for _ in range(round((FETCH_S + 0.5) / ANSWER_S)):
         for channel in control.live():
             if channel is not one:
                 channel.offer()
         control.loop.run_for(ANSWER_S)
-    assert isinstance(one.sent[-1], Watch)
+    assert isinstance(one.sent[-1], WatchRequest)
     one.refuse()
     assert one.closed
 
@@ -309,9 +310,9 @@
     one.offer(configuration=(4, 0))
     two.offer(configuration=(4, 0))
     assert two.fetches() == []
-    one.say(Unconfirmed(0, one.address))
+    one.say(UnconfirmedResponse(0, one.address))
     two.offer(configuration=(4, 0))
-    assert two.fetches() == [Fetch(CONFIGURATION)]
+    assert two.fetches() == [FetchRequest(CONFIGURATION)]
 
 
 def test_a_fetch_that_is_neither_answered_nor_refused_is_begun_anew_by_the_other(control: Control) -> None:
@@ -320,14 +321,14 @@
     two.offer(configuration=(4, 0))
     control.loop.run_for(FETCH_S + 0.05)
     two.offer(configuration=(4, 0))
-    assert two.fetches() == [Fetch(CONFIGURATION)]
+    assert two.fetches() == [FetchRequest(CONFIGURATION)]
 
 
 def test_a_fetch_that_another_session_began_since_is_not_given_up(control: Control) -> None:
     one, two = control.channels
     one.offer(configuration=(4, 0))
     two.offer(configuration=(5, 0))
-    assert two.fetches() == [Fetch(CONFIGURATION)]
+    assert two.fetches() == [FetchRequest(CONFIGURATION)]
     one.say(ConnectionResetError())
     assert control.made.expected_version(CONFIGURATION, control.loop.time()) == (5, 0)
 
@@ -336,10 +337,10 @@
     one = control.channels[0]
     one.offer(configuration=(4, 0))
     control.loop.run_for(FETCH_S + 0.5)
-    watches = [message for message in one.sent if isinstance(message, Watch)]
+    watches = [message for message in one.sent if isinstance(message, WatchRequest)]
     assert [watch.request_id for watch in watches] == [1, 2]
     one.say(snapshot(4))
-    watches = [message for message in one.sent if isinstance(message, Watch)]
+    watches = [message for message in one.sent if isinstance(message, WatchRequest)]
     assert [watch.request_id for watch in watches] == [1, 2]
 
 
@@ -353,25 +354,25 @@
     sent_at = control.loop.time()
     control.loop.run_for(HOLD_S + 0.3)
     versions = {CONFIGURATION: (4, 0)}
-    one.say(Versions(one.watch().request_id, one.address, versions, held_s=HOLD_S, confirmed_ago_s=0.2))
+    one.say(WatchResponse(one.watch().request_id, one.address, versions, wait_s=HOLD_S, confirmed_ago_s=0.2))
     as_of = control.made.confirmation.as_of()
     assert as_of == pytest.approx(sent_at + HOLD_S - 0.2, abs=0.01)
 
 
 def test_an_answer_to_another_watch_vouches_for_nothing(control: Control) -> None:
     one = control.channels[0]
-    one.say(Versions(17, one.address, {}))
+    one.say(WatchResponse(17, one.address, {}))
     assert control.made.confirmation.as_of() is None
     assert control.sessions.sessions() == 0
 
 
 def test_while_a_watch_is_out_no_other_is_sent_for_an_answer_that_is_not_to_it(control: Control) -> None:
-    """A control scheduler answers a `Fetch` without a majority too, with the id of no request."""
+    """A control scheduler answers a `FetchRequest` without a majority too, with the id of no request."""
     one = control.channels[0]
     one.offer(configuration=(4, 0))
     control.loop.run_for(FETCH_S + 0.5)
     assert one.watch().request_id == 2
-    one.say(Unconfirmed(0, one.address))
+    one.say(UnconfirmedResponse(0, one.address))
     control.loop.run_for(3 * ANSWER_S)
     assert one.watch().request_id == 2
 
@@ -379,16 +380,16 @@
 def test_an_unanswered_fetch_does_not_hold_a_session_back(control: Control) -> None:
     one = control.channels[0]
     one.offer(configuration=(4, 0))
-    one.say(Unconfirmed(0, one.address))
+    one.say(UnconfirmedResponse(0, one.address))
     control.loop.run_for(2 * ANSWER_S)
-    assert one.closed or isinstance(one.sent[-1], Watch)
+    assert one.closed or isinstance(one.sent[-1], WatchRequest)
 
 
 def test_a_control_scheduler_that_confirms_the_past_only_is_left(control: Control) -> None:
     """As one that was stopped between the making of an answer and its sending."""
     one, two = control.channels
     two.offer()
-    one.say(Versions(1, one.address, {}, confirmed_ago_s=DOUBT_S + 0.1))
+    one.say(WatchResponse(1, one.address, {}, confirmed_ago_s=DOUBT_S + 0.1))
     assert one.closed
 
 
@@ -396,7 +397,7 @@
     control.keep_alive(2)
     assert not in_doubt(control)
     answers = [
-        (channel, Versions(channel.watch().request_id, channel.address, {}, held_s=HOLD_S))
+        (channel, WatchResponse(channel.watch().request_id, channel.address, {}, wait_s=HOLD_S))
         for channel in control.live()
     ]
     control.loop._virtual.now += 7.0  # the clock went on, the process did not
--- a/tests/golden/session_examples.py
+++ b/tests/golden/session_examples.py
@@ -12,20 +12,20 @@
     ConfigurationSnapshot,
     ControlMember,
     EdgeMember,
-    Fetch,
+    FetchRequest,
     MemberList,
-    QuotaAnswer,
-    QuotaAsk,
-    QuotaVerdict,
-    Unconfirmed,
-    Versions,
-    Watch,
+    QuotaOutcome,
+    QuotaRequest,
+    QuotaResponse,
+    UnconfirmedResponse,
+    WatchRequest,
+    WatchResponse,
     WorkerEntry,
     WorkerList,
 )
 
 EDGE_MESSAGES: dict[str, Struct] = {
-    "watch": Watch(
+    "watch": WatchRequest(
         request_id=1,
         node_name="text2",
         incarnation="text3",
@@ -48,7 +48,7 @@
             "text12",
         ),
     ),
-    "watch by default": Watch(
+    "watch by default": WatchRequest(
         request_id=1,
         node_name="text2",
         incarnation="text3",
@@ -60,21 +60,21 @@
             )
         },
     ),
-    "fetch": Fetch(
+    "fetch": FetchRequest(
         source="text1",
-        have=(
+        known_version=(
             2,
             3,
         ),
-        unconfirmed_too=True,
+        allow_unconfirmed=True,
     ),
-    "fetch by default": Fetch(source="text1"),
-    "quota_ask": QuotaAsk(request_id=1, tenant="text2", units=3.5),
-    "quota_ask by default": QuotaAsk(request_id=1, tenant="text2", units=3.5),
+    "fetch by default": FetchRequest(source="text1"),
+    "quota_ask": QuotaRequest(request_id=1, tenant="text2", units=3.5),
+    "quota_ask by default": QuotaRequest(request_id=1, tenant="text2", units=3.5),
 }
 
 CONTROL_MESSAGES: dict[str, Struct] = {
-    "versions": Versions(
+    "versions": WatchResponse(
         request_id=1,
         node_name="text2",
         versions={
@@ -89,11 +89,11 @@
                 8,
             )
         },
-        held_s=9.5,
+        wait_s=9.5,
         confirmed_ago_s=10.5,
         suspects={"text11": 12},
     ),
-    "versions by default": Versions(
+    "versions by default": WatchResponse(
         request_id=1,
         node_name="text2",
         versions={
@@ -103,7 +103,7 @@
             )
         },
     ),
-    "unconfirmed": Unconfirmed(
+    "unconfirmed": UnconfirmedResponse(
         request_id=1,
         node_name="text2",
         control=(
@@ -117,7 +117,7 @@
             )
         },
     ),
-    "unconfirmed by default": Unconfirmed(request_id=1, node_name="text2"),
+    "unconfirmed by default": UnconfirmedResponse(request_id=1, node_name="text2"),
     "workers": WorkerList(
         version=(
             1,
@@ -281,6 +281,6 @@
             EdgeMember(node_name="text10", incarnation="text11", zone="text12"),
         ),
     ),
-    "quota_answer": QuotaAnswer(request_id=1, verdict=QuotaVerdict.UNAVAILABLE, retry_after_s=2.5),
-    "quota_answer by default": QuotaAnswer(request_id=1, verdict=QuotaVerdict.UNAVAILABLE),
+    "quota_answer": QuotaResponse(request_id=1, outcome=QuotaOutcome.UNAVAILABLE, retry_after_s=2.5),
+    "quota_answer by default": QuotaResponse(request_id=1, outcome=QuotaOutcome.UNAVAILABLE),
 }
