--- a/reedspoke/data_plane/subscription.py
+++ b/reedspoke/data_plane/subscription.py
@@ -9,12 +9,12 @@
 
 from msgspec import Struct, field
 
-from reedspoke.cluster.configuration import (
+from reedspoke.common.configuration import (
     Configuration,
     apply_difference,
     read_checked,
 )
-from reedspoke.cluster.messages import (
+from reedspoke.common.messages import (
     CONFIGURATION,
     NO_VERSION,
     WORKERS,
@@ -23,7 +23,7 @@
     ControlMessage,
     MemberList,
     Version,
-    Versions,
+    WatchResponse,
     WorkerList,
 )
 from reedspoke.data_plane.confirmation import Confirmation
@@ -118,7 +118,7 @@
             case MemberList():
                 self.state.members = message
                 self._listener.on_members(message)
-            case Versions():
+            case WatchResponse():
                 self._listener.on_running(message.running)
                 self._listener.on_suspects(message.suspects)
         return True
--- a/tests/data_plane/test_session_wire.py
+++ b/tests/data_plane/test_session_wire.py
@@ -12,17 +12,17 @@
 import pytest
 from msgspec import Struct
 
-from reedspoke.cluster.messages import (
+from reedspoke.common.messages import (
     CONFIGURATION,
     ControlMember,
     ControlMessage,
     EdgeMessage,
-    Fetch,
+    FetchRequest,
     Version,
     decode,
     encode,
 )
-from reedspoke.cluster.transport import Channel
+from reedspoke.common.transport import Channel
 from reedspoke.control_plane.delivery.configuration_cache import ConfigurationCache
 from reedspoke.control_plane.delivery.edge_sessions import EdgeSessions
 from reedspoke.control_plane.delivery.membership import Membership
@@ -51,7 +51,7 @@
 
     def __init__(self, model: FleetModel, control: WireControl) -> None:
         self.silence_s: float | None = None
-        self.fetched: list[Fetch] = []
+        self.fetched: list[FetchRequest] = []
         self._model = model
         self._control = control
         self._incoming: asyncio.Queue[bytes | Exception] = asyncio.Queue()
@@ -60,7 +60,7 @@
     # ---- the end of the data plane ----
 
     def send(self, message: Struct) -> None:
-        if isinstance(message, Fetch):
+        if isinstance(message, FetchRequest):
             self.fetched.append(message)
         self._later(self._control.sessions.received, self._far_end, decode(encode(message), EdgeMessage))
 
