--- a/reedspoke/booking/agreed.py
+++ b/reedspoke/booking/agreed.py
@@ -9,7 +9,8 @@
 from reedspoke.booking.desk import Desk, Terms
 from reedspoke.booking.file import DUTY
 from reedspoke.fleet.duties import Duty
-from reedspoke.fleet.frames import Answered, Asked, Matter, Recorded, Word, mark
+from reedspoke.fleet.frames import Matter, mark
+from reedspoke.fleet.log_messages import Answered, Asked, Recorded, Word
 from reedspoke.fleet.party import Party
 from reedspoke.fleet.record import Change, Out, Record
 
--- a/reedspoke/booking/desk.py
+++ b/reedspoke/booking/desk.py
@@ -16,7 +16,7 @@
 
 from reedspoke.booking.book import Calendar
 from reedspoke.booking.words import DECODE, Book, Cancel, Order, Told, order_bytes
-from reedspoke.fleet.frames import Answered, Asked, Word
+from reedspoke.fleet.log_messages import Answered, Asked, Word
 from reedspoke.fleet.record import Record
 
 SECOND = 1_000_000
--- a/reedspoke/fleet/record.py
+++ b/reedspoke/fleet/record.py
@@ -27,7 +27,7 @@
 from typing import Protocol
 from zlib import crc32
 
-from reedspoke.fleet.frames import (
+from reedspoke.fleet.log_messages import (
     Append,
     Confirm,
     Fetch,
--- a/tests/fleet/recordplay.py
+++ b/tests/fleet/recordplay.py
@@ -7,7 +7,8 @@
 from random import Random
 
 from reedspoke.errors import ReedspokeError
-from reedspoke.fleet.frames import Recorded, Word, frames, read
+from reedspoke.fleet.frames import frames, read
+from reedspoke.fleet.log_messages import Recorded, Word
 from reedspoke.fleet.record import Out, Record
 
 PACE = 100
--- a/tests/fleet/test_record.py
+++ b/tests/fleet/test_record.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from reedspoke.fleet.frames import Append, Found, Lacking, Recover, Recovered, Remember
+from reedspoke.fleet.log_messages import Append, Found, Lacking, Recover, Recovered, Remember
 from reedspoke.fleet.record import KEEP, MOST_ENTRY, Record
 from tests.fleet.recordplay import MUTANTS, PACE, Counting, Group, Notes, Rates, caught
 
@@ -190,7 +190,7 @@
 
 
 def test_a_folded_past_that_is_damaged_is_not_taken() -> None:
-    from reedspoke.fleet.frames import Fold
+    from reedspoke.fleet.log_messages import Fold
 
     fresh = Record(1, (0, 1), 5, Notes(), PACE)
     assert fresh.hear(0, Fold(3, 9, 2, 0, 4, 12345, b"abcd"), 0) == []
--- a/tests/fleet/test_shelf.py
+++ b/tests/fleet/test_shelf.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from reedspoke.fleet.frames import Append, Confirm
+from reedspoke.fleet.log_messages import Append, Confirm
 from reedspoke.fleet.record import KEEP, Record
 from reedspoke.fleet.shelf import Shelf, ShelfError
 from tests.fleet.recordplay import PACE, Notes
--- a/tests/lab/test_timelines.py
+++ b/tests/lab/test_timelines.py
@@ -10,7 +10,7 @@
 from reedspoke.booking.book import Calendar
 from reedspoke.booking.desk import Desk, encoded
 from reedspoke.booking.words import Order
-from reedspoke.fleet.frames import Answered, Asked
+from reedspoke.fleet.log_messages import Answered, Asked
 from reedspoke.lab.stages import Truth, played, played_really
 from reedspoke.lab.timeline import Action, Claim, Row, Timeline, TimelineError, cut_down, draw, drawn, parse
 from tests.fleet.recordplay import Deaf, Hasty
