--- a/reedspoke/control_plane/replication/chain.py
+++ b/reedspoke/control_plane/replication/chain.py
@@ -20,7 +20,7 @@
     RESEND_S,
     ReplicaSettings,
 )
-from reedspoke.control_plane.views.acceptor import FIRST_VIEW
+from reedspoke.control_plane.views.first_view import FIRST_VIEW_NUMBER
 from reedspoke.telemetry.invariants import Invariant, check
 
 
@@ -89,7 +89,7 @@
         link = self._own_link()
         if link is None or self._register.adopting or self._outbox.copy_lost:
             return False
-        return link.joined == FIRST_VIEW or self._register.synced_since == link.joined
+        return link.joined == FIRST_VIEW_NUMBER or self._register.synced_since == link.joined
 
     def enter(self, view: View) -> None:
         """Act in a newer view from now on."""
--- a/reedspoke/control_plane/replication/forwarding.py
+++ b/reedspoke/control_plane/replication/forwarding.py
@@ -8,8 +8,8 @@
 
 from reedspoke.control_plane.replication.events import View
 from reedspoke.control_plane.replication.outbox import Outbox
-from reedspoke.control_plane.replication.settings import CONTACT_WAIT_S
-from reedspoke.control_plane.views.majority_contact import Contact
+from reedspoke.control_plane.replication.settings import MAJORITY_CONTACT_WAIT_S
+from reedspoke.control_plane.views.majority_contact import ContactState
 
 
 class Outstanding(Struct, kw_only=True):
@@ -32,27 +32,27 @@
         self._outstanding: dict[str, Call] = {}
         self._count = 0
 
-    def tick(self, view: View | None, contact: Contact) -> None:
+    def tick(self, view: View | None, contact: ContactState) -> None:
         """Send again what may have been lost; end what has waited too long."""
         for request in list(self._outstanding):
             self._advance(request, view, contact)
 
-    def _begin(self, call: Call, view: View | None, contact: Contact) -> None:
+    def _begin(self, call: Call, view: View | None, contact: ContactState) -> None:
         self._count += 1
         request = f"{self._name}:{self._count}"
         self._outstanding[request] = call
         self._advance(request, view, contact)
 
-    def _advance(self, request: str, view: View | None, contact: Contact) -> None:
+    def _advance(self, request: str, view: View | None, contact: ContactState) -> None:
         call = self._outstanding[request]
         waited = self._outbox.now - call.came_at
         if waited >= self._limit:
             self._expire(self._outstanding.pop(request))
-        elif view is not None and contact is Contact.GRANTED:
+        elif view is not None and contact is ContactState.CONFIRMED:
             if call.sent_view != view.number or self._is_due(call):
                 call.sent_view = view.number
                 self._send(request, call, view)
-        elif not call.sent_view and (contact is Contact.NONE or waited >= CONTACT_WAIT_S):
+        elif not call.sent_view and (contact is ContactState.NONE or waited >= MAJORITY_CONTACT_WAIT_S):
             self._turn_away(self._outstanding.pop(request))
 
     def _is_due(self, call: Call) -> bool:
--- a/reedspoke/control_plane/replication/gets.py
+++ b/reedspoke/control_plane/replication/gets.py
@@ -12,8 +12,8 @@
 from reedspoke.control_plane.replication.messages import GetReply, GetRequest
 from reedspoke.control_plane.replication.outbox import Outbox
 from reedspoke.control_plane.replication.settings import GET_RETRY_S, RESEND_S
-from reedspoke.control_plane.views.lease import tail_of
-from reedspoke.control_plane.views.majority_contact import Contact
+from reedspoke.control_plane.views.majority_contact import ContactState
+from reedspoke.control_plane.views.read_lease import tail_member
 
 
 class OutstandingGet(Outstanding):
@@ -31,7 +31,7 @@
         super().__init__(name, outbox, answer_limit_s)
         self._register = register
 
-    def get(self, get: Get, view: View | None, contact: Contact) -> None:
+    def get(self, get: Get, view: View | None, contact: ContactState) -> None:
         """An operator's read."""
         self._begin(OutstandingGet(get, came_at=self._outbox.now), view, contact)
 
@@ -53,7 +53,7 @@
         call.ask_again_at = self._outbox.now + RESEND_S
         call.held = self._register.committed
         have = call.held.sequence if call.held else 0
-        self._outbox.send(tail_of(view).address, GetRequest(view.number, request, have))
+        self._outbox.send(tail_member(view).address, GetRequest(view.number, request, have))
 
     def _expire(self, call: OutstandingGet) -> None:
         self._refuse(call, "The newest configuration can't be told for certain.")
--- a/reedspoke/control_plane/replication/head.py
+++ b/reedspoke/control_plane/replication/head.py
@@ -19,7 +19,7 @@
 from reedspoke.control_plane.replication.refusals import Refusals
 from reedspoke.control_plane.replication.verdict import Verdict, verdict_on
 from reedspoke.control_plane.storage.records import acknowledged
-from reedspoke.control_plane.views.lease import tail_of
+from reedspoke.control_plane.views.read_lease import tail_member
 
 REPLIES_KEPT = 512
 MOST_WAITING_BYTES = (
@@ -55,7 +55,7 @@
     def enter(self, view: View) -> None:
         """A newer view: the askers send again what is still undecided."""
         self._view = view.number
-        self.refusals.enter(view.number, tail_of(view))
+        self.refusals.enter(view.number, tail_member(view))
         self._waiting.clear()
         self._replies.clear()
 
--- a/reedspoke/control_plane/replication/messages.py
+++ b/reedspoke/control_plane/replication/messages.py
@@ -8,11 +8,11 @@
 from reedspoke.control_plane.replication.events import Member, View
 
 
-class Ballot(Struct, array_like=True, frozen=True, order=True):
-    """Number of a proposal: the larger wins, and no two proposers share one."""
+class ProposalNumber(Struct, array_like=True, frozen=True, order=True):
+    """Number of a Paxos proposal: the larger wins, and no two proposers share one."""
 
-    round: int = 0
-    proposer: str = ""
+    counter: int = 0
+    proposer: str = ""  # folder id and incarnation
 
 
 class Entry(Struct, array_like=True, frozen=True):
@@ -27,7 +27,7 @@
 class Ping(Struct, tag="ping", array_like=True, frozen=True):
     """Sign of life, sent to every known replica; `lease_sent` is set by a tail that asks for a read lease.
 
-    Each ping asks for a `ContactGrant`; `sent` is its time on the sender's steady clock.
+    Each ping asks for a `ViewConfirmation`; `sent` is its time on the sender's steady clock.
 
     `synced_since` is the view since whose appending the sender holds what its predecessor held; `undecided`
     is set where it has accepted a next view that it does not know to be decided. `bootstrap` is set by a seed
@@ -48,81 +48,87 @@
     starts_new: bool = False
 
 
-class ContactGrant(Struct, tag="contact_grant", array_like=True, frozen=True):
-    """A voter acts in this view and had accepted no next one when the ping of `sent` came."""
+class ViewConfirmation(Struct, tag="contact_grant", array_like=True, frozen=True):
+    """A voter acts in this view and had accepted no next one when the ping sent at `requested_at` came."""
 
     folder_id: str
-    view: int
-    sent: float
+    view_number: int
+    requested_at: float
+
 
+class ReadLeaseGrant(Struct, tag="lease_grant", array_like=True, frozen=True):
+    """A voter accepts no view with another tail for `READ_LEASE_TTL_S`.
 
-class LeaseGrant(Struct, tag="lease_grant", array_like=True, frozen=True):
-    """A voter accepts no view with another tail for the lease's length; `sent` is the ping's `lease_sent`."""
+    `requested_at` is the time of the request, by the clock of the tail that is to hold the lease.
+    """
 
     folder_id: str
-    view: int
-    sent: float
+    view_number: int
+    requested_at: float
 
 
-class ViewTold(Struct, tag="view", array_like=True, frozen=True):
+class ViewDecided(Struct, tag="view", array_like=True, frozen=True):
     """A decided view."""
 
     view: View
 
 
-class Prepare(Struct, tag="prepare", array_like=True, frozen=True):
-    """Paxos phase 1 for the view `number`."""
+class PrepareRequest(Struct, tag="prepare", array_like=True, frozen=True):
+    """Paxos phase 1 for the view `view_number`: a proposer asks for a promise."""
 
-    number: int
-    ballot: Ballot
+    view_number: int
+    proposal_number: ProposalNumber
 
 
-class Promise(Struct, tag="promise", array_like=True, frozen=True):
-    """Answer to `Prepare`, with what this acceptor has accepted before."""
+class PrepareResponse(Struct, tag="promise", array_like=True, frozen=True):
+    """The promise that answers a `PrepareRequest`, with what this acceptor has accepted before."""
 
     acceptor: Member
-    number: int
-    ballot: Ballot
-    accepted_ballot: Ballot
-    accepted: View | None
+    view_number: int
+    proposal_number: ProposalNumber
+    accepted_proposal_number: ProposalNumber
+    accepted_view: View | None
 
 
-class Accept(Struct, tag="accept", array_like=True, frozen=True):
-    """Paxos phase 2; `resigned_at`: the present tail gave up its read lease at this time of its clock."""
+class AcceptRequest(Struct, tag="accept", array_like=True, frozen=True):
+    """Paxos phase 2: a proposer asks to accept `view`.
 
-    number: int
-    ballot: Ballot
+    `released_at`: the present tail has released its read lease, at this time of its clock.
+    """
+
+    view_number: int
+    proposal_number: ProposalNumber
     view: View
-    resigned_at: float | None = None
+    released_at: float | None = None
 
 
-class Accepted(Struct, tag="accepted", array_like=True, frozen=True):
-    """Answer to `Accept`."""
+class AcceptResponse(Struct, tag="accepted", array_like=True, frozen=True):
+    """An acceptor has accepted the view of an `AcceptRequest`."""
 
     acceptor: Member
-    number: int
-    ballot: Ballot
+    view_number: int
+    proposal_number: ProposalNumber
 
 
-class Rejected(Struct, tag="rejected", array_like=True, frozen=True):
-    """A larger ballot has been promised."""
+class ProposalRejected(Struct, tag="rejected", array_like=True, frozen=True):
+    """An acceptor has promised a larger proposal number; answers either request."""
 
-    number: int
-    ballot: Ballot
-    promised: Ballot
+    view_number: int
+    proposal_number: ProposalNumber
+    promised: ProposalNumber
 
 
-class ResignRequest(Struct, tag="resign_request", array_like=True, frozen=True):
-    """Asks the tail of `view` to give up its read lease."""
+class ReadLeaseReleaseRequest(Struct, tag="resign_request", array_like=True, frozen=True):
+    """A proposer asks the tail of the view `view_number` to release its read lease."""
 
-    view: int
+    view_number: int
 
 
-class Resigned(Struct, tag="resigned", array_like=True, frozen=True):
-    """The tail of `view` has given up every read lease that it asked for until `at`, a time of its clock."""
+class ReadLeaseReleased(Struct, tag="resigned", array_like=True, frozen=True):
+    """The tail has released every read lease that it requested until `released_at`, a time of its clock."""
 
-    view: int
-    at: float
+    view_number: int
+    released_at: float
 
 
 class ChainState(Struct, tag="chain_state", array_like=True, frozen=True):
@@ -206,16 +212,16 @@
 
 ReplicaMessage = (
     Ping
-    | ContactGrant
-    | LeaseGrant
-    | ViewTold
-    | Prepare
-    | Promise
-    | Accept
-    | Accepted
-    | Rejected
-    | ResignRequest
-    | Resigned
+    | ViewConfirmation
+    | ReadLeaseGrant
+    | ViewDecided
+    | PrepareRequest
+    | PrepareResponse
+    | AcceptRequest
+    | AcceptResponse
+    | ProposalRejected
+    | ReadLeaseReleaseRequest
+    | ReadLeaseReleased
     | ChainState
     | Append
     | Snapshot
--- a/reedspoke/control_plane/replication/puts.py
+++ b/reedspoke/control_plane/replication/puts.py
@@ -7,7 +7,7 @@
 from reedspoke.control_plane.replication.forwarding import Forwarder, Outstanding
 from reedspoke.control_plane.replication.messages import PutReply, PutRequest
 from reedspoke.control_plane.replication.settings import RESEND_BYTES_PER_S, RESEND_S
-from reedspoke.control_plane.views.majority_contact import Contact
+from reedspoke.control_plane.views.majority_contact import ContactState
 
 
 class OutstandingPut(Outstanding):
@@ -20,7 +20,7 @@
 class PutForwarder(Forwarder[OutstandingPut]):
     """Sends each change to the head of the present view, and again to the next one's."""
 
-    def put(self, put: Put, view: View | None, contact: Contact) -> None:
+    def put(self, put: Put, view: View | None, contact: ContactState) -> None:
         """An operator's change."""
         self._begin(OutstandingPut(put, came_at=self._outbox.now), view, contact)
 
--- a/reedspoke/control_plane/replication/repair.py
+++ b/reedspoke/control_plane/replication/repair.py
@@ -15,11 +15,10 @@
     RANK_DELAY_S,
     ReplicaSettings,
 )
-from reedspoke.control_plane.views.acceptor import FIRST_VIEW
 from reedspoke.control_plane.views.agreement import ViewAgreement
-from reedspoke.control_plane.views.choice import Condition, Surroundings, choose_view
-from reedspoke.control_plane.views.first import first_view
-from reedspoke.control_plane.views.lease import majority
+from reedspoke.control_plane.views.first_view import FIRST_VIEW_NUMBER, form_first_view
+from reedspoke.control_plane.views.next_view import MemberCondition, MembershipSnapshot, choose_next_view
+from reedspoke.control_plane.views.quorum import majority_size
 
 SEED_STARTS_WITHIN_S = 1.0  # a seed that is heard for longer and has no part in the first start gets none
 SEED_COMES_WITHIN_S = 2.4  # a seed that is not heard by then is lost: the first start goes on without it
@@ -59,7 +58,7 @@
         """A newer view is in force: what is better than it has to be in sight anew. Members of the first one
         may not have heard of each other yet."""
         self._in_sight_since = None
-        if view.number == FIRST_VIEW:
+        if view.number == FIRST_VIEW_NUMBER:
             self._judge_from = max(self._judge_from, self._outbox.now + HEARD_S)
 
     def majority_reached(self) -> bool:
@@ -68,7 +67,7 @@
         if view is None:
             return False
         reached = sum(self.reachable(voter.folder_id) for voter in view.voters)
-        return reached >= majority(len(view.voters))
+        return reached >= majority_size(len(view.voters))
 
     def reachable(self, folder_id: str) -> bool:
         """Whether this replica and that one hear each other."""
@@ -86,8 +85,8 @@
         starting = {ping.member.address for ping in pings if ping.bootstrap}
         missing = set(seeds) - starting
         given_up = all(self._given_up(seed) for seed in missing)
-        least = majority(len(set(seeds))) if given_up else len(set(seeds))
-        view = first_view(seeds, pings, least, self._settings.voters_target)
+        least = majority_size(len(set(seeds))) if given_up else len(set(seeds))
+        view = form_first_view(seeds, pings, least, self._settings.voters_target)
         if view is not None and self._has_gathered(view):
             rank = sorted(seeds).index(self._own.address)
             self._propose_in_time(view, rank)
@@ -123,7 +122,7 @@
         rank = self._rank(view, conditions)
         if rank is None:
             return
-        desired = choose_view(view, self._surroundings(conditions))
+        desired = choose_next_view(view, self._surroundings(conditions))
         if desired == view and self._unfinished(view, conditions):
             desired = View(view.number + 1, view.voters, view.chain)
         if desired == view:
@@ -131,9 +130,9 @@
             return
         self._propose_in_time(desired, rank)
 
-    def _unfinished(self, view: View, conditions: dict[str, Condition]) -> bool:
+    def _unfinished(self, view: View, conditions: dict[str, MemberCondition]) -> bool:
         """Whether someone in reach has accepted a next view; until it is decided that one grants no lease."""
-        if self._agreement.undecided:
+        if self._agreement.has_undecided_view:
             return True
         pings = (self._peers.latest(folder_id) for folder_id in conditions)
         return any(ping.undecided and ping.view == view.number for ping in pings if ping is not None)
@@ -147,7 +146,7 @@
         if self._agreement.may_propose(self.reachable):
             self._agreement.propose(desired)
 
-    def _rank(self, view: View, conditions: dict[str, Condition]) -> int | None:
+    def _rank(self, view: View, conditions: dict[str, MemberCondition]) -> int | None:
         """This replica's place among the usable members of the chain, of which those that leave come last."""
         folders = [link.member.folder_id for link in view.chain]
         usable = [folder for folder in folders if folder in conditions and conditions[folder].healthy]
@@ -155,18 +154,18 @@
         own = self._own.folder_id
         return usable.index(own) if own in usable else None
 
-    def _surroundings(self, conditions: dict[str, Condition]) -> Surroundings:
+    def _surroundings(self, conditions: dict[str, MemberCondition]) -> MembershipSnapshot:
         now = self._outbox.now
-        return Surroundings(
+        return MembershipSnapshot(
             conditions=conditions,
-            connected=self._connected,
-            gone=lambda folder_id: self._peers.gone(folder_id, now),
-            leaving=self._leaving,
+            is_connected=self._connected,
+            is_lost=lambda folder_id: self._peers.gone(folder_id, now),
+            is_draining=self._leaving,
             chain_minimum=self._settings.chain_minimum,
             voters_target=self._settings.voters_target,
         )
 
-    def _conditions(self, view: View) -> dict[str, Condition]:
+    def _conditions(self, view: View) -> dict[str, MemberCondition]:
         now = self._outbox.now
         joined = {link.member.folder_id: link.joined for link in view.chain}
         own_established = now - self._started >= ESTABLISHED_AFTER_S
@@ -197,12 +196,12 @@
         return self._peers.latest(folder_id)
 
 
-def _condition(ping: Ping, joined: dict[str, int], steady: bool, established: bool) -> Condition:
+def _condition(ping: Ping, joined: dict[str, int], steady: bool, established: bool) -> MemberCondition:
     """How a replica stands; `joined` has, for each member of the chain, the view that appended it."""
-    return Condition(
+    return MemberCondition(
         member=ping.member,
         healthy=ping.disk_ok,
-        complete=joined.get(ping.member.folder_id) in (FIRST_VIEW, ping.synced_since),
+        complete=joined.get(ping.member.folder_id) in (FIRST_VIEW_NUMBER, ping.synced_since),
         steady=steady,
         established=established,
     )
--- a/reedspoke/control_plane/replication/replica.py
+++ b/reedspoke/control_plane/replication/replica.py
@@ -36,15 +36,15 @@
 from reedspoke.control_plane.replication.head import HeadQueue
 from reedspoke.control_plane.replication.invariants import ReplicaInvariants
 from reedspoke.control_plane.replication.messages import (
-    ContactGrant,
     GetReply,
     GetRequest,
-    LeaseGrant,
     Ping,
     PutReply,
     PutRequest,
-    Resigned,
-    ResignRequest,
+    ReadLeaseGrant,
+    ReadLeaseReleased,
+    ReadLeaseReleaseRequest,
+    ViewConfirmation,
 )
 from reedspoke.control_plane.replication.outbox import Outbox
 from reedspoke.control_plane.replication.peers import Peers
@@ -59,8 +59,8 @@
 )
 from reedspoke.control_plane.storage.records import BootstrapRecord, encode_record, restore
 from reedspoke.control_plane.views.agreement import ViewAgreement
-from reedspoke.control_plane.views.lease import TailLease, tail_of
-from reedspoke.control_plane.views.majority_contact import Contact, MajorityContact
+from reedspoke.control_plane.views.majority_contact import ContactState, MajorityContact
+from reedspoke.control_plane.views.read_lease import ReadLeaseHolder, tail_member
 
 __all__ = ["TICK_S", "Replica", "ReplicaSettings"]
 
@@ -103,7 +103,7 @@
         self._head = HeadQueue(name, self._outbox, self._chain, self._register, limit)
         self._puts = PutForwarder(name, self._outbox, limit)
         self._gets = GetForwarder(name, self._outbox, self._register, limit)
-        self._tail_lease = TailLease()
+        self._tail_lease = ReadLeaseHolder()
         self._contact = MajorityContact(now)
         self._contact_asked: set[str] = set()  # voters that were asked out of turn in this view
         self._reader = TailReader(self._outbox, self._chain, self._register, self._holds_lease)
@@ -131,7 +131,7 @@
 
     def holds_majority(self, now: float) -> bool:
         """Whether a majority of voters has lately granted that this replica acts in the newest view."""
-        return self.view is not None and self._contact.holds(now)
+        return self.view is not None and self._contact.is_valid(now)
 
     @property
     def majority_as_of(self) -> float | None:
@@ -144,7 +144,7 @@
         None while this replica may not hand over its state: it is no complete member of the chain, it has
         heard of a newer view, or no majority has lately granted that its own is the newest.
         """
-        if not self.in_chain or self._agreement.behind or not self.holds_majority(now):
+        if not self.in_chain or self._agreement.is_behind or not self.holds_majority(now):
             return None
         return self._contact.confirmed_as_of
 
@@ -198,10 +198,10 @@
         """Whether a majority has granted, and is still heard."""
         return self.holds_majority(self._outbox.now) and self.majority_reached
 
-    def _contact_state(self) -> Contact:
+    def _contact_state(self) -> ContactState:
         if self._reaches_majority():
-            return Contact.GRANTED
-        return Contact.HEARD if self.majority_reached else Contact.NONE
+            return ContactState.CONFIRMED
+        return ContactState.REACHABLE if self.majority_reached else ContactState.NONE
 
     def _dispatch(self, event: Event) -> None:
         match event:
@@ -231,12 +231,12 @@
         match message:
             case Ping():
                 self._receive_ping(sender, message)
-            case LeaseGrant(folder_id=folder_id, view=number, sent=sent):
+            case ReadLeaseGrant(folder_id=folder_id, view_number=number, requested_at=requested_at):
                 if self.view is not None and self.view.number == number:
-                    self._tail_lease.granted(folder_id, sent)
-            case ContactGrant():
+                    self._tail_lease.record_grant(folder_id, requested_at)
+            case ViewConfirmation():
                 self._receive_contact_grant(message)
-            case ResignRequest(view=number):
+            case ReadLeaseReleaseRequest(view_number=number):
                 self._resign(sender, number)
             case PutRequest():
                 self._head.receive(sender, message, self._reaches_majority())
@@ -277,7 +277,7 @@
 
     def _leave(self) -> None:
         self._leaving = True
-        self._tail_lease.resign(self._outbox.now)
+        self._tail_lease.release(self._outbox.now)
         self._ping_all()
 
     # ---- start and views ----
@@ -296,7 +296,7 @@
             self._seeds_stored = True
             if error is None:
                 self._first_seeds = seeds
-                self._agreement.may_vote_first(seeds)
+                self._agreement.set_first_acceptors(seeds)
                 self._ping_all()
 
         self._outbox.store([BootstrapRecord(seeds)], on_end)
@@ -305,8 +305,8 @@
         self._outbox.log(logging.INFO, "view", number=view.number, chain=_addresses_of_chain(view))
         self._outbox.emit(ViewChanged(view))
         self._view_members = frozenset(_members(view))
-        self._tail_lease.enter()
-        self._contact.enter()
+        self._tail_lease.enter_view()
+        self._contact.enter_view()
         self._contact_asked.clear()
         self._head.enter(view)
         self._chain.enter(view)
@@ -334,7 +334,7 @@
             committed=self._register.committed_sequence,
             leaving=self._leaving,
             bootstrap=bool(self._first_seeds),
-            undecided=self._agreement.undecided,
+            undecided=self._agreement.has_undecided_view,
             sent=self._outbox.now,
             starts_new=view is None and self._settings.bootstrap and not self._first_seeds,
         )
@@ -360,28 +360,28 @@
         self._grant_contact(ping)
         self._ask_for_contact(ping)
         if ping.view < self._agreement.learned_number:
-            self._agreement.tell(sender)
+            self._agreement.send_newest_view(sender)
         elif ping.view > self._agreement.learned_number:
             self._outbox.send(sender, self._own_ping())
         self._chain.committed_up_to(ping.view, ping.committed)
 
     def _asks_for_lease(self) -> bool:
-        return self._chain.is_tail and self._chain.complete and self._tail_lease.may_ask(self._outbox.now)
+        return self._chain.is_tail and self._chain.complete and self._tail_lease.may_request(self._outbox.now)
 
     def _grant(self, ping: Ping) -> None:
         """As voter: grant the read lease that the tail of my view asks for."""
-        if ping.lease_sent is None or self.view is None or tail_of(self.view) != ping.member:
+        if ping.lease_sent is None or self.view is None or tail_member(self.view) != ping.member:
             return
         reached = self._repair.reachable(ping.member.folder_id)
-        if reached and self._agreement.may_grant(ping.view):
-            self._agreement.voter_lease.grant(ping.lease_sent, self._outbox.now)
-            grant = LeaseGrant(self._settings.folder_id, ping.view, ping.lease_sent)
+        if reached and self._agreement.may_grant_read_lease(ping.view):
+            self._agreement.read_lease_voter.grant(ping.lease_sent, self._outbox.now)
+            grant = ReadLeaseGrant(self._settings.folder_id, ping.view, ping.lease_sent)
             self._outbox.send(ping.member.address, grant)
 
     def _grant_contact(self, ping: Ping) -> None:
         """As voter: say that the view in which the sender of this ping acts is the newest known here."""
-        if self._agreement.may_confirm(ping.view):
-            grant = ContactGrant(self._settings.folder_id, ping.view, ping.sent)
+        if self._agreement.may_confirm_view(ping.view):
+            grant = ViewConfirmation(self._settings.folder_id, ping.view, ping.sent)
             self._outbox.send(ping.member.address, grant)
 
     def _ask_for_contact(self, ping: Ping) -> None:
@@ -390,27 +390,27 @@
         folder_id = ping.member.folder_id
         if view is None or ping.view != view.number or folder_id in self._contact_asked:
             return
-        if not self._contact.has_granted(folder_id):
+        if not self._contact.has_confirmed(folder_id):
             self._contact_asked.add(folder_id)
             self._outbox.send(ping.member.address, self._own_ping())
 
-    def _receive_contact_grant(self, grant: ContactGrant) -> None:
+    def _receive_contact_grant(self, grant: ViewConfirmation) -> None:
         view = self.view
-        if view is None or view.number != grant.view:
+        if view is None or view.number != grant.view_number:
             return
         now = self._outbox.now
         committed_until = self._register.committed_until(now) if self.in_chain else None
-        self._contact.granted(grant.folder_id, grant.sent, now)
+        self._contact.record_confirmation(grant.folder_id, grant.requested_at, now)
         self._contact.update(view.voters, committed_until)
 
     def _holds_lease(self) -> bool:
-        return self.view is not None and self._tail_lease.holds(self.view.voters, self._outbox.now)
+        return self.view is not None and self._tail_lease.is_held(self.view.voters, self._outbox.now)
 
     def _resign(self, sender: str, number: int) -> None:
         if self.view is None or self.view.number != number or not self._chain.is_tail:
             return
-        self._tail_lease.resign(self._outbox.now)
-        self._outbox.send(sender, Resigned(number, self._outbox.now))
+        self._tail_lease.release(self._outbox.now)
+        self._outbox.send(sender, ReadLeaseReleased(number, self._outbox.now))
 
     # ---- entries ----
 
--- a/reedspoke/control_plane/replication/settings.py
+++ b/reedspoke/control_plane/replication/settings.py
@@ -11,20 +11,24 @@
 HEARD_S = 0.6  # a replica not heard for this long is unreachable
 GONE_S = 1.2  # a voter not heard by anyone for this long may be replaced
 WAKE_GAP_S = 0.35  # a longer gap between two ticks means that this process was stopped
-LEASE_S = 0.7  # a voter accepts no other tail for this long after a grant
-CONTACT_S = 0.8  # what a majority has granted to a replica lasts for this long from when it asked
-CONTACT_WAIT_S = 0.25  # a call waits for so long for the majority of voters to grant
-LEASE_MARGIN_S = 0.1  # the tail counts its lease as shorter by this
-GRANT_PAUSE_S = 1.2  # no lease is asked for, or granted, for this long after a resignation or a deferred view
+READ_LEASE_TTL_S = 0.7  # a voter accepts no other tail for this long after a grant
+MAJORITY_CONTACT_TTL_S = (
+    0.8  # what a majority has granted to a replica lasts for this long from when it asked
+)
+MAJORITY_CONTACT_WAIT_S = 0.25  # a call waits for so long for the majority of voters to grant
+READ_LEASE_MARGIN_S = 0.1  # the tail counts its lease as shorter by this
+GRANT_BACKOFF_S = (
+    1.2  # no lease is asked for, or granted, for this long after a resignation or a deferred view
+)
 REPAIR_INTERVAL_S = 0.1  # how often a member looks for a better view
 PROPOSE_AFTER_S = 0.08  # how long a better view must be in sight before it is proposed
 RANK_DELAY_S = 0.25  # the further back in the chain, the later a member proposes
 ESTABLISHED_AFTER_S = 10.0  # before it has been in reach for so long, nobody votes beside enough voters
 JOIN_AFTER_S = 0.3  # how long a joiner must be connected before it is appended
-PROPOSAL_RESEND_S = 0.1
-PROPOSAL_LIMIT_S = 1.6
-PROPOSER_BUSY_S = 0.9  # another proposer is left alone for this long after its last message
-REJECTED_PAUSE_S = 0.2
+PROPOSAL_RESEND_INTERVAL_S = 0.1
+PROPOSAL_TIMEOUT_S = 1.6
+PROPOSER_ACTIVE_S = 0.9  # another proposer is left alone for this long after its last message
+REJECTED_BACKOFF_S = 0.2
 GET_RETRY_S = 0.1
 RESEND_S = 0.4  # a chain message is sent again after this and the time that its size takes
 RESEND_BYTES_PER_S = 4_000_000
--- a/reedspoke/control_plane/storage/records.py
+++ b/reedspoke/control_plane/storage/records.py
@@ -11,9 +11,9 @@
 from reedspoke.cluster.errors import ErrorCode, FleetError
 from reedspoke.control_plane.replication.change_history import Acknowledged, ChangeHistory, check_packed
 from reedspoke.control_plane.replication.events import View
-from reedspoke.control_plane.replication.messages import Ballot, Entry
+from reedspoke.control_plane.replication.messages import Entry, ProposalNumber
 
-NO_BALLOT = Ballot()
+NO_PROPOSAL = ProposalNumber()
 
 
 class BootstrapRecord(Struct, tag="bootstrap", array_like=True, frozen=True):
@@ -29,12 +29,12 @@
 
 
 class AcceptorRecord(Struct, tag="acceptor", array_like=True, frozen=True):
-    """What this voter has promised and accepted for the view `number`."""
+    """What this voter has promised and accepted for the view `view_number`."""
 
-    number: int
-    promised: Ballot
-    accepted_ballot: Ballot = NO_BALLOT
-    accepted: View | None = None
+    view_number: int
+    promised: ProposalNumber
+    accepted_proposal_number: ProposalNumber = NO_PROPOSAL
+    accepted_view: View | None = None
 
 
 class EntryRecord(Struct, tag="entry", array_like=True, frozen=True):
@@ -125,8 +125,8 @@
         case ViewRecord(view=view):
             if state.view is None or view.number > state.view.number:
                 state.view = view
-        case AcceptorRecord(number=number):
-            state.acceptors[number] = record
+        case AcceptorRecord(view_number=view_number):
+            state.acceptors[view_number] = record
         case EntryRecord(entry=entry):
             _apply_entry(state, entry)
         case HistoryRecord(history=packed):
--- a/reedspoke/control_plane/views/acceptor.py
+++ b/reedspoke/control_plane/views/acceptor.py
@@ -1,4 +1,9 @@
-"""Acceptor of the single-decree Paxos that decides each next view; what it answers is on disk before."""
+"""Acceptor of the single-decree Paxos that decides each next view; `agreement` describes the protocol.
+
+`Acceptor` owns what this voter has promised and accepted for views that are not known to be decided. Whatever
+it answers is on its disk before: a promise that a restart forgets could let two values be decided for one
+view.
+"""
 
 from __future__ import annotations
 
@@ -8,99 +13,134 @@
 
 from reedspoke.cluster.errors import ErrorCode
 from reedspoke.control_plane.replication.events import Member, View
-from reedspoke.control_plane.replication.messages import Accept, Accepted, Ballot, Prepare, Promise, Rejected
+from reedspoke.control_plane.replication.messages import (
+    AcceptRequest,
+    AcceptResponse,
+    PrepareRequest,
+    PrepareResponse,
+    ProposalNumber,
+    ProposalRejected,
+)
 from reedspoke.control_plane.replication.outbox import Outbox
-from reedspoke.control_plane.replication.settings import PROPOSER_BUSY_S
+from reedspoke.control_plane.replication.settings import PROPOSER_ACTIVE_S
 from reedspoke.control_plane.storage.records import AcceptorRecord, RestoredState
-from reedspoke.control_plane.views.lease import VoterLease
+from reedspoke.control_plane.views.read_lease import ReadLeaseVoter
+
+
+class ActiveProposer(Struct, frozen=True):
+    """A proposer that has sent this voter a request that was not rejected."""
 
-FIRST_VIEW = 1
+    name: str
+    heard_at: float
 
 
 class Acceptor:
     """Promises and accepts for views that are not decided yet."""
 
-    def __init__(self, own: Member, outbox: Outbox, restored: RestoredState, lease: VoterLease) -> None:
+    def __init__(
+        self, own: Member, outbox: Outbox, restored: RestoredState, read_lease: ReadLeaseVoter
+    ) -> None:
         self._own = own
         self._outbox = outbox
-        self._lease = lease
-        self._states = restored.acceptors
-        self._synced: dict[int, AcceptorRecord] = dict(restored.acceptors)
+        self._read_lease = read_lease
+        self._states = restored.acceptors  # by view number, what is or will be on disk
+        self._synced: dict[int, AcceptorRecord] = dict(restored.acceptors)  # what is on disk
         self._storing: AcceptorRecord | None = None
-        self._heard_from: tuple[Ballot, float] | None = None
+        self._active_proposer: ActiveProposer | None = None
 
     def records(self) -> list[Struct]:
         """What the log has to hold."""
         return list(self._states.values())
 
-    def enter(self, view: View) -> None:
-        """Views up to this one are decided: their states are not needed, nobody is at work on them."""
-        self._heard_from = None
+    def enter_view(self, view: View) -> None:
+        """Views up to this one are decided: their states are not needed, nobody proposes them any more."""
+        self._active_proposer = None
         for number in [number for number in self._states if number <= view.number]:
             del self._states[number]
             self._synced.pop(number, None)
 
-    def promised(self, number: int) -> Ballot:
-        """The largest ballot promised for this view."""
-        return self._state(number).promised
+    def promised(self, view_number: int) -> ProposalNumber:
+        """The largest proposal number promised for this view."""
+        return self._state(view_number).promised
 
-    def accepted(self, number: int) -> View | None:
+    def accepted_view(self, view_number: int) -> View | None:
         """What has been accepted for this view."""
-        return self._state(number).accepted
+        return self._state(view_number).accepted_view
 
-    def busy_with(self, now: float) -> str | None:
-        """The proposer that has been heard lately, if any."""
-        if self._heard_from is None or now - self._heard_from[1] > PROPOSER_BUSY_S:
+    def active_proposer(self, now: float) -> str | None:
+        """Name of the proposer that has been heard within `PROPOSER_ACTIVE_S`, if any."""
+        proposer = self._active_proposer
+        if proposer is None or now - proposer.heard_at > PROPOSER_ACTIVE_S:
             return None
-        return self._heard_from[0].proposer
+        return proposer.name
 
-    def prepare(self, sender: str, message: Prepare) -> None:
-        """Phase 1."""
-        state = self._state(message.number)
-        if message.ballot < state.promised:
-            self._reject(sender, message.number, message.ballot, state.promised)
+    def handle_prepare(self, sender: str, request: PrepareRequest) -> None:
+        """Phase 1: promise to accept nothing below this number, and tell what was accepted before."""
+        state = self._state(request.view_number)
+        if request.proposal_number < state.promised:
+            self._reject(sender, request, state.promised)
             return
-        self._heard_from = (message.ballot, self._outbox.now)
-        promise = Promise(self._own, message.number, message.ballot, state.accepted_ballot, state.accepted)
-        self._keep(structs.replace(state, promised=message.ballot), sender, promise)
-
-    def accept(self, sender: str, message: Accept, present: View | None) -> None:
-        """Phase 2; a view that would break a lease is left without answer, the proposer asks again."""
-        state = self._state(message.number)
-        if message.ballot < state.promised:
-            self._reject(sender, message.number, message.ballot, state.promised)
+        self._note_active(request.proposal_number)
+        response = PrepareResponse(
+            acceptor=self._own,
+            view_number=request.view_number,
+            proposal_number=request.proposal_number,
+            accepted_proposal_number=state.accepted_proposal_number,
+            accepted_view=state.accepted_view,
+        )
+        promised = structs.replace(state, promised=request.proposal_number)
+        self._store_and_respond(promised, sender, response)
+
+    def handle_accept(self, sender: str, request: AcceptRequest, present: View | None) -> None:
+        """Phase 2: accept the view, unless a larger proposal number was promised.
+
+        A view that would break a read lease is left without a response; the proposer sends its request again.
+        """
+        state = self._state(request.view_number)
+        if request.proposal_number < state.promised:
+            self._reject(sender, request, state.promised)
             return
-        self._heard_from = (message.ballot, self._outbox.now)
-        if not self._lease.may_accept(present, message.view, message.resigned_at, self._outbox.now):
+        self._note_active(request.proposal_number)
+        if not self._read_lease.may_accept(present, request.view, request.released_at, self._outbox.now):
             return
-        accepted = AcceptorRecord(message.number, message.ballot, message.ballot, message.view)
-        self._keep(accepted, sender, Accepted(self._own, message.number, message.ballot))
-
-    def _state(self, number: int) -> AcceptorRecord:
-        return self._states.get(number) or AcceptorRecord(number, Ballot())
-
-    def _keep(self, state: AcceptorRecord, sender: str, answer: Struct) -> None:
-        """Answer once the state is on disk."""
-        if self._synced.get(state.number) == state:
-            self._outbox.send(sender, answer)
+        accepted = AcceptorRecord(
+            view_number=request.view_number,
+            promised=request.proposal_number,
+            accepted_proposal_number=request.proposal_number,
+            accepted_view=request.view,
+        )
+        response = AcceptResponse(self._own, request.view_number, request.proposal_number)
+        self._store_and_respond(accepted, sender, response)
+
+    def _state(self, view_number: int) -> AcceptorRecord:
+        return self._states.get(view_number) or AcceptorRecord(view_number, ProposalNumber())
+
+    def _note_active(self, proposal_number: ProposalNumber) -> None:
+        self._active_proposer = ActiveProposer(proposal_number.proposer, self._outbox.now)
+
+    def _store_and_respond(self, state: AcceptorRecord, sender: str, response: Struct) -> None:
+        """Respond once the state is on disk."""
+        if self._synced.get(state.view_number) == state:
+            self._outbox.send(sender, response)
             return
-        self._states[state.number] = state
+        self._states[state.view_number] = state
         if self._storing == state:
-            return  # answered when that store ends
+            return  # a request that came again: the response goes out when the store for the first ends
         self._storing = state
-        self._outbox.store([state], self._answer_when_synced(state, sender, answer))
+        self._outbox.store([state], self._respond_when_synced(state, sender, response))
 
-    def _answer_when_synced(
-        self, state: AcceptorRecord, sender: str, answer: Struct
+    def _respond_when_synced(
+        self, state: AcceptorRecord, sender: str, response: Struct
     ) -> Callable[[ErrorCode | None], None]:
         def on_end(error: ErrorCode | None) -> None:
             if self._storing == state:
                 self._storing = None
             if error is None:
-                self._synced[state.number] = state
-                self._outbox.send(sender, answer)
+                self._synced[state.view_number] = state
+                self._outbox.send(sender, response)
 
         return on_end
 
-    def _reject(self, sender: str, number: int, ballot: Ballot, promised: Ballot) -> None:
-        self._outbox.send(sender, Rejected(number, ballot, promised))
+    def _reject(self, sender: str, request: PrepareRequest | AcceptRequest, promised: ProposalNumber) -> None:
+        rejection = ProposalRejected(request.view_number, request.proposal_number, promised)
+        self._outbox.send(sender, rejection)
--- a/reedspoke/control_plane/views/largest_chain.py
+++ b/reedspoke/control_plane/views/largest_chain.py
@@ -1,4 +1,8 @@
-"""The largest part of a chain whose members all reach each other."""
+"""The largest part of a chain whose members all reach each other: a maximum clique that keeps the order.
+
+Chains have at most some fifteen members, so a depth-first search with a bound (branch and bound after
+Carraghan and Pardalos, 1990) finds it at once.
+"""
 
 from __future__ import annotations
 
@@ -9,9 +13,9 @@
 Links = tuple[ChainLink, ...]
 
 
-def largest_chain(
+def largest_connected_chain(
     links: Sequence[ChainLink],
-    connected: Callable[[ChainLink, ChainLink], bool],
+    is_connected: Callable[[ChainLink, ChainLink], bool],
     may_be_head: Callable[[ChainLink], bool],
     preferred_tail: ChainLink,
 ) -> Links:
@@ -19,55 +23,56 @@
 
     Among several of one size one that ends with `preferred_tail`, then the one whose members stand first.
     """
-    search = _Search(links, connected, may_be_head)
+    search = _Search(links, is_connected, may_be_head)
     largest = search.run(range(len(links)), ())
     if preferred_tail not in links:
         return largest
-    tail = len(links) - 1
-    with_tail = search.run([*search.neighbours_before(tail)], (links[tail],))
+    tail_index = len(links) - 1
+    with_tail = search.run(search.neighbours_before(tail_index), (links[tail_index],))
     return with_tail if len(with_tail) == len(largest) else largest
 
 
 class _Search:
-    """Depth-first, members that stand first before others, with branches cut that can't become larger."""
+    """Depth-first over the indexes of `links`; members that stand first are tried before others."""
 
     def __init__(
         self,
         links: Sequence[ChainLink],
-        connected: Callable[[ChainLink, ChainLink], bool],
+        is_connected: Callable[[ChainLink, ChainLink], bool],
         may_be_head: Callable[[ChainLink], bool],
     ) -> None:
         self._links = links
-        self._heads = [may_be_head(link) for link in links]
-        self._neighbours = [
-            {place for place, other in enumerate(links) if place > own and connected(link, other)}
+        self._may_be_head = [may_be_head(link) for link in links]
+        self._later_neighbours = [
+            {index for index, other in enumerate(links) if index > own and is_connected(link, other)}
             for own, link in enumerate(links)
         ]
         self._best: Links = ()
-        self._end: Links = ()
+        self._suffix: Links = ()
 
-    def neighbours_before(self, place: int) -> list[int]:
-        """The places before this one that are connected with it."""
-        return [other for other in range(place) if place in self._neighbours[other]]
+    def neighbours_before(self, index: int) -> list[int]:
+        """The indexes before this one that are connected with it."""
+        return [other for other in range(index) if index in self._later_neighbours[other]]
 
-    def run(self, places: Sequence[int], end: Links) -> Links:
-        """The largest chain of these places, which are in order, followed by `end`."""
+    def run(self, indexes: Sequence[int], suffix: Links) -> Links:
+        """The largest chain of these indexes, which are in order, followed by `suffix`."""
         self._best = ()
-        self._end = end
-        self._extend([], list(places))
+        self._suffix = suffix
+        self._extend([], list(indexes))
         return self._best
 
     def _extend(self, chosen: list[int], candidates: list[int]) -> None:
-        self._note(chosen)
-        for index, place in enumerate(candidates):
-            rest = candidates[index + 1 :]
-            if len(chosen) + 1 + len(rest) + len(self._end) <= len(self._best):
-                return
-            if chosen or self._heads[place]:
-                self._extend([*chosen, place], [other for other in rest if other in self._neighbours[place]])
+        self._keep_if_larger(chosen)
+        for position, index in enumerate(candidates):
+            rest = candidates[position + 1 :]
+            if len(chosen) + 1 + len(rest) + len(self._suffix) <= len(self._best):
+                return  # no chain of what is left could be larger
+            if chosen or self._may_be_head[index]:
+                neighbours = self._later_neighbours[index]
+                self._extend([*chosen, index], [other for other in rest if other in neighbours])
 
-    def _note(self, chosen: list[int]) -> None:
-        chain = (*(self._links[place] for place in chosen), *self._end)
-        headed = self._heads[chosen[0]] if chosen else bool(chain) and self._heads[-1]
-        if headed and len(chain) > len(self._best):
+    def _keep_if_larger(self, chosen: list[int]) -> None:
+        chain = (*(self._links[index] for index in chosen), *self._suffix)
+        has_head = self._may_be_head[chosen[0]] if chosen else bool(chain) and self._may_be_head[-1]
+        if has_head and len(chain) > len(self._best):
             self._best = chain
--- a/reedspoke/control_plane/views/proposer.py
+++ b/reedspoke/control_plane/views/proposer.py
@@ -1,152 +1,175 @@
-"""Proposer of the single-decree Paxos that decides each next view."""
+"""Proposer of the single-decree Paxos that decides each next view; `agreement` describes the protocol.
+
+`Proposer` owns the attempt that is under way, at most one at a time.
+"""
 
 from __future__ import annotations
 
+from collections.abc import Container
+
 from msgspec import Struct, field
 
 from reedspoke.control_plane.replication.events import Member, View
 from reedspoke.control_plane.replication.messages import (
-    Accept,
-    Accepted,
-    Ballot,
-    Prepare,
-    Promise,
-    Rejected,
+    AcceptRequest,
+    AcceptResponse,
+    PrepareRequest,
+    PrepareResponse,
+    ProposalNumber,
+    ProposalRejected,
 )
 from reedspoke.control_plane.replication.outbox import Outbox
 from reedspoke.control_plane.replication.settings import (
-    PROPOSAL_LIMIT_S,
-    PROPOSAL_RESEND_S,
-    REJECTED_PAUSE_S,
+    PROPOSAL_RESEND_INTERVAL_S,
+    PROPOSAL_TIMEOUT_S,
+    REJECTED_BACKOFF_S,
 )
-from reedspoke.control_plane.views.acceptor import FIRST_VIEW
-from reedspoke.control_plane.views.lease import majority
+from reedspoke.control_plane.views.first_view import FIRST_VIEW_NUMBER
+from reedspoke.control_plane.views.quorum import NEVER, majority_size
 
 
-def acceptor_key(number: int, acceptor: Member) -> str:
+def acceptor_key(view_number: int, acceptor: Member) -> str:
     """The first view is decided by addresses, as no one knows all folders then; later ones by folders."""
-    return acceptor.address if number == FIRST_VIEW else acceptor.folder_id
+    return acceptor.address if view_number == FIRST_VIEW_NUMBER else acceptor.folder_id
+
 
+class ProposalAttempt(Struct):
+    """One proposal number, from its first request until it is decided, rejected or given up.
 
-class Attempt(Struct):
-    """One ballot; `acceptors` has the address of each acceptor by its key."""
+    `acceptors` has the address of each acceptor by its key. Times are seconds of the steady clock.
+    """
 
-    number: int
-    ballot: Ballot
+    view_number: int
+    proposal_number: ProposalNumber
     value: View
     acceptors: dict[str, str]
-    started: float
-    sent_at: float = float("-inf")
-    resigned_at: float | None = None
-    promises: dict[str, Promise] = field(default_factory=dict)
-    accepted: set[str] = field(default_factory=set)
+    started_at: float
+    sent_at: float = NEVER
+    released_at: float | None = None  # when the present tail released its read lease, by its own clock
+    promises: dict[str, PrepareResponse] = field(default_factory=dict)
+    accepted_by: set[str] = field(default_factory=set)
 
     @property
-    def prepared(self) -> bool:
-        """Whether a majority has promised."""
-        return len(self.promises) >= majority(len(self.acceptors))
+    def is_prepared(self) -> bool:
+        """Whether a majority has promised: phase 2 has begun."""
+        return len(self.promises) >= majority_size(len(self.acceptors))
 
     @property
-    def decided(self) -> bool:
+    def is_decided(self) -> bool:
         """Whether a majority has accepted."""
-        return len(self.accepted) >= majority(len(self.acceptors))
+        return len(self.accepted_by) >= majority_size(len(self.acceptors))
+
+    def request(self) -> PrepareRequest | AcceptRequest:
+        """What the acceptors are sent in the present phase."""
+        if self.is_prepared:
+            return AcceptRequest(self.view_number, self.proposal_number, self.value, self.released_at)
+        return PrepareRequest(self.view_number, self.proposal_number)
+
+    def responded(self) -> Container[str]:
+        """Keys of the acceptors whose response in the present phase has come."""
+        return self.accepted_by if self.is_prepared else self.promises
 
 
 class Proposer:
-    """Runs one attempt at a time. `name` differs in each life of the process: no ballot is used twice."""
+    """Runs one attempt at a time.
+
+    `name` differs in each incarnation of the process, so that no proposal number is used twice.
+    """
 
     def __init__(self, name: str, outbox: Outbox) -> None:
         self._name = name
         self._outbox = outbox
-        self._attempt: Attempt | None = None
-        self._round = 0
-        self._paused_until = float("-inf")
+        self._attempt: ProposalAttempt | None = None
+        self._largest_counter = 0
+        self._backoff_until = NEVER
 
     @property
-    def attempt(self) -> Attempt | None:
-        """The attempt that runs."""
+    def attempt(self) -> ProposalAttempt | None:
+        """The attempt that is under way."""
         return self._attempt
 
-    def ready(self, now: float) -> bool:
+    def is_ready(self, now: float) -> bool:
         """Whether a new attempt may start."""
-        return self._attempt is None and now >= self._paused_until
+        return self._attempt is None and now >= self._backoff_until
 
-    def start(self, value: View, acceptors: dict[str, str], promised: Ballot) -> None:
-        """Propose `value`; where another was accepted before, that one is carried on instead."""
-        self._round = max(self._round, promised.round) + 1
-        ballot = Ballot(self._round, self._name)
-        self._attempt = Attempt(value.number, ballot, value, acceptors, self._outbox.now)
-        self._send()
+    def start(self, value: View, acceptors: dict[str, str], promised: ProposalNumber) -> None:
+        """Propose `value`; where another one was accepted before, that one is proposed instead.
+
+        `promised` is the largest proposal number that this replica has promised as an acceptor.
+        """
+        self._largest_counter = max(self._largest_counter, promised.counter) + 1
+        number = ProposalNumber(self._largest_counter, self._name)
+        self._attempt = ProposalAttempt(value.number, number, value, acceptors, self._outbox.now)
+        self._send(self._attempt)
 
     def tick(self) -> None:
-        """Send again, or give up."""
+        """Send requests without a response again, or give the attempt up."""
         attempt = self._attempt
         if attempt is None:
             return
-        if self._outbox.now - attempt.started > PROPOSAL_LIMIT_S:
+        if self._outbox.now - attempt.started_at > PROPOSAL_TIMEOUT_S:
             self._attempt = None
-        elif self._outbox.now - attempt.sent_at >= PROPOSAL_RESEND_S:
-            self._send()
+        elif self._outbox.now - attempt.sent_at >= PROPOSAL_RESEND_INTERVAL_S:
+            self._send(attempt)
 
     def stop(self, decided_number: int) -> None:
         """Views up to this number are decided."""
-        if self._attempt is not None and self._attempt.number <= decided_number:
+        if self._attempt is not None and self._attempt.view_number <= decided_number:
             self._attempt = None
 
-    def promise(self, message: Promise) -> None:
-        """An acceptor has promised."""
-        attempt = self._matching(message.number, message.ballot)
-        key = acceptor_key(message.number, message.acceptor)
-        if attempt is None or attempt.prepared or key not in attempt.acceptors:
+    def handle_promise(self, response: PrepareResponse) -> None:
+        """Phase 1: an acceptor has promised. With a majority the second phase begins.
+
+        A promise that comes later changes nothing, as one proposal number has one value.
+        """
+        attempt = self._matching(response.view_number, response.proposal_number)
+        key = acceptor_key(response.view_number, response.acceptor)
+        if attempt is None or attempt.is_prepared or key not in attempt.acceptors:
             return
-        attempt.promises[key] = message
-        if attempt.prepared:
-            attempt.value = _value_to_carry(attempt)
-            self._send()
-
-    def accepted(self, message: Accepted) -> View | None:
-        """An acceptor has accepted; the view, once it is decided."""
-        attempt = self._matching(message.number, message.ballot)
-        key = acceptor_key(message.number, message.acceptor)
+        attempt.promises[key] = response
+        if attempt.is_prepared:
+            attempt.value = _value_to_propose(attempt)
+            self._send(attempt)
+
+    def handle_accepted(self, response: AcceptResponse) -> View | None:
+        """Phase 2: an acceptor has accepted. The view, once it is decided."""
+        attempt = self._matching(response.view_number, response.proposal_number)
+        key = acceptor_key(response.view_number, response.acceptor)
         if attempt is None or key not in attempt.acceptors:
             return None
-        attempt.accepted.add(key)
-        return attempt.value if attempt.decided else None
+        attempt.accepted_by.add(key)
+        return attempt.value if attempt.is_decided else None
 
-    def rejected(self, message: Rejected) -> None:
-        """An acceptor has promised a larger ballot: leave the other proposer some time."""
-        if self._matching(message.number, message.ballot) is None:
+    def handle_rejected(self, rejection: ProposalRejected) -> None:
+        """An acceptor has promised a larger proposal number: leave the other proposer some time."""
+        if self._matching(rejection.view_number, rejection.proposal_number) is None:
             return
-        self._round = max(self._round, message.promised.round)
+        self._largest_counter = max(self._largest_counter, rejection.promised.counter)
         self._attempt = None
-        self._paused_until = self._outbox.now + REJECTED_PAUSE_S
+        self._backoff_until = self._outbox.now + REJECTED_BACKOFF_S
 
-    def resigned(self, at: float) -> None:
-        """The present tail has given up its lease."""
+    def read_lease_released(self, released_at: float) -> None:
+        """The present tail has released its read lease, at this time of its clock."""
         if self._attempt is not None:
-            self._attempt.resigned_at = at
-            self._send()
+            self._attempt.released_at = released_at
+            self._send(self._attempt)
 
-    def _matching(self, number: int, ballot: Ballot) -> Attempt | None:
+    def _matching(self, view_number: int, proposal_number: ProposalNumber) -> ProposalAttempt | None:
         attempt = self._attempt
-        if attempt is None or attempt.number != number or attempt.ballot != ballot:
+        if attempt is None or attempt.view_number != view_number:
             return None
-        return attempt
+        return attempt if attempt.proposal_number == proposal_number else None
 
-    def _send(self) -> None:
-        attempt = self._attempt
-        if attempt is None:
-            return
+    def _send(self, attempt: ProposalAttempt) -> None:
+        """Send the request of the present phase to all acceptors whose response has not come."""
         attempt.sent_at = self._outbox.now
-        message: Prepare | Accept = Prepare(attempt.number, attempt.ballot)
-        if attempt.prepared:
-            message = Accept(attempt.number, attempt.ballot, attempt.value, attempt.resigned_at)
+        request = attempt.request()
         for key, address in attempt.acceptors.items():
-            if key not in (attempt.accepted if attempt.prepared else attempt.promises):
-                self._outbox.send(address, message)
+            if key not in attempt.responded():
+                self._outbox.send(address, request)
 
 
-def _value_to_carry(attempt: Attempt) -> View:
-    """The value accepted with the largest ballot, else the proposer's own."""
-    newest = max(attempt.promises.values(), key=lambda promise: promise.accepted_ballot)
-    return newest.accepted if newest.accepted is not None else attempt.value
+def _value_to_propose(attempt: ProposalAttempt) -> View:
+    """The value accepted under the largest proposal number, which may have been decided; else the own one."""
+    newest = max(attempt.promises.values(), key=lambda promise: promise.accepted_proposal_number)
+    return newest.accepted_view if newest.accepted_view is not None else attempt.value
--- /dev/null
+++ b/reedspoke/control_plane/views/quorum.py
@@ -0,0 +1,24 @@
+"""Majority quorums: any two majorities of the same voters have a voter in common."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+
+from reedspoke.control_plane.replication.events import Member
+
+NEVER = float("-inf")  # a time before all others
+
+
+def majority_size(count: int) -> int:
+    """The smallest number of voters that is more than half of `count`."""
+    return count // 2 + 1
+
+
+def majority_time(times: Mapping[str, float], voters: tuple[Member, ...]) -> float:
+    """The latest time that a majority of `voters` has reached, `NEVER` where there is none.
+
+    `times` has one time for each folder id, in seconds of any one clock; voters without one have reached
+    none.
+    """
+    latest_first = sorted((times.get(voter.folder_id, NEVER) for voter in voters), reverse=True)
+    return latest_first[majority_size(len(voters)) - 1]
--- a/tests/control_plane/loss_check.py
+++ b/tests/control_plane/loss_check.py
@@ -18,8 +18,8 @@
 from reedspoke.control_plane.replication.events import Member, View
 from reedspoke.control_plane.replication.settings import HEARD_S
 from reedspoke.control_plane.storage.records import RestoredState, restore
-from reedspoke.control_plane.views.acceptor import FIRST_VIEW
-from reedspoke.control_plane.views.lease import majority
+from reedspoke.control_plane.views.first_view import FIRST_VIEW_NUMBER
+from reedspoke.control_plane.views.quorum import majority_size
 from tests.control_plane.schedule import check_end
 from tests.control_plane.simulated_parts import Disk, Machine
 from tests.control_plane.simulation import Simulation
@@ -167,7 +167,7 @@
         survivors[link.member.folder_id]
         for link in newest.chain
         if link.member.folder_id in survivors
-        and (link.joined == FIRST_VIEW or survivors[link.member.folder_id].synced_since == link.joined)
+        and (link.joined == FIRST_VIEW_NUMBER or survivors[link.member.folder_id].synced_since == link.joined)
     ]
     assert complete, f"no complete member {where}"
     for state in complete:
@@ -178,4 +178,4 @@
 
 def _majority_survives(voters: tuple[Member, ...], survivors: dict[str, RestoredState]) -> bool:
     left = sum(voter.folder_id in survivors for voter in voters)
-    return left >= majority(len(voters))
+    return left >= majority_size(len(voters))
--- a/tests/control_plane/loss_schedule.py
+++ b/tests/control_plane/loss_schedule.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 
 from reedspoke.control_plane.replication.events import Leave, SendTo, View
-from reedspoke.control_plane.replication.messages import ViewTold
+from reedspoke.control_plane.replication.messages import ViewDecided
 from tests.control_plane.loss_check import check_by_trial, check_records, further_losses
 from tests.control_plane.schedule import Operator
 from tests.control_plane.simulated_parts import DiskMode
@@ -148,7 +148,7 @@
             self._check_records()
 
     def _spy(self, effect: SendTo) -> None:
-        if isinstance(effect.message, ViewTold):
+        if isinstance(effect.message, ViewDecided):
             self._views.decided(effect.message.view)
 
     def _begin(self, trouble: Trouble) -> None:
--- a/tests/control_plane/simulated_core.py
+++ b/tests/control_plane/simulated_core.py
@@ -28,7 +28,12 @@
     Tick,
     ViewChanged,
 )
-from reedspoke.control_plane.replication.messages import ContactGrant, LeaseGrant, Ping, ReplicaMessage
+from reedspoke.control_plane.replication.messages import (
+    Ping,
+    ReadLeaseGrant,
+    ReplicaMessage,
+    ViewConfirmation,
+)
 from reedspoke.control_plane.replication.replica import TICK_S, Replica, ReplicaSettings
 from tests.control_plane.calm import Calm
 from tests.control_plane.judge import Judge
@@ -255,7 +260,7 @@
 
     def _message_number(self, message: Struct) -> int:
         """Numbers what happens once; signs of life, which are repeated all the time, get none."""
-        if isinstance(message, Ping | LeaseGrant | ContactGrant):
+        if isinstance(message, Ping | ReadLeaseGrant | ViewConfirmation):
             return 0
         self.message_count += 1
         if self.on_message is not None:
--- a/tests/control_plane/test_guards_agreement.py
+++ b/tests/control_plane/test_guards_agreement.py
@@ -6,21 +6,21 @@
 
 from reedspoke.control_plane.replication.events import ChainLink, Member, SendTo, View
 from reedspoke.control_plane.replication.messages import (
-    Accept,
-    Accepted,
-    Ballot,
+    AcceptRequest,
+    AcceptResponse,
     Ping,
-    Prepare,
-    Promise,
-    Rejected,
-    Resigned,
-    ViewTold,
+    PrepareRequest,
+    PrepareResponse,
+    ProposalNumber,
+    ProposalRejected,
+    ReadLeaseReleased,
+    ViewDecided,
 )
 from reedspoke.control_plane.replication.outbox import Outbox
-from reedspoke.control_plane.storage.records import NO_BALLOT
-from reedspoke.control_plane.views.first import first_view
-from reedspoke.control_plane.views.lease import TailLease, VoterLease
+from reedspoke.control_plane.storage.records import NO_PROPOSAL
+from reedspoke.control_plane.views.first_view import form_first_view
 from reedspoke.control_plane.views.proposer import Proposer
+from reedspoke.control_plane.views.read_lease import ReadLeaseHolder, ReadLeaseVoter
 from tests.control_plane.test_view_agreement import MEMBERS, PRESENT, START, Voter
 
 A, B, C = MEMBERS
@@ -39,46 +39,46 @@
 
 def test_a_ballot_below_the_promised_one_is_not_accepted() -> None:
     voter = Voter(A)
-    voter.agreement.receive("at-b", Prepare(2, Ballot(5, "b")))
-    voter.agreement.receive("at-c", Accept(2, Ballot(4, "c"), SAME_TAIL))
-    assert _answers(voter) == [Promise, Rejected]
+    voter.agreement.receive("at-b", PrepareRequest(2, ProposalNumber(5, "b")))
+    voter.agreement.receive("at-c", AcceptRequest(2, ProposalNumber(4, "c"), SAME_TAIL))
+    assert _answers(voter) == [PrepareResponse, ProposalRejected]
 
 
 def test_a_view_with_another_tail_is_not_accepted_while_a_lease_runs() -> None:
     voter = Voter(A)
-    voter.agreement.voter_lease.grant(voter.outbox.now, voter.outbox.now)
-    voter.agreement.receive("at-b", Accept(2, Ballot(1, "b"), OTHER_TAIL))
+    voter.agreement.read_lease_voter.grant(voter.outbox.now, voter.outbox.now)
+    voter.agreement.receive("at-b", AcceptRequest(2, ProposalNumber(1, "b"), OTHER_TAIL))
     assert _answers(voter) == []
-    voter.agreement.receive("at-b", Accept(2, Ballot(1, "b"), SAME_TAIL))
-    assert _answers(voter) == [Accepted]
+    voter.agreement.receive("at-b", AcceptRequest(2, ProposalNumber(1, "b"), SAME_TAIL))
+    assert _answers(voter) == [AcceptResponse]
 
 
 def test_a_request_that_comes_again_during_the_store_is_not_answered_before_its_end() -> None:
     voter = Voter(A)
-    voter.agreement.receive("at-b", Prepare(2, Ballot(1, "b")))
-    voter.agreement.receive("at-b", Prepare(2, Ballot(1, "b")))
+    voter.agreement.receive("at-b", PrepareRequest(2, ProposalNumber(1, "b")))
+    voter.agreement.receive("at-b", PrepareRequest(2, ProposalNumber(1, "b")))
     assert not [effect for effect in voter.outbox.take() if isinstance(effect, SendTo)]
 
 
 def test_a_voter_votes_on_the_next_view_alone() -> None:
     voter = Voter(A)
-    voter.agreement.receive("at-b", Prepare(3, Ballot(1, "b")))
-    voter.agreement.receive("at-b", Accept(3, Ballot(1, "b"), View(3, MEMBERS, PRESENT.chain)))
+    voter.agreement.receive("at-b", PrepareRequest(3, ProposalNumber(1, "b")))
+    voter.agreement.receive("at-b", AcceptRequest(3, ProposalNumber(1, "b"), View(3, MEMBERS, PRESENT.chain)))
     assert _answers(voter) == []
 
 
 def test_a_stranger_has_no_vote() -> None:
     stranger = Voter(STRANGER)
-    stranger.agreement.receive("at-b", Prepare(2, Ballot(1, "b")))
-    stranger.agreement.receive("at-b", Accept(2, Ballot(1, "b"), SAME_TAIL))
+    stranger.agreement.receive("at-b", PrepareRequest(2, ProposalNumber(1, "b")))
+    stranger.agreement.receive("at-b", AcceptRequest(2, ProposalNumber(1, "b"), SAME_TAIL))
     assert _answers(stranger) == []
 
 
 def test_who_has_heard_that_a_view_is_decided_tells_it_and_votes_no_more() -> None:
     voter = Voter(A)
     voter.agreement.learn(SAME_TAIL)
-    voter.agreement.receive("at-b", Prepare(2, Ballot(1, "b")))
-    assert _answers(voter) == [ViewTold]
+    voter.agreement.receive("at-b", PrepareRequest(2, ProposalNumber(1, "b")))
+    assert _answers(voter) == [ViewDecided]
 
 
 def test_a_view_that_the_disk_refused_does_not_take_effect() -> None:
@@ -93,7 +93,7 @@
 def test_the_first_view_consists_of_folders_that_were_made_for_it() -> None:
     founders = [Ping(member, 0, (), True, 0, 0, bootstrap=True) for member in (A, B)]
     other = Ping(C, 0, (), True, 0, 0)
-    view = first_view(tuple(member.address for member in MEMBERS), [*founders, other], 2, 3)
+    view = form_first_view(tuple(member.address for member in MEMBERS), [*founders, other], 2, 3)
     assert view is not None
     assert view.voters == (A, B)
 
@@ -108,7 +108,7 @@
     others = [Member(f"folder-{number}", f"other-{number}", "z") for number in range(newcomers)]
     pings = [Ping(member, 0, (), True, 0, 0, starts_new=True) for member in others]
     older = Ping(Member("folder-old", "at-old", "z"), 0, (), True, 0, 0)
-    view = first_view(tuple(member.address for member in MEMBERS), [older, *pings, *founders], 3, wanted)
+    view = form_first_view(tuple(member.address for member in MEMBERS), [older, *pings, *founders], 3, wanted)
     assert view is not None
     assert len(view.voters) == voters
     assert view.voters == tuple(link.member for link in view.chain)
@@ -118,7 +118,7 @@
 def test_two_seeds_and_another_begin_without_the_third() -> None:
     founders = [Ping(member, 0, (), True, 0, 0, bootstrap=True) for member in (A, B)]
     other = Ping(Member("folder-1", "other-1", "z"), 0, (), True, 0, 0, starts_new=True)
-    view = first_view(tuple(member.address for member in MEMBERS), [*founders, other], 2, 5)
+    view = form_first_view(tuple(member.address for member in MEMBERS), [*founders, other], 2, 5)
     assert view is not None
     assert view.voters == (A, B, other.member)
 
@@ -132,22 +132,22 @@
     def __init__(self) -> None:
         self.outbox = Outbox(A.address, START, 0)
         self.proposer = Proposer("a:1", self.outbox)
-        self.proposer.start(SAME_TAIL, {member.folder_id: member.address for member in MEMBERS}, NO_BALLOT)
+        self.proposer.start(SAME_TAIL, {member.folder_id: member.address for member in MEMBERS}, NO_PROPOSAL)
 
     @property
-    def ballot(self) -> Ballot:
+    def proposal_number(self) -> ProposalNumber:
         assert self.proposer.attempt is not None
-        return self.proposer.attempt.ballot
+        return self.proposer.attempt.proposal_number
 
     def promise(self, member: Member, accepted: View | None = None, round_: int = 0) -> None:
         """A promise, with what this acceptor has accepted in an earlier ballot."""
-        before = Ballot(round_, "c:1") if accepted else NO_BALLOT
-        self.proposer.promise(Promise(member, 2, self.ballot, before, accepted))
+        before = ProposalNumber(round_, "c:1") if accepted else NO_PROPOSAL
+        self.proposer.handle_promise(PrepareResponse(member, 2, self.proposal_number, before, accepted))
 
     def prepared(self) -> bool:
         """Whether it goes on to the second phase."""
         assert self.proposer.attempt is not None
-        return self.proposer.attempt.prepared
+        return self.proposer.attempt.is_prepared
 
     def value(self) -> View:
         """What it proposes."""
@@ -167,7 +167,7 @@
 def test_a_promise_for_an_earlier_ballot_does_not_count() -> None:
     attempt = RunningAttempt()
     attempt.promise(A)
-    attempt.proposer.promise(Promise(B, 2, Ballot(0, "a:1"), NO_BALLOT, None))
+    attempt.proposer.handle_promise(PrepareResponse(B, 2, ProposalNumber(0, "a:1"), NO_PROPOSAL, None))
     assert not attempt.prepared()
 
 
@@ -190,9 +190,9 @@
     attempt = RunningAttempt()
     for member in (A, B):
         attempt.promise(member)
-    assert attempt.proposer.accepted(Accepted(A, 2, attempt.ballot)) is None
-    assert attempt.proposer.accepted(Accepted(STRANGER, 2, attempt.ballot)) is None
-    assert attempt.proposer.accepted(Accepted(B, 2, attempt.ballot)) == SAME_TAIL
+    assert attempt.proposer.handle_accepted(AcceptResponse(A, 2, attempt.proposal_number)) is None
+    assert attempt.proposer.handle_accepted(AcceptResponse(STRANGER, 2, attempt.proposal_number)) is None
+    assert attempt.proposer.handle_accepted(AcceptResponse(B, 2, attempt.proposal_number)) == SAME_TAIL
 
 
 # ---- leases ----
@@ -200,33 +200,33 @@
 
 def test_a_voter_grants_nothing_against_its_vote() -> None:
     voter = Voter(A)
-    assert voter.agreement.may_grant(PRESENT.number)
-    voter.agreement.receive("at-b", Accept(2, Ballot(1, "b"), OTHER_TAIL))
+    assert voter.agreement.may_grant_read_lease(PRESENT.number)
+    voter.agreement.receive("at-b", AcceptRequest(2, ProposalNumber(1, "b"), OTHER_TAIL))
     voter.step()
-    assert not voter.agreement.may_grant(PRESENT.number)
+    assert not voter.agreement.may_grant_read_lease(PRESENT.number)
 
 
 @pytest.mark.parametrize("number", [PRESENT.number - 1, PRESENT.number + 1])
 def test_a_voter_grants_nothing_in_another_view(number: int) -> None:
-    assert not Voter(A).agreement.may_grant(number)
+    assert not Voter(A).agreement.may_grant_read_lease(number)
 
 
 def test_a_stranger_grants_nothing() -> None:
-    assert not Voter(STRANGER).agreement.may_grant(PRESENT.number)
+    assert not Voter(STRANGER).agreement.may_grant_read_lease(PRESENT.number)
 
 
 def test_a_stranger_confirms_no_view() -> None:
-    assert Voter(A).agreement.may_confirm(PRESENT.number)
-    assert not Voter(STRANGER).agreement.may_confirm(PRESENT.number)
+    assert Voter(A).agreement.may_confirm_view(PRESENT.number)
+    assert not Voter(STRANGER).agreement.may_confirm_view(PRESENT.number)
 
 
 def test_a_resignation_from_another_view_is_passed_over() -> None:
     voter = Voter(A)
     voter.agreement.propose(OTHER_TAIL)
     voter.step()
-    voter.agreement.receive("at-c", Resigned(PRESENT.number + 1, LATER))
+    voter.agreement.receive("at-c", ReadLeaseReleased(PRESENT.number + 1, LATER))
     assert voter.step() == []
-    voter.agreement.receive("at-c", Resigned(PRESENT.number, LATER))
+    voter.agreement.receive("at-c", ReadLeaseReleased(PRESENT.number, LATER))
     assert voter.step() != []
 
 
@@ -240,25 +240,25 @@
 
 
 def test_a_resignation_before_the_newest_grant_ends_nothing_also_in_the_next_view() -> None:
-    lease = VoterLease(now=0.0)
-    lease.grant(sent=20.0, now=20.0)
-    lease.enter(PRESENT, SAME_TAIL)
+    lease = ReadLeaseVoter(now=0.0)
+    lease.grant(requested_at=20.0, now=20.0)
+    lease.enter_view(PRESENT, SAME_TAIL)
     assert not lease.may_accept(SAME_TAIL, OTHER_TAIL, 19.0, 20.1)
 
 
 def test_a_tail_asks_for_its_lease_anew_in_each_view() -> None:
-    lease = TailLease()
+    lease = ReadLeaseHolder()
     for voter in MEMBERS:
-        lease.granted(voter.folder_id, 20.0)
-    assert lease.holds(MEMBERS, 20.1)
-    lease.enter()
-    assert not lease.holds(MEMBERS, 20.1)
+        lease.record_grant(voter.folder_id, 20.0)
+    assert lease.is_held(MEMBERS, 20.1)
+    lease.enter_view()
+    assert not lease.is_held(MEMBERS, 20.1)
 
 
 def test_a_lease_of_the_view_before_is_none_in_the_next_one() -> None:
-    lease = TailLease()
+    lease = ReadLeaseHolder()
     for member in MEMBERS:
-        lease.granted(member.folder_id, START)
-    assert lease.holds(MEMBERS, START)
-    lease.enter()
-    assert not lease.holds(MEMBERS, START)
+        lease.record_grant(member.folder_id, START)
+    assert lease.is_held(MEMBERS, START)
+    lease.enter_view()
+    assert not lease.is_held(MEMBERS, START)
--- a/tests/control_plane/test_guards_answers.py
+++ b/tests/control_plane/test_guards_answers.py
@@ -20,15 +20,15 @@
     View,
 )
 from reedspoke.control_plane.replication.messages import (
-    ContactGrant,
     GetReply,
     GetRequest,
     PutReply,
     PutRequest,
     Snapshot,
-    ViewTold,
+    ViewConfirmation,
+    ViewDecided,
 )
-from reedspoke.control_plane.replication.settings import CONTACT_S, PING_INTERVAL_S, TICK_S
+from reedspoke.control_plane.replication.settings import MAJORITY_CONTACT_TTL_S, PING_INTERVAL_S, TICK_S
 from tests.control_plane.chain_replica import HEAD, MIDDLE, TAIL, VIEW_NUMBER, entry, packed_history, view_of
 from tests.control_plane.test_guards_replica import LoneReplica
 
@@ -39,7 +39,7 @@
     """The head is heard and has granted, as has the member itself."""
     member.tick(PING_INTERVAL_S)
     member.ping_from(HEAD)
-    member.receive(HEAD, ContactGrant(HEAD.folder_id, member.view_number, member.now))
+    member.receive(HEAD, ViewConfirmation(HEAD.folder_id, member.view_number, member.now))
     assert member.replica.holds_majority(member.now)
     return member
 
@@ -49,7 +49,7 @@
 
 
 def _grants_run_out(member: LoneReplica) -> None:
-    member.run_beside(HEAD, seconds=CONTACT_S + TICK_S)
+    member.run_beside(HEAD, seconds=MAJORITY_CONTACT_TTL_S + TICK_S)
     assert member.replica.majority_reached
 
 
@@ -113,7 +113,7 @@
     member = _in_contact(LoneReplica(MIDDLE, WITHOUT_MIDDLE))
     joined = VIEW_NUMBER + 1
     following = View(joined, WITHOUT_MIDDLE.voters, (*WITHOUT_MIDDLE.chain, ChainLink(MIDDLE, joined)))
-    member.receive(HEAD, ViewTold(following))
+    member.receive(HEAD, ViewDecided(following))
     member.receive(TAIL, Snapshot(joined, joined, entry(1), packed_history(entry(1))))
     assert member.replica.in_chain
     assert member.replica.holds_majority(member.now)
--- a/tests/control_plane/test_guards_head.py
+++ b/tests/control_plane/test_guards_head.py
@@ -18,7 +18,7 @@
 from reedspoke.control_plane.replication.outbox import Outbox
 from reedspoke.control_plane.replication.puts import PutForwarder
 from reedspoke.control_plane.replication.refusals import Refusals
-from reedspoke.control_plane.views.majority_contact import Contact
+from reedspoke.control_plane.views.majority_contact import ContactState
 from tests.control_plane.chain_replica import (
     ANSWER_LIMIT_S,
     HEAD,
@@ -214,8 +214,8 @@
     assert waiting.ended == [False]
 
 
-@pytest.mark.parametrize(("view", "contact"), [(None, Contact.NONE), (WHOLE, Contact.NONE)])
-def test_a_replica_cut_off_refuses_a_change_at_once(view: View | None, contact: Contact) -> None:
+@pytest.mark.parametrize(("view", "contact"), [(None, ContactState.NONE), (WHOLE, ContactState.NONE)])
+def test_a_replica_cut_off_refuses_a_change_at_once(view: View | None, contact: ContactState) -> None:
     outbox = Outbox(MIDDLE.address, START, 0)
     puts = PutForwarder("b:1", outbox, ANSWER_LIMIT_S)
     puts.put(Put(1, 0, 10, b"document"), view, contact)
@@ -227,10 +227,10 @@
 def test_a_change_that_the_head_has_not_answered_is_unclear() -> None:
     outbox = Outbox(MIDDLE.address, START, 0)
     puts = PutForwarder("b:1", outbox, ANSWER_LIMIT_S)
-    puts.put(Put(1, 0, 10, b"document"), WHOLE, Contact.GRANTED)
+    puts.put(Put(1, 0, 10, b"document"), WHOLE, ContactState.CONFIRMED)
     outbox.take()
     outbox.now = START + ANSWER_LIMIT_S
-    puts.tick(WHOLE, Contact.GRANTED)
+    puts.tick(WHOLE, ContactState.CONFIRMED)
     assert [answer.error for answer in outbox.take() if isinstance(answer, PutAnswer)] == [
         ErrorCode.WRITE_UNCLEAR
     ]
@@ -239,9 +239,9 @@
 def test_a_refusal_by_the_head_of_an_earlier_view_answers_nothing() -> None:
     outbox = Outbox(MIDDLE.address, START, 0)
     puts = PutForwarder("b:1", outbox, ANSWER_LIMIT_S)
-    puts.put(Put(1, 0, 10, b"document"), WHOLE, Contact.GRANTED)
+    puts.put(Put(1, 0, 10, b"document"), WHOLE, ContactState.CONFIRMED)
     following = view_of((HEAD, 1), (TAIL, 1), number=VIEW_NUMBER + 1)
-    puts.tick(following, Contact.GRANTED)
+    puts.tick(following, ContactState.CONFIRMED)
     outbox.take()
     refused = int(ErrorCode.CONFIGURATION_STALE_MATCH)
     puts.reply(PutReply(VIEW_NUMBER, "b:1:1", refused))
--- a/tests/control_plane/test_guards_peers.py
+++ b/tests/control_plane/test_guards_peers.py
@@ -16,7 +16,7 @@
     PING_INTERVAL_S,
 )
 from reedspoke.control_plane.storage.records import ProbeRecord
-from reedspoke.control_plane.views.first import first_view
+from reedspoke.control_plane.views.first_view import form_first_view
 from tests.control_plane.chain_replica import HEAD, MIDDLE, START, TAIL
 
 
@@ -61,8 +61,11 @@
 def test_the_first_view_waits_for_folders_that_were_made_for_it() -> None:
     seeds = (HEAD.address, MIDDLE.address)
     starting = [_ping(HEAD, bootstrap=True), _ping(MIDDLE, bootstrap=True)]
-    assert first_view(seeds, starting, least=2, wanted=3) is not None
-    assert first_view(seeds, [starting[0], _ping(MIDDLE, bootstrap=False)], least=2, wanted=3) is None
+    assert form_first_view(seeds, starting, min_seeds=2, target_members=3) is not None
+    assert (
+        form_first_view(seeds, [starting[0], _ping(MIDDLE, bootstrap=False)], min_seeds=2, target_members=3)
+        is None
+    )
 
 
 class FailedDisk:
--- a/tests/control_plane/test_guards_reads.py
+++ b/tests/control_plane/test_guards_reads.py
@@ -8,7 +8,7 @@
 from reedspoke.control_plane.replication.events import Committed, Get, GetAnswer, Member, View
 from reedspoke.control_plane.replication.gets import GetForwarder, TailReader
 from reedspoke.control_plane.replication.messages import GetReply, GetRequest
-from reedspoke.control_plane.views.majority_contact import Contact
+from reedspoke.control_plane.views.majority_contact import ContactState
 from tests.control_plane.chain_replica import (
     ANSWER_LIMIT_S,
     HEAD,
@@ -68,7 +68,7 @@
     replica.register.commit()
     for sequence, expected in ((1, 10), (2, None)):
         gets = GetForwarder("b:1", replica.outbox, replica.register, ANSWER_LIMIT_S)
-        gets.get(Get(1), WHOLE, Contact.GRANTED)
+        gets.get(Get(1), WHOLE, ContactState.CONFIRMED)
         replica.outbox.take()
         gets.reply(GetReply(VIEW_NUMBER, "b:1:1", True, sequence))
         (answer,) = replica.outbox.take()
--- a/tests/control_plane/test_guards_replica.py
+++ b/tests/control_plane/test_guards_replica.py
@@ -17,25 +17,25 @@
     View,
 )
 from reedspoke.control_plane.replication.messages import (
-    Accept,
-    Accepted,
-    Ballot,
+    AcceptRequest,
+    AcceptResponse,
     GetReply,
     GetRequest,
-    LeaseGrant,
     Ping,
-    Prepare,
-    Resigned,
-    ResignRequest,
+    PrepareRequest,
+    ProposalNumber,
+    ReadLeaseGrant,
+    ReadLeaseReleased,
+    ReadLeaseReleaseRequest,
     Snapshot,
 )
 from reedspoke.control_plane.replication.replica import Replica, ReplicaSettings
 from reedspoke.control_plane.replication.settings import (
     HEARD_S,
-    LEASE_S,
     PING_INTERVAL_S,
     PROPOSE_AFTER_S,
     RANK_DELAY_S,
+    READ_LEASE_TTL_S,
     TICK_S,
 )
 from reedspoke.control_plane.storage.records import ViewRecord, encode_record
@@ -143,24 +143,26 @@
 @pytest.mark.parametrize(("view", "ready"), [(VIEW_NUMBER - 1, False), (VIEW_NUMBER, True)])
 def test_a_grant_counts_in_its_own_view_alone(view: int, ready: bool) -> None:
     tail = LoneReplica(TAIL)
-    tail.receive(HEAD, LeaseGrant(HEAD.folder_id, view, tail.now))
+    tail.receive(HEAD, ReadLeaseGrant(HEAD.folder_id, view, tail.now))
     assert tail.read_is_answered() is ready
 
 
 def test_a_tail_that_has_resigned_answers_no_read() -> None:
     tail = LoneReplica(TAIL)
-    tail.receive(HEAD, LeaseGrant(HEAD.folder_id, VIEW_NUMBER, tail.now))
-    assert _of_type(tail.receive(MIDDLE, ResignRequest(VIEW_NUMBER)), Resigned)
+    tail.receive(HEAD, ReadLeaseGrant(HEAD.folder_id, VIEW_NUMBER, tail.now))
+    assert _of_type(tail.receive(MIDDLE, ReadLeaseReleaseRequest(VIEW_NUMBER)), ReadLeaseReleased)
     assert not tail.read_is_answered()
 
 
 def test_a_tail_does_not_resign_for_another_view_s_proposer() -> None:
     tail = LoneReplica(TAIL)
-    assert not _of_type(tail.receive(MIDDLE, ResignRequest(VIEW_NUMBER - 1)), Resigned)
+    assert not _of_type(tail.receive(MIDDLE, ReadLeaseReleaseRequest(VIEW_NUMBER - 1)), ReadLeaseReleased)
 
 
 def test_a_member_before_the_tail_does_not_resign() -> None:
-    assert not _of_type(LoneReplica(MIDDLE).receive(HEAD, ResignRequest(VIEW_NUMBER)), Resigned)
+    assert not _of_type(
+        LoneReplica(MIDDLE).receive(HEAD, ReadLeaseReleaseRequest(VIEW_NUMBER)), ReadLeaseReleased
+    )
 
 
 def test_an_incomplete_tail_asks_for_no_lease() -> None:
@@ -171,27 +173,27 @@
 
 def test_a_voter_grants_the_tail_in_reach_alone() -> None:
     voter = LoneReplica(HEAD)
-    assert _of_type(voter.lease_asked_by(TAIL), LeaseGrant)
-    assert not _of_type(voter.lease_asked_by(MIDDLE), LeaseGrant)
-    assert not _of_type(voter.lease_asked_by(TAIL, hears_us=False), LeaseGrant)
+    assert _of_type(voter.lease_asked_by(TAIL), ReadLeaseGrant)
+    assert not _of_type(voter.lease_asked_by(MIDDLE), ReadLeaseGrant)
+    assert not _of_type(voter.lease_asked_by(TAIL, hears_us=False), ReadLeaseGrant)
 
 
 def test_a_voter_accepts_no_other_tail_after_a_grant() -> None:
     voter = LoneReplica(HEAD)
-    voter.tick(LEASE_S)
+    voter.tick(READ_LEASE_TTL_S)
     voter.lease_asked_by(TAIL)
-    accept = Accept(OTHER_TAIL.number, Ballot(1, "b"), OTHER_TAIL)
-    assert not _of_type(voter.receive(MIDDLE, accept), Accepted)
-    voter.tick(LEASE_S)
-    assert _of_type(voter.receive(MIDDLE, accept), Accepted)
+    accept = AcceptRequest(OTHER_TAIL.number, ProposalNumber(1, "b"), OTHER_TAIL)
+    assert not _of_type(voter.receive(MIDDLE, accept), AcceptResponse)
+    voter.tick(READ_LEASE_TTL_S)
+    assert _of_type(voter.receive(MIDDLE, accept), AcceptResponse)
 
 
 def test_a_voter_grants_nothing_after_it_has_accepted_another_tail() -> None:
     voter = LoneReplica(HEAD)
-    voter.tick(LEASE_S)
-    accept = Accept(OTHER_TAIL.number, Ballot(1, "b"), OTHER_TAIL)
-    assert _of_type(voter.receive(MIDDLE, accept), Accepted)
-    assert not _of_type(voter.lease_asked_by(TAIL), LeaseGrant)
+    voter.tick(READ_LEASE_TTL_S)
+    accept = AcceptRequest(OTHER_TAIL.number, ProposalNumber(1, "b"), OTHER_TAIL)
+    assert _of_type(voter.receive(MIDDLE, accept), AcceptResponse)
+    assert not _of_type(voter.lease_asked_by(TAIL), ReadLeaseGrant)
 
 
 # ---- what it says of itself ----
@@ -254,20 +256,20 @@
 def test_who_has_just_started_proposes_nobody_s_removal() -> None:
     head = LoneReplica(HEAD)
     sent = head.run_beside(MIDDLE, seconds=HEARD_S - 2 * TICK_S)
-    assert not _of_type(sent, Prepare)
-    assert _of_type(head.run_beside(MIDDLE, seconds=PROPOSED_BY_S), Prepare)
+    assert not _of_type(sent, PrepareRequest)
+    assert _of_type(head.run_beside(MIDDLE, seconds=PROPOSED_BY_S), PrepareRequest)
 
 
 def test_who_reaches_no_majority_proposes_nothing() -> None:
     head = LoneReplica(HEAD, tolerated=0)
-    assert not _of_type(head.run_beside(seconds=PROPOSED_BY_S), Prepare)
+    assert not _of_type(head.run_beside(seconds=PROPOSED_BY_S), PrepareRequest)
 
 
 def test_an_incomplete_member_is_not_proposed_as_head() -> None:
     middle = LoneReplica(MIDDLE, view_of((HEAD, 1), (MIDDLE, VIEW_NUMBER), (TAIL, 1)))
-    assert not _of_type(middle.run_beside(TAIL, seconds=PROPOSED_BY_S), Prepare)
+    assert not _of_type(middle.run_beside(TAIL, seconds=PROPOSED_BY_S), PrepareRequest)
     complete = LoneReplica(MIDDLE)
-    assert _of_type(complete.run_beside(TAIL, seconds=PROPOSED_BY_S), Prepare)
+    assert _of_type(complete.run_beside(TAIL, seconds=PROPOSED_BY_S), PrepareRequest)
 
 
 def test_a_member_whose_disk_fails_is_proposed_to_leave() -> None:
@@ -278,4 +280,4 @@
         sent += head.ping_from(MIDDLE)
         sent += head.ping_from(TAIL, disk_ok=False)
         sent += head.tick()
-    assert _of_type(sent, Prepare)
+    assert _of_type(sent, PrepareRequest)
--- a/tests/control_plane/test_losses_members.py
+++ b/tests/control_plane/test_losses_members.py
@@ -8,7 +8,7 @@
 import pytest
 
 from reedspoke.control_plane.replication.events import SendTo
-from reedspoke.control_plane.replication.messages import Accept, Promise, Snapshot
+from reedspoke.control_plane.replication.messages import AcceptRequest, PrepareResponse, Snapshot
 from tests.control_plane.loss_check import check_by_trial, check_records, further_losses
 from tests.control_plane.loss_schedule import depart
 from tests.control_plane.simulated_parts import DiskMode
@@ -113,7 +113,7 @@
     _change(simulation, 2)
 
 
-@pytest.mark.parametrize("message_type", [Promise, Accept])
+@pytest.mark.parametrize("message_type", [PrepareResponse, AcceptRequest])
 @pytest.mark.parametrize("place", [0, 1])
 @pytest.mark.parametrize("together", [False, True])
 def test_a_voter_that_loses_its_disk_between_promise_and_decision(
--- a/tests/control_plane/test_losses_view_choice.py
+++ b/tests/control_plane/test_losses_view_choice.py
@@ -10,8 +10,8 @@
 import pytest
 
 from reedspoke.control_plane.replication.events import ChainLink, Member, View
-from reedspoke.control_plane.views.choice import Condition, Surroundings, choose_view
-from reedspoke.control_plane.views.largest_chain import Links, largest_chain
+from reedspoke.control_plane.views.largest_chain import Links, largest_connected_chain
+from reedspoke.control_plane.views.next_view import MemberCondition, MembershipSnapshot, choose_next_view
 
 LARGE_CHAIN = 15
 LARGE_CHOICE_LIMIT_S = 0.05
@@ -45,9 +45,11 @@
 
 
 def _searched(links: list[ChainLink], apart: Pairs, heads: set[str], tail: ChainLink) -> Links:
-    return largest_chain(
+    return largest_connected_chain(
         links,
-        connected=lambda one, other: frozenset((one.member.folder_id, other.member.folder_id)) not in apart,
+        is_connected=lambda one, other: (
+            frozenset((one.member.folder_id, other.member.folder_id)) not in apart
+        ),
         may_be_head=lambda link: link.member.folder_id in heads,
         preferred_tail=tail,
     )
@@ -91,9 +93,9 @@
     gone: str = "",
     tolerated: int = 1,
     fresh: str = "",
-) -> Surroundings:
+) -> MembershipSnapshot:
     conditions = {
-        name: Condition(
+        name: MemberCondition(
             _member(name),
             healthy=True,
             complete=name not in incomplete,
@@ -102,11 +104,11 @@
         )
         for name in in_reach
     }
-    return Surroundings(
+    return MembershipSnapshot(
         conditions,
-        connected=lambda one, other: True,
-        gone=lambda folder_id: folder_id in gone,
-        leaving=lambda folder_id: folder_id in leaving,
+        is_connected=lambda one, other: True,
+        is_lost=lambda folder_id: folder_id in gone,
+        is_draining=lambda folder_id: folder_id in leaving,
         chain_minimum=tolerated + 1,
         voters_target=2 * tolerated + 1,
     )
@@ -122,57 +124,57 @@
 
 @pytest.mark.parametrize("leaving", "abc")
 def test_a_member_that_leaves_goes_at_once_while_enough_others_are_complete(leaving: str) -> None:
-    following = choose_view(_view("abc"), _around("abc", leaving=leaving))
+    following = choose_next_view(_view("abc"), _around("abc", leaving=leaving))
     assert _chain(following) == "abc".replace(leaving, "")
 
 
 @pytest.mark.parametrize("leaving", "ab")
 def test_a_member_that_leaves_stays_until_the_newest_is_complete(leaving: str) -> None:
     view = _view("abc")
-    assert choose_view(view, _around("abc", incomplete="c", leaving=leaving)) == view
-    following = choose_view(view, _around("abc", leaving=leaving))
+    assert choose_next_view(view, _around("abc", incomplete="c", leaving=leaving)) == view
+    following = choose_next_view(view, _around("abc", leaving=leaving))
     assert _chain(following) == "abc".replace(leaving, "")
 
 
 def test_a_member_that_leaves_stays_while_its_successor_is_appended() -> None:
     view = _view("ab", voters="abc")
-    following = choose_view(view, _around("abx", incomplete="x", leaving="a", gone="c"))
+    following = choose_next_view(view, _around("abx", incomplete="x", leaving="a", gone="c"))
     assert _chain(following) == "abx"
     assert "a" in _voters(following)
 
 
 def test_of_two_that_leave_only_as_many_stay_as_are_needed() -> None:
-    assert _chain(choose_view(_view("abc"), _around("abc", leaving="bc"))) == "ab"
-    assert _chain(choose_view(_view("abcde"), _around("abcde", leaving="abc", tolerated=2))) == "ade"
+    assert _chain(choose_next_view(_view("abc"), _around("abc", leaving="bc"))) == "ab"
+    assert _chain(choose_next_view(_view("abcde"), _around("abcde", leaving="abc", tolerated=2))) == "ade"
 
 
 def test_an_incomplete_member_that_leaves_holds_nobody_up() -> None:
-    following = choose_view(_view("ax", voters="abx"), _around("axy", incomplete="xy", leaving="x"))
+    following = choose_next_view(_view("ax", voters="abx"), _around("axy", incomplete="xy", leaving="x"))
     assert _chain(following) == "ay"
 
 
 def test_several_are_appended_where_one_would_be_too_few() -> None:
     view = _view("abc", voters="abcde")
-    following = choose_view(view, _around("ade", incomplete="de", tolerated=2))
+    following = choose_next_view(view, _around("ade", incomplete="de", tolerated=2))
     assert _chain(following) == "ade"
     assert [link.joined for link in following.chain] == [1, 6, 6]
-    assert choose_view(view, _around("ad", incomplete="d", tolerated=2)) == view
-    assert _chain(choose_view(_view("abc"), _around("abcde", incomplete="de", tolerated=2))) == "abcd"
+    assert choose_next_view(view, _around("ad", incomplete="d", tolerated=2)) == view
+    assert _chain(choose_next_view(_view("abc"), _around("abcde", incomplete="de", tolerated=2))) == "abcd"
 
 
 def test_a_leaving_member_is_not_appended() -> None:
     view = _view("ab", voters="abc")
-    assert choose_view(view, _around("abx", leaving="x")) == view
+    assert choose_next_view(view, _around("abx", leaving="x")) == view
 
 
 def test_a_voter_that_has_gone_is_dropped_before_one_that_leaves() -> None:
-    following = choose_view(_view("ab", voters="abcd"), _around("abc", leaving="c", gone="d"))
+    following = choose_next_view(_view("ab", voters="abcd"), _around("abc", leaving="c", gone="d"))
     assert _voters(following) == "abc"
 
 
 def test_a_voter_that_the_chain_needs_is_not_dropped_while_it_leaves() -> None:
     view = _view("abx", voters="abcx")
-    assert choose_view(view, _around("abcx", incomplete="x", leaving="a")) == view
+    assert choose_next_view(view, _around("abcx", incomplete="x", leaving="a")) == view
 
 
 @pytest.mark.parametrize("seed", range(20))
@@ -185,7 +187,7 @@
         leaving = "".join(name for name in some if generator.random() < 0.2)
         tolerated = generator.choice([1, 2])
         around = _around("".join(some), incomplete="xy", leaving=leaving, gone=away, tolerated=tolerated)
-        following = choose_view(view, around)
+        following = choose_next_view(view, around)
         old, new = set(view.voters), set(following.voters)
         assert len(old - new) <= 1
         assert len(new - old) <= 1
--- a/tests/control_plane/test_majority_contact.py
+++ b/tests/control_plane/test_majority_contact.py
@@ -7,8 +7,8 @@
 
 from reedspoke.cluster.errors import ErrorCode
 from reedspoke.control_plane.replication.events import Leave, Member, Received, View
-from reedspoke.control_plane.replication.messages import Ballot, ContactGrant
-from reedspoke.control_plane.replication.settings import CONTACT_S
+from reedspoke.control_plane.replication.messages import ProposalNumber, ViewConfirmation
+from reedspoke.control_plane.replication.settings import MAJORITY_CONTACT_TTL_S
 from reedspoke.control_plane.storage.records import AcceptorRecord
 from reedspoke.control_plane.views.majority_contact import MajorityContact
 from tests.control_plane.schedule import Faults, Operator
@@ -23,7 +23,7 @@
 def granted(*grants: tuple[str, float], now: float = STARTED + 10.0) -> MajorityContact:
     contact = MajorityContact(STARTED)
     for folder_id, sent in grants:
-        contact.granted(folder_id, sent, now)
+        contact.record_confirmation(folder_id, sent, now)
     contact.update(VOTERS, committed_until=now)
     return contact
 
@@ -31,14 +31,14 @@
 def test_one_grant_of_three_is_no_majority() -> None:
     contact = granted(("a", STARTED + 1.0), ("stranger", STARTED + 2.0))
     assert contact.majority_as_of is None
-    assert not contact.holds(STARTED + 1.0)
+    assert not contact.is_valid(STARTED + 1.0)
 
 
 def test_the_majority_counts_from_the_older_of_two_grants() -> None:
     contact = granted(("a", STARTED + 1.0), ("b", STARTED + 2.0))
     assert contact.majority_as_of == STARTED + 1.0
-    assert contact.holds(STARTED + 1.0 + CONTACT_S - 0.01)
-    assert not contact.holds(STARTED + 1.0 + CONTACT_S + 0.01)
+    assert contact.is_valid(STARTED + 1.0 + MAJORITY_CONTACT_TTL_S - 0.01)
+    assert not contact.is_valid(STARTED + 1.0 + MAJORITY_CONTACT_TTL_S + 0.01)
 
 
 def test_an_older_grant_that_comes_late_takes_nothing_back() -> None:
@@ -53,16 +53,16 @@
 
 def test_a_new_view_takes_back_nothing_and_its_grants_are_counted_anew() -> None:
     contact = granted(("a", STARTED + 1.0), ("b", STARTED + 1.0))
-    contact.enter()
-    contact.granted("c", STARTED + 5.0, STARTED + 5.0)
+    contact.enter_view()
+    contact.record_confirmation("c", STARTED + 5.0, STARTED + 5.0)
     contact.update(VOTERS, committed_until=STARTED + 5.0)
     assert contact.majority_as_of == STARTED + 1.0
 
 
 def test_what_may_have_been_overtaken_is_not_confirmed_as_of_later() -> None:
     contact = MajorityContact(STARTED)
-    contact.granted("a", STARTED + 5.0, STARTED + 5.0)
-    contact.granted("b", STARTED + 5.0, STARTED + 5.0)
+    contact.record_confirmation("a", STARTED + 5.0, STARTED + 5.0)
+    contact.record_confirmation("b", STARTED + 5.0, STARTED + 5.0)
     contact.update(VOTERS, committed_until=None)
     assert contact.confirmed_as_of is None
     contact.update(VOTERS, committed_until=STARTED + 4.0)
@@ -143,7 +143,7 @@
     assert simulation.put_and_wait("m1", 0, 1, b"first") is None
     simulation.run(1.0)
     _cut_off(simulation, cut_off)
-    simulation.run(CONTACT_S + SLACK_S)
+    simulation.run(MAJORITY_CONTACT_TTL_S + SLACK_S)
     for _ in range(100):
         assert [_confirmed(simulation, address) for address in cut_off] == [False] * len(cut_off)
         simulation.run(0.2)
@@ -174,7 +174,7 @@
     simulation.run(1.0)
     assert _confirmed(simulation, "m2")
     simulation.freeze("m2")
-    simulation.run(CONTACT_S + SLACK_S)
+    simulation.run(MAJORITY_CONTACT_TTL_S + SLACK_S)
     assert not _confirmed(simulation, "m2"), "asked before it has handled anything"
     simulation.thaw("m2")
     assert simulation.run_until(lambda: _confirmed(simulation, "m2"), 4.0)
@@ -187,20 +187,20 @@
     agreement = simulation.replica("m2")._agreement
     view = simulation.newest_view()
     assert view is not None
-    assert agreement.may_confirm(view.number)
-    assert not agreement.may_confirm(view.number - 1)
-    assert not agreement.may_confirm(view.number + 1)
-    ballot = Ballot(1, "proposer")
+    assert agreement.may_confirm_view(view.number)
+    assert not agreement.may_confirm_view(view.number - 1)
+    assert not agreement.may_confirm_view(view.number + 1)
+    proposal_number = ProposalNumber(1, "proposer")
     following = View(view.number + 1, view.voters, view.chain)
-    agreement._acceptor._states[following.number] = AcceptorRecord(following.number, ballot)
-    assert agreement.may_confirm(view.number), "a promise decides nothing"
-    accepted = AcceptorRecord(following.number, ballot, ballot, following)
+    agreement._acceptor._states[following.number] = AcceptorRecord(following.number, proposal_number)
+    assert agreement.may_confirm_view(view.number), "a promise decides nothing"
+    accepted = AcceptorRecord(following.number, proposal_number, proposal_number, following)
     agreement._acceptor._states[following.number] = accepted
-    assert not agreement.may_confirm(view.number), "the next view may have been decided"
+    assert not agreement.may_confirm_view(view.number), "the next view may have been decided"
     del agreement._acceptor._states[following.number]
-    assert agreement.may_confirm(view.number)
+    assert agreement.may_confirm_view(view.number)
     agreement._learned = View(view.number + 1, view.voters, view.chain)
-    assert not agreement.may_confirm(view.number), "the next view is known, though not on disk yet"
+    assert not agreement.may_confirm_view(view.number), "the next view is known, though not on disk yet"
 
 
 def test_a_grant_of_another_view_counts_for_nothing() -> None:
@@ -213,11 +213,11 @@
     assert view is not None
     now = simulation.now + simulation.machines["m1"].clock_skew
     for voter in view.voters:
-        grant = ContactGrant(voter.folder_id, view.number + 1, now)
+        grant = ViewConfirmation(voter.folder_id, view.number + 1, now)
         replica.handle(now, Received("elsewhere", grant))
     assert not replica.holds_majority(now)
     for voter in view.voters:
-        replica.handle(now, Received("elsewhere", ContactGrant(voter.folder_id, view.number, now)))
+        replica.handle(now, Received("elsewhere", ViewConfirmation(voter.folder_id, view.number, now)))
     assert replica.holds_majority(now)
 
 
@@ -239,7 +239,7 @@
     simulation.set_disk("m3", DiskMode.FULL)
     assert simulation.put_and_wait("m1", 0, 1, b"first") in (None, ErrorCode.WRITE_UNCLEAR)
     replica = simulation.replica("m3")
-    assert simulation.run_until(lambda: replica._agreement.behind, 3.0)
+    assert simulation.run_until(lambda: replica._agreement.is_behind, 3.0)
     assert replica.holds_majority(simulation.now + simulation.machines["m3"].clock_skew)
     assert not _confirmed(simulation, "m3")
 
--- a/tests/control_plane/test_view_choice.py
+++ b/tests/control_plane/test_next_view.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from reedspoke.control_plane.replication.events import ChainLink, Member, View
-from reedspoke.control_plane.views.choice import Condition, Surroundings, choose_view
+from reedspoke.control_plane.views.next_view import MemberCondition, MembershipSnapshot, choose_next_view
 
 
 def _member(name: str, address: str = "") -> Member:
@@ -34,11 +34,11 @@
     tolerated: int = 1,
     joiners: Iterable[Member] = (),
     fresh: str = "",
-) -> Surroundings:
+) -> MembershipSnapshot:
     placed = {link.member.folder_id for link in view.chain}
     members = [_member(name) for name in healthy] + list(joiners)
     conditions = {
-        member.folder_id: Condition(
+        member.folder_id: MemberCondition(
             member,
             healthy=True,
             complete=member.folder_id in placed and member.folder_id not in incomplete,
@@ -48,11 +48,11 @@
         for member in members
     }
     pairs = {frozenset(pair) for pair in apart}
-    return Surroundings(
+    return MembershipSnapshot(
         conditions,
-        connected=lambda one, other: frozenset((one, other)) not in pairs,
-        gone=lambda folder_id: folder_id in gone,
-        leaving=lambda folder_id: folder_id in leaving,
+        is_connected=lambda one, other: frozenset((one, other)) not in pairs,
+        is_lost=lambda folder_id: folder_id in gone,
+        is_draining=lambda folder_id: folder_id in leaving,
         chain_minimum=tolerated + 1,
         voters_target=2 * tolerated + 1,
     )
@@ -68,13 +68,13 @@
 
 def test_all_well() -> None:
     view = _view("abc")
-    assert choose_view(view, _around("abc", view)) == view
+    assert choose_next_view(view, _around("abc", view)) == view
 
 
 def test_each_lost_member_is_dropped_and_the_order_kept() -> None:
     view = _view("abc")
     for lost in "abc":
-        following = choose_view(view, _around("abc".replace(lost, ""), view))
+        following = choose_next_view(view, _around("abc".replace(lost, ""), view))
         assert _chain(following) == "abc".replace(lost, "")
         assert following.number == 6
         assert following.voters == view.voters
@@ -82,21 +82,21 @@
 
 def test_of_two_that_do_not_reach_each_other_the_tail_is_kept() -> None:
     view = _view("abc")
-    assert _chain(choose_view(view, _around("abc", view, apart=["ac"]))) == "bc"
-    assert _chain(choose_view(view, _around("abc", view, apart=["bc"]))) == "ac"
-    assert _chain(choose_view(view, _around("abc", view, apart=["ab"]))) == "ac"
+    assert _chain(choose_next_view(view, _around("abc", view, apart=["ac"]))) == "bc"
+    assert _chain(choose_next_view(view, _around("abc", view, apart=["bc"]))) == "ac"
+    assert _chain(choose_next_view(view, _around("abc", view, apart=["ab"]))) == "ac"
 
 
 def test_the_first_member_is_complete() -> None:
     view = _view("abc")
-    assert choose_view(view, _around("bc", view, incomplete="bc")) == view
-    assert _chain(choose_view(view, _around("ac", view, incomplete="c"))) == "ac"
+    assert choose_next_view(view, _around("bc", view, incomplete="bc")) == view
+    assert _chain(choose_next_view(view, _around("ac", view, incomplete="c"))) == "ac"
 
 
 def test_a_chain_does_not_become_too_short_without_a_joiner() -> None:
     view = _view("ab", voters="abc")
-    assert choose_view(view, _around("a", view)) == view
-    following = choose_view(view, _around("a", view, joiners=[_member("c")]))
+    assert choose_next_view(view, _around("a", view)) == view
+    following = choose_next_view(view, _around("a", view, joiners=[_member("c")]))
     assert _chain(following) == "ac"
     assert following.chain[1].joined == 6
 
@@ -104,64 +104,64 @@
 def test_a_joiner_is_appended_once_all_others_are_complete() -> None:
     view = _view("ab", voters="abc")
     joiner = [_member("c")]
-    assert _chain(choose_view(view, _around("ab", view, joiners=joiner))) == "abc"
-    assert choose_view(view, _around("ab", view, incomplete="b", joiners=joiner)) == view
-    assert choose_view(view, _around("ab", view, apart=["bc"], joiners=joiner)) == view
+    assert _chain(choose_next_view(view, _around("ab", view, joiners=joiner))) == "abc"
+    assert choose_next_view(view, _around("ab", view, incomplete="b", joiners=joiner)) == view
+    assert choose_next_view(view, _around("ab", view, apart=["bc"], joiners=joiner)) == view
 
 
 def test_one_joiner_at_a_time() -> None:
     view = _view("ab", voters="abc")
     joiners = [_member("d"), _member("c")]
-    assert _chain(choose_view(view, _around("ab", view, joiners=joiners))) == "abc"
+    assert _chain(choose_next_view(view, _around("ab", view, joiners=joiners))) == "abc"
 
 
 def test_a_new_folder_at_an_old_address_votes_in_its_place() -> None:
     view = _view("ab", voters="abc")
-    following = choose_view(view, _around("ab", view, joiners=[_member("x", address="at-c")]))
+    following = choose_next_view(view, _around("ab", view, joiners=[_member("x", address="at-c")]))
     assert _voters(following) == "abx"
 
 
 def test_a_joiner_replaces_a_voter_that_is_gone_or_is_added() -> None:
     view = _view("ab", voters="abc")
     joiner = [_member("d")]
-    assert _voters(choose_view(view, _around("ab", view, gone="c", joiners=joiner))) == "abd"
-    assert _voters(choose_view(view, _around("abc", view, joiners=[_member("d")]))) == "abc"
+    assert _voters(choose_next_view(view, _around("ab", view, gone="c", joiners=joiner))) == "abd"
+    assert _voters(choose_next_view(view, _around("abc", view, joiners=[_member("d")]))) == "abc"
     view = _view("ab", voters="ab")
-    assert _voters(choose_view(view, _around("ab", view, joiners=joiner))) == "abd", "one was too few"
+    assert _voters(choose_next_view(view, _around("ab", view, joiners=joiner))) == "abd", "one was too few"
 
 
 def test_beside_enough_voters_newcomers_vote_in_pairs_and_only_after_a_while() -> None:
     view = _view("abc")
-    assert _voters(choose_view(view, _around("abc", view, joiners=[_member("d")]))) == "abc"
+    assert _voters(choose_next_view(view, _around("abc", view, joiners=[_member("d")]))) == "abc"
     view = _view("abcde", voters="abc")
-    assert choose_view(view, _around("abcde", view, fresh="d")) == view
-    assert _voters(choose_view(view, _around("abcde", view))) == "abcd"
-    assert _voters(choose_view(_view("abcde", voters="abcd"), _around("abcde", view))) == "abcde"
+    assert choose_next_view(view, _around("abcde", view, fresh="d")) == view
+    assert _voters(choose_next_view(view, _around("abcde", view))) == "abcd"
+    assert _voters(choose_next_view(_view("abcde", voters="abcd"), _around("abcde", view))) == "abcde"
     view = _view("abcd", voters="abc")
-    assert choose_view(view, _around("abcd", view)) == view, "four bear no more losses than three"
+    assert choose_next_view(view, _around("abcd", view)) == view, "four bear no more losses than three"
 
 
 def test_a_joiner_has_no_vote_besides_a_voter_that_may_be_dead() -> None:
     view = _view("ab", voters="abc")
-    following = choose_view(view, _around("ab", view, joiners=[_member("d")]))
+    following = choose_next_view(view, _around("ab", view, joiners=[_member("d")]))
     assert (_chain(following), _voters(following)) == ("abd", "abc")
     view = _view("abd", voters="abc")
-    assert choose_view(view, _around("abd", view)) == view
-    assert _voters(choose_view(view, _around("abd", view, gone="c"))) == "abd"
+    assert choose_next_view(view, _around("abd", view)) == view
+    assert _voters(choose_next_view(view, _around("abd", view, gone="c"))) == "abd"
 
 
 def test_voters_grow_to_the_target_before_any_is_replaced() -> None:
     view = _view("ab", voters="abc")
     around = _around("ab", view, gone="c", tolerated=2, joiners=[_member("d")])
-    assert _voters(choose_view(view, around)) == "abcd"
+    assert _voters(choose_next_view(view, around)) == "abcd"
 
 
 def test_spare_voters_that_leave_or_are_gone_are_dropped() -> None:
     view = _view("abc", voters="abcd")
-    assert _voters(choose_view(view, _around("abc", view, gone="d"))) == "abc"
-    assert _voters(choose_view(view, _around("abc", view, leaving="d"))) == "abc"
+    assert _voters(choose_next_view(view, _around("abc", view, gone="d"))) == "abc"
+    assert _voters(choose_next_view(view, _around("abc", view, leaving="d"))) == "abc"
     view = _view("ab", voters="abc")
-    assert choose_view(view, _around("ab", view, gone="c")) == view
+    assert choose_next_view(view, _around("ab", view, gone="c")) == view
 
 
 NAMES = "abcde"
@@ -181,7 +181,7 @@
     names = "".join(sorted(healthy))
     incomplete = NAMES[incomplete_from:]
     around = _around(names, view, incomplete=incomplete, apart=apart, tolerated=2)
-    following = choose_view(view, around)
+    following = choose_next_view(view, around)
     if following == view:
         return
     chain = _chain(following)
--- a/tests/control_plane/test_view_lease.py
+++ b/tests/control_plane/test_read_lease.py
@@ -3,8 +3,12 @@
 from __future__ import annotations
 
 from reedspoke.control_plane.replication.events import ChainLink, Member, View
-from reedspoke.control_plane.replication.settings import GRANT_PAUSE_S, LEASE_MARGIN_S, LEASE_S
-from reedspoke.control_plane.views.lease import TailLease, VoterLease
+from reedspoke.control_plane.replication.settings import (
+    GRANT_BACKOFF_S,
+    READ_LEASE_MARGIN_S,
+    READ_LEASE_TTL_S,
+)
+from reedspoke.control_plane.views.read_lease import ReadLeaseHolder, ReadLeaseVoter
 
 A, B, C, D = (Member(folder_id=name, address=f"at-{name}") for name in "abcd")
 
@@ -19,21 +23,21 @@
 OTHER_VOTERS = _view(2, [A, B, C], (A, C, D))
 
 
-def _calm_voter() -> VoterLease:
-    return VoterLease(now=0.0)
+def _calm_voter() -> ReadLeaseVoter:
+    return ReadLeaseVoter(now=0.0)
 
 
 def test_a_restarted_voter_waits_for_the_length_of_a_lease() -> None:
-    voter = VoterLease(now=10.0)
-    assert not voter.may_accept(PRESENT, OTHER_TAIL, None, 10.0 + LEASE_S - 0.01)
-    assert not voter.may_accept(PRESENT, OTHER_TAIL, 99.0, 10.0 + LEASE_S - 0.01)
-    assert voter.may_accept(PRESENT, OTHER_TAIL, None, 10.0 + LEASE_S)
+    voter = ReadLeaseVoter(now=10.0)
+    assert not voter.may_accept(PRESENT, OTHER_TAIL, None, 10.0 + READ_LEASE_TTL_S - 0.01)
+    assert not voter.may_accept(PRESENT, OTHER_TAIL, 99.0, 10.0 + READ_LEASE_TTL_S - 0.01)
+    assert voter.may_accept(PRESENT, OTHER_TAIL, None, 10.0 + READ_LEASE_TTL_S)
 
 
 def test_a_grant_holds_off_other_tails_and_other_voters() -> None:
     voter = _calm_voter()
-    voter.grant(sent=20.0, now=20.1)
-    end = 20.1 + LEASE_S
+    voter.grant(requested_at=20.0, now=20.1)
+    end = 20.1 + READ_LEASE_TTL_S
     for proposed in (OTHER_TAIL, OTHER_VOTERS):
         assert not voter.may_accept(PRESENT, proposed, None, end - 0.01)
         assert voter.may_accept(PRESENT, proposed, None, end)
@@ -42,47 +46,47 @@
 
 def test_a_resignation_counts_for_what_was_asked_before_it() -> None:
     voter = _calm_voter()
-    voter.grant(sent=20.0, now=20.1)
+    voter.grant(requested_at=20.0, now=20.1)
     assert voter.may_accept(PRESENT, OTHER_TAIL, 20.0, 20.2)
     assert not voter.may_accept(PRESENT, OTHER_TAIL, 19.9, 20.2)
 
 
 def test_a_deferred_view_pauses_grants_until_the_next_view() -> None:
     voter = _calm_voter()
-    voter.grant(sent=20.0, now=20.0)
+    voter.grant(requested_at=20.0, now=20.0)
     assert not voter.may_accept(PRESENT, OTHER_TAIL, None, 20.1)
-    assert not voter.may_grant(20.1 + GRANT_PAUSE_S - 0.01)
-    assert voter.may_grant(20.1 + GRANT_PAUSE_S)
-    voter.enter(PRESENT, OTHER_TAIL)
+    assert not voter.may_grant(20.1 + GRANT_BACKOFF_S - 0.01)
+    assert voter.may_grant(20.1 + GRANT_BACKOFF_S)
+    voter.enter_view(PRESENT, OTHER_TAIL)
     assert voter.may_grant(20.2)
 
 
 def test_a_tail_needs_a_majority_and_counts_from_when_it_asked() -> None:
-    tail = TailLease()
-    tail.granted("a", 20.0)
-    assert not tail.holds((A, B, C), 20.0)
-    tail.granted("b", 20.1)
-    assert tail.holds((A, B, C), 20.0 + LEASE_S - LEASE_MARGIN_S - 0.01)
-    assert not tail.holds((A, B, C), 20.0 + LEASE_S - LEASE_MARGIN_S)
-    assert not tail.holds((A, B, C, D), 20.1)
+    tail = ReadLeaseHolder()
+    tail.record_grant("a", 20.0)
+    assert not tail.is_held((A, B, C), 20.0)
+    tail.record_grant("b", 20.1)
+    assert tail.is_held((A, B, C), 20.0 + READ_LEASE_TTL_S - READ_LEASE_MARGIN_S - 0.01)
+    assert not tail.is_held((A, B, C), 20.0 + READ_LEASE_TTL_S - READ_LEASE_MARGIN_S)
+    assert not tail.is_held((A, B, C, D), 20.1)
 
 
 def test_a_late_grant_does_not_shorten_the_lease() -> None:
-    tail = TailLease()
+    tail = ReadLeaseHolder()
     for folder_id in ("a", "b"):
-        tail.granted(folder_id, 20.0)
-        tail.granted(folder_id, 19.0)
-    assert tail.holds((A, B, C), 20.5)
+        tail.record_grant(folder_id, 20.0)
+        tail.record_grant(folder_id, 19.0)
+    assert tail.is_held((A, B, C), 20.5)
 
 
 def test_a_tail_that_resigned_ignores_what_it_asked_for_before() -> None:
-    tail = TailLease()
-    tail.granted("a", 20.0)
-    tail.granted("b", 20.0)
-    tail.resign(20.1)
-    assert not tail.holds((A, B, C), 20.1)
-    tail.granted("a", 20.05)
-    tail.granted("b", 20.05)
-    assert not tail.holds((A, B, C), 20.2)
-    assert not tail.may_ask(20.2)
-    assert tail.may_ask(20.1 + GRANT_PAUSE_S)
+    tail = ReadLeaseHolder()
+    tail.record_grant("a", 20.0)
+    tail.record_grant("b", 20.0)
+    tail.release(20.1)
+    assert not tail.is_held((A, B, C), 20.1)
+    tail.record_grant("a", 20.05)
+    tail.record_grant("b", 20.05)
+    assert not tail.is_held((A, B, C), 20.2)
+    assert not tail.may_request(20.2)
+    assert tail.may_request(20.1 + GRANT_BACKOFF_S)
--- a/tests/control_plane/test_replica_answers.py
+++ b/tests/control_plane/test_replica_answers.py
@@ -8,7 +8,7 @@
 from reedspoke.control_plane.replication.change_history import Acknowledged
 from reedspoke.control_plane.replication.events import SendTo
 from reedspoke.control_plane.replication.messages import Append
-from reedspoke.control_plane.replication.settings import HISTORY_LIMIT, LEASE_S, REWRITE_BYTES
+from reedspoke.control_plane.replication.settings import HISTORY_LIMIT, READ_LEASE_TTL_S, REWRITE_BYTES
 from reedspoke.control_plane.storage.log_format import COPIES
 from reedspoke.control_plane.storage.records import restore
 from tests.control_plane.schedule import come_back
@@ -123,7 +123,7 @@
     core.isolate(tail)
     cut_at = core.now
     assert core.run_until(lambda: core.chain()[-1] != tail, 3.0)
-    assert core.now - cut_at >= LEASE_S - 0.15
+    assert core.now - cut_at >= READ_LEASE_TTL_S - 0.15
     call = core.get(tail)
     core.run(1.2)
     assert core.judge.get_answers[call].error is ErrorCode.NO_QUORUM
--- a/tests/control_plane/test_replica_stale.py
+++ b/tests/control_plane/test_replica_stale.py
@@ -17,13 +17,13 @@
     View,
 )
 from reedspoke.control_plane.replication.messages import (
-    Accept,
+    AcceptRequest,
     Append,
-    Ballot,
     Commit,
     Entry,
     Ping,
-    Prepare,
+    PrepareRequest,
+    ProposalNumber,
     PutReply,
     PutRequest,
     Snapshot,
@@ -31,7 +31,7 @@
 from reedspoke.control_plane.replication.outbox import Outbox
 from reedspoke.control_plane.replication.puts import PutForwarder
 from reedspoke.control_plane.storage.records import restore
-from reedspoke.control_plane.views.majority_contact import Contact
+from reedspoke.control_plane.views.majority_contact import ContactState
 from tests.control_plane.simulation import Simulation
 
 OLD_VIEW = 1
@@ -112,7 +112,7 @@
     view = core.newest_view()
     assert view is not None
     proposed = View(view.number + 1, view.voters, view.chain[:-1])
-    message = Accept(proposed.number, Ballot(50, "gone:1"), proposed, resigned_at=FAR_LATER)
+    message = AcceptRequest(proposed.number, ProposalNumber(50, "gone:1"), proposed, released_at=FAR_LATER)
     for address in ("m1", "m2"):
         core.inject(address, Received("gone", message))
     core.run(2.5)
@@ -129,8 +129,8 @@
     proposers: set[str] = set()
 
     def note(effect: SendTo) -> None:
-        if isinstance(effect.message, Prepare):
-            proposers.add(effect.message.ballot.proposer)
+        if isinstance(effect.message, PrepareRequest):
+            proposers.add(effect.message.proposal_number.proposer)
 
     core.spy = note
     for _ in range(2):
@@ -166,8 +166,8 @@
 def test_a_refusal_counts_only_from_the_head_that_was_asked_last() -> None:
     outbox = Outbox("at-own", 10.0, 0)
     puts = PutForwarder("own:1", outbox, 0.9)
-    puts.put(Put(1, 0, 1, b"first"), _view(1, "a"), contact=Contact.GRANTED)
-    puts.tick(_view(2, "b"), Contact.GRANTED)
+    puts.put(Put(1, 0, 1, b"first"), _view(1, "a"), contact=ContactState.CONFIRMED)
+    puts.tick(_view(2, "b"), ContactState.CONFIRMED)
     sent = [effect for effect in outbox.take() if isinstance(effect, SendTo)]
     assert [effect.address for effect in sent] == ["at-a", "at-b"]
     stale = int(ErrorCode.CONFIGURATION_STALE_MATCH)
@@ -181,8 +181,8 @@
 def test_an_acknowledgement_counts_from_any_head() -> None:
     outbox = Outbox("at-own", 10.0, 0)
     puts = PutForwarder("own:1", outbox, 0.9)
-    puts.put(Put(1, 0, 1, b"first"), _view(1, "a"), contact=Contact.GRANTED)
-    puts.tick(_view(2, "b"), Contact.GRANTED)
+    puts.put(Put(1, 0, 1, b"first"), _view(1, "a"), contact=ContactState.CONFIRMED)
+    puts.tick(_view(2, "b"), ContactState.CONFIRMED)
     outbox.take()
     puts.reply(PutReply(1, "own:1:1", 0))
     assert _answers(outbox.take()) == [None]
--- a/tests/control_plane/test_view_agreement.py
+++ b/tests/control_plane/test_view_agreement.py
@@ -8,16 +8,16 @@
 from reedspoke.cluster.errors import ErrorCode
 from reedspoke.control_plane.replication.events import ChainLink, Member, SendTo, Store, Stored, View
 from reedspoke.control_plane.replication.messages import (
-    Accept,
-    Accepted,
-    Ballot,
-    Prepare,
-    Promise,
-    Rejected,
-    ViewTold,
+    AcceptRequest,
+    AcceptResponse,
+    PrepareRequest,
+    PrepareResponse,
+    ProposalNumber,
+    ProposalRejected,
+    ViewDecided,
 )
 from reedspoke.control_plane.replication.outbox import Outbox
-from reedspoke.control_plane.replication.settings import LEASE_S, ReplicaSettings
+from reedspoke.control_plane.replication.settings import READ_LEASE_TTL_S, ReplicaSettings
 from reedspoke.control_plane.storage.records import ViewRecord, encode_record, restore
 from reedspoke.control_plane.views.agreement import ViewAgreement
 
@@ -56,7 +56,7 @@
             restore(self.records),
             self.entered.append,
         )
-        self.outbox.now = START + LEASE_S + 1
+        self.outbox.now = START + READ_LEASE_TTL_S + 1
 
     def step(self) -> list[SendTo]:
         """Carry out stores; return what is to be sent, messages to itself among them."""
@@ -89,7 +89,7 @@
 
     def collect(address: str) -> None:
         for effect in voters[address].step():
-            if isinstance(effect.message, ViewTold):
+            if isinstance(effect.message, ViewDecided):
                 told.add(effect.message.view)
             elif effect.address in voters:
                 network.append((address, effect))
@@ -116,42 +116,42 @@
 def test_a_promise_is_answered_only_when_it_is_on_disk() -> None:
     voter = Voter(MEMBERS[0])
     voter.disk_works = False
-    voter.agreement.receive("at-b", Prepare(2, Ballot(1, "b")))
+    voter.agreement.receive("at-b", PrepareRequest(2, ProposalNumber(1, "b")))
     assert voter.step() == []
     voter.disk_works = True
-    voter.agreement.receive("at-b", Prepare(2, Ballot(1, "b")))
+    voter.agreement.receive("at-b", PrepareRequest(2, ProposalNumber(1, "b")))
     answers = [effect.message for effect in voter.step()]
-    assert isinstance(answers[0], Promise)
+    assert isinstance(answers[0], PrepareResponse)
 
 
 def test_a_promise_and_an_acceptance_survive_a_restart() -> None:
     voter = Voter(MEMBERS[0])
-    ballot = Ballot(3, "b")
-    voter.agreement.receive("at-b", Prepare(2, ballot))
-    voter.agreement.receive("at-b", Accept(2, ballot, _value("c")))
+    proposal_number = ProposalNumber(3, "b")
+    voter.agreement.receive("at-b", PrepareRequest(2, proposal_number))
+    voter.agreement.receive("at-b", AcceptRequest(2, proposal_number, _value("c")))
     answers = [effect.message for effect in voter.step()]
-    assert [type(answer) for answer in answers] == [Promise, Accepted]
+    assert [type(answer) for answer in answers] == [PrepareResponse, AcceptResponse]
     voter.start()
-    voter.agreement.receive("at-c", Prepare(2, Ballot(2, "c")))
-    assert [type(effect.message) for effect in voter.step()] == [Rejected]
-    voter.agreement.receive("at-c", Prepare(2, Ballot(4, "c")))
+    voter.agreement.receive("at-c", PrepareRequest(2, ProposalNumber(2, "c")))
+    assert [type(effect.message) for effect in voter.step()] == [ProposalRejected]
+    voter.agreement.receive("at-c", PrepareRequest(2, ProposalNumber(4, "c")))
     promise = voter.step()[0].message
-    assert isinstance(promise, Promise)
-    assert (promise.accepted_ballot, promise.accepted) == (ballot, _value("c"))
+    assert isinstance(promise, PrepareResponse)
+    assert (promise.accepted_proposal_number, promise.accepted_view) == (proposal_number, _value("c"))
 
 
 def test_a_request_for_a_decided_view_is_answered_with_it() -> None:
     voter = Voter(MEMBERS[0])
     voter.agreement.learn(_value("c"))
     voter.step()
-    voter.agreement.receive("at-b", Accept(2, Ballot(9, "b"), _value("a")))
-    assert [effect.message for effect in voter.step()] == [ViewTold(_value("c"))]
+    voter.agreement.receive("at-b", AcceptRequest(2, ProposalNumber(9, "b"), _value("a")))
+    assert [effect.message for effect in voter.step()] == [ViewDecided(_value("c"))]
 
 
 def test_who_does_not_vote_in_the_present_view_does_not_answer() -> None:
     stranger = Voter(Member(folder_id="z", address="at-a"))
-    stranger.agreement.receive("at-b", Prepare(2, Ballot(1, "b")))
-    stranger.agreement.receive("at-b", Prepare(3, Ballot(1, "b")))
+    stranger.agreement.receive("at-b", PrepareRequest(2, ProposalNumber(1, "b")))
+    stranger.agreement.receive("at-b", PrepareRequest(3, ProposalNumber(1, "b")))
     assert stranger.step() == []
 
 
@@ -173,7 +173,7 @@
     voters = {member.address: Voter(member) for member in MEMBERS}
     first, second = _value("c"), _value("a")
     for address in ("at-a", "at-b"):
-        voters[address].agreement.receive("at-a", Accept(2, Ballot(1, "a"), first))
+        voters[address].agreement.receive("at-a", AcceptRequest(2, ProposalNumber(1, "a"), first))
         voters[address].step()
     proposer = voters["at-c"]
     proposer.agreement.propose(second)
@@ -182,7 +182,7 @@
     for _ in range(3):
         answers = []
         for sender, effect in waiting:
-            if isinstance(effect.message, Accept):
+            if isinstance(effect.message, AcceptRequest):
                 values.add(effect.message.view)
             voters[effect.address].agreement.receive(sender, effect.message)
             answers += [(effect.address, answer) for answer in voters[effect.address].step()]
@@ -192,9 +192,9 @@
 
 def test_the_records_hold_what_was_promised_and_accepted() -> None:
     voter = Voter(MEMBERS[0])
-    voter.agreement.receive("at-b", Accept(2, Ballot(3, "b"), _value("c")))
+    voter.agreement.receive("at-b", AcceptRequest(2, ProposalNumber(3, "b"), _value("c")))
     voter.step()
     state = restore([encode_record(record) for record in voter.agreement.records()])
     assert state.view == PRESENT
-    assert state.acceptors[2].accepted == _value("c")
-    assert state.acceptors[2].promised == Ballot(3, "b")
+    assert state.acceptors[2].accepted_view == _value("c")
+    assert state.acceptors[2].promised == ProposalNumber(3, "b")
--- a/tests/golden/replica_examples.py
+++ b/tests/golden/replica_examples.py
@@ -10,27 +10,27 @@
 from reedspoke.control_plane.replication.change_history import Acknowledged
 from reedspoke.control_plane.replication.events import ChainLink, Member, View
 from reedspoke.control_plane.replication.messages import (
-    Accept,
-    Accepted,
+    AcceptRequest,
+    AcceptResponse,
     Append,
-    Ballot,
     ChainState,
     Commit,
-    ContactGrant,
     Entry,
     GetReply,
     GetRequest,
-    LeaseGrant,
     Ping,
-    Prepare,
-    Promise,
+    PrepareRequest,
+    PrepareResponse,
+    ProposalNumber,
+    ProposalRejected,
     PutReply,
     PutRequest,
-    Rejected,
-    Resigned,
-    ResignRequest,
+    ReadLeaseGrant,
+    ReadLeaseReleased,
+    ReadLeaseReleaseRequest,
     Snapshot,
-    ViewTold,
+    ViewConfirmation,
+    ViewDecided,
 )
 from reedspoke.control_plane.storage.records import (
     AcceptorRecord,
@@ -72,11 +72,11 @@
         synced_since=7,
         committed=8,
     ),
-    "contact_grant": ContactGrant(folder_id="text1", view=2, sent=3.5),
-    "contact_grant by default": ContactGrant(folder_id="text1", view=2, sent=3.5),
-    "lease_grant": LeaseGrant(folder_id="text1", view=2, sent=3.5),
-    "lease_grant by default": LeaseGrant(folder_id="text1", view=2, sent=3.5),
-    "view": ViewTold(
+    "contact_grant": ViewConfirmation(folder_id="text1", view_number=2, requested_at=3.5),
+    "contact_grant by default": ViewConfirmation(folder_id="text1", view_number=2, requested_at=3.5),
+    "lease_grant": ReadLeaseGrant(folder_id="text1", view_number=2, requested_at=3.5),
+    "lease_grant by default": ReadLeaseGrant(folder_id="text1", view_number=2, requested_at=3.5),
+    "view": ViewDecided(
         view=View(
             number=1,
             voters=(
@@ -89,7 +89,7 @@
             ),
         )
     ),
-    "view by default": ViewTold(
+    "view by default": ViewDecided(
         view=View(
             number=1,
             voters=(
@@ -102,14 +102,16 @@
             ),
         )
     ),
-    "prepare": Prepare(number=1, ballot=Ballot(round=2, proposer="text3")),
-    "prepare by default": Prepare(number=1, ballot=Ballot(round=2, proposer="text3")),
-    "promise": Promise(
+    "prepare": PrepareRequest(view_number=1, proposal_number=ProposalNumber(counter=2, proposer="text3")),
+    "prepare by default": PrepareRequest(
+        view_number=1, proposal_number=ProposalNumber(counter=2, proposer="text3")
+    ),
+    "promise": PrepareResponse(
         acceptor=Member(folder_id="text1", address="text2", zone="text3"),
-        number=4,
-        ballot=Ballot(round=5, proposer="text6"),
-        accepted_ballot=Ballot(round=7, proposer="text8"),
-        accepted=View(
+        view_number=4,
+        proposal_number=ProposalNumber(counter=5, proposer="text6"),
+        accepted_proposal_number=ProposalNumber(counter=7, proposer="text8"),
+        accepted_view=View(
             number=9,
             voters=(
                 Member(folder_id="text10", address="text11", zone="text12"),
@@ -121,12 +123,12 @@
             ),
         ),
     ),
-    "promise by default": Promise(
+    "promise by default": PrepareResponse(
         acceptor=Member(folder_id="text1", address="text2", zone="text3"),
-        number=4,
-        ballot=Ballot(round=5, proposer="text6"),
-        accepted_ballot=Ballot(round=7, proposer="text8"),
-        accepted=View(
+        view_number=4,
+        proposal_number=ProposalNumber(counter=5, proposer="text6"),
+        accepted_proposal_number=ProposalNumber(counter=7, proposer="text8"),
+        accepted_view=View(
             number=9,
             voters=(
                 Member(folder_id="text10", address="text11", zone="text12"),
@@ -138,9 +140,9 @@
             ),
         ),
     ),
-    "accept": Accept(
-        number=1,
-        ballot=Ballot(round=2, proposer="text3"),
+    "accept": AcceptRequest(
+        view_number=1,
+        proposal_number=ProposalNumber(counter=2, proposer="text3"),
         view=View(
             number=4,
             voters=(
@@ -152,11 +154,11 @@
                 ChainLink(member=Member(folder_id="text15", address="text16", zone="text17"), joined=18),
             ),
         ),
-        resigned_at=19.5,
+        released_at=19.5,
     ),
-    "accept by default": Accept(
-        number=1,
-        ballot=Ballot(round=2, proposer="text3"),
+    "accept by default": AcceptRequest(
+        view_number=1,
+        proposal_number=ProposalNumber(counter=2, proposer="text3"),
         view=View(
             number=4,
             voters=(
@@ -169,26 +171,30 @@
             ),
         ),
     ),
-    "accepted": Accepted(
+    "accepted": AcceptResponse(
         acceptor=Member(folder_id="text1", address="text2", zone="text3"),
-        number=4,
-        ballot=Ballot(round=5, proposer="text6"),
+        view_number=4,
+        proposal_number=ProposalNumber(counter=5, proposer="text6"),
     ),
-    "accepted by default": Accepted(
+    "accepted by default": AcceptResponse(
         acceptor=Member(folder_id="text1", address="text2", zone="text3"),
-        number=4,
-        ballot=Ballot(round=5, proposer="text6"),
+        view_number=4,
+        proposal_number=ProposalNumber(counter=5, proposer="text6"),
     ),
-    "rejected": Rejected(
-        number=1, ballot=Ballot(round=2, proposer="text3"), promised=Ballot(round=4, proposer="text5")
+    "rejected": ProposalRejected(
+        view_number=1,
+        proposal_number=ProposalNumber(counter=2, proposer="text3"),
+        promised=ProposalNumber(counter=4, proposer="text5"),
     ),
-    "rejected by default": Rejected(
-        number=1, ballot=Ballot(round=2, proposer="text3"), promised=Ballot(round=4, proposer="text5")
+    "rejected by default": ProposalRejected(
+        view_number=1,
+        proposal_number=ProposalNumber(counter=2, proposer="text3"),
+        promised=ProposalNumber(counter=4, proposer="text5"),
     ),
-    "resign_request": ResignRequest(view=1),
-    "resign_request by default": ResignRequest(view=1),
-    "resigned": Resigned(view=1, at=2.5),
-    "resigned by default": Resigned(view=1, at=2.5),
+    "resign_request": ReadLeaseReleaseRequest(view_number=1),
+    "resign_request by default": ReadLeaseReleaseRequest(view_number=1),
+    "resigned": ReadLeaseReleased(view_number=1, released_at=2.5),
+    "resigned by default": ReadLeaseReleased(view_number=1, released_at=2.5),
     "chain_state": ChainState(view=1, folder_id="text2", joined=3, complete=True, sequence=4),
     "chain_state by default": ChainState(view=1, folder_id="text2", joined=3, complete=True, sequence=4),
     "append": Append(view=1, entry=Entry(sequence=2, view=3, generation=4, document=b"bytes5")),
@@ -263,10 +269,10 @@
         )
     ),
     "acceptor": AcceptorRecord(
-        number=1,
-        promised=Ballot(round=2, proposer="text3"),
-        accepted_ballot=Ballot(round=4, proposer="text5"),
-        accepted=View(
+        view_number=1,
+        promised=ProposalNumber(counter=2, proposer="text3"),
+        accepted_proposal_number=ProposalNumber(counter=4, proposer="text5"),
+        accepted_view=View(
             number=6,
             voters=(
                 Member(folder_id="text7", address="text8", zone="text9"),
@@ -278,7 +284,9 @@
             ),
         ),
     ),
-    "acceptor by default": AcceptorRecord(number=1, promised=Ballot(round=2, proposer="text3")),
+    "acceptor by default": AcceptorRecord(
+        view_number=1, promised=ProposalNumber(counter=2, proposer="text3")
+    ),
     "entry": EntryRecord(entry=Entry(sequence=1, view=2, generation=3, document=b"bytes4")),
     "entry by default": EntryRecord(entry=Entry(sequence=1, view=2, generation=3, document=b"bytes4")),
     "packed_history": HistoryRecord(history=bytes(range(40))),
