--- a/reedspoke/booking/agreed.py
+++ b/reedspoke/booking/agreed.py
@@ -10,9 +10,10 @@
 from reedspoke.booking.file import DUTY
 from reedspoke.fleet.duties import Duty
 from reedspoke.fleet.frames import Matter, mark
-from reedspoke.fleet.log_messages import Answered, Asked, Recorded, Word
 from reedspoke.fleet.party import Party
-from reedspoke.fleet.record import Change, Out, Record
+from reedspoke.fleet.replicated_log.log_state import LogChange
+from reedspoke.fleet.replicated_log.messages import CommandReply, CommandRequest, LogEnvelope, Outbox
+from reedspoke.fleet.replicated_log.replicated_log import ReplicatedLog
 
 PACE = 4  # parts of a term that a lost word of the record is sent again after
 
@@ -25,9 +26,9 @@
         self.party, self.duties, me = party, party.duties, party.mail.me
         granters = self.duties.electorate.granters
         self.calendar = Calendar() if me in granters else None
-        self.record: Record | None = None
+        self.record: ReplicatedLog | None = None
         if self.calendar is not None:
-            self.record = Record(me, granters, life, self.calendar, term // PACE)
+            self.record = ReplicatedLog(me, granters, life, self.calendar, term // PACE)
         self.desk = Desk(
             me,
             self.record,
@@ -41,36 +42,36 @@
         self.folder = False  # what changes has to be kept there before it is told
         party.keeps.append(self._keep)
         self.duties.add(Duty(DUTY, term, able=self.record is not None), self)
-        party.heeds[Recorded] = self._hear_record
-        party.heeds[Asked] = party.heeds[Answered] = self._hear_desk
+        party.heeds[LogEnvelope] = self._hear_record
+        party.heeds[CommandRequest] = party.heeds[CommandReply] = self._hear_desk
         party.looks.append(self._look)
 
     def _holder(self, now: int) -> int:
         grip = self.duties.holder(DUTY, now)
         return grip.member if grip is not None else -1
 
-    def _wrap(self, out: Out) -> list[tuple[int, Matter]]:
-        return [(to, Recorded(mark(DUTY), word)) for to, word in out]
+    def _wrap(self, out: Outbox) -> list[tuple[int, Matter]]:
+        return [(to, LogEnvelope(mark(DUTY), word)) for to, word in out]
 
-    def _keep(self) -> list[Change]:
+    def _keep(self) -> list[LogChange]:
         if self.record is None:
             return []
-        changes = list(self.record.changes)
-        self.record.changes.clear()
+        changes = list(self.record.state.unsaved_changes)
+        self.record.state.unsaved_changes.clear()
         return changes if self.folder else []
 
     def silence(self, now: int) -> None:
         """What would be confirmed cannot be kept. Guards the others against a leader whose disk is full: it
         would go on to hold the duty, and the record would rest with it."""
         assert self.record is not None
-        self.record.silence()
+        self.record.fail_storage()
         self.party.gather(self.duties.disable(DUTY, now))
 
     # ---- the duty ----
 
     def begin(self, token: int, until: int, now: int) -> list[object]:
         assert self.record is not None
-        self.party.gather(self._wrap(self.record.hold(token, now)))
+        self.party.gather(self._wrap(self.record.become_leader(token, now)))
         return []
 
     def extend(self, until: int, now: int) -> list[object]:
@@ -78,7 +79,7 @@
 
     def end(self, why: str, now: int) -> list[object]:
         if self.record is not None:
-            self.record.let_go()
+            self.record.step_down()
         return []
 
     def tick(self, now: int) -> list[object]:
@@ -86,14 +87,16 @@
 
     # ---- words ----
 
-    def _hear_record(self, sender: int, matter: Recorded, now: int) -> list[tuple[int, Matter]]:
-        if matter.record != mark(DUTY) or self.record is None:
+    def _hear_record(self, sender: int, matter: LogEnvelope, now: int) -> list[tuple[int, Matter]]:
+        if matter.log_name_hash != mark(DUTY) or self.record is None:
             return []
-        return [*self._wrap(self.record.hear(sender, matter.word, now)), *self.desk.tick(now)]
+        return [*self._wrap(self.record.receive(sender, matter.message, now)), *self.desk.tick(now)]
 
-    def _hear_desk(self, sender: int, matter: Asked | Answered, now: int) -> list[tuple[int, Matter]]:
+    def _hear_desk(
+        self, sender: int, matter: CommandRequest | CommandReply, now: int
+    ) -> list[tuple[int, Matter]]:
         return [*self.desk.hear(sender, matter, now)]
 
     def _look(self, now: int) -> list[tuple[int, Matter]]:
-        words: list[tuple[int, Word]] = self.record.tick(now) if self.record is not None else []
+        words: Outbox = self.record.tick(now) if self.record is not None else []
         return [*self._wrap(words), *self.desk.tick(now)]
--- a/reedspoke/booking/book.py
+++ b/reedspoke/booking/book.py
@@ -78,7 +78,7 @@
 
 
 class Calendar:
-    """A `Machine`."""
+    """A `StateMachine`."""
 
     def __init__(self) -> None:
         self.kept: dict[str, Kept] = {}
@@ -91,10 +91,10 @@
     def apply(self, number: int, data: bytes) -> None:
         self.last = number, self.carry_out(DECODE(data))
 
-    def folded(self) -> bytes:
+    def snapshot(self) -> bytes:
         return msgspec.msgpack.encode(self.kept)
 
-    def unfold(self, data: bytes) -> None:
+    def restore(self, data: bytes) -> None:
         kept = msgspec.msgpack.decode(data, type=dict[str, Kept])
         self.__init__()  # type: ignore[misc]
         for name, one in kept.items():
--- a/reedspoke/booking/desk.py
+++ b/reedspoke/booking/desk.py
@@ -16,8 +16,8 @@
 
 from reedspoke.booking.book import Calendar
 from reedspoke.booking.words import DECODE, Book, Cancel, Order, Told, order_bytes
-from reedspoke.fleet.log_messages import Answered, Asked, Word
-from reedspoke.fleet.record import Record
+from reedspoke.fleet.replicated_log.messages import CommandReply, CommandRequest, Outbox
+from reedspoke.fleet.replicated_log.replicated_log import ReplicatedLog
 
 SECOND = 1_000_000
 AGAIN = 250_000  # us between two tries of one order
@@ -26,7 +26,7 @@
 MOST_TOLD = 140  # bytes of an answer to another scheduler
 KNOWN = 1024  # answers that the holder remembers, for those that ask again
 
-Out = list[tuple[int, Asked | Answered]]
+Out = list[tuple[int, CommandRequest | CommandReply]]
 ENCODE = msgspec.msgpack.Encoder().encode
 TOLD = msgspec.msgpack.Decoder(Told).decode
 
@@ -92,9 +92,9 @@
     us."""
 
     def __init__(
-        self, me: int, record: Record | None, calendar: Calendar | None, terms: Terms,
+        self, me: int, record: ReplicatedLog | None, calendar: Calendar | None, terms: Terms,
         holder: Callable[[int], int], wall: Callable[[int], int],
-        gather: Callable[[list[tuple[int, Word]]], None],
+        gather: Callable[[Outbox], None],
         first: int = 0,
     ) -> None:  # fmt: skip
         """`record` and `calendar`: None where this scheduler is no granter. `first`: by lot, or a later
@@ -128,7 +128,7 @@
             return []
         if holder == self.me:
             return self._enter((self.me, ticket), one.order, now)
-        return [(holder, Asked(ticket, order_bytes(one.order)))]
+        return [(holder, CommandRequest(ticket, order_bytes(one.order)))]
 
     def _finish(self, ticket: int, told: Told) -> None:
         self.tickets.pop(ticket, None)
@@ -155,22 +155,21 @@
             flight = self._flight
             if flight is None:
                 key, order = next(iter(self._waiting.items()))
-                lead = self.record.lead
-                assert lead is not None
+                term = self.record.leader_term
                 order = self.terms.bound(order)
                 number, words = self.record.propose(order_bytes(order), now)
-                self._flight = Flight(key, number, lead.token, order)
+                self._flight = Flight(key, number, term, order)
                 self._gather(words)
                 continue
-            if self.record.agreed < flight.number:
+            if self.record.commit_index < flight.number:
                 break
             assert self.calendar is not None
             number, told = self.calendar.last
             self._flight = None
             self._waiting.pop(flight.key, None)
             # Guards a yes against a holder that was one no longer meanwhile: another's entry may stand there.
-            lead = self.record.lead
-            if lead is not None and (number, lead.token) == (flight.number, flight.token):
+            term = self.record.leader_term
+            if (number, term) == (flight.number, flight.token):
                 data = encoded(told)
                 self._known[flight.key] = data
                 while len(self._known) > KNOWN:
@@ -181,20 +180,20 @@
     def _answer(self, key: tuple[int, int], data: bytes) -> Out:
         member, number = key
         if member != self.me:
-            return [(member, Answered(number, data))]
+            return [(member, CommandReply(number, data))]
         if number in self.tickets:
             self._finish(number, TOLD(data))
         return []
 
     # ---- events ----
 
-    def hear(self, sender: int, matter: Asked | Answered, now: int) -> Out:
-        if isinstance(matter, Answered):
+    def hear(self, sender: int, matter: CommandRequest | CommandReply, now: int) -> Out:
+        if isinstance(matter, CommandReply):
             if matter.number in self.tickets:
-                self._finish(matter.number, TOLD(matter.data))
+                self._finish(matter.number, TOLD(matter.outcome))
             return []
         try:
-            order = DECODE(matter.data)
+            order = DECODE(matter.command)
         except (msgspec.DecodeError, ValueError):
             return []
         return self._enter((sender, matter.number), order, now)
--- a/reedspoke/booking/part.py
+++ b/reedspoke/booking/part.py
@@ -30,8 +30,8 @@
 from reedspoke.errors import ReedspokeError
 from reedspoke.fleet.events import Keep, Kept, Unkept
 from reedspoke.fleet.party import Party
-from reedspoke.fleet.record import Record
-from reedspoke.fleet.shelf import Shelf, ShelfError
+from reedspoke.fleet.replicated_log.log_store import LogStore, LogStoreError
+from reedspoke.fleet.replicated_log.replicated_log import ReplicatedLog
 from reedspoke.net import effects as fx
 from reedspoke.net.core import Concern, Core, Reactions
 from reedspoke.net.runtime import Runtime
@@ -254,15 +254,15 @@
         self.desk.done.clear()
         record = self.agreed.record
         if record is not None:
-            for line in record.log:
+            for line in record.replica.log_lines:
                 self.core.ask(fx.Say(line))
-            record.log.clear()
+            record.replica.log_lines.clear()
 
 
 class Keeper:
     """A part with a folder: each change is on disk before what follows from it goes out."""
 
-    def __init__(self, runtime: Runtime, shelf: Shelf, record: Record) -> None:
+    def __init__(self, runtime: Runtime, shelf: LogStore, record: ReplicatedLog) -> None:
         self.runtime, self.shelf, self.record = runtime, shelf, record
 
     def effects(self) -> dict[type, Callable[[Any], None]]:
@@ -280,9 +280,13 @@
 
     def _keep(self, effect: Keep) -> None:
         try:
-            self.shelf.keep(list(effect.changes), self.record)
-        except ShelfError as error:
-            log.error("record: nothing is confirmed here any more: %s", error, extra=error.fields())
+            self.shelf.save(list(effect.changes), self.record)
+        except LogStoreError as error:
+            log.error(
+                "replicated log: storage failed, this voter acknowledges nothing until a restart: %s",
+                error,
+                extra=error.fields(),
+            )
             self.runtime.emit(Unkept())
         else:
             self.runtime.emit(Kept(effect.then))
@@ -295,17 +299,18 @@
     text = "# TYPE scheduler_bookings_told_total counter\n" + text if text else ""
     if (record := agreed.record) is not None:
         for name, value in {
-            "agreed": record.agreed,
-            "blank": +record.blank,
+            "agreed": record.commit_index,
+            "blank": +record.recovering,
             "serving": +record.serving,
         }.items():
             text += f"# TYPE scheduler_record_{name} gauge\nscheduler_record_{name} {value}\n"
-        text += f"# TYPE scheduler_record_torn_total counter\nscheduler_record_torn_total {record.torn}\n"
+        torn = record.replica.unclean_recoveries
+        text += f"# TYPE scheduler_record_torn_total counter\nscheduler_record_torn_total {torn}\n"
     return text
 
 
 def join(runtime: Runtime, party: Party, told: Bookings) -> Subsystem:
-    """Behind the fleet's own part. Raises ValueError for a duty of the same name, ShelfError."""
+    """Behind the fleet's own part. Raises ValueError for a duty of the same name, LogStoreError."""
     core, now = runtime.reducer.core, runtime.clock.now()
     life, term = now // 1000 & 0xFFFF_FFFF, int(seconds(told.term) * SECOND)
     agreed = Agreed(party, terms_of(told), term, life, lambda now: now // SECOND)
@@ -313,7 +318,7 @@
     parts = []
     if told.folder and agreed.record is not None:
         agreed.folder = True
-        parts.append(Keeper(runtime, Shelf(told.folder, "bookings"), agreed.record))
+        parts.append(Keeper(runtime, LogStore(told.folder, "bookings"), agreed.record))
     one = (b"bookings", NAME)
     return Subsystem(
         "bookings", (concern,), tuple(parts),
--- a/reedspoke/booking/words.py
+++ b/reedspoke/booking/words.py
@@ -8,7 +8,7 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from reedspoke.fleet.record import MOST_ENTRY
+from reedspoke.fleet.replicated_log.messages import MAX_ENTRY_BYTES
 
 MOST_NAME = 24  # bytes of a booking's, a tenant's and a zone's name
 Word = Annotated[str, Meta(pattern=r"^[a-z0-9][a-z0-9_.-]{0,23}$")]
@@ -80,6 +80,6 @@
 def order_bytes(order: Order) -> bytes:
     """Raises ValueError where it is too long for an entry of the record."""
     data = ENCODE(order)
-    if len(data) > MOST_ENTRY:
-        raise ValueError(f"{len(data)} bytes, at most {MOST_ENTRY}")
+    if len(data) > MAX_ENTRY_BYTES:
+        raise ValueError(f"{len(data)} bytes, at most {MAX_ENTRY_BYTES}")
     return data
--- a/reedspoke/fleet/events.py
+++ b/reedspoke/fleet/events.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from reedspoke.fleet.record import Change
+from reedspoke.fleet.replicated_log.log_state import LogChange
 from reedspoke.net.effects import FurtherEffect, FurtherEvent
 
 # ---- events ----
@@ -72,5 +72,5 @@
 class Keep(FurtherEffect):
     """Bring that to disk, and answer by `Kept` or `Unkept`."""
 
-    changes: tuple[Change, ...]
+    changes: tuple[LogChange, ...]
     then: tuple[Spread, ...]
--- a/reedspoke/fleet/frames.py
+++ b/reedspoke/fleet/frames.py
@@ -22,7 +22,7 @@
 from msgspec import Meta, Struct
 
 from reedspoke.errors import ReedspokeError
-from reedspoke.fleet.log_messages import Answered, Asked, Recorded
+from reedspoke.fleet.replicated_log.messages import CommandReply, CommandRequest, LogEnvelope
 
 MOST = 256  # bytes of a datagram; a longer one is the platform's fault line
 ROOM = MOST * 4 // 5  # bytes of a frame
@@ -166,8 +166,8 @@
 
 
 Matter = (
-    Holdings | Ping | Ack | Ask | News | Leased | Holder | Creed | Entry | Root | Branch | Want | Recorded |
-    Asked | Answered
+    Holdings | Ping | Ack | Ask | News | Leased | Holder | Creed | Entry | Root | Branch | Want |
+    LogEnvelope | CommandRequest | CommandReply
 )  # fmt: skip
 
 
--- a/reedspoke/fleet/party.py
+++ b/reedspoke/fleet/party.py
@@ -29,7 +29,7 @@
 )
 from reedspoke.fleet.mail import Mail
 from reedspoke.fleet.membership import Membership, Standing
-from reedspoke.fleet.record import Change
+from reedspoke.fleet.replicated_log.log_state import LogChange
 from reedspoke.fleet.view import View
 
 ALL = -1
@@ -51,7 +51,7 @@
         self.looks: list[Callable[[int], Iterable[tuple[int, Matter]]]] = []
         # What has to be on disk before anything goes out, taken by each call, and how much is on its way
         # there.
-        self.keeps: list[Callable[[], list[Change]]] = []
+        self.keeps: list[Callable[[], list[LogChange]]] = []
         self.keeping = 0
 
     # ---- events ----
--- /dev/null
+++ b/reedspoke/fleet/replicated_log/log_state.py
@@ -0,0 +1,177 @@
+"""One replica's copy of the log: the snapshot, the entries behind it, the term and the commit index.
+
+`LogState` owns all of it and notes each change that has to be on disk before a message that follows from
+it may leave (`unsaved_changes`). No I/O.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from enum import Enum
+
+from msgspec import Struct
+
+from reedspoke.fleet.replicated_log.messages import Append
+from reedspoke.fleet.replicated_log.state_machine import StateMachine
+
+COMPACTION_THRESHOLD = 128  # committed entries behind the snapshot at which a new snapshot is taken
+UNKNOWN_TERM = -1
+
+
+class ChangeKind(Enum):
+    """Kinds of change; the values are stored on disk."""
+
+    TERM = "promise"
+    APPEND = "append"
+    TRUNCATE = "cut"
+    REWRITE = "whole"
+
+
+@dataclass(slots=True, frozen=True)
+class LogChange:
+    """A change that has to be stored.
+
+    `number`: the term (TERM, APPEND), or the last index that stays (TRUNCATE).
+    """
+
+    kind: ChangeKind
+    number: int = 0
+    data: bytes = b""
+
+
+class LogEntry(Struct, frozen=True, array_like=True):
+    """A command, empty for a new leader's own entry, and the term of the leader that appended it."""
+
+    term: int
+    data: bytes
+
+
+@dataclass(slots=True, frozen=True)
+class PersistentState:
+    """What has to outlive the process: all that a replica has acknowledged."""
+
+    snapshot_index: int
+    snapshot_term: int
+    snapshot: bytes
+    current_term: int
+    entries: tuple[LogEntry, ...]
+
+
+class LogState:
+    """Indexes begin at 1; `snapshot_index` is the last one that the snapshot includes.
+
+    `recovering`: the replica has lost its state; what it has counts for nothing until recovery is over.
+    """
+
+    def __init__(self, state_machine: StateMachine) -> None:
+        self.state_machine = state_machine
+        self.recovering = True
+        self.current_term = 0
+        self.snapshot_index = 0
+        self.snapshot_term = 0
+        self.snapshot = state_machine.snapshot()
+        self.entries: list[LogEntry] = []
+        self.commit_index = 0
+        self.unsaved_changes: list[LogChange] = []
+
+    @property
+    def last_index(self) -> int:
+        """Index of the last entry, committed or not."""
+        return self.snapshot_index + len(self.entries)
+
+    @property
+    def last_term(self) -> int:
+        """Term of the last entry."""
+        return self.term_at(self.last_index)
+
+    def term_at(self, index: int) -> int:
+        """Term of that entry; UNKNOWN_TERM where it is behind the log's end or within the snapshot."""
+        if index == self.snapshot_index:
+            return self.snapshot_term
+        if self.snapshot_index < index <= self.last_index:
+            return self.entry_at(index).term
+        return UNKNOWN_TERM
+
+    def entry_at(self, index: int) -> LogEntry:
+        """The entry at an index from `snapshot_index` + 1 to `last_index`."""
+        return self.entries[index - self.snapshot_index - 1]
+
+    def append_message(self, term: int, index: int) -> Append:
+        """That entry, as a leader or the source of a takeover sends it."""
+        entry = self.entry_at(index)
+        return Append(term, index, self.term_at(index - 1), entry.term, self.commit_index, entry.data)
+
+    def commit_message(self, term: int) -> Append:
+        """No entry: the log ends here, and how much of it is committed."""
+        return Append(term, self.last_index + 1, self.last_term, 0, self.commit_index, b"")
+
+    def adopt_term(self, term: int) -> None:
+        """Accept no lower term from now on."""
+        if term > self.current_term:
+            self.current_term = term
+            self._note_change(ChangeKind.TERM, term)
+
+    def append(self, term: int, data: bytes) -> None:
+        """Add an entry at the end."""
+        self.entries.append(LogEntry(term, data))
+        self._note_change(ChangeKind.APPEND, term, data)
+
+    def truncate_after(self, index: int) -> None:
+        """Remove the entries behind that index; they were never committed."""
+        if index < self.last_index:
+            self.entries = self.entries[: index - self.snapshot_index]
+            self._note_change(ChangeKind.TRUNCATE, index)
+
+    def commit_through(self, index: int) -> None:
+        """Apply the entries up to that index that are here, and compact the log where it has grown."""
+        for committed in range(self.commit_index + 1, min(index, self.last_index) + 1):
+            self.commit_index = committed
+            if command := self.entry_at(committed).data:
+                self.state_machine.apply(committed, command)
+        if self.commit_index - self.snapshot_index > COMPACTION_THRESHOLD:
+            self._compact()
+
+    def _compact(self) -> None:
+        """The state machine is at the commit index now: its snapshot replaces all entries up to there."""
+        term = self.term_at(self.commit_index)
+        self.entries = self.entries[self.commit_index - self.snapshot_index :]
+        self.snapshot_index = self.commit_index
+        self.snapshot_term = term
+        self.snapshot = self.state_machine.snapshot()
+        self._note_change(ChangeKind.REWRITE)
+
+    def install_snapshot(self, index: int, term: int, snapshot: bytes) -> None:
+        """Replace all entries up to that index by a snapshot from another replica."""
+        self.state_machine.restore(snapshot)
+        # Entries behind it stay if they continue the same log: this replica may have acknowledged them.
+        continues = self.term_at(index) == term
+        self.entries = self.entries[index - self.snapshot_index :] if continues else []
+        self.snapshot_index, self.snapshot_term, self.snapshot = index, term, snapshot
+        self.commit_index = index
+        self._note_change(ChangeKind.REWRITE)
+
+    def finish_recovery(self) -> None:
+        """What the replica has counts from now on."""
+        if self.recovering:
+            self.recovering = False
+            self._note_change(ChangeKind.REWRITE)
+
+    def persistent_state(self) -> PersistentState:
+        """What `restore` takes."""
+        return PersistentState(
+            self.snapshot_index, self.snapshot_term, self.snapshot, self.current_term, tuple(self.entries)
+        )
+
+    def restore(self, state: PersistentState) -> None:
+        """Take over what was stored: it is all that this replica has acknowledged, so it need not recover."""
+        self.state_machine.restore(state.snapshot)
+        self.snapshot_index = self.commit_index = state.snapshot_index
+        self.snapshot_term, self.snapshot = state.snapshot_term, state.snapshot
+        self.current_term = state.current_term
+        self.entries = list(state.entries)
+        self.recovering = False
+
+    def _note_change(self, kind: ChangeKind, number: int = 0, data: bytes = b"") -> None:
+        """While recovering nothing is acknowledged, so nothing is stored: `finish_recovery` stores it all."""
+        if not self.recovering:
+            self.unsaved_changes.append(LogChange(kind, number, data))
--- /dev/null
+++ b/reedspoke/fleet/replicated_log/replicated_log.py
@@ -0,0 +1,251 @@
+"""A replicated log: commands that a majority of the voters agrees on, in one order, without need of a disk.
+
+The protocol is Viewstamped Replication (Oki, Liskov 1988; Liskov, Cowling, "Viewstamped Replication
+Revisited", 2012) with the rules for entries, commits and snapshots, and their names, as in Raft (Ongaro,
+Ousterhout, "In Search of an Understandable Consensus Algorithm", 2014). It differs from both in one
+thing: leaders are not elected here. Whoever holds a lease (`reedspoke.fleet`) is told to lead, and the
+lease's fencing token is its term. Clocks may be wrong and two replicas may believe to lead at once; the
+log stays safe, for these reasons:
+
+1. A voter accepts no term below the highest that it has heard (`LogState.adopt_term`). Prevents: an
+   earlier leader that was paused goes on and commits beside the later one.
+2. A new leader reads a majority before it serves (`Takeover`), and takes the log whose last entry has the
+   highest term, then the highest index. Any committed entry is at a majority and any two majorities share
+   a voter, so that log has it. Prevents: a leader that was cut off overwrites what was committed
+   meanwhile.
+3. It then appends an empty entry of its own term, and commits by counting only entries of its own term
+   (`Leader.advance_commit_index`). Prevents: an entry of a former term, at a majority, counts as
+   committed, and a replica with a higher last term takes over and removes it (Raft, section 5.4.2 and
+   figure 8).
+4. A follower adds an entry only behind one of the same index and term, and removes entries only where
+   they conflict (`Follower.on_append`). Prevents: gaps; and that a late duplicate removes entries that
+   were acknowledged since.
+5. A voter that restarts without its state is `recovering`: it acknowledges nothing until a majority has
+   told it the highest term, the leader of that term among them, and it has all that this leader had then
+   (`Recovery`; VR Revisited, section 4.3). Prevents: an entry is committed by an acknowledgement that the
+   voter has lost.
+6. Each start has an incarnation of its own, which answers carry, and a leader forgets what a former
+   incarnation had acknowledged (`Leader._progress_of`). Prevents: late answers count for a voter that has
+   lost what they say.
+7. Where a majority has lost its state, nothing is safe any more. The leader goes on with the best log
+   that is left only when *all* voters have answered, counts it (`unclean_recoveries`) and reports it
+   (`Takeover`). While one does not answer, that one may have the entries: the log waits.
+8. Where there is a disk, each change is on it before a message that follows from it leaves
+   (`unsaved_changes`, `LogStore`), and a voter whose disk has failed is silent (`fail_storage`).
+   Prevents: an acknowledgement that does not outlive a restart.
+9. A snapshot replaces the entries that it includes; entries behind it stay if they continue the same log
+   (`LogState.install_snapshot`). Prevents: a late snapshot removes entries that were acknowledged.
+
+Time is an argument, in us. No I/O.
+"""
+
+from __future__ import annotations
+
+from reedspoke.fleet.replicated_log.follower import Follower
+from reedspoke.fleet.replicated_log.leader import Leader
+from reedspoke.fleet.replicated_log.log_state import LogState, PersistentState
+from reedspoke.fleet.replicated_log.messages import (
+    MAX_ENTRY_BYTES,
+    Append,
+    AppendAccepted,
+    AppendRejected,
+    FetchRequest,
+    InstallSnapshot,
+    LogMessage,
+    LogStateReply,
+    LogStateRequest,
+    Outbox,
+    Outgoing,
+    RecoverEmpty,
+    RecoveryReply,
+    RecoveryRequest,
+)
+from reedspoke.fleet.replicated_log.recovery import Recovery
+from reedspoke.fleet.replicated_log.replica import Replica
+from reedspoke.fleet.replicated_log.state_machine import StateMachine
+from reedspoke.fleet.replicated_log.takeover import Takeover
+
+LeaderMessage = LogStateRequest | FetchRequest | Append | InstallSnapshot | RecoverEmpty
+
+
+class ReplicatedLog:
+    """One voter's replica. It owns the role (`leadership`: None for a follower) and hands messages to it."""
+
+    takeover_type: type[Takeover] = Takeover
+    leader_type: type[Leader] = Leader
+
+    def __init__(
+        self,
+        replica_id: int,
+        voters: tuple[int, ...],
+        incarnation: int,
+        state_machine: StateMachine,
+        retransmit_interval_us: int,
+    ) -> None:
+        self.state = LogState(state_machine)
+        self.replica = Replica(replica_id, voters, incarnation, retransmit_interval_us, self.state)
+        self.recovery = Recovery(self.replica)
+        self.leadership: Takeover | Leader | None = None
+        self.storage_failed = False
+        self._follower = Follower(self.replica, self.recovery)
+
+    # ---- what is known ----
+
+    @property
+    def leader(self) -> Leader | None:
+        """The leader's role, where this replica serves."""
+        return self.leadership if isinstance(self.leadership, Leader) else None
+
+    @property
+    def serving(self) -> bool:
+        """Whether this replica leads and accepts commands."""
+        return self.leader is not None
+
+    @property
+    def leader_term(self) -> int:
+        """Our term as a leader that serves, else 0."""
+        return self.leader.term if self.leader is not None else 0
+
+    @property
+    def recovering(self) -> bool:
+        """Whether this replica has lost its state and not recovered yet."""
+        return self.state.recovering
+
+    @property
+    def commit_index(self) -> int:
+        """Index of the last entry that is known here to be committed; it is applied."""
+        return self.state.commit_index
+
+    # ---- the lease, commands, storage ----
+
+    def become_leader(self, term: int, now: int) -> Outbox:
+        """The lease is ours, with that fencing token."""
+        if self.storage_failed:
+            return []
+        takeover = self.leadership = self.takeover_type(self.replica, term, now)
+        self.state.adopt_term(term)
+        return self._serve_if_complete(takeover, takeover.start(), now)
+
+    def step_down(self) -> None:
+        """The lease is lost, or a later leader is known."""
+        self.leadership = None
+
+    def propose(self, command: bytes, now: int) -> tuple[int, Outbox]:
+        """The index of the command's entry, and what to send.
+
+        The command is committed once `commit_index` has reached that index while `leader_term` is still
+        the same. Raises ValueError where this replica does not serve, or for a command that is empty or
+        too long.
+        """
+        if self.leader is None:
+            raise ValueError("not serving")
+        if not 0 < len(command) <= MAX_ENTRY_BYTES:
+            raise ValueError(f"{len(command)} bytes")
+        index = self.state.last_index + 1
+        return index, self.leader.propose(command, now)
+
+    def restore(self, state: PersistentState) -> None:
+        """At the start, from disk."""
+        self.state.restore(state)
+
+    def fail_storage(self) -> None:
+        """Changes cannot be stored: from now on this replica is silent, as if it were down."""
+        self.storage_failed = True
+        self.step_down()
+
+    def tick(self, now: int) -> Outbox:
+        """Send again what may be lost; to be called several times per `retransmit_interval_us`."""
+        if self.storage_failed:
+            return []
+        match self.leadership:
+            case None:
+                return self.recovery.tick(now)
+            case Takeover() as takeover:
+                return self._serve_if_complete(takeover, takeover.tick(now), now)
+            case Leader() as leader:
+                return leader.tick(now)
+
+    # ---- messages ----
+
+    def receive(self, sender: int, message: LogMessage, now: int) -> Outbox:
+        """The answers to a message of another voter."""
+        if sender not in self.replica.other_voters or self.storage_failed:
+            return []
+        match message:
+            case RecoveryRequest():
+                return self._on_recovery_request(sender, message)
+            case RecoveryReply():
+                if self.leadership is None:
+                    self.recovery.receive_reply(sender, message)
+                return []
+            case LogStateReply() | AppendAccepted() | AppendRejected():
+                return self._on_voter_reply(sender, message, now)
+            case _:
+                return self._on_leader_message(sender, message, now)
+
+    def _on_recovery_request(self, sender: int, message: RecoveryRequest) -> Outbox:
+        if self.leader is not None:
+            self.leader.on_recovery_request(sender, message.incarnation)
+        reply = self.recovery.reply_to(message, self.leader_term)
+        return [Outgoing(sender, reply)] if reply is not None else []
+
+    def _on_voter_reply(
+        self, sender: int, message: LogStateReply | AppendAccepted | AppendRejected, now: int
+    ) -> Outbox:
+        """To us as the leader, or as one that takes over."""
+        role = self.leadership
+        if role is None:
+            return []
+        if isinstance(message, AppendRejected) and message.term > role.term:
+            self.state.adopt_term(message.term)
+            self.step_down()
+            return []
+        if message.term != role.term:
+            return []
+        match role, message:
+            case Takeover(), LogStateReply():
+                return self._serve_if_complete(role, role.on_log_state_reply(sender, message), now)
+            case Leader(), AppendAccepted():
+                return role.on_accepted(sender, message, now)
+            case Leader(), AppendRejected():
+                return role.on_rejected(sender, message, now)
+        return []
+
+    def _on_leader_message(self, sender: int, message: LeaderMessage, now: int) -> Outbox:
+        current_term = self.state.current_term
+        if message.term < current_term:
+            rejection = AppendRejected(current_term, 0, self.replica.incarnation, False)
+            return [Outgoing(sender, rejection)]
+        if self.leadership is not None and message.term > self.leadership.term:
+            self.step_down()
+        if not isinstance(message, FetchRequest):
+            self.state.adopt_term(message.term)
+        match message, self.leadership:
+            case FetchRequest(), _:
+                return self._follower.on_fetch_request(sender, message)
+            case Append(), Takeover() as takeover:
+                return self._serve_if_complete(takeover, takeover.on_append(sender, message), now)
+            case InstallSnapshot(), Takeover() as takeover:
+                return takeover.on_install_snapshot(message)
+            case _, None:
+                return self._on_followed_leader(sender, message)
+        return []
+
+    def _on_followed_leader(self, sender: int, message: LeaderMessage) -> Outbox:
+        match message:
+            case LogStateRequest():
+                return self._follower.on_log_state_request(sender, message)
+            case RecoverEmpty():
+                return self._follower.on_recover_empty(message)
+            case Append():
+                return self._follower.on_append(sender, message)
+            case InstallSnapshot():
+                return self._follower.on_install_snapshot(sender, message)
+            case FetchRequest():
+                return self._follower.on_fetch_request(sender, message)
+
+    def _serve_if_complete(self, takeover: Takeover, messages: Outbox, now: int) -> Outbox:
+        if not takeover.complete:
+            return messages
+        leader = self.leadership = self.leader_type(self.replica, takeover)
+        return [*messages, *leader.start(now)]
--- a/reedspoke/fleet/view.py
+++ b/reedspoke/fleet/view.py
@@ -2,7 +2,7 @@
 core.
 
 This is belief. It settles in time and is never asked where something must be safe: what a majority has agreed
-on is another thing, with other names (`record.py`).
+on is another thing, with other names (`replicated_log`).
 
 Each member writes one entry of its own and nobody else's. Of two entries of one number the later life counts,
 of one life the later version: a join, so that order, loss and repetition do not matter. Who hears of an entry
--- a/reedspoke/lab/stages.py
+++ b/reedspoke/lab/stages.py
@@ -443,7 +443,7 @@
             lease = process.duties.leases[DUTY]
             view, agreed = process.view.settled(), process.agreed
             kept = None
-            if agreed is not None and agreed.calendar and agreed.record and not agreed.record.blank:
+            if agreed is not None and agreed.calendar and agreed.record and not agreed.record.recovering:
                 kept = {
                     name: (one.slots, one.begin, one.end, one.version)
                     for name, one in agreed.calendar.kept.items()
--- a/reedspoke/lab/virtual.py
+++ b/reedspoke/lab/virtual.py
@@ -15,6 +15,7 @@
 from reedspoke.fleet.mail import Mail
 from reedspoke.fleet.membership import Membership, Standing
 from reedspoke.fleet.party import ALL, Party
+from reedspoke.fleet.replicated_log.log_state import PersistentState
 from reedspoke.fleet.view import View
 
 SECOND = 1_000_000
@@ -59,8 +60,8 @@
             )
             if play.folder and self.agreed.record is not None:
                 self.agreed.folder = True
-                if number in play.shelves:
-                    self.agreed.record.restore(*play.shelves[number])
+                if number in play.stored_logs:
+                    self.agreed.record.restore(play.stored_logs[number])
         self.tokens: dict[str, int] = {}
         self.want(True)
 
@@ -84,8 +85,8 @@
         if any(keep() for keep in self.party.keeps):
             assert self.agreed is not None
             assert self.agreed.record is not None
-            *rest, entries = self.agreed.record.whole()
-            self.play.shelves[self.number] = (*rest, list(entries))  # type: ignore[assignment]
+            state = self.agreed.record.state.persistent_state()
+            self.play.stored_logs[self.number] = state
         for to, bodies in self.party.flush(self.clock()):
             others = [at for at in range(self.play.size) if at != self.number] if to < 0 else [to]
             for other in others:
@@ -122,7 +123,7 @@
         self._lives = count(1)
         self._events: list[tuple[int, int, Callable[[], None]]] = []
         self._order = count()
-        self.folder, self.shelves = folder, dict[int, tuple[int, int, bytes, int, list[tuple[int, bytes]]]]()
+        self.folder, self.stored_logs = folder, dict[int, PersistentState]()
         self.terms, self.tickets, self.born = terms, count(1), 1_700_000_000 * SECOND
         self.processes: dict[int, Process] = {}
         for number in range(size) if started else ():
--- a/tests/booking/test_book.py
+++ b/tests/booking/test_book.py
@@ -70,8 +70,8 @@
     for at in range(14):
         assert calendar.booked("north", at) == most(kept, at, at + 1) if kept else True
     again = Calendar()
-    again.unfold(calendar.folded())
-    assert again.folded() == calendar.folded()
+    again.restore(calendar.snapshot())
+    assert again.snapshot() == calendar.snapshot()
     assert [again.booked("north", at) for at in range(14)] == [
         calendar.booked("north", at) for at in range(14)
     ]
--- a/tests/golden/fleet_examples.py
+++ b/tests/golden/fleet_examples.py
@@ -26,20 +26,20 @@
     Root,
     Want,
 )
-from reedspoke.fleet.log_messages import (
-    Answered,
+from reedspoke.fleet.replicated_log.messages import (
     Append,
-    Asked,
-    Confirm,
-    Fetch,
-    Fold,
-    Found,
-    Lacking,
-    Read,
-    Recorded,
-    Recover,
-    Recovered,
-    Remember,
+    AppendAccepted,
+    AppendRejected,
+    CommandReply,
+    CommandRequest,
+    FetchRequest,
+    InstallSnapshot,
+    LogEnvelope,
+    LogStateReply,
+    LogStateRequest,
+    RecoverEmpty,
+    RecoveryReply,
+    RecoveryRequest,
 )
 
 FLEET_MESSAGES: dict[str, Struct] = {
@@ -79,12 +79,12 @@
     "10 by default": Branch(low=1, high=2, digests=b"bytes3"),
     "11": Want(low=1, high=2),
     "11 by default": Want(low=1, high=2),
-    "12": Recorded(record=1, word=Read(token=2)),
-    "12 by default": Recorded(record=1, word=Read(token=2)),
-    "13": Asked(number=1, data=b"bytes2"),
-    "13 by default": Asked(number=1, data=b"bytes2"),
-    "14": Answered(number=1, data=b"bytes2"),
-    "14 by default": Answered(number=1, data=b"bytes2"),
+    "12": LogEnvelope(log_name_hash=1, message=LogStateRequest(term=2)),
+    "12 by default": LogEnvelope(log_name_hash=1, message=LogStateRequest(term=2)),
+    "13": CommandRequest(number=1, command=b"bytes2"),
+    "13 by default": CommandRequest(number=1, command=b"bytes2"),
+    "14": CommandReply(number=1, outcome=b"bytes2"),
+    "14 by default": CommandReply(number=1, outcome=b"bytes2"),
 }
 
 LEASE_MESSAGES: dict[str, Struct] = {
@@ -103,24 +103,28 @@
 }
 
 LOG_WORDS: dict[str, Struct] = {
-    "0": Read(token=1),
-    "0 by default": Read(token=1),
-    "1": Remember(token=1, life=2, blank=True, last_token=3, last=4),
-    "1 by default": Remember(token=1, life=2, blank=True, last_token=3, last=4),
-    "2": Fetch(token=1, number=2, at=3),
-    "2 by default": Fetch(token=1, number=2, at=3),
-    "3": Append(token=1, number=2, before=3, entry_token=4, agreed=5, data=b"bytes6"),
-    "3 by default": Append(token=1, number=2, before=3, entry_token=4, agreed=5, data=b"bytes6"),
-    "4": Confirm(token=1, number=2, life=3),
-    "4 by default": Confirm(token=1, number=2, life=3),
-    "5": Lacking(token=1, number=2, life=3, blank=True, at=4),
-    "5 by default": Lacking(token=1, number=2, life=3, blank=True),
-    "6": Fold(token=1, base=2, base_token=3, at=4, whole=5, check=6, data=b"bytes7"),
-    "6 by default": Fold(token=1, base=2, base_token=3, at=4, whole=5, check=6, data=b"bytes7"),
-    "7": Found(token=1, life=2),
-    "7 by default": Found(token=1, life=2),
-    "8": Recover(life=1),
-    "8 by default": Recover(life=1),
-    "9": Recovered(life=1, promised=2, serves=3, last=4),
-    "9 by default": Recovered(life=1, promised=2, serves=3, last=4),
+    "0": LogStateRequest(term=1),
+    "0 by default": LogStateRequest(term=1),
+    "1": LogStateReply(term=1, incarnation=2, recovering=True, last_term=3, last_index=4),
+    "1 by default": LogStateReply(term=1, incarnation=2, recovering=True, last_term=3, last_index=4),
+    "2": FetchRequest(term=1, index=2, snapshot_offset=3),
+    "2 by default": FetchRequest(term=1, index=2, snapshot_offset=3),
+    "3": Append(term=1, index=2, previous_term=3, entry_term=4, commit_index=5, data=b"bytes6"),
+    "3 by default": Append(term=1, index=2, previous_term=3, entry_term=4, commit_index=5, data=b"bytes6"),
+    "4": AppendAccepted(term=1, match_index=2, incarnation=3),
+    "4 by default": AppendAccepted(term=1, match_index=2, incarnation=3),
+    "5": AppendRejected(term=1, match_limit=2, incarnation=3, recovering=True, snapshot_offset=4),
+    "5 by default": AppendRejected(term=1, match_limit=2, incarnation=3, recovering=True),
+    "6": InstallSnapshot(
+        term=1, last_included_index=2, last_included_term=3, offset=4, size=5, checksum=6, data=b"bytes7"
+    ),
+    "6 by default": InstallSnapshot(
+        term=1, last_included_index=2, last_included_term=3, offset=4, size=5, checksum=6, data=b"bytes7"
+    ),
+    "7": RecoverEmpty(term=1, incarnation=2),
+    "7 by default": RecoverEmpty(term=1, incarnation=2),
+    "8": RecoveryRequest(incarnation=1),
+    "8 by default": RecoveryRequest(incarnation=1),
+    "9": RecoveryReply(incarnation=1, current_term=2, leader_term=3, last_index=4),
+    "9 by default": RecoveryReply(incarnation=1, current_term=2, leader_term=3, last_index=4),
 }
--- a/tests/golden/test_messages.py
+++ b/tests/golden/test_messages.py
@@ -21,13 +21,13 @@
 from reedspoke.control_plane.replication import messages as replica_messages
 from reedspoke.control_plane.storage import records as log_records
 from reedspoke.fleet import frames as fleet_messages
-from reedspoke.fleet import log_messages
+from reedspoke.fleet.replicated_log import messages as log_messages
 from tests.golden import booking_examples, fleet_examples, peer_examples, replica_examples, session_examples
 
 GOLDEN: dict[str, dict[str, str]] = json.loads((Path(__file__).parent / "data/messages.json").read_text())
 DUTY = 7
 TERM_MS = 8
-RECORD = 7
+LOG_NAME_HASH = 7
 
 
 class Group(NamedTuple):
@@ -50,13 +50,13 @@
 
 
 def in_log(message: Any) -> bytes:
-    """A replicated log's message goes inside a `Recorded`."""
-    return msgspec.msgpack.encode(log_messages.Recorded(record=RECORD, word=message))
+    """A replicated log's message goes inside a `LogEnvelope`."""
+    return msgspec.msgpack.encode(log_messages.LogEnvelope(log_name_hash=LOG_NAME_HASH, message=message))
 
 
 def out_of_log(payload: bytes, _: Any) -> Any:
-    """The message inside a `Recorded`."""
-    return msgspec.msgpack.decode(payload, type=log_messages.Recorded).word
+    """The message inside a `LogEnvelope`."""
+    return msgspec.msgpack.decode(payload, type=log_messages.LogEnvelope).message
 
 
 def decode_msgpack(payload: bytes, expected: Any) -> Any:
@@ -121,7 +121,7 @@
     assert members(log_records.Record) == classes("log_records")
     assert members(fleet_messages.Matter) - {bytes} == classes("fleet_messages")
     assert members(fleet_messages.Message) == classes("lease_messages")
-    assert members(log_messages.Word) == classes("log_words")
+    assert members(log_messages.LogMessage) == classes("log_words")
     assert members(booking_messages.Order) <= classes("booking_orders")
 
 
--- a/tests/golden/test_stored_files.py
+++ b/tests/golden/test_stored_files.py
@@ -19,8 +19,9 @@
 from reedspoke.acme.record import packed, unpacked
 from reedspoke.control_plane.storage import log_file
 from reedspoke.control_plane.storage.records import RestoredState, restore
-from reedspoke.fleet.record import Change, Kind, Record
-from reedspoke.fleet.shelf import Shelf
+from reedspoke.fleet.replicated_log.log_state import ChangeKind, LogChange
+from reedspoke.fleet.replicated_log.log_store import LogStore
+from reedspoke.fleet.replicated_log.replicated_log import ReplicatedLog
 from reedspoke.identity.signing import Entry as SigningKeyEntry
 from reedspoke.net.handover import Orders
 from reedspoke.sealed import seal, unseal
@@ -40,10 +41,10 @@
     def apply(self, number: int, data: bytes) -> None:
         self.applied.append((number, data))
 
-    def folded(self) -> bytes:
+    def snapshot(self) -> bytes:
         return msgspec.msgpack.encode(self.applied)
 
-    def unfold(self, data: bytes) -> None:
+    def restore(self, data: bytes) -> None:
         self.applied = msgspec.msgpack.decode(data, type=list[tuple[int, bytes]])
 
 
@@ -108,37 +109,37 @@
     return folder
 
 
-def loaded(folder: Path) -> tuple[Record, Shelf]:
-    record = Record(1, (0, 1, 2), 5, RecordingMachine(), 1000)
-    shelf = Shelf(str(folder), "bookings")
-    line = shelf.load(record)
+def loaded(folder: Path) -> tuple[ReplicatedLog, LogStore]:
+    replicated_log = ReplicatedLog(1, (0, 1, 2), 5, RecordingMachine(), 1000)
+    store = LogStore(str(folder), "bookings")
+    line = store.load(replicated_log)
     assert "28 entries behind 129 from bookings.whole, 33 changes" in line
-    return record, shelf
+    return replicated_log, store
 
 
 def test_an_earlier_replicated_log_is_read(replicated_log_folder: Path) -> None:
-    record, shelf = loaded(replicated_log_folder)
-    shelf.close()
-    base, base_token, past, promised, entries = record.whole()
-    assert (base, base_token, promised) == (
+    replicated_log, store = loaded(replicated_log_folder)
+    store.close()
+    state = replicated_log.state.persistent_state()
+    assert (state.snapshot_index, state.snapshot_term, state.current_term) == (
         REPLICATED_LOG["base"],
         REPLICATED_LOG["base_token"],
         REPLICATED_LOG["promised"],
     )
-    assert past.hex() == REPLICATED_LOG["past"]
-    assert [[token, data.hex()] for token, data in entries] == REPLICATED_LOG["entries"]
+    assert state.snapshot.hex() == REPLICATED_LOG["past"]
+    assert [[entry.term, entry.data.hex()] for entry in state.entries] == REPLICATED_LOG["entries"]
 
 
 def test_a_replicated_log_is_written_as_earlier(replicated_log_folder: Path) -> None:
-    record, shelf = loaded(replicated_log_folder)
-    shelf.keep([Change(Kind.WHOLE)], record)
-    shelf.close()
+    replicated_log, store = loaded(replicated_log_folder)
+    store.save([LogChange(ChangeKind.REWRITE)], replicated_log)
+    store.close()
     for name in ("bookings.whole", "bookings.log"):
         assert (replicated_log_folder / name).read_bytes() == (DATA / f"{name}.rewritten").read_bytes()
 
 
 def test_kinds_of_changes_on_disk() -> None:
-    assert [kind.value for kind in Kind] == ["promise", "append", "cut", "whole"]
+    assert [kind.value for kind in ChangeKind] == ["promise", "append", "cut", "whole"]
 
 
 def test_a_sealed_file_has_its_earlier_bytes() -> None:
--- a/tests/lab/test_timelines.py
+++ b/tests/lab/test_timelines.py
@@ -10,10 +10,10 @@
 from reedspoke.booking.book import Calendar
 from reedspoke.booking.desk import Desk, encoded
 from reedspoke.booking.words import Order
-from reedspoke.fleet.log_messages import Answered, Asked
+from reedspoke.fleet.replicated_log.messages import CommandReply, CommandRequest
 from reedspoke.lab.stages import Truth, played, played_really
 from reedspoke.lab.timeline import Action, Claim, Row, Timeline, TimelineError, cut_down, draw, drawn, parse
-from tests.fleet.recordplay import Deaf, Hasty
+from tests.fleet.replicated_log.simulated_voters import CommitsBeforeMajority, ReadsNoMajority
 from tests.peers import ROOT
 
 FILES = sorted((ROOT / "tests" / "timelines").glob("*.txt"))
@@ -144,20 +144,24 @@
 class Hurried(Desk):
     """It answers by its own copy of the calendar, and brings the order to the record afterwards."""
 
-    def _enter(self, key: tuple[int, int], order: Order, now: int) -> list[tuple[int, Asked | Answered]]:
+    def _enter(
+        self, key: tuple[int, int], order: Order, now: int
+    ) -> list[tuple[int, CommandRequest | CommandReply]]:
         if self.calendar is not None and key not in self._known:
             copy = Calendar()
-            copy.unfold(self.calendar.folded())
+            copy.restore(self.calendar.snapshot())
             self._known[key] = encoded(copy.carry_out(self.terms.bound(order)))
             self._waiting[key] = order
             return [*self._answer(key, self._known[key]), *self._next(now)]
         return super()._enter(key, order, now)
 
 
-@pytest.mark.parametrize("mutation", [Hasty, Deaf, Hurried], ids=lambda mutation: mutation.__name__)
+@pytest.mark.parametrize(
+    "mutation", [CommitsBeforeMajority, ReadsNoMajority, Hurried], ids=lambda mutation: mutation.__name__
+)
 def test_mutations_of_bookings_break_a_story(mutation: type, monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards the checks themselves: what would lose or overbook has to be seen by them."""
-    name = "Desk" if issubclass(mutation, Desk) else "Record"
+    name = "Desk" if issubclass(mutation, Desk) else "ReplicatedLog"
     monkeypatch.setattr(f"reedspoke.booking.agreed.{name}", mutation)
     stories = [parse(path.read_text()) for path in FILES if path.stem.startswith("book-")]
     assert any(
