--- a/reedspoke/control_plane/peers/transport.py
+++ b/reedspoke/control_plane/peers/transport.py
@@ -14,11 +14,11 @@
 
 from msgspec import Struct
 
-from reedspoke.cluster.background import keep_running
-from reedspoke.cluster.json_log import DEBUG, INFO, log
-from reedspoke.cluster.messages import EdgeMessage, Fetch, Watch, WorkerList, encode
-from reedspoke.cluster.node_settings import split_address
-from reedspoke.cluster.transport import CONNECTION_ENDED, Channel, open_channel
+from reedspoke.common.background import keep_running
+from reedspoke.common.json_log import DEBUG, INFO, log
+from reedspoke.common.messages import EdgeMessage, FetchRequest, WatchRequest, WorkerList, encode
+from reedspoke.common.node_settings import split_address
+from reedspoke.common.transport import CONNECTION_ENDED, Channel, open_channel
 from reedspoke.control_plane.peers.messages import (
     Hello,
     LeaseAnswer,
@@ -51,7 +51,7 @@
     | QuotaLoan
     | WorkerList
 )
-FirstMessage = Hello | Watch | Fetch
+FirstMessage = Hello | WatchRequest | FetchRequest
 
 PeerHandler = Callable[[str, PeerMessage], None]
 
