--- a/reedspoke/common/tenants.py
+++ b/reedspoke/common/tenants.py
@@ -1,6 +1,7 @@
-"""Tenants of the operator's configuration: their keys, quotas and urgency, and what makes them invalid.
+"""Tenants of the operator's configuration: their keys, quotas and priority, and what makes them invalid.
 
-Messages of errors name tenants and never a key.
+Error messages name tenants and never a key. The name and docstring of `Tenant` are published in
+`openapi/operator.json`.
 """
 
 from __future__ import annotations
@@ -10,7 +11,7 @@
 
 from reedspoke.common.errors import ErrorCode, FleetError
 
-TOKENS = "token_count"  # the `unit` of quotas that are counted in tokens
+TOKENS = "token_count"  # value of `unit` for quotas that are counted in tokens
 
 
 class Tenant(TypedDict):
@@ -25,29 +26,32 @@
     burst: NotRequired[float | None]
 
 
-def tenants_fault(tenants: Iterable[Tenant]) -> FleetError | None:
-    """The first fault of these tenants, or None."""
+def first_tenant_error(tenants: Iterable[Tenant]) -> FleetError | None:
+    """The first reason why these tenants are invalid; None where they are valid.
+
+    The error is not raised; its code is 202, 211 or 212.
+    """
     names: set[str] = set()
-    holders: dict[str, str] = {}  # name of the tenant, by key
+    owner_of_key: dict[str, str] = {}  # name of the tenant
     for tenant in tenants:
         name = tenant["name"]
         if name in names:
             return FleetError(ErrorCode.CONFIGURATION_DUPLICATE_TENANT, f"tenant {name}: the name is taken")
         names.add(name)
-        fault = _quota_fault(tenant)
-        if fault is not None:
-            return fault
+        error = _quota_error(tenant)
+        if error is not None:
+            return error
         for key in tenant.get("api_keys", ()):
-            holder = holders.setdefault(key, name)
-            if holder != name:
-                text = f"tenants {holder} and {name} share a key"
-                return FleetError(ErrorCode.CONFIGURATION_SHARED_KEY, text)
+            owner = owner_of_key.setdefault(key, name)
+            if owner != name:
+                message = f"tenants {owner} and {name} share a key"
+                return FleetError(ErrorCode.CONFIGURATION_SHARED_KEY, message)
     return None
 
 
-def _quota_fault(tenant: Tenant) -> FleetError | None:
+def _quota_error(tenant: Tenant) -> FleetError | None:
     figures = (tenant.get("rate_per_s"), tenant.get("burst"), tenant.get("plain_tokens"))
     if any(figure is not None and figure < 0 for figure in figures):
-        text = f"tenant {tenant['name']}: a figure of its quota is below 0"
-        return FleetError(ErrorCode.CONFIGURATION_FIELD, text)
+        message = f"tenant {tenant['name']}: a figure of its quota is below 0"
+        return FleetError(ErrorCode.CONFIGURATION_FIELD, message)
     return None
--- a/reedspoke/control_plane/delivery/configuration_cache.py
+++ b/reedspoke/control_plane/delivery/configuration_cache.py
@@ -6,7 +6,9 @@
 
 from msgspec import Struct
 
-from reedspoke.common.configuration import Configuration, difference, parse_configuration
+from reedspoke.common.configuration import Configuration
+from reedspoke.common.configuration_delta import make_delta
+from reedspoke.common.configuration_parsing import parse_configuration
 from reedspoke.common.messages import NO_VERSION, ConfigurationSnapshot, Version, encode
 from reedspoke.control_plane.replication.events import Committed
 
@@ -124,5 +126,5 @@
 
 def _difference(old: Kept, configuration: Configuration, committed: Committed) -> bytes:
     """The difference, or the whole document where that is not larger."""
-    delta = encode(difference(old.configuration, configuration, old.version, _version(committed)))
+    delta = encode(make_delta(old.configuration, configuration, old.version, _version(committed)))
     return delta if len(delta) < len(committed.document) else _snapshot(committed)
--- a/reedspoke/data_plane/route_table.py
+++ b/reedspoke/data_plane/route_table.py
@@ -6,7 +6,7 @@
 
 from msgspec import Struct
 
-from reedspoke.common.configuration import Configuration, Route, targets
+from reedspoke.common.configuration import Configuration, Route, route_targets
 from reedspoke.common.messages import NO_VERSION, Version
 
 DEFAULT_TIMEOUT_MS = 30_000.0
@@ -116,7 +116,7 @@
 
 
 def _compile_targets(route: Route) -> tuple[Target, ...]:
-    splits = targets(route)
+    splits = route_targets(route)
     total = sum(split["weight"] for split in splits)
     compiled = []
     reached = 0.0
--- a/reedspoke/data_plane/subscription.py
+++ b/reedspoke/data_plane/subscription.py
@@ -9,11 +9,9 @@
 
 from msgspec import Struct, field
 
-from reedspoke.common.configuration import (
-    Configuration,
-    apply_difference,
-    read_checked,
-)
+from reedspoke.common.configuration import Configuration
+from reedspoke.common.configuration_delta import apply_delta
+from reedspoke.common.configuration_parsing import parse_validated
 from reedspoke.common.messages import (
     CONFIGURATION,
     NO_VERSION,
@@ -126,7 +124,7 @@
     def _take_snapshot(self, message: ConfigurationSnapshot) -> bool:
         if message.version <= self.version(CONFIGURATION):
             return False
-        self._set_configuration(read_checked(message.document), message.version)
+        self._set_configuration(parse_validated(message.document), message.version)
         return True
 
     def _take_delta(self, message: ConfigurationDelta) -> bool:
@@ -134,7 +132,7 @@
         version = self.version(CONFIGURATION)
         if held is None or message.base != version or message.version <= version:
             return False
-        self._set_configuration(apply_difference(held, message), message.version)
+        self._set_configuration(apply_delta(held, message), message.version)
         return True
 
     def _set_configuration(self, configuration: Configuration, version: Version) -> None:
--- a/reedspoke/operator_cli/commands.py
+++ b/reedspoke/operator_cli/commands.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from reedspoke.common.configuration import parse_configuration
+from reedspoke.common.configuration_parsing import parse_configuration
 from reedspoke.operator_cli.client import Answer, Call, OperatorClient
 from reedspoke.operator_cli.errors import OperatorError, OperatorErrorCode
 from reedspoke.operator_cli.rendering import Members, StatusFields, member_table, status_table
--- a/tests/common/test_tenants.py
+++ b/tests/common/test_tenants.py
@@ -6,10 +6,10 @@
 
 import pytest
 
-from reedspoke.common.configuration import apply_difference, difference
+from reedspoke.common.configuration_delta import apply_delta, make_delta
 from reedspoke.common.errors import ErrorCode, FleetError
 from reedspoke.common.messages import ConfigurationDelta, decode, encode
-from tests.common.test_configuration import document, parse, route
+from tests.common.configuration_documents import document, parse, route
 
 SECRET = "k-very-secret"
 
@@ -72,12 +72,12 @@
 def test_a_difference_brings_the_tenants_over(before: list[Any] | None, after: list[Any] | None) -> None:
     old = parse(document(route(), tenants=before))
     new = parse(document(route(), tenants=after, generation=2))
-    delta = decode(encode(difference(old, new, (1, 1), (1, 2))), ConfigurationDelta)
-    assert apply_difference(old, delta) == new
+    delta = decode(encode(make_delta(old, new, (1, 1), (1, 2))), ConfigurationDelta)
+    assert apply_delta(old, delta) == new
 
 
 def test_a_difference_holds_only_the_tenants_that_changed() -> None:
     old = parse(document(route(), tenants=[tenant(f"t{n}", f"k{n}") for n in range(50)]))
     new = parse(document(route(), tenants=[tenant(f"t{n}", f"k{n}") for n in range(1, 50)], generation=2))
-    delta = difference(old, new, (1, 1), (1, 2))
+    delta = make_delta(old, new, (1, 1), (1, 2))
     assert (delta.tenants, delta.removed_tenants) == (b"[]", ("t0",))
--- a/tests/control_plane/test_orders_invalid.py
+++ b/tests/control_plane/test_orders_invalid.py
@@ -8,7 +8,8 @@
 
 import pytest
 
-from reedspoke.common.configuration import Configuration, parse_configuration
+from reedspoke.common.configuration import Configuration
+from reedspoke.common.configuration_parsing import parse_configuration
 from reedspoke.common.errors import ErrorCode
 from reedspoke.control_plane.api.http_server import Request
 from reedspoke.control_plane.api.operator_api import (
--- a/tests/control_plane_process/test_configuration_cache.py
+++ b/tests/control_plane_process/test_configuration_cache.py
@@ -8,11 +8,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from reedspoke.common.configuration import (
-    Configuration,
-    apply_difference,
-    parse_configuration,
-)
+from reedspoke.common.configuration import Configuration
+from reedspoke.common.configuration_delta import apply_delta
+from reedspoke.common.configuration_parsing import parse_configuration
 from reedspoke.common.errors import FleetError
 from reedspoke.common.messages import ConfigurationDelta, ConfigurationSnapshot, Version, decode
 from reedspoke.control_plane.delivery import configuration_cache
@@ -41,7 +39,7 @@
         return parse_configuration(answer.document)
     assert held is not None
     assert answer.base == have
-    return apply_difference(held, answer)
+    return apply_delta(held, answer)
 
 
 def test_nothing_is_offered_before_the_first() -> None:
--- a/tests/control_plane_process/test_operator_api.py
+++ b/tests/control_plane_process/test_operator_api.py
@@ -8,7 +8,8 @@
 
 import pytest
 
-from reedspoke.common.configuration import Configuration, parse_configuration
+from reedspoke.common.configuration import Configuration
+from reedspoke.common.configuration_parsing import parse_configuration
 from reedspoke.common.errors import ErrorCode, FleetError
 from reedspoke.control_plane.api import operator_api
 from reedspoke.control_plane.api.http_server import Request, Response
--- a/tests/control_plane_process/test_process.py
+++ b/tests/control_plane_process/test_process.py
@@ -8,7 +8,8 @@
 
 import pytest
 
-from reedspoke.common.configuration import apply_difference, parse_configuration
+from reedspoke.common.configuration_delta import apply_delta
+from reedspoke.common.configuration_parsing import parse_configuration
 from reedspoke.common.messages import ConfigurationDelta
 from reedspoke.control_plane.storage.log_format import COPIES, encode_batch
 from tests.control_plane_process.fleet import HEARTBEAT_MS, HOSTS, UP_S, Fleet
@@ -105,7 +106,7 @@
     until(passed_on, 2.0, "the data plane holds it")
     assert isinstance(held[0], ConfigurationDelta)
     first = parse_configuration(configuration(3))
-    assert apply_difference(first, held[0]) == parse_configuration(large)
+    assert apply_delta(first, held[0]) == parse_configuration(large)
 
 
 def _taken(reply: Reply | None) -> bool:
--- a/tests/data_plane/loopback.py
+++ b/tests/data_plane/loopback.py
@@ -10,7 +10,7 @@
 
 from msgspec import Struct, field
 
-from reedspoke.common.configuration import parse_configuration
+from reedspoke.common.configuration_parsing import parse_configuration
 from reedspoke.common.messages import WorkerEntry, WorkerList
 from reedspoke.common.node_settings import split_address
 from reedspoke.data_plane.client_connection import ClientConnection
--- a/tests/data_plane/test_route_table.py
+++ b/tests/data_plane/test_route_table.py
@@ -8,7 +8,8 @@
 
 import pytest
 
-from reedspoke.common.configuration import Route, parse_configuration
+from reedspoke.common.configuration import Route
+from reedspoke.common.configuration_parsing import parse_configuration
 from reedspoke.data_plane import route_table
 from reedspoke.data_plane.route_table import CompiledRoute, RouteTable
 
--- a/tests/data_plane/test_subscription.py
+++ b/tests/data_plane/test_subscription.py
@@ -9,7 +9,9 @@
 from hypothesis import strategies as st
 from msgspec import Struct, field
 
-from reedspoke.common.configuration import Configuration, difference, parse_configuration
+from reedspoke.common.configuration import Configuration
+from reedspoke.common.configuration_delta import make_delta
+from reedspoke.common.configuration_parsing import parse_configuration
 from reedspoke.common.errors import FleetError
 from reedspoke.common.messages import (
     CONFIGURATION,
@@ -78,7 +80,7 @@
 
 def delta(base: int, sequence: int) -> ConfigurationDelta:
     old, new = parse_configuration(document(base)), parse_configuration(document(sequence))
-    return difference(old, new, (base, 0), (sequence, 0))
+    return make_delta(old, new, (base, 0), (sequence, 0))
 
 
 def workers(term: int, count: int) -> WorkerList:
--- a/tests/data_plane/test_unconfirmed_sessions.py
+++ b/tests/data_plane/test_unconfirmed_sessions.py
@@ -109,8 +109,7 @@
 
 
 def test_where_all_are_unconfirmed_neither_dials_nor_watches_run_wild(control: Control) -> None:
-    """Also where each `WatchRequest` is answered at once, which a control scheduler does only the first time.
-    """
+    """Also where each `WatchRequest` is answered at once, as a control scheduler does only the first time."""
     control.tried.clear()
     before = sum(len(channel.sent) for channel in control.channels)
     answered_at_once = 0
--- a/tests/data_plane/world.py
+++ b/tests/data_plane/world.py
@@ -10,7 +10,8 @@
 
 from msgspec import Struct, field
 
-from reedspoke.common.configuration import RequestLimits, parse_configuration
+from reedspoke.common.configuration import RequestLimits
+from reedspoke.common.configuration_parsing import parse_configuration
 from reedspoke.common.errors import ErrorCode
 from reedspoke.common.messages import WorkerEntry, WorkerList
 from reedspoke.data_plane.answers import own_answer
--- a/tests/lab_fleet/test_judges.py
+++ b/tests/lab_fleet/test_judges.py
@@ -5,7 +5,7 @@
 import pytest
 from msgspec import structs
 
-from reedspoke.common.configuration import parse_configuration
+from reedspoke.common.configuration_parsing import parse_configuration
 from reedspoke.lab.fleet_emulator import http_messages as http
 from reedspoke.lab.fleet_emulator.answer_check import (
     EventReader,
--- a/tests/lab_soak/test_soak_tenants.py
+++ b/tests/lab_soak/test_soak_tenants.py
@@ -5,7 +5,7 @@
 import pytest
 
 from reedspoke.common.quota_rule import bound
-from reedspoke.common.tenants import tenants_fault
+from reedspoke.common.tenants import first_tenant_error
 from reedspoke.lab.fleet_emulator.ledger import Ledger, Run, SentRequest
 from reedspoke.lab.fleet_soak.soak_tenants import (
     BURST,
@@ -60,6 +60,6 @@
 def test_the_moving_key_has_one_holder_at_a_time() -> None:
     for generation in range(4):
         made = tenants(generation)
-        assert tenants_fault(made) is None
+        assert first_tenant_error(made) is None
         holders = {tenant["name"] for tenant in made if MOVING_KEY in tenant["api_keys"]}
         assert len(holders & MOVING_HOLDERS) == 1
