--- a/reedspoke/common/early_signals.py
+++ b/reedspoke/common/early_signals.py
@@ -1,4 +1,4 @@
-"""Signals that come before a program has its event loop: remembered, and obeyed once it has one.
+"""Signals that come before a program has its event loop: recorded, and handled once it has one.
 
 Without this, SIGHUP or SIGTERM during the imports would end the process by the signal itself. This module
 imports nothing that takes time, and each program calls `remember_signals` before it imports its own parts.
@@ -14,21 +14,24 @@
 if TYPE_CHECKING:
     from asyncio import AbstractEventLoop
 
-REMEMBERED = (signal.SIGHUP, signal.SIGTERM, signal.SIGINT)
+HANDLED_SIGNALS = (signal.SIGHUP, signal.SIGTERM, signal.SIGINT)
 
-_came: list[int] = []
+_pending: list[int] = []  # in the order in which they came
 
 
 def remember_signals() -> None:
-    """From now on these signals only leave a note, until the event loop handles them."""
-    for number in REMEMBERED:
-        signal.signal(number, _remember)
+    """Record the handled signals from now on, until `handle_signals` passes them to the event loop."""
+    for number in HANDLED_SIGNALS:
+        signal.signal(number, _record)
 
 
 def handle_signals(
     loop: AbstractEventLoop, on_end: Callable[[], None], on_reload: Callable[[], None]
 ) -> None:
-    """Have the loop handle these signals from now on, the remembered ones first."""
+    """Have the loop handle these signals from now on, the recorded ones first.
+
+    SIGHUP calls `on_reload`; SIGTERM and SIGINT call `on_end`.
+    """
     handlers: dict[int, Callable[[], None]] = {
         signal.SIGHUP: on_reload,
         signal.SIGTERM: on_end,
@@ -36,10 +39,10 @@
     }
     for number, handler in handlers.items():
         loop.add_signal_handler(number, handler)
-    for number in _came:
+    for number in _pending:
         handlers[number]()
-    _came.clear()
+    _pending.clear()
 
 
-def _remember(number: int, frame: FrameType | None) -> None:
-    _came.append(number)
+def _record(number: int, frame: FrameType | None) -> None:
+    _pending.append(number)
--- a/reedspoke/common/entry_point.py
+++ b/reedspoke/common/entry_point.py
@@ -1,4 +1,6 @@
-"""What the programs of both planes do before they serve: logging, settings, garbage collector."""
+"""What the programs of both planes do before they serve: configure the log, read settings, tune garbage
+collection.
+"""
 
 from __future__ import annotations
 
@@ -12,22 +14,22 @@
 from reedspoke.common.node_settings import NodeSettings, load_settings
 from reedspoke.common.unhandled_errors import handle_all_errors
 
-SETTINGS_EXIT = 2
-GC_THRESHOLDS = (20000, 20, 20)  # fewer and longer intervals between collections than by default
+SETTINGS_EXIT_STATUS = 2
+GC_THRESHOLDS = (20000, 20, 20)  # rarer collections than by default: each one delays all requests
 
 Serve = Callable[[NodeSettings], Coroutine[Any, Any, None]]
-CheckSettings = Callable[[NodeSettings], None]  # raises FleetError where the role needs more
+CheckSettings = Callable[[NodeSettings], None]  # raises FleetError where the role lacks a setting
 
 
-def run(serve: Serve, check: CheckSettings) -> int:
-    """Serve by the settings file. Exit status: 0 after SIGTERM, 2 where the settings cannot be used."""
+def run_program(serve: Serve, check: CheckSettings) -> int:
+    """Read the settings file and serve. Exit status: 0 after SIGTERM, 2 where the settings cannot be used."""
     json_log.configure()
     try:
         settings = load_settings()
         check(settings)
     except FleetError as error:
         _log_unusable(error)
-        return SETTINGS_EXIT
+        return SETTINGS_EXIT_STATUS
     gc.freeze()
     gc.set_threshold(*GC_THRESHOLDS)
     asyncio.run(_serve(serve, settings))
--- a/reedspoke/common/errors.py
+++ b/reedspoke/common/errors.py
@@ -1,4 +1,8 @@
-"""Numbered result codes of the router fleet, with a row for each in `docs/errors.md`; none is ever reused."""
+"""Numbered error codes of the router fleet, with a row for each in `docs/errors.md`; no number is ever
+reused.
+
+Names and numbers appear in responses and log lines, so neither may change.
+"""
 
 from __future__ import annotations
 
@@ -55,7 +59,7 @@
 
 
 class NumberedError(Exception):
-    """The base of all errors of the fleet: a result code and one plain sentence."""
+    """The base of all errors of the fleet: an error code and one plain sentence for the operator."""
 
     def __init__(self, code: IntEnum, message: str) -> None:
         super().__init__(message)
@@ -67,7 +71,7 @@
 
 
 class FleetError(NumberedError):
-    """An error of the two programs."""
+    """An error of the control plane or the data plane, with a code of `ErrorCode`."""
 
     code: ErrorCode
 
--- a/reedspoke/common/json_log.py
+++ b/reedspoke/common/json_log.py
@@ -17,9 +17,12 @@
 
 
 class JsonFormatter(picologging.Formatter):
-    """The record's message is the event's name; its only argument, a dictionary, holds the fields."""
+    """Formats a record as one JSON object: its message is the event, its only argument the dictionary of
+    fields.
+    """
 
     def format(self, record: picologging.LogRecord) -> str:
+        """One line of JSON; values that JSON has no type for are written as their text."""
         line: dict[str, Any] = {
             "at": datetime.fromtimestamp(record.created, UTC).isoformat(timespec="milliseconds"),
             "level": LEVELS.get(record.levelno, str(record.levelno)),
@@ -40,7 +43,7 @@
 
 
 def log(level: int, event: str, **fields: object) -> None:
-    """Write one line: what happened, and the fields that tell it apart."""
+    """Write one line: the event, which is constant text, and fields for all that varies."""
     if fields:
         _logger.log(level, event, fields)
     else:
--- a/reedspoke/common/lingering_close.py
+++ b/reedspoke/common/lingering_close.py
@@ -1,7 +1,8 @@
-"""Ends a connection behind its last answer in a way that lets the client read that answer.
+"""Closes a connection after its last response so that the client can still read that response.
 
-Closing with unread bytes would reset the connection, and a reset can destroy an answer that is still on its
-way. So writing ends first, and what the client still sends is read and forgotten, in bounded number.
+Closing a socket with unread bytes resets the connection, and a reset can destroy a response that is still on
+its way (RFC 9112, section 9.6). So the write side closes first, and what the client still sends is read and
+discarded, up to a bound.
 """
 
 from __future__ import annotations
@@ -10,14 +11,14 @@
 
 
 class LingeringClose:
-    """The last part of a connection's life; its owner bounds the time."""
+    """A connection whose write side is closed; its owner bounds the time."""
 
-    def __init__(self, transport: asyncio.Transport, most_bytes: int) -> None:
+    def __init__(self, transport: asyncio.Transport, max_bytes: int) -> None:
         self._transport = transport
-        self._left = most_bytes
+        self._remaining_bytes = max_bytes
 
     def begin(self) -> None:
-        """Write no more, and read on. Where the client has gone meanwhile, the connection just ends."""
+        """Close the write side, and read on. A connection that the client has reset meanwhile is aborted."""
         try:
             self._transport.write_eof()
         except OSError:  # ENOTCONN: its reset has come, and the event loop has not noticed yet
@@ -26,7 +27,7 @@
         self._transport.resume_reading()
 
     def discard(self, count: int) -> None:
-        """So many bytes have come and are forgotten."""
-        self._left -= count
-        if self._left < 0:
+        """Count received bytes that nobody reads; the connection is aborted once there are too many."""
+        self._remaining_bytes -= count
+        if self._remaining_bytes < 0:
             self._transport.abort()
--- a/reedspoke/common/log_rate_limit.py
+++ b/reedspoke/common/log_rate_limit.py
@@ -1,17 +1,22 @@
-"""Bounds how many log lines of one kind are written: a token bucket on the steady clock."""
+"""A rate limit on log lines of one kind: a token bucket on the steady clock."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
-BURST = 200.0  # lines at once
-PER_S = 50.0  # and in the long run
+BURST_LINES = 200.0
+LINES_PER_S = 50.0
 
 
 class LogRateLimiter:
-    """Says whether a line may be written, and counts those that were not."""
+    """Decides whether a line may be written, and counts those that were suppressed.
 
-    def __init__(self, clock: Callable[[], float], burst: float = BURST, per_s: float = PER_S) -> None:
+    `clock` returns seconds of the steady clock.
+    """
+
+    def __init__(
+        self, clock: Callable[[], float], burst: float = BURST_LINES, per_s: float = LINES_PER_S
+    ) -> None:
         self.suppressed = 0
         self._clock = clock
         self._burst = burst
--- a/reedspoke/common/metrics_endpoint.py
+++ b/reedspoke/common/metrics_endpoint.py
@@ -1,4 +1,4 @@
-"""Serves the figures of a process of the fleet, with those of its invariants."""
+"""The metrics endpoint of a process of the fleet, with the metrics of its invariants and unhandled errors."""
 
 from __future__ import annotations
 
@@ -16,9 +16,10 @@
 
 
 async def serve_metrics(settings: NodeSettings, registry: Registry) -> MetricsServer | None:
-    """Log violations from now on, and listen where the settings say.
+    """Log violations of invariants from now on, and listen where `settings.metrics` says.
 
-    A port that is in use is logged, and the process goes on without.
+    None where the settings name no port, or the port is in use: that is logged, and the process goes on
+    without.
     """
     add_invariant_metrics(registry)
     registry.gauge(
@@ -40,7 +41,7 @@
 
 
 def add_invariant_metrics(registry: Registry) -> None:
-    """How often each invariant was evaluated, and violated."""
+    """Add counters of how often each invariant was evaluated, and violated."""
     registry.by_label(
         "reedspoke_invariant_evaluations_total",
         "Evaluations of each invariant.",
@@ -55,11 +56,11 @@
     )
 
 
-def log_violations(lines: LogRateLimiter) -> None:
-    """Write each violation to the log from now on, as far as lines are allowed."""
+def log_violations(rate_limiter: LogRateLimiter) -> None:
+    """Write each violation to the log from now on, within the rate limit."""
 
     def report(violation: Violation) -> None:
-        if lines.allows():
+        if rate_limiter.allows():
             log(ERROR, VIOLATION_EVENT, invariant=violation.invariant.value, **violation.facts)
 
     monitor.report_to(report)
--- a/reedspoke/common/node_settings.py
+++ b/reedspoke/common/node_settings.py
@@ -12,13 +12,13 @@
 
 SETTINGS_VARIABLE = "REEDSPOKE_NODE_FILE"
 SETTINGS_DEFAULT_PATH = "/etc/reedspoke/settings.json"
-WATCH_HOLD_OF_HEARTBEAT = 1 / 3
-WATCH_HOLD_OF_APPLY = 1 / 4
-METRICS = "9464/metrics"  # as `deploy/system.toml` has it for both roles
+WATCH_TIMEOUT_PER_HEARTBEAT = 1 / 3
+WATCH_TIMEOUT_PER_APPLY = 1 / 4
+DEFAULT_METRICS = "9464/metrics"  # as `deploy/system.toml` has it for both roles
 
 
 class Limits(Struct, frozen=True):
-    """What the process may use."""
+    """The resources that the process may use."""
 
     cpu_share: float = 1.0
     cpu_cores: float = 1
@@ -79,7 +79,7 @@
 
 
 class NodeSettings(Struct, frozen=True):
-    """All that a process is told when it starts."""
+    """All settings of one process. Field names are the keys of the file."""
 
     node_name: str
     ip_address: str
@@ -97,24 +97,25 @@
     fault_tolerance: FaultTolerance = field(default_factory=FaultTolerance)
     bounds: Bounds = field(default_factory=Bounds)
     cloud_api: CloudApi = field(default_factory=CloudApi)
-    metrics: str = METRICS  # port and path of the process's figures, at `ip_address`; empty: none are served
+    metrics: str = DEFAULT_METRICS  # port and path of the metrics endpoint, at `ip_address`; empty: none
 
-    def watch_hold_s(self) -> float:
-        """A control scheduler answers a `WatchRequest` after this at the latest.
+    def watch_timeout_s(self) -> float:
+        """The seconds after which a control plane node answers a `WatchRequest` at the latest.
 
-        It is also bounded by `apply_ms`: a data plane scheduler that hears less often could not know that its
+        They are also bounded by `apply_ms`: with rarer responses a data plane node could not know that its
         configuration is as new as it has to be.
         """
-        hold_ms = min(self.heartbeat_ms * WATCH_HOLD_OF_HEARTBEAT, self.bounds.apply_ms * WATCH_HOLD_OF_APPLY)
-        return hold_ms / 1000
+        by_heartbeat_ms = self.heartbeat_ms * WATCH_TIMEOUT_PER_HEARTBEAT
+        by_apply_ms = self.bounds.apply_ms * WATCH_TIMEOUT_PER_APPLY
+        return min(by_heartbeat_ms, by_apply_ms) / 1000
 
     def seed_addresses(self) -> tuple[str, ...]:
-        """The internal addresses of the control schedulers at the seeds."""
+        """The internal addresses of the control plane nodes at the seeds."""
         return tuple(internal_address(seed, self) for seed in self.seed_nodes)
 
 
 def internal_address(control_address: str, settings: NodeSettings) -> str:
-    """The address for other schedulers of the machine that serves the operator at `control_address`."""
+    """The address for other nodes of the machine whose operator API listens at `control_address`."""
     host, _, _ = control_address.rpartition(":")
     return f"{host}:{settings.internal_ports[0]}"
 
@@ -126,11 +127,12 @@
 
 
 def settings_path() -> Path:
+    """The path of the settings file: that of the environment variable, or the default."""
     return Path(os.environ.get(SETTINGS_VARIABLE, SETTINGS_DEFAULT_PATH))
 
 
 def parse_settings(raw: bytes) -> NodeSettings:
-    """Raises FleetError that names the key which is missing or wrong."""
+    """Parse a settings file. Raises FleetError that names the key which is missing or wrong."""
     try:
         return msgspec.json.decode(raw, type=NodeSettings)
     except msgspec.DecodeError as error:
@@ -138,7 +140,10 @@
 
 
 def load_settings(path: Path | None = None) -> NodeSettings:
-    """Raises FleetError where the file cannot be read or used."""
+    """Read and parse the settings file at `path`, or at `settings_path()`.
+
+    Raises FleetError where the file cannot be read (code 101) or parsed (code 102).
+    """
     chosen = path or settings_path()
     try:
         raw = chosen.read_bytes()
--- a/reedspoke/common/stall_tolerant_timer.py
+++ b/reedspoke/common/stall_tolerant_timer.py
@@ -1,8 +1,8 @@
-"""A timer for a time limit on somebody's answer, fair to answers that came while this process stood still.
+"""A timer for the timeout of a request, fair to responses that arrived while this process was stalled.
 
-A process that is stopped, or whose share of a processor is spent, finds the answer and the end of the time
-limit at once when it goes on. The event loop runs timers that are due before what the bytes of a connection
-set off in tasks and queues, so the timer gives way to that for a few passes of the loop.
+A process that is stopped, or throttled by its CPU quota, finds the response and the timeout due at once when
+it resumes. The event loop runs timers that are due before the tasks that the bytes of a connection wake, so
+the timer yields to those for a few iterations of the loop.
 """
 
 from __future__ import annotations
@@ -10,8 +10,8 @@
 import asyncio
 from collections.abc import Callable
 
-PASSES_WHEN_LATE = 8  # of the event loop: from bytes on a connection to the task that waits for them
-LATE_S = 0.02  # a loop that is busy, and has not stood still, runs its timers sooner than this
+YIELDS_WHEN_LATE = 8  # iterations of the loop from bytes on a connection to the task that waits for them
+LATE_S = 0.02  # a loop that is busy, and was not stalled, runs its timers sooner than this
 
 
 class StallTolerantTimer:
@@ -21,21 +21,21 @@
         self._loop = loop
         self._when = when
         self._callback = callback
-        self._passes = 0
+        self._remaining_yields = 0
         self._handle: asyncio.Handle = loop.call_at(when, self._due)
 
     def cancel(self) -> None:
-        """It is not to ring any more."""
+        """Do not call `callback` any more."""
         self._handle.cancel()
 
     def _due(self) -> None:
         is_late = self._loop.time() - self._when > LATE_S
-        self._passes = PASSES_WHEN_LATE if is_late else 0
-        self._ring()
+        self._remaining_yields = YIELDS_WHEN_LATE if is_late else 0
+        self._fire_after_yields()
 
-    def _ring(self) -> None:
-        if self._passes:
-            self._passes -= 1
-            self._handle = self._loop.call_soon(self._ring)
+    def _fire_after_yields(self) -> None:
+        if self._remaining_yields:
+            self._remaining_yields -= 1
+            self._handle = self._loop.call_soon(self._fire_after_yields)
         else:
             self._callback()
--- a/reedspoke/control_plane/delivery/edge_sessions.py
+++ b/reedspoke/control_plane/delivery/edge_sessions.py
@@ -183,7 +183,7 @@
         )
 
     def _fetched(self, session: Session, fetch: FetchRequest) -> None:
-        if session.channel.waiting() > MOST_WAITING:
+        if session.channel.write_backlog_bytes() > MOST_WAITING:
             log(INFO, "data plane scheduler does not read", node=session.last and session.last.node_name)
             session.channel.close()
             return
--- a/reedspoke/control_plane/peers/transport.py
+++ b/reedspoke/control_plane/peers/transport.py
@@ -97,7 +97,7 @@
         self.used_at = self._loop.time()
         if self._channel is None:
             self._enqueue(payload)
-        elif self._channel.waiting() > MOST_WAITING:
+        elif self._channel.write_backlog_bytes() > MOST_WAITING:
             log(INFO, "peer does not read", peer=self.address)
             self._channel.close()
             self._channel = None
--- a/reedspoke/control_plane/process.py
+++ b/reedspoke/control_plane/process.py
@@ -97,7 +97,7 @@
         self._sessions = EdgeSessions(
             settings.node_name,
             self._state,
-            settings.watch_hold_s(),
+            settings.watch_timeout_s(),
             self._sessions_changed,
             self._quota.asked,
         )
--- a/reedspoke/control_plane/quota/grants.py
+++ b/reedspoke/control_plane/quota/grants.py
@@ -14,7 +14,7 @@
 from msgspec import Struct, field
 
 from reedspoke.common.messages import QuotaOutcome, QuotaRequest, QuotaResponse
-from reedspoke.common.quota_rule import QuotaRule, bound
+from reedspoke.common.quota_rule import QuotaRule, window_limit
 from reedspoke.common.tenants import Tenant
 from reedspoke.control_plane.peers.messages import QuotaLoan, QuotaLoanRequest
 from reedspoke.control_plane.quota.bucket import QuotaBucket
@@ -110,7 +110,7 @@
         self._in_round = {name: quota for name, quota in self._in_round.items() if name in self._quotas}
 
     def _quota(self, name: str, rate: float, burst: float, now: float) -> TenantQuota:
-        units = bound(rate, burst, self._rule)
+        units = window_limit(rate, burst, self._rule)
         quota = self._quotas.get(name)
         if quota is None:
             return TenantQuota(units, QuotaBucket(now))
--- a/reedspoke/data_plane/conversation.py
+++ b/reedspoke/data_plane/conversation.py
@@ -83,7 +83,7 @@
         on_quota: OnQuota = lambda answer: None,
     ) -> None:
         self._channel = channel
-        channel.silence_s = pace.silence_s
+        channel.idle_timeout_s = pace.silence_s
         self._address = address
         self._subscription = subscription
         self._own_state = own_state
--- a/reedspoke/data_plane/process.py
+++ b/reedspoke/data_plane/process.py
@@ -88,7 +88,7 @@
             self._own_state,
             self._seeds,
             self._random,
-            SessionPace(settings.watch_hold_s()),
+            SessionPace(settings.watch_timeout_s()),
             self._quota.answered,
         )
 
--- a/reedspoke/data_plane/program.py
+++ b/reedspoke/data_plane/program.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from reedspoke.common.entry_point import run
+from reedspoke.common.entry_point import run_program
 from reedspoke.common.errors import ErrorCode, FleetError
 from reedspoke.common.node_settings import NodeSettings
 from reedspoke.data_plane.process import serve
@@ -19,4 +19,4 @@
 
 def main() -> int:
     """Exit status: 0 after SIGTERM, 2 where the settings cannot be used."""
-    return run(serve, check_settings)
+    return run_program(serve, check_settings)
--- a/reedspoke/data_plane/upstream_pool.py
+++ b/reedspoke/data_plane/upstream_pool.py
@@ -8,7 +8,7 @@
 from msgspec import Struct
 
 from reedspoke.common.node_settings import split_address
-from reedspoke.common.stall_tolerant_timer import PASSES_WHEN_LATE
+from reedspoke.common.stall_tolerant_timer import YIELDS_WHEN_LATE
 from reedspoke.common.unhandled_errors import unhandled_errors
 from reedspoke.data_plane.upstream_connection import UpstreamConnection
 
@@ -56,7 +56,7 @@
         opening = self._loop.create_task(self._create(address))
         try:
             await asyncio.wait({opening}, timeout=CONNECT_TIMEOUT_S)
-            for _ in range(PASSES_WHEN_LATE):  # it may have come up while the process stood still
+            for _ in range(YIELDS_WHEN_LATE):  # it may have come up while the process stood still
                 if opening.done():
                     break
                 await asyncio.sleep(0)
--- a/reedspoke/lab/fleet_soak/soak_tenants.py
+++ b/reedspoke/lab/fleet_soak/soak_tenants.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 
 from reedspoke.common.node_settings import Bounds
-from reedspoke.common.quota_rule import QuotaRule, bound
+from reedspoke.common.quota_rule import QuotaRule, window_limit
 from reedspoke.common.tenants import Tenant
 from reedspoke.lab.fleet_emulator.ledger import Ledger
 from reedspoke.lab.fleet_emulator.workload import KeyUse
@@ -48,7 +48,7 @@
 def quota_problems(ledger: Ledger) -> Iterable[str]:
     """Windows in which more of the limited tenant's requests have run than its quota allows."""
     times = sorted(run.at for runs in ledger.runs.values() for run in runs if run.tenant == LIMITED)
-    most = bound(RATE_PER_S, BURST, RULE)
+    most = window_limit(RATE_PER_S, BURST, RULE)
     first = 0
     for last, at in enumerate(times):
         while times[first] <= at - RULE.window_s:
--- a/tests/common/test_background.py
+++ b/tests/common/test_background.py
@@ -27,7 +27,7 @@
 def test_it_begins_again_until_it_returns() -> None:
     work = Work(3, ZeroDivisionError())
     before = unhandled_errors.count
-    asyncio.run(keep_running("work", work.run, pause_s=0))
+    asyncio.run(keep_running("work", work.run, backoff_s=0))
     assert work.begun == 4
     assert unhandled_errors.count == before + 3
 
@@ -35,5 +35,5 @@
 def test_a_cancellation_ends_it() -> None:
     work = Work(1, asyncio.CancelledError())
     with pytest.raises(asyncio.CancelledError):
-        asyncio.run(keep_running("work", work.run, pause_s=0))
+        asyncio.run(keep_running("work", work.run, backoff_s=0))
     assert work.begun == 1
--- a/tests/common/test_entry_point.py
+++ b/tests/common/test_entry_point.py
@@ -11,7 +11,7 @@
 import pytest
 
 from reedspoke.common import json_log
-from reedspoke.common.entry_point import SETTINGS_EXIT, run
+from reedspoke.common.entry_point import SETTINGS_EXIT_STATUS, run_program
 from reedspoke.common.errors import ErrorCode, FleetError
 from reedspoke.common.node_settings import SETTINGS_VARIABLE, NodeSettings, parse_settings
 from reedspoke.control_plane.program import check_settings as check_control_plane
@@ -59,7 +59,7 @@
     async def serve(settings: NodeSettings) -> None:
         served.append(settings.node_name)
 
-    assert run(serve, lambda settings: None) == 0
+    assert run_program(serve, lambda settings: None) == 0
     assert served == [FILE["node_name"]]
 
 
@@ -68,7 +68,7 @@
     write: Callable[[dict[str, Any]], None], unusable: dict[str, Any], log_lines: list[dict[str, object]]
 ) -> None:
     write(unusable)
-    assert run(_never_served, lambda settings: None) == SETTINGS_EXIT
+    assert run_program(_never_served, lambda settings: None) == SETTINGS_EXIT_STATUS
     assert log_lines[0]["code"] == ErrorCode.SETTINGS_INVALID
 
 
@@ -78,7 +78,7 @@
     def refuse(settings: NodeSettings) -> None:
         raise FleetError(ErrorCode.SETTINGS_INVALID, "something is missing")
 
-    assert run(_never_served, refuse) == SETTINGS_EXIT
+    assert run_program(_never_served, refuse) == SETTINGS_EXIT_STATUS
 
 
 @pytest.mark.parametrize("missing", ["frontend", "readiness"])
--- a/tests/common/test_node_settings.py
+++ b/tests/common/test_node_settings.py
@@ -11,7 +11,7 @@
 
 from reedspoke.common.errors import ErrorCode, FleetError
 from reedspoke.common.node_settings import (
-    METRICS,
+    DEFAULT_METRICS,
     SETTINGS_VARIABLE,
     internal_address,
     load_settings,
@@ -112,4 +112,4 @@
 
 def test_the_deploy_file_tells_where_the_figures_are() -> None:
     deploy = tomllib.loads((Path(__file__).parents[2] / "deploy" / "system.toml").read_text())
-    assert [role["metrics"] for role in deploy["roles"].values()] == [METRICS, METRICS]
+    assert [role["metrics"] for role in deploy["roles"].values()] == [DEFAULT_METRICS, DEFAULT_METRICS]
--- a/tests/common/test_stall_tolerant_timer.py
+++ b/tests/common/test_stall_tolerant_timer.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from reedspoke.common.stall_tolerant_timer import LATE_S, PASSES_WHEN_LATE, StallTolerantTimer
+from reedspoke.common.stall_tolerant_timer import LATE_S, YIELDS_WHEN_LATE, StallTolerantTimer
 from tests.data_plane.virtual_loop import VirtualLoop
 
 LIMIT_S = 0.02
@@ -38,7 +38,7 @@
     assert rang == [pytest.approx(began + LIMIT_S, abs=LATE_S)]
 
 
-@pytest.mark.parametrize("passes", range(1, PASSES_WHEN_LATE - 1))
+@pytest.mark.parametrize("passes", range(1, YIELDS_WHEN_LATE - 1))
 def test_what_came_while_the_process_stood_still_is_heard_first(loop: VirtualLoop, passes: int) -> None:
     order: list[str] = []
     StallTolerantTimer(loop, loop.time() + LIMIT_S, lambda: order.append("limit"))
--- a/tests/control_plane/simulated_channel.py
+++ b/tests/control_plane/simulated_channel.py
@@ -42,7 +42,7 @@
     def __init__(
         self, own: str, other: str, loop: ProcessLoop, virtual_time: VirtualTime, links: Links, random: Random
     ) -> None:
-        self.silence_s: float | None = None
+        self.idle_timeout_s: float | None = None
         self.on_message: Callable[[bytes], None] | None = None  # in place of `receive`
         self.on_end: Callable[[], None] | None = None
         self.peer: SimulatedChannel | None = None
@@ -68,7 +68,7 @@
         if not self._ended and not self._loop.ended:
             self._transmit(lambda peer: peer.arrive(payload))
 
-    def waiting(self) -> int:
+    def write_backlog_bytes(self) -> int:
         """Nothing is held back."""
         return 0
 
@@ -78,7 +78,7 @@
             if self._ended:
                 raise ConnectionResetError("the connection is over")
             self._waiter = self._loop.create_future()
-            await asyncio.wait_for(self._waiter, self.silence_s)
+            await asyncio.wait_for(self._waiter, self.idle_timeout_s)
         return decode(self._arrived.popleft(), expected)
 
     def close(self) -> None:
--- a/tests/control_plane/simulated_control.py
+++ b/tests/control_plane/simulated_control.py
@@ -159,7 +159,7 @@
         self._sessions = EdgeSessions(
             settings.node_name,
             self._state,
-            settings.watch_hold_s(),
+            settings.watch_timeout_s(),
             self._sessions_changed,
             self._quota.asked,
         )
--- a/tests/control_plane_process/quota_simulation.py
+++ b/tests/control_plane_process/quota_simulation.py
@@ -20,7 +20,7 @@
 from msgspec import Struct, field
 
 from reedspoke.common.messages import QuotaOutcome, QuotaRequest
-from reedspoke.common.quota_rule import LAG_S, QuotaRule, bound
+from reedspoke.common.quota_rule import LAG_S, QuotaRule, window_limit
 from reedspoke.common.tenants import Tenant
 from reedspoke.control_plane.peers.messages import QuotaLoanRequest
 from reedspoke.control_plane.quota.grants import AnswerTo, QuotaEffect, QuotaGrants
@@ -120,7 +120,7 @@
         self.draw = draw
         self.random = Random(seed)
         self.now = 0.0
-        self.outcome = Outcome(bound(draw.rate, draw.burst, draw.rule()))
+        self.outcome = Outcome(window_limit(draw.rate, draw.burst, draw.rule()))
         self._queue: list[tuple[float, int, Callable[[], None]]] = []
         self._numbers = count()
         self._view = [f"c{number}" for number in range(draw.controls)]
--- a/tests/control_plane_process/test_peer_connections.py
+++ b/tests/control_plane_process/test_peer_connections.py
@@ -12,7 +12,7 @@
 
 from reedspoke.common.messages import EdgeMessage, encode
 from reedspoke.common.node_settings import split_address
-from reedspoke.common.transport import CONNECTION_ENDED, LENGTH, MOST_FRAME, Channel, FramingError
+from reedspoke.common.transport import CONNECTION_ENDED, LENGTH, MAX_FRAME_BYTES, Channel, FramingError
 from reedspoke.control_plane.peers.messages import Hello, LeaseRelease
 from reedspoke.control_plane.peers.transport import PeerMessage, PeerTransport
 from tests.ports import free_port
@@ -131,7 +131,7 @@
     "no message": frame(b"\xc1"),
     "an empty frame": frame(b""),
     "another type": frame(encode(Hello(PEER, "za"))),
-    "an endless one": LENGTH.pack(MOST_FRAME + 1),
+    "an endless one": LENGTH.pack(MAX_FRAME_BYTES + 1),
     "deep": frame(b"\x91" * 100_000),
 }
 
@@ -169,7 +169,7 @@
         reader.feed_data(raw)
         reader.feed_eof()
         channel = Channel.__new__(Channel)  # without a socket
-        channel.silence_s, channel._reader = None, reader
+        channel.idle_timeout_s, channel._reader = None, reader
         with pytest.raises((FramingError, asyncio.IncompleteReadError)):
             await receive_all(channel)
 
--- a/tests/control_plane_process/test_quota_bucket.py
+++ b/tests/control_plane_process/test_quota_bucket.py
@@ -7,20 +7,20 @@
 from hypothesis import strategies as st
 
 from reedspoke.common.quota_rule import (
-    COUNTED_SHARE,
+    GRANTED_SHARE,
     LAG_S,
-    LEAST_CAPACITY,
-    MOST_CAPACITY,
+    MAX_CAPACITY_SHARE,
+    MIN_CAPACITY_SHARE,
     QuotaRule,
     allowance,
-    bound,
+    window_limit,
 )
 from reedspoke.control_plane.quota.bucket import QuotaBucket
 
 RULE = QuotaRule(window_s=8.0, excess=0.0, slack=0.0)
 PART = 1000.0  # units within any window
-LEAST = LEAST_CAPACITY * COUNTED_SHARE * PART
-MOST = MOST_CAPACITY * COUNTED_SHARE * PART
+LEAST = MIN_CAPACITY_SHARE * GRANTED_SHARE * PART
+MOST = MAX_CAPACITY_SHARE * GRANTED_SHARE * PART
 
 
 def bucket(level: float = 0.0) -> QuotaBucket:
@@ -130,8 +130,8 @@
     part = allowance(units, largest, QuotaRule(window, 0.1, 0.0))
     assert part.refill_per_s * (window + LAG_S) + part.capacity <= units
     assert part.refill_per_s > 0
-    assert LEAST_CAPACITY * COUNTED_SHARE * units <= part.capacity * (1 + 1e-9)
+    assert MIN_CAPACITY_SHARE * GRANTED_SHARE * units <= part.capacity * (1 + 1e-9)
 
 
 def test_the_bound_is_the_deployment_s() -> None:
-    assert bound(100.0, 50.0, QuotaRule(8.0, 0.1, 7.0)) == pytest.approx(850 * 1.1 + 7)
+    assert window_limit(100.0, 50.0, QuotaRule(8.0, 0.1, 7.0)) == pytest.approx(850 * 1.1 + 7)
--- a/tests/control_plane_process/test_quota_grants.py
+++ b/tests/control_plane_process/test_quota_grants.py
@@ -5,7 +5,7 @@
 import pytest
 
 from reedspoke.common.messages import QuotaOutcome, QuotaRequest, QuotaResponse
-from reedspoke.common.quota_rule import QuotaRule, allowance, bound
+from reedspoke.common.quota_rule import QuotaRule, allowance, window_limit
 from reedspoke.common.tenants import Tenant
 from reedspoke.control_plane.peers.messages import QuotaLoan, QuotaLoanRequest
 from reedspoke.control_plane.quota.bucket import LOAN_SHARE
@@ -27,7 +27,7 @@
 
 RULE = QuotaRule(window_s=8.0, excess=0.1, slack=0.0)
 RATE, BURST = 100.0, 100.0
-FULL = allowance(bound(RATE, BURST, RULE) / 3, 0.0, RULE).capacity
+FULL = allowance(window_limit(RATE, BURST, RULE) / 3, 0.0, RULE).capacity
 START = 1000.0  # long enough after the start of the process
 
 
--- a/tests/data_plane/control_stand_in.py
+++ b/tests/data_plane/control_stand_in.py
@@ -36,14 +36,14 @@
         self.address = address
         self.sent: list[Struct] = []
         self.closed = False
-        self.silence_s: float | None = None
+        self.idle_timeout_s: float | None = None
         self._incoming: asyncio.Queue[Struct | Exception] = asyncio.Queue()
 
     def send(self, message: Struct) -> None:
         self.sent.append(message)
 
     async def receive(self, expected: Any) -> Struct:
-        async with asyncio.timeout(self.silence_s):
+        async with asyncio.timeout(self.idle_timeout_s):
             found = await self._incoming.get()
         if isinstance(found, Exception):
             raise found
--- a/tests/data_plane/fleet_model.py
+++ b/tests/data_plane/fleet_model.py
@@ -43,7 +43,7 @@
     """The data plane's end of a session; what does not come through is lost."""
 
     def __init__(self, model: FleetModel, control: ModelControl) -> None:
-        self.silence_s: float | None = None
+        self.idle_timeout_s: float | None = None
         self.closed = False
         self.watch: WatchRequest | None = None
         self.watched_at = 0.0
@@ -62,7 +62,7 @@
             self._model.loop.call_later(LATENCY_S, self._incoming.put_nowait, message)
 
     async def receive(self, expected: Any) -> Struct:
-        async with asyncio.timeout(self.silence_s):
+        async with asyncio.timeout(self.idle_timeout_s):
             return await self._incoming.get()
 
     def close(self) -> None:
--- a/tests/data_plane/test_session_wire.py
+++ b/tests/data_plane/test_session_wire.py
@@ -50,7 +50,7 @@
     """One connection; each end has the methods of a `Channel` that it uses."""
 
     def __init__(self, model: FleetModel, control: WireControl) -> None:
-        self.silence_s: float | None = None
+        self.idle_timeout_s: float | None = None
         self.fetched: list[FetchRequest] = []
         self._model = model
         self._control = control
@@ -65,7 +65,7 @@
         self._later(self._control.sessions.received, self._far_end, decode(encode(message), EdgeMessage))
 
     async def receive(self, expected: Any) -> Any:
-        async with asyncio.timeout(self.silence_s):
+        async with asyncio.timeout(self.idle_timeout_s):
             found = await self._incoming.get()
         if isinstance(found, Exception):
             raise found
@@ -97,7 +97,7 @@
         decode(payload, ControlMessage)
         self._wire.arrive(payload)
 
-    def waiting(self) -> int:
+    def write_backlog_bytes(self) -> int:
         return 0
 
     def close(self) -> None:
--- a/tests/data_plane/test_unconfirmed_sessions.py
+++ b/tests/data_plane/test_unconfirmed_sessions.py
@@ -139,7 +139,7 @@
     loop = VirtualLoop()
     reader = asyncio.StreamReader(loop=loop)
     channel = Channel(reader, WriterStandIn())  # type: ignore[arg-type]
-    channel.silence_s = 1.2
+    channel.idle_timeout_s = 1.2
 
     async def listen() -> None:
         while True:
@@ -416,7 +416,7 @@
 def test_the_bounds_of_a_session_follow_the_settings(heartbeat_ms: float, apply_ms: float) -> None:
     bounds = Bounds(apply_ms=apply_ms)
     settings = NodeSettings("edge-1", "127.0.0.1", "za", heartbeat_ms=heartbeat_ms, bounds=bounds)
-    hold_s = settings.watch_hold_s()
+    hold_s = settings.watch_timeout_s()
     pace = SessionPace(hold_s)
     assert hold_s <= heartbeat_ms / 1000 / 3 + 1e-9
     assert 2 * hold_s < DOUBT_SHARE * apply_ms / 1000  # one answer may be missed without any doubt
@@ -426,7 +426,7 @@
 
 def test_at_the_usual_heartbeat_silence_is_bounded_as_before() -> None:
     settings = NodeSettings("edge-1", "127.0.0.1", "za", heartbeat_ms=1200)
-    assert SessionPace(settings.watch_hold_s()).silence_s == pytest.approx(1.2)
+    assert SessionPace(settings.watch_timeout_s()).silence_s == pytest.approx(1.2)
 
 
 def test_sessions_that_are_quiet_for_as_long_as_the_settings_allow_are_kept(
--- a/tests/lab_soak/test_soak_tenants.py
+++ b/tests/lab_soak/test_soak_tenants.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from reedspoke.common.quota_rule import bound
+from reedspoke.common.quota_rule import window_limit
 from reedspoke.common.tenants import first_tenant_error
 from reedspoke.lab.fleet_emulator.ledger import Ledger, Run, SentRequest
 from reedspoke.lab.fleet_soak.soak_tenants import (
@@ -18,7 +18,7 @@
     tenants,
 )
 
-MOST = int(bound(RATE_PER_S, BURST, RULE))
+MOST = int(window_limit(RATE_PER_S, BURST, RULE))
 
 
 def ledger(times: list[float]) -> Ledger:
