--- a/reedspoke/control_plane/views/acceptor.py
+++ b/reedspoke/control_plane/views/acceptor.py
@@ -11,7 +11,7 @@
 
 from msgspec import Struct, structs
 
-from reedspoke.cluster.errors import ErrorCode
+from reedspoke.common.errors import ErrorCode
 from reedspoke.control_plane.replication.events import Member, View
 from reedspoke.control_plane.replication.messages import (
     AcceptRequest,
