--- a/reedspoke/control_plane/delivery/edge_sessions.py
+++ b/reedspoke/control_plane/delivery/edge_sessions.py
@@ -127,7 +127,7 @@
         session.last = session.watch = watch
         session.watched_at = self._loop.time()
         if WORKERS in watch.versions:
-            self._state.workers.note_seen(watch.versions[WORKERS])
+            self._state.workers.observe_version(watch.versions[WORKERS])
         if self._state.membership.watched(watch, self._loop.time()):
             log(INFO, "data plane scheduler", node=watch.node_name, zone=watch.zone)
             self._on_arrival()
--- a/reedspoke/control_plane/delivery/published_state.py
+++ b/reedspoke/control_plane/delivery/published_state.py
@@ -17,7 +17,7 @@
 )
 from reedspoke.control_plane.delivery.configuration_cache import ConfigurationCache
 from reedspoke.control_plane.delivery.membership import Membership
-from reedspoke.control_plane.workers.worker_list import WorkerBook, aged
+from reedspoke.control_plane.workers.worker_list import WorkerListState, subtract_elapsed
 
 WORKERS_FRAME_LIFE_S = 0.5  # a frame with workers that are still cold is older than this only in its encoding
 
@@ -35,7 +35,7 @@
     def __init__(
         self,
         configuration: ConfigurationCache,
-        workers: WorkerBook,
+        workers: WorkerListState,
         membership: Membership,
         confirmed_as_of: ConfirmedAsOf,
     ) -> None:
@@ -87,7 +87,7 @@
         stale = cold and now - self._workers_at > WORKERS_FRAME_LIFE_S
         if stale or current.version != self._workers_version:
             age_ms = (now - self.workers.received_at) * 1000
-            self._workers_frame = encode(aged(current, age_ms))
+            self._workers_frame = encode(subtract_elapsed(current, age_ms))
             self._workers_version = current.version
             self._workers_at = now
         return self._workers_frame
--- a/reedspoke/control_plane/peers/messages.py
+++ b/reedspoke/control_plane/peers/messages.py
@@ -40,15 +40,17 @@
     number: int = 0
 
 
-class LeaseRequest(Struct, tag="lease_request", array_like=True):
-    """Grant me the list duty under this term."""
+class DiscoveryLeaseRequest(Struct, tag="lease_request", array_like=True):
+    """Grant me the discovery lease under this term, which is its fencing token."""
 
     term: int
 
 
-class LeaseAnswer(Struct, tag="lease_answer", array_like=True):
-    """Answer of a granter. `highest_term` is the highest it knows, `retry_after_s` how long its grant to
-    another holder still runs."""
+class DiscoveryLeaseResponse(Struct, tag="lease_answer", array_like=True):
+    """Answer of a voter to a `DiscoveryLeaseRequest`.
+
+    `highest_term` is the highest that it knows; for `retry_after_s` its grant to another holder still runs.
+    """
 
     term: int
     granted: bool
@@ -56,7 +58,7 @@
     retry_after_s: float = 0.0
 
 
-class LeaseRelease(Struct, tag="lease_release", array_like=True):
+class DiscoveryLeaseRelease(Struct, tag="lease_release", array_like=True):
     """The sender no longer needs the grant of this term."""
 
     term: int
@@ -77,4 +79,4 @@
 
 
 QuotaMessage = QuotaLoanRequest | QuotaLoan
-LeaseMessage = LeaseRequest | LeaseAnswer | LeaseRelease
+DiscoveryLeaseMessage = DiscoveryLeaseRequest | DiscoveryLeaseResponse | DiscoveryLeaseRelease
--- a/reedspoke/control_plane/peers/transport.py
+++ b/reedspoke/control_plane/peers/transport.py
@@ -20,10 +20,10 @@
 from reedspoke.common.node_settings import split_address
 from reedspoke.common.transport import CONNECTION_ENDED, Channel, open_channel
 from reedspoke.control_plane.peers.messages import (
+    DiscoveryLeaseRelease,
+    DiscoveryLeaseRequest,
+    DiscoveryLeaseResponse,
     Hello,
-    LeaseAnswer,
-    LeaseRelease,
-    LeaseRequest,
     QuotaLoan,
     QuotaLoanRequest,
     SessionTable,
@@ -44,9 +44,9 @@
 PeerMessage = (
     ReplicaMessage
     | SessionTable
-    | LeaseRequest
-    | LeaseAnswer
-    | LeaseRelease
+    | DiscoveryLeaseRequest
+    | DiscoveryLeaseResponse
+    | DiscoveryLeaseRelease
     | QuotaLoanRequest
     | QuotaLoan
     | WorkerList
--- a/reedspoke/control_plane/process.py
+++ b/reedspoke/control_plane/process.py
@@ -31,9 +31,9 @@
 from reedspoke.control_plane.figures import CallLog, add_process_figures
 from reedspoke.control_plane.file_stamp import stamp_of
 from reedspoke.control_plane.peers.messages import (
-    LeaseAnswer,
-    LeaseRelease,
-    LeaseRequest,
+    DiscoveryLeaseRelease,
+    DiscoveryLeaseRequest,
+    DiscoveryLeaseResponse,
     QuotaLoan,
     QuotaLoanRequest,
     SessionTable,
@@ -43,9 +43,9 @@
 from reedspoke.control_plane.replication.driver import ReplicaDriver
 from reedspoke.control_plane.replication.events import Committed, GetAnswer, PutAnswer, SendTo, View
 from reedspoke.control_plane.storage.job_thread import JobThread
-from reedspoke.control_plane.workers.duty_lease import DutyLease, Outgoing
-from reedspoke.control_plane.workers.list_duty import ListDuty
-from reedspoke.control_plane.workers.worker_list import UNLEASED_TERM, WorkerBook
+from reedspoke.control_plane.workers.discovery import WorkerDiscovery
+from reedspoke.control_plane.workers.discovery_lease import DiscoveryLease, OutgoingMessage
+from reedspoke.control_plane.workers.worker_list import UNLEASED_TERM, WorkerListState
 from reedspoke.telemetry.invariants import Invariant, check
 from reedspoke.telemetry.metrics import Registry
 
@@ -90,9 +90,9 @@
         self._membership = Membership(own, heartbeat_s * EDGE_LIFE_HEARTBEATS, identity)
         self._documents = JobThread("documents")
         self._configuration = ConfigurationCache()
-        self._book = WorkerBook()
+        self._book = WorkerListState()
         self._state = PublishedState(self._configuration, self._book, self._membership, self._confirmed_as_of)
-        self._lease = DutyLease(self._address, now, fresh_fleet=settings.bootstrap, identity=identity)
+        self._lease = DiscoveryLease(self._address, now, fresh_fleet=settings.bootstrap, identity=identity)
         self._build_quota(settings)
         self._sessions = EdgeSessions(
             settings.node_name,
@@ -102,7 +102,7 @@
             self._quota.asked,
         )
         self._transport = PeerTransport(self._address, settings.zone, self._peer_message, self._sessions)
-        self._duty = ListDuty(
+        self._duty = WorkerDiscovery(
             settings.cloud_api, self._lease, self._book, self._publish_workers, self._send_lease
         )
         self._driver = ReplicaDriver(settings, self._address, self)
@@ -129,7 +129,7 @@
         self._driver.start()
         duty = self._loop.create_task(self._duty.run())
         duty.add_done_callback(self._duty_ended)
-        first_list = self._loop.create_task(keep_running("the first list", self._duty.first_list))
+        first_list = self._loop.create_task(keep_running("the first list", self._duty.discover_without_lease))
         figures = await serve_metrics(self._settings, self._registry)
         log(INFO, "control plane up", node=self._settings.node_name, address=self._address)
         await self._ended.wait()
@@ -189,7 +189,7 @@
         """A little time has passed."""
         now = self._loop.time()
         self._send_lease(self._lease.tick(now))
-        self._duty.look()
+        self._duty.check_lease()
         self._sessions.look()
         self._quota.ticked()
         if now >= self._table_at:
@@ -239,7 +239,7 @@
             peers=self._membership.peers_heard(now),
             workers=0 if self._book.current is None else len(self._book.current.workers),
             workers_version=self._book.version,
-            holds_list_duty=self._lease.holds(now),
+            holds_list_duty=self._lease.is_held(now),
             holds_majority=self.holds_majority(),
         )
 
@@ -273,15 +273,15 @@
         match message:
             case SessionTable():
                 self._heard_table(sender, message, now)
-            case LeaseRequest() | LeaseAnswer() | LeaseRelease():
-                self._send_lease(self._lease.received(sender, message, now))
-                self._duty.look()
+            case DiscoveryLeaseRequest() | DiscoveryLeaseResponse() | DiscoveryLeaseRelease():
+                self._send_lease(self._lease.handle_message(sender, message, now))
+                self._duty.check_lease()
             case QuotaLoanRequest():
                 self._quota.loan_requested(sender, message)
             case QuotaLoan():
                 self._quota.loan_came(message)
             case WorkerList():
-                self._lease.term_seen(message.version[0])
+                self._lease.observe_term(message.version[0])
                 if self._book.adopt(message, now):
                     self._sessions.changed()
             case _:
@@ -290,22 +290,22 @@
     def _heard_table(self, sender: str, table: SessionTable, now: float) -> None:
         if not self._membership.heard_table(sender, table, now):
             return
-        self._book.note_seen(table.workers_seen)
-        self._lease.term_seen(self._book.seen[0])
-        if self._book.sends_to(table.workers, self._lease.holds(now), now):
+        self._book.observe_version(table.workers_seen)
+        self._lease.observe_term(self._book.highest_seen[0])
+        if self._book.should_send_to(table.workers, self._lease.is_held(now), now):
             payload = self._state.workers_frame(now)
             if payload is not None:
                 self._transport.send_encoded(sender, payload)
         self._refresh_members(now)
 
-    def _send_lease(self, messages: list[Outgoing]) -> None:
+    def _send_lease(self, messages: list[OutgoingMessage]) -> None:
         for outgoing in messages:
             self._transport.send(outgoing.address, outgoing.message)
 
     def _publish_workers(self, workers: WorkerList) -> None:
         now = self._loop.time()
         term = workers.version[0]
-        leased = self._lease.holds(now) and self._lease.term == term
+        leased = self._lease.is_held(now) and self._lease.term == term
         check(Invariant.DUTY_HAS_LEASE, leased or term == UNLEASED_TERM, term=term, held=self._lease.term)
         payload = self._state.workers_frame(now)
         log(INFO, "workers", version=workers.version, count=len(workers.workers))
@@ -315,14 +315,14 @@
 
     def _sessions_changed(self) -> None:
         """A data plane scheduler has come or gone: all are told soon."""
-        self._lease.term_seen(self._book.seen[0])
+        self._lease.observe_term(self._book.highest_seen[0])
         self._table_at = min(self._table_at, self._loop.time() + ARRIVALS_S)
 
     def _tell_sessions(self, now: float) -> None:
         self._table_at = now + TABLE_INTERVAL_S
         self._membership.add_up(now)
         self._refresh_members(now)
-        table = self._membership.table(now, self._book.version, self._book.seen)
+        table = self._membership.table(now, self._book.version, self._book.highest_seen)
         self._tell_peers(encode(table))
 
     def _tell_peers(self, payload: bytes) -> None:
@@ -346,12 +346,12 @@
         if settings.seed_addresses() != self._settings.seed_addresses():
             log(INFO, "seeds changed", seeds=settings.seed_nodes)
             self._driver.seeds_changed(settings.seed_addresses())
-        self._duty.settings_changed(settings.cloud_api)
+        self._duty.update_settings(settings.cloud_api)
         self._settings = settings
 
     def _duty_ended(self, task: asyncio.Task[None]) -> None:
         if not task.cancelled() and task.exception() is not None:
-            log(ERROR, "list duty failed", error=repr(task.exception()))
+            log(ERROR, "worker discovery failed", error=repr(task.exception()))
             end_process(DUTY_FAILED_EXIT)
 
     async def _leave(self) -> None:
@@ -359,8 +359,8 @@
         self._api.closing = True
         began = self._loop.time()
         log(INFO, "leaving")
-        self._send_lease(self._lease.stop())
-        self._duty.look()
+        self._send_lease(self._lease.shut_down())
+        self._duty.check_lease()
         self._driver.leave()
         last_needed = began
         while not self._has_left(self._loop.time() - began, self._loop.time() - last_needed):
--- a/reedspoke/control_plane/workers/platform_client.py
+++ b/reedspoke/control_plane/workers/platform_client.py
@@ -1,20 +1,22 @@
-"""Calls of the platform's list of workers, over one connection that is kept."""
+"""HTTP client of the platform's list of workers, over one persistent connection."""
 
 from __future__ import annotations
 
 import asyncio
+from http import HTTPStatus
+from urllib.parse import quote
 
 import msgspec
 
 from reedspoke.common.errors import ErrorCode, FleetError
 from reedspoke.common.node_settings import split_address
-from reedspoke.control_plane.workers.worker_list import PlatformPage, parse_page
+from reedspoke.control_plane.workers.platform_messages import PlatformPage, parse_page
 from reedspoke.net.http import Answers, Buffer, End, Head, MalformedError
 
 LIST_PATH = "/workers"
 PAGE_PARAMETER = "page_token"
 CALL_TIMEOUT_S = 0.8
-MOST_ANSWER = 8 * 1024 * 1024
+MAX_RESPONSE_BYTES = 8 * 1024 * 1024
 READ_SIZE = 64 * 1024
 
 
@@ -33,15 +35,19 @@
 
 
 class PlatformClient:
-    """Asks for one page at a time."""
+    """Fetches one page at a time. Owns the connection, which is opened by the first call after a `close`."""
 
     def __init__(self, address: str) -> None:
         self._address = address
         self._reader: asyncio.StreamReader | None = None
         self._writer: asyncio.StreamWriter | None = None
 
-    async def page(self, token: str | None) -> PlatformPage:
-        """The page behind `token`, or the first one. Raises PlatformError."""
+    async def fetch_page(self, token: str | None) -> PlatformPage:
+        """The page behind `token`, or the first one.
+
+        Raises PlatformRateError where the platform's rate is used up, and PlatformError for any other
+        failure, a call that takes longer than `CALL_TIMEOUT_S` included.
+        """
         try:
             async with asyncio.timeout(CALL_TIMEOUT_S):
                 return await self._call(token)
@@ -51,7 +57,7 @@
         except PlatformError:
             raise
         except BaseException:
-            self.close()
+            self.close()  # the rest of the response would be taken for the next one
             raise
 
     def close(self) -> None:
@@ -64,35 +70,35 @@
         if self._writer is None or self._writer.is_closing():
             host, port = split_address(self._address)
             self._reader, self._writer = await asyncio.open_connection(host, port)
-        query = "" if token is None else f"?{PAGE_PARAMETER}={_quoted(token)}"
+        query = "" if token is None else f"?{PAGE_PARAMETER}={quote(token, safe='')}"
         head = f"GET {LIST_PATH}{query} HTTP/1.1\r\nHost: {self._address}\r\n"
         self._writer.write(f"{head}Accept: application/json\r\n\r\n".encode("ascii"))
-        status, body = await self._answer()
-        if status == 429:
+        status, body = await self._read_response()
+        if status == HTTPStatus.TOO_MANY_REQUESTS:
             raise PlatformRateError("too many calls")
-        if status != 200:
+        if status != HTTPStatus.OK:
             raise PlatformError(f"status {status}")
         return parse_page(body)
 
-    async def _answer(self) -> tuple[int, bytes]:
-        assert self._reader is not None
+    async def _read_response(self) -> tuple[int, bytes]:
+        """Status and body."""
         buffer = Buffer()
-        answers = Answers(buffer)
+        parser = Answers(buffer)
         status = 0
         body = bytearray()
         while True:
-            for part in answers.feed():
-                match part:
+            for event in parser.feed():
+                match event:
                     case Head():
-                        status = part.status
+                        status = event.status
                     case End(reusable):
                         if not reusable:
                             self.close()
                         return status, bytes(body)
                     case memoryview():
-                        body += part
-            if len(body) > MOST_ANSWER:
-                raise PlatformError("the answer is too large")
+                        body += event
+            if len(body) > MAX_RESPONSE_BYTES:
+                raise PlatformError("the response is too large")
             await self._read_into(buffer)
 
     async def _read_into(self, buffer: Buffer) -> None:
@@ -102,11 +108,3 @@
             raise ConnectionResetError("the platform closed the connection")
         buffer.room(len(data))[: len(data)] = data
         buffer.filled(len(data))
-
-
-SAFE = frozenset("ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-._~")
-
-
-def _quoted(token: str) -> str:
-    """A page's token as it stands in a query."""
-    return "".join(chr(byte) if chr(byte) in SAFE else f"%{byte:02X}" for byte in token.encode())
--- a/reedspoke/lab/fleet_soak/findings.py
+++ b/reedspoke/lab/fleet_soak/findings.py
@@ -19,7 +19,7 @@
     "operator call failed",
     "session given up",
     "entry does not follow",
-    "list duty failed",
+    "worker discovery failed",
 )
 ENDING_S = 12.0  # from SIGTERM on until the process has ended and begun again
 LONGEST_TOLD = 700  # characters of a line in a report
--- a/tests/control_plane/fleet_judge.py
+++ b/tests/control_plane/fleet_judge.py
@@ -6,10 +6,10 @@
 
 from tests.control_plane.calm import CONTACT_S
 from tests.control_plane.contact import ContactWatch
-from tests.control_plane.list_judge import ListJudge
 from tests.control_plane.simulated_control import ControlSchedulers
 from tests.control_plane.simulated_data_plane import APPLY_S, DataPlane, DataPlaneScheduler
 from tests.control_plane.simulation import Simulation
+from tests.control_plane.worker_list_judge import WorkerListJudge
 
 STRETCH_S = 5.0  # while the core is not stable
 LOOK_S = 0.05
@@ -19,7 +19,11 @@
     """Looks at all schedulers every LOOK_S."""
 
     def __init__(
-        self, simulation: Simulation, control: ControlSchedulers, data_plane: DataPlane, lists: ListJudge
+        self,
+        simulation: Simulation,
+        control: ControlSchedulers,
+        data_plane: DataPlane,
+        lists: WorkerListJudge,
     ) -> None:
         self.contact = ContactWatch(simulation)
         self.looks_in_touch = 0
--- a/tests/control_plane/simulated_control.py
+++ b/tests/control_plane/simulated_control.py
@@ -1,5 +1,5 @@
 """What a control scheduler does beside its replica, in the simulation: the program's own process, lease,
-list duty and sessions, on a loop in virtual time. Only sockets, threads and the platform are replaced.
+worker discovery and sessions, on a loop in virtual time. Only sockets, threads and the platform are replaced.
 """
 
 from __future__ import annotations
@@ -29,16 +29,17 @@
 from reedspoke.control_plane.process import EDGE_LIFE_HEARTBEATS, ControlProcess
 from reedspoke.control_plane.replication.events import Committed, SendTo, View
 from reedspoke.control_plane.replication.messages import ReplicaMessage
-from reedspoke.control_plane.workers.duty_lease import DutyLease
-from reedspoke.control_plane.workers.list_duty import ListDuty
+from reedspoke.control_plane.workers.discovery import WorkerDiscovery
+from reedspoke.control_plane.workers.discovery_lease import DiscoveryLease
 from reedspoke.control_plane.workers.platform_client import PlatformClient
-from reedspoke.control_plane.workers.worker_list import PlatformPage, WorkerBook
-from tests.control_plane.list_judge import ListJudge
+from reedspoke.control_plane.workers.platform_messages import PlatformPage
+from reedspoke.control_plane.workers.worker_list import WorkerListState
 from tests.control_plane.process_loop import ProcessLoop
 from tests.control_plane.simulated_channel import SimulatedChannel
 from tests.control_plane.simulated_parts import Machine
 from tests.control_plane.simulated_platform import SimulatedPlatform, SimulatedPlatformClient
 from tests.control_plane.simulation import Simulation
+from tests.control_plane.worker_list_judge import WorkerListJudge
 
 PREPARE_S = (0.0, 0.02)  # a configuration is parsed on another thread
 FIRST_LIFE = 1
@@ -110,13 +111,13 @@
         return replica is not None and replica.holds_majority(self._loop.time())
 
 
-class SimulatedListDuty(ListDuty):
-    """The list duty with a client of the simulated platform."""
+class SimulatedWorkerDiscovery(WorkerDiscovery):
+    """Worker discovery with a client of the simulated platform."""
 
     platform_client: PlatformClient
 
-    async def _pages(self, client: PlatformClient, term: int | None) -> list[PlatformPage] | None:
-        return await super()._pages(self.platform_client, term)
+    async def _fetch_pages(self, client: PlatformClient, term: int | None) -> list[PlatformPage] | None:
+        return await super()._fetch_pages(self.platform_client, term)
 
 
 class ControlScheduler(ControlProcess):
@@ -128,7 +129,7 @@
         machine: Machine,
         loop: ProcessLoop,
         platform: SimulatedPlatform,
-        judge: ListJudge,
+        judge: WorkerListJudge,
         settings: NodeSettings,
         prepare_s: tuple[float, float] = PREPARE_S,
     ) -> None:
@@ -152,9 +153,9 @@
         self._membership = Membership(own, heartbeat_s * EDGE_LIFE_HEARTBEATS, identity)
         self._documents: Any = DocumentsThread(self.loop, random, self._prepare_s)
         self._configuration = ConfigurationCache()
-        self._book = WorkerBook()
+        self._book = WorkerListState()
         self._state = PublishedState(self._configuration, self._book, self._membership, self._confirmed_as_of)
-        self._lease = DutyLease(self._address, now, fresh_fleet=settings.bootstrap, identity=identity)
+        self._lease = DiscoveryLease(self._address, now, fresh_fleet=settings.bootstrap, identity=identity)
         self._build_quota(settings)
         self._sessions = EdgeSessions(
             settings.node_name,
@@ -165,7 +166,7 @@
         )
         self._transport: Any = PeerLinks(self._simulation, self._address)
         self._driver: Any = ReplicaView(self._machine, self.loop)
-        duty = SimulatedListDuty(
+        duty = SimulatedWorkerDiscovery(
             settings.cloud_api, self._lease, self._book, self._publish_workers, self._send_lease
         )
         duty.platform_client = SimulatedPlatformClient(self._platform, self._simulation, random)
@@ -174,17 +175,17 @@
     def begin(self) -> None:
         """The tasks that the process starts with."""
         self.loop.create_task(self._duty.run())
-        self.loop.create_task(self._duty.first_list())
+        self.loop.create_task(self._duty.discover_without_lease())
 
     def term_held(self) -> int | None:
-        """The term under which it holds the list duty; None: it does not hold it."""
-        return self._lease.term if self._lease.holds(self.loop.time()) else None
+        """The term under which it holds the discovery lease; None: it does not hold it."""
+        return self._lease.term if self._lease.is_held(self.loop.time()) else None
 
     def begin_leave(self) -> None:
         """What SIGTERM changes here."""
         self._leaving = True
-        self._send_lease(self._lease.stop())
-        self._duty.look()
+        self._send_lease(self._lease.shut_down())
+        self._duty.check_lease()
 
     def end_sessions(self) -> None:
         """A process that leaves closes its sessions before it ends."""
@@ -226,7 +227,7 @@
 class ControlSchedulers:
     """The component that runs a `ControlScheduler` in each process of the simulation."""
 
-    def __init__(self, simulation: Simulation, platform: SimulatedPlatform, judge: ListJudge) -> None:
+    def __init__(self, simulation: Simulation, platform: SimulatedPlatform, judge: WorkerListJudge) -> None:
         self.running: dict[str, ControlScheduler] = {}
         self.prepare_s = PREPARE_S
         self._simulation = simulation
--- a/tests/control_plane/simulated_data_plane.py
+++ b/tests/control_plane/simulated_data_plane.py
@@ -17,11 +17,11 @@
 from reedspoke.data_plane.control_session import ControlSessions
 from reedspoke.data_plane.conversation import OwnState
 from reedspoke.data_plane.subscription import Listener, Subscription
-from tests.control_plane.list_judge import ListJudge
 from tests.control_plane.process_loop import ProcessLoop
 from tests.control_plane.simulated_channel import DELAY_S, SimulatedChannel, join_channels
 from tests.control_plane.simulated_control import ControlSchedulers
 from tests.control_plane.simulation import Simulation
+from tests.control_plane.worker_list_judge import WorkerListJudge
 
 APPLY_S = 2.0
 CONNECT_TIMEOUT_S = 0.7
@@ -104,7 +104,7 @@
     """All data plane schedulers, named `e1`, `e2`, …"""
 
     def __init__(
-        self, simulation: Simulation, control: ControlSchedulers, list_judge: ListJudge, count: int
+        self, simulation: Simulation, control: ControlSchedulers, list_judge: WorkerListJudge, count: int
     ) -> None:
         self.list_judge = list_judge
         self.nodes: dict[str, Node] = {}
--- a/tests/control_plane/simulated_fleet.py
+++ b/tests/control_plane/simulated_fleet.py
@@ -1,13 +1,13 @@
-"""A whole control side: replicas, list duty, sessions, data plane schedulers, platform and judges."""
+"""A whole control side: replicas, worker discovery, sessions, data plane schedulers, platform and judges."""
 
 from __future__ import annotations
 
 from tests.control_plane.fleet_judge import FleetJudge
-from tests.control_plane.list_judge import ListJudge
 from tests.control_plane.simulated_control import ControlSchedulers
 from tests.control_plane.simulated_data_plane import DataPlane
 from tests.control_plane.simulated_platform import SimulatedPlatform
 from tests.control_plane.simulation import Simulation
+from tests.control_plane.worker_list_judge import WorkerListJudge
 
 DATA_PLANE_SCHEDULERS = 3
 
@@ -17,7 +17,7 @@
 
     def __init__(self, simulation: Simulation, data_plane_schedulers: int = DATA_PLANE_SCHEDULERS) -> None:
         self.platform = SimulatedPlatform(simulation)
-        self.lists = ListJudge(simulation, self.platform)
+        self.lists = WorkerListJudge(simulation, self.platform)
         self.control = ControlSchedulers(simulation, self.platform, self.lists)
         self.data_plane = DataPlane(simulation, self.control, self.lists, data_plane_schedulers)
         self.judge = FleetJudge(simulation, self.control, self.data_plane, self.lists)
--- a/tests/control_plane/simulated_platform.py
+++ b/tests/control_plane/simulated_platform.py
@@ -11,7 +11,7 @@
 from msgspec import structs
 
 from reedspoke.control_plane.workers.platform_client import PlatformClient, PlatformError
-from reedspoke.control_plane.workers.worker_list import STATE_DRAINING, PlatformInstance, PlatformPage
+from reedspoke.control_plane.workers.platform_messages import STATE_DRAINING, PlatformInstance, PlatformPage
 from tests.control_plane.simulated_parts import VirtualTime
 
 LAG_S = 0.8
--- a/tests/control_plane/test_guards_peer_transport.py
+++ b/tests/control_plane/test_guards_peer_transport.py
@@ -9,7 +9,7 @@
 from reedspoke.common.messages import encode
 from reedspoke.common.transport import CONNECTION_ENDED, open_channel
 from reedspoke.control_plane.peers import transport as peer_transport
-from reedspoke.control_plane.peers.messages import Hello, LeaseRelease
+from reedspoke.control_plane.peers.messages import DiscoveryLeaseRelease, Hello
 from tests.control_plane_process.test_peer_transport import Scheduler, two
 
 LAST_TERM = 99
@@ -17,14 +17,14 @@
 
 
 def test_what_waits_for_a_connection_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(peer_transport, "MOST_WAITING", 2 * len(encode(LeaseRelease(1))))
+    monkeypatch.setattr(peer_transport, "MOST_WAITING", 2 * len(encode(DiscoveryLeaseRelease(1))))
 
     async def scene(first: Scheduler, second: Scheduler) -> None:
         await second.transport.listen()
         for term in range(1, 6):
-            first.transport.send(second.address, LeaseRelease(term))
+            first.transport.send(second.address, DiscoveryLeaseRelease(term))
         await second.until(lambda: bool(second.terms))
-        first.transport.send(second.address, LeaseRelease(LAST_TERM))
+        first.transport.send(second.address, DiscoveryLeaseRelease(LAST_TERM))
         await second.until(lambda: LAST_TERM in second.terms)
         assert second.terms == [1, 2, LAST_TERM]
 
@@ -36,10 +36,10 @@
 
     async def scene(first: Scheduler, second: Scheduler) -> None:
         await second.transport.listen()
-        first.transport.send(second.address, LeaseRelease(1))
+        first.transport.send(second.address, DiscoveryLeaseRelease(1))
 
         def later_one_has_come() -> bool:
-            first.transport.send(second.address, LeaseRelease(LAST_TERM))
+            first.transport.send(second.address, DiscoveryLeaseRelease(LAST_TERM))
             return LAST_TERM in second.terms
 
         await second.until(later_one_has_come)
@@ -54,7 +54,7 @@
 
     async def scene(first: Scheduler, second: Scheduler) -> None:
         await second.transport.listen()
-        first.transport.send(second.address, LeaseRelease(1))
+        first.transport.send(second.address, DiscoveryLeaseRelease(1))
         await second.until(lambda: second.terms == [1])
         one_too_many = await open_channel(second.address)
         async with asyncio.timeout(WAIT_S):
@@ -72,7 +72,7 @@
         await second.transport.listen()
         silent = await open_channel(second.address)
         silent.send(Hello("127.0.0.9:9", "za"))
-        silent.send(LeaseRelease(1))
+        silent.send(DiscoveryLeaseRelease(1))
         await second.until(lambda: second.terms == [1])
         second.transport.close_idle()
         async with asyncio.timeout(WAIT_S):
@@ -103,9 +103,9 @@
 
     async def scene(first: Scheduler, second: Scheduler) -> None:
         await second.transport.listen()
-        first.transport.send("127.0.0.9:9", LeaseRelease(1))
+        first.transport.send("127.0.0.9:9", DiscoveryLeaseRelease(1))
         first.transport.close_idle()
-        first.transport.send(second.address, LeaseRelease(2))
+        first.transport.send(second.address, DiscoveryLeaseRelease(2))
         await second.until(lambda: second.terms == [2])
 
     two(scene)
--- a/tests/control_plane/test_guards_lists.py
+++ b/tests/control_plane/test_guards_worker_discovery.py
@@ -1,4 +1,4 @@
-"""Guards of the list of workers, its duty and the membership, one at a time."""
+"""Guards of the list of workers, its worker_discovery and the membership, one at a time."""
 
 from __future__ import annotations
 
@@ -10,9 +10,10 @@
 from reedspoke.common.node_settings import CloudApi
 from reedspoke.control_plane.delivery import membership
 from reedspoke.control_plane.delivery.membership import Membership
-from reedspoke.control_plane.workers import list_duty, worker_list
-from reedspoke.control_plane.workers.list_duty import ListDuty
-from reedspoke.control_plane.workers.worker_list import PlatformInstance, PlatformPage, WorkerBook
+from reedspoke.control_plane.workers import discovery, worker_list
+from reedspoke.control_plane.workers.discovery import WorkerDiscovery
+from reedspoke.control_plane.workers.platform_messages import PlatformInstance, PlatformPage
+from reedspoke.control_plane.workers.worker_list import WorkerListState
 
 EDGE_LIFE_S = 3.0
 
@@ -23,19 +24,19 @@
 
 
 def test_a_list_that_is_too_long_is_not_adopted(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(worker_list, "MOST_WORKERS", 2)
-    book = WorkerBook()
-    assert not book.adopt(_workers(1, 3), 0.0)
-    assert book.current is None
-    assert book.adopt(_workers(1, 2), 0.0)
+    monkeypatch.setattr(worker_list, "MAX_WORKERS", 2)
+    state = WorkerListState()
+    assert not state.adopt(_workers(1, 3), 0.0)
+    assert state.current is None
+    assert state.adopt(_workers(1, 2), 0.0)
 
 
 def test_the_highest_version_that_was_seen_is_remembered() -> None:
-    book = WorkerBook()
-    book.note_seen((5, 1))
-    book.note_seen((3, 9))
-    assert book.seen == (5, 1)
-    assert book.needs_term_above(4) == 5
+    state = WorkerListState()
+    state.observe_version((5, 1))
+    state.observe_version((3, 9))
+    assert state.highest_seen == (5, 1)
+    assert state.term_to_exceed(4) == 5
 
 
 def test_sessions_beyond_the_most_are_no_members(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -47,26 +48,26 @@
     assert [edge.node_name for edge in members.members.edges] == ["e1"]
 
 
-class RunningOut:
-    """A lease that runs out while the platform answers."""
+class ExpiringLease:
+    """A lease that expires while the platform answers."""
 
     term = 1
 
     def __init__(self) -> None:
         self.held = True
 
-    def holds(self, now: float) -> bool:
+    def is_held(self, now: float) -> bool:
         return self.held
 
 
 class Platform:
     """Answers with one worker, once the lease has run out."""
 
-    def __init__(self, lease: RunningOut) -> None:
+    def __init__(self, lease: ExpiringLease) -> None:
         self._lease = lease
         self.answered = asyncio.Event()
 
-    async def page(self, token: str | None) -> PlatformPage:
+    async def fetch_page(self, token: str | None) -> PlatformPage:
         self._lease.held = False
         self.answered.set()
         return PlatformPage((PlatformInstance("i-1", "u1", "a:1"),))
@@ -76,23 +77,23 @@
 
 
 def test_what_is_answered_after_the_lease_is_not_published(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def scene() -> list[WorkerList]:
-        lease = RunningOut()
+    async def scenario() -> list[WorkerList]:
+        lease = ExpiringLease()
         platform = Platform(lease)
-        monkeypatch.setattr(list_duty, "PlatformClient", lambda address: platform)
+        monkeypatch.setattr(discovery, "PlatformClient", lambda address: platform)
         published: list[WorkerList] = []
-        duty = ListDuty(
+        worker_discovery = WorkerDiscovery(
             CloudApi("a:1"),
             lease,  # type: ignore[arg-type]
-            WorkerBook(),
+            WorkerListState(),
             published.append,
             lambda messages: None,
         )
-        duty.look()
-        running = asyncio.create_task(duty.run())
+        worker_discovery.check_lease()
+        running = asyncio.create_task(worker_discovery.run())
         await platform.answered.wait()
         await asyncio.sleep(0)  # the call that was under way ends
         running.cancel()
         return published
 
-    assert asyncio.run(scene()) == []
+    assert asyncio.run(scenario()) == []
--- a/tests/control_plane/test_invariant_checks.py
+++ b/tests/control_plane/test_invariant_checks.py
@@ -16,7 +16,7 @@
 from reedspoke.control_plane.replication.driver import ReplicaDriver
 from reedspoke.control_plane.replication.events import Committed, GetAnswer, PutAnswer, View
 from reedspoke.control_plane.replication.invariants import ReplicaInvariants
-from reedspoke.control_plane.workers.duty_lease import DutyLease
+from reedspoke.control_plane.workers.discovery_lease import DiscoveryLease
 from reedspoke.telemetry.invariants import Invariant, monitor
 from tests.control_plane.chain_replica import MIDDLE, ChainReplica, entry
 from tests.control_plane.test_guards_process import Process, play
@@ -105,7 +105,7 @@
 def test_a_list_that_is_published_without_the_lease() -> None:
     async def scene(process: Process) -> None:
         loop = asyncio.get_running_loop()
-        lease = DutyLease("127.0.0.1:1", loop.time(), fresh_fleet=True, identity=1)
+        lease = DiscoveryLease("127.0.0.1:1", loop.time(), fresh_fleet=True, identity=1)
         published: Any = process
         published._lease = lease
         published._state = Silent()
--- a/tests/control_plane/test_unexpected_errors.py
+++ b/tests/control_plane/test_unexpected_errors.py
@@ -13,7 +13,7 @@
 from reedspoke.common.transport import Channel, open_channel
 from reedspoke.common.unhandled_errors import unhandled_errors
 from reedspoke.control_plane.peers import transport as peer_transport
-from reedspoke.control_plane.peers.messages import LeaseRelease
+from reedspoke.control_plane.peers.messages import DiscoveryLeaseRelease
 from reedspoke.control_plane.replication import driver as driver_module
 from reedspoke.control_plane.replication.driver import ReplicaDriver
 from reedspoke.control_plane.replication.replica import Replica
@@ -89,7 +89,7 @@
         await second.transport.listen()
 
         def has_come() -> bool:
-            first.transport.send(second.address, LeaseRelease(1))
+            first.transport.send(second.address, DiscoveryLeaseRelease(1))
             return bool(second.terms)
 
         await second.until(has_come)
--- a/tests/control_plane/list_judge.py
+++ b/tests/control_plane/worker_list_judge.py
@@ -5,7 +5,8 @@
 from dataclasses import dataclass, field
 
 from reedspoke.common.messages import NO_VERSION, Version, WorkerEntry, WorkerList
-from reedspoke.control_plane.workers.worker_list import STATE_DRAINING, UNLEASED_TERM
+from reedspoke.control_plane.workers.platform_messages import STATE_DRAINING
+from reedspoke.control_plane.workers.worker_list import UNLEASED_TERM
 from tests.control_plane.simulated_parts import VirtualTime
 from tests.control_plane.simulated_platform import SimulatedPlatform
 
@@ -15,7 +16,7 @@
 
 
 @dataclass
-class Held:
+class KnownList:
     """The list that a process has."""
 
     version: Version = NO_VERSION
@@ -23,7 +24,7 @@
 
 
 @dataclass
-class ListJudge:
+class WorkerListJudge:
     """Checks each list when it is published or taken."""
 
     virtual_time: VirtualTime
@@ -31,7 +32,7 @@
     publications: int = 0
     _holders: dict[int, Holder] = field(default_factory=dict)
     _states: dict[Version, int] = field(default_factory=dict)
-    _held: dict[str, Held] = field(default_factory=dict)
+    _held: dict[str, KnownList] = field(default_factory=dict)
 
     def started(self, name: str) -> None:
         """A new process has no list."""
@@ -50,7 +51,7 @@
 
     def holds(self, name: str, workers: WorkerList | None) -> None:
         """The list that a process has now."""
-        before = self._held.get(name, Held())
+        before = self._held.get(name, KnownList())
         if workers is None or workers.version == before.version:
             return
         assert workers.version > before.version, f"{name} goes back to the list {workers.version}"
@@ -59,7 +60,7 @@
             state = self._state_of(workers)
         leased = before.version[0] > UNLEASED_TERM
         assert not leased or state >= before.state, f"the list of {name} goes back to an older state"
-        self._held[name] = Held(workers.version, state)
+        self._held[name] = KnownList(workers.version, state)
 
     def check_known(self, name: str, workers: tuple[WorkerEntry, ...] | None) -> None:
         """A process in touch knows what the platform has shown for KNOWN_S."""
--- a/tests/control_plane_process/test_duty_lease.py
+++ b/tests/control_plane_process/test_discovery_lease.py
@@ -1,18 +1,22 @@
-"""The lease of the list duty under a virtual clock: never two holders, and a new one soon."""
+"""The lease of the worker discovery under a virtual clock: never two holders, and a new one soon."""
 
 from __future__ import annotations
 
 import pytest
 
-from reedspoke.control_plane.peers.messages import LeaseAnswer, LeaseRelease, LeaseRequest
-from reedspoke.control_plane.workers.duty_lease import (
-    GIVE_UP_PAUSE_S,
-    LEASE_S,
-    RENEW_S,
-    ROUND_S,
-    DutyLease,
-    Outgoing,
+from reedspoke.control_plane.peers.messages import (
+    DiscoveryLeaseRelease,
+    DiscoveryLeaseRequest,
+    DiscoveryLeaseResponse,
 )
+from reedspoke.control_plane.workers.discovery_lease import (
+    RENEW_INTERVAL_S,
+    REQUEST_TIMEOUT_S,
+    STEP_DOWN_BACKOFF_S,
+    DiscoveryLease,
+    OutgoingMessage,
+)
+from reedspoke.control_plane.workers.lease_voter import LEASE_TTL_S
 
 STEP_S = 0.05
 TRANSIT_S = 0.02
@@ -27,15 +31,15 @@
         self.names = names
         self.fresh_fleet = fresh_fleet
         self.leases = {name: self.start(name) for name in names}
-        self.in_transit: list[tuple[float, str, Outgoing]] = []
+        self.in_transit: list[tuple[float, str, OutgoingMessage]] = []
         self.cut: set[str] = set()
         self.stopped: set[str] = set()
         self.terms: dict[int, str] = {}
         self.sent = 0
         self.drop: set[int] = set()
 
-    def start(self, name: str) -> DutyLease:
-        lease = DutyLease(name, self.now, fresh_fleet=self.fresh_fleet)
+    def start(self, name: str) -> DiscoveryLease:
+        lease = DiscoveryLease(name, self.now, fresh_fleet=self.fresh_fleet)
         lease.set_voters(self.names)
         return lease
 
@@ -43,7 +47,7 @@
         self.fresh_fleet = False
         self.leases[name] = self.start(name)
 
-    def send(self, sender: str, messages: list[Outgoing]) -> None:
+    def send(self, sender: str, messages: list[OutgoingMessage]) -> None:
         for outgoing in messages:
             self.sent += 1
             if self.sent not in self.drop:
@@ -58,7 +62,7 @@
                 self.in_transit.append(item)
             elif sender not in self.cut and outgoing.address not in self.cut:
                 target = self.leases[outgoing.address]
-                self.send(outgoing.address, target.received(sender, outgoing.message, self.now))
+                self.send(outgoing.address, target.handle_message(sender, outgoing.message, self.now))
 
     def step(self) -> None:
         for _ in range(5):
@@ -75,7 +79,7 @@
             self.step()
 
     def holders(self) -> list[str]:
-        return [name for name, lease in self.leases.items() if lease.holds(self.now)]
+        return [name for name, lease in self.leases.items() if lease.is_held(self.now)]
 
     def check(self) -> None:
         holders = self.holders()
@@ -102,9 +106,9 @@
     assert network.leases["a"].term == term
 
 
-def test_granters_that_start_anew_grant_nothing_for_the_length_of_a_lease() -> None:
+def test_voters_that_start_anew_grant_nothing_for_the_length_of_a_lease() -> None:
     network = Network(fresh_fleet=False)
-    assert LEASE_S <= network.until_held() <= LEASE_S + 3 * STEP_S
+    assert LEASE_TTL_S <= network.until_held() <= LEASE_TTL_S + 3 * STEP_S
 
 
 def test_a_single_voter_holds_it() -> None:
@@ -120,7 +124,7 @@
         network.step()
     network.stopped.add("a")
     network.restart("a")
-    assert network.until_held(within=LEASE_S + 0.5) <= LEASE_S + 0.5
+    assert network.until_held(within=LEASE_TTL_S + 0.5) <= LEASE_TTL_S + 0.5
     assert network.holders() == ["b"]
 
 
@@ -172,20 +176,20 @@
     network = Network()
     network.until_held()
     network.cut |= {"b", "c"}
-    network.run(LEASE_S + 1)
+    network.run(LEASE_TTL_S + 1)
     assert network.holders() == []
 
 
 def test_who_gives_it_up_leaves_it_to_another_and_may_have_it_again_later() -> None:
     network = Network()
     network.until_held()
-    network.send("a", network.leases["a"].give_up(network.now))
+    network.send("a", network.leases["a"].step_down(network.now))
     assert network.until_held() <= 0.4
     assert network.holders() == ["b"]
-    network.run(GIVE_UP_PAUSE_S)
+    network.run(STEP_DOWN_BACKOFF_S)
     assert network.holders() == ["b"]
     network.stopped.add("b")
-    network.run(LEASE_S)
+    network.run(LEASE_TTL_S)
     assert network.until_held() <= 0.4
     assert network.holders() == ["a"]
 
@@ -193,7 +197,7 @@
 def test_who_stops_never_asks_again() -> None:
     network = Network()
     network.until_held()
-    network.send("a", network.leases["a"].stop())
+    network.send("a", network.leases["a"].shut_down())
     assert network.until_held() <= 0.4
     network.stopped |= {"b"}
     network.run(4.0)
@@ -203,10 +207,10 @@
 def test_a_term_that_others_know_of_is_exceeded() -> None:
     network = Network()
     for lease in network.leases.values():
-        lease.term_seen(7)
+        lease.observe_term(7)
     network.until_held()
     assert network.leases["a"].term >= 7
-    network.leases["a"].need_higher_term(40, network.now)
+    network.leases["a"].require_term_above(40, network.now)
     network.run(0.2)
     assert network.holders() == ["a"]
     assert network.leases["a"].term > 40
@@ -217,24 +221,24 @@
     network.until_held()
     network.run(1.0)
     fenced = network.leases["a"].term
-    network.leases["a"].term_seen(fenced + 40)
+    network.leases["a"].observe_term(fenced + 40)
     assert network.holders() == []
     assert network.until_held(by="a") <= 3 * STEP_S
     assert network.leases["a"].term > fenced + 40
 
 
-def test_its_own_term_and_lower_ones_do_not_end_a_hold() -> None:
+def test_its_own_term_and_lower_ones_do_not_end_a_lease() -> None:
     network = Network()
     network.until_held()
     term = network.leases["a"].term
     for seen in (term, term - 1, 0):
-        network.leases["a"].term_seen(seen)
+        network.leases["a"].observe_term(seen)
         assert network.holders() == ["a"]
 
 
 @pytest.mark.parametrize("how", ["stopped", "cut"])
 def test_who_comes_back_and_learns_of_a_later_holder_never_uses_its_old_term(how: str) -> None:
-    """A holder that was paused or cut off while another one took the duty."""
+    """A holder that was paused or cut off while another one took the lease."""
     network = Network()
     network.until_held()
     old = network.leases["a"].term
@@ -242,8 +246,8 @@
     network.run(3.0)
     (later,) = network.holders()
     getattr(network, how).clear()
-    network.leases["a"].term_seen(network.leases[later].term)
-    assert not network.leases["a"].holds(network.now)
+    network.leases["a"].observe_term(network.leases[later].term)
+    assert not network.leases["a"].is_held(network.now)
     before = set(network.terms)
     network.stopped.add(later)
     network.run(2.0)
@@ -266,7 +270,7 @@
     before = network.sent
     network.run(10.0)
     requests_and_answers = 4
-    assert network.sent - before <= requests_and_answers * (10.0 / RENEW_S + 1)
+    assert network.sent - before <= requests_and_answers * (10.0 / RENEW_INTERVAL_S + 1)
 
 
 def test_a_change_of_voters_leaves_one_holder() -> None:
@@ -281,19 +285,21 @@
 
 
 def test_who_is_no_voter_never_asks() -> None:
-    lease = DutyLease("x", 0.0, fresh_fleet=True)
+    lease = DiscoveryLease("x", 0.0, fresh_fleet=True)
     lease.set_voters(NAMES)
     assert lease.tick(1.0) == []
 
 
 def test_answers_after_the_end_of_a_request_count_for_nothing() -> None:
-    lease = DutyLease("a", 0.0, fresh_fleet=True)
+    lease = DiscoveryLease("a", 0.0, fresh_fleet=True)
     lease.set_voters(NAMES)
-    asked = lease.tick(0.0)
-    assert [outgoing.address for outgoing in asked] == ["b", "c"]
-    request = asked[0].message
-    assert isinstance(request, LeaseRequest)
-    released = lease.tick(ROUND_S + 0.01)
-    assert all(isinstance(outgoing.message, LeaseRelease) for outgoing in released)
-    lease.received("b", LeaseAnswer(request.term, True, request.term), ROUND_S + 0.02)
-    assert not lease.holds(ROUND_S + 0.02)
+    requests = lease.tick(0.0)
+    assert [outgoing.address for outgoing in requests] == ["b", "c"]
+    request = requests[0].message
+    assert isinstance(request, DiscoveryLeaseRequest)
+    released = lease.tick(REQUEST_TIMEOUT_S + 0.01)
+    assert all(isinstance(outgoing.message, DiscoveryLeaseRelease) for outgoing in released)
+    lease.handle_message(
+        "b", DiscoveryLeaseResponse(request.term, True, request.term), REQUEST_TIMEOUT_S + 0.02
+    )
+    assert not lease.is_held(REQUEST_TIMEOUT_S + 0.02)
--- a/tests/control_plane_process/test_duty_lease_rivals.py
+++ b/tests/control_plane_process/test_discovery_lease_rivals.py
@@ -4,15 +4,21 @@
 
 import pytest
 
-from reedspoke.control_plane.workers.duty_lease import LEASE_S, RANK_DELAY_S, RETRY_S, ROUND_S, DutyLease
-from tests.control_plane_process.test_duty_lease import NAMES, STEP_S, Network
+from reedspoke.control_plane.workers.discovery_lease import (
+    RANK_DELAY_S,
+    REQUEST_BACKOFF_S,
+    REQUEST_TIMEOUT_S,
+    DiscoveryLease,
+)
+from reedspoke.control_plane.workers.lease_voter import LEASE_TTL_S
+from tests.control_plane_process.test_discovery_lease import NAMES, STEP_S, Network
 
-FREE_AGAIN_S = LEASE_S + ROUND_S + RETRY_S + len(NAMES) * RANK_DELAY_S + 2 * STEP_S
+FREE_AGAIN_S = LEASE_TTL_S + REQUEST_TIMEOUT_S + REQUEST_BACKOFF_S + len(NAMES) * RANK_DELAY_S + 2 * STEP_S
 
 
 @pytest.mark.parametrize("first", ["b", "c"])
 @pytest.mark.parametrize("steps", range(60))
-def test_restarts_one_after_the_other_are_over_once_the_granters_speak(first: str, steps: int) -> None:
+def test_restarts_one_after_the_other_are_over_once_the_voters_grant(first: str, steps: int) -> None:
     network = Network()
     network.until_held()
     network.cut.add("a")
@@ -27,22 +33,22 @@
 def test_a_term_that_is_too_low_is_raised_at_once() -> None:
     network = Network(fresh_fleet=False)
     network.cut.add("a")
-    network.leases["c"].term_seen(7)
-    network.run(LEASE_S + ROUND_S + len(NAMES) * RANK_DELAY_S)
-    network.leases["b"].term_seen(3)
+    network.leases["c"].observe_term(7)
+    network.run(LEASE_TTL_S + REQUEST_TIMEOUT_S + len(NAMES) * RANK_DELAY_S)
+    network.leases["b"].observe_term(3)
     assert network.until_held() <= FREE_AGAIN_S
 
 
-@pytest.mark.parametrize("lives", range(1, 6))
-def test_processes_that_know_nothing_of_each_other_use_no_term_twice(lives: int) -> None:
+@pytest.mark.parametrize("incarnations", range(1, 6))
+def test_processes_that_know_nothing_of_each_other_use_no_term_twice(incarnations: int) -> None:
     """As after a loss of all processes, when terms begin anew."""
     terms = []
     for identity in (7, 8):
-        lease = DutyLease("a", 0.0, fresh_fleet=True, identity=identity)
+        lease = DiscoveryLease("a", 0.0, fresh_fleet=True, identity=identity)
         lease.set_voters(("a",))
-        for life in range(lives):
-            lease.tick(10.0 * life)
-            lease.tick(10.0 * life + 0.01)
-            assert lease.holds(10.0 * life + 0.02)
+        for incarnation in range(incarnations):
+            lease.tick(10.0 * incarnation)
+            lease.tick(10.0 * incarnation + 0.01)
+            assert lease.is_held(10.0 * incarnation + 0.02)
             terms.append(lease.term)
     assert len(terms) == len(set(terms))
--- a/tests/control_plane_process/test_edge_sessions.py
+++ b/tests/control_plane_process/test_edge_sessions.py
@@ -29,7 +29,7 @@
 from reedspoke.control_plane.peers.messages import Hello, SessionTable
 from reedspoke.control_plane.peers.transport import PeerMessage, PeerTransport
 from reedspoke.control_plane.replication.events import Committed, Member
-from reedspoke.control_plane.workers.worker_list import WorkerBook
+from reedspoke.control_plane.workers.worker_list import WorkerListState
 from tests.control_plane_process.stand_ins import Answer, configuration
 from tests.ports import free_port
 
@@ -49,7 +49,7 @@
         self.address = f"{HOST}:{free_port((HOST,))}"
         self.membership = Membership(ControlMember(self.address, "za"), 5.0, 77)
         self.cache = ConfigurationCache()
-        self.book = WorkerBook()
+        self.book = WorkerListState()
         self.confirmed = True
         self.confirmed_ago_s = 0.0
         self.state = PublishedState(self.cache, self.book, self.membership, self.confirmed_as_of)
@@ -176,7 +176,7 @@
         side.publish(WorkerList((2, 2), (WORKER,)))
         edge.held = {"configuration": (VIEW, 9), "workers": (8, 1)}
         await edge.watched()
-        assert side.book.seen == (8, 1)
+        assert side.book.highest_seen == (8, 1)
         edge.channel.send(FetchRequest("configuration", (VIEW, 9)))
         edge.channel.send(FetchRequest("workers", (8, 1)))
         edge.channel.send(FetchRequest("no such source", (0, 0)))
--- a/tests/control_plane_process/test_openapi.py
+++ b/tests/control_plane_process/test_openapi.py
@@ -23,7 +23,7 @@
     status_of,
 )
 from reedspoke.control_plane.workers.platform_client import LIST_PATH, PAGE_PARAMETER
-from reedspoke.control_plane.workers.worker_list import PlatformPage, parse_page
+from reedspoke.control_plane.workers.platform_messages import PlatformPage, parse_page
 from tests.control_plane_process.stand_ins import configuration, instance
 
 FOLDER = Path(__file__).resolve().parents[2] / "openapi"
--- a/tests/control_plane_process/test_peer_connections.py
+++ b/tests/control_plane_process/test_peer_connections.py
@@ -13,7 +13,7 @@
 from reedspoke.common.messages import EdgeMessage, encode
 from reedspoke.common.node_settings import split_address
 from reedspoke.common.transport import CONNECTION_ENDED, LENGTH, MOST_FRAME, Channel, FramingError
-from reedspoke.control_plane.peers.messages import Hello, LeaseRelease
+from reedspoke.control_plane.peers.messages import DiscoveryLeaseRelease, Hello
 from reedspoke.control_plane.peers.transport import PeerMessage, PeerTransport
 from tests.ports import free_port
 
@@ -42,7 +42,7 @@
         self.transport = PeerTransport(self.address, "za", self.received, NoEdges())
 
     def received(self, sender: str, message: PeerMessage) -> None:
-        assert isinstance(message, LeaseRelease)
+        assert isinstance(message, DiscoveryLeaseRelease)
         self.came.append((sender, message.term))
 
     async def connect(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
@@ -74,7 +74,7 @@
 
 
 def release(term: int) -> bytes:
-    return frame(encode(LeaseRelease(term)))
+    return frame(encode(DiscoveryLeaseRelease(term)))
 
 
 async def until(condition: Callable[[], bool]) -> None:
@@ -235,7 +235,7 @@
         term = 0
         while len(came) < 3:
             term += 1
-            listener.transport.send(address, LeaseRelease(term))
+            listener.transport.send(address, DiscoveryLeaseRelease(term))
             await asyncio.sleep(0.02)
         assert listener.came == []
         server.close()
--- a/tests/control_plane_process/test_peer_transport.py
+++ b/tests/control_plane_process/test_peer_transport.py
@@ -11,7 +11,7 @@
 from reedspoke.common.node_settings import split_address
 from reedspoke.common.transport import Channel
 from reedspoke.control_plane.peers import transport as peer_transport
-from reedspoke.control_plane.peers.messages import LeaseRelease
+from reedspoke.control_plane.peers.messages import DiscoveryLeaseRelease
 from reedspoke.control_plane.peers.transport import PeerMessage, PeerTransport
 from tests.ports import free_port
 
@@ -37,7 +37,7 @@
         self.transport = PeerTransport(address, "za", self.received, NoEdges())
 
     def received(self, sender: str, message: PeerMessage) -> None:
-        assert isinstance(message, LeaseRelease)
+        assert isinstance(message, DiscoveryLeaseRelease)
         self.terms.append(message.term)
 
     async def until(self, condition: Callable[[], bool]) -> None:
@@ -62,7 +62,7 @@
     async def scene(first: Scheduler, second: Scheduler) -> None:
         await second.transport.listen()
         for term in range(50):
-            first.transport.send(second.address, LeaseRelease(term))
+            first.transport.send(second.address, DiscoveryLeaseRelease(term))
         await second.until(lambda: len(second.terms) == 50)
         assert second.terms == list(range(50))
 
@@ -71,7 +71,7 @@
 
 def test_the_connection_is_opened_again_when_the_other_comes_back() -> None:
     async def scene(first: Scheduler, second: Scheduler) -> None:
-        first.transport.send(second.address, LeaseRelease(1))
+        first.transport.send(second.address, DiscoveryLeaseRelease(1))
         await asyncio.sleep(0.1)
         await second.transport.listen()
         term = 10
@@ -79,7 +79,7 @@
         def sent() -> bool:
             nonlocal term
             term += 1
-            first.transport.send(second.address, LeaseRelease(term))
+            first.transport.send(second.address, DiscoveryLeaseRelease(term))
             return bool(second.terms)
 
         await first.until(sent)
@@ -96,7 +96,7 @@
 
 def test_a_message_to_oneself_goes_nowhere() -> None:
     async def scene(first: Scheduler, second: Scheduler) -> None:
-        first.transport.send(first.address, LeaseRelease(1))
+        first.transport.send(first.address, DiscoveryLeaseRelease(1))
         await asyncio.sleep(0.05)
         assert first.terms == []
 
@@ -158,10 +158,10 @@
 
     async def scene(first: Scheduler, second: Scheduler) -> None:
         await second.transport.listen()
-        first.transport.send(second.address, LeaseRelease(1))
+        first.transport.send(second.address, DiscoveryLeaseRelease(1))
         await second.until(lambda: second.terms == [1])
         first.transport.close_idle()
-        first.transport.send(second.address, LeaseRelease(2))
+        first.transport.send(second.address, DiscoveryLeaseRelease(2))
         await second.until(lambda: second.terms == [1, 2])
 
     two(scene)
@@ -172,8 +172,8 @@
 
     async def scene(first: Scheduler, second: Scheduler) -> None:
         await second.transport.listen()
-        first.transport.send("127.0.0.9:9", LeaseRelease(0))
-        first.transport.send(second.address, LeaseRelease(1))
+        first.transport.send("127.0.0.9:9", DiscoveryLeaseRelease(0))
+        first.transport.send(second.address, DiscoveryLeaseRelease(1))
         await asyncio.sleep(0.1)
         assert second.terms == []
 
--- /dev/null
+++ b/tests/control_plane_process/test_worker_discovery.py
@@ -0,0 +1,287 @@
+"""The calls of the platform's list against a stand-in platform, with a lease that is held or not."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Awaitable, Callable, Iterator
+
+import pytest
+
+from reedspoke.common.messages import WorkerList
+from reedspoke.common.node_settings import CloudApi
+from reedspoke.control_plane.workers import discovery, platform_client
+from reedspoke.control_plane.workers.discovery import WorkerDiscovery
+from reedspoke.control_plane.workers.discovery_lease import DiscoveryLease, OutgoingMessage
+from reedspoke.control_plane.workers.platform_client import PlatformClient, PlatformError, PlatformRateError
+from reedspoke.control_plane.workers.worker_list import WorkerListState
+from tests.control_plane_process.stand_ins import Platform, instance
+
+OWN = "own"
+
+
+@pytest.fixture
+def platform() -> Iterator[Platform]:
+    made = Platform("127.0.0.1")
+    yield made
+    made.close()
+
+
+@pytest.fixture(autouse=True)
+def _short_times(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(discovery, "POLL_INTERVAL_S", 0.05)
+    monkeypatch.setattr(discovery, "RETRY_BACKOFF_S", 0.02)
+    monkeypatch.setattr(discovery, "MAX_FAILING_S", 0.2)
+    monkeypatch.setattr(platform_client, "CALL_TIMEOUT_S", 0.3)
+
+
+class DiscoveryHarness:
+    """Worker discovery whose lease has one voter, this process."""
+
+    def __init__(self, platform: Platform, rate_per_s: float = 10_000.0) -> None:
+        self.loop = asyncio.get_running_loop()
+        self.lease = DiscoveryLease(OWN, self.loop.time(), fresh_fleet=True)
+        self.worker_list = WorkerListState()
+        self.published: list[WorkerList] = []
+        self.sent: list[OutgoingMessage] = []
+        self.cloud_api = CloudApi(platform.address, rate_per_s)
+        self.discovery = WorkerDiscovery(
+            self.cloud_api, self.lease, self.worker_list, self.published.append, self.sent.extend
+        )
+
+    def acquire_lease(self) -> None:
+        self.lease.set_voters((OWN,))
+
+    async def until(self, condition: Callable[[], object]) -> None:
+        async with asyncio.timeout(5):
+            while not condition():
+                self.lease.tick(self.loop.time())
+                self.discovery.check_lease()
+                await asyncio.sleep(0.005)
+
+    async def run_for(self, seconds: float) -> None:
+        end = self.loop.time() + seconds
+        await self.until(lambda: self.loop.time() >= end)
+
+
+def run_scenario(
+    platform: Platform, scenario: Callable[[DiscoveryHarness], Awaitable[None]], rate_per_s: float = 10_000.0
+) -> None:
+    async def run() -> None:
+        harness = DiscoveryHarness(platform, rate_per_s)
+        task = asyncio.create_task(harness.discovery.run())
+        await scenario(harness)
+        task.cancel()
+        await asyncio.gather(task, return_exceptions=True)
+
+    asyncio.run(run())
+
+
+def test_who_does_not_hold_the_lease_does_not_call(platform: Platform) -> None:
+    async def scenario(harness: DiscoveryHarness) -> None:
+        await harness.run_for(0.2)
+        assert platform.calls == 0
+
+    run_scenario(platform, scenario)
+
+
+def test_the_holder_publishes_all_pages_and_every_change(platform: Platform) -> None:
+    async def scenario(harness: DiscoveryHarness) -> None:
+        harness.acquire_lease()
+        await harness.until(lambda: harness.published)
+        assert [worker.instance_id for worker in harness.published[0].workers] == ["i-1", "i-2", "i-3"]
+        await harness.run_for(0.2)
+        assert len(harness.published) == 1
+        platform.instances[2] = instance("i-3", state="draining")
+        await harness.until(lambda: len(harness.published) == 2)
+        assert [worker.draining for worker in harness.published[1].workers] == [False, False, True]
+
+    run_scenario(platform, scenario)
+
+
+@pytest.mark.parametrize("status", [500, 503, 404])
+def test_a_holder_whose_calls_fail_gives_the_lease_up(platform: Platform, status: int) -> None:
+    async def scenario(harness: DiscoveryHarness) -> None:
+        harness.acquire_lease()
+        await harness.until(lambda: harness.published)
+        platform.status = status
+        await harness.until(lambda: not harness.lease.is_held(harness.loop.time()))
+        assert harness.worker_list.current == harness.published[0]
+
+    run_scenario(platform, scenario)
+
+
+def test_a_holder_that_is_called_too_often_keeps_the_lease(platform: Platform) -> None:
+    async def scenario(harness: DiscoveryHarness) -> None:
+        harness.acquire_lease()
+        await harness.until(lambda: harness.published)
+        platform.status = 429
+        await harness.run_for(0.6)
+        assert harness.lease.is_held(harness.loop.time())
+
+    run_scenario(platform, scenario)
+
+
+def test_a_platform_that_is_silent_is_one_that_fails(platform: Platform) -> None:
+    async def scenario(harness: DiscoveryHarness) -> None:
+        harness.acquire_lease()
+        server = await asyncio.start_server(lambda reader, writer: None, "127.0.0.1", 0)
+        host, port = server.sockets[0].getsockname()
+        harness.discovery.update_settings(CloudApi(f"{host}:{port}", 1000.0))
+        await harness.until(lambda: harness.lease.is_held(harness.loop.time()))
+        await harness.until(lambda: not harness.lease.is_held(harness.loop.time()))
+        assert harness.published == []
+        server.close()
+
+    run_scenario(platform, scenario)
+
+
+def test_the_rate_of_the_platform_is_kept(platform: Platform) -> None:
+    async def scenario(harness: DiscoveryHarness) -> None:
+        harness.acquire_lease()
+        await harness.run_for(1.0)
+        assert platform.calls <= 10
+
+    run_scenario(platform, scenario, rate_per_s=10.0)
+
+
+def test_a_newer_list_elsewhere_is_overtaken_at_once(
+    platform: Platform, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    monkeypatch.setattr(discovery, "POLL_INTERVAL_S", 60.0)
+
+    async def scenario(harness: DiscoveryHarness) -> None:
+        harness.acquire_lease()
+        await harness.until(lambda: harness.published)
+        harness.worker_list.observe_version((70, 4))
+        await harness.until(lambda: len(harness.published) == 2)
+        assert harness.published[1].version > (70, 4)
+        assert harness.published[1].workers == harness.published[0].workers
+        pages = 2
+        assert platform.calls == pages
+
+    run_scenario(platform, scenario)
+
+
+def test_a_list_from_before_the_lease_was_lost_is_not_published_again(platform: Platform) -> None:
+    async def scenario(harness: DiscoveryHarness) -> None:
+        harness.acquire_lease()
+        await harness.until(lambda: harness.published)
+        harness.lease.step_down(harness.loop.time())
+        harness.discovery.check_lease()
+        harness.worker_list.observe_version((70, 4))
+        platform.status = 503
+        await harness.run_for(0.3)
+        assert len(harness.published) == 1
+
+    run_scenario(platform, scenario)
+
+
+def test_a_holder_that_is_fenced_between_two_pages_does_not_call_again(platform: Platform) -> None:
+    """Some other one has published under a higher term: the rest of the list is not asked for."""
+
+    async def scenario(harness: DiscoveryHarness) -> None:
+        harness.acquire_lease()
+        await harness.until(lambda: platform.calls == 1)
+        harness.lease.set_voters(("another", "third"))  # it gets no further lease
+        harness.lease.observe_term(harness.lease.term + 5)
+        harness.discovery.check_lease()
+        await harness.run_for(0.6)
+        assert platform.calls == 1
+        assert harness.published == []
+
+    run_scenario(platform, scenario, rate_per_s=10.0)
+
+
+def test_a_call_goes_over_one_connection_until_it_ends(platform: Platform) -> None:
+    async def run() -> None:
+        client = PlatformClient(platform.address)
+        pages = [await client.fetch_page(None)]
+        while pages[-1].next_token is not None:
+            pages.append(await client.fetch_page(pages[-1].next_token))
+        assert [len(page.instances) for page in pages] == [2, 1]
+        platform.status = 429
+        with pytest.raises(PlatformRateError):
+            await client.fetch_page(None)
+        platform.status = 500
+        with pytest.raises(PlatformError):
+            await client.fetch_page(None)
+        platform.status = 200
+        assert len((await client.fetch_page(None)).instances) == 2
+        client.close()
+        assert len((await client.fetch_page(None)).instances) == 2
+        client.close()
+
+    asyncio.run(run())
+
+
+@pytest.mark.parametrize(
+    "answer",
+    [
+        b"",
+        b"nonsense\r\n\r\n",
+        b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n[]",
+        b'HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n{"instances":[',
+        b'HTTP/1.1 200 OK\r\nContent-Length: 16\r\n\r\n{"instances":[',
+    ],
+)
+def test_an_answer_that_is_none_is_an_error(answer: bytes) -> None:
+    async def run() -> None:
+        def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            writer.write(answer)
+            writer.close()
+
+        server = await asyncio.start_server(serve, "127.0.0.1", 0)
+        host, port = server.sockets[0].getsockname()
+        with pytest.raises(PlatformError):
+            await PlatformClient(f"{host}:{port}").fetch_page(None)
+        server.close()
+
+    asyncio.run(run())
+
+
+def test_a_platform_that_closes_idle_connections_is_called_again(platform: Platform) -> None:
+    page = b'{"instances":[],"next_token":null}'
+    head = b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: %d\r\n\r\n" % len(page)
+
+    async def run() -> None:
+        async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            await reader.readuntil(b"\r\n\r\n")
+            writer.write(head + page)
+            writer.close()
+
+        server = await asyncio.start_server(serve, "127.0.0.1", 0)
+        host, port = server.sockets[0].getsockname()
+        client = PlatformClient(f"{host}:{port}")
+        for _ in range(3):
+            assert (await client.fetch_page(None)).instances == ()
+        server.close()
+
+    asyncio.run(run())
+
+
+def test_a_process_without_a_list_reads_one_before_the_lease_and_the_holder_replaces_it(
+    platform: Platform,
+) -> None:
+    async def scenario(harness: DiscoveryHarness) -> None:
+        await harness.discovery.discover_without_lease()
+        assert [workers.version for workers in harness.published] == [(0, 1)]
+        harness.acquire_lease()
+        await harness.until(lambda: len(harness.published) == 2)
+        assert harness.published[1].version[0] > 0
+        assert harness.published[1].workers == harness.published[0].workers
+
+    run_scenario(platform, scenario)
+
+
+def test_a_first_list_is_asked_for_until_the_platform_answers(platform: Platform) -> None:
+    platform.status = 503
+
+    async def scenario(harness: DiscoveryHarness) -> None:
+        reading = asyncio.create_task(harness.discovery.discover_without_lease())
+        await harness.run_for(0.2)
+        assert harness.published == []
+        platform.status = 200
+        await harness.until(lambda: harness.published)
+        await reading
+
+    run_scenario(platform, scenario)
--- a/tests/control_plane_process/test_worker_list.py
+++ b/tests/control_plane_process/test_worker_list.py
@@ -6,16 +6,18 @@
 import pytest
 
 from reedspoke.common.messages import WorkerEntry, WorkerList
-from reedspoke.control_plane.workers.worker_list import (
-    RELAY_AFTER_S,
-    UNLEASED_TERM,
+from reedspoke.control_plane.workers.platform_messages import (
     PlatformPage,
-    WorkerBook,
-    aged,
     merge_pages,
     parse_page,
     worker_entry,
 )
+from reedspoke.control_plane.workers.worker_list import (
+    RELAY_DELAY_S,
+    UNLEASED_TERM,
+    WorkerListState,
+    subtract_elapsed,
+)
 
 PAGE = b"""{"instances":[{"upstream":"u1","address":"10.0.0.9:8080","zone":"z","generation":"v1","capacity":64
 ,"state":"draining","cold_left_ms":1500,"stage":"dual","models":[{"name":"m","generation":1,"adapters":[]}],
@@ -48,74 +50,74 @@
 
 
 def test_a_list_is_published_when_its_content_changes() -> None:
-    book = WorkerBook()
-    assert book.platform_answered(3, (worker("a", 500),), 0.0) is not None
-    assert book.version == (3, 1)
-    assert book.platform_answered(3, (worker("a", 100),), 0.0) is None
-    published = book.platform_answered(3, (worker("a", draining=True),), 0.0)
+    state = WorkerListState()
+    assert state.update_from_platform(3, (worker("a", 500),), 0.0) is not None
+    assert state.version == (3, 1)
+    assert state.update_from_platform(3, (worker("a", 100),), 0.0) is None
+    published = state.update_from_platform(3, (worker("a", draining=True),), 0.0)
     assert published is not None
     assert published.version == (3, 2)
 
 
 def test_an_empty_list_is_published_first() -> None:
-    book = WorkerBook()
-    assert book.platform_answered(1, (), 0.0) == WorkerList((1, 1), ())
+    state = WorkerListState()
+    assert state.update_from_platform(1, (), 0.0) == WorkerList((1, 1), ())
 
 
 def test_a_new_holder_goes_on_from_the_list_it_has() -> None:
-    book = WorkerBook()
-    assert book.adopt(WorkerList((3, 5), (worker("a"),)), 0.0)
-    assert book.platform_answered(4, (worker("a"),), 0.0) is None
-    assert book.version == (3, 5)
-    published = book.platform_answered(4, (worker("b"),), 0.0)
+    state = WorkerListState()
+    assert state.adopt(WorkerList((3, 5), (worker("a"),)), 0.0)
+    assert state.update_from_platform(4, (worker("a"),), 0.0) is None
+    assert state.version == (3, 5)
+    published = state.update_from_platform(4, (worker("b"),), 0.0)
     assert published is not None
     assert published.version == (4, 1)
 
 
 def test_a_list_read_without_the_lease_is_replaced_even_if_nothing_has_changed() -> None:
-    book = WorkerBook()
-    assert book.adopt(WorkerList((UNLEASED_TERM, 1), (worker("a"),)), 0.0)
-    published = book.platform_answered(1, (worker("a"),), 0.0)
+    state = WorkerListState()
+    assert state.adopt(WorkerList((UNLEASED_TERM, 1), (worker("a"),)), 0.0)
+    published = state.update_from_platform(1, (worker("a"),), 0.0)
     assert published is not None
     assert published.version == (1, 1)
-    assert book.platform_answered(1, (worker("a"),), 0.0) is None
+    assert state.update_from_platform(1, (worker("a"),), 0.0) is None
 
 
 def test_only_a_newer_list_is_adopted() -> None:
-    book = WorkerBook()
-    assert book.adopt(WorkerList((3, 5), (worker("a"),)), 0.0)
-    assert not book.adopt(WorkerList((3, 5), (worker("b"),)), 0.0)
-    assert not book.adopt(WorkerList((2, 9), (worker("b"),)), 0.0)
-    assert book.adopt(WorkerList((4, 1), (worker("b"),)), 0.0)
+    state = WorkerListState()
+    assert state.adopt(WorkerList((3, 5), (worker("a"),)), 0.0)
+    assert not state.adopt(WorkerList((3, 5), (worker("b"),)), 0.0)
+    assert not state.adopt(WorkerList((2, 9), (worker("b"),)), 0.0)
+    assert state.adopt(WorkerList((4, 1), (worker("b"),)), 0.0)
 
 
 def test_a_newer_list_elsewhere_forces_a_new_version_though_nothing_has_changed() -> None:
-    book = WorkerBook()
-    book.adopt(WorkerList((3, 5), (worker("a"),)), 0.0)
-    book.note_seen((3, 6))
-    assert book.behind()
-    published = book.platform_answered(4, (worker("a"),), 0.0)
+    state = WorkerListState()
+    state.adopt(WorkerList((3, 5), (worker("a"),)), 0.0)
+    state.observe_version((3, 6))
+    assert state.is_behind()
+    published = state.update_from_platform(4, (worker("a"),), 0.0)
     assert published is not None
     assert published.version == (4, 1)
-    assert not book.behind()
+    assert not state.is_behind()
 
 
 @pytest.mark.parametrize(("seen", "above"), [((4, 1), None), ((5, 1), 5), ((9, 3), 9), ((5, 9), 5)])
 def test_a_holder_needs_a_higher_term_where_its_lists_would_be_older(
     seen: tuple[int, int], above: int | None
 ) -> None:
-    book = WorkerBook()
-    book.note_seen(seen)
+    state = WorkerListState()
+    state.observe_version(seen)
     term = 5
-    assert book.needs_term_above(term) == above
-    assert (book.platform_answered(term, (worker("a"),), 0.0) is None) == (above is not None)
+    assert state.term_to_exceed(term) == above
+    assert (state.update_from_platform(term, (worker("a"),), 0.0) is None) == (above is not None)
 
 
 def test_versions_of_one_holder_rise_whatever_comes_between() -> None:
-    book = WorkerBook()
+    state = WorkerListState()
     versions = []
     for number in range(5):
-        published = book.platform_answered(2, (worker(str(number)),), 0.0)
+        published = state.update_from_platform(2, (worker(str(number)),), 0.0)
         assert published is not None
         versions.append(published.version)
     assert versions == [(2, count) for count in range(1, 6)]
@@ -123,23 +125,27 @@
 
 def test_time_is_taken_off_what_is_left_until_a_worker_is_warm() -> None:
     entries = (worker("a", 500), worker("b", 100), worker("c"))
-    assert [entry.cold_left_ms for entry in aged(WorkerList((1, 1), entries), 200).workers] == [300, 0, 0]
+    assert [entry.cold_left_ms for entry in subtract_elapsed(WorkerList((1, 1), entries), 200).workers] == [
+        300,
+        0,
+        0,
+    ]
 
 
 def test_the_holder_sends_its_list_at_once_and_others_when_it_has_not_arrived_for_a_while() -> None:
-    book = WorkerBook()
-    book.adopt(WorkerList((3, 2), (worker("i-1"),)), now=50.0)
-    assert book.sends_to((3, 1), holds_lease=True, now=50.0)
-    assert not book.sends_to((3, 1), holds_lease=False, now=50.0)
-    assert book.sends_to((3, 1), holds_lease=False, now=50.01 + RELAY_AFTER_S)
+    state = WorkerListState()
+    state.adopt(WorkerList((3, 2), (worker("i-1"),)), now=50.0)
+    assert state.should_send_to((3, 1), holds_lease=True, now=50.0)
+    assert not state.should_send_to((3, 1), holds_lease=False, now=50.0)
+    assert state.should_send_to((3, 1), holds_lease=False, now=50.01 + RELAY_DELAY_S)
 
 
 @pytest.mark.parametrize("version", [(3, 2), (3, 3), (4, 1)])
 def test_nobody_is_sent_a_list_that_is_not_newer_than_its_own(version: tuple[int, int]) -> None:
-    book = WorkerBook()
-    book.adopt(WorkerList((3, 2), (worker("i-1"),)), now=50.0)
-    assert not book.sends_to(version, holds_lease=True, now=60.0)
+    state = WorkerListState()
+    state.adopt(WorkerList((3, 2), (worker("i-1"),)), now=50.0)
+    assert not state.should_send_to(version, holds_lease=True, now=60.0)
 
 
 def test_without_a_list_nothing_is_sent() -> None:
-    assert not WorkerBook().sends_to((0, 0), holds_lease=True, now=60.0)
+    assert not WorkerListState().should_send_to((0, 0), holds_lease=True, now=60.0)
--- a/tests/data_plane/test_session_wire.py
+++ b/tests/data_plane/test_session_wire.py
@@ -28,7 +28,7 @@
 from reedspoke.control_plane.delivery.membership import Membership
 from reedspoke.control_plane.delivery.published_state import PublishedState
 from reedspoke.control_plane.replication.events import Committed
-from reedspoke.control_plane.workers.worker_list import WorkerBook
+from reedspoke.control_plane.workers.worker_list import WorkerListState
 from reedspoke.data_plane import control_session
 from reedspoke.data_plane.session_choice import DIAL_BURST, DIALS_PER_S, SESSIONS
 from reedspoke.data_plane.subscription import UNCONFIRMED_AFTER_S
@@ -112,7 +112,7 @@
         self.wires: list[Wire] = []
         self._cache = ConfigurationCache()
         membership = Membership(ControlMember(address, zone), 5.0, 77)
-        state = PublishedState(self._cache, WorkerBook(), membership, self._confirmed_as_of)
+        state = PublishedState(self._cache, WorkerListState(), membership, self._confirmed_as_of)
         self._membership = membership
         self.sessions = model.loop.run_until_complete(self._make_sessions(state))
 
--- a/tests/golden/test_messages.py
+++ b/tests/golden/test_messages.py
@@ -87,7 +87,7 @@
         session_messages.decode,
         peer_messages.Hello
         | peer_messages.SessionTable
-        | peer_messages.LeaseMessage
+        | peer_messages.DiscoveryLeaseMessage
         | peer_messages.QuotaMessage,
     ),
     "replica_messages": Group(
--- a/tests/golden/test_public_names.py
+++ b/tests/golden/test_public_names.py
@@ -21,8 +21,8 @@
 from msgspec import Struct
 
 from reedspoke.cli.main import root as command_line
-from reedspoke.cluster.errors import ErrorCode
-from reedspoke.cluster.node_settings import NodeSettings
+from reedspoke.common.errors import ErrorCode
+from reedspoke.common.node_settings import NodeSettings
 from reedspoke.data_plane.request_trace import AttemptTrace, RequestTrace
 from reedspoke.net.config import Told as NodeConfiguration
 from reedspoke.operator_cli.arguments import build_parser
