--- a/reedspoke/control_plane/api/operator_api.py
+++ b/reedspoke/control_plane/api/operator_api.py
@@ -12,7 +12,7 @@
 from reedspoke.common.configuration import Configuration
 from reedspoke.common.errors import ErrorCode, FleetError
 from reedspoke.control_plane.api.http_server import Request, Response
-from reedspoke.control_plane.replication.events import GetAnswer, PutAnswer
+from reedspoke.control_plane.replication.effects import GetCompleted, PutCompleted
 
 CONFIGURATION_PATH = "/reedspoke/configuration"
 STATUS_PATH = "/reedspoke/status"
@@ -83,7 +83,7 @@
 class Calls:
     """What the API asks of the process."""
 
-    def put(self, match: int, generation: int, document: bytes) -> Awaitable[PutAnswer]:
+    def put(self, match: int, generation: int, document: bytes) -> Awaitable[PutCompleted]:
         """Have the configuration replicated. Raises FleetError where that cannot be tried."""
         raise NotImplementedError
 
@@ -91,7 +91,7 @@
         """Parse a configuration. Raises FleetError, when awaited, where it is invalid."""
         raise NotImplementedError
 
-    def get(self) -> Awaitable[GetAnswer]:
+    def get(self) -> Awaitable[GetCompleted]:
         """The newest configuration. Raises FleetError where that cannot be tried."""
         raise NotImplementedError
 
--- a/reedspoke/control_plane/delivery/configuration_cache.py
+++ b/reedspoke/control_plane/delivery/configuration_cache.py
@@ -8,7 +8,7 @@
 
 from reedspoke.common.configuration import Configuration, difference, parse_configuration
 from reedspoke.common.messages import NO_VERSION, ConfigurationSnapshot, Version, encode
-from reedspoke.control_plane.replication.events import Committed
+from reedspoke.control_plane.replication.entry import CommittedConfiguration
 
 MOST_KEPT = 8  # parsed configurations
 MOST_KEPT_BYTES = 8 * 1024 * 1024  # of documents; the newest one is kept whatever its size
@@ -32,7 +32,7 @@
 class Prepared(Struct, frozen=True):
     """A committed configuration, parsed, with the encoded difference from the one before."""
 
-    committed: Committed
+    committed: CommittedConfiguration
     configuration: Configuration
     base: Version
     frame: bytes
@@ -45,7 +45,7 @@
     """
 
     def __init__(self) -> None:
-        self._committed: Committed | None = None
+        self._committed: CommittedConfiguration | None = None
         self._kept: OrderedDict[Version, Kept] = OrderedDict()
         self._frames: dict[Version, bytes] = {}
         self._checked: Checked | None = None
@@ -56,7 +56,7 @@
         return NO_VERSION if self._committed is None else _version(self._committed)
 
     @property
-    def committed(self) -> Committed | None:
+    def committed(self) -> CommittedConfiguration | None:
         """The newest committed configuration."""
         return self._committed
 
@@ -70,7 +70,7 @@
             checked = self._checked = Checked(document, parse_configuration(document))
         return checked.configuration
 
-    def prepare(self, committed: Committed) -> Prepared:
+    def prepare(self, committed: CommittedConfiguration) -> Prepared:
         """Parse a committed configuration and encode what is new. Raises FleetError as `check` does."""
         configuration = self.check(committed.document)
         self._checked = None
@@ -102,7 +102,7 @@
             self._frames[base] = self._encode(committed, base)
         return self._frames[base]
 
-    def _encode(self, committed: Committed, base: Version) -> bytes:
+    def _encode(self, committed: CommittedConfiguration, base: Version) -> bytes:
         if base == NO_VERSION:
             return _snapshot(committed)
         return _difference(self._kept[base], self._kept[self.version].configuration, committed)
@@ -114,15 +114,15 @@
             size -= dropped.size
 
 
-def _version(committed: Committed) -> Version:
+def _version(committed: CommittedConfiguration) -> Version:
     return (committed.view, committed.sequence)
 
 
-def _snapshot(committed: Committed) -> bytes:
+def _snapshot(committed: CommittedConfiguration) -> bytes:
     return encode(ConfigurationSnapshot(_version(committed), committed.document))
 
 
-def _difference(old: Kept, configuration: Configuration, committed: Committed) -> bytes:
+def _difference(old: Kept, configuration: Configuration, committed: CommittedConfiguration) -> bytes:
     """The difference, or the whole document where that is not larger."""
     delta = encode(difference(old.configuration, configuration, old.version, _version(committed)))
     return delta if len(delta) < len(committed.document) else _snapshot(committed)
--- a/reedspoke/control_plane/delivery/membership.py
+++ b/reedspoke/control_plane/delivery/membership.py
@@ -18,7 +18,7 @@
     WatchRequest,
 )
 from reedspoke.control_plane.peers.messages import SessionEntry, SessionTable
-from reedspoke.control_plane.replication.events import Member
+from reedspoke.control_plane.replication.view import Member
 
 TABLE_LIFE_S = 2.0  # what another control scheduler told holds for so long
 MOST_EDGES = 1024
--- a/reedspoke/control_plane/process.py
+++ b/reedspoke/control_plane/process.py
@@ -41,7 +41,9 @@
 from reedspoke.control_plane.peers.transport import PeerMessage, PeerTransport
 from reedspoke.control_plane.quota.service import QuotaService
 from reedspoke.control_plane.replication.driver import ReplicaDriver
-from reedspoke.control_plane.replication.events import Committed, GetAnswer, PutAnswer, SendTo, View
+from reedspoke.control_plane.replication.effects import GetCompleted, PutCompleted, SendMessage
+from reedspoke.control_plane.replication.entry import CommittedConfiguration
+from reedspoke.control_plane.replication.view import View
 from reedspoke.control_plane.storage.job_thread import JobThread
 from reedspoke.control_plane.workers.duty_lease import DutyLease, Outgoing
 from reedspoke.control_plane.workers.list_duty import ListDuty
@@ -78,7 +80,7 @@
         self._table_at = 0.0
         self._settings_at = 0.0
         self._maintenance_at = 0.0
-        self._newest_committed: Committed | None = None
+        self._newest_committed: CommittedConfiguration | None = None
         self._published_as_of: float | None = None  # as of then what is published was the newest
         self._build(settings)
 
@@ -142,11 +144,11 @@
 
     # ---- what the driver asks ----
 
-    def send(self, effect: SendTo) -> None:
+    def send(self, effect: SendMessage) -> None:
         """Send to another replica."""
         self._transport.send(effect.address, effect.message)
 
-    def deliver(self, committed: Committed) -> None:
+    def deliver(self, committed: CommittedConfiguration) -> None:
         """The data plane may have this configuration."""
         self._newest_committed = committed
         prepared = self._documents.call(lambda: self._configuration.prepare(committed))
@@ -204,7 +206,7 @@
 
     # ---- what the operator's API asks ----
 
-    def put(self, match: int, generation: int, document: bytes) -> asyncio.Future[PutAnswer]:
+    def put(self, match: int, generation: int, document: bytes) -> asyncio.Future[PutCompleted]:
         """Have the configuration replicated."""
         self._check_not_leaving()
         return self._driver.put(match, generation, document)
@@ -213,7 +215,7 @@
         """Parse a configuration."""
         return self._documents.call(lambda: self._configuration.check(document))
 
-    def get(self) -> asyncio.Future[GetAnswer]:
+    def get(self) -> asyncio.Future[GetCompleted]:
         """The newest configuration."""
         self._check_not_leaving()
         return self._driver.get()
@@ -379,7 +381,7 @@
         if waited < LEAVE_S:
             return out_of_chain and not self._driver.waiting_calls
         time_is_up = waited >= self._settings.bounds.grace_s - LEAVE_MARGIN_S
-        return time_is_up or out_of_chain or not self._driver.others_stay
+        return time_is_up or out_of_chain or not self._driver.has_staying_peer
 
     def _in_chain(self) -> bool:
         chain = () if self._view is None else self._view.chain
--- a/reedspoke/control_plane/replication/chain.py
+++ b/reedspoke/control_plane/replication/chain.py
@@ -8,23 +8,29 @@
 from msgspec import Struct
 
 from reedspoke.common.errors import ErrorCode
-from reedspoke.control_plane.replication.chain_register import Register
-from reedspoke.control_plane.replication.events import ChainLink, Committed, Member, View
-from reedspoke.control_plane.replication.messages import Append, ChainState, Commit, Entry, Snapshot
+from reedspoke.control_plane.replication.configuration_register import ConfigurationRegister
+from reedspoke.control_plane.replication.entry import CommittedConfiguration, Entry
+from reedspoke.control_plane.replication.messages import (
+    AppendRequest,
+    CommitNotification,
+    InstallSnapshot,
+    SuccessorStatus,
+)
 from reedspoke.control_plane.replication.outbox import Outbox
 from reedspoke.control_plane.replication.settings import (
-    MOST_RESEND_S,
-    PING_INTERVAL_S,
+    HEARTBEAT_INTERVAL_S,
+    MAX_RESEND_INTERVAL_S,
     RESEND_BYTES_PER_S,
     RESEND_GROWTH,
-    RESEND_S,
+    RESEND_INTERVAL_S,
     ReplicaSettings,
 )
+from reedspoke.control_plane.replication.view import ChainLink, Member, View
 from reedspoke.control_plane.views.first_view import FIRST_VIEW_NUMBER
 from reedspoke.telemetry.invariants import Invariant, check
 
 
-class PassedOn(Struct, frozen=True):
+class ForwardAttempt(Struct, frozen=True):
     """What the successor has been sent last, and how often."""
 
     sequence: int
@@ -43,8 +49,8 @@
         self,
         settings: ReplicaSettings,
         outbox: Outbox,
-        register: Register,
-        on_committed: Callable[[Committed], None],
+        register: ConfigurationRegister,
+        on_committed: Callable[[CommittedConfiguration], None],
         on_settled: Callable[[], None],
     ) -> None:
         self._own = settings.member
@@ -55,8 +61,8 @@
         self._on_settled = on_settled
         self._view: View | None = None
         self._position: int | None = None
-        self._passed_on: PassedOn | None = None
-        self._successor: ChainState | None = None
+        self._passed_on: ForwardAttempt | None = None
+        self._successor: SuccessorStatus | None = None
         self._state_told_at = float("-inf")
 
     # ---- place in the view ----
@@ -87,7 +93,7 @@
     def complete(self) -> bool:
         """Whether this replica holds everything since it was appended."""
         link = self._own_link()
-        if link is None or self._register.adopting or self._outbox.copy_lost:
+        if link is None or self._register.installing_snapshot or self._outbox.synced_state_lost:
             return False
         return link.joined == FIRST_VIEW_NUMBER or self._register.synced_since == link.joined
 
@@ -100,7 +106,7 @@
         self._passed_on = None
         self._successor = None
         if self._position is None:
-            self._outbox.copy_lost = False  # it takes a whole copy before it is complete again
+            self._outbox.synced_state_lost = False  # it takes a whole copy before it is complete again
         self._tell_state()
         self._pass_on_or_commit()
 
@@ -108,7 +114,7 @@
 
     def tick(self) -> None:
         """Tell the predecessor again; it sends what is missing."""
-        if self._outbox.now - self._state_told_at >= PING_INTERVAL_S:
+        if self._outbox.now - self._state_told_at >= HEARTBEAT_INTERVAL_S:
             self._tell_state()
             self._pass_on()
 
@@ -126,16 +132,16 @@
     def receive(self, message: Struct) -> bool:
         """Handle a message; false where it is none of the chain. Those of another view are refused."""
         match message:
-            case Append():
+            case AppendRequest():
                 if self._of_this_view(message.view):
                     self._receive_entry(message.entry)
-            case Snapshot():
+            case InstallSnapshot():
                 if self._of_this_view(message.view):
                     self._receive_snapshot(message)
-            case ChainState():
+            case SuccessorStatus():
                 if self._of_this_view(message.view):
                     self._receive_state(message)
-            case Commit():
+            case CommitNotification():
                 self.committed_up_to(message.view, message.sequence)
             case _:
                 return False
@@ -155,7 +161,7 @@
         register = self._register
         if self._position == 0 or not self.complete or self._outbox.disk_failed:
             return
-        if register.storing is not None:
+        if register.pending_entry is not None:
             return
         if entry.sequence == register.sequence + 1:
             self._commit()  # the head takes a change only once all before it is committed
@@ -167,14 +173,14 @@
                 logging.ERROR, "entry does not follow", held=register.sequence, got=entry.sequence
             )
 
-    def _receive_snapshot(self, message: Snapshot) -> None:
+    def _receive_snapshot(self, message: InstallSnapshot) -> None:
         link = self._own_link()
         if link is None or link.joined != message.joined or self._position == 0:
             return
-        if self.complete or self._register.adopting or self._outbox.disk_failed:
+        if self.complete or self._register.installing_snapshot or self._outbox.disk_failed:
             self._tell_state()
             return
-        self._register.adopt(message.entry, message.history, message.joined, self._entry_synced)
+        self._register.install_snapshot(message.entry, message.history, message.joined, self._entry_synced)
 
     def _entry_synced(self, synced: bool) -> None:
         if synced:
@@ -185,7 +191,7 @@
 
     # ---- as predecessor ----
 
-    def _receive_state(self, state: ChainState) -> None:
+    def _receive_state(self, state: SuccessorStatus) -> None:
         successor = self._link_after()
         if successor is None or successor.member.folder_id != state.folder_id:
             return
@@ -215,33 +221,35 @@
             self._passed_on = self._passed_on_again()
             self._outbox.send(successor.member.address, message)
 
-    def _missing(self, successor: ChainLink, state: ChainState | None) -> Append | Snapshot | None:
+    def _missing(
+        self, successor: ChainLink, state: SuccessorStatus | None
+    ) -> AppendRequest | InstallSnapshot | None:
         assert self._view is not None
         entry = self._register.entry
         if state is None:
             return None
         lag = self._register.sequence - state.sequence
         if not state.complete or lag > 1:
-            return Snapshot(self._view.number, successor.joined, entry, self._register.packed_history)
+            return InstallSnapshot(self._view.number, successor.joined, entry, self._register.packed_history)
         if lag == 1 and entry is not None:
-            return Append(self._view.number, entry)
+            return AppendRequest(self._view.number, entry)
         return None
 
-    def _due(self, message: Append | Snapshot) -> bool:
+    def _due(self, message: AppendRequest | InstallSnapshot) -> bool:
         passed_on = self._passed_on
         if passed_on is None or passed_on.sequence != self._register.sequence:
             return True
-        pause = RESEND_S + _size(message) / RESEND_BYTES_PER_S
+        pause = RESEND_INTERVAL_S + _size(message) / RESEND_BYTES_PER_S
         for _ in range(passed_on.times - 1):
-            pause = min(pause * RESEND_GROWTH, MOST_RESEND_S)
+            pause = min(pause * RESEND_GROWTH, MAX_RESEND_INTERVAL_S)
         return self._outbox.now - passed_on.at >= pause
 
-    def _passed_on_again(self) -> PassedOn:
+    def _passed_on_again(self) -> ForwardAttempt:
         before = self._passed_on
         sequence = self._register.sequence
         if before is None or before.sequence != sequence:
-            return PassedOn(sequence, self._outbox.now, 1)
-        return PassedOn(sequence, self._outbox.now, before.times + 1)
+            return ForwardAttempt(sequence, self._outbox.now, 1)
+        return ForwardAttempt(sequence, self._outbox.now, before.times + 1)
 
     # ---- commits ----
 
@@ -265,7 +273,7 @@
             return
         for link in self._view.chain[:-1]:
             self._outbox.send(
-                link.member.address, Commit(self._view.number, self._register.committed_sequence)
+                link.member.address, CommitNotification(self._view.number, self._register.committed_sequence)
             )
 
     def _compare_with_others(self, sequence: int) -> None:
@@ -275,7 +283,7 @@
         """
         if sequence <= self._register.sequence:
             return
-        self._outbox.copy_lost = True
+        self._outbox.synced_state_lost = True
         self._outbox.log(
             logging.ERROR,
             "synced state is gone",
@@ -311,12 +319,12 @@
         if link is None or predecessor is None or self._view is None:
             return
         self._check_synced()
-        state = ChainState(
+        state = SuccessorStatus(
             self._view.number, self._own.folder_id, link.joined, self.complete, self._register.sequence
         )
         self._outbox.send(predecessor.address, state)
 
 
-def _size(message: Append | Snapshot) -> int:
+def _size(message: AppendRequest | InstallSnapshot) -> int:
     document = len(message.entry.document) if message.entry else 0
-    return document + (len(message.history) if isinstance(message, Snapshot) else 0)
+    return document + (len(message.history) if isinstance(message, InstallSnapshot) else 0)
--- a/reedspoke/control_plane/replication/repair.py
+++ b/reedspoke/control_plane/replication/chain_repair.py
@@ -4,17 +4,17 @@
 
 from collections.abc import Callable
 
-from reedspoke.control_plane.replication.events import View
-from reedspoke.control_plane.replication.messages import Ping
+from reedspoke.control_plane.replication.failure_detector import FailureDetector
+from reedspoke.control_plane.replication.messages import Heartbeat
 from reedspoke.control_plane.replication.outbox import Outbox
-from reedspoke.control_plane.replication.peers import Peers
 from reedspoke.control_plane.replication.settings import (
     ESTABLISHED_AFTER_S,
-    HEARD_S,
     PROPOSE_AFTER_S,
     RANK_DELAY_S,
+    REACHABLE_TIMEOUT_S,
     ReplicaSettings,
 )
+from reedspoke.control_plane.replication.view import View
 from reedspoke.control_plane.views.agreement import ViewAgreement
 from reedspoke.control_plane.views.first_view import FIRST_VIEW_NUMBER, form_first_view
 from reedspoke.control_plane.views.next_view import MemberCondition, MembershipSnapshot, choose_next_view
@@ -25,19 +25,19 @@
 
 GATHER_S = 0.8  # after its start a seed proposes no first view with fewer voters than there should be
 
-OwnPing = Callable[[], Ping]
+OwnHeartbeat = Callable[[], Heartbeat]
 
 
-class Repair:
+class ChainRepair:
     """Proposes a better view once one has been in sight for a while; members further back wait longer."""
 
     def __init__(
         self,
         settings: ReplicaSettings,
         outbox: Outbox,
-        peers: Peers,
+        peers: FailureDetector,
         agreement: ViewAgreement,
-        own_ping: OwnPing,
+        own_ping: OwnHeartbeat,
     ) -> None:
         self._settings = settings
         self._own = settings.member
@@ -46,12 +46,12 @@
         self._agreement = agreement
         self._own_ping = own_ping
         self._started = outbox.now
-        self._judge_from = outbox.now + HEARD_S
+        self._judge_from = outbox.now + REACHABLE_TIMEOUT_S
         self._in_sight_since: float | None = None
 
     def woken(self) -> None:
         """This process was stopped: nobody is judged for a while."""
-        self._judge_from = self._outbox.now + HEARD_S
+        self._judge_from = self._outbox.now + REACHABLE_TIMEOUT_S
         self._in_sight_since = None
 
     def entered(self, view: View) -> None:
@@ -59,7 +59,7 @@
         may not have heard of each other yet."""
         self._in_sight_since = None
         if view.number == FIRST_VIEW_NUMBER:
-            self._judge_from = max(self._judge_from, self._outbox.now + HEARD_S)
+            self._judge_from = max(self._judge_from, self._outbox.now + REACHABLE_TIMEOUT_S)
 
     def majority_reached(self) -> bool:
         """Whether this replica and a majority of the voters hear each other."""
@@ -73,7 +73,7 @@
         """Whether this replica and that one hear each other."""
         return self._peers.mutual(folder_id, self._outbox.now)
 
-    def others_stay(self) -> bool:
+    def has_staying_peer(self) -> bool:
         """Whether a replica in reach is not about to leave."""
         now = self._outbox.now
         reached = [member for member in self._peers.members(now) if self.reachable(member.folder_id)]
@@ -91,7 +91,7 @@
             rank = sorted(seeds).index(self._own.address)
             self._propose_in_time(view, rank)
 
-    def _pings_in_reach(self, seeds: tuple[str, ...]) -> list[Ping]:
+    def _pings_in_reach(self, seeds: tuple[str, ...]) -> list[Heartbeat]:
         """Of this replica, of the seeds that were heard, and of whoever else hears this replica too."""
         members = [
             member
@@ -190,13 +190,13 @@
         ping = self._ping_of(folder_id)
         return ping is not None and ping.leaving
 
-    def _ping_of(self, folder_id: str) -> Ping | None:
+    def _ping_of(self, folder_id: str) -> Heartbeat | None:
         if folder_id == self._own.folder_id:
             return self._own_ping()
         return self._peers.latest(folder_id)
 
 
-def _condition(ping: Ping, joined: dict[str, int], steady: bool, established: bool) -> MemberCondition:
+def _condition(ping: Heartbeat, joined: dict[str, int], steady: bool, established: bool) -> MemberCondition:
     """How a replica stands; `joined` has, for each member of the chain, the view that appended it."""
     return MemberCondition(
         member=ping.member,
--- a/reedspoke/control_plane/replication/verdict.py
+++ b/reedspoke/control_plane/replication/change_decision.py
@@ -7,12 +7,12 @@
 
 from enum import Enum
 
-from reedspoke.control_plane.replication.chain_register import Register
-from reedspoke.control_plane.replication.change_history import Acknowledged
+from reedspoke.control_plane.replication.configuration_register import ConfigurationRegister
+from reedspoke.control_plane.replication.entry import ChangeId
 from reedspoke.control_plane.replication.messages import PutRequest
 
 
-class Verdict(Enum):
+class ChangeDecision(Enum):
     """What a settled register says to a change."""
 
     ACKNOWLEDGE = "it has been accepted"
@@ -23,14 +23,14 @@
     TAKE = "it is next"
 
 
-def verdict_on(request: PutRequest, change: Acknowledged, register: Register) -> Verdict:
+def decide_change(request: PutRequest, change: ChangeId, register: ConfigurationRegister) -> ChangeDecision:
     """The verdict on a request; `change` is its number and digest."""
-    if register.knows(change):
-        return Verdict.ACKNOWLEDGE
-    if register.may_have_forgotten(change):
-        return Verdict.FORGOTTEN
+    if register.has_accepted(change):
+        return ChangeDecision.ACKNOWLEDGE
+    if register.may_have_evicted(change):
+        return ChangeDecision.FORGOTTEN
     if request.match < register.generation:
-        return Verdict.STALE_MATCH
+        return ChangeDecision.STALE_MATCH
     if request.generation <= request.match:
-        return Verdict.OLD_GENERATION
-    return Verdict.HOLD if request.match > register.generation else Verdict.TAKE
+        return ChangeDecision.OLD_GENERATION
+    return ChangeDecision.HOLD if request.match > register.generation else ChangeDecision.TAKE
--- a/reedspoke/control_plane/replication/change_history.py
+++ b/reedspoke/control_plane/replication/change_history.py
@@ -8,20 +8,12 @@
 import struct
 from bisect import bisect_left
 
-from msgspec import Struct
-
+from reedspoke.control_plane.replication.entry import ChangeId
 from reedspoke.control_plane.replication.settings import HISTORY_LIMIT
 
 ROW = struct.Struct(">q32s")  # generation, SHA-256 of the document
 
 
-class Acknowledged(Struct, array_like=True, frozen=True):
-    """An accepted change by its number and the SHA-256 of its document."""
-
-    generation: int
-    digest: bytes
-
-
 class ChangeHistory:
     """The newest HISTORY_LIMIT accepted changes; older ones are forgotten."""
 
@@ -33,7 +25,7 @@
     def __len__(self) -> int:
         return len(self._rows) // ROW.size
 
-    def __contains__(self, change: Acknowledged) -> bool:
+    def __contains__(self, change: ChangeId) -> bool:
         index = bisect_left(range(len(self)), change.generation, key=self._generation)
         return index < len(self) and self._change(index) == change
 
@@ -48,11 +40,11 @@
         return self._generation(0) if self._rows else 0
 
     @property
-    def newest(self) -> Acknowledged | None:
+    def newest(self) -> ChangeId | None:
         """The change that was added last."""
         return self._change(len(self) - 1) if self._rows else None
 
-    def add(self, change: Acknowledged) -> None:
+    def add(self, change: ChangeId) -> None:
         """Remember a change, whose generation is above all others, in place of the oldest if need be."""
         self._rows += ROW.pack(change.generation, change.digest)
         if len(self) > HISTORY_LIMIT:
@@ -69,8 +61,8 @@
     def _generation(self, index: int) -> int:
         return self._change(index).generation
 
-    def _change(self, index: int) -> Acknowledged:
-        return Acknowledged(*ROW.unpack_from(self._rows, index * ROW.size))
+    def _change(self, index: int) -> ChangeId:
+        return ChangeId(*ROW.unpack_from(self._rows, index * ROW.size))
 
 
 def check_packed(packed: bytes) -> None:
--- a/reedspoke/control_plane/replication/chain_register.py
+++ b/reedspoke/control_plane/replication/configuration_register.py
@@ -7,30 +7,29 @@
 from msgspec import Struct
 
 from reedspoke.common.errors import ErrorCode
-from reedspoke.control_plane.replication.change_history import Acknowledged, ChangeHistory
-from reedspoke.control_plane.replication.events import Committed
-from reedspoke.control_plane.replication.messages import Entry
-from reedspoke.control_plane.replication.outbox import Outbox
-from reedspoke.control_plane.storage.records import (
-    EntryRecord,
-    HistoryRecord,
-    RestoredState,
-    SyncedRecord,
-    acknowledged,
+from reedspoke.control_plane.replication.change_history import ChangeHistory
+from reedspoke.control_plane.replication.entry import (
+    ChangeId,
+    CommittedConfiguration,
+    Entry,
+    change_id_of,
+    committed_configuration,
 )
+from reedspoke.control_plane.replication.outbox import Outbox
+from reedspoke.control_plane.storage.records import EntryRecord, HistoryRecord, RestoredState, SyncedRecord
 
 OnSynced = Callable[[bool], None]
 
 
-class Register:
+class ConfigurationRegister:
     """Holds the newest synced entry, the one that is being stored, and how far entries are committed."""
 
     def __init__(self, outbox: Outbox, restored: RestoredState) -> None:
         self._outbox = outbox
         self.entry = restored.entry
-        self.storing: Entry | None = None
-        self.committed: Committed | None = None
-        self.adopting = False
+        self.pending_entry: Entry | None = None
+        self.committed: CommittedConfiguration | None = None
+        self.installing_snapshot = False
         self.synced_since = restored.synced_since
         self._synced_at: float | None = None  # of `entry`, where the one before it is known to be committed
         self._history = restored.history
@@ -54,7 +53,8 @@
     @property
     def settled(self) -> bool:
         """Whether nothing is in flight."""
-        return self.storing is None and not self.adopting and self.committed_sequence == self.sequence
+        in_flight = self.pending_entry is not None or self.installing_snapshot
+        return not in_flight and self.committed_sequence == self.sequence
 
     def committed_until(self, now: float) -> float | None:
         """`committed` is the newest, unless something has been committed after this time.
@@ -62,7 +62,7 @@
         An entry is committed only after it has been synced here. None where entries may have been committed
         of which this replica has not been told.
         """
-        if self.adopting:
+        if self.installing_snapshot:
             return None
         return now if self.committed_sequence == self.sequence else self._synced_at
 
@@ -71,11 +71,11 @@
         """The accepted changes, as `ChangeHistory` packs them."""
         return self._history.packed()
 
-    def knows(self, change: Acknowledged) -> bool:
+    def has_accepted(self, change: ChangeId) -> bool:
         """Whether this change has been accepted; it is committed if the register is settled."""
         return change in self._history
 
-    def may_have_forgotten(self, change: Acknowledged) -> bool:
+    def may_have_evicted(self, change: ChangeId) -> bool:
         """Whether this change may have been accepted before the oldest one that the history still holds.
 
         Each accepted change has the next sequence, so that a history shorter than the sequence has lost some.
@@ -84,52 +84,49 @@
 
     def append(self, entry: Entry, on_synced: OnSynced) -> None:
         """Store the next entry; `on_synced` tells whether it is on disk."""
-        self.storing = entry
+        self.pending_entry = entry
 
         def on_end(error: ErrorCode | None) -> None:
-            if self.storing is not entry:
+            if self.pending_entry is not entry:
                 return  # a snapshot has replaced it meanwhile
-            self.storing = None
+            self.pending_entry = None
             if error is None:
                 self.entry = entry
                 self._synced_at = self._outbox.now
-                self._history.add(acknowledged(entry))
+                self._history.add(change_id_of(entry))
             on_synced(error is None)
 
         self._outbox.store([EntryRecord(entry)], on_end)
 
-    def adopt(self, entry: Entry | None, packed_history: bytes, joined: int, on_synced: OnSynced) -> None:
+    def install_snapshot(
+        self, entry: Entry | None, packed_history: bytes, joined: int, on_synced: OnSynced
+    ) -> None:
         """Take over a predecessor's state in place of the own."""
         self.entry = entry
         self._synced_at = None
-        self.storing = None
+        self.pending_entry = None
         self._history = ChangeHistory(packed_history)
         self.synced_since = joined
-        self.adopting = True
+        self.installing_snapshot = True
 
         def on_end(error: ErrorCode | None) -> None:
-            self.adopting = False
+            self.installing_snapshot = False
             if error is not None:
                 self.synced_since = 0
             on_synced(error is None)
 
         self._outbox.rewrite(on_end, self.sequence)
 
-    def commit(self) -> Committed | None:
+    def commit(self) -> CommittedConfiguration | None:
         """The newest synced entry is committed; it is returned where this is news."""
         if self.entry is None or self.entry.sequence <= self.committed_sequence:
             return None
-        self.committed = committed_of(self.entry)
+        self.committed = committed_configuration(self.entry)
         return self.committed
 
     def records(self) -> list[Struct]:
         """What the log has to hold."""
         records: list[Struct] = [HistoryRecord(self.packed_history)]
-        records += [EntryRecord(entry) for entry in (self.entry, self.storing) if entry is not None]
+        records += [EntryRecord(entry) for entry in (self.entry, self.pending_entry) if entry is not None]
         records.append(SyncedRecord(self.synced_since))
         return records
-
-
-def committed_of(entry: Entry) -> Committed:
-    """An entry as it is told once it is committed."""
-    return Committed(entry.sequence, entry.generation, entry.document, entry.view)
--- a/reedspoke/control_plane/replication/driver.py
+++ b/reedspoke/control_plane/replication/driver.py
@@ -15,31 +15,33 @@
 from reedspoke.common.json_log import ERROR, INFO, log
 from reedspoke.common.node_settings import NodeSettings
 from reedspoke.common.unhandled_errors import end_process, unhandled_errors
-from reedspoke.control_plane.replication.events import (
-    Committed,
-    Deliver,
+from reedspoke.control_plane.replication.effects import (
+    DeliverConfiguration,
     Effect,
+    GetCompleted,
+    LogEvent,
+    PutCompleted,
+    SendMessage,
+    StoreRecords,
+    ViewChanged,
+)
+from reedspoke.control_plane.replication.entry import CommittedConfiguration
+from reedspoke.control_plane.replication.events import (
     Event,
-    Get,
-    GetAnswer,
-    Leave,
-    LogLine,
-    Put,
-    PutAnswer,
-    Received,
+    GetSubmitted,
+    MessageReceived,
+    PutSubmitted,
     SeedsChanged,
-    SendTo,
-    Store,
-    Stored,
+    ShutdownStarted,
+    StoreCompleted,
     Tick,
-    View,
-    ViewChanged,
 )
 from reedspoke.control_plane.replication.messages import ReplicaMessage
 from reedspoke.control_plane.replication.replica import Replica
 from reedspoke.control_plane.replication.settings import TICK_S, ReplicaSettings
+from reedspoke.control_plane.replication.view import View
 from reedspoke.control_plane.storage.job_thread import JobThread
-from reedspoke.control_plane.storage.log_file import OpenedLog, open_log, set_aside
+from reedspoke.control_plane.storage.log_file import OpenedLog, open_log, quarantine_log
 from reedspoke.telemetry.invariants import Invariant, check
 
 OPEN_RETRY_S = 0.5
@@ -48,13 +50,13 @@
 Value = TypeVar("Value")
 
 
-class Surroundings(Protocol):
+class ReplicaEnvironment(Protocol):
     """What the driver needs of the process."""
 
-    def send(self, effect: SendTo) -> None:
+    def send(self, effect: SendMessage) -> None:
         """Send to another replica."""
 
-    def deliver(self, committed: Committed) -> None:
+    def deliver(self, committed: CommittedConfiguration) -> None:
         """The data plane may have this configuration."""
 
     def view_changed(self, view: View) -> None:
@@ -74,7 +76,7 @@
 class ReplicaDriver:
     """Owns the replica; everything but the disk runs on the event loop."""
 
-    def __init__(self, settings: NodeSettings, own_address: str, surroundings: Surroundings) -> None:
+    def __init__(self, settings: NodeSettings, own_address: str, surroundings: ReplicaEnvironment) -> None:
         self._settings = settings
         self._own_address = own_address
         self._surroundings = surroundings
@@ -87,8 +89,8 @@
         self._events: deque[Event] = deque()
         self._handling = False
         self._request_id = 0
-        self._puts: dict[int, asyncio.Future[PutAnswer]] = {}
-        self._gets: dict[int, asyncio.Future[GetAnswer]] = {}
+        self._puts: dict[int, asyncio.Future[PutCompleted]] = {}
+        self._gets: dict[int, asyncio.Future[GetCompleted]] = {}
 
     # ---- life ----
 
@@ -128,12 +130,12 @@
     def received(self, sender: str, message: ReplicaMessage) -> None:
         """A message of another replica; there is none to take it before the data folder is open."""
         if self._replica is not None:
-            self.handle(Received(sender, message))
+            self.handle(MessageReceived(sender, message))
 
     def leave(self) -> None:
         """The process is about to end."""
         if self._replica is not None:
-            self.handle(Leave())
+            self.handle(ShutdownStarted())
 
     def seeds_changed(self, seeds: tuple[str, ...]) -> None:
         """The settings file names other seeds."""
@@ -141,24 +143,24 @@
 
     # ---- calls of the operator ----
 
-    def put(self, match: int, generation: int, document: bytes) -> asyncio.Future[PutAnswer]:
+    def put(self, match: int, generation: int, document: bytes) -> asyncio.Future[PutCompleted]:
         """Have a configuration replicated. Raises FleetError before the data folder is open."""
         self._check_open()
-        future: asyncio.Future[PutAnswer] = self._loop.create_future()
+        future: asyncio.Future[PutCompleted] = self._loop.create_future()
         request_id = self._next_request_id()
         self._puts[request_id] = future
         future.add_done_callback(lambda _: self._puts.pop(request_id, None))
-        self.handle(Put(request_id, match, generation, document))
+        self.handle(PutSubmitted(request_id, match, generation, document))
         return future
 
-    def get(self) -> asyncio.Future[GetAnswer]:
+    def get(self) -> asyncio.Future[GetCompleted]:
         """Read the newest configuration. Raises FleetError before the data folder is open."""
         self._check_open()
-        future: asyncio.Future[GetAnswer] = self._loop.create_future()
+        future: asyncio.Future[GetCompleted] = self._loop.create_future()
         request_id = self._next_request_id()
         self._gets[request_id] = future
         future.add_done_callback(lambda _: self._gets.pop(request_id, None))
-        self.handle(Get(request_id))
+        self.handle(GetSubmitted(request_id))
         return future
 
     def holds_majority(self) -> bool:
@@ -184,9 +186,9 @@
         return self._replica is not None and self._replica.disk_works
 
     @property
-    def others_stay(self) -> bool:
+    def has_staying_peer(self) -> bool:
         """Whether a replica in reach is not about to leave."""
-        return self._replica is not None and self._replica.others_stay
+        return self._replica is not None and self._replica.has_staying_peer
 
     def _check_open(self) -> None:
         if self._replica is None:
@@ -199,7 +201,7 @@
     # ---- effects ----
 
     def _check_grant(self, effect: Effect, now: float) -> None:
-        if isinstance(effect, PutAnswer | GetAnswer) and effect.error is None:
+        if isinstance(effect, PutCompleted | GetCompleted) and effect.error is None:
             granted = self._replica is not None and self._replica.holds_majority(now)
             check(Invariant.READ_HAS_GRANT, granted, answer=type(effect).__name__)
 
@@ -212,19 +214,19 @@
 
     def _carry_out(self, effect: Effect) -> None:
         match effect:
-            case SendTo():
+            case SendMessage():
                 self._surroundings.send(effect)
-            case Store():
+            case StoreRecords():
                 self._storage.add(lambda: self._store(effect))
-            case PutAnswer(request_id):
+            case PutCompleted(request_id):
                 _settle(self._puts.get(request_id), effect)
-            case GetAnswer(request_id):
+            case GetCompleted(request_id):
                 _settle(self._gets.get(request_id), effect)
-            case Deliver(committed):
+            case DeliverConfiguration(committed):
                 self._surroundings.deliver(committed)
             case ViewChanged(view):
                 self._surroundings.view_changed(view)
-            case LogLine(level, text, fields):
+            case LogEvent(level, text, fields):
                 log(level, text, **fields)
 
     def _tick(self) -> None:
@@ -266,13 +268,13 @@
 
     def _set_aside(self) -> None:
         try:
-            set_aside(self._directory)
+            quarantine_log(self._directory)
         except OSError as error:
             self._call(self._open_failed, FleetError(ErrorCode.STORAGE_FAILED, str(error)))
             return
         self._open()
 
-    def _store(self, effect: Store) -> None:
+    def _store(self, effect: StoreRecords) -> None:
         assert self._log is not None
         try:
             if effect.replace:
@@ -280,9 +282,9 @@
             else:
                 self._log.writer.append(effect.records)
         except FleetError as error:
-            self._call(self.handle, Stored(effect.token, error.code))
+            self._call(self.handle, StoreCompleted(effect.token, error.code))
             return
-        self._call(self.handle, Stored(effect.token))
+        self._call(self.handle, StoreCompleted(effect.token))
 
     def _call(self, function: Callable[[Value], None], value: Value) -> None:
         self._loop.call_soon_threadsafe(function, value)
--- a/reedspoke/control_plane/replication/peers.py
+++ b/reedspoke/control_plane/replication/failure_detector.py
@@ -6,34 +6,39 @@
 
 from msgspec import Struct
 
-from reedspoke.control_plane.replication.events import Member
-from reedspoke.control_plane.replication.messages import Ping
-from reedspoke.control_plane.replication.settings import ESTABLISHED_AFTER_S, GONE_S, HEARD_S, JOIN_AFTER_S
+from reedspoke.control_plane.replication.messages import Heartbeat
+from reedspoke.control_plane.replication.settings import (
+    DEAD_TIMEOUT_S,
+    ESTABLISHED_AFTER_S,
+    JOIN_AFTER_S,
+    REACHABLE_TIMEOUT_S,
+)
+from reedspoke.control_plane.replication.view import Member
 
 
-class Peer(Struct):
+class PeerStatus(Struct):
     """The newest ping of a replica, and since when it has been heard without a gap."""
 
-    ping: Ping
+    ping: Heartbeat
     heard_at: float
     heard_since: float
 
 
-class Peers:
+class FailureDetector:
     """Failure detector: a replica is in reach while each hears the other's pings."""
 
     def __init__(self, own: Member, now: float) -> None:
         self._own = own
-        self._peers: dict[str, Peer] = {}
+        self._peers: dict[str, PeerStatus] = {}
         self._grace_from = now  # nobody is judged by silence from before this
 
-    def heard_ping(self, ping: Ping, now: float) -> None:
+    def heard_ping(self, ping: Heartbeat, now: float) -> None:
         """A ping has come. A folder at the address of an older folder replaces it."""
         folder_id = ping.member.folder_id
         self._forget_other_folders(ping.member)
         known = self._peers.get(folder_id)
-        since = known.heard_since if known and now - known.heard_at <= HEARD_S else now
-        self._peers[folder_id] = Peer(ping, now, since)
+        since = known.heard_since if known and now - known.heard_at <= REACHABLE_TIMEOUT_S else now
+        self._peers[folder_id] = PeerStatus(ping, now, since)
 
     def woken(self, now: float) -> None:
         """This process was stopped: silence until now says nothing of the others."""
@@ -41,9 +46,9 @@
 
     def members(self, now: float) -> list[Member]:
         """All replicas heard lately, with or without a place in the view."""
-        return [peer.ping.member for peer in self._peers.values() if now - peer.heard_at <= GONE_S]
+        return [peer.ping.member for peer in self._peers.values() if now - peer.heard_at <= DEAD_TIMEOUT_S]
 
-    def latest(self, folder_id: str) -> Ping | None:
+    def latest(self, folder_id: str) -> Heartbeat | None:
         """The newest ping of this replica."""
         peer = self._peers.get(folder_id)
         return peer.ping if peer else None
@@ -62,7 +67,7 @@
     def heard(self, members: Iterable[Member], now: float) -> tuple[str, ...]:
         """The replicas that this one hears; of `members` those are included that can't be judged yet."""
         judged = {folder for folder, peer in self._peers.items() if self._lately(peer, now)}
-        if now - self._grace_from <= HEARD_S:
+        if now - self._grace_from <= REACHABLE_TIMEOUT_S:
             judged.update(member.folder_id for member in members if self._unjudged(member))
         judged.discard(self._own.folder_id)
         return tuple(sorted(judged))
@@ -72,7 +77,7 @@
         if folder_id == self._own.folder_id:
             return True
         peer = self._peers.get(folder_id)
-        if peer is None or now - peer.heard_at > HEARD_S:
+        if peer is None or now - peer.heard_at > REACHABLE_TIMEOUT_S:
             return False
         return self._own.folder_id in peer.ping.heard
 
@@ -94,12 +99,12 @@
 
     def gone(self, folder_id: str, now: float) -> bool:
         """Whether I have not heard this replica for GONE_S, nor has any other that has run for as long."""
-        if folder_id == self._own.folder_id or not self.silent(folder_id, now, GONE_S):
+        if folder_id == self._own.folder_id or not self.silent(folder_id, now, DEAD_TIMEOUT_S):
             return False
         witnesses = [
             peer.ping
             for peer in self._peers.values()
-            if now - peer.heard_at <= HEARD_S and now - peer.heard_since > GONE_S
+            if now - peer.heard_at <= REACHABLE_TIMEOUT_S and now - peer.heard_since > DEAD_TIMEOUT_S
         ]
         return not any(folder_id in ping.heard for ping in witnesses)
 
@@ -107,8 +112,8 @@
         peer = self._peers.get(folder_id)
         return peer.ping.heard if peer else ()
 
-    def _lately(self, peer: Peer, now: float) -> bool:
-        return now - max(peer.heard_at, self._grace_from) <= HEARD_S
+    def _lately(self, peer: PeerStatus, now: float) -> bool:
+        return now - max(peer.heard_at, self._grace_from) <= REACHABLE_TIMEOUT_S
 
     def _unjudged(self, member: Member) -> bool:
         """Whether nothing has been heard from this member's address so far."""
--- a/reedspoke/control_plane/replication/head.py
+++ b/reedspoke/control_plane/replication/head_queue.py
@@ -11,29 +11,28 @@
 
 from reedspoke.common.errors import ErrorCode
 from reedspoke.control_plane.replication.chain import Chain
-from reedspoke.control_plane.replication.chain_register import Register
-from reedspoke.control_plane.replication.change_history import Acknowledged
-from reedspoke.control_plane.replication.events import View
-from reedspoke.control_plane.replication.messages import Entry, PutReply, PutRequest
+from reedspoke.control_plane.replication.change_decision import ChangeDecision, decide_change
+from reedspoke.control_plane.replication.configuration_register import ConfigurationRegister
+from reedspoke.control_plane.replication.entry import ChangeId, Entry, change_id_of
+from reedspoke.control_plane.replication.messages import PutReply, PutRequest
 from reedspoke.control_plane.replication.outbox import Outbox
-from reedspoke.control_plane.replication.refusals import Refusals
-from reedspoke.control_plane.replication.verdict import Verdict, verdict_on
-from reedspoke.control_plane.storage.records import acknowledged
+from reedspoke.control_plane.replication.rejection_confirmation import RejectionConfirmer
+from reedspoke.control_plane.replication.view import View
 from reedspoke.control_plane.views.read_lease import tail_member
 
-REPLIES_KEPT = 512
-MOST_WAITING_BYTES = (
+MAX_CACHED_REPLIES = 512
+MAX_PENDING_BYTES = (
     24 * 1024 * 1024
 )  # of documents: six of the largest; askers send again what got no clear answer
-WAIT_SHARE = 0.9  # of the asker's own limit
+PENDING_TIME_FRACTION = 0.9  # of the asker's own limit
 
 
-class WaitingPut(Struct, eq=False):
+class PendingPut(Struct, eq=False):
     """A change that has no final answer yet."""
 
     request: PutRequest
     reply_to: str
-    change: Acknowledged
+    change: ChangeId
     deadline: float
 
 
@@ -41,16 +40,16 @@
     """Decides changes. A request that came twice is decided once; one of another view is not taken at all."""
 
     def __init__(
-        self, name: str, outbox: Outbox, chain: Chain, register: Register, answer_limit_s: float
+        self, name: str, outbox: Outbox, chain: Chain, register: ConfigurationRegister, answer_limit_s: float
     ) -> None:
         self._outbox = outbox
         self._chain = chain
         self._register = register
-        self._limit = answer_limit_s * WAIT_SHARE
-        self._waiting: list[WaitingPut] = []
+        self._limit = answer_limit_s * PENDING_TIME_FRACTION
+        self._waiting: list[PendingPut] = []
         self._replies: dict[str, PutReply] = {}
         self._view = 0
-        self.refusals = Refusals(name, outbox)
+        self.refusals = RejectionConfirmer(name, outbox)
 
     def enter(self, view: View) -> None:
         """A newer view: the askers send again what is still undecided."""
@@ -91,10 +90,10 @@
             return
         verdicts = [(waiting, self._verdict(waiting)) for waiting in self._waiting]
         for waiting, verdict in verdicts:
-            if verdict not in (Verdict.TAKE, Verdict.HOLD):
+            if verdict not in (ChangeDecision.TAKE, ChangeDecision.HOLD):
                 self._waiting.remove(waiting)
                 self._answer(waiting, verdict)
-        following = [waiting for waiting, verdict in verdicts if verdict is Verdict.TAKE]
+        following = [waiting for waiting, verdict in verdicts if verdict is ChangeDecision.TAKE]
         if following:
             self._take(following[0])
 
@@ -102,25 +101,25 @@
         chain = self._chain
         return chain.is_head and chain.complete and chain.long_enough and self._register.settled
 
-    def _verdict(self, waiting: WaitingPut) -> Verdict:
-        return verdict_on(waiting.request, waiting.change, self._register)
+    def _verdict(self, waiting: PendingPut) -> ChangeDecision:
+        return decide_change(waiting.request, waiting.change, self._register)
 
-    def _answer(self, waiting: WaitingPut, verdict: Verdict) -> None:
+    def _answer(self, waiting: PendingPut, verdict: ChangeDecision) -> None:
         request = waiting.request
         match verdict:
-            case Verdict.ACKNOWLEDGE:
+            case ChangeDecision.ACKNOWLEDGE:
                 self._reply(waiting, None)
-            case Verdict.FORGOTTEN:
+            case ChangeDecision.FORGOTTEN:
                 message = "The change is older than the history of accepted changes."
                 self._reply(waiting, ErrorCode.WRITE_UNCLEAR, message)
-            case Verdict.STALE_MATCH:
+            case ChangeDecision.STALE_MATCH:
                 message = f"The newest generation is {self._register.generation}, not {request.match}."
                 self._refuse(waiting, ErrorCode.CONFIGURATION_STALE_MATCH, message)
-            case Verdict.OLD_GENERATION:
+            case ChangeDecision.OLD_GENERATION:
                 message = f"The generation must be above {request.match}."
                 self._refuse(waiting, ErrorCode.CONFIGURATION_OLD_GENERATION, message)
 
-    def _take(self, waiting: WaitingPut) -> None:
+    def _take(self, waiting: PendingPut) -> None:
         if not self._outbox.disk_ok:
             return
 
@@ -131,7 +130,7 @@
 
         self._chain.append(waiting.request.generation, waiting.request.document, on_stored)
 
-    def _refuse(self, waiting: WaitingPut, error: ErrorCode, message: str) -> None:
+    def _refuse(self, waiting: PendingPut, error: ErrorCode, message: str) -> None:
         def on_end(confirmed: bool) -> None:
             if confirmed:
                 self._reply(waiting, error, message)
@@ -143,33 +142,33 @@
     def _is_full(self, request: PutRequest) -> bool:
         """Whether the documents that wait would take too much memory with this one; one alone never does."""
         waiting = sum(len(other.request.document) for other in self._waiting)
-        return waiting > 0 and waiting + len(request.document) > MOST_WAITING_BYTES
+        return waiting > 0 and waiting + len(request.document) > MAX_PENDING_BYTES
 
     def _is_waiting(self, request: str) -> bool:
         queued = any(waiting.request.request == request for waiting in self._waiting)
         return queued or self.refusals.has(request)
 
-    def _expire(self, waiting: WaitingPut) -> None:
+    def _expire(self, waiting: PendingPut) -> None:
         """Give no clear answer: this head, started anew, may still take a copy that is on its way."""
         self._reply(waiting, ErrorCode.WRITE_UNCLEAR, self._why_unclear(waiting))
 
-    def _why_unclear(self, waiting: WaitingPut) -> str:
-        storing = self._register.storing
-        stored = storing is not None and acknowledged(storing) == waiting.change
-        if stored or self._register.knows(waiting.change):
+    def _why_unclear(self, waiting: PendingPut) -> str:
+        pending_entry = self._register.pending_entry
+        stored = pending_entry is not None and change_id_of(pending_entry) == waiting.change
+        if stored or self._register.has_accepted(waiting.change):
             return "The write is under way, its end is not known yet."
         if waiting.request.match > self._register.generation:
             return f"Generation {waiting.request.match}, which the change builds on, is not in force yet."
         return "Too few machines are in reach to take a change."
 
-    def _reply(self, waiting: WaitingPut, error: ErrorCode | None, message: str = "") -> None:
+    def _reply(self, waiting: PendingPut, error: ErrorCode | None, message: str = "") -> None:
         request = waiting.request
         reply = PutReply(request.view, request.request, int(error or 0), message)
         self._replies[request.request] = reply
-        if len(self._replies) > REPLIES_KEPT:
+        if len(self._replies) > MAX_CACHED_REPLIES:
             del self._replies[next(iter(self._replies))]
         self._outbox.send(waiting.reply_to, reply)
 
-    def _waiting_put(self, sender: str, request: PutRequest) -> WaitingPut:
+    def _waiting_put(self, sender: str, request: PutRequest) -> PendingPut:
         entry = Entry(0, 0, request.generation, request.document)
-        return WaitingPut(request, sender, acknowledged(entry), self._outbox.now + self._limit)
+        return PendingPut(request, sender, change_id_of(entry), self._outbox.now + self._limit)
--- a/reedspoke/control_plane/replication/invariants.py
+++ b/reedspoke/control_plane/replication/invariants.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from reedspoke.control_plane.replication.events import Committed, View
-from reedspoke.control_plane.replication.messages import Entry
+from reedspoke.control_plane.replication.entry import CommittedConfiguration, Entry
+from reedspoke.control_plane.replication.view import View
 from reedspoke.telemetry.invariants import Invariant, check
 
 
@@ -15,7 +15,9 @@
         self._committed_sequence = 0
         self._compared: Entry | None = None
 
-    def handled(self, view: View | None, committed: Committed | None, entry: Entry | None) -> None:
+    def handled(
+        self, view: View | None, committed: CommittedConfiguration | None, entry: Entry | None
+    ) -> None:
         """The replica now acts in this view, knows this to be committed, and has synced this entry."""
         self._check_view(0 if view is None else view.number)
         self._check_sequence(0 if committed is None else committed.sequence)
@@ -33,7 +35,7 @@
             check(Invariant.SEQUENCE_RISES, sequence > before, before=before, now=sequence)
             self._committed_sequence = sequence
 
-    def _check_same(self, entry: Entry, committed: Committed) -> None:
+    def _check_same(self, entry: Entry, committed: CommittedConfiguration) -> None:
         self._compared = entry
         if entry.sequence == committed.sequence:
             same = entry.generation == committed.generation and entry.document == committed.document
--- a/reedspoke/control_plane/replication/messages.py
+++ b/reedspoke/control_plane/replication/messages.py
@@ -5,7 +5,8 @@
 from msgspec import Struct
 
 from reedspoke.control_plane.replication.change_history import check_packed
-from reedspoke.control_plane.replication.events import Member, View
+from reedspoke.control_plane.replication.entry import Entry
+from reedspoke.control_plane.replication.view import Member, View
 
 
 class ProposalNumber(Struct, array_like=True, frozen=True, order=True):
@@ -15,16 +16,7 @@
     proposer: str = ""  # folder id and incarnation
 
 
-class Entry(Struct, array_like=True, frozen=True):
-    """One accepted change of the configuration; `view` is the view in which the head took it."""
-
-    sequence: int
-    view: int
-    generation: int
-    document: bytes
-
-
-class Ping(Struct, tag="ping", array_like=True, frozen=True):
+class Heartbeat(Struct, tag="ping", array_like=True, frozen=True):
     """Sign of life, sent to every known replica; `lease_sent` is set by a tail that asks for a read lease.
 
     Each ping asks for a `ViewConfirmation`; `sent` is its time on the sender's steady clock.
@@ -131,8 +123,8 @@
     released_at: float
 
 
-class ChainState(Struct, tag="chain_state", array_like=True, frozen=True):
-    """Successor to predecessor: what I have on disk; also the acknowledgement of an `Append`."""
+class SuccessorStatus(Struct, tag="chain_state", array_like=True, frozen=True):
+    """Successor to predecessor: what I have on disk; also the acknowledgement of an `AppendRequest`."""
 
     view: int
     folder_id: str
@@ -141,14 +133,14 @@
     sequence: int
 
 
-class Append(Struct, tag="append", array_like=True, frozen=True):
+class AppendRequest(Struct, tag="append", array_like=True, frozen=True):
     """Predecessor to successor: the next entry."""
 
     view: int
     entry: Entry
 
 
-class Snapshot(Struct, tag="snapshot", array_like=True, frozen=True):
+class InstallSnapshot(Struct, tag="snapshot", array_like=True, frozen=True):
     """Predecessor to a successor that was appended in the view `joined`: all, in place of what it has.
 
     `history` is a packed `ChangeHistory`.
@@ -163,7 +155,7 @@
         check_packed(self.history)
 
 
-class Commit(Struct, tag="commit", array_like=True, frozen=True):
+class CommitNotification(Struct, tag="commit", array_like=True, frozen=True):
     """Tail to the others of the chain: everything up to `sequence` is committed."""
 
     view: int
@@ -211,7 +203,7 @@
 
 
 ReplicaMessage = (
-    Ping
+    Heartbeat
     | ViewConfirmation
     | ReadLeaseGrant
     | ViewDecided
@@ -222,10 +214,10 @@
     | ProposalRejected
     | ReadLeaseReleaseRequest
     | ReadLeaseReleased
-    | ChainState
-    | Append
-    | Snapshot
-    | Commit
+    | SuccessorStatus
+    | AppendRequest
+    | InstallSnapshot
+    | CommitNotification
     | PutRequest
     | PutReply
     | GetRequest
--- a/reedspoke/control_plane/replication/outbox.py
+++ b/reedspoke/control_plane/replication/outbox.py
@@ -8,7 +8,8 @@
 from msgspec import Struct
 
 from reedspoke.common.errors import ErrorCode
-from reedspoke.control_plane.replication.events import Effect, LogLine, SendTo, Store, Stored
+from reedspoke.control_plane.replication.effects import Effect, LogEvent, SendMessage, StoreRecords
+from reedspoke.control_plane.replication.events import StoreCompleted
 from reedspoke.control_plane.replication.settings import (
     DISK_BYTES_PER_S,
     DISK_PROBE_S,
@@ -42,7 +43,7 @@
     def __init__(self, address: str, now: float, restored_size: int) -> None:
         self.now = now
         self.disk_failed = False
-        self.copy_lost = False
+        self.synced_state_lost = False
         self.snapshot_records: SnapshotRecords = tuple
         self.synced_sequence = 0  # of the newest entry whose store has ended well, of all since the start
         self._address = address
@@ -57,7 +58,7 @@
     @property
     def disk_ok(self) -> bool:
         """Whether the disk answers in time, and has kept what it had synced."""
-        if self.disk_failed or self.copy_lost:
+        if self.disk_failed or self.synced_state_lost:
             return False
         return all(self.now <= store.due for store in self._pending.values())
 
@@ -80,11 +81,11 @@
         if address == self._address:
             self._to_self.append(message)
         else:
-            self._effects.append(SendTo(address, message))
+            self._effects.append(SendMessage(address, message))
 
     def log(self, level: int, text: str, **fields: object) -> None:
         """Tell the operator."""
-        self._effects.append(LogLine(level, text, fields))
+        self._effects.append(LogEvent(level, text, fields))
 
     def store(self, records: Sequence[Struct], on_end: StoreEnd) -> None:
         """Append records; `on_end` is called with the result."""
@@ -100,7 +101,7 @@
         """
         self._store(self.snapshot_records(), on_end, newest, replace=True)
 
-    def stored(self, event: Stored) -> None:
+    def stored(self, event: StoreCompleted) -> None:
         """A store has ended."""
         pending = self._pending.pop(event.token, None)
         if pending is None:
@@ -127,7 +128,7 @@
         waiting = size + sum(store.size for store in self._pending.values())
         due = self.now + DISK_STALL_S + waiting / DISK_BYTES_PER_S
         self._pending[token] = PendingStore(due, size, replace, on_end, newest)
-        self._effects.append(Store(token, records, replace))
+        self._effects.append(StoreRecords(token, records, replace))
 
     def _count(self, pending: PendingStore) -> None:
         if pending.replace:
--- a/reedspoke/control_plane/replication/puts.py
+++ b/reedspoke/control_plane/replication/put_forwarding.py
@@ -3,26 +3,28 @@
 from __future__ import annotations
 
 from reedspoke.common.errors import ErrorCode
-from reedspoke.control_plane.replication.events import Put, PutAnswer, View
-from reedspoke.control_plane.replication.forwarding import Forwarder, Outstanding
+from reedspoke.control_plane.replication.effects import PutCompleted
+from reedspoke.control_plane.replication.events import PutSubmitted
 from reedspoke.control_plane.replication.messages import PutReply, PutRequest
-from reedspoke.control_plane.replication.settings import RESEND_BYTES_PER_S, RESEND_S
+from reedspoke.control_plane.replication.request_forwarding import PendingRequest, RequestForwarder
+from reedspoke.control_plane.replication.settings import RESEND_BYTES_PER_S, RESEND_INTERVAL_S
+from reedspoke.control_plane.replication.view import View
 from reedspoke.control_plane.views.majority_contact import ContactState
 
 
-class OutstandingPut(Outstanding):
+class PendingPutRequest(PendingRequest):
     """A change without answer."""
 
-    put: Put
+    put: PutSubmitted
     sent_at: float = float("-inf")
 
 
-class PutForwarder(Forwarder[OutstandingPut]):
+class PutForwarder(RequestForwarder[PendingPutRequest]):
     """Sends each change to the head of the present view, and again to the next one's."""
 
-    def put(self, put: Put, view: View | None, contact: ContactState) -> None:
+    def put(self, put: PutSubmitted, view: View | None, contact: ContactState) -> None:
         """An operator's change."""
-        self._begin(OutstandingPut(put, came_at=self._outbox.now), view, contact)
+        self._begin(PendingPutRequest(put, came_at=self._outbox.now), view, contact)
 
     def reply(self, reply: PutReply) -> None:
         """The head's answer. A refusal counts only from the head that was asked last."""
@@ -33,21 +35,21 @@
         error = ErrorCode(reply.error) if reply.error else None
         self._answer(outstanding.put, error, reply.message)
 
-    def _is_due(self, call: OutstandingPut) -> bool:
-        wait = RESEND_S + len(call.put.document) / RESEND_BYTES_PER_S
+    def _is_due(self, call: PendingPutRequest) -> bool:
+        wait = RESEND_INTERVAL_S + len(call.put.document) / RESEND_BYTES_PER_S
         return self._outbox.now - call.sent_at >= wait
 
-    def _send(self, request: str, call: OutstandingPut, view: View) -> None:
+    def _send(self, request: str, call: PendingPutRequest, view: View) -> None:
         call.sent_at = self._outbox.now
         put = call.put
         message = PutRequest(view.number, request, put.match, put.generation, put.document)
         self._outbox.send(view.chain[0].member.address, message)
 
-    def _expire(self, call: OutstandingPut) -> None:
+    def _expire(self, call: PendingPutRequest) -> None:
         self._answer(call.put, ErrorCode.WRITE_UNCLEAR, "The head has not answered in time.")
 
-    def _turn_away(self, call: OutstandingPut) -> None:
+    def _turn_away(self, call: PendingPutRequest) -> None:
         self._answer(call.put, ErrorCode.NO_QUORUM, "This machine reaches no majority.")
 
-    def _answer(self, put: Put, error: ErrorCode | None, message: str) -> None:
-        self._outbox.emit(PutAnswer(put.request_id, error, message))
+    def _answer(self, put: PutSubmitted, error: ErrorCode | None, message: str) -> None:
+        self._outbox.emit(PutCompleted(put.request_id, error, message))
--- a/reedspoke/control_plane/replication/refusals.py
+++ b/reedspoke/control_plane/replication/rejection_confirmation.py
@@ -10,28 +10,28 @@
 
 from msgspec import Struct
 
-from reedspoke.control_plane.replication.events import Member
 from reedspoke.control_plane.replication.messages import GetReply, GetRequest
 from reedspoke.control_plane.replication.outbox import Outbox
-from reedspoke.control_plane.replication.settings import GET_RETRY_S
+from reedspoke.control_plane.replication.settings import GET_RETRY_INTERVAL_S
+from reedspoke.control_plane.replication.view import Member
 
 KEY_PREFIX = "refusal "  # tells the keys from the names of reads
 
-NOTHING_WANTED = 2**62  # no sequence is larger, so that the tail sends no entry
+NO_ENTRY_REQUESTED = 2**62  # no sequence is larger, so that the tail sends no entry
 
-Confirmed = Callable[[bool], None]
+OnConfirmed = Callable[[bool], None]
 
 
-class Refusal(Struct):
+class PendingRejection(Struct):
     """A refusal that is not confirmed yet; `on_end` is told whether it was confirmed in time."""
 
     request: str
-    on_end: Confirmed
+    on_end: OnConfirmed
     deadline: float
     asked_at: float
 
 
-class Refusals:
+class RejectionConfirmer:
     """Asks the tail for each refusal, until it confirms or the deadline is reached.
 
     Each has a key of its own, so that an answer to an earlier question confirms nothing: the name of the
@@ -42,7 +42,7 @@
         self._prefix = f"{KEY_PREFIX}{name}:"
         self._count = 0
         self._outbox = outbox
-        self._waiting: dict[str, Refusal] = {}
+        self._waiting: dict[str, PendingRejection] = {}
         self._view = 0
         self._tail: Member | None = None
 
@@ -52,11 +52,11 @@
         self._tail = tail
         self._waiting.clear()
 
-    def add(self, request: str, deadline: float, on_end: Confirmed) -> None:
+    def add(self, request: str, deadline: float, on_end: OnConfirmed) -> None:
         """Have a refusal confirmed."""
         self._count += 1
         key = f"{self._prefix}{self._count}"
-        self._waiting[key] = Refusal(request, on_end, deadline, self._outbox.now)
+        self._waiting[key] = PendingRejection(request, on_end, deadline, self._outbox.now)
         self._ask(key)
 
     def has(self, request: str) -> bool:
@@ -77,10 +77,10 @@
             if self._outbox.now >= refusal.deadline:
                 del self._waiting[key]
                 refusal.on_end(False)
-            elif self._outbox.now - refusal.asked_at >= GET_RETRY_S:
+            elif self._outbox.now - refusal.asked_at >= GET_RETRY_INTERVAL_S:
                 refusal.asked_at = self._outbox.now
                 self._ask(key)
 
     def _ask(self, key: str) -> None:
         if self._tail is not None:
-            self._outbox.send(self._tail.address, GetRequest(self._view, key, have=NOTHING_WANTED))
+            self._outbox.send(self._tail.address, GetRequest(self._view, key, have=NO_ENTRY_REQUESTED))
--- a/reedspoke/control_plane/replication/replica.py
+++ b/reedspoke/control_plane/replication/replica.py
@@ -1,7 +1,7 @@
 """The replicated control state: a pure state machine, fed with events and answering with effects.
 
 It does no I/O and reads no clock. The shell sends `Tick` about every TICK_S, keeps the order of `Store`
-effects, answers each with `Stored`, and feeds what comes over the network as `Received`.
+effects, answers each with `StoreCompleted`, and feeds what comes over the network as `MessageReceived`.
 """
 
 from __future__ import annotations
@@ -13,32 +13,34 @@
 
 from reedspoke.common.errors import ErrorCode
 from reedspoke.control_plane.replication.chain import Chain
-from reedspoke.control_plane.replication.chain_register import Register
-from reedspoke.control_plane.replication.events import (
-    Committed,
-    Deliver,
+from reedspoke.control_plane.replication.chain_repair import ChainRepair
+from reedspoke.control_plane.replication.configuration_register import ConfigurationRegister
+from reedspoke.control_plane.replication.effects import (
+    DeliverConfiguration,
     Effect,
+    GetCompleted,
+    PutCompleted,
+    ViewChanged,
+)
+from reedspoke.control_plane.replication.entry import CommittedConfiguration
+from reedspoke.control_plane.replication.events import (
     Event,
-    Get,
-    GetAnswer,
-    Leave,
-    Member,
-    Put,
-    PutAnswer,
-    Received,
+    GetSubmitted,
+    MessageReceived,
+    PutSubmitted,
     SeedsChanged,
-    Stored,
+    ShutdownStarted,
+    StoreCompleted,
     Tick,
-    View,
-    ViewChanged,
 )
-from reedspoke.control_plane.replication.gets import GetForwarder, TailReader
-from reedspoke.control_plane.replication.head import HeadQueue
+from reedspoke.control_plane.replication.failure_detector import FailureDetector
+from reedspoke.control_plane.replication.get_forwarding import GetForwarder
+from reedspoke.control_plane.replication.head_queue import HeadQueue
 from reedspoke.control_plane.replication.invariants import ReplicaInvariants
 from reedspoke.control_plane.replication.messages import (
     GetReply,
     GetRequest,
-    Ping,
+    Heartbeat,
     PutReply,
     PutRequest,
     ReadLeaseGrant,
@@ -47,16 +49,16 @@
     ViewConfirmation,
 )
 from reedspoke.control_plane.replication.outbox import Outbox
-from reedspoke.control_plane.replication.peers import Peers
-from reedspoke.control_plane.replication.puts import PutForwarder
-from reedspoke.control_plane.replication.repair import Repair
+from reedspoke.control_plane.replication.put_forwarding import PutForwarder
 from reedspoke.control_plane.replication.settings import (
-    PING_INTERVAL_S,
+    HEARTBEAT_INTERVAL_S,
+    PROCESS_STOP_GAP_S,
     REPAIR_INTERVAL_S,
     TICK_S,
-    WAKE_GAP_S,
     ReplicaSettings,
 )
+from reedspoke.control_plane.replication.tail_reader import TailReader
+from reedspoke.control_plane.replication.view import Member, View
 from reedspoke.control_plane.storage.records import BootstrapRecord, encode_record, restore
 from reedspoke.control_plane.views.agreement import ViewAgreement
 from reedspoke.control_plane.views.majority_contact import ContactState, MajorityContact
@@ -97,8 +99,8 @@
         limit = settings.answer_limit_s
         self._outbox = Outbox(settings.address, now, sum(map(len, records)))
         self._outbox.snapshot_records = self.snapshot_records
-        self._peers = Peers(settings.member, now)
-        self._register = Register(self._outbox, restored)
+        self._peers = FailureDetector(settings.member, now)
+        self._register = ConfigurationRegister(self._outbox, restored)
         self._chain = Chain(settings, self._outbox, self._register, self._deliver, self._advance)
         self._head = HeadQueue(name, self._outbox, self._chain, self._register, limit)
         self._puts = PutForwarder(name, self._outbox, limit)
@@ -109,7 +111,7 @@
         self._reader = TailReader(self._outbox, self._chain, self._register, self._holds_lease)
         self._agreement = ViewAgreement(settings, name, self._outbox, restored, self._enter)
         self._invariants = ReplicaInvariants()
-        self._repair = Repair(settings, self._outbox, self._peers, self._agreement, self._own_ping)
+        self._repair = ChainRepair(settings, self._outbox, self._peers, self._agreement, self._own_ping)
         self._start(restored.view)
 
     # ---- what the shell may ask ----
@@ -154,12 +156,12 @@
         return self._outbox.disk_ok
 
     @property
-    def others_stay(self) -> bool:
+    def has_staying_peer(self) -> bool:
         """Whether a replica in reach is not about to leave."""
-        return self._repair.others_stay()
+        return self._repair.has_staying_peer()
 
     @property
-    def committed(self) -> Committed | None:
+    def committed(self) -> CommittedConfiguration | None:
         """The newest configuration that this replica knows to be committed."""
         return self._register.committed
 
@@ -188,10 +190,10 @@
         if self._reaches_majority():
             return effect
         match effect:
-            case PutAnswer(request_id=request_id, error=error) if error not in UNCLEAR_ERRORS:
-                return PutAnswer(request_id, ErrorCode.WRITE_UNCLEAR, NO_MAJORITY)
-            case GetAnswer(request_id=request_id, error=error) if error is not ErrorCode.NO_QUORUM:
-                return GetAnswer(request_id, None, ErrorCode.NO_QUORUM, NO_MAJORITY)
+            case PutCompleted(request_id=request_id, error=error) if error not in UNCLEAR_ERRORS:
+                return PutCompleted(request_id, ErrorCode.WRITE_UNCLEAR, NO_MAJORITY)
+            case GetCompleted(request_id=request_id, error=error) if error is not ErrorCode.NO_QUORUM:
+                return GetCompleted(request_id, None, ErrorCode.NO_QUORUM, NO_MAJORITY)
         return effect
 
     def _reaches_majority(self) -> bool:
@@ -205,17 +207,17 @@
 
     def _dispatch(self, event: Event) -> None:
         match event:
-            case Received(sender=sender, message=message):
+            case MessageReceived(sender=sender, message=message):
                 self._receive(sender, message)
-            case Stored():
+            case StoreCompleted():
                 self._outbox.stored(event)
             case Tick():
                 self._tick()
-            case Put():
+            case PutSubmitted():
                 self._puts.put(event, self.view, self._contact_state())
-            case Get():
+            case GetSubmitted():
                 self._gets.get(event, self.view, self._contact_state())
-            case Leave():
+            case ShutdownStarted():
                 self._leave()
             case SeedsChanged(seeds=seeds):
                 self._seeds = seeds
@@ -229,7 +231,7 @@
         if self._agreement.receive(sender, message) or self._chain.receive(message):
             return
         match message:
-            case Ping():
+            case Heartbeat():
                 self._receive_ping(sender, message)
             case ReadLeaseGrant(folder_id=folder_id, view_number=number, requested_at=requested_at):
                 if self.view is not None and self.view.number == number:
@@ -256,7 +258,7 @@
         self._head.tick()
         self._tick_calls()
         condition = (self._outbox.disk_ok, self._chain.complete)
-        if condition != self._last_condition or now - self._last_ping >= PING_INTERVAL_S:
+        if condition != self._last_condition or now - self._last_ping >= HEARTBEAT_INTERVAL_S:
             self._ping_all()
         if now - self._last_look >= REPAIR_INTERVAL_S - TICK_S / 2:
             self._last_look = now
@@ -316,21 +318,21 @@
 
     def _notice_gap(self, now: float) -> None:
         """After a stop of this process nobody is judged by silence until it has listened for a while."""
-        if now - self._last_tick > WAKE_GAP_S:
+        if now - self._last_tick > PROCESS_STOP_GAP_S:
             self._peers.woken(now)
             self._repair.woken()
         self._last_tick = now
 
     # ---- pings and leases ----
 
-    def _own_ping(self) -> Ping:
+    def _own_ping(self) -> Heartbeat:
         view = self.view
-        return Ping(
+        return Heartbeat(
             member=self._settings.member,
             view=view.number if view else 0,
             heard=self._peers.heard(self._view_members, self._outbox.now),
             disk_ok=self._outbox.disk_ok,
-            synced_since=0 if self._register.adopting else self._register.synced_since,
+            synced_since=0 if self._register.installing_snapshot else self._register.synced_since,
             committed=self._register.committed_sequence,
             leaving=self._leaving,
             bootstrap=bool(self._first_seeds),
@@ -354,7 +356,7 @@
         for address in sorted(addresses - {self._settings.address}):
             self._outbox.send(address, ping)
 
-    def _receive_ping(self, sender: str, ping: Ping) -> None:
+    def _receive_ping(self, sender: str, ping: Heartbeat) -> None:
         self._peers.heard_ping(ping, self._outbox.now)
         self._grant(ping)
         self._grant_contact(ping)
@@ -368,7 +370,7 @@
     def _asks_for_lease(self) -> bool:
         return self._chain.is_tail and self._chain.complete and self._tail_lease.may_request(self._outbox.now)
 
-    def _grant(self, ping: Ping) -> None:
+    def _grant(self, ping: Heartbeat) -> None:
         """As voter: grant the read lease that the tail of my view asks for."""
         if ping.lease_sent is None or self.view is None or tail_member(self.view) != ping.member:
             return
@@ -378,13 +380,13 @@
             grant = ReadLeaseGrant(self._settings.folder_id, ping.view, ping.lease_sent)
             self._outbox.send(ping.member.address, grant)
 
-    def _grant_contact(self, ping: Ping) -> None:
+    def _grant_contact(self, ping: Heartbeat) -> None:
         """As voter: say that the view in which the sender of this ping acts is the newest known here."""
         if self._agreement.may_confirm_view(ping.view):
             grant = ViewConfirmation(self._settings.folder_id, ping.view, ping.sent)
             self._outbox.send(ping.member.address, grant)
 
-    def _ask_for_contact(self, ping: Ping) -> None:
+    def _ask_for_contact(self, ping: Heartbeat) -> None:
         """A voter has come to the present view and has granted nothing in it: ask without delay, but once."""
         view = self.view
         folder_id = ping.member.folder_id
@@ -414,8 +416,8 @@
 
     # ---- entries ----
 
-    def _deliver(self, committed: Committed) -> None:
-        self._outbox.emit(Deliver(committed))
+    def _deliver(self, committed: CommittedConfiguration) -> None:
+        self._outbox.emit(DeliverConfiguration(committed))
 
     def _advance(self) -> None:
         self._head.advance()
--- a/reedspoke/control_plane/replication/forwarding.py
+++ b/reedspoke/control_plane/replication/request_forwarding.py
@@ -6,23 +6,23 @@
 
 from msgspec import Struct
 
-from reedspoke.control_plane.replication.events import View
 from reedspoke.control_plane.replication.outbox import Outbox
 from reedspoke.control_plane.replication.settings import MAJORITY_CONTACT_WAIT_S
+from reedspoke.control_plane.replication.view import View
 from reedspoke.control_plane.views.majority_contact import ContactState
 
 
-class Outstanding(Struct, kw_only=True):
+class PendingRequest(Struct, kw_only=True):
     """A call without answer; `sent_view` is the view whose member got it last, 0 before it was sent."""
 
     came_at: float
     sent_view: int = 0
 
 
-Call = TypeVar("Call", bound=Outstanding)
+Call = TypeVar("Call", bound=PendingRequest)
 
 
-class Forwarder(Generic[Call]):
+class RequestForwarder(Generic[Call]):
     """Calls by the name of their request. Each is sent once a majority of voters has granted."""
 
     def __init__(self, name: str, outbox: Outbox, answer_limit_s: float) -> None:
--- a/reedspoke/control_plane/replication/settings.py
+++ b/reedspoke/control_plane/replication/settings.py
@@ -4,13 +4,13 @@
 
 from msgspec import Struct
 
-from reedspoke.control_plane.replication.events import Member
+from reedspoke.control_plane.replication.view import Member
 
 TICK_S = 0.05  # the shell sends `Tick` this often
-PING_INTERVAL_S = 0.15
-HEARD_S = 0.6  # a replica not heard for this long is unreachable
-GONE_S = 1.2  # a voter not heard by anyone for this long may be replaced
-WAKE_GAP_S = 0.35  # a longer gap between two ticks means that this process was stopped
+HEARTBEAT_INTERVAL_S = 0.15
+REACHABLE_TIMEOUT_S = 0.6  # a replica not heard for this long is unreachable
+DEAD_TIMEOUT_S = 1.2  # a voter not heard by anyone for this long may be replaced
+PROCESS_STOP_GAP_S = 0.35  # a longer gap between two ticks means that this process was stopped
 READ_LEASE_TTL_S = 0.7  # a voter accepts no other tail for this long after a grant
 MAJORITY_CONTACT_TTL_S = (
     0.8  # what a majority has granted to a replica lasts for this long from when it asked
@@ -29,11 +29,11 @@
 PROPOSAL_TIMEOUT_S = 1.6
 PROPOSER_ACTIVE_S = 0.9  # another proposer is left alone for this long after its last message
 REJECTED_BACKOFF_S = 0.2
-GET_RETRY_S = 0.1
-RESEND_S = 0.4  # a chain message is sent again after this and the time that its size takes
+GET_RETRY_INTERVAL_S = 0.1
+RESEND_INTERVAL_S = 0.4  # a chain message is sent again after this and the time that its size takes
 RESEND_BYTES_PER_S = 4_000_000
 RESEND_GROWTH = 2  # the pause grows by this each time, so that copies do not fill a slow link
-MOST_RESEND_S = 10.0
+MAX_RESEND_INTERVAL_S = 10.0
 DISK_STALL_S = 0.5  # a store outstanding for longer means that the disk is in trouble,
 DISK_BYTES_PER_S = 8_000_000  # beside the time that its bytes, and those before it, take at this speed
 DISK_PROBE_S = 0.3
--- a/reedspoke/control_plane/storage/log_file.py
+++ b/reedspoke/control_plane/storage/log_file.py
@@ -25,7 +25,7 @@
 OTHER_SLOT_NAME = "control.log.2"
 SLOT_NAMES = (LOG_NAME, OTHER_SLOT_NAME)
 OLD_TEMPORARY_NAME = "control.log.new"  # left by rewritings of files with single copies
-ASIDE_NAME = "control.log.corrupt"
+CORRUPT_LOG_NAME = "control.log.corrupt"
 FOLDER_ID_BYTES = 8
 FIRST_REWRITING = 1
 
@@ -154,9 +154,9 @@
         raise _storage_error(error) from error
 
 
-def set_aside(directory: Path) -> Path:
+def quarantine_log(directory: Path) -> Path:
     """Rename a corrupt log so that the folder starts anew; only the newest such file is kept."""
-    aside = directory / ASIDE_NAME
+    aside = directory / CORRUPT_LOG_NAME
     for name in SLOT_NAMES:
         if os.path.exists(directory / name):
             os.replace(directory / name, aside)
@@ -166,7 +166,7 @@
 
 def _open_or_create(directory: Path) -> OpenedLog:
     os.makedirs(directory, exist_ok=True)
-    succeeds_corrupt = os.path.exists(directory / ASIDE_NAME)
+    succeeds_corrupt = os.path.exists(directory / CORRUPT_LOG_NAME)
     slots = [slot for name in SLOT_NAMES if (slot := _read_slot(directory / name)) is not None]
     if not slots:
         slots = _old_temporary(directory)
--- a/reedspoke/control_plane/storage/records.py
+++ b/reedspoke/control_plane/storage/records.py
@@ -3,15 +3,15 @@
 from __future__ import annotations
 
 from collections.abc import Sequence
-from hashlib import sha256
 
 import ormsgpack
 from msgspec import Struct, ValidationError, convert, field, to_builtins
 
 from reedspoke.common.errors import ErrorCode, FleetError
-from reedspoke.control_plane.replication.change_history import Acknowledged, ChangeHistory, check_packed
-from reedspoke.control_plane.replication.events import View
-from reedspoke.control_plane.replication.messages import Entry, ProposalNumber
+from reedspoke.control_plane.replication.change_history import ChangeHistory, check_packed
+from reedspoke.control_plane.replication.entry import ChangeId, Entry, change_id_of
+from reedspoke.control_plane.replication.messages import ProposalNumber
+from reedspoke.control_plane.replication.view import View
 
 NO_PROPOSAL = ProposalNumber()
 
@@ -55,7 +55,7 @@
 class ListedHistoryRecord(Struct, tag="history", array_like=True, frozen=True):
     """The whole history as earlier versions wrote it; it is only read."""
 
-    history: tuple[Acknowledged, ...]
+    history: tuple[ChangeId, ...]
 
 
 class SyncedRecord(Struct, tag="synced", array_like=True, frozen=True):
@@ -113,11 +113,6 @@
     return state
 
 
-def acknowledged(entry: Entry) -> Acknowledged:
-    """An entry as the history keeps it."""
-    return Acknowledged(entry.generation, sha256(entry.document).digest())
-
-
 def _apply(state: RestoredState, record: Record) -> None:
     match record:
         case BootstrapRecord(seeds=seeds):
@@ -148,5 +143,5 @@
     if replaced:
         state.history.remove_newest()
     state.entry = entry
-    if state.history.newest != acknowledged(entry):
-        state.history.add(acknowledged(entry))
+    if state.history.newest != change_id_of(entry):
+        state.history.add(change_id_of(entry))
--- a/reedspoke/control_plane/views/agreement.py
+++ b/reedspoke/control_plane/views/agreement.py
@@ -34,7 +34,6 @@
 from msgspec import Struct
 
 from reedspoke.common.errors import ErrorCode
-from reedspoke.control_plane.replication.events import Member, View
 from reedspoke.control_plane.replication.messages import (
     AcceptRequest,
     AcceptResponse,
@@ -47,6 +46,7 @@
 )
 from reedspoke.control_plane.replication.outbox import Outbox
 from reedspoke.control_plane.replication.settings import ReplicaSettings
+from reedspoke.control_plane.replication.view import Member, View
 from reedspoke.control_plane.storage.records import RestoredState, ViewRecord
 from reedspoke.control_plane.views.acceptor import Acceptor
 from reedspoke.control_plane.views.first_view import FIRST_VIEW_NUMBER
--- a/reedspoke/control_plane/views/first_view.py
+++ b/reedspoke/control_plane/views/first_view.py
@@ -4,14 +4,14 @@
 
 from collections.abc import Iterable
 
-from reedspoke.control_plane.replication.events import ChainLink, View
-from reedspoke.control_plane.replication.messages import Ping
+from reedspoke.control_plane.replication.messages import Heartbeat
+from reedspoke.control_plane.replication.view import ChainLink, View
 
 FIRST_VIEW_NUMBER = 1
 
 
 def form_first_view(
-    seeds: tuple[str, ...], pings: Iterable[Ping], min_seeds: int, target_members: int
+    seeds: tuple[str, ...], pings: Iterable[Heartbeat], min_seeds: int, target_members: int
 ) -> View | None:
     """The seeds by address, as voters and as chain; None until the folders of at least `min_seeds` are known.
 
--- a/reedspoke/control_plane/views/largest_chain.py
+++ b/reedspoke/control_plane/views/largest_chain.py
@@ -8,7 +8,7 @@
 
 from collections.abc import Callable, Sequence
 
-from reedspoke.control_plane.replication.events import ChainLink
+from reedspoke.control_plane.replication.view import ChainLink
 
 Links = tuple[ChainLink, ...]
 
--- a/reedspoke/control_plane/views/majority_contact.py
+++ b/reedspoke/control_plane/views/majority_contact.py
@@ -14,8 +14,8 @@
 
 from enum import Enum
 
-from reedspoke.control_plane.replication.events import Member
 from reedspoke.control_plane.replication.settings import MAJORITY_CONTACT_TTL_S
+from reedspoke.control_plane.replication.view import Member
 from reedspoke.control_plane.views.quorum import NEVER, majority_time
 
 
--- a/reedspoke/control_plane/views/next_view.py
+++ b/reedspoke/control_plane/views/next_view.py
@@ -12,7 +12,7 @@
 
 from msgspec import Struct
 
-from reedspoke.control_plane.replication.events import ChainLink, Member, View
+from reedspoke.control_plane.replication.view import ChainLink, Member, View
 from reedspoke.control_plane.views.largest_chain import Links, largest_connected_chain
 
 
--- a/reedspoke/control_plane/views/proposer.py
+++ b/reedspoke/control_plane/views/proposer.py
@@ -9,7 +9,6 @@
 
 from msgspec import Struct, field
 
-from reedspoke.control_plane.replication.events import Member, View
 from reedspoke.control_plane.replication.messages import (
     AcceptRequest,
     AcceptResponse,
@@ -24,6 +23,7 @@
     PROPOSAL_TIMEOUT_S,
     REJECTED_BACKOFF_S,
 )
+from reedspoke.control_plane.replication.view import Member, View
 from reedspoke.control_plane.views.first_view import FIRST_VIEW_NUMBER
 from reedspoke.control_plane.views.quorum import NEVER, majority_size
 
--- a/reedspoke/control_plane/views/quorum.py
+++ b/reedspoke/control_plane/views/quorum.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Mapping
 
-from reedspoke.control_plane.replication.events import Member
+from reedspoke.control_plane.replication.view import Member
 
 NEVER = float("-inf")  # a time before all others
 
--- a/reedspoke/control_plane/views/read_lease.py
+++ b/reedspoke/control_plane/views/read_lease.py
@@ -20,12 +20,12 @@
 
 from __future__ import annotations
 
-from reedspoke.control_plane.replication.events import Member, View
 from reedspoke.control_plane.replication.settings import (
     GRANT_BACKOFF_S,
     READ_LEASE_MARGIN_S,
     READ_LEASE_TTL_S,
 )
+from reedspoke.control_plane.replication.view import Member, View
 from reedspoke.control_plane.views.quorum import NEVER, majority_time
 
 
--- a/tests/control_plane/chain_replica.py
+++ b/tests/control_plane/chain_replica.py
@@ -6,22 +6,16 @@
 
 from reedspoke.common.errors import ErrorCode
 from reedspoke.control_plane.replication.chain import Chain
-from reedspoke.control_plane.replication.chain_register import Register
 from reedspoke.control_plane.replication.change_history import ChangeHistory
-from reedspoke.control_plane.replication.events import (
-    ChainLink,
-    Committed,
-    Member,
-    SendTo,
-    Store,
-    Stored,
-    View,
-)
-from reedspoke.control_plane.replication.head import HeadQueue
-from reedspoke.control_plane.replication.messages import Entry
+from reedspoke.control_plane.replication.configuration_register import ConfigurationRegister
+from reedspoke.control_plane.replication.effects import SendMessage, StoreRecords
+from reedspoke.control_plane.replication.entry import CommittedConfiguration, Entry, change_id_of
+from reedspoke.control_plane.replication.events import StoreCompleted
+from reedspoke.control_plane.replication.head_queue import HeadQueue
 from reedspoke.control_plane.replication.outbox import Outbox
 from reedspoke.control_plane.replication.settings import ReplicaSettings
-from reedspoke.control_plane.storage.records import RestoredState, acknowledged
+from reedspoke.control_plane.replication.view import ChainLink, Member, View
+from reedspoke.control_plane.storage.records import RestoredState
 
 START = 100.0
 ANSWER_LIMIT_S = 1.0
@@ -47,7 +41,7 @@
     """The history after these entries, as a snapshot carries it."""
     history = ChangeHistory()
     for each in entries:
-        history.add(acknowledged(each))
+        history.add(change_id_of(each))
     return history.packed()
 
 
@@ -73,13 +67,13 @@
         )
         history = ChangeHistory(packed_history(held) if held else b"")
         self.outbox = Outbox(own.address, START, 0)
-        self.register = Register(
+        self.register = ConfigurationRegister(
             self.outbox, RestoredState(entry=held, history=history, synced_since=synced_since)
         )
-        self.delivered: list[Committed] = []
+        self.delivered: list[CommittedConfiguration] = []
         self.chain = Chain(settings, self.outbox, self.register, self.delivered.append, self._settled)
         self.head = HeadQueue("own:1", self.outbox, self.chain, self.register, ANSWER_LIMIT_S)
-        self.stores: list[Store] = []
+        self.stores: list[StoreRecords] = []
         self.head.enter(view)
         self.chain.enter(view)
         self.sent()
@@ -91,13 +85,13 @@
         """The messages since the last call, also those to itself; stores go to `stores`."""
         messages = self.outbox.take_to_self()
         for effect in self.outbox.take():
-            if isinstance(effect, SendTo):
+            if isinstance(effect, SendMessage):
                 messages.append(effect.message)
-            elif isinstance(effect, Store):
+            elif isinstance(effect, StoreRecords):
                 self.stores.append(effect)
         return messages
 
     def end_store(self, error: ErrorCode | None = None) -> None:
         """The oldest store that is out ends."""
         self.sent()
-        self.outbox.stored(Stored(self.stores.pop(0).token, error))
+        self.outbox.stored(StoreCompleted(self.stores.pop(0).token, error))
--- a/tests/control_plane/direct_core.py
+++ b/tests/control_plane/direct_core.py
@@ -8,14 +8,12 @@
 from collections import deque
 
 from reedspoke.common.errors import ErrorCode
+from reedspoke.control_plane.replication.effects import PutCompleted, SendMessage, StoreRecords
 from reedspoke.control_plane.replication.events import (
     Event,
-    Put,
-    PutAnswer,
-    Received,
-    SendTo,
-    Store,
-    Stored,
+    MessageReceived,
+    PutSubmitted,
+    StoreCompleted,
     Tick,
 )
 from reedspoke.control_plane.replication.replica import TICK_S, Replica, ReplicaSettings
@@ -32,12 +30,12 @@
         self.disks: dict[str, list[bytes]] = {}
         self.replicas: dict[str, Replica] = {}
         self.stored: list[tuple[str, bytes]] = []
-        self.sent: list[SendTo] = []
+        self.sent: list[SendMessage] = []
         self._tolerated = tolerated
         self._folders: dict[str, str] = {}
         self._lives = 0
         self._events: deque[tuple[str, Event]] = deque()
-        self._answers: dict[int, PutAnswer] = {}
+        self._answers: dict[int, PutCompleted] = {}
         self._requests = 0
         for address in self.addresses:
             self.lose_disk(address)
@@ -82,7 +80,7 @@
         """A change and its answer; time passes until it comes."""
         self._requests += 1
         request_id = self._requests
-        self.inject(address, Put(request_id, match, generation, document))
+        self.inject(address, PutSubmitted(request_id, match, generation, document))
         while request_id not in self._answers:
             self.run(TICK_S)
         return self._answers.pop(request_id).error
@@ -102,19 +100,19 @@
             address, event = self._events.popleft()
             for effect in self.replicas[address].handle(self.now, event):
                 match effect:
-                    case SendTo(address=receiver, message=message):
+                    case SendMessage(address=receiver, message=message):
                         self.sent.append(effect)
                         if receiver in self.replicas:
-                            self._events.append((receiver, Received(address, message)))
-                    case Store():
+                            self._events.append((receiver, MessageReceived(address, message)))
+                    case StoreRecords():
                         self._store(address, effect)
-                    case PutAnswer(request_id=request_id):
+                    case PutCompleted(request_id=request_id):
                         self._answers[request_id] = effect
 
-    def _store(self, address: str, store: Store) -> None:
+    def _store(self, address: str, store: StoreRecords) -> None:
         disk = self.disks[address]
         if store.replace:
             disk.clear()
         disk.extend(store.records)
         self.stored.extend((address, record) for record in store.records)
-        self._events.append((address, Stored(store.token)))
+        self._events.append((address, StoreCompleted(store.token)))
--- a/tests/control_plane/judge.py
+++ b/tests/control_plane/judge.py
@@ -6,7 +6,8 @@
 from dataclasses import dataclass, field
 
 from reedspoke.common.errors import ErrorCode
-from reedspoke.control_plane.replication.events import Committed, GetAnswer, PutAnswer
+from reedspoke.control_plane.replication.effects import GetCompleted, PutCompleted
+from reedspoke.control_plane.replication.entry import CommittedConfiguration
 
 REFUSALS = {
     ErrorCode.CONFIGURATION_STALE_MATCH,
@@ -37,15 +38,15 @@
     """Checks each answer and delivery when it comes. Tests send each document under one match only."""
 
     changes: dict[bytes, Change] = field(default_factory=dict)
-    put_answers: dict[int, PutAnswer] = field(default_factory=dict)
-    get_answers: dict[int, GetAnswer] = field(default_factory=dict)
+    put_answers: dict[int, PutCompleted] = field(default_factory=dict)
+    get_answers: dict[int, GetCompleted] = field(default_factory=dict)
     newest_acknowledged: int = 0
     newest_read: int = 0
     on_acknowledged: list[Callable[[], None]] = field(default_factory=list)
     _calls: dict[str, set[int]] = field(default_factory=dict)
     _documents: dict[int, bytes] = field(default_factory=dict)
     _least_for_get: dict[int, int] = field(default_factory=dict)
-    _committed: dict[int, Committed] = field(default_factory=dict)
+    _committed: dict[int, CommittedConfiguration] = field(default_factory=dict)
     _delivered: dict[str, int] = field(default_factory=dict)
     _acknowledged_on: dict[int, bytes] = field(default_factory=dict)
     _acknowledged_as: dict[int, bytes] = field(default_factory=dict)
@@ -63,7 +64,7 @@
         change.open_calls.add(request_id)
         self._documents[request_id] = document
 
-    def answered_put(self, answer: PutAnswer) -> None:
+    def answered_put(self, answer: PutCompleted) -> None:
         """A change has its answer."""
         assert answer.request_id not in self.put_answers, "two answers to one call"
         self.put_answers[answer.request_id] = answer
@@ -95,7 +96,7 @@
         """A read is handed to a machine; it must not be older than what is known by now."""
         self._least_for_get[request_id] = self.newest_known
 
-    def answered_get(self, answer: GetAnswer) -> None:
+    def answered_get(self, answer: GetCompleted) -> None:
         """A read has its answer."""
         assert answer.request_id not in self.get_answers, "two answers to one call"
         self.get_answers[answer.request_id] = answer
@@ -108,7 +109,7 @@
         if answer.committed is not None:
             self._check_committed(answer.committed)
 
-    def delivered(self, address: str, committed: Committed) -> None:
+    def delivered(self, address: str, committed: CommittedConfiguration) -> None:
         """A machine gives a configuration to its data plane."""
         assert committed.sequence > self._delivered.get(address, 0), "delivered an older configuration"
         self._delivered[address] = committed.sequence
@@ -133,7 +134,7 @@
         for told in self.on_acknowledged:
             told()
 
-    def _check_committed(self, committed: Committed) -> None:
+    def _check_committed(self, committed: CommittedConfiguration) -> None:
         known = self._committed.setdefault(committed.sequence, committed)
         assert known == committed, f"two configurations are committed as {committed.sequence}"
         change = self.changes[committed.document]
--- a/tests/control_plane/loss_check.py
+++ b/tests/control_plane/loss_check.py
@@ -14,9 +14,9 @@
 from hashlib import sha256
 
 from reedspoke.common.errors import ErrorCode
-from reedspoke.control_plane.replication.change_history import Acknowledged
-from reedspoke.control_plane.replication.events import Member, View
-from reedspoke.control_plane.replication.settings import HEARD_S
+from reedspoke.control_plane.replication.entry import ChangeId
+from reedspoke.control_plane.replication.settings import REACHABLE_TIMEOUT_S
+from reedspoke.control_plane.replication.view import Member, View
 from reedspoke.control_plane.storage.records import RestoredState, restore
 from reedspoke.control_plane.views.first_view import FIRST_VIEW_NUMBER
 from reedspoke.control_plane.views.quorum import majority_size
@@ -26,7 +26,7 @@
 
 ORDERS_LIMIT_S = 8.0
 STARTS_WITHIN_S = 0.5
-HEARD_ALL_AFTER_S = STARTS_WITHIN_S + HEARD_S  # from then on every machine has heard the others
+HEARD_ALL_AFTER_S = STARTS_WITHIN_S + REACHABLE_TIMEOUT_S  # from then on every machine has heard the others
 FIRST_FREE_ID = 1_000_000  # of folders and requests of a copy: none is used twice
 
 
@@ -141,16 +141,16 @@
     return max((view for view in views if view), key=lambda view: view.number, default=None)
 
 
-def _acknowledged_changes(simulation: Simulation) -> set[Acknowledged]:
+def _acknowledged_changes(simulation: Simulation) -> set[ChangeId]:
     return {
-        Acknowledged(change.generation, sha256(document).digest())
+        ChangeId(change.generation, sha256(document).digest())
         for document, change in simulation.judge.changes.items()
         if change.acknowledged
     }
 
 
 def _check_survivors(
-    survivors: dict[str, RestoredState], newest: View, changes: set[Acknowledged], losses: str
+    survivors: dict[str, RestoredState], newest: View, changes: set[ChangeId], losses: str
 ) -> None:
     where = f"{losses}, newest view {newest}"
     known = max(
--- a/tests/control_plane/loss_schedule.py
+++ b/tests/control_plane/loss_schedule.py
@@ -10,8 +10,10 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from reedspoke.control_plane.replication.events import Leave, SendTo, View
+from reedspoke.control_plane.replication.effects import SendMessage
+from reedspoke.control_plane.replication.events import ShutdownStarted
 from reedspoke.control_plane.replication.messages import ViewDecided
+from reedspoke.control_plane.replication.view import View
 from tests.control_plane.loss_check import check_by_trial, check_records, further_losses
 from tests.control_plane.schedule import Operator
 from tests.control_plane.simulated_parts import DiskMode
@@ -147,7 +149,7 @@
         elif self._random.random() < MESSAGE_CHECK_SHARE:
             self._check_records()
 
-    def _spy(self, effect: SendTo) -> None:
+    def _spy(self, effect: SendMessage) -> None:
         if isinstance(effect.message, ViewDecided):
             self._views.decided(effect.message.view)
 
@@ -286,7 +288,7 @@
 
 def depart(simulation: Simulation, address: str, on_end: Callable[[], None]) -> None:
     """SIGTERM: the process ends once it is out of the chain, as the program does, or when its time is up."""
-    simulation.inject(address, Leave())
+    simulation.inject(address, ShutdownStarted())
     machine = simulation.machines[address]
     life, began = machine.life, simulation.now
     last_needed = began
--- a/tests/control_plane/operators.py
+++ b/tests/control_plane/operators.py
@@ -9,7 +9,7 @@
 from msgspec import json
 
 from reedspoke.common.errors import ErrorCode
-from reedspoke.control_plane.replication.events import PutAnswer
+from reedspoke.control_plane.replication.effects import PutCompleted
 from tests.control_plane.calm import CONTACT_S
 from tests.control_plane.simulation import Simulation
 
@@ -154,7 +154,7 @@
             del self._by_call[call]
             self._later(order)
 
-    def _answered(self, answer: PutAnswer) -> None:
+    def _answered(self, answer: PutCompleted) -> None:
         order = self._by_call.get(answer.request_id)
         if order is None or self._random.random() < self.answer_loss:
             return
--- a/tests/control_plane/simulated_control.py
+++ b/tests/control_plane/simulated_control.py
@@ -27,8 +27,10 @@
 from reedspoke.control_plane.delivery.published_state import PublishedState
 from reedspoke.control_plane.peers.transport import PeerMessage
 from reedspoke.control_plane.process import EDGE_LIFE_HEARTBEATS, ControlProcess
-from reedspoke.control_plane.replication.events import Committed, SendTo, View
+from reedspoke.control_plane.replication.effects import SendMessage
+from reedspoke.control_plane.replication.entry import CommittedConfiguration
 from reedspoke.control_plane.replication.messages import ReplicaMessage
+from reedspoke.control_plane.replication.view import View
 from reedspoke.control_plane.workers.duty_lease import DutyLease
 from reedspoke.control_plane.workers.list_duty import ListDuty
 from reedspoke.control_plane.workers.platform_client import PlatformClient
@@ -77,7 +79,7 @@
     def send(self, address: str, message: Struct) -> None:
         """As `PeerTransport.send`."""
         if address != self._address:
-            self._simulation.send(self._address, SendTo(address, message))
+            self._simulation.send(self._address, SendMessage(address, message))
 
     def send_encoded(self, address: str, payload: bytes) -> None:
         """As `PeerTransport.send_encoded`."""
@@ -288,7 +290,7 @@
         else:
             self._within(machine, lambda scheduler: scheduler.peer_message(sender, message))
 
-    def delivered(self, machine: Machine, committed: Committed) -> None:
+    def delivered(self, machine: Machine, committed: CommittedConfiguration) -> None:
         """The replica has a newer configuration."""
         self._within(machine, lambda scheduler: scheduler.deliver(committed))
 
--- a/tests/control_plane/simulated_core.py
+++ b/tests/control_plane/simulated_core.py
@@ -15,21 +15,18 @@
 
 from reedspoke.common.errors import ErrorCode
 from reedspoke.common.messages import decode, encode
-from reedspoke.control_plane.replication.events import (
-    Deliver,
+from reedspoke.control_plane.replication.effects import (
+    DeliverConfiguration,
     Effect,
-    Event,
-    GetAnswer,
-    PutAnswer,
-    Received,
-    SendTo,
-    Store,
-    Stored,
-    Tick,
+    GetCompleted,
+    PutCompleted,
+    SendMessage,
+    StoreRecords,
     ViewChanged,
 )
+from reedspoke.control_plane.replication.events import Event, MessageReceived, StoreCompleted, Tick
 from reedspoke.control_plane.replication.messages import (
-    Ping,
+    Heartbeat,
     ReadLeaseGrant,
     ReplicaMessage,
     ViewConfirmation,
@@ -73,14 +70,14 @@
         self.store_count = 0
         self.on_message: Hook | None = None
         self.on_store: Hook | None = None
-        self.spy: Callable[[SendTo], None] | None = None
+        self.spy: Callable[[SendMessage], None] | None = None
         self.lost_messages: set[int] = set()
         self.doubled_messages: set[int] = set()
         self.late_messages: set[int] = set()
         self.tolerated = tolerated
         self.calm = Calm()
         self.components: list[Component] = []
-        self.on_put_answer: Callable[[PutAnswer], None] | None = None
+        self.on_put_answer: Callable[[PutCompleted], None] | None = None
         self._seed = seed
         self._link_random: dict[tuple[str, str], random.Random] = {}
         self._clocks = random.Random(f"clocks {seed}")
@@ -177,7 +174,7 @@
         if machine.frozen:
             machine.missed.append(event)
             return
-        if isinstance(event, Received):
+        if isinstance(event, MessageReceived):
             for component in self.components:
                 component.received(machine, event.sender, event.message)
             if not isinstance(event.message, REPLICA_MESSAGES):
@@ -190,17 +187,17 @@
 
     def _carry_out(self, address: str, effect: Effect) -> None:
         match effect:
-            case SendTo():
+            case SendMessage():
                 self.send(address, effect)
-            case Store():
+            case StoreRecords():
                 self._count_store(address, effect)
-            case PutAnswer():
+            case PutCompleted():
                 self._answered_put(address, effect)
-            case GetAnswer(request_id=request_id):
+            case GetCompleted(request_id=request_id):
                 self.judge.answered_get(
                     structs.replace(effect, request_id=self._call_of(address, request_id))
                 )
-            case Deliver(committed=committed):
+            case DeliverConfiguration(committed=committed):
                 self.judge.delivered(address, committed)
                 for component in self.components:
                     component.delivered(self.machines[address], committed)
@@ -210,7 +207,7 @@
             case _:
                 pass
 
-    def _answered_put(self, address: str, effect: PutAnswer) -> None:
+    def _answered_put(self, address: str, effect: PutCompleted) -> None:
         answer = structs.replace(effect, request_id=self._call_of(address, effect.request_id))
         self.judge.answered_put(answer)
         if self.on_put_answer is not None:
@@ -230,7 +227,7 @@
         assert request_id in calls, f"{address} answers a call that it never got"
         return calls[request_id]
 
-    def send(self, sender: str, effect: SendTo) -> None:
+    def send(self, sender: str, effect: SendMessage) -> None:
         """Carry a message of one control scheduler to another."""
         number = self._message_number(effect.message)
         if self.spy is not None:
@@ -260,7 +257,7 @@
 
     def _message_number(self, message: Struct) -> int:
         """Numbers what happens once; signs of life, which are repeated all the time, get none."""
-        if isinstance(message, Ping | ReadLeaseGrant | ViewConfirmation):
+        if isinstance(message, Heartbeat | ReadLeaseGrant | ViewConfirmation):
             return 0
         self.message_count += 1
         if self.on_message is not None:
@@ -280,17 +277,17 @@
 
         def arrive() -> None:
             if (sender, receiver) not in self.network.cut:
-                self._receive(receiver, Received(sender, message))
+                self._receive(receiver, MessageReceived(sender, message))
             elif self.network.holds and (forever or self.now < given_up_at):
                 self.at(self.now + HELD_RETRY_S, arrive)
 
         self.at(arrival, arrive)
 
-    def _receive(self, receiver: str, event: Received) -> None:
+    def _receive(self, receiver: str, event: MessageReceived) -> None:
         if receiver in self.machines:
             self._handle(receiver, event)
 
-    def _count_store(self, address: str, store: Store) -> None:
+    def _count_store(self, address: str, store: StoreRecords) -> None:
         self.store_count += 1
         self.machines[address].disk.waiting.append(store)
         if self.on_store is not None:
@@ -299,7 +296,7 @@
             self.machines[address].disk.waiting.remove(store)
             self._start_store(address, store)
 
-    def _start_store(self, address: str, store: Store) -> None:
+    def _start_store(self, address: str, store: StoreRecords) -> None:
         """Stores end in their order; while the disk hangs they wait."""
         machine = self.machines[address]
         life = machine.life
@@ -316,15 +313,15 @@
 
         self.at(end, finish)
 
-    def _finish_store(self, machine: Machine, store: Store) -> None:
+    def _finish_store(self, machine: Machine, store: StoreRecords) -> None:
         machine.disk.waiting.remove(store)
         error = STORE_ERRORS.get(machine.disk.mode)
         if error is None or (error is ErrorCode.STORAGE_FAILED and self.random.random() < 0.5):
             self._write(machine.disk, store)
-        self._handle(machine.address, Stored(store.token, error))
+        self._handle(machine.address, StoreCompleted(store.token, error))
 
     @staticmethod
-    def _write(disk: Disk, store: Store) -> None:
+    def _write(disk: Disk, store: StoreRecords) -> None:
         if store.replace:
             disk.records = list(store.records)
         else:
--- a/tests/control_plane/simulated_parts.py
+++ b/tests/control_plane/simulated_parts.py
@@ -12,8 +12,11 @@
 from msgspec import Struct
 
 from reedspoke.common.errors import ErrorCode
-from reedspoke.control_plane.replication.events import Committed, Event, Store, View
+from reedspoke.control_plane.replication.effects import StoreRecords
+from reedspoke.control_plane.replication.entry import CommittedConfiguration
+from reedspoke.control_plane.replication.events import Event
 from reedspoke.control_plane.replication.replica import Replica
+from reedspoke.control_plane.replication.view import View
 
 
 class DiskMode(Enum):
@@ -40,7 +43,7 @@
     folder_id: str
     records: list[bytes] = field(default_factory=list)
     mode: DiskMode = DiskMode.WORKS
-    waiting: list[Store] = field(default_factory=list)
+    waiting: list[StoreRecords] = field(default_factory=list)
     made_at: float = 0.0
 
 
@@ -96,7 +99,7 @@
     def received(self, machine: Machine, sender: str, message: Struct) -> None:
         """A message of another control scheduler; those between replicas go to the replica as well."""
 
-    def delivered(self, machine: Machine, committed: Committed) -> None:
+    def delivered(self, machine: Machine, committed: CommittedConfiguration) -> None:
         """The replica has a newer configuration for the data plane."""
 
     def view_changed(self, machine: Machine, view: View) -> None:
--- a/tests/control_plane/simulation.py
+++ b/tests/control_plane/simulation.py
@@ -5,8 +5,16 @@
 from collections.abc import Callable, Iterable
 
 from reedspoke.common.errors import ErrorCode
-from reedspoke.control_plane.replication.events import Event, Get, GetAnswer, Leave, Put, SeedsChanged, View
+from reedspoke.control_plane.replication.effects import GetCompleted
+from reedspoke.control_plane.replication.events import (
+    Event,
+    GetSubmitted,
+    PutSubmitted,
+    SeedsChanged,
+    ShutdownStarted,
+)
 from reedspoke.control_plane.replication.replica import Replica
+from reedspoke.control_plane.replication.view import View
 from tests.control_plane.simulated_core import SimulatedCore
 from tests.control_plane.simulated_parts import Direction, DiskMode, Machine
 
@@ -33,14 +41,14 @@
             on_call(call)
         if self.machines[address].replica is not None:
             self.judge.asked_put(address, call, match, generation, document)
-            self._handle(address, Put(request_id, match, generation, document))
+            self._handle(address, PutSubmitted(request_id, match, generation, document))
         return call
 
     def get(self, address: str) -> int:
         """Ask a machine for the newest configuration."""
         call, request_id = self._new_call(address)
         self.judge.asked_get(call)
-        self._handle(address, Get(request_id))
+        self._handle(address, GetSubmitted(request_id))
         return call
 
     def put_and_wait(self, address: str, match: int, generation: int, document: bytes) -> ErrorCode | None:
@@ -50,7 +58,7 @@
         answer = self.judge.put_answers.get(request_id)
         return answer.error if answer else ErrorCode.WRITE_UNCLEAR
 
-    def get_and_wait(self, address: str) -> GetAnswer | None:
+    def get_and_wait(self, address: str) -> GetCompleted | None:
         """A read and its answer."""
         request_id = self.get(address)
         self.run_until(lambda: request_id in self.judge.get_answers, 2.0)
@@ -173,7 +181,7 @@
         machine.leaving = True
         self.calm.disturbed(self.now, address)
         life = machine.life
-        self._handle(address, Leave())
+        self._handle(address, ShutdownStarted())
         for component in self.components:
             component.leaving(machine)
 
--- a/tests/control_plane/storage_simulation.py
+++ b/tests/control_plane/storage_simulation.py
@@ -17,9 +17,9 @@
 
 from reedspoke.common.errors import ErrorCode, FleetError
 from reedspoke.control_plane.peers.transport import LARGE_BYTES
-from reedspoke.control_plane.replication.events import Store
-from reedspoke.control_plane.replication.messages import Append, Snapshot
-from reedspoke.control_plane.storage.log_file import SLOT_NAMES, OpenedLog, open_log, set_aside
+from reedspoke.control_plane.replication.effects import StoreRecords
+from reedspoke.control_plane.replication.messages import AppendRequest, InstallSnapshot
+from reedspoke.control_plane.storage.log_file import SLOT_NAMES, OpenedLog, open_log, quarantine_log
 from reedspoke.control_plane.storage.log_format import encoded_size
 from tests.control_plane.simulated_files import FOLDER, PowerLost, SimulatedFiles, use
 from tests.control_plane.simulated_parts import Disk, DiskMode
@@ -52,7 +52,7 @@
         except FleetError as error:
             if error.code is not ErrorCode.STORAGE_CORRUPT:
                 raise
-            set_aside(FOLDER)
+            quarantine_log(FOLDER)
             return open_log(FOLDER)
 
     def change_bytes(self, random: Random, count: int) -> None:
@@ -64,14 +64,14 @@
             content[-1 - distance] ^= random.randint(1, 255)
         self.files = SimulatedFiles({name: bytes(content)})
 
-    def carry_out(self, store: Store) -> None:
+    def carry_out(self, store: StoreRecords) -> None:
         """Append or rewrite."""
         assert self.opened is not None
         use(self.monkeypatch, self.files)
         writer = self.opened.writer
         (writer.rewrite if store.replace else writer.append)(store.records)
 
-    def stop_in(self, stores: list[Store], random: Random, power: bool) -> None:
+    def stop_in(self, stores: list[StoreRecords], random: Random, power: bool) -> None:
         """The process ends somewhere in these stores; without power, so does the machine."""
         self.files.lose_power_at = self.files.calls + random.randint(1, CALLS_OF_A_STORE * (len(stores) + 1))
         try:
@@ -145,14 +145,14 @@
 
     def _time_on_link(self, sender: str, receiver: str, message: Struct) -> float:
         """How long a large message takes behind others; the connection for small ones is another."""
-        entry = message.entry if isinstance(message, Append | Snapshot) else None
+        entry = message.entry if isinstance(message, AppendRequest | InstallSnapshot) else None
         if entry is None or len(entry.document) <= LARGE_BYTES:
             return 0.0
         free = max(self.now, self._large_free.get((sender, receiver), 0.0))
         self._large_free[(sender, receiver)] = free + len(entry.document) / self.link_bytes_per_s
         return self._large_free[(sender, receiver)] - self.now
 
-    def _start_store(self, address: str, store: Store) -> None:
+    def _start_store(self, address: str, store: StoreRecords) -> None:
         duration = encoded_size(store.records) / self.disk_bytes_per_s.get(address, float("inf"))
         self._disk_free[address] = max(self.now, self._disk_free.get(address, 0.0)) + duration
         super()._start_store(address, store)
@@ -163,7 +163,7 @@
         super()._start(address)
 
     @staticmethod
-    def _write(disk: Disk, store: Store) -> None:
+    def _write(disk: Disk, store: StoreRecords) -> None:
         assert isinstance(disk, LogDisk)
         try:
             disk.carry_out(store)
--- a/tests/control_plane/strength.py
+++ b/tests/control_plane/strength.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from reedspoke.control_plane.replication.events import View
+from reedspoke.control_plane.replication.view import View
 from tests.control_plane.simulation import Simulation
 
 STRENGTH_LIMIT_S = 30.0
--- a/tests/control_plane/test_guards_agreement.py
+++ b/tests/control_plane/test_guards_agreement.py
@@ -4,11 +4,11 @@
 
 import pytest
 
-from reedspoke.control_plane.replication.events import ChainLink, Member, SendTo, View
+from reedspoke.control_plane.replication.effects import SendMessage
 from reedspoke.control_plane.replication.messages import (
     AcceptRequest,
     AcceptResponse,
-    Ping,
+    Heartbeat,
     PrepareRequest,
     PrepareResponse,
     ProposalNumber,
@@ -17,6 +17,7 @@
     ViewDecided,
 )
 from reedspoke.control_plane.replication.outbox import Outbox
+from reedspoke.control_plane.replication.view import ChainLink, Member, View
 from reedspoke.control_plane.storage.records import NO_PROPOSAL
 from reedspoke.control_plane.views.first_view import form_first_view
 from reedspoke.control_plane.views.proposer import Proposer
@@ -57,7 +58,7 @@
     voter = Voter(A)
     voter.agreement.receive("at-b", PrepareRequest(2, ProposalNumber(1, "b")))
     voter.agreement.receive("at-b", PrepareRequest(2, ProposalNumber(1, "b")))
-    assert not [effect for effect in voter.outbox.take() if isinstance(effect, SendTo)]
+    assert not [effect for effect in voter.outbox.take() if isinstance(effect, SendMessage)]
 
 
 def test_a_voter_votes_on_the_next_view_alone() -> None:
@@ -91,8 +92,8 @@
 
 
 def test_the_first_view_consists_of_folders_that_were_made_for_it() -> None:
-    founders = [Ping(member, 0, (), True, 0, 0, bootstrap=True) for member in (A, B)]
-    other = Ping(C, 0, (), True, 0, 0)
+    founders = [Heartbeat(member, 0, (), True, 0, 0, bootstrap=True) for member in (A, B)]
+    other = Heartbeat(C, 0, (), True, 0, 0)
     view = form_first_view(tuple(member.address for member in MEMBERS), [*founders, other], 2, 3)
     assert view is not None
     assert view.voters == (A, B)
@@ -104,10 +105,10 @@
 )
 def test_others_of_the_first_start_vote_beside_the_seeds(newcomers: int, wanted: int, voters: int) -> None:
     """As many as are wanted, in odd number; a folder that is older takes no part."""
-    founders = [Ping(member, 0, (), True, 0, 0, bootstrap=True) for member in MEMBERS]
+    founders = [Heartbeat(member, 0, (), True, 0, 0, bootstrap=True) for member in MEMBERS]
     others = [Member(f"folder-{number}", f"other-{number}", "z") for number in range(newcomers)]
-    pings = [Ping(member, 0, (), True, 0, 0, starts_new=True) for member in others]
-    older = Ping(Member("folder-old", "at-old", "z"), 0, (), True, 0, 0)
+    pings = [Heartbeat(member, 0, (), True, 0, 0, starts_new=True) for member in others]
+    older = Heartbeat(Member("folder-old", "at-old", "z"), 0, (), True, 0, 0)
     view = form_first_view(tuple(member.address for member in MEMBERS), [older, *pings, *founders], 3, wanted)
     assert view is not None
     assert len(view.voters) == voters
@@ -116,8 +117,8 @@
 
 
 def test_two_seeds_and_another_begin_without_the_third() -> None:
-    founders = [Ping(member, 0, (), True, 0, 0, bootstrap=True) for member in (A, B)]
-    other = Ping(Member("folder-1", "other-1", "z"), 0, (), True, 0, 0, starts_new=True)
+    founders = [Heartbeat(member, 0, (), True, 0, 0, bootstrap=True) for member in (A, B)]
+    other = Heartbeat(Member("folder-1", "other-1", "z"), 0, (), True, 0, 0, starts_new=True)
     view = form_first_view(tuple(member.address for member in MEMBERS), [*founders, other], 2, 5)
     assert view is not None
     assert view.voters == (A, B, other.member)
--- a/tests/control_plane/test_guards_answers.py
+++ b/tests/control_plane/test_guards_answers.py
@@ -7,28 +7,19 @@
 import pytest
 
 from reedspoke.common.errors import ErrorCode
-from reedspoke.control_plane.replication.events import (
-    ChainLink,
-    Effect,
-    Event,
-    Get,
-    GetAnswer,
-    Put,
-    PutAnswer,
-    Received,
-    SendTo,
-    View,
-)
+from reedspoke.control_plane.replication.effects import Effect, GetCompleted, PutCompleted, SendMessage
+from reedspoke.control_plane.replication.events import Event, GetSubmitted, MessageReceived, PutSubmitted
 from reedspoke.control_plane.replication.messages import (
     GetReply,
     GetRequest,
+    InstallSnapshot,
     PutReply,
     PutRequest,
-    Snapshot,
     ViewConfirmation,
     ViewDecided,
 )
-from reedspoke.control_plane.replication.settings import MAJORITY_CONTACT_TTL_S, PING_INTERVAL_S, TICK_S
+from reedspoke.control_plane.replication.settings import HEARTBEAT_INTERVAL_S, MAJORITY_CONTACT_TTL_S, TICK_S
+from reedspoke.control_plane.replication.view import ChainLink, View
 from tests.control_plane.chain_replica import HEAD, MIDDLE, TAIL, VIEW_NUMBER, entry, packed_history, view_of
 from tests.control_plane.test_guards_replica import LoneReplica
 
@@ -37,7 +28,7 @@
 
 def _in_contact(member: LoneReplica) -> LoneReplica:
     """The head is heard and has granted, as has the member itself."""
-    member.tick(PING_INTERVAL_S)
+    member.tick(HEARTBEAT_INTERVAL_S)
     member.ping_from(HEAD)
     member.receive(HEAD, ViewConfirmation(HEAD.folder_id, member.view_number, member.now))
     assert member.replica.holds_majority(member.now)
@@ -77,13 +68,13 @@
     loss: Loss, told: ErrorCode | None
 ) -> None:
     member = _in_contact(LoneReplica(MIDDLE))
-    (sent,) = _handle(member, Put(1, 0, 10, b"document"))
-    assert isinstance(sent, SendTo)
+    (sent,) = _handle(member, PutSubmitted(1, 0, 10, b"document"))
+    assert isinstance(sent, SendMessage)
     assert isinstance(sent.message, PutRequest)
     loss(member)
     reply = PutReply(VIEW_NUMBER, sent.message.request, 0)
-    (answer,) = _handle(member, Received(HEAD.address, reply))
-    assert isinstance(answer, PutAnswer)
+    (answer,) = _handle(member, MessageReceived(HEAD.address, reply))
+    assert isinstance(answer, PutCompleted)
     assert answer.error is told
 
 
@@ -99,13 +90,13 @@
     loss: Loss, told: ErrorCode
 ) -> None:
     member = _in_contact(LoneReplica(MIDDLE))
-    (sent,) = _handle(member, Get(1))
-    assert isinstance(sent, SendTo)
+    (sent,) = _handle(member, GetSubmitted(1))
+    assert isinstance(sent, SendMessage)
     assert isinstance(sent.message, GetRequest)
     loss(member)
     reply = GetReply(VIEW_NUMBER, sent.message.request, ready=True)
-    (answer,) = _handle(member, Received(TAIL.address, reply))
-    assert isinstance(answer, GetAnswer)
+    (answer,) = _handle(member, MessageReceived(TAIL.address, reply))
+    assert isinstance(answer, GetCompleted)
     assert answer.error is told
 
 
@@ -114,7 +105,7 @@
     joined = VIEW_NUMBER + 1
     following = View(joined, WITHOUT_MIDDLE.voters, (*WITHOUT_MIDDLE.chain, ChainLink(MIDDLE, joined)))
     member.receive(HEAD, ViewDecided(following))
-    member.receive(TAIL, Snapshot(joined, joined, entry(1), packed_history(entry(1))))
+    member.receive(TAIL, InstallSnapshot(joined, joined, entry(1), packed_history(entry(1))))
     assert member.replica.in_chain
     assert member.replica.holds_majority(member.now)
     assert member.replica.confirmed_as_of(member.now) is None
--- a/tests/control_plane/test_guards_chain.py
+++ b/tests/control_plane/test_guards_chain.py
@@ -6,8 +6,13 @@
 from msgspec import Struct
 
 from reedspoke.common.errors import ErrorCode
-from reedspoke.control_plane.replication.events import Member
-from reedspoke.control_plane.replication.messages import Append, ChainState, Commit, Snapshot
+from reedspoke.control_plane.replication.messages import (
+    AppendRequest,
+    CommitNotification,
+    InstallSnapshot,
+    SuccessorStatus,
+)
+from reedspoke.control_plane.replication.view import Member
 from tests.control_plane.chain_replica import (
     HEAD,
     MIDDLE,
@@ -29,66 +34,66 @@
 
 def test_a_successor_s_state_in_another_view_is_not_answered() -> None:
     head = ChainReplica(HEAD, held=FIRST)
-    head.chain.receive(ChainState(VIEW_NUMBER - 1, MIDDLE.folder_id, 1, True, 0))
-    assert not _of_type(head.sent(), Append, Snapshot)
-    head.chain.receive(ChainState(VIEW_NUMBER, MIDDLE.folder_id, 1, True, 0))
-    assert head.sent() == [Append(VIEW_NUMBER, FIRST)]
+    head.chain.receive(SuccessorStatus(VIEW_NUMBER - 1, MIDDLE.folder_id, 1, True, 0))
+    assert not _of_type(head.sent(), AppendRequest, InstallSnapshot)
+    head.chain.receive(SuccessorStatus(VIEW_NUMBER, MIDDLE.folder_id, 1, True, 0))
+    assert head.sent() == [AppendRequest(VIEW_NUMBER, FIRST)]
 
 
 def test_a_successor_s_state_before_it_was_appended_anew_is_not_answered() -> None:
     head = ChainReplica(HEAD, JUST_APPENDED, held=FIRST)
-    head.chain.receive(ChainState(VIEW_NUMBER, MIDDLE.folder_id, 1, True, 0))
+    head.chain.receive(SuccessorStatus(VIEW_NUMBER, MIDDLE.folder_id, 1, True, 0))
     assert not head.sent()
-    head.chain.receive(ChainState(VIEW_NUMBER, MIDDLE.folder_id, VIEW_NUMBER, False, 0))
-    assert head.sent() == [Snapshot(VIEW_NUMBER, VIEW_NUMBER, FIRST, packed_history(FIRST))]
+    head.chain.receive(SuccessorStatus(VIEW_NUMBER, MIDDLE.folder_id, VIEW_NUMBER, False, 0))
+    assert head.sent() == [InstallSnapshot(VIEW_NUMBER, VIEW_NUMBER, FIRST, packed_history(FIRST))]
 
 
 def test_an_incomplete_successor_gets_all_also_where_one_entry_seems_to_lack() -> None:
     head = ChainReplica(HEAD, JUST_APPENDED, held=SECOND)
-    head.chain.receive(ChainState(VIEW_NUMBER, MIDDLE.folder_id, VIEW_NUMBER, False, 1))
-    assert _of_type(head.sent(), Append, Snapshot) == [
-        Snapshot(VIEW_NUMBER, VIEW_NUMBER, SECOND, packed_history(SECOND))
+    head.chain.receive(SuccessorStatus(VIEW_NUMBER, MIDDLE.folder_id, VIEW_NUMBER, False, 1))
+    assert _of_type(head.sent(), AppendRequest, InstallSnapshot) == [
+        InstallSnapshot(VIEW_NUMBER, VIEW_NUMBER, SECOND, packed_history(SECOND))
     ]
 
 
 def test_a_successor_that_lacks_several_entries_gets_all() -> None:
     head = ChainReplica(HEAD, held=THIRD)
-    head.chain.receive(ChainState(VIEW_NUMBER, MIDDLE.folder_id, 1, True, 1))
-    assert head.sent() == [Snapshot(VIEW_NUMBER, 1, THIRD, packed_history(THIRD))]
+    head.chain.receive(SuccessorStatus(VIEW_NUMBER, MIDDLE.folder_id, 1, True, 1))
+    assert head.sent() == [InstallSnapshot(VIEW_NUMBER, 1, THIRD, packed_history(THIRD))]
 
 
 def test_an_incomplete_replica_stores_no_single_entry() -> None:
     middle = ChainReplica(MIDDLE, JUST_APPENDED)
-    middle.chain.receive(Append(VIEW_NUMBER, FIRST))
+    middle.chain.receive(AppendRequest(VIEW_NUMBER, FIRST))
     middle.sent()
     assert not middle.stores
 
 
 def test_an_incomplete_replica_hands_nothing_on() -> None:
     middle = ChainReplica(MIDDLE, JUST_APPENDED, held=SECOND)
-    middle.chain.receive(ChainState(VIEW_NUMBER, TAIL.folder_id, 1, True, 1))
-    assert not _of_type(middle.sent(), Append, Snapshot)
+    middle.chain.receive(SuccessorStatus(VIEW_NUMBER, TAIL.folder_id, 1, True, 1))
+    assert not _of_type(middle.sent(), AppendRequest, InstallSnapshot)
 
 
 def test_no_entry_is_stored_after_a_failed_store() -> None:
     middle = ChainReplica(MIDDLE)
     middle.outbox.disk_failed = True
-    middle.chain.receive(Append(VIEW_NUMBER, FIRST))
+    middle.chain.receive(AppendRequest(VIEW_NUMBER, FIRST))
     middle.sent()
     assert not middle.stores
 
 
 def test_an_entry_that_comes_again_while_it_is_stored_is_stored_once() -> None:
     middle = ChainReplica(MIDDLE)
-    middle.chain.receive(Append(VIEW_NUMBER, FIRST))
-    middle.chain.receive(Append(VIEW_NUMBER, entry(1)))
+    middle.chain.receive(AppendRequest(VIEW_NUMBER, FIRST))
+    middle.chain.receive(AppendRequest(VIEW_NUMBER, entry(1)))
     middle.sent()
     assert len(middle.stores) == 1
 
 
 def test_an_entry_that_does_not_follow_is_not_stored() -> None:
     middle = ChainReplica(MIDDLE, held=FIRST)
-    middle.chain.receive(Append(VIEW_NUMBER, THIRD))
+    middle.chain.receive(AppendRequest(VIEW_NUMBER, THIRD))
     middle.sent()
     assert not middle.stores
     assert not middle.delivered
@@ -96,25 +101,25 @@
 
 def test_an_entry_that_the_disk_refused_is_neither_told_nor_handed_on() -> None:
     middle = ChainReplica(MIDDLE)
-    middle.chain.receive(ChainState(VIEW_NUMBER, TAIL.folder_id, 1, True, 0))
-    middle.chain.receive(Append(VIEW_NUMBER, FIRST))
+    middle.chain.receive(SuccessorStatus(VIEW_NUMBER, TAIL.folder_id, 1, True, 0))
+    middle.chain.receive(AppendRequest(VIEW_NUMBER, FIRST))
     middle.end_store(ErrorCode.STORAGE_FULL)
     assert not middle.sent()
 
 
 def test_a_snapshot_made_for_an_earlier_joining_is_not_adopted() -> None:
     middle = ChainReplica(MIDDLE, JUST_APPENDED)
-    middle.chain.receive(Snapshot(VIEW_NUMBER, 1, FIRST, packed_history(FIRST)))
+    middle.chain.receive(InstallSnapshot(VIEW_NUMBER, 1, FIRST, packed_history(FIRST)))
     middle.sent()
     assert not middle.stores
-    middle.chain.receive(Snapshot(VIEW_NUMBER, VIEW_NUMBER, FIRST, packed_history(FIRST)))
+    middle.chain.receive(InstallSnapshot(VIEW_NUMBER, VIEW_NUMBER, FIRST, packed_history(FIRST)))
     middle.sent()
     assert len(middle.stores) == 1
 
 
 def test_a_complete_replica_keeps_its_entries_whatever_snapshot_comes() -> None:
     middle = ChainReplica(MIDDLE, held=SECOND)
-    middle.chain.receive(Snapshot(VIEW_NUMBER, 1, FIRST, packed_history(FIRST)))
+    middle.chain.receive(InstallSnapshot(VIEW_NUMBER, 1, FIRST, packed_history(FIRST)))
     middle.sent()
     assert middle.register.entry == SECOND
     assert not middle.stores
@@ -123,7 +128,7 @@
 def test_a_replica_is_complete_once_the_adopted_state_is_on_disk() -> None:
     middle = ChainReplica(MIDDLE, JUST_APPENDED)
     assert not middle.chain.complete
-    middle.chain.receive(Snapshot(VIEW_NUMBER, VIEW_NUMBER, FIRST, packed_history(FIRST)))
+    middle.chain.receive(InstallSnapshot(VIEW_NUMBER, VIEW_NUMBER, FIRST, packed_history(FIRST)))
     assert not middle.chain.complete
     middle.end_store()
     assert middle.chain.complete
@@ -131,22 +136,22 @@
 
 def test_a_replica_whose_disk_refuses_the_adopted_state_is_not_complete() -> None:
     middle = ChainReplica(MIDDLE, JUST_APPENDED)
-    middle.chain.receive(Snapshot(VIEW_NUMBER, VIEW_NUMBER, FIRST, packed_history(FIRST)))
+    middle.chain.receive(InstallSnapshot(VIEW_NUMBER, VIEW_NUMBER, FIRST, packed_history(FIRST)))
     middle.end_store(ErrorCode.STORAGE_FULL)
     assert not middle.chain.complete
 
 
 def test_a_commit_beyond_what_is_held_here_is_heeded_and_one_below_is_not() -> None:
     middle = ChainReplica(MIDDLE, held=SECOND)
-    middle.chain.receive(Commit(VIEW_NUMBER, 1))
+    middle.chain.receive(CommitNotification(VIEW_NUMBER, 1))
     assert not middle.delivered
-    middle.chain.receive(Commit(VIEW_NUMBER, 3))
+    middle.chain.receive(CommitNotification(VIEW_NUMBER, 3))
     assert [committed.sequence for committed in middle.delivered] == [2]
 
 
 def test_an_incomplete_replica_takes_no_entry_for_committed() -> None:
     middle = ChainReplica(MIDDLE, JUST_APPENDED, held=SECOND)
-    middle.chain.receive(Commit(VIEW_NUMBER, 2))
+    middle.chain.receive(CommitNotification(VIEW_NUMBER, 2))
     assert not middle.delivered
 
 
@@ -170,7 +175,7 @@
 
 def test_a_member_before_the_tail_commits_nothing_once_its_successor_has_told_its_state() -> None:
     head = ChainReplica(HEAD)
-    head.chain.receive(ChainState(VIEW_NUMBER, MIDDLE.folder_id, 1, True, 0))
+    head.chain.receive(SuccessorStatus(VIEW_NUMBER, MIDDLE.folder_id, 1, True, 0))
     head.chain.append(FIRST.generation, FIRST.document, lambda stored: None)
     head.end_store()
     assert head.register.entry == FIRST
@@ -180,8 +185,8 @@
 @pytest.mark.parametrize("view", [VIEW_NUMBER - 1, VIEW_NUMBER + 1])
 def test_an_entry_or_a_snapshot_of_another_view_is_not_stored(view: int) -> None:
     complete, appended = ChainReplica(MIDDLE), ChainReplica(MIDDLE, JUST_APPENDED)
-    complete.chain.receive(Append(view, FIRST))
-    appended.chain.receive(Snapshot(view, VIEW_NUMBER, FIRST, packed_history(FIRST)))
+    complete.chain.receive(AppendRequest(view, FIRST))
+    appended.chain.receive(InstallSnapshot(view, VIEW_NUMBER, FIRST, packed_history(FIRST)))
     for replica in (complete, appended):
         replica.sent()
         assert not replica.stores
--- a/tests/control_plane/test_guards_head.py
+++ b/tests/control_plane/test_guards_head.py
@@ -5,19 +5,21 @@
 import pytest
 
 from reedspoke.common.errors import ErrorCode
-from reedspoke.control_plane.replication.events import Member, Put, PutAnswer, View
-from reedspoke.control_plane.replication.head import MOST_WAITING_BYTES, WAIT_SHARE
+from reedspoke.control_plane.replication.effects import PutCompleted
+from reedspoke.control_plane.replication.events import PutSubmitted
+from reedspoke.control_plane.replication.head_queue import MAX_PENDING_BYTES, PENDING_TIME_FRACTION
 from reedspoke.control_plane.replication.messages import (
-    ChainState,
-    Commit,
+    CommitNotification,
     GetReply,
     GetRequest,
     PutReply,
     PutRequest,
+    SuccessorStatus,
 )
 from reedspoke.control_plane.replication.outbox import Outbox
-from reedspoke.control_plane.replication.puts import PutForwarder
-from reedspoke.control_plane.replication.refusals import Refusals
+from reedspoke.control_plane.replication.put_forwarding import PutForwarder
+from reedspoke.control_plane.replication.rejection_confirmation import RejectionConfirmer
+from reedspoke.control_plane.replication.view import Member, View
 from reedspoke.control_plane.views.majority_contact import ContactState
 from tests.control_plane.chain_replica import (
     ANSWER_LIMIT_S,
@@ -36,7 +38,7 @@
     """A head whose successor has told that it holds the same."""
     replica = ChainReplica(HEAD, view)
     successor = view.chain[1]
-    state = ChainState(
+    state = SuccessorStatus(
         view.number, successor.member.folder_id, successor.joined, True, replica.register.sequence
     )
     replica.chain.receive(state)
@@ -65,7 +67,7 @@
 
 def _commit_next(replica: ChainReplica) -> None:
     replica.end_store()
-    replica.chain.receive(Commit(VIEW_NUMBER, replica.register.sequence))
+    replica.chain.receive(CommitNotification(VIEW_NUMBER, replica.register.sequence))
 
 
 @pytest.mark.parametrize("view", [VIEW_NUMBER - 1, VIEW_NUMBER + 1])
@@ -120,7 +122,7 @@
     chain = view_of((HEAD, 1), (TAIL, 1))
     for tolerated, taken in ((1, 1), (2, 0)):
         head = ChainReplica(HEAD, chain, tolerated=tolerated)
-        head.chain.receive(ChainState(VIEW_NUMBER, TAIL.folder_id, 1, True, 0))
+        head.chain.receive(SuccessorStatus(VIEW_NUMBER, TAIL.folder_id, 1, True, 0))
         _receive(head, _request("r1", 0, 10))
         head.sent()
         assert len(head.stores) == taken
@@ -141,7 +143,7 @@
     head.end_store()
     head.sent()
     assert not head.stores
-    head.chain.receive(Commit(VIEW_NUMBER, 1))
+    head.chain.receive(CommitNotification(VIEW_NUMBER, 1))
     head.sent()
     assert len(head.stores) == 1
 
@@ -163,7 +165,7 @@
     assert [reply.error for reply in _replies(head)] == [0]
     _receive(head, _request("r2", 0, 20))
     assert not _replies(head)
-    head.outbox.now = START + ANSWER_LIMIT_S * WAIT_SHARE
+    head.outbox.now = START + ANSWER_LIMIT_S * PENDING_TIME_FRACTION
     head.head.tick()
     assert [reply.error for reply in _replies(head)] == [int(ErrorCode.WRITE_UNCLEAR)]
 
@@ -172,7 +174,7 @@
     head = _head()
     _receive(head, _request("r1", 0, 10))
     head.end_store()
-    head.outbox.now = START + ANSWER_LIMIT_S * WAIT_SHARE
+    head.outbox.now = START + ANSWER_LIMIT_S * PENDING_TIME_FRACTION
     head.head.tick()
     assert [reply.error for reply in _replies(head)] == [int(ErrorCode.WRITE_UNCLEAR)]
 
@@ -183,7 +185,7 @@
     def __init__(self) -> None:
         self.ended: list[bool] = []
         self.outbox = Outbox(HEAD.address, START, 0)
-        self.refusals = Refusals("own:1", self.outbox)
+        self.refusals = RejectionConfirmer("own:1", self.outbox)
         self.refusals.enter(VIEW_NUMBER, TAIL)
         self.refusals.add("r1", START + ANSWER_LIMIT_S, self.ended.append)
         (sent,) = self.outbox.take()
@@ -218,20 +220,20 @@
 def test_a_replica_cut_off_refuses_a_change_at_once(view: View | None, contact: ContactState) -> None:
     outbox = Outbox(MIDDLE.address, START, 0)
     puts = PutForwarder("b:1", outbox, ANSWER_LIMIT_S)
-    puts.put(Put(1, 0, 10, b"document"), view, contact)
+    puts.put(PutSubmitted(1, 0, 10, b"document"), view, contact)
     (answer,) = outbox.take()
-    assert isinstance(answer, PutAnswer)
+    assert isinstance(answer, PutCompleted)
     assert answer.error is ErrorCode.NO_QUORUM
 
 
 def test_a_change_that_the_head_has_not_answered_is_unclear() -> None:
     outbox = Outbox(MIDDLE.address, START, 0)
     puts = PutForwarder("b:1", outbox, ANSWER_LIMIT_S)
-    puts.put(Put(1, 0, 10, b"document"), WHOLE, ContactState.CONFIRMED)
+    puts.put(PutSubmitted(1, 0, 10, b"document"), WHOLE, ContactState.CONFIRMED)
     outbox.take()
     outbox.now = START + ANSWER_LIMIT_S
     puts.tick(WHOLE, ContactState.CONFIRMED)
-    assert [answer.error for answer in outbox.take() if isinstance(answer, PutAnswer)] == [
+    assert [answer.error for answer in outbox.take() if isinstance(answer, PutCompleted)] == [
         ErrorCode.WRITE_UNCLEAR
     ]
 
@@ -239,7 +241,7 @@
 def test_a_refusal_by_the_head_of_an_earlier_view_answers_nothing() -> None:
     outbox = Outbox(MIDDLE.address, START, 0)
     puts = PutForwarder("b:1", outbox, ANSWER_LIMIT_S)
-    puts.put(Put(1, 0, 10, b"document"), WHOLE, ContactState.CONFIRMED)
+    puts.put(PutSubmitted(1, 0, 10, b"document"), WHOLE, ContactState.CONFIRMED)
     following = view_of((HEAD, 1), (TAIL, 1), number=VIEW_NUMBER + 1)
     puts.tick(following, ContactState.CONFIRMED)
     outbox.take()
@@ -253,7 +255,7 @@
 def test_documents_that_wait_have_a_bound_in_bytes() -> None:
     """The one beyond it gets no clear answer at once, and is no break of any promise if it is sent again."""
     replica = _head()
-    half = b"d" * (MOST_WAITING_BYTES // 2)
+    half = b"d" * (MAX_PENDING_BYTES // 2)
     for number in range(2):  # they build on a generation that has not come, and are held
         _receive(replica, PutRequest(VIEW_NUMBER, f"r{number}", 50, 60 + number, half))
     assert _replies(replica) == []
@@ -265,5 +267,5 @@
 
 def test_one_document_alone_is_taken_whatever_its_size() -> None:
     replica = _head()
-    _receive(replica, PutRequest(VIEW_NUMBER, "large", 50, 60, b"d" * (MOST_WAITING_BYTES + 1)))
+    _receive(replica, PutRequest(VIEW_NUMBER, "large", 50, 60, b"d" * (MAX_PENDING_BYTES + 1)))
     assert _replies(replica) == []
--- a/tests/control_plane/test_guards_log_file.py
+++ b/tests/control_plane/test_guards_log_file.py
@@ -10,7 +10,7 @@
 import pytest
 
 from reedspoke.common.errors import ErrorCode, FleetError
-from reedspoke.control_plane.storage.log_file import LOG_NAME, open_log, set_aside
+from reedspoke.control_plane.storage.log_file import LOG_NAME, open_log, quarantine_log
 from reedspoke.control_plane.storage.log_format import HEADER, SINGLE_COPY_HEADER, encode_batch, read_content
 
 FILE, DIRECTORY, REPLACED, REMOVED = "file synced", "directory synced", "name replaced", "name removed"
@@ -81,7 +81,7 @@
 def test_the_name_of_a_log_that_was_set_aside_is_synced(tmp_path: Path, steps: list[str]) -> None:
     open_log(tmp_path).writer.close()
     steps.clear()
-    set_aside(tmp_path)
+    quarantine_log(tmp_path)
     assert _in_order(steps, REPLACED, DIRECTORY)
 
 
--- a/tests/control_plane/test_guards_majority_contact.py
+++ b/tests/control_plane/test_guards_majority_contact.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from reedspoke.control_plane.replication.events import Member
+from reedspoke.control_plane.replication.view import Member
 from reedspoke.control_plane.views.majority_contact import MajorityContact
 
 STARTED = 100.0
--- a/tests/control_plane/test_guards_next_view.py
+++ b/tests/control_plane/test_guards_next_view.py
@@ -4,7 +4,7 @@
 
 from msgspec import structs
 
-from reedspoke.control_plane.replication.events import View
+from reedspoke.control_plane.replication.view import View
 from reedspoke.control_plane.views.largest_chain import largest_connected_chain
 from reedspoke.control_plane.views.next_view import MembershipSnapshot, choose_next_view
 from tests.control_plane.test_next_view import _around, _chain, _member, _view, _voters
--- a/tests/control_plane/test_guards_outbox.py
+++ b/tests/control_plane/test_guards_outbox.py
@@ -3,7 +3,8 @@
 from __future__ import annotations
 
 from reedspoke.common.errors import ErrorCode
-from reedspoke.control_plane.replication.events import Store, Stored
+from reedspoke.control_plane.replication.effects import StoreRecords
+from reedspoke.control_plane.replication.events import StoreCompleted
 from reedspoke.control_plane.replication.outbox import Outbox
 from reedspoke.control_plane.replication.settings import DISK_PROBE_S
 from reedspoke.control_plane.storage.records import ProbeRecord
@@ -11,16 +12,16 @@
 START = 100.0
 
 
-def _store(outbox: Outbox) -> Store:
+def _store(outbox: Outbox) -> StoreRecords:
     """The only store among the effects."""
-    (store,) = (effect for effect in outbox.take() if isinstance(effect, Store))
+    (store,) = (effect for effect in outbox.take() if isinstance(effect, StoreRecords))
     return store
 
 
 def _after_a_failed_store() -> Outbox:
     outbox = Outbox("at-a", START, 0)
     outbox.store([ProbeRecord()], lambda error: None)
-    outbox.stored(Stored(_store(outbox).token, ErrorCode.STORAGE_FAILED))
+    outbox.stored(StoreCompleted(_store(outbox).token, ErrorCode.STORAGE_FAILED))
     return outbox
 
 
@@ -36,9 +37,9 @@
     outbox.tick()
     probe = _store(outbox)
     assert not probe.replace
-    outbox.stored(Stored(probe.token, None))
+    outbox.stored(StoreCompleted(probe.token, None))
     assert not outbox.disk_ok
     rewriting = _store(outbox)
     assert rewriting.replace
-    outbox.stored(Stored(rewriting.token, None))
+    outbox.stored(StoreCompleted(rewriting.token, None))
     assert outbox.disk_ok
--- a/tests/control_plane/test_guards_peers.py
+++ b/tests/control_plane/test_guards_peers.py
@@ -3,58 +3,60 @@
 from __future__ import annotations
 
 from reedspoke.common.errors import ErrorCode
-from reedspoke.control_plane.replication.events import Effect, Member, Store, Stored
-from reedspoke.control_plane.replication.messages import Ping
+from reedspoke.control_plane.replication.effects import Effect, StoreRecords
+from reedspoke.control_plane.replication.events import StoreCompleted
+from reedspoke.control_plane.replication.failure_detector import FailureDetector
+from reedspoke.control_plane.replication.messages import Heartbeat
 from reedspoke.control_plane.replication.outbox import Outbox
-from reedspoke.control_plane.replication.peers import Peers
 from reedspoke.control_plane.replication.settings import (
+    DEAD_TIMEOUT_S,
     DISK_PROBE_S,
     DISK_STALL_S,
-    GONE_S,
-    HEARD_S,
+    HEARTBEAT_INTERVAL_S,
     JOIN_AFTER_S,
-    PING_INTERVAL_S,
+    REACHABLE_TIMEOUT_S,
 )
+from reedspoke.control_plane.replication.view import Member
 from reedspoke.control_plane.storage.records import ProbeRecord
 from reedspoke.control_plane.views.first_view import form_first_view
 from tests.control_plane.chain_replica import HEAD, MIDDLE, START, TAIL
 
 
-def _ping(member: Member, *heard: Member, bootstrap: bool = False) -> Ping:
+def _ping(member: Member, *heard: Member, bootstrap: bool = False) -> Heartbeat:
     folders = tuple(other.folder_id for other in heard)
-    return Ping(member, 1, folders, True, 0, 0, bootstrap=bootstrap)
+    return Heartbeat(member, 1, folders, True, 0, 0, bootstrap=bootstrap)
 
 
-def _hear(peers: Peers, ping: Ping, begin: float, end: float) -> None:
+def _hear(peers: FailureDetector, ping: Heartbeat, begin: float, end: float) -> None:
     now = begin
     while now <= end:
         peers.heard_ping(ping, now)
-        now += PING_INTERVAL_S
+        now += HEARTBEAT_INTERVAL_S
 
 
 def test_a_voter_that_another_replica_hears_is_not_gone() -> None:
-    end = START + 2 * GONE_S
+    end = START + 2 * DEAD_TIMEOUT_S
     for witnessed in (True, False):
-        peers = Peers(HEAD, START)
+        peers = FailureDetector(HEAD, START)
         heard = (HEAD, TAIL) if witnessed else (HEAD,)
         _hear(peers, _ping(MIDDLE, *heard), START, end)
         assert peers.gone(TAIL.folder_id, end) is not witnessed
 
 
 def test_a_replica_is_steady_after_a_while_in_reach() -> None:
-    peers = Peers(HEAD, START)
+    peers = FailureDetector(HEAD, START)
     peers.heard_ping(_ping(MIDDLE, HEAD), START)
     assert not peers.steady(MIDDLE.folder_id, START + JOIN_AFTER_S / 2)
-    _hear(peers, _ping(MIDDLE, HEAD), START, START + JOIN_AFTER_S + PING_INTERVAL_S)
-    assert peers.steady(MIDDLE.folder_id, START + JOIN_AFTER_S + PING_INTERVAL_S)
+    _hear(peers, _ping(MIDDLE, HEAD), START, START + JOIN_AFTER_S + HEARTBEAT_INTERVAL_S)
+    assert peers.steady(MIDDLE.folder_id, START + JOIN_AFTER_S + HEARTBEAT_INTERVAL_S)
 
 
 def test_a_replica_in_reach_is_one_that_was_heard_lately_and_hears_us() -> None:
-    peers = Peers(HEAD, START)
+    peers = FailureDetector(HEAD, START)
     peers.heard_ping(_ping(MIDDLE, HEAD), START)
     peers.heard_ping(_ping(TAIL), START)
-    assert peers.mutual(MIDDLE.folder_id, START + HEARD_S)
-    assert not peers.mutual(MIDDLE.folder_id, START + HEARD_S + 0.01)
+    assert peers.mutual(MIDDLE.folder_id, START + REACHABLE_TIMEOUT_S)
+    assert not peers.mutual(MIDDLE.folder_id, START + REACHABLE_TIMEOUT_S + 0.01)
     assert not peers.mutual(TAIL.folder_id, START)
 
 
@@ -76,15 +78,15 @@
         self.outbox.store([ProbeRecord()], lambda error: None)
         self.end_store(ErrorCode.STORAGE_FAILED)
 
-    def end_store(self, error: ErrorCode | None = None) -> Store:
+    def end_store(self, error: ErrorCode | None = None) -> StoreRecords:
         """The store that is out ends."""
         (store,) = _stores(self.outbox.take())
-        self.outbox.stored(Stored(store.token, error))
+        self.outbox.stored(StoreCompleted(store.token, error))
         return store
 
 
-def _stores(effects: list[Effect]) -> list[Store]:
-    return [effect for effect in effects if isinstance(effect, Store)]
+def _stores(effects: list[Effect]) -> list[StoreRecords]:
+    return [effect for effect in effects if isinstance(effect, StoreRecords)]
 
 
 def test_after_a_failed_store_the_disk_is_bad_until_the_log_is_rewritten() -> None:
--- a/tests/control_plane/test_guards_process.py
+++ b/tests/control_plane/test_guards_process.py
@@ -10,7 +10,7 @@
 from reedspoke.common.node_settings import NodeSettings
 from reedspoke.control_plane.delivery.configuration_cache import ConfigurationCache, Prepared
 from reedspoke.control_plane.process import ControlProcess
-from reedspoke.control_plane.replication.events import Committed
+from reedspoke.control_plane.replication.entry import CommittedConfiguration
 from tests.control_plane_process.stand_ins import configuration
 
 FAR_AHEAD_S = 1000.0
@@ -72,7 +72,7 @@
 
     def commit(self, sequence: int) -> None:
         """The replica knows this change to be committed."""
-        self.deliver(Committed(sequence, sequence, configuration(sequence), 1))
+        self.deliver(CommittedConfiguration(sequence, sequence, configuration(sequence), 1))
 
     def confirmed_as_of(self) -> float | None:
         """What is told to data plane schedulers."""
--- a/tests/control_plane/test_guards_reads.py
+++ b/tests/control_plane/test_guards_reads.py
@@ -5,9 +5,13 @@
 import pytest
 
 from reedspoke.common.errors import ErrorCode
-from reedspoke.control_plane.replication.events import Committed, Get, GetAnswer, Member, View
-from reedspoke.control_plane.replication.gets import GetForwarder, TailReader
+from reedspoke.control_plane.replication.effects import GetCompleted
+from reedspoke.control_plane.replication.entry import CommittedConfiguration
+from reedspoke.control_plane.replication.events import GetSubmitted
+from reedspoke.control_plane.replication.get_forwarding import GetForwarder
 from reedspoke.control_plane.replication.messages import GetReply, GetRequest
+from reedspoke.control_plane.replication.tail_reader import TailReader
+from reedspoke.control_plane.replication.view import Member, View
 from reedspoke.control_plane.views.majority_contact import ContactState
 from tests.control_plane.chain_replica import (
     ANSWER_LIMIT_S,
@@ -68,12 +72,12 @@
     replica.register.commit()
     for sequence, expected in ((1, 10), (2, None)):
         gets = GetForwarder("b:1", replica.outbox, replica.register, ANSWER_LIMIT_S)
-        gets.get(Get(1), WHOLE, ContactState.CONFIRMED)
+        gets.get(GetSubmitted(1), WHOLE, ContactState.CONFIRMED)
         replica.outbox.take()
         gets.reply(GetReply(VIEW_NUMBER, "b:1:1", True, sequence))
         (answer,) = replica.outbox.take()
-        assert isinstance(answer, GetAnswer)
+        assert isinstance(answer, GetCompleted)
         if expected is None:
             assert (answer.committed, answer.error) == (None, ErrorCode.NO_QUORUM)
         else:
-            assert answer.committed == Committed(1, expected, FIRST.document, FIRST.view)
+            assert answer.committed == CommittedConfiguration(1, expected, FIRST.document, FIRST.view)
--- a/tests/control_plane/test_guards_register.py
+++ b/tests/control_plane/test_guards_register.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from reedspoke.common.errors import ErrorCode
-from reedspoke.control_plane.replication.messages import Entry
+from reedspoke.control_plane.replication.entry import Entry
 from reedspoke.control_plane.storage.records import (
     EntryRecord,
     HistoryRecord,
@@ -29,7 +29,7 @@
     replica = ChainReplica(MIDDLE)
     ended: list[bool] = []
     replica.register.append(FIRST, ended.append)
-    replica.register.adopt(SECOND, packed_history(SECOND), VIEW_NUMBER, lambda synced: None)
+    replica.register.install_snapshot(SECOND, packed_history(SECOND), VIEW_NUMBER, lambda synced: None)
     replica.end_store()
     assert replica.register.entry == SECOND
     assert replica.register.packed_history == packed_history(SECOND)
@@ -47,7 +47,7 @@
 
 def test_an_adopted_state_that_the_disk_refused_counts_as_lacking() -> None:
     replica = ChainReplica(MIDDLE)
-    replica.register.adopt(FIRST, b"", VIEW_NUMBER, lambda synced: None)
+    replica.register.install_snapshot(FIRST, b"", VIEW_NUMBER, lambda synced: None)
     replica.end_store(ErrorCode.STORAGE_FULL)
     assert replica.register.synced_since == 0
 
@@ -105,7 +105,7 @@
 
 def test_while_a_state_is_adopted_and_after_it_nothing_is_known_of_commits() -> None:
     replica = ChainReplica(MIDDLE)
-    replica.register.adopt(FIRST, packed_history(FIRST), VIEW_NUMBER, lambda synced: None)
+    replica.register.install_snapshot(FIRST, packed_history(FIRST), VIEW_NUMBER, lambda synced: None)
     assert replica.register.committed_until(NOW) is None
     replica.end_store()
     assert replica.register.committed_until(NOW) is None
@@ -113,5 +113,5 @@
 
 def test_while_an_empty_state_is_adopted_nothing_is_known_of_commits() -> None:
     replica = ChainReplica(MIDDLE)
-    replica.register.adopt(None, b"", VIEW_NUMBER, lambda synced: None)
+    replica.register.install_snapshot(None, b"", VIEW_NUMBER, lambda synced: None)
     assert replica.register.committed_until(NOW) is None
--- a/tests/control_plane/test_guards_replica.py
+++ b/tests/control_plane/test_guards_replica.py
@@ -6,44 +6,37 @@
 from msgspec import Struct
 
 from reedspoke.common.errors import ErrorCode
-from reedspoke.control_plane.replication.events import (
-    Effect,
-    Member,
-    Received,
-    SendTo,
-    Store,
-    Stored,
-    Tick,
-    View,
-)
+from reedspoke.control_plane.replication.effects import Effect, SendMessage, StoreRecords
+from reedspoke.control_plane.replication.events import MessageReceived, StoreCompleted, Tick
 from reedspoke.control_plane.replication.messages import (
     AcceptRequest,
     AcceptResponse,
     GetReply,
     GetRequest,
-    Ping,
+    Heartbeat,
+    InstallSnapshot,
     PrepareRequest,
     ProposalNumber,
     ReadLeaseGrant,
     ReadLeaseReleased,
     ReadLeaseReleaseRequest,
-    Snapshot,
 )
 from reedspoke.control_plane.replication.replica import Replica, ReplicaSettings
 from reedspoke.control_plane.replication.settings import (
-    HEARD_S,
-    PING_INTERVAL_S,
+    HEARTBEAT_INTERVAL_S,
     PROPOSE_AFTER_S,
     RANK_DELAY_S,
+    REACHABLE_TIMEOUT_S,
     READ_LEASE_TTL_S,
     TICK_S,
 )
+from reedspoke.control_plane.replication.view import Member, View
 from reedspoke.control_plane.storage.records import ViewRecord, encode_record
 from tests.control_plane.chain_replica import HEAD, MIDDLE, START, TAIL, VIEW_NUMBER, WHOLE, entry, view_of
 
 OTHER_TAIL = View(VIEW_NUMBER + 1, WHOLE.voters, WHOLE.chain[:-1])
 LONG_PAUSE_S = 5.0
-PROPOSED_BY_S = HEARD_S + PROPOSE_AFTER_S + 3 * RANK_DELAY_S + 1.0
+PROPOSED_BY_S = REACHABLE_TIMEOUT_S + PROPOSE_AFTER_S + 3 * RANK_DELAY_S + 1.0
 
 
 class LoneReplica:
@@ -78,7 +71,7 @@
 
     def receive(self, sender: Member, message: Struct) -> list[Struct]:
         """What it sends when this comes."""
-        return self._carry_out(self.replica.handle(self.now, Received(sender.address, message)))
+        return self._carry_out(self.replica.handle(self.now, MessageReceived(sender.address, message)))
 
     def tick(self, seconds: float = TICK_S) -> list[Struct]:
         """What it sends when so much time has passed."""
@@ -88,12 +81,12 @@
     def ping_from(self, member: Member, *, disk_ok: bool = True, hears_us: bool = True) -> list[Struct]:
         """A sign of life of a complete member in the same view."""
         heard = (self.own.folder_id,) if hears_us else ()
-        return self.receive(member, Ping(member, self.view_number, heard, disk_ok, 0, 0))
+        return self.receive(member, Heartbeat(member, self.view_number, heard, disk_ok, 0, 0))
 
     def lease_asked_by(self, member: Member, *, hears_us: bool = True) -> list[Struct]:
         """A ping that asks for a read lease."""
         heard = (self.own.folder_id,) if hears_us else ()
-        ping = Ping(member, self.view_number, heard, True, 0, 0, lease_sent=self.now)
+        ping = Heartbeat(member, self.view_number, heard, True, 0, 0, lease_sent=self.now)
         return self.receive(member, ping)
 
     def run_beside(self, *members: Member, seconds: float, disk_ok: bool = True) -> list[Struct]:
@@ -116,13 +109,13 @@
     def _carry_out(self, effects: list[Effect]) -> list[Struct]:
         sent: list[Struct] = []
         for effect in effects:
-            if isinstance(effect, SendTo):
+            if isinstance(effect, SendMessage):
                 sent.append(effect.message)
-            elif isinstance(effect, Store):
+            elif isinstance(effect, StoreRecords):
                 self.store_count += 1
                 if self.disk_answers:
                     sent += self._carry_out(
-                        self.replica.handle(self.now, Stored(effect.token, self.disk_error))
+                        self.replica.handle(self.now, StoreCompleted(effect.token, self.disk_error))
                     )
         return sent
 
@@ -131,9 +124,9 @@
     return [message for message in messages if isinstance(message, kind)]
 
 
-def _last_ping(messages: list[Struct]) -> Ping:
-    ping = _of_type(messages, Ping)[-1]
-    assert isinstance(ping, Ping)
+def _last_ping(messages: list[Struct]) -> Heartbeat:
+    ping = _of_type(messages, Heartbeat)[-1]
+    assert isinstance(ping, Heartbeat)
     return ping
 
 
@@ -167,8 +160,8 @@
 
 def test_an_incomplete_tail_asks_for_no_lease() -> None:
     incomplete = view_of((HEAD, 1), (TAIL, VIEW_NUMBER))
-    assert _last_ping(LoneReplica(TAIL, incomplete).tick(PING_INTERVAL_S)).lease_sent is None
-    assert _last_ping(LoneReplica(TAIL).tick(PING_INTERVAL_S)).lease_sent is not None
+    assert _last_ping(LoneReplica(TAIL, incomplete).tick(HEARTBEAT_INTERVAL_S)).lease_sent is None
+    assert _last_ping(LoneReplica(TAIL).tick(HEARTBEAT_INTERVAL_S)).lease_sent is not None
 
 
 def test_a_voter_grants_the_tail_in_reach_alone() -> None:
@@ -202,9 +195,9 @@
 def test_a_member_says_that_it_is_complete_once_its_state_is_on_disk() -> None:
     middle = LoneReplica(MIDDLE, view_of((HEAD, 1), (MIDDLE, VIEW_NUMBER), (TAIL, 1)))
     middle.disk_answers = False
-    middle.receive(HEAD, Snapshot(VIEW_NUMBER, VIEW_NUMBER, entry(1), b""))
+    middle.receive(HEAD, InstallSnapshot(VIEW_NUMBER, VIEW_NUMBER, entry(1), b""))
     assert middle.store_count == 1
-    assert _last_ping(middle.tick(PING_INTERVAL_S)).synced_since == 0
+    assert _last_ping(middle.tick(HEARTBEAT_INTERVAL_S)).synced_since == 0
 
 
 def test_a_process_that_was_stopped_still_says_whom_it_heard_before() -> None:
@@ -219,15 +212,15 @@
 
 def test_a_folder_that_the_disk_refused_takes_no_part_in_the_first_start() -> None:
     starting = LoneReplica(HEAD, None, bootstrap=True)
-    assert _last_ping(starting.tick(PING_INTERVAL_S)).bootstrap
+    assert _last_ping(starting.tick(HEARTBEAT_INTERVAL_S)).bootstrap
     refused = LoneReplica(HEAD, None, bootstrap=True, disk_error=ErrorCode.STORAGE_FULL)
-    assert not _last_ping(refused.tick(PING_INTERVAL_S)).bootstrap
+    assert not _last_ping(refused.tick(HEARTBEAT_INTERVAL_S)).bootstrap
 
 
 def test_an_empty_folder_founds_nothing_unless_it_is_told_to() -> None:
     joining = LoneReplica(HEAD, None, bootstrap=False)
     assert joining.store_count == 0
-    assert not _last_ping(joining.tick(PING_INTERVAL_S)).bootstrap
+    assert not _last_ping(joining.tick(HEARTBEAT_INTERVAL_S)).bootstrap
 
 
 # ---- whom it judges ----
@@ -248,14 +241,14 @@
 def test_a_replica_that_falls_silent_is_not_in_reach() -> None:
     head = LoneReplica(HEAD)
     head.ping_from(TAIL)
-    for _ in range(int(HEARD_S / TICK_S) + 2):
+    for _ in range(int(REACHABLE_TIMEOUT_S / TICK_S) + 2):
         head.tick()
     assert not head.replica.majority_reached
 
 
 def test_who_has_just_started_proposes_nobody_s_removal() -> None:
     head = LoneReplica(HEAD)
-    sent = head.run_beside(MIDDLE, seconds=HEARD_S - 2 * TICK_S)
+    sent = head.run_beside(MIDDLE, seconds=REACHABLE_TIMEOUT_S - 2 * TICK_S)
     assert not _of_type(sent, PrepareRequest)
     assert _of_type(head.run_beside(MIDDLE, seconds=PROPOSED_BY_S), PrepareRequest)
 
--- a/tests/control_plane/test_invariant_checks.py
+++ b/tests/control_plane/test_invariant_checks.py
@@ -14,8 +14,10 @@
 from reedspoke.common.messages import WorkerList
 from reedspoke.common.node_settings import NodeSettings
 from reedspoke.control_plane.replication.driver import ReplicaDriver
-from reedspoke.control_plane.replication.events import Committed, GetAnswer, PutAnswer, View
+from reedspoke.control_plane.replication.effects import GetCompleted, PutCompleted
+from reedspoke.control_plane.replication.entry import CommittedConfiguration
 from reedspoke.control_plane.replication.invariants import ReplicaInvariants
+from reedspoke.control_plane.replication.view import View
 from reedspoke.control_plane.workers.duty_lease import DutyLease
 from reedspoke.telemetry.invariants import Invariant, monitor
 from tests.control_plane.chain_replica import MIDDLE, ChainReplica, entry
@@ -34,8 +36,8 @@
     return View(number, (), ())
 
 
-def committed(sequence: int, document: bytes = b"{}") -> Committed:
-    return Committed(sequence, sequence, document, 1)
+def committed(sequence: int, document: bytes = b"{}") -> CommittedConfiguration:
+    return CommittedConfiguration(sequence, sequence, document, 1)
 
 
 def test_a_view_that_goes_back() -> None:
@@ -53,7 +55,7 @@
 
 def test_two_changes_of_one_sequence() -> None:
     held = entry(4)
-    same = Committed(4, held.generation, held.document, 1)
+    same = CommittedConfiguration(4, held.generation, held.document, 1)
     other = structs.replace(same, document=b"another")
     assert broken_by(lambda: ReplicaInvariants().handled(None, same, held)) == set()
     assert broken_by(lambda: ReplicaInvariants().handled(None, other, held)) == {
@@ -83,11 +85,11 @@
         settings = NodeSettings("core-1", "127.0.0.1", "z", data_dir=str(tmp_path))
         driver: Any = ReplicaDriver(settings, ADDRESS, Surroundings())
         driver._replica = WithoutMajority()
-        for answer in (PutAnswer(1, None), GetAnswer(1, committed(1))):
+        for answer in (PutCompleted(1, None), GetCompleted(1, committed(1))):
             assert broken_by(lambda answer=answer: driver._check_grant(answer, 0.0)) == {  # type: ignore[misc]
                 Invariant.READ_HAS_GRANT
             }
-        refused = PutAnswer(1, ErrorCode.NO_QUORUM, "")
+        refused = PutCompleted(1, ErrorCode.NO_QUORUM, "")
         assert broken_by(lambda: driver._check_grant(refused, 0.0)) == set()
 
     asyncio.run(run())
--- a/tests/control_plane/test_log_file.py
+++ b/tests/control_plane/test_log_file.py
@@ -17,7 +17,7 @@
     OLD_TEMPORARY_NAME,
     OTHER_SLOT_NAME,
     open_log,
-    set_aside,
+    quarantine_log,
 )
 from reedspoke.control_plane.storage.log_format import HEADER
 from tests.control_plane.simulated_files import single_copies
@@ -134,7 +134,7 @@
     _written(tmp_path)
     old = open_log(tmp_path)
     old.writer.close()
-    aside = set_aside(tmp_path)
+    aside = quarantine_log(tmp_path)
     new = open_log(tmp_path)
     assert aside.exists()
     assert new.created
--- a/tests/control_plane/test_losses_first_start.py
+++ b/tests/control_plane/test_losses_first_start.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from reedspoke.control_plane.replication.repair import SEED_COMES_WITHIN_S
+from reedspoke.control_plane.replication.chain_repair import SEED_COMES_WITHIN_S
 from tests.control_plane.loss_check import check_by_trial, check_records, further_losses
 from tests.control_plane.schedule import check_end
 from tests.control_plane.simulation import Simulation
--- a/tests/control_plane/test_losses_members.py
+++ b/tests/control_plane/test_losses_members.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from reedspoke.control_plane.replication.events import SendTo
-from reedspoke.control_plane.replication.messages import AcceptRequest, PrepareResponse, Snapshot
+from reedspoke.control_plane.replication.effects import SendMessage
+from reedspoke.control_plane.replication.messages import AcceptRequest, InstallSnapshot, PrepareResponse
 from tests.control_plane.loss_check import check_by_trial, check_records, further_losses
 from tests.control_plane.loss_schedule import depart
 from tests.control_plane.simulated_parts import DiskMode
@@ -123,9 +123,9 @@
     simulation = strong_core(4, 5, 2)
     lost = simulation.chain()[-1]
     voter = simulation.chain()[place]
-    seen: list[SendTo] = []
+    seen: list[SendMessage] = []
 
-    def spy(effect: SendTo) -> None:
+    def spy(effect: SendMessage) -> None:
         if isinstance(effect.message, message_type) and not seen:
             seen.append(effect)
             simulation.at(simulation.now, lambda: simulation.lose_disk(voter, restart_after=0.3))
@@ -175,8 +175,10 @@
     gone = simulation.chain()[0]
     simulation.lose_power(gone, restart_after=None)
     simulation.run(1.5)
-    copied: list[SendTo] = []
-    simulation.spy = lambda effect: copied.append(effect) if isinstance(effect.message, Snapshot) else None
+    copied: list[SendMessage] = []
+    simulation.spy = lambda effect: (
+        copied.append(effect) if isinstance(effect.message, InstallSnapshot) else None
+    )
     for number in range(machines - 2):
         simulation.add_machine(f"n{number}")
     assert time_to_full_strength(simulation, 1) < CATCH_UP_S
--- a/tests/control_plane/test_losses_view_choice.py
+++ b/tests/control_plane/test_losses_view_choice.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from reedspoke.control_plane.replication.events import ChainLink, Member, View
+from reedspoke.control_plane.replication.view import ChainLink, Member, View
 from reedspoke.control_plane.views.largest_chain import Links, largest_connected_chain
 from reedspoke.control_plane.views.next_view import MemberCondition, MembershipSnapshot, choose_next_view
 
--- a/tests/control_plane/test_majority_contact.py
+++ b/tests/control_plane/test_majority_contact.py
@@ -6,9 +6,10 @@
 from msgspec import Struct
 
 from reedspoke.common.errors import ErrorCode
-from reedspoke.control_plane.replication.events import Leave, Member, Received, View
+from reedspoke.control_plane.replication.events import MessageReceived, ShutdownStarted
 from reedspoke.control_plane.replication.messages import ProposalNumber, ViewConfirmation
 from reedspoke.control_plane.replication.settings import MAJORITY_CONTACT_TTL_S
+from reedspoke.control_plane.replication.view import Member, View
 from reedspoke.control_plane.storage.records import AcceptorRecord
 from reedspoke.control_plane.views.majority_contact import MajorityContact
 from tests.control_plane.schedule import Faults, Operator
@@ -214,10 +215,10 @@
     now = simulation.now + simulation.machines["m1"].clock_skew
     for voter in view.voters:
         grant = ViewConfirmation(voter.folder_id, view.number + 1, now)
-        replica.handle(now, Received("elsewhere", grant))
+        replica.handle(now, MessageReceived("elsewhere", grant))
     assert not replica.holds_majority(now)
     for voter in view.voters:
-        replica.handle(now, Received("elsewhere", ViewConfirmation(voter.folder_id, view.number, now)))
+        replica.handle(now, MessageReceived("elsewhere", ViewConfirmation(voter.folder_id, view.number, now)))
     assert replica.holds_majority(now)
 
 
@@ -225,7 +226,7 @@
     simulation = Simulation(seed=11)
     simulation.settle()
     simulation.run(1.0)
-    simulation.inject("m3", Leave())
+    simulation.inject("m3", ShutdownStarted())
     replica = simulation.replica("m3")
     assert simulation.run_until(lambda: not replica.in_chain, 3.0)
     assert replica.holds_majority(simulation.now + simulation.machines["m3"].clock_skew)
--- a/tests/control_plane/test_next_view.py
+++ b/tests/control_plane/test_next_view.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from reedspoke.control_plane.replication.events import ChainLink, Member, View
+from reedspoke.control_plane.replication.view import ChainLink, Member, View
 from reedspoke.control_plane.views.next_view import MemberCondition, MembershipSnapshot, choose_next_view
 
 
--- a/tests/control_plane/test_orders_history.py
+++ b/tests/control_plane/test_orders_history.py
@@ -11,8 +11,9 @@
 
 from reedspoke.common.errors import ErrorCode, FleetError
 from reedspoke.common.messages import decode, encode
-from reedspoke.control_plane.replication.change_history import ROW, Acknowledged, ChangeHistory
-from reedspoke.control_plane.replication.messages import Entry, ReplicaMessage, Snapshot
+from reedspoke.control_plane.replication.change_history import ROW, ChangeHistory
+from reedspoke.control_plane.replication.entry import ChangeId, Entry
+from reedspoke.control_plane.replication.messages import InstallSnapshot, ReplicaMessage
 from reedspoke.control_plane.replication.settings import HISTORY_LIMIT
 from reedspoke.control_plane.storage.records import (
     EntryRecord,
@@ -90,20 +91,20 @@
 
 
 def test_the_packed_history_finds_each_change_and_no_other() -> None:
-    changes = [Acknowledged(number, sha256(b"%d" % number).digest()) for number in range(3, 900, 3)]
+    changes = [ChangeId(number, sha256(b"%d" % number).digest()) for number in range(3, 900, 3)]
     history = ChangeHistory()
     for change in changes:
         history.add(change)
     assert ChangeHistory(history.packed()) == history
     assert all(change in history for change in changes)
-    assert not any(Acknowledged(change.generation, bytes(32)) in history for change in changes)
-    assert not any(Acknowledged(change.generation + 1, change.digest) in history for change in changes)
-    assert Acknowledged(2**63 - 1, bytes(32)) not in history
+    assert not any(ChangeId(change.generation, bytes(32)) in history for change in changes)
+    assert not any(ChangeId(change.generation + 1, change.digest) in history for change in changes)
+    assert ChangeId(2**63 - 1, bytes(32)) not in history
 
 
 def test_an_empty_history_holds_nothing() -> None:
     history = ChangeHistory()
-    assert Acknowledged(0, bytes(32)) not in history
+    assert ChangeId(0, bytes(32)) not in history
     assert (len(history), history.oldest_generation, history.newest) == (0, 0, None)
 
 
@@ -115,7 +116,7 @@
 
 def test_a_log_of_an_earlier_version_is_read() -> None:
     entry = Entry(2, 1, 7, b"seventh")
-    listed = (Acknowledged(3, bytes(32)), Acknowledged(7, sha256(b"seventh").digest()))
+    listed = (ChangeId(3, bytes(32)), ChangeId(7, sha256(b"seventh").digest()))
     state = restore([encode_record(ListedHistoryRecord(listed)), encode_record(EntryRecord(entry))])
     assert all(change in state.history for change in listed)
     assert len(state.history) == 2
@@ -126,8 +127,8 @@
     record = ormsgpack.packb(["packed_history", bytes(ROW.size + 1)])
     with pytest.raises(FleetError, match="unknown record"):
         restore([record])
-    message = encode(Snapshot(1, 1, None, bytes(ROW.size)))
-    assert isinstance(decode(message, ReplicaMessage), Snapshot)
+    message = encode(InstallSnapshot(1, 1, None, bytes(ROW.size)))
+    assert isinstance(decode(message, ReplicaMessage), InstallSnapshot)
     broken = ormsgpack.packb(["snapshot", 1, 1, None, bytes(ROW.size + 1)])
     with pytest.raises(msgspec.ValidationError, match="packed history"):
         msgspec.convert(ormsgpack.unpackb(broken), type=ReplicaMessage)
--- a/tests/control_plane/test_orders_invalid.py
+++ b/tests/control_plane/test_orders_invalid.py
@@ -18,7 +18,7 @@
     OperatorApi,
     status_of,
 )
-from reedspoke.control_plane.replication.events import PutAnswer
+from reedspoke.control_plane.replication.effects import PutCompleted
 from reedspoke.control_plane.storage.records import EntryRecord, decode_record
 from tests.control_plane.direct_core import DirectCore
 from tests.control_plane_process.stand_ins import configuration
@@ -54,9 +54,9 @@
         """It does, as nothing fails here."""
         return True
 
-    async def put(self, match: int, generation: int, document: bytes) -> PutAnswer:
+    async def put(self, match: int, generation: int, document: bytes) -> PutCompleted:
         """Have the configuration replicated."""
-        return PutAnswer(1, self._core.put("m2", match, generation, document))
+        return PutCompleted(1, self._core.put("m2", match, generation, document))
 
 
 def _status(core: DirectCore, match: str, document: bytes) -> int:
--- a/tests/control_plane/test_orders_refused.py
+++ b/tests/control_plane/test_orders_refused.py
@@ -5,7 +5,7 @@
 import pytest
 
 from reedspoke.common.errors import ErrorCode
-from reedspoke.control_plane.replication.events import Received
+from reedspoke.control_plane.replication.events import MessageReceived
 from reedspoke.control_plane.replication.messages import PutReply, PutRequest
 from reedspoke.control_plane.storage.records import EntryRecord, decode_record
 from tests.control_plane.direct_core import DirectCore
@@ -73,7 +73,7 @@
         core.restart()
     view = core.replicas[core.head()].view
     assert view is not None
-    core.inject(core.head(), Received("m3", PutRequest(view.number, f"{ASKER}:1", 2, 3, b"third")))
+    core.inject(core.head(), MessageReceived("m3", PutRequest(view.number, f"{ASKER}:1", 2, 3, b"third")))
     assert core.put("m3", 2, 3, b"third") is None
 
 
@@ -136,13 +136,13 @@
     assert view is not None
     request = PutRequest(view.number, f"{ASKER}:1", 2, 3, b"third")
     core.sent.clear()
-    core.inject(head, Received("m9", request))
+    core.inject(head, MessageReceived("m9", request))
     core.run(1.0)
     (reply,) = _replies(core)
     core.start(head)
     core.run(0.5)
     assert core.put(head, 1, 2, b"second") is None
-    core.inject(head, Received("m9", request))
+    core.inject(head, MessageReceived("m9", request))
     assert reply.error == UNCLEAR
     committed = core.replicas[head].committed
     assert committed is not None
@@ -168,7 +168,7 @@
 def _answers_to(core: DirectCore, head: str, requests: list[PutRequest]) -> dict[str, int]:
     core.sent.clear()
     for request in requests:
-        core.inject(head, Received("m9", request))
+        core.inject(head, MessageReceived("m9", request))
     return {reply.request: reply.error for reply in _replies(core)}
 
 
--- a/tests/control_plane/test_orders_requests.py
+++ b/tests/control_plane/test_orders_requests.py
@@ -12,12 +12,14 @@
 from reedspoke.common.errors import ErrorCode
 from reedspoke.common.node_settings import NodeSettings
 from reedspoke.control_plane.replication import driver as driver_module
-from reedspoke.control_plane.replication.driver import ReplicaDriver, Surroundings
-from reedspoke.control_plane.replication.events import Committed, Member, SendTo, View
+from reedspoke.control_plane.replication.driver import ReplicaDriver, ReplicaEnvironment
+from reedspoke.control_plane.replication.effects import SendMessage
+from reedspoke.control_plane.replication.entry import CommittedConfiguration
 from reedspoke.control_plane.replication.messages import GetReply, GetRequest, PutReply, PutRequest
 from reedspoke.control_plane.replication.outbox import Outbox
-from reedspoke.control_plane.replication.refusals import Refusals
+from reedspoke.control_plane.replication.rejection_confirmation import RejectionConfirmer
 from reedspoke.control_plane.replication.replica import Replica, ReplicaSettings
+from reedspoke.control_plane.replication.view import Member, View
 from tests.control_plane.schedule import Faults, Operator, check_end, come_back
 from tests.control_plane.simulation import Simulation
 
@@ -60,13 +62,13 @@
 # ---- names ----
 
 
-class Quiet(Surroundings):
+class Quiet(ReplicaEnvironment):
     """A process of which nothing is asked."""
 
-    def send(self, effect: SendTo) -> None:
+    def send(self, effect: SendMessage) -> None:
         """Nothing is sent."""
 
-    def deliver(self, committed: Committed) -> None:
+    def deliver(self, committed: CommittedConfiguration) -> None:
         """Nothing is delivered."""
 
     def view_changed(self, view: View) -> None:
@@ -130,7 +132,7 @@
     assert not first & sent
 
 
-def _note_request(effect: SendTo, sent: set[str]) -> None:
+def _note_request(effect: SendMessage, sent: set[str]) -> None:
     if isinstance(effect.message, PutRequest):
         sent.add(effect.message.request)
 
@@ -138,14 +140,14 @@
 # ---- confirmations of refusals ----
 
 
-def _refusals(name: str, outbox: Outbox) -> Refusals:
-    refusals = Refusals(name, outbox)
+def _refusals(name: str, outbox: Outbox) -> RejectionConfirmer:
+    refusals = RejectionConfirmer(name, outbox)
     refusals.enter(1, Member(folder_id="t", address="tail"))
     return refusals
 
 
 def _key(outbox: Outbox) -> str:
-    (effect,) = (effect for effect in outbox.take() if isinstance(effect, SendTo))
+    (effect,) = (effect for effect in outbox.take() if isinstance(effect, SendMessage))
     assert isinstance(effect.message, GetRequest)
     return effect.message.request
 
--- a/tests/control_plane/test_orders_verdicts.py
+++ b/tests/control_plane/test_orders_verdicts.py
@@ -6,58 +6,60 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from reedspoke.control_plane.replication.chain_register import Register
-from reedspoke.control_plane.replication.change_history import Acknowledged
-from reedspoke.control_plane.replication.messages import Entry, PutRequest
+from reedspoke.control_plane.replication.change_decision import ChangeDecision, decide_change
+from reedspoke.control_plane.replication.configuration_register import ConfigurationRegister
+from reedspoke.control_plane.replication.entry import ChangeId, Entry, change_id_of
+from reedspoke.control_plane.replication.messages import PutRequest
 from reedspoke.control_plane.replication.outbox import Outbox
-from reedspoke.control_plane.replication.verdict import Verdict, verdict_on
-from reedspoke.control_plane.storage.records import EntryRecord, acknowledged, encode_record, restore
+from reedspoke.control_plane.storage.records import EntryRecord, encode_record, restore
 
-REFUSED = {Verdict.STALE_MATCH, Verdict.OLD_GENERATION}
-NOT_TAKEN = REFUSED | {Verdict.FORGOTTEN}
+REFUSED = {ChangeDecision.STALE_MATCH, ChangeDecision.OLD_GENERATION}
+NOT_TAKEN = REFUSED | {ChangeDecision.FORGOTTEN}
 
 Order = tuple[int, int, bytes]
 
 
-def _register(generations: list[int]) -> Register:
+def _register(generations: list[int]) -> ConfigurationRegister:
     """A register that has taken these generations, each with its own document."""
     entries = [
         Entry(sequence, 1, generation, b"taken %d" % generation)
         for sequence, generation in enumerate(generations, 1)
     ]
-    return Register(Outbox("m1", 0.0, 0), restore([encode_record(EntryRecord(entry)) for entry in entries]))
+    return ConfigurationRegister(
+        Outbox("m1", 0.0, 0), restore([encode_record(EntryRecord(entry)) for entry in entries])
+    )
 
 
-def _verdict(register: Register, order: Order) -> Verdict:
+def _verdict(register: ConfigurationRegister, order: Order) -> ChangeDecision:
     match, generation, document = order
-    change: Acknowledged = acknowledged(Entry(0, 0, generation, document))
-    return verdict_on(PutRequest(1, "asker:1:1", match, generation, document), change, register)
+    change: ChangeId = change_id_of(Entry(0, 0, generation, document))
+    return decide_change(PutRequest(1, "asker:1:1", match, generation, document), change, register)
 
 
 @pytest.mark.parametrize(
     ("order", "verdict"),
     [
-        ((5, 9, b"next"), Verdict.TAKE),
-        ((0, 3, b"taken 3"), Verdict.ACKNOWLEDGE),
-        ((3, 5, b"taken 5"), Verdict.ACKNOWLEDGE),
-        ((7, 5, b"taken 5"), Verdict.ACKNOWLEDGE),
-        ((3, 5, b"rival"), Verdict.STALE_MATCH),
-        ((0, 9, b"rival"), Verdict.STALE_MATCH),
-        ((4, 9, b"between"), Verdict.STALE_MATCH),
-        ((5, 5, b"rival"), Verdict.OLD_GENERATION),
-        ((5, 4, b"rival"), Verdict.OLD_GENERATION),
-        ((9, 7, b"rival"), Verdict.OLD_GENERATION),
-        ((6, 9, b"early"), Verdict.HOLD),
+        ((5, 9, b"next"), ChangeDecision.TAKE),
+        ((0, 3, b"taken 3"), ChangeDecision.ACKNOWLEDGE),
+        ((3, 5, b"taken 5"), ChangeDecision.ACKNOWLEDGE),
+        ((7, 5, b"taken 5"), ChangeDecision.ACKNOWLEDGE),
+        ((3, 5, b"rival"), ChangeDecision.STALE_MATCH),
+        ((0, 9, b"rival"), ChangeDecision.STALE_MATCH),
+        ((4, 9, b"between"), ChangeDecision.STALE_MATCH),
+        ((5, 5, b"rival"), ChangeDecision.OLD_GENERATION),
+        ((5, 4, b"rival"), ChangeDecision.OLD_GENERATION),
+        ((9, 7, b"rival"), ChangeDecision.OLD_GENERATION),
+        ((6, 9, b"early"), ChangeDecision.HOLD),
     ],
 )
-def test_verdicts_after_generations_3_and_5(order: Order, verdict: Verdict) -> None:
+def test_verdicts_after_generations_3_and_5(order: Order, verdict: ChangeDecision) -> None:
     assert _verdict(_register([3, 5]), order) is verdict
 
 
 def test_the_first_change_builds_on_0() -> None:
-    assert _verdict(_register([]), (0, 1, b"first")) is Verdict.TAKE
-    assert _verdict(_register([]), (1, 2, b"early")) is Verdict.HOLD
-    assert _verdict(_register([]), (0, 0, b"zero")) is Verdict.OLD_GENERATION
+    assert _verdict(_register([]), (0, 1, b"first")) is ChangeDecision.TAKE
+    assert _verdict(_register([]), (1, 2, b"early")) is ChangeDecision.HOLD
+    assert _verdict(_register([]), (0, 0, b"zero")) is ChangeDecision.OLD_GENERATION
 
 
 numbers = st.integers(0, 30)
@@ -82,5 +84,5 @@
         later = verdicts[index:]
         if verdict in REFUSED and rival:
             assert set(later) <= NOT_TAKEN
-        if verdict is Verdict.ACKNOWLEDGE:
-            assert set(later) <= {Verdict.ACKNOWLEDGE}
+        if verdict is ChangeDecision.ACKNOWLEDGE:
+            assert set(later) <= {ChangeDecision.ACKNOWLEDGE}
--- a/tests/control_plane/test_orders_views.py
+++ b/tests/control_plane/test_orders_views.py
@@ -6,8 +6,21 @@
 from msgspec import Struct
 
 from reedspoke.common.errors import ErrorCode
-from reedspoke.control_plane.replication.events import Deliver, Effect, Event, Member, Received, SendTo, Store
-from reedspoke.control_plane.replication.messages import Commit, GetReply, Ping, PutReply, PutRequest
+from reedspoke.control_plane.replication.effects import (
+    DeliverConfiguration,
+    Effect,
+    SendMessage,
+    StoreRecords,
+)
+from reedspoke.control_plane.replication.events import Event, MessageReceived
+from reedspoke.control_plane.replication.messages import (
+    CommitNotification,
+    GetReply,
+    Heartbeat,
+    PutReply,
+    PutRequest,
+)
+from reedspoke.control_plane.replication.view import Member
 from reedspoke.control_plane.storage.records import restore
 from tests.control_plane.simulation import Simulation
 
@@ -41,8 +54,8 @@
 
 def _news_of_commit(kind: str, member: Member, view: int, sequence: int) -> Struct:
     if kind == "commit":
-        return Commit(view, sequence)
-    return Ping(member, view, (), True, 0, sequence)
+        return CommitNotification(view, sequence)
+    return Heartbeat(member, view, (), True, 0, sequence)
 
 
 @pytest.mark.parametrize("kind", ["commit", "ping"])
@@ -64,8 +77,8 @@
     assert entry.document == b"only at the head"
     tail = view.chain[-1].member
     news = _news_of_commit(kind, tail, view.number + offset, entry.sequence)
-    effects = _handle(core, head, Received(tail.address, news))
-    assert not [effect for effect in effects if isinstance(effect, Deliver)]
+    effects = _handle(core, head, MessageReceived(tail.address, news))
+    assert not [effect for effect in effects if isinstance(effect, DeliverConfiguration)]
     committed = core.replica(head).committed
     assert committed is not None
     assert committed.sequence == entry.sequence - 1
@@ -96,8 +109,8 @@
 
 
 def _is_newer_ping(event: Event, view: int) -> bool:
-    ping = event.message if isinstance(event, Received) else None
-    return isinstance(ping, Ping) and ping.view > view and ping.committed == 2
+    ping = event.message if isinstance(event, MessageReceived) else None
+    return isinstance(ping, Heartbeat) and ping.view > view and ping.committed == 2
 
 
 def test_a_head_without_a_majority_takes_nothing_and_says_so_at_once(core: Simulation) -> None:
@@ -106,9 +119,9 @@
     core.isolate(head)
     assert core.run_until(lambda: not core.replica(head).majority_reached, 2.0)
     request = PutRequest(number, "asker:1:1", 1, 2, b"second")
-    effects = _handle(core, head, Received("m9", request))
-    assert not [effect for effect in effects if isinstance(effect, Store)]
-    replies = [effect.message for effect in effects if isinstance(effect, SendTo)]
+    effects = _handle(core, head, MessageReceived("m9", request))
+    assert not [effect for effect in effects if isinstance(effect, StoreRecords)]
+    replies = [effect.message for effect in effects if isinstance(effect, SendMessage)]
     (reply,) = [message for message in replies if isinstance(message, PutReply)]
     assert reply.error == ErrorCode.WRITE_UNCLEAR
     core.run(1.0)
@@ -123,8 +136,8 @@
     number = _view_number(core)
     core.isolate(head)
     assert core.run_until(lambda: not core.replica(head).majority_reached, 2.0)
-    effects = _handle(core, head, Received("m9", PutRequest(number, "asker:1:1", 0, 2, b"stale")))
-    messages = [effect.message for effect in effects if isinstance(effect, SendTo)]
+    effects = _handle(core, head, MessageReceived("m9", PutRequest(number, "asker:1:1", 0, 2, b"stale")))
+    messages = [effect.message for effect in effects if isinstance(effect, SendMessage)]
     assert [message.error for message in messages if isinstance(message, PutReply)] == [303]
     assert not [message for message in messages if isinstance(message, GetReply)]
 
@@ -133,10 +146,10 @@
     """The new life knows nothing of the answer, which must not have been a refusal."""
     head = core.chain()[0]
     number = _view_number(core)
-    copy = Received("m9", PutRequest(number, "asker:1:1", 1, 2, b"second"))
+    copy = MessageReceived("m9", PutRequest(number, "asker:1:1", 1, 2, b"second"))
     core.isolate(head)
     assert core.run_until(lambda: not core.replica(head).majority_reached, 2.0)
-    replies = [effect.message for effect in _handle(core, head, copy) if isinstance(effect, SendTo)]
+    replies = [effect.message for effect in _handle(core, head, copy) if isinstance(effect, SendMessage)]
     core.heal()
     core.kill(head, restart_after=0.02)
     core.run(0.4)
@@ -156,7 +169,7 @@
     number = _view_number(core) + offset
     for match in (0, 1):
         request = PutRequest(number, f"asker:1:{match}", match, 2, b"second")
-        assert _handle(core, head, Received("m9", request)) == []
+        assert _handle(core, head, MessageReceived("m9", request)) == []
 
 
 def test_an_old_head_does_not_refuse_what_the_others_took_whatever_its_match(core: Simulation) -> None:
@@ -169,7 +182,7 @@
     _thaw_with_old_pings_alone(core, head, number)
     replies: list[PutReply] = []
     core.spy = lambda effect: _note_reply(effect, replies)
-    core.inject(head, Received("m9", PutRequest(number, "asker:1:1", 0, 2, b"second")))
+    core.inject(head, MessageReceived("m9", PutRequest(number, "asker:1:1", 0, 2, b"second")))
     core.run(1.5)
     assert [reply for reply in replies if reply.error != ErrorCode.WRITE_UNCLEAR] == []
 
@@ -178,16 +191,16 @@
     """What it finds first makes it believe that all are in reach and nothing has changed."""
     machine = simulation.machines[address]
     own = machine.disk.folder_id
-    pings = [event for event in machine.missed if isinstance(event, Received)]
+    pings = [event for event in machine.missed if isinstance(event, MessageReceived)]
     machine.missed = [event for event in pings if _is_old_ping(event.message, view, own)]
     simulation.thaw(address)
     assert simulation.replica(address).majority_reached
 
 
 def _is_old_ping(message: Struct, view: int, hearer: str) -> bool:
-    return isinstance(message, Ping) and message.view == view and hearer in message.heard
+    return isinstance(message, Heartbeat) and message.view == view and hearer in message.heard
 
 
-def _note_reply(effect: SendTo, replies: list[PutReply]) -> None:
+def _note_reply(effect: SendMessage, replies: list[PutReply]) -> None:
     if effect.address == "m9" and isinstance(effect.message, PutReply):
         replies.append(effect.message)
--- a/tests/control_plane/test_read_lease.py
+++ b/tests/control_plane/test_read_lease.py
@@ -2,12 +2,12 @@
 
 from __future__ import annotations
 
-from reedspoke.control_plane.replication.events import ChainLink, Member, View
 from reedspoke.control_plane.replication.settings import (
     GRANT_BACKOFF_S,
     READ_LEASE_MARGIN_S,
     READ_LEASE_TTL_S,
 )
+from reedspoke.control_plane.replication.view import ChainLink, Member, View
 from reedspoke.control_plane.views.read_lease import ReadLeaseHolder, ReadLeaseVoter
 
 A, B, C, D = (Member(folder_id=name, address=f"at-{name}") for name in "abcd")
--- a/tests/control_plane/test_replica_answers.py
+++ b/tests/control_plane/test_replica_answers.py
@@ -5,9 +5,9 @@
 import pytest
 
 from reedspoke.common.errors import ErrorCode
-from reedspoke.control_plane.replication.change_history import Acknowledged
-from reedspoke.control_plane.replication.events import SendTo
-from reedspoke.control_plane.replication.messages import Append
+from reedspoke.control_plane.replication.effects import SendMessage
+from reedspoke.control_plane.replication.entry import ChangeId
+from reedspoke.control_plane.replication.messages import AppendRequest
 from reedspoke.control_plane.replication.settings import HISTORY_LIMIT, READ_LEASE_TTL_S, REWRITE_BYTES
 from reedspoke.control_plane.storage.log_format import COPIES
 from reedspoke.control_plane.storage.records import restore
@@ -69,7 +69,7 @@
 
 @pytest.mark.parametrize("mode", [DiskMode.FULL, DiskMode.FAILS])
 def test_what_failed_at_the_heads_disk_is_not_passed_on(core: Simulation, mode: DiskMode) -> None:
-    sent: list[SendTo] = []
+    sent: list[SendMessage] = []
     core.spy = sent.append
     head = core.chain()[0]
     core.set_disk(head, mode)
@@ -77,7 +77,7 @@
     core.run(0.05)
     assert _error(core, call) is ErrorCode.WRITE_UNCLEAR
     core.run(3.0)
-    assert not [effect for effect in sent if isinstance(effect.message, Append)]
+    assert not [effect for effect in sent if isinstance(effect.message, AppendRequest)]
     core.spy = None
     assert core.put_and_wait(core.chain()[0], 1, 3, b"another") is None
     come_back(core)
@@ -144,12 +144,12 @@
 
 
 def test_a_large_document_is_sent_once_to_each_successor(core: Simulation) -> None:
-    sent: list[SendTo] = []
+    sent: list[SendMessage] = []
     core.spy = sent.append
     document = b"x" * 4_000_000
     core.network.check_encoding = False
     assert core.put_and_wait("m2", 1, 2, document) is None
-    large = [effect for effect in sent if isinstance(effect.message, Append)]
+    large = [effect for effect in sent if isinstance(effect.message, AppendRequest)]
     assert len(large) == 2
 
 
@@ -184,6 +184,6 @@
     assert HISTORY_LIMIT == 8192
     history = restore([]).history
     for generation in range(1, HISTORY_LIMIT + 2):
-        history.add(Acknowledged(generation, bytes(32)))
+        history.add(ChangeId(generation, bytes(32)))
     assert len(history) == HISTORY_LIMIT
     assert history.oldest_generation == 2
--- a/tests/control_plane/test_replica_stale.py
+++ b/tests/control_plane/test_replica_stale.py
@@ -5,31 +5,23 @@
 import pytest
 
 from reedspoke.common.errors import ErrorCode
-from reedspoke.control_plane.replication.events import (
-    ChainLink,
-    Effect,
-    Event,
-    Member,
-    Put,
-    PutAnswer,
-    Received,
-    SendTo,
-    View,
-)
+from reedspoke.control_plane.replication.effects import Effect, PutCompleted, SendMessage
+from reedspoke.control_plane.replication.entry import Entry
+from reedspoke.control_plane.replication.events import Event, MessageReceived, PutSubmitted
 from reedspoke.control_plane.replication.messages import (
     AcceptRequest,
-    Append,
-    Commit,
-    Entry,
-    Ping,
+    AppendRequest,
+    CommitNotification,
+    Heartbeat,
+    InstallSnapshot,
     PrepareRequest,
     ProposalNumber,
     PutReply,
     PutRequest,
-    Snapshot,
 )
 from reedspoke.control_plane.replication.outbox import Outbox
-from reedspoke.control_plane.replication.puts import PutForwarder
+from reedspoke.control_plane.replication.put_forwarding import PutForwarder
+from reedspoke.control_plane.replication.view import ChainLink, Member, View
 from reedspoke.control_plane.storage.records import restore
 from reedspoke.control_plane.views.majority_contact import ContactState
 from tests.control_plane.simulation import Simulation
@@ -63,8 +55,8 @@
     own = machine.disk.folder_id
 
     def is_old_ping(event: Event) -> bool:
-        ping = event.message if isinstance(event, Received) else None
-        return isinstance(ping, Ping) and ping.view == OLD_VIEW and own in ping.heard
+        ping = event.message if isinstance(event, MessageReceived) else None
+        return isinstance(ping, Heartbeat) and ping.view == OLD_VIEW and own in ping.heard
 
     machine.missed = [event for event in machine.missed if is_old_ping(event)]
     core.thaw(address)
@@ -97,14 +89,14 @@
     stray = Entry(4, OLD_VIEW, 9, b"stray")
     before = replica.snapshot_records()
     messages = (
-        Append(OLD_VIEW, stray),
-        Snapshot(OLD_VIEW, 1, stray, b""),
-        Commit(OLD_VIEW, 4),
+        AppendRequest(OLD_VIEW, stray),
+        InstallSnapshot(OLD_VIEW, 1, stray, b""),
+        CommitNotification(OLD_VIEW, 4),
         PutRequest(OLD_VIEW, "x:1", 3, 9, b"stray"),
     )
     for message in messages:
-        for effect in replica.handle(core.now, Received("m2", message)):
-            assert not isinstance(effect, SendTo) or isinstance(effect.message, Ping)
+        for effect in replica.handle(core.now, MessageReceived("m2", message)):
+            assert not isinstance(effect, SendMessage) or isinstance(effect.message, Heartbeat)
     assert replica.snapshot_records() == before
 
 
@@ -114,7 +106,7 @@
     proposed = View(view.number + 1, view.voters, view.chain[:-1])
     message = AcceptRequest(proposed.number, ProposalNumber(50, "gone:1"), proposed, released_at=FAR_LATER)
     for address in ("m1", "m2"):
-        core.inject(address, Received("gone", message))
+        core.inject(address, MessageReceived("gone", message))
     core.run(2.5)
     core.settle()
     newest = core.newest_view()
@@ -128,7 +120,7 @@
 def test_no_two_lives_of_a_process_share_a_ballot(core: Simulation) -> None:
     proposers: set[str] = set()
 
-    def note(effect: SendTo) -> None:
+    def note(effect: SendMessage) -> None:
         if isinstance(effect.message, PrepareRequest):
             proposers.add(effect.message.proposal_number.proposer)
 
@@ -160,15 +152,15 @@
 
 
 def _answers(effects: list[Effect]) -> list[ErrorCode | None]:
-    return [effect.error for effect in effects if isinstance(effect, PutAnswer)]
+    return [effect.error for effect in effects if isinstance(effect, PutCompleted)]
 
 
 def test_a_refusal_counts_only_from_the_head_that_was_asked_last() -> None:
     outbox = Outbox("at-own", 10.0, 0)
     puts = PutForwarder("own:1", outbox, 0.9)
-    puts.put(Put(1, 0, 1, b"first"), _view(1, "a"), contact=ContactState.CONFIRMED)
+    puts.put(PutSubmitted(1, 0, 1, b"first"), _view(1, "a"), contact=ContactState.CONFIRMED)
     puts.tick(_view(2, "b"), ContactState.CONFIRMED)
-    sent = [effect for effect in outbox.take() if isinstance(effect, SendTo)]
+    sent = [effect for effect in outbox.take() if isinstance(effect, SendMessage)]
     assert [effect.address for effect in sent] == ["at-a", "at-b"]
     stale = int(ErrorCode.CONFIGURATION_STALE_MATCH)
     puts.reply(PutReply(1, "own:1:1", stale))
@@ -181,7 +173,7 @@
 def test_an_acknowledgement_counts_from_any_head() -> None:
     outbox = Outbox("at-own", 10.0, 0)
     puts = PutForwarder("own:1", outbox, 0.9)
-    puts.put(Put(1, 0, 1, b"first"), _view(1, "a"), contact=ContactState.CONFIRMED)
+    puts.put(PutSubmitted(1, 0, 1, b"first"), _view(1, "a"), contact=ContactState.CONFIRMED)
     puts.tick(_view(2, "b"), ContactState.CONFIRMED)
     outbox.take()
     puts.reply(PutReply(1, "own:1:1", 0))
