--- a/tests/control_plane/test_storage_changes.py
+++ b/tests/control_plane/test_storage_changes.py
@@ -14,8 +14,13 @@
 
 from reedspoke.common.errors import ErrorCode
 from reedspoke.control_plane.replication import outbox as replica_outbox
-from reedspoke.control_plane.replication.events import Store
-from reedspoke.control_plane.replication.messages import Append, ChainState, Commit, Snapshot
+from reedspoke.control_plane.replication.effects import StoreRecords
+from reedspoke.control_plane.replication.messages import (
+    AppendRequest,
+    CommitNotification,
+    InstallSnapshot,
+    SuccessorStatus,
+)
 from tests.control_plane.simulated_parts import DiskMode
 from tests.control_plane.storage_simulation import StorageSimulation
 
@@ -205,7 +210,7 @@
 
 
 @pytest.mark.parametrize("position", POSITIONS)
-@pytest.mark.parametrize("kind", [Snapshot, Append, ChainState, Commit])
+@pytest.mark.parametrize("kind", [InstallSnapshot, AppendRequest, SuccessorStatus, CommitNotification])
 @pytest.mark.parametrize("delays", [LOST, DOUBLED, LATE], ids=["lost", "doubled", "late"])
 def test_a_message_of_catching_up_is_lost_doubled_or_late(
     fleet: Fleet, kind: type[Struct], delays: list[float], position: str
@@ -215,7 +220,7 @@
     address = fleet.at(position)
     come_back = _away(fleet, address)
     other = next(name for name in simulation.machines if name != address)
-    receiver = None if kind in (ChainState, Commit) else address
+    receiver = None if kind in (SuccessorStatus, CommitNotification) else address
     for number in (1, 2):
         fault = simulation.message_fault = ChainFault(kind, receiver, number, delays)
         come_back()
@@ -251,7 +256,7 @@
     seen: set[int] = set()
 
     def strike(_: int) -> None:
-        waiting: list[Store] = simulation.machines[address].disk.waiting
+        waiting: list[StoreRecords] = simulation.machines[address].disk.waiting
         seen.update(store.token for store in waiting)
         if len(seen) == number:
             simulation.on_store = None
@@ -267,7 +272,9 @@
     address = fleet.at("tail")
     come_back = _away(fleet, address)
     come_back()
-    assert simulation.run_until(lambda: simulation.replica(address)._register.adopting, CATCH_UP_S, 0.001)
+    assert simulation.run_until(
+        lambda: simulation.replica(address)._register.installing_snapshot, CATCH_UP_S, 0.001
+    )
     simulation.set_disk(address, DiskMode.STALLS)
     other = fleet.at("head")
     simulation.put(other, fleet.generation, fleet.generation + 1, b"meanwhile")
@@ -329,7 +336,7 @@
     address = fleet.at("tail")
     come_back = _away(fleet, address, changes=0)
     simulation.link_bytes_per_s = 0.2e6
-    count = simulation.message_fault = ChainFault(Snapshot, address, 0, [])
+    count = simulation.message_fault = ChainFault(InstallSnapshot, address, 0, [])
     come_back()
     assert simulation.run_until(lambda: fleet.checked(address), 25.0)
     assert count.count <= 5
--- a/tests/control_plane/test_storage_damage.py
+++ b/tests/control_plane/test_storage_damage.py
@@ -6,11 +6,11 @@
 
 from reedspoke.common.errors import ErrorCode, FleetError
 from reedspoke.control_plane.storage.log_file import (
-    ASIDE_NAME,
+    CORRUPT_LOG_NAME,
     LOG_NAME,
     OLD_TEMPORARY_NAME,
     open_log,
-    set_aside,
+    quarantine_log,
 )
 from reedspoke.control_plane.storage.log_format import encode_batch
 from tests.control_plane.simulated_files import FOLDER, PowerLost, SimulatedFiles, single_copies, use
@@ -183,13 +183,13 @@
     files = use(monkeypatch, SimulatedFiles({LOG_NAME: _content(monkeypatch)}))
     use(monkeypatch, files)
     before = open_log(FOLDER)
-    set_aside(FOLDER)
+    quarantine_log(FOLDER)
     for _ in range(2):
         opened = open_log(FOLDER)
         assert opened.folder_id != before.folder_id
         assert opened.succeeds_corrupt
         assert opened.records == []
-    assert ASIDE_NAME in files.after_kill()
+    assert CORRUPT_LOG_NAME in files.after_kill()
     assert not before.succeeds_corrupt
 
 
@@ -204,7 +204,7 @@
         files = use(monkeypatch, SimulatedFiles({LOG_NAME: bytes(content)}))
         files.lose_power_at = number
         try:
-            set_aside(FOLDER)
+            quarantine_log(FOLDER)
             open_log(FOLDER)
         except PowerLost:
             points += 1
--- a/tests/control_plane/test_storage_driver.py
+++ b/tests/control_plane/test_storage_driver.py
@@ -13,10 +13,12 @@
 from reedspoke.common.node_settings import NodeSettings
 from reedspoke.control_plane.replication import driver as driver_module
 from reedspoke.control_plane.replication.driver import ReplicaDriver
-from reedspoke.control_plane.replication.events import Committed, SendTo, View
+from reedspoke.control_plane.replication.effects import SendMessage
+from reedspoke.control_plane.replication.entry import CommittedConfiguration
 from reedspoke.control_plane.replication.replica import Replica
 from reedspoke.control_plane.replication.settings import ReplicaSettings
-from reedspoke.control_plane.storage.log_file import ASIDE_NAME, LOG_NAME, open_log
+from reedspoke.control_plane.replication.view import View
+from reedspoke.control_plane.storage.log_file import CORRUPT_LOG_NAME, LOG_NAME, open_log
 
 ADDRESS = "127.0.0.1:7660"
 LIMIT_S = 5.0
@@ -25,10 +27,10 @@
 class Surroundings:
     """Nothing is around."""
 
-    def send(self, effect: SendTo) -> None:
+    def send(self, effect: SendMessage) -> None:
         """Lost."""
 
-    def deliver(self, committed: Committed) -> None:
+    def deliver(self, committed: CommittedConfiguration) -> None:
         """Ignored."""
 
     def view_changed(self, view: View) -> None:
@@ -91,7 +93,7 @@
         return bool(made.records) and made.records[-1] == []
 
     _run(tmp_path, started_anew)
-    assert (tmp_path / ASIDE_NAME).exists()
+    assert (tmp_path / CORRUPT_LOG_NAME).exists()
     assert not made.settings[-1].bootstrap
     made.settings.clear()
     _run(tmp_path, lambda: bool(made.settings))
--- a/tests/control_plane/test_storage_lost_copy.py
+++ b/tests/control_plane/test_storage_lost_copy.py
@@ -6,8 +6,13 @@
 from msgspec import Struct
 
 from reedspoke.common.errors import ErrorCode
-from reedspoke.control_plane.replication.events import Received
-from reedspoke.control_plane.replication.messages import Append, ChainState, Commit, Ping
+from reedspoke.control_plane.replication.events import MessageReceived
+from reedspoke.control_plane.replication.messages import (
+    AppendRequest,
+    CommitNotification,
+    Heartbeat,
+    SuccessorStatus,
+)
 from reedspoke.control_plane.storage.log_format import encode_batch
 from reedspoke.control_plane.storage.records import EntryRecord, encode_record
 from tests.control_plane.simulated_files import SimulatedFiles
@@ -75,12 +80,12 @@
     assert view is not None
     link = view.chain[1]
     messages: dict[str, Struct] = {
-        "successor": ChainState(view.number, link.member.folder_id, link.joined, True, CHANGES + 1),
-        "tail": Commit(view.number, CHANGES + 1),
-        "ping": Ping(link.member, view.number, (), True, 0, CHANGES + 1),
+        "successor": SuccessorStatus(view.number, link.member.folder_id, link.joined, True, CHANGES + 1),
+        "tail": CommitNotification(view.number, CHANGES + 1),
+        "ping": Heartbeat(link.member, view.number, (), True, 0, CHANGES + 1),
     }
     assert simulation.replica(head).in_chain
-    simulation.inject(head, Received(middle, messages[told_by]))
+    simulation.inject(head, MessageReceived(middle, messages[told_by]))
     assert not simulation.replica(head).in_chain
     assert simulation.run_until(lambda: simulation.chain()[0] == middle, CATCH_UP_S)
     simulation.settle()
@@ -92,12 +97,12 @@
     """Otherwise it might put another entry in the place of one that it has lost."""
     simulation = _core(monkeypatch, 1)
     head = simulation.chain()[0]
-    appended: list[Append] = []
+    appended: list[AppendRequest] = []
 
     def fault(_: str, receiver: str, message: Struct) -> list[float]:
-        if isinstance(message, Append):
+        if isinstance(message, AppendRequest):
             appended.append(message)
-        return [] if receiver == head and isinstance(message, ChainState) else [0.0]
+        return [] if receiver == head and isinstance(message, SuccessorStatus) else [0.0]
 
     simulation.kill(head, restart_after=0.1)
     simulation.message_fault = fault
--- a/tests/control_plane/test_storage_size.py
+++ b/tests/control_plane/test_storage_size.py
@@ -10,7 +10,8 @@
 import pytest
 
 from reedspoke.control_plane.replication import outbox as replica_outbox
-from reedspoke.control_plane.replication.events import Store, Stored
+from reedspoke.control_plane.replication.effects import StoreRecords
+from reedspoke.control_plane.replication.events import StoreCompleted
 from reedspoke.control_plane.replication.outbox import Outbox
 from reedspoke.control_plane.replication.settings import REWRITE_BYTES
 from reedspoke.control_plane.storage.log_format import COPIES, encode_batch, encoded_size
@@ -77,6 +78,6 @@
 def _replaces_after_one_store(outbox: Outbox) -> bool:
     outbox.store([], lambda _: None)
     (store,) = outbox.take()
-    assert isinstance(store, Store)
-    outbox.stored(Stored(store.token))
-    return any(isinstance(effect, Store) and effect.replace for effect in outbox.take())
+    assert isinstance(store, StoreRecords)
+    outbox.stored(StoreCompleted(store.token))
+    return any(isinstance(effect, StoreRecords) and effect.replace for effect in outbox.take())
--- a/tests/control_plane/test_view_agreement.py
+++ b/tests/control_plane/test_view_agreement.py
@@ -6,7 +6,8 @@
 from hypothesis import strategies as st
 
 from reedspoke.common.errors import ErrorCode
-from reedspoke.control_plane.replication.events import ChainLink, Member, SendTo, Store, Stored, View
+from reedspoke.control_plane.replication.effects import SendMessage, StoreRecords
+from reedspoke.control_plane.replication.events import StoreCompleted
 from reedspoke.control_plane.replication.messages import (
     AcceptRequest,
     AcceptResponse,
@@ -18,6 +19,7 @@
 )
 from reedspoke.control_plane.replication.outbox import Outbox
 from reedspoke.control_plane.replication.settings import READ_LEASE_TTL_S, ReplicaSettings
+from reedspoke.control_plane.replication.view import ChainLink, Member, View
 from reedspoke.control_plane.storage.records import ViewRecord, encode_record, restore
 from reedspoke.control_plane.views.agreement import ViewAgreement
 
@@ -58,21 +60,21 @@
         )
         self.outbox.now = START + READ_LEASE_TTL_S + 1
 
-    def step(self) -> list[SendTo]:
+    def step(self) -> list[SendMessage]:
         """Carry out stores; return what is to be sent, messages to itself among them."""
-        sent = [SendTo(self.member.address, message) for message in self.outbox.take_to_self()]
+        sent = [SendMessage(self.member.address, message) for message in self.outbox.take_to_self()]
         for effect in self.outbox.take():
-            if isinstance(effect, SendTo):
+            if isinstance(effect, SendMessage):
                 sent.append(effect)
-            elif isinstance(effect, Store):
+            elif isinstance(effect, StoreRecords):
                 sent += self._store(effect)
         return sent
 
-    def _store(self, store: Store) -> list[SendTo]:
+    def _store(self, store: StoreRecords) -> list[SendMessage]:
         if self.disk_works:
             self.records.extend(store.records)
         error = None if self.disk_works else ErrorCode.STORAGE_FAILED
-        self.outbox.stored(Stored(store.token, error))
+        self.outbox.stored(StoreCompleted(store.token, error))
         return self.step()
 
 
@@ -84,7 +86,7 @@
 @settings(max_examples=60, deadline=None, derandomize=True)
 def test_one_value_is_decided_whatever_is_lost_doubled_or_restarted(data: st.DataObject) -> None:
     voters = {member.address: Voter(member) for member in MEMBERS}
-    network: list[tuple[str, SendTo]] = []
+    network: list[tuple[str, SendMessage]] = []
     told: set[View] = set()
 
     def collect(address: str) -> None:
--- a/tests/control_plane_process/test_configuration_cache.py
+++ b/tests/control_plane_process/test_configuration_cache.py
@@ -17,14 +17,14 @@
 from reedspoke.common.messages import ConfigurationDelta, ConfigurationSnapshot, Version, decode
 from reedspoke.control_plane.delivery import configuration_cache
 from reedspoke.control_plane.delivery.configuration_cache import MOST_KEPT, ConfigurationCache
-from reedspoke.control_plane.replication.events import Committed
+from reedspoke.control_plane.replication.entry import CommittedConfiguration
 from tests.control_plane_process.stand_ins import configuration
 
 VIEW = 3
 
 
 def commit(cache: ConfigurationCache, sequence: int, document: bytes, view: int = VIEW) -> bool:
-    return cache.install(cache.prepare(Committed(sequence, sequence * 2, document, view)))
+    return cache.install(cache.prepare(CommittedConfiguration(sequence, sequence * 2, document, view)))
 
 
 def received(cache: ConfigurationCache, have: Version) -> ConfigurationSnapshot | ConfigurationDelta:
@@ -104,8 +104,8 @@
 def test_two_that_are_prepared_before_either_is_installed() -> None:
     cache = ConfigurationCache()
     commit(cache, 1, configuration(2))
-    second = cache.prepare(Committed(2, 4, configuration(4), VIEW))
-    third = cache.prepare(Committed(3, 6, configuration(6), VIEW))
+    second = cache.prepare(CommittedConfiguration(2, 4, configuration(4), VIEW))
+    third = cache.prepare(CommittedConfiguration(3, 6, configuration(6), VIEW))
     assert cache.install(second)
     assert cache.install(third)
     for have in (1, 2):
--- a/tests/control_plane_process/test_edge_sessions.py
+++ b/tests/control_plane_process/test_edge_sessions.py
@@ -28,7 +28,8 @@
 from reedspoke.control_plane.delivery.published_state import PublishedState
 from reedspoke.control_plane.peers.messages import Hello, SessionTable
 from reedspoke.control_plane.peers.transport import PeerMessage, PeerTransport
-from reedspoke.control_plane.replication.events import Committed, Member
+from reedspoke.control_plane.replication.entry import CommittedConfiguration
+from reedspoke.control_plane.replication.view import Member
 from reedspoke.control_plane.workers.worker_list import WorkerBook
 from tests.control_plane_process.stand_ins import Answer, configuration
 from tests.ports import free_port
@@ -68,7 +69,7 @@
         self.peer_messages.append((sender, message))
 
     def commit(self, sequence: int, document: bytes) -> None:
-        self.cache.install(self.cache.prepare(Committed(sequence, sequence * 2, document, VIEW)))
+        self.cache.install(self.cache.prepare(CommittedConfiguration(sequence, sequence * 2, document, VIEW)))
         self.sessions.changed()
 
     def publish(self, workers: WorkerList) -> None:
--- a/tests/control_plane_process/test_membership.py
+++ b/tests/control_plane_process/test_membership.py
@@ -8,7 +8,7 @@
 from reedspoke.common.messages import ControlMember, EdgeMember, WatchRequest
 from reedspoke.control_plane.delivery.membership import TABLE_LIFE_S, Membership, Running
 from reedspoke.control_plane.peers.messages import SessionEntry, SessionTable
-from reedspoke.control_plane.replication.events import Member
+from reedspoke.control_plane.replication.view import Member
 
 OWN = ControlMember("10.0.0.1:1", "za")
 EDGE_LIFE_S = 3.0
--- a/tests/control_plane_process/test_operator_api.py
+++ b/tests/control_plane_process/test_operator_api.py
@@ -13,7 +13,8 @@
 from reedspoke.control_plane.api import operator_api
 from reedspoke.control_plane.api.http_server import Request, Response
 from reedspoke.control_plane.api.operator_api import OPERATIONS, Calls, OperatorApi, StatusAnswer, status_of
-from reedspoke.control_plane.replication.events import Committed, GetAnswer, PutAnswer
+from reedspoke.control_plane.replication.effects import GetCompleted, PutCompleted
+from reedspoke.control_plane.replication.entry import CommittedConfiguration
 from tests.control_plane_process.stand_ins import configuration
 
 PATH = "/reedspoke/configuration"
@@ -23,8 +24,8 @@
     """Answers as told, or never."""
 
     def __init__(self) -> None:
-        self.put_answer: PutAnswer | None = PutAnswer(1, None)
-        self.get_answer: GetAnswer | None = GetAnswer(1, Committed(1, 3, configuration(3)))
+        self.put_answer: PutCompleted | None = PutCompleted(1, None)
+        self.get_answer: GetCompleted | None = GetCompleted(1, CommittedConfiguration(1, 3, configuration(3)))
         self.raises: FleetError | None = None
         self.majority = True
         self.loses_majority = False  # while a call waits
@@ -33,7 +34,7 @@
     async def check(self, document: bytes) -> Configuration:
         return parse_configuration(document)
 
-    async def put(self, match: int, generation: int, document: bytes) -> PutAnswer:
+    async def put(self, match: int, generation: int, document: bytes) -> PutCompleted:
         self.puts.append((match, generation))
         self._raise()
         self.majority = self.majority and not self.loses_majority
@@ -42,7 +43,7 @@
         assert self.put_answer is not None
         return self.put_answer
 
-    async def get(self) -> GetAnswer:
+    async def get(self) -> GetCompleted:
         self._raise()
         self.majority = self.majority and not self.loses_majority
         if self.get_answer is None:
@@ -98,7 +99,7 @@
 @pytest.mark.parametrize("code", sorted(OPERATIONS[PATH]["PUT"].errors))
 def test_each_error_of_a_put_has_its_status(code: ErrorCode) -> None:
     calls = StandIn()
-    calls.put_answer = PutAnswer(1, code, "text")
+    calls.put_answer = PutCompleted(1, code, "text")
     response = answered(calls, "PUT", body=configuration(3))
     assert (response.status, error_code(response)) == (status_of(code), code)
     assert ("Retry-After" in response.headers) == (response.status == 503)
@@ -107,7 +108,7 @@
 @pytest.mark.parametrize("code", sorted(OPERATIONS[PATH]["GET"].errors))
 def test_each_error_of_a_get_has_its_status(code: ErrorCode) -> None:
     calls = StandIn()
-    calls.get_answer = GetAnswer(1, None, code, "text")
+    calls.get_answer = GetCompleted(1, None, code, "text")
     response = answered(calls, "GET")
     assert (response.status, error_code(response)) == (status_of(code), code)
 
@@ -117,7 +118,7 @@
 def test_no_put_is_answered_for_certain_without_a_majority(code: ErrorCode | None, loses: bool) -> None:
     calls = StandIn()
     calls.majority, calls.loses_majority = loses, loses
-    calls.put_answer = PutAnswer(1, code, "text")
+    calls.put_answer = PutCompleted(1, code, "text")
     assert answered(calls, "PUT", body=configuration(3)).status == 503
 
 
@@ -127,7 +128,7 @@
     calls = StandIn()
     calls.majority, calls.loses_majority = loses, loses
     if code is not None:
-        calls.get_answer = GetAnswer(1, None, code, "text")
+        calls.get_answer = GetCompleted(1, None, code, "text")
     assert answered(calls, "GET").status == 503
 
 
@@ -186,7 +187,7 @@
 
 def test_no_configuration_is_an_answer_of_its_own() -> None:
     calls = StandIn()
-    calls.get_answer = GetAnswer(1, None)
+    calls.get_answer = GetCompleted(1, None)
     response = answered(calls, "GET")
     assert (response.status, error_code(response)) == (404, ErrorCode.NO_CONFIGURATION)
 
--- a/tests/data_plane/test_session_wire.py
+++ b/tests/data_plane/test_session_wire.py
@@ -27,7 +27,7 @@
 from reedspoke.control_plane.delivery.edge_sessions import EdgeSessions
 from reedspoke.control_plane.delivery.membership import Membership
 from reedspoke.control_plane.delivery.published_state import PublishedState
-from reedspoke.control_plane.replication.events import Committed
+from reedspoke.control_plane.replication.entry import CommittedConfiguration
 from reedspoke.control_plane.workers.worker_list import WorkerBook
 from reedspoke.data_plane import control_session
 from reedspoke.data_plane.session_choice import DIAL_BURST, DIALS_PER_S, SESSIONS
@@ -131,7 +131,7 @@
         super().learn(version)
         if version > self._cache.version:
             view, sequence = version
-            committed = Committed(sequence, sequence, document(sequence), view)
+            committed = CommittedConfiguration(sequence, sequence, document(sequence), view)
             self._cache.install(self._cache.prepare(committed))
 
     def step(self) -> None:
--- a/tests/golden/replica_examples.py
+++ b/tests/golden/replica_examples.py
@@ -7,18 +7,16 @@
 
 from msgspec import Struct
 
-from reedspoke.control_plane.replication.change_history import Acknowledged
-from reedspoke.control_plane.replication.events import ChainLink, Member, View
+from reedspoke.control_plane.replication.entry import ChangeId, Entry
 from reedspoke.control_plane.replication.messages import (
     AcceptRequest,
     AcceptResponse,
-    Append,
-    ChainState,
-    Commit,
-    Entry,
+    AppendRequest,
+    CommitNotification,
     GetReply,
     GetRequest,
-    Ping,
+    Heartbeat,
+    InstallSnapshot,
     PrepareRequest,
     PrepareResponse,
     ProposalNumber,
@@ -28,10 +26,11 @@
     ReadLeaseGrant,
     ReadLeaseReleased,
     ReadLeaseReleaseRequest,
-    Snapshot,
+    SuccessorStatus,
     ViewConfirmation,
     ViewDecided,
 )
+from reedspoke.control_plane.replication.view import ChainLink, Member, View
 from reedspoke.control_plane.storage.records import (
     AcceptorRecord,
     BootstrapRecord,
@@ -44,7 +43,7 @@
 )
 
 REPLICA_MESSAGES: dict[str, Struct] = {
-    "ping": Ping(
+    "ping": Heartbeat(
         member=Member(folder_id="text1", address="text2", zone="text3"),
         view=4,
         heard=(
@@ -61,7 +60,7 @@
         sent=10.5,
         starts_new=True,
     ),
-    "ping by default": Ping(
+    "ping by default": Heartbeat(
         member=Member(folder_id="text1", address="text2", zone="text3"),
         view=4,
         heard=(
@@ -195,24 +194,26 @@
     "resign_request by default": ReadLeaseReleaseRequest(view_number=1),
     "resigned": ReadLeaseReleased(view_number=1, released_at=2.5),
     "resigned by default": ReadLeaseReleased(view_number=1, released_at=2.5),
-    "chain_state": ChainState(view=1, folder_id="text2", joined=3, complete=True, sequence=4),
-    "chain_state by default": ChainState(view=1, folder_id="text2", joined=3, complete=True, sequence=4),
-    "append": Append(view=1, entry=Entry(sequence=2, view=3, generation=4, document=b"bytes5")),
-    "append by default": Append(view=1, entry=Entry(sequence=2, view=3, generation=4, document=b"bytes5")),
-    "snapshot": Snapshot(
+    "chain_state": SuccessorStatus(view=1, folder_id="text2", joined=3, complete=True, sequence=4),
+    "chain_state by default": SuccessorStatus(view=1, folder_id="text2", joined=3, complete=True, sequence=4),
+    "append": AppendRequest(view=1, entry=Entry(sequence=2, view=3, generation=4, document=b"bytes5")),
+    "append by default": AppendRequest(
+        view=1, entry=Entry(sequence=2, view=3, generation=4, document=b"bytes5")
+    ),
+    "snapshot": InstallSnapshot(
         view=1,
         joined=2,
         entry=Entry(sequence=3, view=4, generation=5, document=b"bytes6"),
         history=bytes(range(40)),
     ),
-    "snapshot by default": Snapshot(
+    "snapshot by default": InstallSnapshot(
         view=1,
         joined=2,
         entry=Entry(sequence=3, view=4, generation=5, document=b"bytes6"),
         history=bytes(range(40)),
     ),
-    "commit": Commit(view=1, sequence=2),
-    "commit by default": Commit(view=1, sequence=2),
+    "commit": CommitNotification(view=1, sequence=2),
+    "commit by default": CommitNotification(view=1, sequence=2),
     "put_request": PutRequest(view=1, request="text2", match=3, generation=4, document=b"bytes5"),
     "put_request by default": PutRequest(view=1, request="text2", match=3, generation=4, document=b"bytes5"),
     "put_reply": PutReply(view=1, request="text2", error=3, message="text4"),
@@ -293,14 +294,14 @@
     "packed_history by default": HistoryRecord(history=bytes(range(40))),
     "history": ListedHistoryRecord(
         history=(
-            Acknowledged(generation=1, digest=b"bytes2"),
-            Acknowledged(generation=3, digest=b"bytes4"),
+            ChangeId(generation=1, digest=b"bytes2"),
+            ChangeId(generation=3, digest=b"bytes4"),
         )
     ),
     "history by default": ListedHistoryRecord(
         history=(
-            Acknowledged(generation=1, digest=b"bytes2"),
-            Acknowledged(generation=3, digest=b"bytes4"),
+            ChangeId(generation=1, digest=b"bytes2"),
+            ChangeId(generation=3, digest=b"bytes4"),
         )
     ),
     "synced": SyncedRecord(joined=1),
