--- a/reedspoke/control_plane/process.py
+++ b/reedspoke/control_plane/process.py
@@ -99,7 +99,7 @@
             self._state,
             settings.watch_hold_s(),
             self._sessions_changed,
-            self._quota.asked,
+            self._quota.handle_request,
         )
         self._transport = PeerTransport(self._address, settings.zone, self._peer_message, self._sessions)
         self._duty = WorkerDiscovery(
@@ -183,7 +183,7 @@
         self._membership.set_view(tuple(members.values()))
         voters = tuple(voter.address for voter in view.voters)
         self._lease.set_voters(voters)
-        self._quota.voters_known(frozenset(voters))
+        self._quota.set_voters(frozenset(voters))
 
     def ticked(self) -> None:
         """A little time has passed."""
@@ -191,7 +191,7 @@
         self._send_lease(self._lease.tick(now))
         self._duty.check_lease()
         self._sessions.look()
-        self._quota.ticked()
+        self._quota.tick()
         if now >= self._table_at:
             self._tell_sessions(now)
         if now >= self._settings_at:
@@ -277,9 +277,9 @@
                 self._send_lease(self._lease.handle_message(sender, message, now))
                 self._duty.check_lease()
             case QuotaLoanRequest():
-                self._quota.loan_requested(sender, message)
+                self._quota.handle_loan_request(sender, message)
             case QuotaLoan():
-                self._quota.loan_came(message)
+                self._quota.handle_loan(message)
             case WorkerList():
                 self._lease.observe_term(message.version[0])
                 if self._book.adopt(message, now):
--- a/reedspoke/control_plane/quota/service.py
+++ b/reedspoke/control_plane/quota/service.py
@@ -1,4 +1,4 @@
-"""Quotas of tenants at a control scheduler: joins the grants to sessions, to its peers and to the clock."""
+"""Quotas of tenants at a control scheduler: joins the allocator to sessions, peers and the clock."""
 
 from __future__ import annotations
 
@@ -12,70 +12,73 @@
 from reedspoke.common.tenants import Tenant
 from reedspoke.common.transport import Channel
 from reedspoke.control_plane.peers.messages import QuotaLoan, QuotaLoanRequest
-from reedspoke.control_plane.quota.grants import AnswerTo, QuotaEffect, QuotaGrants
+from reedspoke.control_plane.quota.allocator import QuotaAllocator, QuotaEffect, SendResponse, SendToPeer
 from reedspoke.control_plane.quota.share import QuotaShare
 
-SendLoan = Callable[[str, QuotaLoanRequest | QuotaLoan], None]
+SendLoanMessage = Callable[[str, QuotaLoanRequest | QuotaLoan], None]
 
 
 class QuotaService:
-    """All quotas here. `majority_as_of` and `reached` are as in `QuotaGrants`."""
+    """All quotas here. Owns the timer for loans; the callables are as in `QuotaAllocator`."""
 
     def __init__(
         self,
         address: str,
         settings: NodeSettings,
         majority_as_of: Callable[[], float | None],
-        reached: Callable[[], Collection[str]],
-        send: SendLoan,
+        reachable_peers: Callable[[], Collection[str]],
+        send: SendLoanMessage,
     ) -> None:
         self._loop = asyncio.get_running_loop()
         self._send = send
         now = self._loop.time()
         self._share = QuotaShare(address, settings.fault_tolerance.machines, now)
-        self._grants = QuotaGrants(quota_rule(settings), self._share, majority_as_of, reached, now)
-        self._timer: StallTolerantTimer | None = None
+        self._allocator = QuotaAllocator(
+            quota_rule(settings), self._share, majority_as_of, reachable_peers, now
+        )
+        self._loan_timer: StallTolerantTimer | None = None
 
     def configure(self, tenants: Mapping[str, Tenant]) -> None:
         """The newest committed configuration has these tenants."""
-        self._grants.configure(tenants, self._loop.time())
+        self._allocator.configure(tenants, self._loop.time())
 
-    def voters_known(self, voters: frozenset[str]) -> None:
+    def set_voters(self, voters: frozenset[str]) -> None:
         """The voters of the newest view."""
-        self._share.voters_known(voters, self._loop.time())
+        self._share.set_voters(voters, self._loop.time())
 
-    def ticked(self) -> None:
+    def tick(self) -> None:
         """A little time has passed."""
-        self._grants.refresh(self._loop.time())
+        self._allocator.refresh(self._loop.time())
 
-    def asked(self, channel: Channel, ask: QuotaRequest) -> None:
-        """A data plane scheduler asks."""
-        self._carry_out(self._grants.asked(channel, ask, self._loop.time()))
+    def handle_request(self, channel: Channel, request: QuotaRequest) -> None:
+        """A data plane scheduler's request; the response goes to its channel, at once or after loans."""
+        self._carry_out(self._allocator.handle_request(channel, request, self._loop.time()))
 
-    def loan_requested(self, sender: str, request: QuotaLoanRequest) -> None:
+    def handle_loan_request(self, sender: str, request: QuotaLoanRequest) -> None:
         """Another control scheduler lacks units."""
-        self._carry_out(self._grants.loan_requested(sender, request, self._loop.time()))
+        self._carry_out(self._allocator.handle_loan_request(sender, request, self._loop.time()))
 
-    def loan_came(self, loan: QuotaLoan) -> None:
+    def handle_loan(self, loan: QuotaLoan) -> None:
         """Another control scheduler lends units, or has none."""
-        self._carry_out(self._grants.loan_came(loan, self._loop.time()))
+        self._carry_out(self._allocator.handle_loan(loan, self._loop.time()))
 
     def _carry_out(self, effects: list[QuotaEffect]) -> None:
         for effect in effects:
-            if isinstance(effect, AnswerTo):
-                effect.asker.send(effect.answer)
-            else:
-                self._send(effect.address, effect.message)
-        wake_at = self._grants.wake_at()
-        if wake_at is not None and self._timer is None:
-            self._timer = StallTolerantTimer(self._loop, wake_at, self._round_ends)
+            match effect:
+                case SendResponse(requester=channel, response=response):
+                    channel.send(response)
+                case SendToPeer(address=address, message=message):
+                    self._send(address, message)
+        next_expiry = self._allocator.next_expiry()
+        if next_expiry is not None and self._loan_timer is None:
+            self._loan_timer = StallTolerantTimer(self._loop, next_expiry, self._expire_loans)
 
-    def _round_ends(self) -> None:
-        self._timer = None
-        self._carry_out(self._grants.end_rounds(self._loop.time()))
+    def _expire_loans(self) -> None:
+        self._loan_timer = None
+        self._carry_out(self._allocator.expire_loans(self._loop.time()))
 
 
 def quota_rule(settings: NodeSettings) -> QuotaRule:
-    """The deployment's bound on quotas."""
+    """The deployment's limit on quotas."""
     bounds = settings.bounds
     return QuotaRule(bounds.quota_window_s, bounds.quota_excess, bounds.quota_slack)
--- a/tests/control_plane/simulated_control.py
+++ b/tests/control_plane/simulated_control.py
@@ -162,7 +162,7 @@
             self._state,
             settings.watch_hold_s(),
             self._sessions_changed,
-            self._quota.asked,
+            self._quota.handle_request,
         )
         self._transport: Any = PeerLinks(self._simulation, self._address)
         self._driver: Any = ReplicaView(self._machine, self.loop)
--- a/tests/control_plane_process/quota_simulation.py
+++ b/tests/control_plane_process/quota_simulation.py
@@ -1,8 +1,8 @@
 """Plays quotas of one tenant over many schedulers, and judges every sliding window.
 
-Real `QuotaGrants` and `QuotaShare` of each control scheduler; data plane schedulers are reduced to what they
-ask. Control schedulers are killed and start anew, are cut off from each other, leave the view and come back;
-messages take time and are lost at cuts. Run it for long with
+Real `QuotaAllocator` and `QuotaShare` of each control scheduler; data plane schedulers are reduced to their
+requests. Control schedulers are killed and start anew, are cut off from each other, leave the view and come
+back; messages take time and are lost at partitions. Run it for long with
 
     python -m tests.control_plane_process.quota_simulation --runs 10000
 """
@@ -23,7 +23,7 @@
 from reedspoke.common.quota_rule import LAG_S, QuotaRule, bound
 from reedspoke.common.tenants import Tenant
 from reedspoke.control_plane.peers.messages import QuotaLoanRequest
-from reedspoke.control_plane.quota.grants import AnswerTo, QuotaEffect, QuotaGrants
+from reedspoke.control_plane.quota.allocator import QuotaAllocator, QuotaEffect, SendResponse
 from reedspoke.control_plane.quota.share import QuotaShare
 from reedspoke.data_plane.quota_outage import OutageAllowance
 
@@ -37,7 +37,7 @@
 MOST_LOST = 2  # control schedulers at once
 
 
-class Draw(Struct, frozen=True):
+class SimulationParameters(Struct, frozen=True):
     """What one run plays."""
 
     controls: int
@@ -48,8 +48,8 @@
     mean_units: float
     demand: float  # in multiples of the rate, outside of the surge
     surge: float
-    skew: float  # 0: all edges ask alike; towards 1: a few ask nearly all
-    troubles: int
+    skew: float  # 0: all edges send alike; towards 1: a few send nearly all
+    faults: int
     seconds: float = 30.0
 
     def rule(self) -> QuotaRule:
@@ -57,10 +57,10 @@
         return QuotaRule(8.0, 0.1, self.slack)
 
 
-def drawn(random: Random) -> Draw:
-    """A deployment with troubles."""
+def draw_parameters(random: Random) -> SimulationParameters:
+    """A deployment with faults."""
     rate = random.choice((20.0, 300.0, 30_000.0, 280_000.0))
-    return Draw(
+    return SimulationParameters(
         controls=random.choice((3, 5, 8)),
         edges=random.choice((6, 30, 85)),
         rate=rate,
@@ -70,7 +70,7 @@
         demand=random.choice((0.5, 0.77, 0.95)),
         surge=random.choice((1.0, 3.0, 8.0)),
         skew=random.choice((0.0, 0.5, 0.9)),
-        troubles=random.choice((0, 2, 5)),
+        faults=random.choice((0, 2, 5)),
     )
 
 
@@ -78,11 +78,11 @@
     """One control scheduler."""
 
     address: str
-    grants: QuotaGrants
+    allocator: QuotaAllocator
     share: QuotaShare
     majority_as_of: float | None = None
     is_up: bool = True
-    is_cut: bool = False  # from the other control schedulers
+    is_partitioned: bool = False  # from the other control schedulers
 
 
 class Arrival(Struct, frozen=True):
@@ -92,7 +92,7 @@
     units: float
 
 
-class Outcome(Struct):
+class SimulationResult(Struct):
     """What was seen in one run."""
 
     bound: float
@@ -116,36 +116,38 @@
 class Simulation:
     """One run, by its seed."""
 
-    def __init__(self, draw: Draw, seed: int) -> None:
-        self.draw = draw
+    def __init__(self, parameters: SimulationParameters, seed: int) -> None:
+        self.parameters = parameters
         self.random = Random(seed)
         self.now = 0.0
-        self.outcome = Outcome(bound(draw.rate, draw.burst, draw.rule()))
+        self.result = SimulationResult(bound(parameters.rate, parameters.burst, parameters.rule()))
         self._queue: list[tuple[float, int, Callable[[], None]]] = []
         self._numbers = count()
-        self._view = [f"c{number}" for number in range(draw.controls)]
-        self._controls = {address: self._fresh(address) for address in self._view}
+        self._view = [f"c{number}" for number in range(parameters.controls)]
+        self._controls = {address: self._new_control(address) for address in self._view}
         self._requests: dict[int, tuple[float, list[str]]] = {}
         for control in self._controls.values():
-            control.share.voters_known(frozenset(self._view), 0.0)
+            control.share.set_voters(frozenset(self._view), 0.0)
         self._edge_of: dict[int, tuple[int, bool]] = {}  # and whether its quota was said to be spent
-        self._outages = [OutageAllowance(draw.rule().window_s) for _ in range(draw.edges)]
-        self._weights = [(1 - draw.skew) ** number + 0.02 for number in range(draw.edges)]
-        self._sessions = [self.random.sample(self._view, min(2, len(self._view))) for _ in range(draw.edges)]
+        self._outages = [OutageAllowance(parameters.rule().window_s) for _ in range(parameters.edges)]
+        self._weights = [(1 - parameters.skew) ** number + 0.02 for number in range(parameters.edges)]
+        self._sessions = [
+            self.random.sample(self._view, min(2, len(self._view))) for _ in range(parameters.edges)
+        ]
 
-    def run(self) -> Outcome:
+    def run(self) -> SimulationResult:
         """Play it to its end."""
         self._tick()
         self._next_request()
         if self.random.random() < OUTAGES:
-            self._at(self.random.uniform(WARM_UP_S, self.draw.seconds - 3), self._lose_all)
-        for _ in range(self.draw.troubles):
-            at = self.random.uniform(WARM_UP_S, self.draw.seconds)
-            self._at(at, self._trouble)
-        while self._queue and self._queue[0][0] <= self.draw.seconds:
+            self._at(self.random.uniform(WARM_UP_S, self.parameters.seconds - 3), self._lose_all)
+        for _ in range(self.parameters.faults):
+            at = self.random.uniform(WARM_UP_S, self.parameters.seconds)
+            self._at(at, self._inject_fault)
+        while self._queue and self._queue[0][0] <= self.parameters.seconds:
             self.now, _, action = heapq.heappop(self._queue)
             action()
-        return self.outcome
+        return self.result
 
     # ---- time and messages ----
 
@@ -156,84 +158,84 @@
         self._at(self.now + self.random.uniform(0.0005, 0.006), action)
 
     def _tick(self) -> None:
-        reached = [item for item in self._controls.values() if item.is_up and not item.is_cut]
-        for control in reached:
-            if control.address in self._view and len(reached) > len(self._view) // 2:
+        reachable = [item for item in self._controls.values() if item.is_up and not item.is_partitioned]
+        for control in reachable:
+            if control.address in self._view and len(reachable) > len(self._view) // 2:
                 control.majority_as_of = self.now - CONTACT_S
         for control in self._controls.values():
             if control.is_up:
-                control.grants.refresh(self.now)
-                self._carry_out(control, control.grants.end_rounds(self.now))
+                control.allocator.refresh(self.now)
+                self._carry_out(control, control.allocator.expire_loans(self.now))
         self._at(self.now + TICK_S, self._tick)
 
-    def _end_round_later(self, control: Control) -> None:
-        wake_at = control.grants.wake_at()
-        if wake_at is not None:
-            self._at(wake_at, lambda: self._end_round(control))
+    def _expire_loans_later(self, control: Control) -> None:
+        next_expiry = control.allocator.next_expiry()
+        if next_expiry is not None:
+            self._at(next_expiry, lambda: self._expire_loans(control))
 
-    def _end_round(self, control: Control) -> None:
+    def _expire_loans(self, control: Control) -> None:
         if control.is_up and self._controls[control.address] is control:
-            self._carry_out(control, control.grants.end_rounds(self.now))
+            self._carry_out(control, control.allocator.expire_loans(self.now))
 
     def _carry_out(self, control: Control, effects: list[QuotaEffect]) -> None:
-        if any(not isinstance(effect, AnswerTo) for effect in effects):
-            self._end_round_later(control)
+        if any(not isinstance(effect, SendResponse) for effect in effects):
+            self._expire_loans_later(control)
         for effect in effects:
-            if isinstance(effect, AnswerTo):
-                answer = effect.answer
-                self._later(lambda answer=answer: self._answered(answer.request_id, answer.outcome))  # type: ignore[misc]
+            if isinstance(effect, SendResponse):
+                response = effect.response
+                self._later(lambda sent=response: self._handle_response(sent.request_id, sent.outcome))  # type: ignore[misc]
                 continue
             receiver, message = self._controls[effect.address], effect.message
-            if control.is_cut or receiver.is_cut:
+            if control.is_partitioned or receiver.is_partitioned:
                 continue
             if isinstance(message, QuotaLoanRequest):
-                self._later(lambda to=receiver, sent=message: self._loan_requested(control, to, sent))  # type: ignore[misc]
+                self._later(lambda to=receiver, sent=message: self._handle_loan_request(control, to, sent))  # type: ignore[misc]
             else:
-                self._later(lambda to=receiver, sent=message: self._loan_came(to, sent))  # type: ignore[misc]
+                self._later(lambda to=receiver, sent=message: self._handle_loan(to, sent))  # type: ignore[misc]
 
-    def _loan_requested(self, sender: Control, receiver: Control, message: QuotaLoanRequest) -> None:
+    def _handle_loan_request(self, sender: Control, receiver: Control, message: QuotaLoanRequest) -> None:
         if receiver.is_up:
-            effects = receiver.grants.loan_requested(sender.address, message, self.now)
+            effects = receiver.allocator.handle_loan_request(sender.address, message, self.now)
             self._carry_out(receiver, effects)
 
-    def _loan_came(self, receiver: Control, message: object) -> None:
+    def _handle_loan(self, receiver: Control, message: object) -> None:
         if receiver.is_up:
-            self._carry_out(receiver, receiver.grants.loan_came(message, self.now))  # type: ignore[arg-type]
+            self._carry_out(receiver, receiver.allocator.handle_loan(message, self.now))  # type: ignore[arg-type]
 
     # ---- requests ----
 
     def _demand(self) -> float:
         surges = 12.0 <= self.now < 22.0
-        return self.draw.rate * (self.draw.surge if surges else self.draw.demand)
+        return self.parameters.rate * (self.parameters.surge if surges else self.parameters.demand)
 
     def _next_request(self) -> None:
-        pause = self.random.expovariate(self._demand() / self.draw.mean_units)
+        pause = self.random.expovariate(self._demand() / self.parameters.mean_units)
         self._at(self.now + pause, self._request)
 
     def _request(self) -> None:
         self._next_request()
-        units = self.draw.mean_units * self.random.lognormvariate(-0.3, 0.77)
-        edge = self.random.choices(range(self.draw.edges), self._weights)[0]
+        units = self.parameters.mean_units * self.random.lognormvariate(-0.3, 0.77)
+        edge = self.random.choices(range(self.parameters.edges), self._weights)[0]
         number = next(self._numbers)
         self._requests[number] = (units, list(self._sessions[edge]))
         self._edge_of[number] = (edge, False)
         if self.now >= WARM_UP_S:
-            self.outcome.asked += units
-        self._ask(number)
+            self.result.asked += units
+        self._request_quota(number)
 
-    def _ask(self, number: int) -> None:
+    def _request_quota(self, number: int) -> None:
         units, sessions = self._requests[number]
         if not sessions:
-            self._go_on(number)
+            self._use_outage_allowance(number)
             return
         control = self._controls[sessions.pop(0)]
         ask = QuotaRequest(number, TENANT, units)
         if control.is_up:
-            self._later(lambda: self._asked(control, ask))
+            self._later(lambda: self._handle_request(control, ask))
         else:
-            self._ask(number)
+            self._request_quota(number)
 
-    def _go_on(self, number: int) -> None:
+    def _use_outage_allowance(self, number: int) -> None:
         """Nobody has granted it: it goes all the same, or is refused."""
         units, _ = self._requests.pop(number)
         edge, was_spent = self._edge_of.pop(number)
@@ -241,15 +243,15 @@
             self._arrive(units)
 
     def _arrive(self, units: float) -> None:
-        self.outcome.arrivals.append(Arrival(self.now + self.random.uniform(0, LAG_S - 0.01), units))
+        self.result.arrivals.append(Arrival(self.now + self.random.uniform(0, LAG_S - 0.01), units))
         if self.now >= WARM_UP_S:
-            self.outcome.granted += units
+            self.result.granted += units
 
-    def _asked(self, control: Control, ask: QuotaRequest) -> None:
+    def _handle_request(self, control: Control, ask: QuotaRequest) -> None:
         if control.is_up:
-            self._carry_out(control, control.grants.asked(None, ask, self.now))
+            self._carry_out(control, control.allocator.handle_request(None, ask, self.now))
 
-    def _answered(self, number: int, outcome: QuotaOutcome) -> None:
+    def _handle_response(self, number: int, outcome: QuotaOutcome) -> None:
         if number not in self._requests:
             return
         edge, _ = self._edge_of[number]
@@ -257,32 +259,34 @@
             self._outages[edge].spent(TENANT, self.now)
             self._edge_of[number] = (edge, True)
         if outcome is not QuotaOutcome.GRANTED:
-            self._ask(number)
+            self._request_quota(number)
             return
         units, _ = self._requests.pop(number)
         del self._edge_of[number]
         self._outages[edge].granted(TENANT, units, self.now)
         self._arrive(units)
 
-    # ---- troubles ----
+    # ---- faults ----
 
-    def _fresh(self, address: str) -> Control:
+    def _new_control(self, address: str) -> Control:
         share = QuotaShare(address, MOST_LOST, self.now)
         made: list[Control] = []
-        grants = QuotaGrants(self.draw.rule(), share, lambda: made[0].majority_as_of, self._reached, self.now)
-        tenant = Tenant(name=TENANT, rate_per_s=self.draw.rate, burst=self.draw.burst)
-        grants.configure({TENANT: tenant}, self.now)
-        made.append(Control(address, grants, share))
+        allocator = QuotaAllocator(
+            self.parameters.rule(), share, lambda: made[0].majority_as_of, self._reachable, self.now
+        )
+        tenant = Tenant(name=TENANT, rate_per_s=self.parameters.rate, burst=self.parameters.burst)
+        allocator.configure({TENANT: tenant}, self.now)
+        made.append(Control(address, allocator, share))
         return made[0]
 
-    def _reached(self) -> list[str]:
-        return [name for name, item in self._controls.items() if item.is_up and not item.is_cut]
+    def _reachable(self) -> list[str]:
+        return [name for name, item in self._controls.items() if item.is_up and not item.is_partitioned]
 
     def _lost(self) -> int:
-        return sum(not item.is_up or item.is_cut for item in self._controls.values())
+        return sum(not item.is_up or item.is_partitioned for item in self._controls.values())
 
-    def _trouble(self) -> None:
-        if self._lost() >= min(MOST_LOST, (self.draw.controls - 1) // 2):
+    def _inject_fault(self) -> None:
+        if self._lost() >= min(MOST_LOST, (self.parameters.controls - 1) // 2):
             return
         address = self.random.choice([name for name, item in self._controls.items() if item.is_up])
         for_s = self.random.uniform(0.2, 9.0)
@@ -290,7 +294,7 @@
             self._controls[address].is_up = False
             self._at(self.now + for_s, lambda: self._start_again(address))
         else:
-            self._controls[address].is_cut = True
+            self._controls[address].is_partitioned = True
             self._at(self.now + for_s, lambda: self._heal(address))
         self._at(self.now + REPAIR_S, lambda: self._leave_view(address))
 
@@ -301,25 +305,25 @@
             self._at(self.now + self.random.uniform(0.5, 1.6), lambda name=address: self._start_again(name))  # type: ignore[misc]
 
     def _start_again(self, address: str) -> None:
-        self._controls[address] = self._fresh(address)
+        self._controls[address] = self._new_control(address)
         self._join(address)
 
     def _heal(self, address: str) -> None:
-        self._controls[address].is_cut = False
+        self._controls[address].is_partitioned = False
         self._join(address)
 
     def _leave_view(self, address: str) -> None:
         control = self._controls[address]
-        if address in self._view and (not control.is_up or control.is_cut):
+        if address in self._view and (not control.is_up or control.is_partitioned):
             self._view = [name for name in self._view if name != address]
-            self._tell_view()
+            self._announce_view()
 
     def _join(self, address: str) -> None:
         if address not in self._view:
             self._view = sorted([*self._view, address])
-        self._tell_view()
+        self._announce_view()
 
-    def _tell_view(self) -> None:
+    def _announce_view(self) -> None:
         voters = frozenset(self._view)
         for address in self._controls:
             delay = self.random.uniform(0, VIEW_LAG_S)
@@ -327,15 +331,15 @@
 
     def _learn(self, address: str, voters: frozenset[str]) -> None:
         control = self._controls[address]
-        if control.is_up and not control.is_cut and voters == frozenset(self._view):
-            control.share.voters_known(voters, self.now)
+        if control.is_up and not control.is_partitioned and voters == frozenset(self._view):
+            control.share.set_voters(voters, self.now)
 
 
-def broken(seed: int) -> tuple[Draw, float]:
+def play(seed: int) -> tuple[SimulationParameters, float]:
     """The run of a seed, and its worst window against the bound: above 1 the rule is broken."""
-    draw = drawn(Random(seed))
-    outcome = Simulation(draw, seed).run()
-    return draw, outcome.worst_window(draw.rule().window_s) / outcome.bound
+    parameters = draw_parameters(Random(seed))
+    result = Simulation(parameters, seed).run()
+    return parameters, result.worst_window(parameters.rule().window_s) / result.bound
 
 
 def main() -> int:
@@ -346,11 +350,11 @@
     options = parser.parse_args()
     worst, failed = 0.0, 0
     for seed in range(options.seed, options.seed + options.runs):
-        draw, used = broken(seed)
+        parameters, used = play(seed)
         worst = max(worst, used)
         if used > 1:
             failed += 1
-            print(f"seed {seed}: {used:.3f} of the bound, {draw}")
+            print(f"seed {seed}: {used:.3f} of the bound, {parameters}")
     print(f"{options.runs} runs, {failed} over the bound, worst window {worst:.3f} of the bound")
     return 1 if failed else 0
 
--- /dev/null
+++ b/tests/control_plane_process/test_quota_allocator.py
@@ -0,0 +1,227 @@
+"""Grants of quota at one control scheduler, its loans, and short runs of the simulation."""
+
+from __future__ import annotations
+
+import pytest
+
+from reedspoke.common.messages import QuotaOutcome, QuotaRequest, QuotaResponse
+from reedspoke.common.quota_rule import QuotaRule, allowance, bound
+from reedspoke.common.tenants import Tenant
+from reedspoke.control_plane.peers.messages import QuotaLoan, QuotaLoanRequest
+from reedspoke.control_plane.quota.allocator import (
+    BORROWING_BACKOFF_S,
+    LOAN_TIMEOUT_S,
+    MAX_PENDING_REQUESTS,
+    MAX_RETRY_AFTER_S,
+    MIN_RETRY_AFTER_S,
+    START_UP_S,
+    QuotaAllocator,
+    QuotaEffect,
+    SendResponse,
+    SendToPeer,
+)
+from reedspoke.control_plane.quota.share import QuotaShare
+from reedspoke.control_plane.quota.token_bucket import MAX_LOAN_SHARE
+from reedspoke.telemetry.invariants import Invariant, monitor
+from tests.control_plane_process.quota_simulation import Simulation, draw_parameters, play
+
+RULE = QuotaRule(window_s=8.0, excess=0.1, slack=0.0)
+RATE, BURST = 100.0, 100.0
+FULL = allowance(bound(RATE, BURST, RULE) / 3, 0.0, RULE).capacity
+START = 1000.0  # long enough after the start of the process
+
+
+class AllocatorHarness:
+    """The control scheduler `a` of three, with a full bucket."""
+
+    def __init__(self) -> None:
+        self.majority_as_of: float | None = START - 1.0
+        self.reachable = {"b", "c"}
+        share = QuotaShare("a", tolerated=1, started_at=0.0)
+        share.set_voters(frozenset("abc"), 0.0)
+        self.allocator = QuotaAllocator(RULE, share, lambda: self.majority_as_of, lambda: self.reachable, 0.0)
+        self.configure()
+        self.now = START
+        for second in range(60):
+            self.allocator.refresh(START - 60 + second)
+
+    def configure(self, rate: float = RATE) -> None:
+        limited = Tenant(name="limited", rate_per_s=rate, burst=BURST)
+        self.allocator.configure({"limited": limited, "free": Tenant(name="free")}, 0.0)
+
+    def request(self, units: float, tenant: str = "limited", number: int = 1) -> list[QuotaEffect]:
+        return self.allocator.handle_request("edge", QuotaRequest(number, tenant, units), self.now)
+
+
+@pytest.fixture
+def harness() -> AllocatorHarness:
+    return AllocatorHarness()
+
+
+def outcomes(effects: list[QuotaEffect]) -> list[QuotaOutcome]:
+    return [effect.response.outcome for effect in effects if isinstance(effect, SendResponse)]
+
+
+def test_what_the_bucket_holds_is_granted_at_once(harness: AllocatorHarness) -> None:
+    assert harness.request(FULL) == [SendResponse("edge", QuotaResponse(1, QuotaOutcome.GRANTED))]
+
+
+def test_a_fresh_control_scheduler_does_not_call_a_quota_spent() -> None:
+    harness = AllocatorHarness()
+    harness.allocator = QuotaAllocator(RULE, harness.allocator._share, lambda: START, lambda: (), START)
+    harness.configure()
+    assert outcomes(harness.request(1.0)) == [QuotaOutcome.UNAVAILABLE]
+    harness.now = harness.majority_as_of = START + START_UP_S
+    harness.allocator._majority_as_of = lambda: START + START_UP_S
+    assert outcomes(harness.request(1e9)) == [QuotaOutcome.SPENT]
+
+
+def test_a_tenant_without_limit_is_granted_all(harness: AllocatorHarness) -> None:
+    assert outcomes(harness.request(1e9, "free")) == [QuotaOutcome.GRANTED]
+
+
+def test_a_tenant_that_is_not_known_here_is_sent_elsewhere(harness: AllocatorHarness) -> None:
+    assert outcomes(harness.request(1.0, "unknown")) == [QuotaOutcome.UNAVAILABLE]
+
+
+@pytest.mark.parametrize("majority_as_of", [None, START - 60.0])
+def test_without_a_leased_share_nothing_is_granted_or_lent(
+    harness: AllocatorHarness, majority_as_of: float | None
+) -> None:
+    harness.majority_as_of = majority_as_of
+    assert outcomes(harness.request(1.0)) == [QuotaOutcome.UNAVAILABLE]
+    lent = harness.allocator.handle_loan_request("b", QuotaLoanRequest("limited", 1.0), START)
+    assert lent == [SendToPeer("b", QuotaLoan("limited", 0.0))]
+    assert harness.allocator.handle_loan(QuotaLoan("limited", 1.0), START) == []
+
+
+def test_what_is_lacking_is_asked_of_all_others(harness: AllocatorHarness) -> None:
+    effects = harness.request(FULL + 10)
+    assert [effect.address for effect in effects if isinstance(effect, SendToPeer)] == ["b", "c"]
+    assert outcomes(effects) == []
+    assert outcomes(harness.allocator.handle_loan(QuotaLoan("limited", 12.0), START)) == [
+        QuotaOutcome.GRANTED
+    ]
+
+
+def test_who_is_not_heard_is_not_asked(harness: AllocatorHarness) -> None:
+    harness.reachable = {"c"}
+    effects = harness.request(FULL + 10)
+    assert [effect.address for effect in effects if isinstance(effect, SendToPeer)] == ["c"]
+
+
+def test_where_nobody_is_heard_it_is_refused_at_once(harness: AllocatorHarness) -> None:
+    harness.reachable = set()
+    assert outcomes(harness.request(FULL + 10)) == [QuotaOutcome.SPENT]
+
+
+def test_loans_without_success_end_in_a_refusal_and_a_backoff(harness: AllocatorHarness) -> None:
+    harness.request(FULL + 10)
+    harness.allocator.handle_loan(QuotaLoan("limited", 0.0), START)
+    (refusal,) = harness.allocator.handle_loan(QuotaLoan("limited", 0.0), START)
+    assert isinstance(refusal, SendResponse)
+    assert refusal.response.outcome is QuotaOutcome.SPENT
+    assert MIN_RETRY_AFTER_S <= refusal.response.retry_after_s <= MAX_RETRY_AFTER_S
+    assert outcomes(harness.request(FULL + 10)) == [QuotaOutcome.SPENT]
+    harness.now = START + BORROWING_BACKOFF_S
+    assert outcomes(harness.request(FULL + 20)) == []
+
+
+def test_loans_that_are_lost_time_out(harness: AllocatorHarness) -> None:
+    harness.request(FULL + 10)
+    assert harness.allocator.expire_loans(START + LOAN_TIMEOUT_S - 0.01) == []
+    assert outcomes(harness.allocator.expire_loans(START + LOAN_TIMEOUT_S)) == [QuotaOutcome.SPENT]
+    assert harness.allocator.expire_loans(START + 60) == []
+
+
+def test_requests_wait_for_loans_in_their_order(harness: AllocatorHarness) -> None:
+    harness.request(FULL + 10, number=1)
+    assert harness.request(1.0, number=2) == []
+    effects = harness.allocator.handle_loan(QuotaLoan("limited", 2 * FULL), START)
+    answered = [effect.response.request_id for effect in effects if isinstance(effect, SendResponse)]
+    assert answered == [1, 2]
+
+
+def test_not_all_requests_may_wait(harness: AllocatorHarness) -> None:
+    for number in range(MAX_PENDING_REQUESTS):
+        harness.request(FULL + 10, number=number)
+    assert outcomes(harness.request(FULL + 10)) == [QuotaOutcome.SPENT]
+
+
+def test_what_was_borrowed_and_not_used_goes_back(harness: AllocatorHarness) -> None:
+    harness.request(FULL + 10)
+    effects = harness.allocator.handle_loan(QuotaLoan("limited", FULL + 30), START)
+    returned = [effect for effect in effects if isinstance(effect, SendToPeer)]
+    assert [effect.address for effect in returned] == ["b"]
+    assert isinstance(returned[0].message, QuotaLoan)
+    assert returned[0].message.units == pytest.approx(10)  # the capacity has grown to the largest request
+
+
+def test_a_tenant_that_is_dropped_while_loans_are_awaited_is_forgotten(harness: AllocatorHarness) -> None:
+    harness.request(FULL + 10)
+    harness.allocator.configure({}, START)
+    assert harness.allocator.expire_loans(START + 1.0) == []
+    assert harness.allocator.next_expiry() is None
+
+
+def test_who_waits_for_loans_lends_nothing(harness: AllocatorHarness) -> None:
+    harness.request(FULL + 10)
+    lent = harness.allocator.handle_loan_request("b", QuotaLoanRequest("limited", 50.0), START)
+    assert lent == [SendToPeer("b", QuotaLoan("limited", 0.0))]
+
+
+def test_a_loan_leaves_the_lender(harness: AllocatorHarness) -> None:
+    (loan,) = harness.allocator.handle_loan_request("b", QuotaLoanRequest("limited", 1e9), START)
+    assert isinstance(loan, SendToPeer)
+    assert isinstance(loan.message, QuotaLoan)
+    assert loan.message.units == pytest.approx(FULL * MAX_LOAN_SHARE)
+    assert outcomes(harness.request(FULL * 0.6)) == []  # it has to borrow
+
+
+def test_a_lower_limit_counts_at_once(harness: AllocatorHarness) -> None:
+    harness.configure(RATE / 10)
+    assert outcomes(harness.request(FULL)) == []
+
+
+def test_a_changed_configuration_fills_no_bucket(harness: AllocatorHarness) -> None:
+    harness.request(FULL)
+    harness.configure(RATE * 2)
+    assert outcomes(harness.request(FULL / 2)) == []
+
+
+@pytest.mark.parametrize("seed", range(40))
+def test_no_window_is_over_the_bound(seed: int) -> None:
+    parameters, used = play(seed)
+    assert used <= 1, parameters
+
+
+def test_the_simulation_notices_grants_without_a_share(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The judge is of use: with a whole quota at each control scheduler it finds the rule broken."""
+    monkeypatch.setattr(QuotaShare, "share", lambda self, tenant, now, majority_as_of: 1.0)
+    seeds = [seed for seed in range(40) if has_large_surge(seed)]
+    assert any(play(seed)[1] > 1 for seed in seeds[:5])
+
+
+def has_large_surge(seed: int) -> bool:
+    from random import Random
+
+    parameters = draw_parameters(Random(seed))
+    return parameters.surge > 5 and parameters.controls > 3
+
+
+def test_below_the_limit_nearly_all_is_granted() -> None:
+    from tests.control_plane_process.quota_simulation import SimulationParameters
+
+    asked = granted = 0.0
+    for seed in range(3):
+        parameters = SimulationParameters(8, 30, 90_000.0, 90_000.0, 110_000.0, 3_900.0, 0.77, 0.77, 0.5, 0)
+        outcome = Simulation(parameters, seed).run()
+        asked, granted = asked + outcome.asked, granted + outcome.granted
+    assert granted > 0.97 * asked
+
+
+def test_the_invariant_is_evaluated_without_any_request(harness: AllocatorHarness) -> None:
+    """Seen in CI beside load: no limited request came behind the last restart, and nothing had looked."""
+    before = monitor.evaluated[Invariant.QUOTA_IS_CONSERVED]
+    harness.allocator.refresh(START + 10.0)
+    assert monitor.evaluated[Invariant.QUOTA_IS_CONSERVED] == before + 1
