--- a/reedspoke/control_plane/quota/allocator.py
+++ b/reedspoke/control_plane/quota/allocator.py
@@ -14,7 +14,7 @@
 from msgspec import Struct, field
 
 from reedspoke.common.messages import QuotaOutcome, QuotaRequest, QuotaResponse
-from reedspoke.common.quota_rule import QuotaRule, bound
+from reedspoke.common.quota_rule import QuotaRule, window_limit
 from reedspoke.common.tenants import Tenant
 from reedspoke.control_plane.peers.messages import QuotaLoan, QuotaLoanRequest
 from reedspoke.control_plane.quota.share import QuotaShare
@@ -222,7 +222,7 @@
     # ---- one tenant's quota ----
 
     def _quota(self, name: str, rate: float, burst: float, now: float) -> TenantQuota:
-        limit = bound(rate, burst, self._rule)
+        limit = window_limit(rate, burst, self._rule)
         quota = self._quotas.get(name)
         if quota is None:
             return TenantQuota(limit, TokenBucket(now))
--- a/tests/control_plane_process/quota_simulation.py
+++ b/tests/control_plane_process/quota_simulation.py
@@ -20,7 +20,7 @@
 from msgspec import Struct, field
 
 from reedspoke.common.messages import QuotaOutcome, QuotaRequest
-from reedspoke.common.quota_rule import LAG_S, QuotaRule, bound
+from reedspoke.common.quota_rule import LAG_S, QuotaRule, window_limit
 from reedspoke.common.tenants import Tenant
 from reedspoke.control_plane.peers.messages import QuotaLoanRequest
 from reedspoke.control_plane.quota.allocator import QuotaAllocator, QuotaEffect, SendResponse
@@ -120,7 +120,7 @@
         self.parameters = parameters
         self.random = Random(seed)
         self.now = 0.0
-        self.result = SimulationResult(bound(parameters.rate, parameters.burst, parameters.rule()))
+        self.result = SimulationResult(window_limit(parameters.rate, parameters.burst, parameters.rule()))
         self._queue: list[tuple[float, int, Callable[[], None]]] = []
         self._numbers = count()
         self._view = [f"c{number}" for number in range(parameters.controls)]
--- a/tests/control_plane_process/test_quota_token_bucket.py
+++ b/tests/control_plane_process/test_quota_token_bucket.py
@@ -7,20 +7,20 @@
 from hypothesis import strategies as st
 
 from reedspoke.common.quota_rule import (
-    COUNTED_SHARE,
+    GRANTED_SHARE,
     LAG_S,
-    LEAST_CAPACITY,
-    MOST_CAPACITY,
+    MAX_CAPACITY_SHARE,
+    MIN_CAPACITY_SHARE,
     QuotaRule,
     allowance,
-    bound,
+    window_limit,
 )
 from reedspoke.control_plane.quota.token_bucket import TokenBucket
 
 RULE = QuotaRule(window_s=8.0, excess=0.0, slack=0.0)
 SHARE = 1000.0  # units within any window
-LEAST = LEAST_CAPACITY * COUNTED_SHARE * SHARE
-MOST = MOST_CAPACITY * COUNTED_SHARE * SHARE
+LEAST = MIN_CAPACITY_SHARE * GRANTED_SHARE * SHARE
+MOST = MAX_CAPACITY_SHARE * GRANTED_SHARE * SHARE
 
 
 def bucket(level: float = 0.0) -> TokenBucket:
@@ -130,8 +130,8 @@
     share = allowance(units, largest, QuotaRule(window, 0.1, 0.0))
     assert share.refill_per_s * (window + LAG_S) + share.capacity <= units
     assert share.refill_per_s > 0
-    assert LEAST_CAPACITY * COUNTED_SHARE * units <= share.capacity * (1 + 1e-9)
+    assert MIN_CAPACITY_SHARE * GRANTED_SHARE * units <= share.capacity * (1 + 1e-9)
 
 
 def test_the_bound_is_the_deployment_s() -> None:
-    assert bound(100.0, 50.0, QuotaRule(8.0, 0.1, 7.0)) == pytest.approx(850 * 1.1 + 7)
+    assert window_limit(100.0, 50.0, QuotaRule(8.0, 0.1, 7.0)) == pytest.approx(850 * 1.1 + 7)
