--- a/reedspoke/acme/service.py
+++ b/reedspoke/acme/service.py
@@ -18,7 +18,7 @@
 from reedspoke.acme.plan import Policy
 from reedspoke.acme.record import Record, unpacked
 from reedspoke.acme.renewal_settings import Authority, CertificateRequest, RenewalSettings
-from reedspoke.fleet.events import Enter, Leave
+from reedspoke.fleet.events import RoleAcquired, RoleLost
 from reedspoke.net.config import address
 from reedspoke.operator.check import OperatorError, reloaded
 from reedspoke.operator.types import Acme, Certificate, Operator
@@ -86,13 +86,13 @@
         self._task: asyncio.Task[None] | None = None
 
     def effects(self) -> dict[type, Callable[[Any], None]]:
-        return {Enter: self._enter, Leave: self._leave}
+        return {RoleAcquired: self._enter, RoleLost: self._leave}
 
     # ---- in a fleet: one orders, all serve what lies in the store that they share ----
 
-    def _enter(self, effect: Enter) -> None:
+    def _enter(self, effect: RoleAcquired) -> None:
         fresh = self.store.token != effect.token or not self.engine.may
-        self.store.token, self._until = effect.token, effect.until
+        self.store.token, self._until = effect.token, effect.expires_at
         if fresh:
             assert self.operator.acme is not None
             for authority in self.operator.acme.authorities:
@@ -102,7 +102,7 @@
             self.engine.take_up(record for record in records if record is not None)
             log.info("acme: this scheduler orders for the fleet, token %d", effect.token)
 
-    def _leave(self, _: Leave) -> None:
+    def _leave(self, _: RoleLost) -> None:
         """The token stays: a write that is under way still must not pass for a newer one's."""
         if self.engine.may:
             log.info("acme: another scheduler orders for the fleet from now on")
@@ -179,7 +179,7 @@
                     looked = now
                     self._look()
                 if self._until and self.clock() >= self._until:  # it may be renewed still: then we begin anew
-                    self._leave(Leave(""))
+                    self._leave(RoleLost(""))
                 self.driver.do(self.engine.tick(self.now()))
             except Exception:
                 log.exception("fault: certificates")
--- a/reedspoke/adapter.py
+++ b/reedspoke/adapter.py
@@ -18,7 +18,7 @@
 from reedspoke.settings import Info, known, settings
 
 if TYPE_CHECKING:
-    from reedspoke.fleet.talker import Talker
+    from reedspoke.fleet.simulator_transport import SimulatorTransport
 
 REASONS = {
     "delivered": plain.Reason.OK,
@@ -250,7 +250,7 @@
         self._write = write
         self._encode = msgspec.json.Encoder().encode
         self._instances: dict[str, Dispatcher] = {}
-        self._talkers: dict[str, Talker] = {}  # of those that may send messages
+        self._transports: dict[str, SimulatorTransport] = {}  # of those that may send messages
         self._clock: int | None = None
         self._open = False
         self._reply: list[bytes] = []
@@ -287,20 +287,22 @@
     def _tell(self, told: Told) -> None:
         if isinstance(told, Hello):
             self._instances[told.who] = Dispatcher(settings(told.info), told.nonce64)
-            self._talkers.pop(told.who, None)
+            self._transports.pop(told.who, None)
             if told.info.ceilings.peer_messages:
-                from reedspoke.fleet.talker import Talker
+                from reedspoke.fleet.simulator_transport import SimulatorTransport
 
-                self._talkers[told.who] = Talker(told.info.me, told.info.balancers, told.nonce64)
+                self._transports[told.who] = SimulatorTransport(
+                    told.info.me, told.info.balancers, told.nonce64
+                )
             return
         if isinstance(told, Killed):
             self._instances.pop(told.who, None)
-            self._talkers.pop(told.who, None)
+            self._transports.pop(told.who, None)
             return
-        instance, talker = self._instances.get(told.who), self._talkers.get(told.who)
+        instance, transport = self._instances.get(told.who), self._transports.get(told.who)
         happened = event(told)
-        if instance is not None and talker is not None:
-            self._share(instance, talker, told)
+        if instance is not None and transport is not None:
+            self._share(instance, transport, told)
         if instance is None or happened is None:
             return
         if isinstance(told, Accept) and told.tier_class not in instance.classes:
@@ -309,26 +311,28 @@
         actions = instance.handle(self._clock, happened)
         for action in actions:
             self._reply.append(self._encode(message(told.who, action)))
-        if talker is not None:
-            talker.tried(actions)
-            self._say(told.who, instance, talker)
+        if transport is not None:
+            transport.count_attempts(actions)
+            self._say(told.who, instance, transport)
 
-    def _share(self, instance: Dispatcher, talker: Talker, told: Told) -> None:
+    def _share(self, instance: Dispatcher, transport: SimulatorTransport, told: Told) -> None:
         """The module hears what the others hold, before what has happened."""
         assert self._clock is not None
-        changed = talker.forget(self._clock)
+        changed = transport.load_sharing.expire(self._clock)
         if isinstance(told, NoteFrom):
-            changed |= talker.hear(self._clock, told.body)
+            changed |= transport.receive(self._clock, told.body)
         if changed:
-            actions = instance.handle(self._clock, plain.Others(talker.sharing.others(instance.workers)))
+            actions = instance.handle(
+                self._clock, plain.Others(transport.load_sharing.loads_of_others(instance.workers))
+            )
             for action in actions:
                 self._reply.append(self._encode(message(told.who, action)))
-            talker.tried(actions)
-            self._say(told.who, instance, talker)
+            transport.count_attempts(actions)
+            self._say(told.who, instance, transport)
 
-    def _say(self, who: str, instance: Dispatcher, talker: Talker) -> None:
+    def _say(self, who: str, instance: Dispatcher, transport: SimulatorTransport) -> None:
         assert self._clock is not None
-        for body in talker.say(self._clock, instance):
+        for body in transport.messages(self._clock, instance):
             self._reply.append(self._encode({"NOTIFY": {"who": who, "recipient": -1, "body": body}}))
 
 
--- a/reedspoke/assembly.py
+++ b/reedspoke/assembly.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING, Any
 
 from reedspoke.errors import ReedspokeError
-from reedspoke.fleet.file import Fleet
+from reedspoke.fleet.settings import Fleet
 from reedspoke.net import node as nodes
 from reedspoke.net.config import Config, ConfigError, Peers, address
 from reedspoke.net.core import Further
@@ -19,7 +19,7 @@
 from reedspoke.units import microseconds
 
 if TYPE_CHECKING:
-    from reedspoke.fleet.shell import Terms
+    from reedspoke.fleet.service import FleetOptions
 
 # A listener, the challenge listener with its callers, threads' calls, files and a command's pipe.
 DESCRIPTORS = 48
@@ -44,18 +44,18 @@
     peers = peers_by(config, operator.fleet) if operator.fleet is not None else None
     node = furnish(replace(config, peers=None) if peers is not None else config, operator, path)
     if operator.fleet is not None and peers is not None:
-        from reedspoke.fleet.shell import join
+        from reedspoke.fleet.service import build_fleet
 
         me = operator.fleet.me if operator.fleet.members else config.settings.me
         zone = config.settings.zone
-        terms = terms_of(operator.fleet, len(peers.each), zone)
+        options = fleet_options(operator.fleet, len(peers.each), zone)
         try:
-            party, part = join(node.runtime, peers, me, terms, config.name or str(me), zone)
+            fleet_node, part = build_fleet(node.runtime, peers, me, options, config.name or str(me), zone)
             node.add(part)
             if operator.bookings is not None:
                 from reedspoke.booking.part import join as join_bookings
 
-                node.add(join_bookings(node.runtime, party, operator.bookings))
+                node.add(join_bookings(node.runtime, fleet_node, operator.bookings))
         except (ValueError, ReedspokeError) as error:  # keys, or duties too like each other
             raise ConfigError(f"fleet: {error}") from None
     return node
@@ -75,30 +75,41 @@
     return config.peers
 
 
-def terms_of(fleet: Fleet, members: int, zone: str) -> Terms:
-    """Raises ConfigError for a granter that is no member, or two duties too like each other."""
-    from reedspoke.fleet.duties import GRANTERS, Duty, Electorate
-    from reedspoke.fleet.shell import Address, Terms
+def fleet_options(fleet: Fleet, members: int, zone: str) -> FleetOptions:
+    """What the operator file asks of the fleet: its `duties` are singleton roles, its `granters` the voters.
 
-    granters = tuple(fleet.granters) or tuple(range(min(GRANTERS, members)))
-    if max(granters) >= members:
-        raise ConfigError(f"fleet.granters: {max(granters)} is no place among {members} members")
-    duties = [
-        Duty(one.name, microseconds(one.term), not one.zone or one.zone == zone) for one in fleet.duties
+    Raises ConfigError for a voter that is no member.
+    """
+    from reedspoke.fleet.roles.call_client import CallTarget
+    from reedspoke.fleet.roles.singleton_roles import DEFAULT_VOTERS, SingletonRole, VoterConfiguration
+    from reedspoke.fleet.service import FleetOptions, PeriodicCallOptions
+
+    voters = tuple(fleet.granters) or tuple(range(min(DEFAULT_VOTERS, members)))
+    if max(voters) >= members:
+        raise ConfigError(f"fleet.granters: {max(voters)} is no place among {members} members")
+    roles = [
+        SingletonRole(one.name, microseconds(one.term), not one.zone or one.zone == zone)
+        for one in fleet.duties
     ]
     calls = {
-        one.name: (Address(one.call.url, microseconds(one.call.limit)), microseconds(one.call.every))
+        one.name: PeriodicCallOptions(
+            CallTarget(one.call.url, microseconds(one.call.limit)), microseconds(one.call.every)
+        )
         for one in fleet.duties
         if one.call is not None
     }
-    handed: frozenset[str] = frozenset()
+    delegated_roles: frozenset[str] = frozenset()
     if fleet.certificates:
-        handed = frozenset({CERTIFICATES})
-        duties.append(Duty(CERTIFICATES, CERTIFICATES_TERM))
-    return Terms(
-        Electorate(members, granters, fleet.drift), microseconds(fleet.period), tuple(duties), calls, handed,
+        delegated_roles = frozenset({CERTIFICATES})
+        roles.append(SingletonRole(CERTIFICATES, CERTIFICATES_TERM))
+    return FleetOptions(
+        VoterConfiguration(members, voters, fleet.drift),
+        microseconds(fleet.period),
+        tuple(roles),
+        calls,
+        delegated_roles,
         fleet.key_file,
-    )  # fmt: skip
+    )
 
 
 def furnish(config: Config, operator: Operator, path: Path) -> Node:
--- a/reedspoke/booking/agreed.py
+++ b/reedspoke/booking/agreed.py
@@ -8,11 +8,12 @@
 from reedspoke.booking.book import Calendar
 from reedspoke.booking.desk import Desk, Terms
 from reedspoke.booking.file import DUTY
-from reedspoke.fleet.duties import Duty
-from reedspoke.fleet.frames import Matter, mark
 from reedspoke.fleet.log_messages import Answered, Asked, Recorded, Word
-from reedspoke.fleet.party import Party
+from reedspoke.fleet.messages.fields import name_hash
+from reedspoke.fleet.messages.frame import Message
+from reedspoke.fleet.node import FleetExtension, FleetNode, MessageHandler
 from reedspoke.fleet.record import Change, Out, Record
+from reedspoke.fleet.roles.singleton_roles import SingletonRole
 
 PACE = 4  # parts of a term that a lost word of the record is sent again after
 
@@ -20,10 +21,12 @@
 class Agreed:
     """A `Work`: who holds the duty leads the record. `wall`: s of Unix time from our us."""
 
-    def __init__(self, party: Party, terms: Terms, term: int, life: int, wall: Callable[[int], int]) -> None:
-        assert party.duties is not None
-        self.party, self.duties, me = party, party.duties, party.mail.me
-        granters = self.duties.electorate.granters
+    def __init__(
+        self, party: FleetNode, terms: Terms, term: int, life: int, wall: Callable[[int], int]
+    ) -> None:
+        assert party.roles is not None
+        self.party, self.duties, me = party, party.roles, party.channel.node_id
+        granters = self.duties.configuration.voters
         self.calendar = Calendar() if me in granters else None
         self.record: Record | None = None
         if self.calendar is not None:
@@ -35,22 +38,24 @@
             terms,
             self._holder,
             wall,
-            lambda out: party.gather(self._wrap(out)),
+            lambda out: party.enqueue(self._wrap(out)),
             life,
         )
         self.folder = False  # what changes has to be kept there before it is told
-        party.keeps.append(self._keep)
-        self.duties.add(Duty(DUTY, term, able=self.record is not None), self)
-        party.heeds[Recorded] = self._hear_record
-        party.heeds[Asked] = party.heeds[Answered] = self._hear_desk
-        party.looks.append(self._look)
+        self.duties.add(SingletonRole(DUTY, term, eligible=self.record is not None), self)
+        handlers: dict[type, MessageHandler] = {
+            Recorded: self._hear_record,
+            Asked: self._hear_desk,
+            Answered: self._hear_desk,
+        }
+        party.add_extension(FleetExtension(handlers, self._look, self._keep))
 
     def _holder(self, now: int) -> int:
         grip = self.duties.holder(DUTY, now)
         return grip.member if grip is not None else -1
 
-    def _wrap(self, out: Out) -> list[tuple[int, Matter]]:
-        return [(to, Recorded(mark(DUTY), word)) for to, word in out]
+    def _wrap(self, out: Out) -> list[tuple[int, Message]]:
+        return [(to, Recorded(name_hash(DUTY), word)) for to, word in out]
 
     def _keep(self) -> list[Change]:
         if self.record is None:
@@ -64,19 +69,19 @@
         would go on to hold the duty, and the record would rest with it."""
         assert self.record is not None
         self.record.silence()
-        self.party.gather(self.duties.disable(DUTY, now))
+        self.party.enqueue(self.duties.disable(DUTY, now))
 
     # ---- the duty ----
 
-    def begin(self, token: int, until: int, now: int) -> list[object]:
+    def lease_acquired(self, token: int, expires_at: int, now: int) -> list[object]:
         assert self.record is not None
-        self.party.gather(self._wrap(self.record.hold(token, now)))
+        self.party.enqueue(self._wrap(self.record.hold(token, now)))
         return []
 
-    def extend(self, until: int, now: int) -> list[object]:
+    def lease_renewed(self, expires_at: int, now: int) -> list[object]:
         return []
 
-    def end(self, why: str, now: int) -> list[object]:
+    def lease_ended(self, reason: str, now: int) -> list[object]:
         if self.record is not None:
             self.record.let_go()
         return []
@@ -86,14 +91,14 @@
 
     # ---- words ----
 
-    def _hear_record(self, sender: int, matter: Recorded, now: int) -> list[tuple[int, Matter]]:
-        if matter.record != mark(DUTY) or self.record is None:
+    def _hear_record(self, sender: int, matter: Recorded, now: int) -> list[tuple[int, Message]]:
+        if matter.record != name_hash(DUTY) or self.record is None:
             return []
         return [*self._wrap(self.record.hear(sender, matter.word, now)), *self.desk.tick(now)]
 
-    def _hear_desk(self, sender: int, matter: Asked | Answered, now: int) -> list[tuple[int, Matter]]:
+    def _hear_desk(self, sender: int, matter: Asked | Answered, now: int) -> list[tuple[int, Message]]:
         return [*self.desk.hear(sender, matter, now)]
 
-    def _look(self, now: int) -> list[tuple[int, Matter]]:
+    def _look(self, now: int) -> list[tuple[int, Message]]:
         words: list[tuple[int, Word]] = self.record.tick(now) if self.record is not None else []
         return [*self._wrap(words), *self.desk.tick(now)]
--- a/reedspoke/booking/part.py
+++ b/reedspoke/booking/part.py
@@ -28,8 +28,8 @@
 from reedspoke.booking.words import Book, Cancel, Count, Order, Told, Version, Word, order_bytes
 from reedspoke.errors import FORM as PROBLEM
 from reedspoke.errors import ReedspokeError
-from reedspoke.fleet.events import Keep, Kept, Unkept
-from reedspoke.fleet.party import Party
+from reedspoke.fleet.events import LogChangesStored, LogStoreFailed, StoreLogChanges
+from reedspoke.fleet.node import FleetNode
 from reedspoke.fleet.record import Record
 from reedspoke.fleet.shelf import Shelf, ShelfError
 from reedspoke.net import effects as fx
@@ -166,7 +166,7 @@
         for order in orders:
             ticket, out = self.desk.take(order, self.core.now)
             self._series[ticket] = series
-            self.agreed.party.gather(out)
+            self.agreed.party.enqueue(out)
         return None
 
     def on_book(self, event: fx.Called) -> fx.Reply | None:
@@ -195,7 +195,7 @@
         checked(order)
         ticket, out = self.desk.take(order, self.core.now)
         self._callers[ticket] = caller
-        self.agreed.party.gather(out)
+        self.agreed.party.enqueue(out)
         return None
 
     def on_show(self, event: fx.Called) -> fx.Reply:
@@ -218,7 +218,7 @@
         return fx.Reply(event.caller, fx.Word.YES, text=text + "\n", form=FORM)
 
     def _elsewhere(self, caller: int) -> fx.Reply:
-        granters = self.agreed.duties.electorate.granters
+        granters = self.agreed.duties.configuration.voters
         return self._problem(caller, 503, ElsewhereError(f"known to the granters alone: {list(granters)}"))
 
     def _answer_series(self, series: Series) -> None:
@@ -230,17 +230,17 @@
         self.core.ask(fx.Reply(series.caller, fx.Word.YES, text=text, status=status, form=FORM))
 
     def reactions(self) -> Reactions:
-        return {Unkept: self._on_unkept}
+        return {LogStoreFailed: self._on_unkept}
 
-    def _on_unkept(self, _: Unkept) -> None:
+    def _on_unkept(self, _: LogStoreFailed) -> None:
         """Nothing that follows from it was told, and nothing will be."""
-        self.agreed.party.keeping -= 1
+        self.agreed.party.pending_writes -= 1
         self.agreed.silence(self.core.now)
         why = ("what it would confirm cannot be kept",)
         self.desk.done = [(ticket, Told("unknown", told.name, why)) for ticket, told in self.desk.done]
 
     def after(self) -> None:
-        if self.agreed.party.keeping:
+        if self.agreed.party.pending_writes:
             return  # a yes may follow from what is on its way to disk
         for ticket, told in self.desk.done:
             if (series := self._series.pop(ticket, None)) is not None:
@@ -266,7 +266,7 @@
         self.runtime, self.shelf, self.record = runtime, shelf, record
 
     def effects(self) -> dict[type, Callable[[Any], None]]:
-        return {Keep: self._keep}
+        return {StoreLogChanges: self._keep}
 
     def open(self) -> None:
         if line := self.shelf.load(self.record):
@@ -278,14 +278,14 @@
     def close(self) -> None:
         self.shelf.close()
 
-    def _keep(self, effect: Keep) -> None:
+    def _keep(self, effect: StoreLogChanges) -> None:
         try:
             self.shelf.keep(list(effect.changes), self.record)
         except ShelfError as error:
             log.error("record: nothing is confirmed here any more: %s", error, extra=error.fields())
-            self.runtime.emit(Unkept())
+            self.runtime.emit(LogStoreFailed())
         else:
-            self.runtime.emit(Kept(effect.then))
+            self.runtime.emit(LogChangesStored(effect.then))
 
 
 def figures(agreed: Agreed) -> str:
@@ -304,7 +304,7 @@
     return text
 
 
-def join(runtime: Runtime, party: Party, told: Bookings) -> Subsystem:
+def join(runtime: Runtime, party: FleetNode, told: Bookings) -> Subsystem:
     """Behind the fleet's own part. Raises ValueError for a duty of the same name, ShelfError."""
     core, now = runtime.reducer.core, runtime.clock.now()
     life, term = now // 1000 & 0xFFFF_FFFF, int(seconds(told.term) * SECOND)
--- /dev/null
+++ b/reedspoke/fleet/anti_entropy.py
@@ -0,0 +1,374 @@
+"""The entries that members write about themselves, replicated to all of them by gossip and anti-entropy.
+
+This is belief: it converges in time and is never asked where something must be safe. What a majority has
+agreed on is another thing, the replicated log (`fleet.replicated_log`).
+
+Each member writes one entry, its own. Of two entries of a member the later process's counts, and of one
+process the later version: a join of a semilattice, so order, loss and repetition of messages do not matter.
+A member that hears of an entry of its own that it has not written has started after it, or its clock has
+gone back: it begins a later process than that entry's.
+
+Entries travel on frames that are sent anyway, each a bounded number of times. What was lost is found by
+anti-entropy: the digest of all entries goes with each ping and its answer; where two digests differ,
+digests of ranges of members are compared, then of parts of the ranges that differ, and at last the entries
+are exchanged. Digests are sums of hashes, so a change of one entry costs a subtraction and an addition.
+
+The fleet has converged when all members that are believed to be alive have sent the digest that we have. The
+set of members heard to have sent it travels with the digest and only grows while the digest stays, so this is
+known after some rounds of gossip and does not take a message from each member.
+
+`MemberEntries` is the sole owner of this state. It performs no I/O; times are microseconds, `now`.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+from dataclasses import dataclass
+from enum import Enum
+from hashlib import blake2b
+from math import log2
+from typing import NamedTuple
+
+from msgspec.structs import replace
+
+from reedspoke.fleet.messages.anti_entropy import (
+    MAX_LISTED_ROLES,
+    EntriesRequest,
+    MemberEntry,
+    RangeDigests,
+    RootDigest,
+)
+from reedspoke.fleet.messages.fields import UINT16_MASK, UINT32_MASK
+from reedspoke.fleet.messages.frame import Message, OutgoingMessage
+
+RANGE_PARTS = 16  # that a range is compared by
+LEAF_MEMBERS = 3  # a range of that many is sent as entries and not divided further
+ENTRY_TRANSMISSIONS = 3  # times log2 of the members that an entry is sent
+MAX_ENTRIES_PER_FRAME = 3
+MAX_VERSION = UINT16_MASK
+DIGEST_BYTES = 8
+DIGEST_MODULUS = 1 << 8 * DIGEST_BYTES
+
+
+def entry_hash(entry: MemberEntry, alive: bool) -> int:
+    """The hash of what is believed about one member."""
+    content = (
+        entry.member, entry.born_s, entry.version, entry.zone_hash, entry.phase, entry.held_roles,
+        entry.missing, alive,
+    )  # fmt: skip
+    return int.from_bytes(blake2b(repr(content).encode(), digest_size=DIGEST_BYTES).digest())
+
+
+def precedence(entry: MemberEntry) -> tuple[object, ...]:
+    """Of two entries of a member the one with the higher precedence counts.
+
+    The content stands behind process and version: two processes of one member could write the same version,
+    and all members have to retain the same one.
+    """
+    return (
+        entry.born_s, entry.version, entry.zone_hash, entry.phase, entry.held_roles, entry.missing,
+    )  # fmt: skip
+
+
+def members_to_bits(members: Iterable[int]) -> bytes:
+    """A set of members as bits, the first member lowest."""
+    bits = sum(1 << member for member in set(members))
+    return bits.to_bytes((bits.bit_length() + 7) // 8, "little")
+
+
+def members_from_bits(encoded: bytes) -> set[int]:
+    """The set of members that the bits stand for."""
+    bits = int.from_bytes(encoded, "little")
+    return {member for member in range(bits.bit_length()) if bits >> member & 1}
+
+
+@dataclass(slots=True, frozen=True)
+class Convergence:
+    """Whether all members that are believed to be alive have sent one digest.
+
+    `since` is when that last changed, `behind` are the live members that have not sent it.
+    """
+
+    converged: bool
+    since: int
+    digest: int
+    behind: tuple[int, ...]
+
+
+class ReplyKind(Enum):
+    """What an answer to another digest consists of."""
+
+    RANGES = "ranges"
+    ENTRIES = "entries"
+
+
+REPLIES_PER_PERIOD = {ReplyKind.RANGES: 6, ReplyKind.ENTRIES: 12}  # so that they do not crowd out the rest
+
+
+class SentRoot(NamedTuple):
+    """The root digest that a member was sent last, and when."""
+
+    message: RootDigest | None
+    sent_at: int
+
+
+NO_ROOT_SENT = SentRoot(None, 0)
+
+
+class MemberEntries:
+    """The entries of all members, as one member believes them.
+
+    `compared` counts ranges that were compared, `merged` entries that were new.
+    """
+
+    def __init__(
+        self, member: int, members: int, born_s: int, zone_hash: int, period_us: int, now: int
+    ) -> None:
+        """`born_s` is the Unix time, in seconds, of the start of this process."""
+        self.member, self.members, self.period_us = member, members, period_us
+        self.entries: dict[int, MemberEntry] = {}
+        self.alive = {member}
+        self.compared = self.merged = 0
+        self._hashes: dict[int, int] = {}
+        self._digest = 0  # the sum of the hashes
+        self._transmissions_left: dict[int, int] = {}  # by the member whose entry it is
+        self._transmissions = ENTRY_TRANSMISSIONS * max(1, round(log2(max(2, members))))
+        self._agreeing: set[int] = {member}  # members known to have sent our digest
+        self._sent_digests: dict[int, int] = {}  # the digest that each member has sent last
+        self._unconverged: set[int] = set()  # members that said last that they have not converged
+        self._sent_roots: dict[int, SentRoot] = {}
+        self._converged, self._converged_since = False, now
+        self._reply_budget = dict(REPLIES_PER_PERIOD)
+        self._reply_budget_since = now
+        self._nudged_at, self._nudges = now, member
+        self._put(MemberEntry(member, born_s & UINT32_MASK, 0, zone_hash))
+        self._update_convergence(now)
+
+    # ---- our own entry ----
+
+    @property
+    def own(self) -> MemberEntry:
+        """The entry of this member."""
+        return self.entries[self.member]
+
+    def update_own(self, phase: int, held_roles: Iterable[int], missing: Iterable[int], now: int) -> None:
+        """Writes a new version of our entry, where it differs from the last one."""
+        own = self.own
+        phase = int(phase)  # the digest covers its representation, which for an enumeration is another one
+        held = tuple(sorted(set(held_roles))[:MAX_LISTED_ROLES])
+        lacking = tuple(sorted(set(missing))[:MAX_LISTED_ROLES])
+        if (phase, held, lacking) != (own.phase, own.held_roles, own.missing):
+            changed = MemberEntry(
+                self.member, own.born_s, own.version + 1, own.zone_hash, phase, held, lacking
+            )
+            self._write_own(changed, now)
+
+    def _write_own(self, entry: MemberEntry, now: int) -> None:
+        born_s, version = entry.born_s, entry.version
+        if version > MAX_VERSION:
+            born_s, version = born_s + 1, 0
+        self._put(replace(entry, born_s=born_s & UINT32_MASK, version=version))
+        self._update_convergence(now)
+
+    # ---- what is believed ----
+
+    def set_alive(self, alive: Iterable[int], now: int) -> None:
+        """The members that the failure detector believes to be alive. A dead member's entry is retained."""
+        believed = set(alive) | {self.member}
+        for member in believed ^ self.alive:
+            if member in believed:
+                self.alive.add(member)
+            else:
+                self.alive.discard(member)
+                self._sent_digests.pop(member, None)
+                self._unconverged.discard(member)
+            if member in self.entries:
+                self._rehash(member)
+        self._update_convergence(now)
+
+    def _put(self, entry: MemberEntry) -> None:
+        self.entries[entry.member] = entry
+        self._rehash(entry.member)
+        self._transmissions_left[entry.member] = self._transmissions
+
+    def _rehash(self, member: int) -> None:
+        """Brings the digest up to date after a change of a member's entry or life."""
+        previous = self._hashes.get(member, 0)
+        self._hashes[member] = entry_hash(self.entries[member], member in self.alive)
+        self._digest = (self._digest - previous + self._hashes[member]) % DIGEST_MODULUS
+
+    def merge(self, entry: MemberEntry, now: int) -> bool:
+        """Takes in an entry; whether it was new."""
+        if not 0 <= entry.member < self.members:
+            return False
+        known = self.entries.get(entry.member)
+        if known is not None and precedence(entry) <= precedence(known):
+            return False
+        self.merged += 1
+        if entry.member == self.member:
+            # An earlier process of ours whose clock was ahead would otherwise have the last word for ever.
+            own = self.own
+            self._write_own(replace(own, born_s=max(entry.born_s, own.born_s) + 1, version=0), now)
+        else:
+            self._put(entry)
+            self._update_convergence(now)
+        return True
+
+    # ---- convergence ----
+
+    @property
+    def digest(self) -> int:
+        """The digest of everything that is believed."""
+        return self._digest
+
+    def _update_convergence(self, now: int) -> None:
+        """To be called after each change of what is believed or was received."""
+        if self._sent_digests.get(self.member) != self._digest:
+            self._sent_digests[self.member] = self._digest
+            self._agreeing = {
+                member for member, digest in self._sent_digests.items() if digest == self._digest
+            }
+        converged = self.alive <= self._agreeing and self.alive <= self.entries.keys()
+        if converged != self._converged:
+            self._converged, self._converged_since = converged, now
+            if converged:  # everybody has what is still to be sent
+                self._transmissions_left.clear()
+
+    def convergence(self) -> Convergence:
+        """Whether the fleet has converged, as far as is known here."""
+        behind = (self.alive - self._agreeing) | (self.alive - self.entries.keys())
+        return Convergence(self._converged, self._converged_since, self._digest, tuple(sorted(behind)))
+
+    # ---- messages of other members ----
+
+    def receive(self, sender: int, messages: Iterable[Message], now: int) -> list[OutgoingMessage]:
+        """Takes in messages of another member. Returns the messages to send."""
+        outgoing: list[OutgoingMessage] = []
+        for message in messages:
+            match message:
+                case MemberEntry():
+                    self.merge(message, now)
+                case RootDigest():
+                    self._receive_root(sender, message, now, outgoing)
+                case RangeDigests():
+                    self._receive_ranges(sender, message, now, outgoing)
+                case EntriesRequest(low, high):
+                    self._send_entries(sender, low, high, outgoing)
+                case _:
+                    pass  # another protocol's
+        return outgoing
+
+    def _receive_root(self, sender: int, root: RootDigest, now: int, outgoing: list[OutgoingMessage]) -> None:
+        self._sent_digests[sender] = root.digest
+        agreeing = members_from_bits(root.agreeing)
+        if root.agreeing:
+            self._unconverged.add(sender)
+            # It has missed our digest, and may get no other message that is for it alone.
+            if self.member not in agreeing and (own_root := self.root_digest(sender, now)) is not None:
+                outgoing.append(OutgoingMessage(sender, own_root))
+        else:
+            self._unconverged.discard(sender)
+        if root.digest == self._digest:
+            self._agreeing |= {sender} | {member for member in agreeing if member < self.members}
+        else:
+            self._agreeing.discard(sender)
+            if self._spend_reply(ReplyKind.RANGES, now):
+                outgoing.append(OutgoingMessage(sender, self._range_digests(0, self.members)))
+        self._update_convergence(now)
+
+    def _spend_reply(self, kind: ReplyKind, now: int) -> bool:
+        """Whether another reply of that kind may be sent in this period. Ranges and entries have budgets of
+        their own: when they shared one, ranges took all of it and no entry was ever sent."""
+        if now - self._reply_budget_since >= self.period_us:
+            self._reply_budget = dict(REPLIES_PER_PERIOD)
+            self._reply_budget_since = now
+        self._reply_budget[kind] -= 1
+        return self._reply_budget[kind] >= 0
+
+    def _parts(self, low: int, high: int) -> list[tuple[int, int]]:
+        """The parts, from and to, that a range of members is compared by."""
+        size = high - low
+        step = max(LEAF_MEMBERS, -(-size // RANGE_PARTS))  # rounded up
+        return [(start, min(start + step, high)) for start in range(low, high, step)]
+
+    def _range_digest(self, low: int, high: int) -> int:
+        return sum(self._hashes.get(member, 0) for member in range(low, high)) % DIGEST_MODULUS
+
+    def _range_digests(self, low: int, high: int) -> RangeDigests:
+        digests = [self._range_digest(*part).to_bytes(DIGEST_BYTES) for part in self._parts(low, high)]
+        return RangeDigests(low, high, b"".join(digests))
+
+    def _receive_ranges(
+        self, sender: int, ranges: RangeDigests, now: int, outgoing: list[OutgoingMessage]
+    ) -> None:
+        if not ranges.low < ranges.high <= self.members:
+            return
+        parts = self._parts(ranges.low, ranges.high)
+        if len(ranges.digests) != DIGEST_BYTES * len(parts):
+            return
+        for step in range(len(parts)):
+            # From another part each time: the last ones get their share of the budget, too.
+            index = (step + self.compared) % len(parts)
+            low, high = parts[index]
+            theirs = ranges.digests[index * DIGEST_BYTES : (index + 1) * DIGEST_BYTES]
+            if int.from_bytes(theirs) == self._range_digest(low, high):
+                continue
+            is_leaf = high - low <= LEAF_MEMBERS
+            if not self._spend_reply(ReplyKind.ENTRIES if is_leaf else ReplyKind.RANGES, now):
+                return
+            self.compared += 1
+            if is_leaf:
+                self._send_entries(sender, low, high, outgoing)
+                outgoing.append(OutgoingMessage(sender, EntriesRequest(low, high)))
+            else:
+                outgoing.append(OutgoingMessage(sender, self._range_digests(low, high)))
+
+    def _send_entries(self, recipient: int, low: int, high: int, outgoing: list[OutgoingMessage]) -> None:
+        for member in range(low, min(high, low + LEAF_MEMBERS, self.members)):
+            if (entry := self.entries.get(member)) is not None:
+                outgoing.append(OutgoingMessage(recipient, entry))
+
+    # ---- gossip ----
+
+    def root_digest(self, recipient: int, now: int) -> RootDigest | None:
+        """The root digest for a frame to a member, or None where it was sent the same one within a period.
+
+        Between two members that have converged the set of agreeing members is left out.
+        """
+        recipient_agrees = self._sent_digests.get(recipient) == self._digest
+        both_converged = self._converged and recipient not in self._unconverged and recipient_agrees
+        root = RootDigest(self._digest, b"" if both_converged else members_to_bits(self._agreeing))
+        last = self._sent_roots.get(recipient, NO_ROOT_SENT)
+        if root == last.message and now - last.sent_at < self.period_us:
+            return None
+        self._sent_roots[recipient] = SentRoot(root, now)
+        return root
+
+    def nudge(self, now: int) -> list[OutgoingMessage]:
+        """Once a period, until the fleet has converged: sends our digest to one of those that are behind.
+
+        A member that only sends to all at once, load reports say, is not pinged because it is heard, so it
+        would never receive a digest, nor send its own.
+        """
+        if self._converged or now - self._nudged_at < self.period_us:
+            return []
+        self._nudged_at = now
+        behind = [member for member in self.convergence().behind if member != self.member]
+        if not behind:
+            return []
+        self._nudges += 1
+        recipient = behind[self._nudges % len(behind)]
+        self._sent_roots.pop(recipient, None)
+        root = self.root_digest(recipient, now)
+        return [OutgoingMessage(recipient, root)] if root is not None else []
+
+    def take_updates(self) -> list[MemberEntry]:
+        """The entries for a frame that is sent now: those first that were sent least."""
+        by_priority = sorted(self._transmissions_left.items(), key=lambda item: (-item[1], item[0]))
+        chosen = by_priority[:MAX_ENTRIES_PER_FRAME]
+        for member, left in chosen:
+            if left > 1:
+                self._transmissions_left[member] = left - 1
+            else:
+                del self._transmissions_left[member]
+        return [self.entries[member] for member, _ in chosen]
--- /dev/null
+++ b/reedspoke/fleet/component.py
@@ -0,0 +1,235 @@
+"""The fleet's component of the reducer.
+
+It passes the reducer's events on to the node (`node`), the loads of the others to the decision module, the
+node's log lines to the log, and answers the operators' calls. While this process drains, it gives up its
+roles, each to another live member. The component owns which roles are wanted here at the moment; all other
+state is the node's.
+"""
+
+from __future__ import annotations
+
+from zlib import crc32
+
+from reedspoke import interface as api
+from reedspoke.fleet.events import (
+    DatagramReceived,
+    LogChangesStored,
+    RoleCallFinished,
+    SendDatagrams,
+    SocketOpened,
+    StoreLogChanges,
+)
+from reedspoke.fleet.failure_detector import MemberState, MemberStateChange
+from reedspoke.fleet.load_sharing import LoadSharing, reserved_by
+from reedspoke.fleet.messages.errors import FrameError
+from reedspoke.fleet.messages.fields import NO_MEMBER
+from reedspoke.fleet.messages.frame import EVERY_PEER
+from reedspoke.fleet.messages.worker_load import LoadReport
+from reedspoke.fleet.node import FleetNode, NodePhase
+from reedspoke.fleet.roles.periodic_call import PeriodicCall
+from reedspoke.fleet.roles.singleton_roles import SingletonRoles
+from reedspoke.fleet.status import status_json
+from reedspoke.net import effects as fx
+from reedspoke.net.core import MS, Concern, Core, Reactions, Rings
+from reedspoke.net.state import Life
+
+MAX_TICK_INTERVAL_US = 250 * MS  # where nothing but load reports is exchanged
+TICKS_PER_PERIOD = 8
+TICKS_PER_TTL = 40
+RELEASED_TTLS = 2  # for which a role that an operator has released is not wanted here again
+CONFLICT = 409  # the target of a call knows a later token
+MAX_MEMBER_DIGITS = 5
+
+
+class FleetComponent(Concern):
+    """The reducer's side of a fleet node. `load_sharing` is None where no load reports are exchanged."""
+
+    def __init__(self, core: Core, node: FleetNode, load_sharing: LoadSharing | None) -> None:
+        """Ticks begin with `SocketOpened`."""
+        super().__init__(core)
+        self.node, self.load_sharing = node, load_sharing
+        self.roles, self.failure_detector = node.roles, node.failure_detector
+        self.tick_interval_us = self._tick_interval()
+        self._is_candidate = False
+        self._released_until: dict[str, int] = {}  # by role, where an operator has released it here
+        self._had_majority = True
+
+    def _tick_interval(self) -> int:
+        intervals = [MAX_TICK_INTERVAL_US]
+        if self.failure_detector is not None:
+            intervals.append(self.failure_detector.period_us // TICKS_PER_PERIOD)
+        if self.roles is not None:
+            intervals += [lease.ttl_us // TICKS_PER_TTL for lease in self.roles.leases.values()]
+        return min(intervals)
+
+    def reactions(self) -> Reactions:
+        """The events that the component handles."""
+        return {
+            DatagramReceived: self._on_datagram,
+            SocketOpened: lambda _: self._on_tick(0),
+            RoleCallFinished: self._on_role_call_finished,
+            LogChangesStored: self._on_log_changes_stored,
+        }
+
+    def rings(self) -> Rings:
+        """The timers that the component handles."""
+        return {"peers": self._on_tick}
+
+    # ---- events ----
+
+    def _on_datagram(self, event: DatagramReceived) -> None:
+        now = self.core.now
+        frame = self.node.receive(event.body, now, event.sender)
+        if frame is None or self.load_sharing is None:
+            return
+        changed = False
+        for message in frame.messages:
+            if isinstance(message, LoadReport):
+                try:
+                    changed |= self.load_sharing.receive(now, frame, message)
+                except FrameError:
+                    self.node.channel.counters["malformed"] += 1
+        if changed:
+            self._publish_loads(self.load_sharing)
+
+    def _on_tick(self, _: int) -> None:
+        now = self.core.now
+        if self.load_sharing is not None and self.load_sharing.expire(now):
+            self._publish_loads(self.load_sharing)
+        self._expire_releases(now)
+        self.node.tick(now)
+        if self.roles is not None:
+            self._check_majority()
+        if self.state.life is not Life.OVER:
+            self.core.ring(("peers", 0), now + self.tick_interval_us)
+
+    def _expire_releases(self, now: int) -> None:
+        for name in [name for name, until in self._released_until.items() if now >= until]:
+            del self._released_until[name]
+            if self._is_candidate:
+                self.node.set_candidacy(True, NO_MEMBER, now, [name])
+
+    def _check_majority(self) -> None:
+        has_majority = self.node.has_majority()
+        if has_majority != self._had_majority:
+            self._had_majority = has_majority
+            if has_majority:
+                text = "fleet: a majority of the lease voters is reachable again"
+            else:
+                text = "fleet: no majority of the lease voters is reachable: singleton roles are suspended"
+            self.core.ask(fx.Say(text))
+
+    def _on_log_changes_stored(self, event: LogChangesStored) -> None:
+        self.node.pending_writes -= 1
+        for send in event.then:
+            self.core.ask(send)
+
+    def _on_role_call_finished(self, event: RoleCallFinished) -> None:
+        assert self.roles is not None
+        if isinstance(handler := self.roles.handlers.get(event.role), PeriodicCall):
+            handler.call_finished(event.status)
+        if event.status == CONFLICT and event.later_token:
+            self.node.enqueue(self.roles.call_rejected(event.role, event.later_token, self.core.now))
+
+    # ---- operators ----
+
+    def on_status(self, event: fx.Called) -> fx.Reply:
+        """Answers `GET /v1/fleet`."""
+        return fx.Reply(event.caller, fx.Word.YES, text=status_json(self.node, self.core.now))
+
+    def on_release(self, event: fx.Called) -> fx.Reply:
+        """Answers `POST /v1/fleet/ROLE/release` with an optional successor. Only the holder can release a
+        role, and it does not want it again for RELEASED_TTLS."""
+        roles, now = self.roles, self.core.now
+        name, successor_text = event.names[0], event.names[1] if len(event.names) > 1 else ""
+        if roles is None or name not in roles.leases:
+            return fx.Reply(event.caller, fx.Word.ABSENT, text="no such duty\n")
+        successor = self._parse_member(successor_text)
+        if successor_text and successor is None:
+            return fx.Reply(event.caller, fx.Word.ABSENT, text=f"no other scheduler {successor_text}\n")
+        if not roles.holds(name, now):
+            holder = roles.holder(name, now)
+            held = f"held by scheduler {holder.member}" if holder else "held by nobody that is known here"
+            return fx.Reply(event.caller, fx.Word.NO, text=f"{held}\n")
+        if successor is None:
+            successor = self._choose_successor(name)
+        self._released_until[name] = now + RELEASED_TTLS * roles.leases[name].ttl_us
+        self.node.set_candidacy(False, successor, now, [name])
+        return fx.Reply(event.caller, fx.Word.YES)
+
+    def _parse_member(self, text: str) -> int | None:
+        """The other member that an operator has named, or None."""
+        if not (text.isascii() and text.isdigit() and len(text) <= MAX_MEMBER_DIGITS):
+            return None
+        member = int(text)
+        is_known = self.failure_detector is not None and member in self.failure_detector.members
+        return member if is_known else None
+
+    def _choose_successor(self, name: str) -> int:
+        """A live member, another one for each role, or NO_MEMBER where none is known to be alive."""
+        if self.failure_detector is None:
+            return NO_MEMBER
+        members = self.failure_detector.members.items()
+        alive = [member for member, record in members if record.state is MemberState.ALIVE]
+        return max(alive, key=lambda member: crc32(f"{name}/{member}".encode()), default=NO_MEMBER)
+
+    # ---- effects ----
+
+    def _publish_loads(self, load_sharing: LoadSharing) -> None:
+        self.core.tell(api.Others(load_sharing.loads_of_others(self.state.hosts)))
+
+    def after(self) -> None:
+        """Called behind each event of the reducer: turns what the node has collected into effects."""
+        if self.roles is not None:
+            self._update_candidacy(self.roles)
+            for effect in self.roles.effects:
+                self.core.ask(effect)  # type: ignore[arg-type]
+            self.roles.effects.clear()
+            self._log_changes(self.roles)
+        if self.load_sharing is not None:
+            attempts = self.state.counted["forwards", ""]
+            reports = self.load_sharing.due_reports(self.core.now, reserved_by(self.core.module), attempts)
+            self.node.enqueue((EVERY_PEER, report) for report in reports)
+        self._send()
+
+    def _send(self) -> None:
+        """Sends what is queued, behind the log changes that it may follow from."""
+        sends = [
+            SendDatagrams(tuple(bodies), recipient) for recipient, bodies in self.node.flush(self.core.now)
+        ]
+        if changes := self.node.take_log_changes():
+            self.node.pending_writes += 1
+            self.core.ask(StoreLogChanges(tuple(changes), tuple(sends)))
+            return
+        for send in sends:
+            self.core.ask(send)
+
+    def _update_candidacy(self, roles: SingletonRoles) -> None:
+        """A process that is about to end hands its roles over; otherwise their leases would have to
+        expire."""
+        candidate = self.state.life is Life.SERVING and not self.state.leaving()
+        if candidate:
+            self.node.phase = NodePhase.SERVING
+        else:
+            self.node.phase = NodePhase.DRAINED if self.state.drained else NodePhase.DRAINING
+        if candidate == self._is_candidate:
+            return
+        self._is_candidate = candidate
+        for name in roles.leases:
+            if name not in self._released_until:
+                successor = NO_MEMBER if candidate else self._choose_successor(name)
+                self.node.set_candidacy(candidate, successor, self.core.now, [name])
+
+    def _log_changes(self, roles: SingletonRoles) -> None:
+        for line in roles.log_lines:
+            self.core.ask(fx.Say(line))
+        roles.log_lines.clear()
+        if self.failure_detector is not None:
+            for change in self.failure_detector.changes:
+                self._log_member_change(change)
+            self.failure_detector.changes.clear()
+
+    def _log_member_change(self, change: MemberStateChange) -> None:
+        before, after = change.before.name.lower(), change.after.name.lower()
+        self.core.count(f"members {after}")
+        self.core.ask(fx.Say(f"fleet: scheduler {change.member} is {after}, was {before}"))
--- a/reedspoke/fleet/events.py
+++ b/reedspoke/fleet/events.py
@@ -1,76 +1,83 @@
-"""What the fleet's concern is told (events) and what it asks for (effects)."""
+"""What the fleet's component of the reducer is told (events) and what it asks for (effects).
+
+`recipient` is a member or EVERY_PEER; `expires_at` is microseconds of this process's monotonic clock.
+"""
 
 from __future__ import annotations
 
+from reedspoke.fleet.messages.frame import EVERY_PEER
 from reedspoke.fleet.record import Change
 from reedspoke.net.effects import FurtherEffect, FurtherEvent
 
 # ---- events ----
 
 
-class Joining(FurtherEvent):
-    """Messages between schedulers can come from now on."""
+class SocketOpened(FurtherEvent):
+    """Messages between schedulers can be exchanged from now on."""
 
 
-class Came(FurtherEvent):
-    """A message from another scheduler; it may be anything."""
+class DatagramReceived(FurtherEvent):
+    """A datagram has come, which may hold anything; `sender` is the member by its address."""
 
     body: bytes
-    sender: int = -1  # by its address
+    sender: int
+
 
+class RoleCallFinished(FurtherEvent):
+    """A call of a role has ended.
 
-class Acted(FurtherEvent):
-    """An act of a duty is over. `status`: of its answer, 0: none; `token`: the later one that it named, 0."""
+    `status` is that of the answer, 0 for none; `later_token` the one that the target knows, 0 for none.
+    """
 
-    duty: str
+    role: str
     status: int
-    token: int = 0
+    later_token: int = 0
 
 
-class Kept(FurtherEvent):
-    """What had to be on disk is: now that may go out which follows from it."""
+class LogChangesStored(FurtherEvent):
+    """The changes of a `StoreLogChanges` are on disk: what follows from them may be sent now."""
 
-    then: tuple[Spread, ...]
+    then: tuple[SendDatagrams, ...]
 
 
-class Unkept(FurtherEvent):
-    """It is not, and never will be taken to be."""
+class LogStoreFailed(FurtherEvent):
+    """The changes of a `StoreLogChanges` are not on disk, and will never be taken to be."""
 
 
 # ---- effects ----
 
 
-class Spread(FurtherEffect):
-    """Send messages to one scheduler, or to every other one; they may be lost."""
+class SendDatagrams(FurtherEffect):
+    """Send datagrams to one scheduler or to every other one; they may be lost."""
 
     bodies: tuple[bytes, ...]
-    to: int = -1
+    recipient: int = EVERY_PEER
 
 
-class Act(FurtherEffect):
-    """Carry out an act of a duty, if that is before `until` still; its token goes with it."""
+class CallRoleTarget(FurtherEffect):
+    """Call the target of a role with the fencing token, unless the lease has expired meanwhile."""
 
-    duty: str
+    role: str
     token: int
-    until: int
+    expires_at: int
 
 
-class Enter(FurtherEffect):
-    """A duty is this scheduler's until then, by its clock; told again whenever that is later."""
+class RoleAcquired(FurtherEffect):
+    """A delegated role is this scheduler's until `expires_at`; sent again whenever that is later."""
 
-    duty: str
+    role: str
     token: int
-    until: int
+    expires_at: int
 
 
-class Leave(FurtherEffect):
-    """It is not any more."""
+class RoleLost(FurtherEffect):
+    """A delegated role is this scheduler's no longer."""
 
-    duty: str
+    role: str
 
 
-class Keep(FurtherEffect):
-    """Bring that to disk, and answer by `Kept` or `Unkept`."""
+class StoreLogChanges(FurtherEffect):
+    """Bring the changes to disk, and answer with `LogChangesStored` or `LogStoreFailed`."""
 
     changes: tuple[Change, ...]
-    then: tuple[Spread, ...]
+    then: tuple[SendDatagrams, ...]
--- /dev/null
+++ b/reedspoke/fleet/messages/anti_entropy.py
@@ -0,0 +1,61 @@
+"""Messages of the anti-entropy of member entries, after the Merkle trees of Dynamo (DeCandia et al., 2007).
+
+Each member writes one `MemberEntry` about itself; all members carry all entries. New entries are spread by
+gossip. What gossip lost is found by comparing digests: `RootDigest` covers all entries; where two roots
+differ, `RangeDigests` of ever smaller ranges of members locate the difference, and `EntriesRequest` fetches
+the rest. The tree is not stored: the digest of a range is the sum of its entries' hashes.
+"""
+
+from __future__ import annotations
+
+from typing import Annotated
+
+from msgspec import Meta, Struct
+
+from reedspoke.fleet.messages.fields import UInt16, UInt32
+
+MAX_LISTED_ROLES = 6  # roles held, and missing dependencies, that an entry lists
+MAX_DIGESTS_BYTES = 128
+MAX_MEMBER_SET_BYTES = 128
+
+
+class MemberEntry(Struct, frozen=True, array_like=True, tag=8):
+    """What a member says about itself.
+
+    `born_s` is the Unix time, in seconds, of the start of its process, `version` rises with every change;
+    `zone_hash`, `held_roles` and `missing` are hashes of names (`name_hash`); `phase` is a `NodePhase`.
+    """
+
+    member: UInt16
+    born_s: UInt32
+    version: UInt16
+    zone_hash: UInt16
+    phase: Annotated[int, Meta(ge=0, le=7)] = 0
+    held_roles: Annotated[tuple[UInt16, ...], Meta(max_length=MAX_LISTED_ROLES)] = ()
+    missing: Annotated[tuple[UInt16, ...], Meta(max_length=MAX_LISTED_ROLES)] = ()
+
+
+class RootDigest(Struct, frozen=True, array_like=True, tag=9):
+    """The digest of everything that the sender believes.
+
+    `agreeing` is the set of members that are known to have sent the same digest, as bits with the first
+    member lowest; it is empty where the sender has converged.
+    """
+
+    digest: Annotated[int, Meta(ge=0)]
+    agreeing: Annotated[bytes, Meta(max_length=MAX_MEMBER_SET_BYTES)] = b""
+
+
+class RangeDigests(Struct, frozen=True, array_like=True, tag=10):
+    """Digests of the equal parts of the members from `low` to before `high`, 8 bytes each."""
+
+    low: UInt16
+    high: UInt16
+    digests: Annotated[bytes, Meta(max_length=MAX_DIGESTS_BYTES)]
+
+
+class EntriesRequest(Struct, frozen=True, array_like=True, tag=11):
+    """Asks for the entries of the members from `low` to before `high`."""
+
+    low: UInt16
+    high: UInt16
--- /dev/null
+++ b/reedspoke/fleet/node.py
@@ -0,0 +1,192 @@
+"""One scheduler's node in the fleet, without sockets and without the rest of the program.
+
+It joins the protocols: each received frame goes to the failure detector, the singleton roles, the entries and
+the extensions; what they want to send is queued by recipient until `flush`, which adds as many updates of the
+failure detector and of the entries as are due. The node owns that queue and the phase that its entry reports;
+every other state belongs to the protocol. It performs no I/O: `component` joins it to the reducer, and the
+laboratory simulates hundreds of nodes in virtual time. Times are microseconds of the monotonic clock, `now`.
+"""
+
+from __future__ import annotations
+
+from collections import defaultdict
+from collections.abc import Callable, Iterable, Mapping
+from dataclasses import dataclass
+from enum import IntEnum
+from typing import Any
+
+from reedspoke.fleet.anti_entropy import MemberEntries
+from reedspoke.fleet.failure_detector import LIVE_STATES, FailureDetector, MemberState
+from reedspoke.fleet.messages.anti_entropy import MemberEntry
+from reedspoke.fleet.messages.failure_detector import MemberUpdate, Ping
+from reedspoke.fleet.messages.fields import name_hash
+from reedspoke.fleet.messages.frame import EVERY_PEER, Frame, Message, OutgoingMessage
+from reedspoke.fleet.messages.lease import ConfigurationDigest, LeaseHeld, LeaseMessage
+from reedspoke.fleet.record import Change
+from reedspoke.fleet.roles.singleton_roles import SingletonRoles
+from reedspoke.fleet.transport.channel import FrameChannel
+
+
+class NodePhase(IntEnum):
+    """What a scheduler's entry says that it is doing. The values are on the wire and in the status."""
+
+    SERVING = 0
+    DRAINING = 1
+    DRAINED = 2
+
+
+Addressed = Iterable[tuple[int, Any]]  # recipients and messages
+MessageHandler = Callable[[int, Any, int], Addressed]  # (sender, message, now)
+
+
+@dataclass(slots=True, frozen=True)
+class FleetExtension:
+    """A further protocol of the node, such as the replicated log.
+
+    `message_handlers` are by the type of the message, `on_tick` is called with each tick of the node.
+    `take_log_changes` returns what must be on disk before anything else is sent, and forgets it.
+    """
+
+    message_handlers: Mapping[type, MessageHandler]
+    on_tick: Callable[[int], Addressed]
+    take_log_changes: Callable[[], list[Change]]
+
+
+class FleetNode:
+    """The protocols of one scheduler; those that are None are not in use. `entries` need a failure detector.
+
+    `pending_writes` counts the effects `StoreLogChanges` that have not been answered.
+    """
+
+    def __init__(
+        self, channel: FrameChannel, failure_detector: FailureDetector | None = None,
+        roles: SingletonRoles | None = None, entries: MemberEntries | None = None,
+    ) -> None:  # fmt: skip
+        """The protocols may also be set later, before the first frame is received."""
+        self.channel, self.failure_detector = channel, failure_detector
+        self.roles, self.entries = roles, entries
+        self.phase = NodePhase.SERVING
+        self.pending_writes = 0
+        self._extensions: list[FleetExtension] = []
+        self._message_handlers: dict[type, MessageHandler] = {}
+        self._queues: defaultdict[int, list[Message]] = defaultdict(list)
+
+    def add_extension(self, extension: FleetExtension) -> None:
+        """Adds a further protocol."""
+        self._extensions.append(extension)
+        self._message_handlers |= extension.message_handlers
+
+    # ---- events ----
+
+    def receive(self, datagram: bytes, now: int, sender: int = EVERY_PEER) -> Frame | None:
+        """Takes in a datagram; its frame, or None where it is ignored. `sender` is the member by its
+        address."""
+        frame = self.channel.receive(datagram, sender)
+        if frame is None:
+            return None
+        for message in frame.messages:
+            self._dispatch(frame.sender, message, now)
+        if self.failure_detector is not None:
+            detector = self.failure_detector
+            self.enqueue(detector.receive(frame.sender, frame.incarnation, frame.messages, now))
+            if self.entries is not None:
+                self.entries.set_alive(detector.alive(), now)
+                answers = self.entries.receive(frame.sender, frame.messages, now)
+                self.enqueue(answers)
+                self.enqueue(_member_states_of(detector, answers))
+        return frame
+
+    def _dispatch(self, sender: int, message: Message, now: int) -> None:
+        match message:
+            case LeaseMessage() | LeaseHeld() if self.roles is not None:
+                self.enqueue(self.roles.receive(sender, message, now))
+            case ConfigurationDigest() if self.roles is not None:
+                self.enqueue(self.roles.receive_digest(sender, message, now))
+            case _ if (handler := self._message_handlers.get(type(message))) is not None:
+                self.enqueue(handler(sender, message, now))
+            case _:
+                pass
+
+    def tick(self, now: int) -> None:
+        """Time has passed; due several times within a probe period and a time to live."""
+        if self.failure_detector is not None:
+            self.enqueue(self.failure_detector.tick(now))
+        if self.roles is not None:
+            self.enqueue(self.roles.tick(now))
+        for extension in self._extensions:
+            self.enqueue(extension.on_tick(now))
+        if self.entries is not None and self.failure_detector is not None:
+            self.entries.set_alive(self.failure_detector.alive(), now)
+            self.entries.update_own(self.phase, self._held_roles(now), (), now)
+            self.enqueue(self.entries.nudge(now))
+
+    def _held_roles(self, now: int) -> list[int]:
+        if self.roles is None:
+            return []
+        return [name_hash(name) for name in self.roles.leases if self.roles.holds(name, now)]
+
+    def set_candidacy(
+        self, candidate: bool, successor: int, now: int, names: Iterable[str] | None = None
+    ) -> None:
+        """Whether this member wants these roles (all without `names`); if not, their leases are released."""
+        if self.roles is not None:
+            self.enqueue(self.roles.set_candidacy(candidate, successor, now, names))
+
+    def take_log_changes(self) -> list[Change]:
+        """What must be on disk before the datagrams of the next `flush` are sent."""
+        return [change for extension in self._extensions for change in extension.take_log_changes()]
+
+    # ---- what is sent ----
+
+    def enqueue(self, messages: Addressed) -> None:
+        """Queues messages for their recipients until the next `flush`."""
+        for recipient, message in messages:
+            self._queues[recipient].append(message)
+
+    def flush(self, now: int) -> list[tuple[int, list[bytes]]]:
+        """The datagrams to send, by recipient, a member or EVERY_PEER."""
+        datagrams = []
+        for recipient, messages in self._queues.items():
+            if messages:
+                messages += self._piggyback(recipient, messages, now)
+                datagrams.append((recipient, self.channel.encode(messages)))
+        self._queues.clear()
+        return datagrams
+
+    def _piggyback(self, recipient: int, messages: list[Message], now: int) -> list[Message]:
+        """What goes along with messages that are sent anyway."""
+        extra: list[Message] = []
+        if self.roles is not None and any(isinstance(message, Ping) for message in messages):
+            extra.append(self.roles.digest)
+        if self.failure_detector is not None:
+            extra += self.failure_detector.take_updates()
+        if self.entries is not None:
+            # With whatever is sent: a member that sends is not pinged, and would never receive our digest.
+            if recipient >= 0 and (root := self.entries.root_digest(recipient, now)) is not None:
+                extra.append(root)
+            extra += self.entries.take_updates()
+        return extra
+
+    # ---- what is known ----
+
+    def has_majority(self) -> bool:
+        """Whether enough voters are believed to be alive for any lease to be granted."""
+        if self.roles is None or self.failure_detector is None:
+            return False
+        voters = self.roles.configuration.voters
+        alive = sum(self.failure_detector.state(voter) in LIVE_STATES for voter in voters)
+        return alive > len(voters) // 2
+
+
+def _member_states_of(detector: FailureDetector, answers: Iterable[OutgoingMessage]) -> list[OutgoingMessage]:
+    """Updates of the members whose entries are among the answers: what is believed about their lives is
+    part of the digests that are compared, so it is exchanged with the entries."""
+    updates = []
+    for recipient, message in answers:
+        if not isinstance(message, MemberEntry):
+            continue
+        record = detector.members.get(message.member)
+        if record is not None and record.incarnation >= 0 and record.state is not MemberState.UNSEEN:
+            update = MemberUpdate(message.member, record.incarnation, record.refutation, record.state)
+            updates.append(OutgoingMessage(recipient, update))
+    return updates
--- /dev/null
+++ b/reedspoke/fleet/roles/__init__.py
@@ -0,0 +1,11 @@
+"""Singleton roles: what exactly one scheduler of the fleet does at a time, each guarded by a lease.
+
+The operator file, the command line, the wire and the metrics call a role a *duty*, and the voters *granters*;
+those words are mapped to the ones used here in `reedspoke.assembly`, `fleet.status` and `fleet.metrics`.
+
+Owns: the roles of this member, who is known to hold each of them (`singleton_roles`), and the two general
+handlers of a role: one that calls an HTTP address periodically (`periodic_call`, with its client
+`call_client`) and one that delegates the role to a part with I/O of its own (`delegated`). Imports
+`fleet.lease`, `fleet.messages` and `fleet.events`; `call_client` alone also imports `reedspoke.net` and
+performs I/O.
+"""
--- /dev/null
+++ b/reedspoke/fleet/roles/call_client.py
@@ -0,0 +1,87 @@
+"""The HTTP client of periodic calls: a POST with the fencing token, by which the target rejects an older
+one."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+from collections.abc import Callable, Mapping
+from dataclasses import dataclass
+from typing import Any
+
+from reedspoke.fleet.events import CallRoleTarget, RoleCallFinished
+from reedspoke.net.runtime import Runtime
+
+SECOND_US = 1_000_000
+CONFLICT = 409  # the target knows a later token
+CONNECTION_ERROR = 599  # tornado's status where there was no answer
+MAX_TOKEN = (1 << 63) - 1
+
+log = logging.getLogger("reedspoke")
+
+
+@dataclass(slots=True, frozen=True)
+class CallTarget:
+    """Where a role's calls go, and how long one may take."""
+
+    url: str
+    timeout_us: int
+
+
+class RoleCallClient:
+    """Carries out `CallRoleTarget` and reports the end of each call by `RoleCallFinished`."""
+
+    def __init__(self, runtime: Runtime, scheduler: str, targets: Mapping[str, CallTarget]) -> None:
+        """`scheduler` is the name that the target is told; `targets` are by role."""
+        self.runtime, self.scheduler, self.targets = runtime, scheduler, targets
+        self._tasks: set[asyncio.Task[None]] = set()
+
+    def effects(self) -> dict[type, Callable[[Any], None]]:
+        """The effects that the client carries out."""
+        return {CallRoleTarget: self._start_call}
+
+    def open(self) -> None:
+        """Nothing: each call has its own connection."""
+
+    def reload(self) -> None:
+        """Nothing: the roles stay those of the start."""
+
+    def close(self) -> None:
+        """Cancels the open calls."""
+        for task in self._tasks:
+            task.cancel()
+
+    def _start_call(self, effect: CallRoleTarget) -> None:
+        task = asyncio.ensure_future(self._call(effect))
+        self._tasks.add(task)  # the event loop itself keeps no reference to it
+        task.add_done_callback(self._tasks.discard)
+
+    async def _call(self, effect: CallRoleTarget) -> None:
+        status, later_token = 0, 0
+        # The process may have stood still since the decision, so the clock is read once more before the act.
+        if self.runtime.clock.now() < effect.expires_at:
+            status, later_token = await self._fetch(effect)
+        self.runtime.emit(RoleCallFinished(effect.role, status, min(later_token, MAX_TOKEN)))
+
+    async def _fetch(self, effect: CallRoleTarget) -> tuple[int, int]:
+        """The status of the answer, 0 for none, and the later token that the target knows, 0 for none."""
+        from tornado.httpclient import AsyncHTTPClient, HTTPClientError, HTTPRequest
+
+        target = self.targets[effect.role]
+        timeout_s = target.timeout_us / SECOND_US
+        headers = {
+            "Fencing-Token": str(effect.token), "X-Duty": effect.role, "X-Holder": self.scheduler,
+            "Content-Type": "text/plain",
+        }  # fmt: skip
+        request = HTTPRequest(
+            target.url, "POST", headers, b"", connect_timeout=timeout_s, request_timeout=timeout_s,
+            follow_redirects=False,
+        )  # fmt: skip
+        try:
+            answer = await AsyncHTTPClient().fetch(request, raise_error=False)
+        except (HTTPClientError, OSError) as error:
+            log.warning("role %s: HTTP call failed: %s", effect.role, error)
+            return 0, 0
+        status = answer.code if answer.code < CONNECTION_ERROR else 0
+        token = answer.headers.get("Fencing-Token", "") if answer.code == CONFLICT else ""
+        return status, int(token) if token.isascii() and token.isdigit() else 0
--- /dev/null
+++ b/reedspoke/fleet/roles/delegated.py
@@ -0,0 +1,31 @@
+"""A role handler that delegates the role to a part with I/O of its own, which is told of each change."""
+
+from __future__ import annotations
+
+from reedspoke.fleet.events import RoleAcquired, RoleLost
+
+
+class DelegatedRole:
+    """A `RoleHandler`. The part compares its clock with `expires_at` before each act, and sends the token
+    along."""
+
+    def __init__(self, role: str) -> None:
+        """`role` is the name of the role."""
+        self.role, self._token = role, 0
+
+    def lease_acquired(self, token: int, expires_at: int, now: int) -> list[object]:
+        """Reports the role to the part."""
+        self._token = token
+        return [RoleAcquired(self.role, token, expires_at)]
+
+    def lease_renewed(self, expires_at: int, now: int) -> list[object]:
+        """Reports the later end to the part."""
+        return [RoleAcquired(self.role, self._token, expires_at)]
+
+    def lease_ended(self, reason: str, now: int) -> list[object]:
+        """Reports the loss to the part."""
+        return [RoleLost(self.role)]
+
+    def tick(self, now: int) -> list[object]:
+        """Nothing: the part has timers of its own."""
+        return []
--- a/reedspoke/fleet/status.py
+++ b/reedspoke/fleet/status.py
@@ -1,113 +1,76 @@
-"""The fleet as one scheduler sees it: as JSON for `reedspoke fleet status`, as figures for the door."""
+"""The fleet as one scheduler sees it, as the JSON of `GET /v1/fleet`, which `reedspoke fleet status` prints.
+
+The keys keep the words of the operator file, `duty` for a singleton role say; this module maps them.
+"""
 
 from __future__ import annotations
 
 import json
-from collections import Counter
-from dataclasses import dataclass
 from typing import Any
 
-from reedspoke.fleet.membership import Standing
-from reedspoke.fleet.party import Party
-from reedspoke.fleet.sharing import Sharing
-from reedspoke.fleet.view import View
+from reedspoke.fleet.anti_entropy import MemberEntries
+from reedspoke.fleet.failure_detector import FailureDetector
+from reedspoke.fleet.node import FleetNode
+from reedspoke.fleet.roles.singleton_roles import SingletonRoles
+
+SECOND_US = 1_000_000
 
-SECOND = 1_000_000
 
+def status_json(node: FleetNode, now: int) -> str:
+    """The status as one line: this member, the members by state, and the holder of each role, its fencing
+    token and how long its lease lasts at most."""
+    detector, roles, entries = node.failure_detector, node.roles, node.entries
+    status = {
+        "me": node.channel.node_id,
+        "majority": node.has_majority(),
+        "members": _members(detector, now) if detector is not None else [],
+        "duties": [_role(roles, name, now) for name in roles.leases] if roles is not None else [],
+        "discord": sorted(roles.conflicting_members) if roles is not None else [],
+        "view": _view(entries, now) if entries is not None else None,
+    }
+    return json.dumps(status) + "\n"
 
-@dataclass(slots=True)
-class Sent:
-    """What the socket has counted."""
 
-    strangers: int = 0
-    datagrams: int = 0
-    bytes: int = 0
-    failed: int = 0
+def _members(detector: FailureDetector, now: int) -> list[dict[str, Any]]:
+    return [
+        {
+            "member": member,
+            "is": record.state.name.lower(),
+            "for_s": round((now - record.since) / SECOND_US, 1) if record.since else None,
+        }
+        for member, record in sorted(detector.members.items())
+    ]
 
 
-def status(party: Party, now: int) -> str:
-    """Whose view it is, members by standing, each duty's holder, its token and how long it lasts at most."""
-    membership, duties = party.membership, party.duties
-    members: list[dict[str, Any]] = []
-    if membership is not None:
-        for number, one in sorted(membership.members.items()):
-            since = round((now - one.since) / SECOND, 1) if one.since else None
-            members.append({"member": number, "is": one.standing.name.lower(), "for_s": since})
-    held: list[dict[str, Any]] = []
-    for name, lease in duties.leases.items() if duties is not None else ():
-        grip = duties.holder(name, now) if duties is not None else None
-        held.append({
-            "duty": name, "holder": grip.member if grip else None, "token": grip.token if grip else None,
-            "left_s": round((grip.until - now) / SECOND, 2) if grip else None, "wanted_here": lease.wanted,
-            "last_ended_here": duties.last.get(name) if duties is not None else None,
-        })  # fmt: skip
-    told = {
-        "me": party.mail.me, "majority": party.majority(), "members": members, "duties": held,
-        "discord": sorted(duties.discord) if duties is not None else [],
-        "view": _view(party.view, now) if party.view is not None else None,
-    }  # fmt: skip
-    return json.dumps(told) + "\n"
+def _role(roles: SingletonRoles, name: str, now: int) -> dict[str, Any]:
+    holder = roles.holder(name, now)
+    return {
+        "duty": name,
+        "holder": holder.member if holder else None,
+        "token": holder.token if holder else None,
+        "left_s": round((holder.expires_at - now) / SECOND_US, 2) if holder else None,
+        "wanted_here": roles.leases[name].candidate,
+        "last_ended_here": roles.last_end_reason.get(name),
+    }
 
 
-def _view(view: View, now: int) -> dict[str, Any]:
-    """What all say of themselves, as it is believed here, and whether everybody has heard the same."""
-    told = view.settled()
+def _view(entries: MemberEntries, now: int) -> dict[str, Any]:
+    """The entries as they are believed here, and whether the fleet has converged on them."""
+    convergence = entries.convergence()
     return {
-        "settled": told.settled, "for_s": round((now - told.since) / SECOND, 1),
-        "digest": f"{told.digest:016x}", "behind": list(told.behind),
+        "settled": convergence.converged,
+        "for_s": round((now - convergence.since) / SECOND_US, 1),
+        "digest": f"{convergence.digest:016x}",
+        "behind": list(convergence.behind),
         "entries": [
             {
-                "member": one.number, "born": one.born, "version": one.version, "phase": one.phase,
-                "holds": list(one.holds), "lacks": list(one.lacks),
+                "member": entry.member,
+                "born": entry.born_s,
+                "version": entry.version,
+                "phase": entry.phase,
+                "holds": list(entry.held_roles),
+                "lacks": list(entry.missing),
             }
-            for one in sorted(view.entries.values(), key=lambda one: one.number)
+            for entry in sorted(entries.entries.values(), key=lambda entry: entry.member)
         ],
-    }  # fmt: skip
-
-
-def figures(party: Party, sharing: Sharing | None, sent: Sent, now: int) -> str:
-    """Prometheus text. The words on jobs keep the names that they had."""
-    mail = party.mail
-    plain: dict[str, int] = {
-        "words_heard": mail.counted["heard"], "words_malformed": mail.counted["malformed"],
-        "words_stale": mail.counted["stale"] + (sharing.stale if sharing is not None else 0),
-        "words_of_strangers": mail.counted["strangers"] + sent.strangers, "datagrams_sent": sent.datagrams,
-        "bytes_sent": sent.bytes, "sends_failed": sent.failed,
-        "words_unsealed": mail.counted["unsealed"],
-        "words_waited": sharing.waited if sharing is not None else 0,
-    }  # fmt: skip
-    text = "".join(
-        f"# TYPE scheduler_peer_{name}_total counter\nscheduler_peer_{name}_total {count}\n"
-        for name, count in plain.items()
-    )
-    if party.membership is not None:
-        count = Counter(one.standing for one in party.membership.members.values())
-        text += "# TYPE scheduler_fleet_members gauge\n"
-        text += "".join(
-            f'scheduler_fleet_members{{standing="{one.name.lower()}"}} {count[one]}\n' for one in Standing
-        )
-    if party.view is not None:
-        told = party.view.settled()
-        for name, value in {"settled": +told.settled, "behind": len(told.behind)}.items():
-            text += f"# TYPE scheduler_fleet_{name} gauge\nscheduler_fleet_{name} {value}\n"
-        for name, value in {"compared": party.view.compared, "merged": party.view.merged}.items():
-            text += f"# TYPE scheduler_fleet_{name}_total counter\nscheduler_fleet_{name}_total {value}\n"
-    if party.duties is not None:
-        duties = party.duties
-        text += f"# TYPE scheduler_fleet_majority gauge\nscheduler_fleet_majority {+party.majority()}\n"
-        text += f"# TYPE scheduler_fleet_discord gauge\nscheduler_fleet_discord {len(duties.discord)}\n"
-        text += "# TYPE scheduler_duty_held gauge\n"
-        text += "".join(
-            f'scheduler_duty_held{{duty="{name}"}} {+duties.holds(name, now)}\n' for name in duties.leases
-        )
-        text += "# TYPE scheduler_duty_ended_total counter\n"
-        text += "".join(
-            f'scheduler_duty_ended_total{{duty="{name}",why="{why}"}} {times}\n'
-            for (name, why), times in sorted(duties.counted.items())
-        )
-        text += "# TYPE scheduler_duty_stale_words_total counter\n"
-        text += "".join(
-            f'scheduler_duty_stale_words_total{{duty="{name}"}} {fence.refused}\n'
-            for name, fence in duties.fences.items()
-        )
-    return text
+    }
--- /dev/null
+++ b/reedspoke/fleet/transport/udp_socket.py
@@ -0,0 +1,119 @@
+"""The UDP socket of a fleet's scheduler.
+
+Datagrams may be lost, late, duplicated or forged: one that does not come from the address of a peer is
+counted and dropped, and no datagram ends anything. Where the socket cannot be opened, the log says so, and
+the scheduler serves without it, as it does when no peer ever sends anything.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+import socket
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import Any
+
+from reedspoke.fleet.events import DatagramReceived, SendDatagrams, SocketOpened
+from reedspoke.fleet.messages.sizes import MAX_DATAGRAM_BYTES
+from reedspoke.fleet.transport.authentication import FrameKeysError, load_keys
+from reedspoke.fleet.transport.channel import FrameChannel
+from reedspoke.net.config import Peers
+from reedspoke.net.runtime import Runtime
+
+MAX_READS_PER_WAKEUP = 64  # so that a flood of datagrams leaves time for everything else
+
+log = logging.getLogger("reedspoke")
+
+
+@dataclass(slots=True)
+class SocketCounters:
+    """What the socket has counted. `strangers`: datagrams from an address that is no peer's."""
+
+    strangers: int = 0
+    datagrams: int = 0
+    bytes: int = 0
+    failed: int = 0
+
+
+class PeerSocket:
+    """One non-blocking socket for all peers; a datagram that cannot be sent at once is lost."""
+
+    def __init__(
+        self, runtime: Runtime, peers: Peers, node_id: int, channel: FrameChannel, key_file: str = ""
+    ) -> None:
+        """`node_id` is this scheduler's position among the peers."""
+        self.runtime, self.peers, self.channel, self.key_file = runtime, peers, channel, key_file
+        self.counters = SocketCounters()
+        self._member_by_address = {address: member for member, address in enumerate(peers.each)}
+        others = tuple(address for member, address in enumerate(peers.each) if member != node_id)
+        self._every_peer = (peers.all,) if peers.all is not None else others
+        self._socket: socket.socket | None = None
+
+    def effects(self) -> dict[type, Callable[[Any], None]]:
+        """The effects that the socket carries out."""
+        return {SendDatagrams: self._send}
+
+    def open(self) -> None:
+        """Opens the socket and reports it by `SocketOpened`; a failure is logged."""
+        try:
+            self._socket = opened = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+            opened.setblocking(False)
+            # A process that replaces this one opens the same address beside it.
+            opened.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
+            opened.bind(self.peers.listen)
+        except OSError as error:
+            log.warning(
+                "fleet: UDP socket %s:%d cannot be opened, no messages are exchanged: %s",
+                *self.peers.listen,
+                error,
+            )
+            self.close()
+            return
+        asyncio.get_running_loop().add_reader(opened.fileno(), self._read)
+        self.runtime.emit(SocketOpened())
+
+    def reload(self) -> None:
+        """Reads the key file again; the peers stay those of the start."""
+        if not self.key_file:
+            return
+        try:
+            self.channel.keys = load_keys(self.key_file)
+            log.info("reload: fleet: %r", self.channel.keys)
+        except FrameKeysError as error:
+            log.error("reload: fleet.key_file: the old keys stay in force: %s", error)
+
+    def close(self) -> None:
+        """Closes the socket; it may be closed already."""
+        if self._socket is not None:
+            asyncio.get_running_loop().remove_reader(self._socket.fileno())
+            self._socket.close()
+            self._socket = None
+
+    def _read(self) -> None:
+        for _ in range(MAX_READS_PER_WAKEUP):
+            if self._socket is None:
+                return
+            try:
+                # One byte more than allowed, so that a longer datagram is seen to be too long.
+                datagram, address = self._socket.recvfrom(MAX_DATAGRAM_BYTES + 1)
+            except OSError:  # nothing more to read, or an ICMP error for a datagram sent earlier
+                return
+            member = self._member_by_address.get(address)
+            if member is None:
+                self.counters.strangers += 1
+            else:
+                self.runtime.emit(DatagramReceived(datagram, member))
+
+    def _send(self, effect: SendDatagrams) -> None:
+        if self._socket is None:
+            return
+        to_all = effect.recipient < 0
+        addresses = self._every_peer if to_all else (self.peers.each[effect.recipient],)
+        for body in effect.bodies:
+            for address in addresses:
+                try:
+                    self.counters.bytes += self._socket.sendto(body, address)
+                    self.counters.datagrams += 1
+                except OSError:  # the buffer is full, or nobody listens: every protocol repeats itself
+                    self.counters.failed += 1
--- a/reedspoke/lab/fleet.py
+++ b/reedspoke/lab/fleet.py
@@ -27,9 +27,9 @@
     while play.now < began + PATIENT:
         play.run(SECOND // 8)
         lively = {at for at, one in play.processes.items() if not one.stopped}
-        told = [play.processes[at].view.settled() for at in lively]
+        told = [play.processes[at].view.convergence() for at in lively]
         right = all(set(play.processes[at].membership.alive()) == lively for at in lively)
-        if right and all(one.settled for one in told) and len({one.digest for one in told}) == 1:
+        if right and all(one.converged for one in told) and len({one.digest for one in told}) == 1:
             return round((play.now - began) / SECOND, 1)
     return None
 
@@ -74,7 +74,9 @@
         )
         killed, spoken = play.now, len(play.said_gone)
         play.kill(victim)
-        play.run(int(4 * play.period + 3 * play.processes[min(play.processes)].membership.suspicion))
+        play.run(
+            int(4 * play.period + 3 * play.processes[min(play.processes)].membership.suspicion_timeout_us)
+        )
         told = [when for when, _, whom in play.said_gone[spoken:] if whom == victim]
         by = {who for _, who, whom in play.said_gone[spoken:] if whom == victim}
         if told:
--- a/reedspoke/lab/leaseplay.py
+++ b/reedspoke/lab/leaseplay.py
@@ -14,10 +14,19 @@
 from random import Random
 
 from reedspoke.errors import ReedspokeError
-from reedspoke.fleet import lease as parts
-from reedspoke.fleet.lease import ROUND_OF, Begun, Ended, Heard, Lease, Tell, Tick, Want
+from reedspoke.fleet.lease.events import (
+    CandidacyChanged,
+    LeaseAcquired,
+    LeaseEnded,
+    LeaseEvent,
+    MessageReceived,
+    SendMessage,
+    TimePassed,
+)
+from reedspoke.fleet.lease.participant import LeaseParticipant
+from reedspoke.fleet.lease.tokens import ROUND_US
 
-UNIT = ROUND_OF  # us in a unit of the play's time
+UNIT = ROUND_US  # us in a unit of the play's time
 TERM, DRIFT = 1_000, 0.25
 RATES = (0.75, 1.25, 1.0, 0.9, 1.1)  # clocks, against true time
 
@@ -29,14 +38,14 @@
     """Two members would act now if they were asked."""
 
     code = "lab-two-holders"
-    remedy = "a defect in fleet/lease.py: keep the seed"
+    remedy = "a defect in fleet/lease: keep the seed"
 
 
 class TokenError(ReedspokeError, AssertionError):
     """A later holder's token is not above an earlier one's."""
 
     code = "lab-token-fell"
-    remedy = "a defect in fleet/lease.py: keep the seed"
+    remedy = "a defect in fleet/lease: keep the seed"
 
 
 @dataclass
@@ -45,11 +54,11 @@
 
     size: int
     seed: int
-    make: type[Lease] = Lease
+    make: type[LeaseParticipant] = LeaseParticipant
     drift: float = DRIFT
     rates: tuple[float, ...] = RATES
     true: float = 0.0
-    members: list[Lease] = field(default_factory=list)
+    members: list[LeaseParticipant] = field(default_factory=list)
     stopped: set[int] = field(default_factory=set)
     cuts: set[tuple[int, int]] = field(default_factory=set)  # one way
     flying: list[tuple[int, int, object]] = field(default_factory=list)
@@ -67,9 +76,9 @@
         self.random = Random(self.seed)
         self.members = [self._new(number) for number in range(self.size)]
         for number in range(self.size):
-            self.tell(number, Want(True))
+            self.tell(number, CandidacyChanged(True))
 
-    def _new(self, number: int) -> Lease:
+    def _new(self, number: int) -> LeaseParticipant:
         self.lives += 1
         now = self.clock(number)
         wall = 10**12 + int(self.true * UNIT) + self.jumps.get(number, 0)
@@ -88,26 +97,26 @@
     def clock(self, number: int) -> int:
         return int(self.true * UNIT * self.rates[number % len(self.rates)])
 
-    def tell(self, number: int, event: parts.Event) -> None:
+    def tell(self, number: int, event: LeaseEvent) -> None:
         if number in self.stopped:
             return
         for effect in self.members[number].handle(event, self.clock(number)):
-            if isinstance(effect, Tell):
+            if isinstance(effect, SendMessage):
                 self.send(number, effect)
-            elif isinstance(effect, Begun):
+            elif isinstance(effect, LeaseAcquired):
                 if self.tokens and effect.token <= self.tokens[-1] and self.rates is EVEN:
                     raise TokenError(f"{effect.token} behind {self.tokens[-1]}")
                 self.gaps.append(self.true - self.free_since)
                 self.tokens.append(effect.token)
-            elif isinstance(effect, Ended):
-                self.ended.append(effect.why)
+            elif isinstance(effect, LeaseEnded):
+                self.ended.append(effect.reason)
         self.check()
 
-    def send(self, number: int, effect: Tell) -> None:
+    def send(self, number: int, effect: SendMessage) -> None:
         """A member sends a message; it arrives as the play says."""
         self.sent += 1
-        if (number, effect.to) not in self.cuts:
-            self.flying.append((number, effect.to, effect.message))
+        if (number, effect.recipient) not in self.cuts:
+            self.flying.append((number, effect.recipient, effect.message))
 
     def holders(self) -> list[int]:
         """Those who would act now if asked."""
@@ -122,18 +131,18 @@
     def deliver(self, at: int) -> None:
         sender, to, message = self.flying.pop(at)
         if to not in self.stopped and (sender, to) not in self.cuts:
-            self.tell(to, Heard(sender, message))  # type: ignore[arg-type]
+            self.tell(to, MessageReceived(sender, message))  # type: ignore[arg-type]
 
     def pass_time(self, span: float) -> None:
         self.true += span
         self.check()
         for number in range(self.size):
-            self.tell(number, Tick())
+            self.tell(number, TimePassed())
 
     def restart(self, number: int) -> None:
         self.members[number] = self._new(number)
         self.stopped.discard(number)
-        self.tell(number, Want(True))
+        self.tell(number, CandidacyChanged(True))
 
     def calm(self, span: float, step: float = 10.0) -> None:
         """Everything arrives."""
@@ -173,7 +182,7 @@
 
     def lately(self) -> list[int]:
         """Members that have started anew and are silent still."""
-        return [n for n, m in enumerate(self.members) if self.clock(n) < m.granter.silent_until]
+        return [n for n, m in enumerate(self.members) if self.clock(n) < m.voter.answers_from]
 
     def fork(self) -> Fleet:
         """The same state, to be played on by itself. Its members must share one lot that never changes."""
@@ -189,7 +198,10 @@
         members = tuple(
             (
                 *(getattr(member, name) for name in KEPT),
-                *(getattr(member.granter, name) for name in ("silent_until", "promised", "granted", "ends")),
+                *(
+                    getattr(member.voter, name)
+                    for name in ("answers_from", "prepared", "granted", "granted_until")
+                ),
                 _round_key(member),
             )
             for member in self.members
@@ -198,33 +210,33 @@
 
 
 KEPT = (
-    "wanted",
+    "candidate",
     "token",
-    "ballot",
-    "until",
+    "granted_proposal",
+    "expires_at",
     "renew_at",
     "_retry_at",
-    "_fails",
-    "_highest",
-    "identity",
-    "_born",
+    "_backoff_doublings",
+    "_highest_round",
+    "proposer",
+    "_started_at",
 )
 
 
-def _fork(member: Lease) -> Lease:
+def _fork(member: LeaseParticipant) -> LeaseParticipant:
     other = copy.copy(member)
-    other.granter = copy.copy(member.granter)
-    if member._round is not None:
-        other._round = copy.copy(member._round)
-        other._round.answers = set(member._round.answers)
+    other.voter = copy.copy(member.voter)
+    if member._proposal is not None:
+        other._proposal = copy.copy(member._proposal)
+        other._proposal.answers = set(member._proposal.answers)
     return other
 
 
-def _round_key(member: Lease) -> object:
-    asked = member._round
+def _round_key(member: LeaseParticipant) -> object:
+    asked = member._proposal
     if asked is None:
         return None
-    return asked.ballot, asked.began, asked.gives_up, asked.proposed_at, frozenset(asked.answers)
+    return asked.number, asked.started_at, asked.gives_up_at, asked.accept_sent_at, frozenset(asked.answers)
 
 
 class Middle(Random):
@@ -253,7 +265,7 @@
     mine = [item for item in fleet.flying if item[:2] == pair]
     fleet.flying = [item for item in fleet.flying if item[:2] != pair]
     for sender, to, message in mine * times:
-        fleet.tell(to, Heard(sender, message))  # type: ignore[arg-type]
+        fleet.tell(to, MessageReceived(sender, message))  # type: ignore[arg-type]
 
 
 @dataclass
@@ -282,7 +294,7 @@
     return Explored(len(seen), depth, time.monotonic() - began)
 
 
-def held(size: int, make: type[Lease] = Lease) -> Fleet:
+def held(size: int, make: type[LeaseParticipant] = LeaseParticipant) -> Fleet:
     """A fleet with a holder, ready to be explored."""
     fleet = Fleet(size, 0, make, lot=Middle())
     fleet.calm(2.2 * TERM)
--- a/reedspoke/lab/mutants.py
+++ b/reedspoke/lab/mutants.py
@@ -2,79 +2,79 @@
 
 from __future__ import annotations
 
-from reedspoke.fleet import lease as parts
-from reedspoke.fleet.frames import Accept, Prepare, Promise, Propose, Refuse, Release
-from reedspoke.fleet.lease import Granter, Lease
+from reedspoke.fleet.lease.participant import LeaseParticipant, Proposal
+from reedspoke.fleet.lease.tokens import proposer_id
+from reedspoke.fleet.lease.voter import LeaseVoter
+from reedspoke.fleet.messages.lease import PrepareResponse, ProposerMessage, VoterMessage
 from reedspoke.lab.leaseplay import EVEN, RATES, TERM, Fleet, TokenError, TwoHoldersError
 
 
-class Forgetful(Lease):
+class Forgetful(LeaseParticipant):
     """Its granter answers at once after a start."""
 
     def __init__(self, *rest: object) -> None:
         super().__init__(*rest)  # type: ignore[arg-type]
-        self.granter.silent_until = 0
+        self.voter.answers_from = 0
 
 
-class Trusting(Lease):
+class Trusting(LeaseParticipant):
     """A holder that believes in the whole term by its own clock."""
 
     def __init__(self, *rest: object) -> None:
         super().__init__(*rest)  # type: ignore[arg-type]
-        self.end = self.term
+        self.holder_ttl_us = self.ttl_us
 
 
-class Late(Lease):
+class Late(LeaseParticipant):
     """A holder that counts from when the grant came."""
 
-    def _granted(self, asked: parts.Round, now: int) -> None:
-        asked.proposed_at = now
-        super()._granted(asked, now)
+    def _lease_granted(self, proposal: Proposal, accept_sent_at: int, now: int) -> None:
+        super()._lease_granted(proposal, now, now)
 
 
-class Minority(Lease):
-    def _majority(self, asked: parts.Round) -> bool:
-        return len(asked.answers) >= len(self.granters) // 2
+class Minority(LeaseParticipant):
+    def _has_majority(self, proposal: Proposal) -> bool:
+        return len(proposal.answers) >= len(self.voters) // 2
 
 
-class Blind(Lease):
+class Blind(LeaseParticipant):
     """It does not ask who holds."""
 
-    def _answered(self, sender: int, message: Promise | Accept | Refuse, now: int) -> None:
-        if isinstance(message, Promise):
-            message = Promise(message.ballot, 0)
-        super()._answered(sender, message, now)
+    def _receive_answer(self, voter: int, message: VoterMessage, now: int) -> None:
+        if isinstance(message, PrepareResponse):
+            message = PrepareResponse(message.proposal, 0)
+        super()._receive_answer(voter, message, now)
 
 
-class Yielding(Lease):
+class Yielding(LeaseParticipant):
     """Its granter heeds old ballots."""
 
     def __init__(self, *rest: object) -> None:
         super().__init__(*rest)  # type: ignore[arg-type]
-        self.granter = Careless(self.granter.silent_until - self.term, self.term)
+        self.voter = Careless(self.voter.answers_from - self.ttl_us, self.ttl_us)
 
 
-class Careless(Granter):
+class Careless(LeaseVoter):
     """Old ballots count as much as new ones."""
 
-    def hear(self, message: Prepare | Propose | Release, now: int) -> Promise | Accept | Refuse | None:
-        self.promised = 0
-        return super().hear(message, now)
+    def receive(self, message: ProposerMessage, now: int) -> VoterMessage | None:
+        self.prepared = 0
+        return super().receive(message, now)
 
 
-class Reborn(Lease):
+class Reborn(LeaseParticipant):
     """Its lives look alike: the process that replaces a holder is taken for it."""
 
     def __init__(self, *rest: object) -> None:
         super().__init__(*rest)  # type: ignore[arg-type]
-        self.identity = self.me << parts.LIVES
+        self.proposer = proposer_id(self.member, 0)
 
 
 MUTANTS = (Forgetful, Trusting, Late, Minority, Blind, Yielding, Reborn)
 RUNS = 4000  # at the most, for each
 
 
-def caught(make: type[Lease], runs: int = RUNS) -> int:
+def caught(make: type[LeaseParticipant], runs: int = RUNS) -> int:
     """After how many runs of random play it was; 0: not in all of them."""
     size = 4 if make is Minority else 3
     for seed in range(runs):
@@ -97,6 +97,6 @@
 
     def holders(self) -> list[int]:
         beside = [
-            one.me for one in getattr(self, "former", []) if one.holds(self.clock(one.me))
+            one.member for one in getattr(self, "former", []) if one.holds(self.clock(one.member))
         ]  # fmt: skip
         return super().holders() + beside
--- a/reedspoke/lab/rig.py
+++ b/reedspoke/lab/rig.py
@@ -18,8 +18,8 @@
 from pathlib import Path
 from typing import Any
 
-from reedspoke.fleet.frames import mark
-from reedspoke.fleet.seal import load
+from reedspoke.fleet.messages.fields import name_hash
+from reedspoke.fleet.transport.authentication import load_keys
 from reedspoke.lab.clients import Client, Tally, Target
 from reedspoke.lab.hosts import Discovery, Fleet, Host, Peer, message
 from reedspoke.lab.program import LabError, Program, free_port
@@ -165,7 +165,7 @@
         self.granters = granters or tuple(range(min(5, size)))
         self.fleet = Fleet(HOSTS, seed, PUSHED.work(), PUSHED.of("side_effect"), deployment=PUSHED)
         self.registry = Registry()
-        self.watcher = Watcher(self.granters, term * (1 - drift) / (1 + drift), load(self.keys))
+        self.watcher = Watcher(self.granters, term * (1 - drift) / (1 + drift), load_keys(self.keys))
         self.relay = Datagrams([free_port() for _ in range(size)], seed, self.watcher)
         self.schedulers: list[Scheduler] = []
         self.tally, self.excused = Tally(), 0
@@ -309,7 +309,7 @@
 
     def holder(self) -> Scheduler | None:
         """By the relay's count."""
-        number = self.watcher.holder(mark(DUTY), time.monotonic())
+        number = self.watcher.holder(name_hash(DUTY), time.monotonic())
         return self.schedulers[number] if number is not None else None
 
     # ---- the end ----
--- a/reedspoke/lab/stages.py
+++ b/reedspoke/lab/stages.py
@@ -392,7 +392,7 @@
         order = order_of(action, play.born // SECOND)
         ticket, out = process.agreed.desk.take(order, process.clock())
         self._names[number, ticket] = order.name, order.version
-        process.party.gather(out)
+        process.party.enqueue(out)
         process.flush()
 
     def told(self) -> list[tuple[str, int, str]]:
@@ -439,9 +439,9 @@
         told = {}
         for number in numbers:
             process = self.inner.processes[number]
-            standing = {at: one.standing.name.lower() for at, one in process.membership.members.items()}
+            standing = {at: one.state.name.lower() for at, one in process.membership.members.items()}
             lease = process.duties.leases[DUTY]
-            view, agreed = process.view.settled(), process.agreed
+            view, agreed = process.view.convergence(), process.agreed
             kept = None
             if agreed is not None and agreed.calendar and agreed.record and not agreed.record.blank:
                 kept = {
@@ -452,7 +452,7 @@
             told[number] = Seen(
                 standing, lease.token if lease.holds(process.clock()) else 0,
                 agreed is not None and agreed.record is not None and agreed.record.serving, kept,
-                f"{view.digest:x}" if view.settled else "", view.behind,
+                f"{view.digest:x}" if view.converged else "", view.behind,
             )  # fmt: skip
         return told
 
--- a/reedspoke/lab/virtual.py
+++ b/reedspoke/lab/virtual.py
@@ -11,11 +11,12 @@
 
 from reedspoke.booking.agreed import Agreed
 from reedspoke.booking.desk import Terms
-from reedspoke.fleet.duties import Duties, Duty, Electorate
-from reedspoke.fleet.mail import Mail
-from reedspoke.fleet.membership import Membership, Standing
-from reedspoke.fleet.party import ALL, Party
-from reedspoke.fleet.view import View
+from reedspoke.fleet.anti_entropy import MemberEntries
+from reedspoke.fleet.failure_detector import FailureDetector, MemberState
+from reedspoke.fleet.messages.frame import EVERY_PEER
+from reedspoke.fleet.node import FleetNode
+from reedspoke.fleet.roles.singleton_roles import SingletonRole, SingletonRoles, VoterConfiguration
+from reedspoke.fleet.transport.channel import FrameChannel
 
 SECOND = 1_000_000
 DUTY = "a-duty"
@@ -40,13 +41,13 @@
         random = Random(play.random.getrandbits(32))
         wall = 1_700_000_000 * SECOND + play.now
         told = play.electorates.get(number, play.electorate)
-        self.mail = Mail(number, play.size, life)
-        self.membership = Membership(number, play.size, life, play.period, now, random)
-        self.duties = Duties(number, told, life, now, wall, random)
+        self.mail = FrameChannel(number, play.size, life)
+        self.membership = FailureDetector(number, play.size, life, play.period, now, random)
+        self.duties = SingletonRoles(number, told, life, now, wall, random)
         for duty in play.duties:
             self.duties.add(duty)
-        self.view = View(number, play.size, wall // SECOND, number % 2, play.period, now)
-        self.party = Party(self.mail, self.membership, self.duties, self.view)
+        self.view = MemberEntries(number, play.size, wall // SECOND, number % 2, play.period, now)
+        self.party = FleetNode(self.mail, self.membership, self.duties, self.view)
         self.agreed: Agreed | None = None
         if play.terms is not None:
             since = play.born
@@ -69,19 +70,19 @@
         return int(self.play.now * rates[self.number % len(rates)])
 
     def look(self) -> None:
-        self.party.look(self.clock())
+        self.party.tick(self.clock())
         self.flush()
 
     def take(self, body: bytes) -> None:
-        if self.party.take(body, self.clock()) is not None:
+        if self.party.receive(body, self.clock()) is not None:
             self.flush()
 
-    def want(self, on: bool, heir: int = ALL) -> None:
-        self.party.want(on, heir, self.clock())
+    def want(self, on: bool, heir: int = EVERY_PEER) -> None:
+        self.party.set_candidacy(on, heir, self.clock())
         self.flush()
 
     def flush(self) -> None:
-        if any(keep() for keep in self.party.keeps):
+        if self.party.take_log_changes():
             assert self.agreed is not None
             assert self.agreed.record is not None
             *rest, entries = self.agreed.record.whole()
@@ -92,9 +93,9 @@
                 for body in bodies:
                     self.play.send(self.number, other, body)
         for change in self.membership.changes:
-            self.play.changed(self.number, change.member, change.now)
+            self.play.changed(self.number, change.member, change.after)
         self.membership.changes.clear()
-        self.duties.changes.clear()
+        self.duties.log_lines.clear()
         self.play.watch(self)
 
 
@@ -112,9 +113,9 @@
         self.size, self.period, self.term, self.rates = size, period, term, rates
         self.random, self.now, self.weather = Random(seed), 0, Weather()
         self.weathers: dict[int, Weather] = {}  # of what these send, in place of the common one
-        self.electorate = Electorate(size, granters or tuple(range(min(5, size))), drift)
-        self.electorates: dict[int, Electorate] = {}  # of members that go by another one
-        self.duties = [Duty(f"{DUTY}-{at}" if at else DUTY, term) for at in range(duties)]
+        self.electorate = VoterConfiguration(size, granters or tuple(range(min(5, size))), drift)
+        self.electorates: dict[int, VoterConfiguration] = {}  # of members that go by another one
+        self.duties = [SingletonRole(f"{DUTY}-{at}" if at else DUTY, term) for at in range(duties)]
         self.bytes = self.datagrams = self.largest = self.two_holders = self.token_fell = 0
         self.said_gone: list[tuple[int, int, int]] = []  # when, by whom, of whom
         self.begun: list[tuple[int, int, str]] = []  # when, who, what
@@ -186,8 +187,8 @@
 
     # ---- what holds ----
 
-    def changed(self, by: int, member: int, standing: Standing) -> None:
-        if standing is Standing.GONE:
+    def changed(self, by: int, member: int, standing: MemberState) -> None:
+        if standing is MemberState.GONE:
             self.said_gone.append((self.now, by, member))
 
     def watch(self, process: Process) -> None:
--- a/reedspoke/lab/watcher.py
+++ b/reedspoke/lab/watcher.py
@@ -3,7 +3,7 @@
 A span is a time at which its asker certainly holds, so two spans of two askers overlap only where two held at
 once. What is seen late, by a slow relay or of a process that stood still, makes a span shorter and no longer:
 
-- It begins as its asker tells that it holds (`Holder`), whoever has granted that.
+- It begins as its asker tells that it holds (`LeaseHeld`), whoever has granted that.
 - It ends `end` after a majority of promises had passed the relay, at the latest: the asker proposes behind
   those, and counts its time from before it proposes. When the proposal itself is seen says nothing.
 - It ends as a release comes to the relay, whether that is passed on, delayed or lost.
@@ -14,9 +14,18 @@
 from collections import defaultdict
 from dataclasses import dataclass
 
-from reedspoke.fleet.frames import Accept, FrameError, Holder, Leased, Message, Promise, Release, read
-from reedspoke.fleet.lease import asker_of, member_of
-from reedspoke.fleet.seal import Keys
+from reedspoke.fleet.lease.tokens import member_of, proposer_of
+from reedspoke.fleet.messages.errors import FrameError
+from reedspoke.fleet.messages.frame import decode_frame
+from reedspoke.fleet.messages.lease import (
+    AcceptResponse,
+    LeaseHeld,
+    LeaseMessage,
+    LeaseProtocolMessage,
+    LeaseReleased,
+    PrepareResponse,
+)
+from reedspoke.fleet.transport.authentication import FrameKeys
 
 MOST_OVERLAPS_TOLD = 8
 
@@ -52,7 +61,7 @@
     """`end`: s that a holder's lease lasts from its question on, by any clock at the most. `keys`: of sealed
     frames; None where no frames are read."""
 
-    def __init__(self, granters: tuple[int, ...], end: float, keys: Keys | None = None) -> None:
+    def __init__(self, granters: tuple[int, ...], end: float, keys: FrameKeys | None = None) -> None:
         self.granters, self.end, self.keys = granters, end, keys
         self.spans: defaultdict[int, list[Span]] = defaultdict(list)  # by duty
         self.two_holders = 0
@@ -65,49 +74,49 @@
     def came(self, sender: int, body: bytes, when: float) -> None:
         """A datagram has come to the relay, whatever becomes of it."""
         for matter in self._matters(sender, body):
-            if isinstance(matter, Holder):
-                self.told(sender, matter.duty, matter.token, when)
+            if isinstance(matter, LeaseHeld):
+                self.told(sender, matter.role_hash, matter.token, when)
             else:
-                self.sent(sender, matter.duty, matter.message, when)
+                self.sent(sender, matter.role_hash, matter.message, when)
 
     def passed_on(self, sender: int, to: int, body: bytes, when: float) -> None:
         """A datagram goes on to its receiver."""
         for matter in self._matters(sender, body):
-            if isinstance(matter, Leased):
-                self.received(sender, to, matter.duty, matter.message, when)
+            if isinstance(matter, LeaseMessage):
+                self.received(sender, to, matter.role_hash, matter.message, when)
 
-    def _matters(self, sender: int, body: bytes) -> list[Leased | Holder]:
-        opened = body if self.keys is None else self.keys.open(body)
+    def _matters(self, sender: int, body: bytes) -> list[LeaseMessage | LeaseHeld]:
+        opened = body if self.keys is None else self.keys.verify(body)
         try:
-            frame = read(opened or b"")
+            frame = decode_frame(opened or b"")
         except FrameError:
             return []
         if frame.sender != sender:
             return []
-        return [matter for matter in frame.matters if isinstance(matter, Leased | Holder)]
+        return [matter for matter in frame.messages if isinstance(matter, LeaseMessage | LeaseHeld)]
 
     def told(self, sender: int, duty: int, token: int, when: float) -> None:
         """A member tells that it holds the duty: its last round was granted."""
-        found = self._granted.get((duty, asker_of(token)))
+        found = self._granted.get((duty, proposer_of(token)))
         if member_of(token) != sender or found is None or found.proposed_after is None:
             return
         end = found.proposed_after + self.end
         if when < end:
             self._held(duty, found.ballot, when, end)
 
-    def sent(self, sender: int, duty: int, message: Message, when: float) -> None:
+    def sent(self, sender: int, duty: int, message: LeaseProtocolMessage, when: float) -> None:
         """A member has sent a message on a duty."""
-        if isinstance(message, Release) and member_of(message.ballot) == sender:
-            self._over(duty, asker_of(message.ballot), when)
+        if isinstance(message, LeaseReleased) and member_of(message.proposal) == sender:
+            self._over(duty, proposer_of(message.proposal), when)
 
-    def received(self, sender: int, to: int, duty: int, message: Message, when: float) -> None:
+    def received(self, sender: int, to: int, duty: int, message: LeaseProtocolMessage, when: float) -> None:
         """A message on a duty is about to reach a member."""
-        if sender not in self.granters or member_of(message.ballot) != to:
+        if sender not in self.granters or member_of(message.proposal) != to:
             return
         match message:
-            case Promise(ballot, held) if not held or asker_of(held) == asker_of(ballot):
+            case PrepareResponse(ballot, held) if not held or proposer_of(held) == proposer_of(ballot):
                 self._promise(self._round(duty, ballot, when), sender, when)
-            case Accept(ballot):
+            case AcceptResponse(ballot):
                 self._accept(self._round(duty, ballot, when), duty)
             case _:
                 pass
@@ -132,7 +141,7 @@
             found.proposed_after = when
 
     def _accept(self, found: Round, duty: int) -> None:
-        key = duty, asker_of(found.ballot)
+        key = duty, proposer_of(found.ballot)
         before = self._granted.get(key)
         if before is None or before.ballot < found.ballot:
             self._granted[key] = found
@@ -140,7 +149,7 @@
     # ---- spans ----
 
     def _held(self, duty: int, ballot: int, begin: float, end: float) -> None:
-        spans, asker = self.spans[duty], asker_of(ballot)
+        spans, asker = self.spans[duty], proposer_of(ballot)
         if spans and spans[-1].asker == asker and begin <= spans[-1].end:
             spans[-1].end = max(end, spans[-1].end)
             return
--- a/reedspoke/operator/check.py
+++ b/reedspoke/operator/check.py
@@ -14,7 +14,7 @@
 
 from reedspoke.booking.file import DUTY, Bookings
 from reedspoke.errors import ReedspokeError
-from reedspoke.fleet.file import Fleet
+from reedspoke.fleet.settings import Fleet
 from reedspoke.operator.types import Acme, Identity, Operator
 from reedspoke.units import ADDRESS, DURATION, seconds
 
--- a/reedspoke/operator/types.py
+++ b/reedspoke/operator/types.py
@@ -9,7 +9,7 @@
 from msgspec import Meta, Struct
 
 from reedspoke.booking.file import Bookings
-from reedspoke.fleet.file import Fleet
+from reedspoke.fleet.settings import Fleet
 from reedspoke.units import Address, Duration, Name
 
 VERSION = 1
--- a/reedspoke/start.py
+++ b/reedspoke/start.py
@@ -14,9 +14,9 @@
     """Words on jobs, where the configuration names peers and the settings allow them."""
     config = node.config
     if config.peers is not None:
-        from reedspoke.fleet.shell import join
+        from reedspoke.fleet.service import build_fleet
 
-        node.add(join(node.runtime, config.peers, config.settings.me)[1])
+        node.add(build_fleet(node.runtime, config.peers, config.settings.me)[1])
 
 
 def platform(config: Config) -> Node:
--- a/tests/fleet/test_lease.py
+++ b/tests/fleet/lease/test_participant.py
@@ -1,4 +1,4 @@
-"""The lease core under faults, as `reedspoke.lab.leaseplay` plays them; mutations of it must be caught."""
+"""Lease participants under faults, as `reedspoke.lab.leaseplay` simulates them; mutations must be caught."""
 
 from __future__ import annotations
 
@@ -6,9 +6,10 @@
 
 import pytest
 
-from reedspoke.fleet import lease as parts
-from reedspoke.fleet.frames import Promise, Release
-from reedspoke.fleet.lease import Fence, Heard, Lease, Want
+from reedspoke.fleet.lease.events import CandidacyChanged, LeaseEvent, MessageReceived
+from reedspoke.fleet.lease.participant import LeaseParticipant
+from reedspoke.fleet.lease.tokens import FencingGuard
+from reedspoke.fleet.messages.lease import LeaseReleased, PrepareResponse
 from reedspoke.lab.leaseplay import EVEN, RATES, TERM, Fleet, explore, held
 from reedspoke.lab.mutants import MUTANTS, caught
 
@@ -22,7 +23,7 @@
     assert (len(fleet.tokens), fleet.ended) == (1, []), "it keeps it"
 
 
-def test_the_holder_that_dies_is_followed_within_two_terms() -> None:
+def test_a_holder_that_dies_has_a_successor_within_two_times_to_live() -> None:
     fleet = Fleet(5, 3)
     fleet.calm(3 * TERM)
     (first,) = fleet.holders()
@@ -33,27 +34,27 @@
     assert fleet.gaps[-1] <= 2 * TERM
 
 
-def test_the_holder_that_was_stopped_for_longer_than_its_lease_does_not_act() -> None:
-    """SIGSTOP in the middle of an act: what it does next is asked of its clock, and of the fence."""
-    fleet, fence = Fleet(3, 4), Fence()
+def test_a_holder_that_was_stopped_for_longer_than_its_lease_does_not_act() -> None:
+    """SIGSTOP in the middle of an act: its next act is stopped by its clock and by the fencing guard."""
+    fleet, guard = Fleet(3, 4), FencingGuard()
     fleet.calm(3 * TERM)
     (first,) = fleet.holders()
     old = fleet.members[first].token
-    assert fence.admits(old)
+    assert guard.admits(old)
     fleet.stopped.add(first)
     fleet.calm(3 * TERM)
     (second,) = fleet.holders()
-    assert fence.admits(fleet.members[second].token)
+    assert guard.admits(fleet.members[second].token)
     fleet.stopped.clear()
     assert not fleet.members[first].holds(fleet.clock(first))
-    assert not fence.admits(old)
-    assert fence.refused == 1
+    assert not guard.admits(old)
+    assert guard.rejections == 1
     fleet.calm(TERM)
     assert fleet.ended[-1] == "ran out"
 
 
 @pytest.mark.parametrize("way", ["both", "out", "in"])
-def test_a_holder_cut_off_from_the_majority_ends_and_another_begins(way: str) -> None:
+def test_a_holder_partitioned_from_the_majority_loses_the_lease_to_another(way: str) -> None:
     fleet = Fleet(5, 5)
     fleet.calm(3 * TERM)
     (first,) = fleet.holders()
@@ -65,7 +66,7 @@
     assert second != first
 
 
-def test_two_halves_of_equal_size_have_no_holder_and_it_comes_back() -> None:
+def test_two_partitions_of_equal_size_have_no_holder_until_they_meet() -> None:
     fleet = Fleet(4, 6)
     fleet.calm(3 * TERM)
     fleet.cuts = {(a, b) for a in range(4) for b in range(4) if (a < 2) != (b < 2)}
@@ -76,16 +77,16 @@
     assert len(fleet.holders()) == 1
 
 
-def test_all_restarted_within_a_lease_wait_it_out() -> None:
+def test_voters_that_all_restart_wait_until_the_lease_has_expired() -> None:
     fleet = Fleet(3, 7)
     fleet.calm(3 * TERM)
-    (held,) = fleet.tokens
+    (earlier,) = fleet.tokens
     for number in range(3):
         fleet.restart(number)
     fleet.calm(0.7 * TERM)
     assert fleet.holders() == []
     fleet.calm(3 * TERM)
-    assert fleet.tokens[-1] > held
+    assert fleet.tokens[-1] > earlier
 
 
 @pytest.mark.parametrize("jump", [-3_600_000_000, 3_600_000_000])
@@ -104,10 +105,15 @@
 
 @pytest.mark.parametrize(
     "event",
-    [Heard(7, Release(1)), Heard(-1, Promise(1, 0)), Heard(0, Promise(1, 0)), Heard(1, Release(5))],
+    [
+        MessageReceived(7, LeaseReleased(1)),
+        MessageReceived(-1, PrepareResponse(1, 0)),
+        MessageReceived(0, PrepareResponse(1, 0)),
+        MessageReceived(1, LeaseReleased(5)),
+    ],
     ids=["stranger", "nobody", "itself", "in another's name"],
 )
-def test_what_nobody_should_say_changes_nothing(event: parts.Event) -> None:
+def test_an_impossible_message_changes_nothing(event: LeaseEvent) -> None:
     fleet = Fleet(3, 10)
     fleet.calm(3 * TERM)
     before = fleet.holders()
@@ -128,11 +134,11 @@
     assert begun > 80
 
 
-# ---- mutations: each breaks one of the reasons that the page gives, and must be caught ----
+# ---- mutations: each breaks one of the rules of `lease.participant`, and must be caught ----
 
 
 @pytest.mark.parametrize("make", MUTANTS)
-def test_each_mutation_is_caught(make: type[Lease]) -> None:
+def test_each_mutation_is_caught(make: type[LeaseParticipant]) -> None:
     assert caught(make) > 0
 
 
@@ -142,7 +148,7 @@
 
 
 @pytest.mark.parametrize("left", [2, 3])
-def test_a_fleet_that_grows_and_shrinks_goes_by_the_granters_of_its_configuration(left: int) -> None:
+def test_a_fleet_that_grows_and_shrinks_has_the_voters_of_its_configuration(left: int) -> None:
     """Three of fifty have started, then all, then few are left: a minority never holds."""
     fleet = Fleet(50, 13, granters=(0, 1, 2, 3, 4))
     fleet.stopped = set(range(3, 50))
@@ -156,19 +162,19 @@
     assert len(fleet.holders()) == (1 if left == 3 else 0)
 
 
-def test_a_named_heir_comes_first() -> None:
+def test_the_named_successor_comes_first() -> None:
     fleet = Fleet(5, 14)
     fleet.calm(3 * TERM)
     (first,) = fleet.holders()
-    heir = (first + 2) % 5
-    fleet.tell(first, Want(False, heir))
+    successor = (first + 2) % 5
+    fleet.tell(first, CandidacyChanged(False, successor))
     assert fleet.ended == ["released"]
     fleet.calm(0.2 * TERM)
-    assert fleet.holders() == [heir]
+    assert fleet.holders() == [successor]
 
 
-def test_after_a_cut_of_all_the_duty_is_held_at_once_again() -> None:
-    """Guards the time after a cut: rounds that met nobody were spaced up to two terms apart."""
+def test_the_lease_is_held_soon_after_a_partition_of_all() -> None:
+    """Proposals that nobody answered were spaced up to two times to live apart."""
     fleet = Fleet(5, 15, lot=Random(3))
     fleet.calm(3 * TERM)
     fleet.cuts = {(a, b) for a in range(5) for b in range(5) if a != b}
--- a/tests/fleet/recordplay.py
+++ b/tests/fleet/recordplay.py
@@ -7,8 +7,8 @@
 from random import Random
 
 from reedspoke.errors import ReedspokeError
-from reedspoke.fleet.frames import frames, read
 from reedspoke.fleet.log_messages import Recorded, Word
+from reedspoke.fleet.messages.frame import decode_frame, encode_frames
 from reedspoke.fleet.record import Out, Record
 
 PACE = 100
@@ -92,8 +92,8 @@
 
     def send(self, me: int, out: Out) -> None:
         for to, word in out:
-            (body,) = frames(me, 1, 1, [Recorded(7, word)])
-            (matter,) = read(body).matters
+            (body,) = encode_frames(me, 1, 1, [Recorded(7, word)])
+            (matter,) = decode_frame(body).messages
             assert isinstance(matter, Recorded)
             for _ in range(1 + (self.random.random() < self.rates.twice)):
                 if self.random.random() >= self.rates.loss:
--- a/tests/fleet/test_rig.py
+++ b/tests/fleet/test_fleet_processes.py
@@ -1,4 +1,4 @@
-"""Hard cases with several real processes of the program, the lab's relay and stand-ins between them."""
+"""Faults with several real processes of the program, and the lab's relay and stand-ins between them."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 from reedspoke.cli.fleet import fleet
 from reedspoke.lab.rig import DUTY, Rig, Scheduler
 
-WAIT = 15.0  # s, far more than anything here takes
+TIMEOUT_S = 15.0  # far more than anything here takes
 
 
-async def until(what: Callable[[], Any]) -> Any:
-    async with asyncio.timeout(WAIT):
-        while not (found := what()):
+async def until(condition: Callable[[], Any]) -> Any:
+    async with asyncio.timeout(TIMEOUT_S):
+        while not (found := condition()):
             await asyncio.sleep(0.02)
         return found
 
@@ -63,7 +63,7 @@
     assert len(tokens(played(tmp_path, play))) >= 2
 
 
-def test_a_planned_restart_hands_the_duty_on_at_once(tmp_path: Path) -> None:
+def test_a_planned_restart_hands_the_role_over_at_once(tmp_path: Path) -> None:
     async def play(rig: Rig) -> None:
         first = await until(rig.holder)
         await until(lambda: rig.registry.acts)
@@ -72,13 +72,13 @@
         last = max(act.when for act in acts if act.holder == f"n{first.number}")
         following = [act.when for act in acts if act.holder != f"n{first.number}" and act.when > last]
         assert following
-        assert min(following) - last < 0.8 * rig.term, "it was not left to run out"
+        assert min(following) - last < 0.8 * rig.term, "the lease was released and did not expire"
 
     played(tmp_path, play)
 
 
 def test_an_upgrade_beside_the_holder_leaves_one_holder(tmp_path: Path) -> None:
-    """Two processes of one number and one address for a while: the successor must not pass for the holder."""
+    """For a while two processes have one number and one address: the new one must not pass for the holder."""
 
     async def play(rig: Rig) -> None:
         first = await until(rig.holder)
@@ -92,7 +92,7 @@
     played(tmp_path, play, held=True)
 
 
-def test_a_minority_holds_nothing_and_says_so_at_the_door(tmp_path: Path) -> None:
+def test_a_minority_holds_nothing_and_reports_it_to_operators(tmp_path: Path) -> None:
     async def play(rig: Rig) -> None:
         first = await until(rig.holder)
         ways = {(a, b) for a in range(3) for b in range(3) if a != b and first.number in (a, b)}
@@ -100,25 +100,25 @@
         await until(lambda: rig.holder() not in (None, first))
         door = f"127.0.0.1:{first.program.door}"
 
-        def told() -> Any:
+        def status() -> Any:
             return CliRunner().invoke(fleet, ["status", "--door", door, "--json"], standalone_mode=False)
 
-        while (await asyncio.to_thread(told)).return_value == 0:
+        while (await asyncio.to_thread(status)).return_value == 0:
             await asyncio.sleep(0.2)
         words = [word for one in rig.schedulers for word in ("--door", f"127.0.0.1:{one.program.door}")]
         views = await asyncio.to_thread(CliRunner().invoke, fleet, ["compare", *words], standalone_mode=False)
         assert views.return_value == 1
         assert f"{door}: no majority" in views.output
         assert "held by" not in views.output
-        (duty,) = json.loads((await asyncio.to_thread(told)).output)["duties"]
+        (duty,) = json.loads((await asyncio.to_thread(status)).output)["duties"]
         assert duty["last_ended_here"] == "ran out"
         assert (await first.program.call("GET", "/v1/metrics"))[1].count("scheduler_fleet_majority 0") == 1
-        assert "out of reach" in first.program.log.read_text()
+        assert "no majority of the lease voters is reachable" in first.program.log.read_text()
 
     played(tmp_path, play)
 
 
-def test_an_operator_hands_a_duty_on(tmp_path: Path) -> None:
+def test_an_operator_hands_a_role_over(tmp_path: Path) -> None:
     async def play(rig: Rig) -> None:
         first = await until(rig.holder)
         await until(lambda: rig.registry.acts)
--- a/tests/fleet/test_talk.py
+++ b/tests/fleet/test_load_sharing_processes.py
@@ -1,4 +1,4 @@
-"""Several real processes of the program that tell each other what they hold, with a relay of ours between."""
+"""Several real processes that share their loads, with the lab's relay between them."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
 from tests.world import MS, World, entry, settings
 
 
-class Between:
-    """The lab's relay, on a loop of its own, beside processes that a test starts."""
+class RelayThread:
+    """The lab's relay on an event loop of its own, beside the processes that a test starts."""
 
     def __init__(self, count: int) -> None:
         self.listen = [free_port() for _ in range(count)]
@@ -30,10 +30,10 @@
         self._thread = threading.Thread(target=self._loop.run_forever, daemon=True)
         self._thread.start()
         self.relay = Datagrams(self.listen, 1)
-        self.do(self.relay.open())
+        self.run(self.relay.open())
 
-    def do(self, what: Coroutine[Any, Any, None]) -> None:
-        asyncio.run_coroutine_threadsafe(what, self._loop).result(5)
+    def run(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        asyncio.run_coroutine_threadsafe(coroutine, self._loop).result(5)
 
     def close(self) -> None:
         self._loop.call_soon_threadsafe(self.relay.close)
@@ -42,24 +42,24 @@
 
 
 @pytest.fixture
-def relay() -> Iterator[Between]:
-    with closing(Between(2)) as one:
+def relay() -> Iterator[RelayThread]:
+    with closing(RelayThread(2)) as one:
         yield one
 
 
-def schedulers(start: Start, relay: Between) -> list[Node]:
+def schedulers(start: Start, relay: RelayThread) -> list[Node]:
     """Two that share two hosts of one slot each, as far as they know."""
-    first = start(hosts=2, me=0, balancers=2, more=talk(relay, 0), peer_messages=True)
-    second = start(hosts_of=first, me=1, balancers=2, more=talk(relay, 1), peer_messages=True)
+    first = start(hosts=2, me=0, balancers=2, more=peer_settings(relay, 0), peer_messages=True)
+    second = start(hosts_of=first, me=1, balancers=2, more=peer_settings(relay, 1), peer_messages=True)
     return [first, second]
 
 
-def talk(relay: Between, number: int) -> dict[str, Any]:
+def peer_settings(relay: RelayThread, number: int) -> dict[str, Any]:
     return {"peers": relay.relay.peers, "peer_listen": f"127.0.0.1:{relay.listen[number]}"}
 
 
-def hold(node: Node, name: str) -> tuple[Wire, int]:
-    """A job that runs on: its leg's connection, and the port of its host."""
+def start_job(node: Node, name: str) -> tuple[Wire, int]:
+    """A job that goes on running: the connection of its attempt, and the port of its worker."""
     node.client(ask(name))
     leg = node.leg()
     told = leg.message()
@@ -68,21 +68,21 @@
     return leg, leg.sock.getsockname()[1]
 
 
-def wait_for_a_word(node: Node) -> None:
+def wait_for_a_report(node: Node) -> None:
     end = time.monotonic() + 8
     while not node.figures()["scheduler_peer_words_heard_total"]:
         assert time.monotonic() < end
         time.sleep(0.02)
 
 
-def test_a_job_goes_where_no_other_scheduler_has_one(start: Start, relay: Between) -> None:
-    """Guards short jobs against queues that reports tell of a second later: both idle hosts look alike."""
+def test_a_job_goes_where_no_other_scheduler_has_one(start: Start, relay: RelayThread) -> None:
+    """Both idle workers look alike until their own reports come, a second later."""
     one, two = schedulers(start, relay)
-    first, port = hold(one, "a")
-    wait_for_a_word(two)
-    second, other = hold(two, "b")
+    first, port = start_job(one, "a")
+    wait_for_a_report(two)
+    second, other = start_job(two, "b")
     assert other != port
-    wait_for_a_word(one)
+    wait_for_a_report(one)
     for wire in (first, second):
         wire.close()
     assert 0 < relay.relay.largest <= 256
@@ -95,7 +95,7 @@
         ({"peers": ["127.0.0.1:8"]}, "peer_listen"),
     ],
 )
-def test_a_bad_address_is_told_by_its_key(
+def test_a_bad_address_is_reported_by_its_key(
     start: Start, tmp_path: Path, more: dict[str, Any], key: str
 ) -> None:
     node = start(hosts=1)
@@ -113,10 +113,10 @@
     assert load({"PROXY_CONFIG": str(file)}).peers is None, "where messages are forbidden nobody looks"
 
 
-# ---- the module ----
+# ---- the decision module ----
 
 
-def test_the_module_goes_by_what_others_hold() -> None:
+def test_placement_heeds_the_reservations_of_others() -> None:
     world = World(settings(schedulers=2), [entry("a"), entry("b")])
     for worker in world.dispatcher.workers.values():
         worker.peak = 2
@@ -125,10 +125,10 @@
     assert [sent.worker for sent in world.out()] == ["b"]
     world.tell(Others({"b": (2, 800.0 * MS)}))
     world.request(2)
-    assert [sent.worker for sent in world.out()] == ["b", "a"], "each picture is the whole one"
+    assert [sent.worker for sent in world.out()] == ["b", "a"], "each report of loads replaces the last one"
 
 
-def test_a_job_that_would_start_late_behind_the_others_is_held_until_a_slot_is_free() -> None:
+def test_a_job_that_would_start_late_behind_the_others_waits_until_a_slot_is_free() -> None:
     """Seen in overload at the second deployment: four to six schedulers with a position at each of twelve
     hosts queued three deep in two slots; a fifth of all answers came too late, the short class got 0.41."""
     world = World(settings(schedulers=2), [entry("a")])
--- a/tests/fleet/test_wire.py
+++ b/tests/fleet/test_simulator_transport.py
@@ -1,4 +1,4 @@
-"""Messages between schedulers on the simulator's wire."""
+"""Load reports between schedulers on the simulator."""
 
 from __future__ import annotations
 
@@ -7,7 +7,9 @@
 
 import pytest
 
-from reedspoke.fleet.frames import Held, as_text, frames, held_in, holdings, mark, of_text, read
+from reedspoke.fleet.messages.fields import name_hash
+from reedspoke.fleet.messages.frame import decode_frame, encode_frames, frame_from_text, frame_to_text
+from reedspoke.fleet.messages.worker_load import WorkerLoad, decode_loads, encode_loads
 from tests.test_adapter import INFO, accept, batch, members, replies, run
 
 
@@ -18,9 +20,9 @@
 
 
 def bodies(actions: list[dict[str, Any]]) -> list[str]:
-    told = [action["NOTIFY"] for action in actions if "NOTIFY" in action]
-    assert all(one["recipient"] == -1 for one in told)
-    return [one["body"] for one in told]
+    notes = [action["NOTIFY"] for action in actions if "NOTIFY" in action]
+    assert all(one["recipient"] == -1 for one in notes)
+    return [one["body"] for one in notes]
 
 
 def worker(actions: list[dict[str, Any]]) -> str:
@@ -28,8 +30,8 @@
 
 
 @pytest.mark.parametrize("hash_seed", ["0", "1"])
-def test_what_one_holds_keeps_another_away(hash_seed: str) -> None:
-    """Guards short jobs against queues of others' making; the order of hashes decides nothing."""
+def test_a_reservation_of_one_scheduler_keeps_another_away(hash_seed: str) -> None:
+    """Otherwise short jobs wait in queues that others made. The order of hashes decides nothing."""
     start = batch(1_000_000, *hello("scheduler/1", me=1, talk=True))
 
     def choice(body: str) -> str:
@@ -38,20 +40,20 @@
         return worker(replies(run([*start, *batch(1_005_000, *note), *ask], hash_seed))[-1])
 
     first = choice("no word")
-    (body,) = frames(0, 5, 1, holdings([Held(mark(first), 1, 400_000.0)]))
-    assert choice(as_text(body)) != first
+    (body,) = encode_frames(0, 5, 1, encode_loads([WorkerLoad(name_hash(first), 1, 400_000.0)]))
+    assert choice(frame_to_text(body)) != first
 
 
 @pytest.mark.parametrize("talk", [True, False])
-def test_what_is_sent_is_told_in_one_word_where_messages_are_allowed(talk: bool) -> None:
+def test_an_attempt_is_reported_in_one_message_where_messages_are_allowed(talk: bool) -> None:
     start = batch(1_000_000, *hello("scheduler/0", me=0, talk=talk))
     _, sent = replies(run([*start, *batch(1_000_000, accept("scheduler/0", 7, work=60_000))]))
-    matters = [one for body in bodies(sent) for one in read(of_text(body)).matters]
-    told = [held_in(one) for one in matters if isinstance(one, bytes)]
-    assert told == ([[Held(mark(worker(sent)), 1, 60_000.0)]] if talk else [])
+    messages = [one for body in bodies(sent) for one in decode_frame(frame_from_text(body)).messages]
+    reported = [decode_loads(one) for one in messages if isinstance(one, bytes)]
+    assert reported == ([[WorkerLoad(name_hash(worker(sent)), 1, 60_000.0)]] if talk else [])
 
 
-def test_a_killed_scheduler_s_successor_begins_with_nothing_heard() -> None:
+def test_a_killed_scheduler_s_successor_has_received_nothing() -> None:
     start = batch(1_000_000, *hello("scheduler/0", me=0, talk=True))
     again = batch(1_100_000, {"KILLED": {"who": "scheduler/0"}}, *hello("scheduler/0", me=0, talk=True))
     out = run([*start, *batch(1_000_000, accept("scheduler/0", 7)), *again, *batch(1_200_000)])
--- a/tests/golden/fleet_examples.py
+++ b/tests/golden/fleet_examples.py
@@ -7,25 +7,6 @@
 
 from msgspec import Struct
 
-from reedspoke.fleet.frames import (
-    Accept,
-    Ack,
-    Ask,
-    Branch,
-    Creed,
-    Entry,
-    Holder,
-    Leased,
-    News,
-    Ping,
-    Prepare,
-    Promise,
-    Propose,
-    Refuse,
-    Release,
-    Root,
-    Want,
-)
 from reedspoke.fleet.log_messages import (
     Answered,
     Append,
@@ -41,44 +22,57 @@
     Recovered,
     Remember,
 )
+from reedspoke.fleet.messages.anti_entropy import EntriesRequest, MemberEntry, RangeDigests, RootDigest
+from reedspoke.fleet.messages.failure_detector import Ack, MemberUpdate, Ping, PingRequest
+from reedspoke.fleet.messages.lease import (
+    AcceptRequest,
+    AcceptResponse,
+    ConfigurationDigest,
+    LeaseHeld,
+    LeaseMessage,
+    LeaseReleased,
+    PrepareRequest,
+    PrepareResponse,
+    ProposalRejected,
+)
 
 FLEET_MESSAGES: dict[str, Struct] = {
-    "1": Ping(number=1),
-    "1 by default": Ping(number=1),
-    "2": Ack(number=1),
-    "2 by default": Ack(number=1),
-    "3": Ask(number=1, target=2),
-    "3 by default": Ask(number=1, target=2),
-    "4": News(member=1, life=2, rank=3, state=1),
-    "4 by default": News(member=1, life=2, rank=3, state=1),
-    "5": Leased(duty=1, term=2, message=Prepare(ballot=3)),
-    "5 by default": Leased(duty=1, term=2, message=Prepare(ballot=3)),
-    "6": Holder(duty=1, token=2, span=3),
-    "6 by default": Holder(duty=1, token=2, span=3),
-    "7": Creed(digest=1),
-    "7 by default": Creed(digest=1),
-    "8": Entry(
-        number=1,
-        born=2,
+    "1": Ping(probe_number=1),
+    "1 by default": Ping(probe_number=1),
+    "2": Ack(probe_number=1),
+    "2 by default": Ack(probe_number=1),
+    "3": PingRequest(probe_number=1, target=2),
+    "3 by default": PingRequest(probe_number=1, target=2),
+    "4": MemberUpdate(member=1, incarnation=2, refutation=3, state=1),
+    "4 by default": MemberUpdate(member=1, incarnation=2, refutation=3, state=1),
+    "5": LeaseMessage(role_hash=1, ttl_ms=2, message=PrepareRequest(proposal=3)),
+    "5 by default": LeaseMessage(role_hash=1, ttl_ms=2, message=PrepareRequest(proposal=3)),
+    "6": LeaseHeld(role_hash=1, token=2, remaining_ms=3),
+    "6 by default": LeaseHeld(role_hash=1, token=2, remaining_ms=3),
+    "7": ConfigurationDigest(digest=1),
+    "7 by default": ConfigurationDigest(digest=1),
+    "8": MemberEntry(
+        member=1,
+        born_s=2,
         version=3,
-        zone=4,
+        zone_hash=4,
         phase=5,
-        holds=(
+        held_roles=(
             6,
             7,
         ),
-        lacks=(
+        missing=(
             8,
             9,
         ),
     ),
-    "8 by default": Entry(number=1, born=2, version=3, zone=4),
-    "9": Root(digest=1, agree=b"bytes2"),
-    "9 by default": Root(digest=1),
-    "10": Branch(low=1, high=2, digests=b"bytes3"),
-    "10 by default": Branch(low=1, high=2, digests=b"bytes3"),
-    "11": Want(low=1, high=2),
-    "11 by default": Want(low=1, high=2),
+    "8 by default": MemberEntry(member=1, born_s=2, version=3, zone_hash=4),
+    "9": RootDigest(digest=1, agreeing=b"bytes2"),
+    "9 by default": RootDigest(digest=1),
+    "10": RangeDigests(low=1, high=2, digests=b"bytes3"),
+    "10 by default": RangeDigests(low=1, high=2, digests=b"bytes3"),
+    "11": EntriesRequest(low=1, high=2),
+    "11 by default": EntriesRequest(low=1, high=2),
     "12": Recorded(record=1, word=Read(token=2)),
     "12 by default": Recorded(record=1, word=Read(token=2)),
     "13": Asked(number=1, data=b"bytes2"),
@@ -88,18 +82,18 @@
 }
 
 LEASE_MESSAGES: dict[str, Struct] = {
-    "0": Prepare(ballot=1),
-    "0 by default": Prepare(ballot=1),
-    "1": Promise(ballot=1, held=2),
-    "1 by default": Promise(ballot=1, held=2),
-    "2": Propose(ballot=1),
-    "2 by default": Propose(ballot=1),
-    "3": Accept(ballot=1),
-    "3 by default": Accept(ballot=1),
-    "4": Refuse(ballot=1, highest=2),
-    "4 by default": Refuse(ballot=1, highest=2),
-    "5": Release(ballot=1, heir=2),
-    "5 by default": Release(ballot=1),
+    "0": PrepareRequest(proposal=1),
+    "0 by default": PrepareRequest(proposal=1),
+    "1": PrepareResponse(proposal=1, granted=2),
+    "1 by default": PrepareResponse(proposal=1, granted=2),
+    "2": AcceptRequest(proposal=1),
+    "2 by default": AcceptRequest(proposal=1),
+    "3": AcceptResponse(proposal=1),
+    "3 by default": AcceptResponse(proposal=1),
+    "4": ProposalRejected(proposal=1, prepared=2),
+    "4 by default": ProposalRejected(proposal=1, prepared=2),
+    "5": LeaseReleased(proposal=1, successor=2),
+    "5 by default": LeaseReleased(proposal=1),
 }
 
 LOG_WORDS: dict[str, Struct] = {
--- a/tests/golden/test_messages.py
+++ b/tests/golden/test_messages.py
@@ -20,13 +20,14 @@
 from reedspoke.control_plane.peers import messages as peer_messages
 from reedspoke.control_plane.replication import messages as replica_messages
 from reedspoke.control_plane.storage import records as log_records
-from reedspoke.fleet import frames as fleet_messages
 from reedspoke.fleet import log_messages
+from reedspoke.fleet.messages import frame as fleet_frame
+from reedspoke.fleet.messages import lease as lease_messages
 from tests.golden import booking_examples, fleet_examples, peer_examples, replica_examples, session_examples
 
 GOLDEN: dict[str, dict[str, str]] = json.loads((Path(__file__).parent / "data/messages.json").read_text())
-DUTY = 7
-TERM_MS = 8
+ROLE_HASH = 7
+TTL_MS = 8
 RECORD = 7
 
 
@@ -40,13 +41,15 @@
 
 
 def in_lease(message: Any) -> bytes:
-    """A lease's message goes inside a `Leased`."""
-    return msgspec.msgpack.encode(fleet_messages.Leased(duty=DUTY, term=TERM_MS, message=message))
+    """A lease's message goes inside a `LeaseMessage`."""
+    return msgspec.msgpack.encode(
+        lease_messages.LeaseMessage(role_hash=ROLE_HASH, ttl_ms=TTL_MS, message=message)
+    )
 
 
 def out_of_lease(payload: bytes, _: Any) -> Any:
-    """The message inside a `Leased`."""
-    return msgspec.msgpack.decode(payload, type=fleet_messages.Leased).message
+    """The message inside a `LeaseMessage`."""
+    return msgspec.msgpack.decode(payload, type=lease_messages.LeaseMessage).message
 
 
 def in_log(message: Any) -> bytes:
@@ -99,7 +102,7 @@
     ),
     "log_records": Group(replica_examples.LOG_RECORDS, log_records.encode_record, decode_record),
     "fleet_messages": Group(
-        fleet_examples.FLEET_MESSAGES, msgspec.msgpack.encode, decode_msgpack, fleet_messages.Matter
+        fleet_examples.FLEET_MESSAGES, msgspec.msgpack.encode, decode_msgpack, fleet_frame.Message
     ),
     "lease_messages": Group(fleet_examples.LEASE_MESSAGES, in_lease, out_of_lease),
     "log_words": Group(fleet_examples.LOG_WORDS, in_log, out_of_log),
@@ -119,8 +122,8 @@
     assert members(session_messages.ControlMessage) == classes("control_messages")
     assert members(replica_messages.ReplicaMessage) == classes("replica_messages")
     assert members(log_records.Record) == classes("log_records")
-    assert members(fleet_messages.Matter) - {bytes} == classes("fleet_messages")
-    assert members(fleet_messages.Message) == classes("lease_messages")
+    assert members(fleet_frame.Message) - {bytes} == classes("fleet_messages")
+    assert members(lease_messages.LeaseProtocolMessage) == classes("lease_messages")
     assert members(log_messages.Word) == classes("log_words")
     assert members(booking_messages.Order) <= classes("booking_orders")
 
--- a/tests/lab/test_watcher.py
+++ b/tests/lab/test_watcher.py
@@ -6,8 +6,15 @@
 
 import pytest
 
-from reedspoke.fleet.frames import Accept, Message, Promise, Release
-from reedspoke.fleet.lease import LIVES, Event, Lease, Tell
+from reedspoke.fleet.lease.events import LeaseEvent, SendMessage
+from reedspoke.fleet.lease.participant import LeaseParticipant
+from reedspoke.fleet.lease.tokens import INCARNATION_BITS
+from reedspoke.fleet.messages.lease import (
+    AcceptResponse,
+    LeaseProtocolMessage,
+    LeaseReleased,
+    PrepareResponse,
+)
 from reedspoke.lab.leaseplay import DRIFT, EVEN, TERM, Fleet, TwoHoldersError
 from reedspoke.lab.mutants import Blind, Forgetful, Minority, Yielding
 from reedspoke.lab.watcher import Watcher
@@ -29,7 +36,7 @@
         self.slow = (0.0, 0.5, 1.0)[self.seed % 3]  # share of the messages
         super().__post_init__()
 
-    def send(self, number: int, effect: Tell) -> None:
+    def send(self, number: int, effect: SendMessage) -> None:
         self.watcher.sent(number, DUTY, effect.message, self.true)
         before = len(self.flying)
         super().send(number, effect)
@@ -44,11 +51,11 @@
             self.watcher.received(sender, to, DUTY, message, self.true)  # type: ignore[arg-type]
         super().deliver(at)
 
-    def tell(self, number: int, event: Event) -> None:
-        before = self.members[number].until if len(self.members) > number else 0
+    def tell(self, number: int, event: LeaseEvent) -> None:
+        before = self.members[number].expires_at if len(self.members) > number else 0
         super().tell(number, event)
         member = self.members[number]
-        if member.token and member.until != before:
+        if member.token and member.expires_at != before:
             self.watcher.told(number, DUTY, member.token, self.true)
 
     def restart(self, number: int) -> None:
@@ -78,7 +85,7 @@
 
 
 @pytest.mark.parametrize("make", [Forgetful, Minority, Blind, Yielding])
-def test_it_counts_two_holders_of_broken_leases(make: type[Lease]) -> None:
+def test_it_counts_two_holders_of_broken_leases(make: type[LeaseParticipant]) -> None:
     size = 4 if make is Minority else 3
     for seed in range(400):
         fleet = WatchedFleet(size, 3 * seed, make, rates=(1.0, 1.0))
@@ -90,7 +97,7 @@
 
 
 def _ballot(asker: int, number: int) -> int:
-    return number << 10 + LIVES | asker << LIVES
+    return number << 10 + INCARNATION_BITS | asker << INCARNATION_BITS
 
 
 class Story:
@@ -99,7 +106,7 @@
     def __init__(self) -> None:
         self.watcher = Watcher(GRANTERS, 0.9)
 
-    def at(self, when: float, to: int, message: Message, *senders: int) -> None:
+    def at(self, when: float, to: int, message: LeaseProtocolMessage, *senders: int) -> None:
         for sender in senders:
             self.watcher.sent(sender, DUTY, message, when)
             self.watcher.received(sender, to, DUTY, message, when)
@@ -111,12 +118,12 @@
 def test_an_accept_behind_the_end_of_the_lease_begins_nothing() -> None:
     """A granter that was stopped answers a round that is long over, while another one holds."""
     story, first, second = Story(), _ballot(0, 1), _ballot(1, 2)
-    story.at(0.0, 0, Promise(first, 0), 2, 3)
-    story.at(0.01, 0, Accept(first), 2)
-    story.at(1.2, 1, Promise(second, 0), 3, 4)
-    story.at(1.21, 1, Accept(second), 3, 4)
+    story.at(0.0, 0, PrepareResponse(first, 0), 2, 3)
+    story.at(0.01, 0, AcceptResponse(first), 2)
+    story.at(1.2, 1, PrepareResponse(second, 0), 3, 4)
+    story.at(1.21, 1, AcceptResponse(second), 3, 4)
     story.told(1.22, 1, second)
-    story.at(1.5, 0, Accept(first), 4)
+    story.at(1.5, 0, AcceptResponse(first), 4)
     story.told(1.51, 0, first)
     assert story.watcher.two_holders == 0
     assert story.watcher.holder(DUTY, 1.5) == 1
@@ -124,12 +131,12 @@
 
 def test_a_release_counts_from_when_it_was_sent_even_if_it_is_lost() -> None:
     story, first, second = Story(), _ballot(0, 1), _ballot(1, 2)
-    story.at(0.0, 0, Promise(first, 0), 2, 3)
-    story.at(0.01, 0, Accept(first), 2, 3)
+    story.at(0.0, 0, PrepareResponse(first, 0), 2, 3)
+    story.at(0.01, 0, AcceptResponse(first), 2, 3)
     story.told(0.02, 0, first)
-    story.watcher.sent(0, DUTY, Release(first), 0.3)
-    story.at(0.35, 1, Promise(second, 0), 0, 4)
-    story.at(0.36, 1, Accept(second), 0, 4)
+    story.watcher.sent(0, DUTY, LeaseReleased(first), 0.3)
+    story.at(0.35, 1, PrepareResponse(second, 0), 0, 4)
+    story.at(0.36, 1, AcceptResponse(second), 0, 4)
     story.told(0.37, 1, second)
     assert story.watcher.two_holders == 0
     assert story.watcher.holder(DUTY, 0.5) == 1
@@ -137,11 +144,11 @@
 
 def test_two_majorities_at_one_time_are_counted_and_told() -> None:
     story, first, second = Story(), _ballot(0, 1), _ballot(1, 2)
-    story.at(0.0, 0, Promise(first, 0), 2, 3)
-    story.at(0.01, 0, Accept(first), 2, 3)
+    story.at(0.0, 0, PrepareResponse(first, 0), 2, 3)
+    story.at(0.01, 0, AcceptResponse(first), 2, 3)
     story.told(0.02, 0, first)
-    story.at(0.4, 1, Promise(second, 0), 3, 4)
-    story.at(0.41, 1, Accept(second), 3, 4)
+    story.at(0.4, 1, PrepareResponse(second, 0), 3, 4)
+    story.at(0.41, 1, AcceptResponse(second), 3, 4)
     story.told(0.42, 1, second)
     assert story.watcher.two_holders == 1
     (overlap,) = story.watcher.overlaps
@@ -152,8 +159,8 @@
 def test_who_has_not_told_that_it_holds_does_not_count() -> None:
     """Its own granter may have just started and be silent: two accepts of others are then no majority."""
     story, first = Story(), _ballot(0, 5)
-    story.at(0.0, 0, Promise(first, 0), 2, 3)
-    story.at(0.01, 0, Accept(first), 2, 3)
+    story.at(0.0, 0, PrepareResponse(first, 0), 2, 3)
+    story.at(0.01, 0, AcceptResponse(first), 2, 3)
     assert story.watcher.holder(DUTY, 0.1) is None
     story.told(0.2, 0, first)
     assert story.watcher.holder(DUTY, 0.3) == 0
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -70,8 +70,8 @@
     "ElsewhereError": "booking/test_part.py::test_who_grants_nothing_says_who_does",
     "ResetError": "acme/test_process.py::test_each_misbehaviour_of_the_authority_is_got_over",
     "LostError": "fleet/test_record.py::test_each_mutation_is_caught",
-    "TwoHoldersError": "fleet/test_lease.py::test_each_mutation_is_caught",
-    "TokenError": "fleet/test_lease.py::test_each_mutation_is_caught",
+    "TwoHoldersError": "fleet/lease/test_participant.py::test_each_mutation_is_caught",
+    "TokenError": "fleet/lease/test_participant.py::test_each_mutation_is_caught",
 }
 RAISED: dict[type[ReedspokeError], Callable[[], object]] = {
     UnknownWordError: lambda: known({}, "sometimes", "how"),
