--- a/reedspoke/control_plane/replication/chain.py
+++ b/reedspoke/control_plane/replication/chain.py
@@ -7,7 +7,7 @@
 
 from msgspec import Struct
 
-from reedspoke.cluster.errors import ErrorCode
+from reedspoke.common.errors import ErrorCode
 from reedspoke.control_plane.replication.chain_register import Register
 from reedspoke.control_plane.replication.events import ChainLink, Committed, Member, View
 from reedspoke.control_plane.replication.messages import Append, ChainState, Commit, Entry, Snapshot
@@ -20,7 +20,7 @@
     RESEND_S,
     ReplicaSettings,
 )
-from reedspoke.control_plane.views.acceptor import FIRST_VIEW
+from reedspoke.control_plane.views.first_view import FIRST_VIEW_NUMBER
 from reedspoke.telemetry.invariants import Invariant, check
 
 
@@ -89,7 +89,7 @@
         link = self._own_link()
         if link is None or self._register.adopting or self._outbox.copy_lost:
             return False
-        return link.joined == FIRST_VIEW or self._register.synced_since == link.joined
+        return link.joined == FIRST_VIEW_NUMBER or self._register.synced_since == link.joined
 
     def enter(self, view: View) -> None:
         """Act in a newer view from now on."""
--- a/reedspoke/data_plane/confirmation.py
+++ b/reedspoke/data_plane/confirmation.py
@@ -8,7 +8,7 @@
 
 import math
 
-from reedspoke.cluster.messages import NO_VERSION, Version
+from reedspoke.common.messages import NO_VERSION, Version
 
 DOUBT_SHARE = 0.7  # of the time within which a change has to be in force; the rest is for its way here
 MOST_AWAITED = 16
@@ -83,8 +83,9 @@
 def confirmed_as_of(sent_at: float, held_s: float, confirmed_ago_s: float, now: float) -> float:
     """The time for which an answer vouches, on the asker's clock.
 
-    `sent_at` is when the `Watch` was sent, the others are as in `Versions`. The control scheduler got the
-    `Watch` no earlier, so the time is never later than the true one; it is never in the future either.
+    `sent_at` is when the `WatchRequest` was sent, the others are as in `WatchResponse`. The control scheduler
+    got the `WatchRequest` no earlier, so the time is never later than the true one; it is never in the future
+    either.
     """
     if not (held_s >= 0 and confirmed_ago_s >= 0):  # also where one of them is not a number
         return -math.inf
--- a/tests/data_plane/session_world.py
+++ b/tests/data_plane/session_world.py
@@ -7,7 +7,7 @@
 
 from msgspec import Struct
 
-from reedspoke.cluster.messages import ControlMember
+from reedspoke.common.messages import ControlMember
 from reedspoke.data_plane.session_choice import SessionChoice
 
 STEP_S = 0.01
@@ -15,7 +15,7 @@
 ROUND_TRIP_S = 0.02
 CONNECT_TIMEOUT_S = 0.7
 SILENCE_S = 1.2
-HOLD_S = 0.4  # a `Watch` is answered after this at the latest
+HOLD_S = 0.4  # a `WatchRequest` is answered after this at the latest
 HEARTBEAT_S = 1.2
 DOUBT_S = 1.4
 OWN_ZONE = "za"
