--- a/reedspoke/booking/agreed.py
+++ b/reedspoke/booking/agreed.py
@@ -8,11 +8,12 @@
 from reedspoke.booking.book import Calendar
 from reedspoke.booking.desk import Desk, Terms
 from reedspoke.booking.file import DUTY
-from reedspoke.fleet.log_messages import Answered, Asked, Recorded, Word
 from reedspoke.fleet.messages.fields import name_hash
 from reedspoke.fleet.messages.frame import Message
 from reedspoke.fleet.node import FleetExtension, FleetNode, MessageHandler
-from reedspoke.fleet.record import Change, Out, Record
+from reedspoke.fleet.replicated_log.log_state import LogChange
+from reedspoke.fleet.replicated_log.messages import CommandReply, CommandRequest, LogEnvelope, Outbox
+from reedspoke.fleet.replicated_log.replicated_log import ReplicatedLog
 from reedspoke.fleet.roles.singleton_roles import SingletonRole
 
 PACE = 4  # parts of a term that a lost word of the record is sent again after
@@ -28,9 +29,9 @@
         self.party, self.duties, me = party, party.roles, party.channel.node_id
         granters = self.duties.configuration.voters
         self.calendar = Calendar() if me in granters else None
-        self.record: Record | None = None
+        self.record: ReplicatedLog | None = None
         if self.calendar is not None:
-            self.record = Record(me, granters, life, self.calendar, term // PACE)
+            self.record = ReplicatedLog(me, granters, life, self.calendar, term // PACE)
         self.desk = Desk(
             me,
             self.record,
@@ -44,9 +45,9 @@
         self.folder = False  # what changes has to be kept there before it is told
         self.duties.add(SingletonRole(DUTY, term, eligible=self.record is not None), self)
         handlers: dict[type, MessageHandler] = {
-            Recorded: self._hear_record,
-            Asked: self._hear_desk,
-            Answered: self._hear_desk,
+            LogEnvelope: self._hear_record,
+            CommandRequest: self._hear_desk,
+            CommandReply: self._hear_desk,
         }
         party.add_extension(FleetExtension(handlers, self._look, self._keep))
 
@@ -54,28 +55,28 @@
         grip = self.duties.holder(DUTY, now)
         return grip.member if grip is not None else -1
 
-    def _wrap(self, out: Out) -> list[tuple[int, Message]]:
-        return [(to, Recorded(name_hash(DUTY), word)) for to, word in out]
+    def _wrap(self, out: Outbox) -> list[tuple[int, Message]]:
+        return [(to, LogEnvelope(name_hash(DUTY), word)) for to, word in out]
 
-    def _keep(self) -> list[Change]:
+    def _keep(self) -> list[LogChange]:
         if self.record is None:
             return []
-        changes = list(self.record.changes)
-        self.record.changes.clear()
+        changes = list(self.record.state.unsaved_changes)
+        self.record.state.unsaved_changes.clear()
         return changes if self.folder else []
 
     def silence(self, now: int) -> None:
         """What would be confirmed cannot be kept. Guards the others against a leader whose disk is full: it
         would go on to hold the duty, and the record would rest with it."""
         assert self.record is not None
-        self.record.silence()
+        self.record.fail_storage()
         self.party.enqueue(self.duties.disable(DUTY, now))
 
     # ---- the duty ----
 
     def lease_acquired(self, token: int, expires_at: int, now: int) -> list[object]:
         assert self.record is not None
-        self.party.enqueue(self._wrap(self.record.hold(token, now)))
+        self.party.enqueue(self._wrap(self.record.become_leader(token, now)))
         return []
 
     def lease_renewed(self, expires_at: int, now: int) -> list[object]:
@@ -83,7 +84,7 @@
 
     def lease_ended(self, reason: str, now: int) -> list[object]:
         if self.record is not None:
-            self.record.let_go()
+            self.record.step_down()
         return []
 
     def tick(self, now: int) -> list[object]:
@@ -91,14 +92,16 @@
 
     # ---- words ----
 
-    def _hear_record(self, sender: int, matter: Recorded, now: int) -> list[tuple[int, Message]]:
-        if matter.record != name_hash(DUTY) or self.record is None:
+    def _hear_record(self, sender: int, matter: LogEnvelope, now: int) -> list[tuple[int, Message]]:
+        if matter.log_name_hash != name_hash(DUTY) or self.record is None:
             return []
-        return [*self._wrap(self.record.hear(sender, matter.word, now)), *self.desk.tick(now)]
+        return [*self._wrap(self.record.receive(sender, matter.message, now)), *self.desk.tick(now)]
 
-    def _hear_desk(self, sender: int, matter: Asked | Answered, now: int) -> list[tuple[int, Message]]:
+    def _hear_desk(
+        self, sender: int, matter: CommandRequest | CommandReply, now: int
+    ) -> list[tuple[int, Message]]:
         return [*self.desk.hear(sender, matter, now)]
 
     def _look(self, now: int) -> list[tuple[int, Message]]:
-        words: list[tuple[int, Word]] = self.record.tick(now) if self.record is not None else []
+        words: Outbox = self.record.tick(now) if self.record is not None else []
         return [*self._wrap(words), *self.desk.tick(now)]
--- a/reedspoke/fleet/events.py
+++ b/reedspoke/fleet/events.py
@@ -6,7 +6,7 @@
 from __future__ import annotations
 
 from reedspoke.fleet.messages.frame import EVERY_PEER
-from reedspoke.fleet.record import Change
+from reedspoke.fleet.replicated_log.log_state import LogChange
 from reedspoke.net.effects import FurtherEffect, FurtherEvent
 
 # ---- events ----
@@ -79,5 +79,5 @@
 class StoreLogChanges(FurtherEffect):
     """Bring the changes to disk, and answer with `LogChangesStored` or `LogStoreFailed`."""
 
-    changes: tuple[Change, ...]
+    changes: tuple[LogChange, ...]
     then: tuple[SendDatagrams, ...]
--- a/reedspoke/fleet/messages/frame.py
+++ b/reedspoke/fleet/messages/frame.py
@@ -17,7 +17,6 @@
 
 import msgspec
 
-from reedspoke.fleet.log_messages import Answered, Asked, Recorded
 from reedspoke.fleet.messages.anti_entropy import EntriesRequest, MemberEntry, RangeDigests, RootDigest
 from reedspoke.fleet.messages.errors import FrameError
 from reedspoke.fleet.messages.failure_detector import Ack, MemberUpdate, Ping, PingRequest
@@ -29,6 +28,7 @@
     MAX_HEADER_BYTES,
 )
 from reedspoke.fleet.messages.worker_load import LoadReport
+from reedspoke.fleet.replicated_log.messages import CommandReply, CommandRequest, LogEnvelope
 
 PROTOCOL_VERSION = 3
 EVERY_PEER = -1  # as a recipient
@@ -38,7 +38,7 @@
 
 Message = (
     LoadReport | Ping | Ack | PingRequest | MemberUpdate | LeaseMessage | LeaseHeld | ConfigurationDigest |
-    MemberEntry | RootDigest | RangeDigests | EntriesRequest | Recorded | Asked | Answered
+    MemberEntry | RootDigest | RangeDigests | EntriesRequest | LogEnvelope | CommandRequest | CommandReply
 )  # fmt: skip
 
 encode_message = msgspec.msgpack.Encoder().encode
--- a/reedspoke/fleet/node.py
+++ b/reedspoke/fleet/node.py
@@ -22,7 +22,7 @@
 from reedspoke.fleet.messages.fields import name_hash
 from reedspoke.fleet.messages.frame import EVERY_PEER, Frame, Message, OutgoingMessage
 from reedspoke.fleet.messages.lease import ConfigurationDigest, LeaseHeld, LeaseMessage
-from reedspoke.fleet.record import Change
+from reedspoke.fleet.replicated_log.log_state import LogChange
 from reedspoke.fleet.roles.singleton_roles import SingletonRoles
 from reedspoke.fleet.transport.channel import FrameChannel
 
@@ -49,7 +49,7 @@
 
     message_handlers: Mapping[type, MessageHandler]
     on_tick: Callable[[int], Addressed]
-    take_log_changes: Callable[[], list[Change]]
+    take_log_changes: Callable[[], list[LogChange]]
 
 
 class FleetNode:
@@ -132,7 +132,7 @@
         if self.roles is not None:
             self.enqueue(self.roles.set_candidacy(candidate, successor, now, names))
 
-    def take_log_changes(self) -> list[Change]:
+    def take_log_changes(self) -> list[LogChange]:
         """What must be on disk before the datagrams of the next `flush` are sent."""
         return [change for extension in self._extensions for change in extension.take_log_changes()]
 
