--- a/tests/data_plane/test_session_wire.py
+++ b/tests/data_plane/test_session_wire.py
@@ -27,8 +27,8 @@
 from reedspoke.control_plane.delivery.edge_sessions import EdgeSessions
 from reedspoke.control_plane.delivery.membership import Membership
 from reedspoke.control_plane.delivery.published_state import PublishedState
-from reedspoke.control_plane.replication.events import Committed
-from reedspoke.control_plane.workers.worker_list import WorkerBook
+from reedspoke.control_plane.replication.entry import CommittedConfiguration
+from reedspoke.control_plane.workers.worker_list import WorkerListState
 from reedspoke.data_plane import control_session
 from reedspoke.data_plane.session_choice import DIAL_BURST, DIALS_PER_S, SESSIONS
 from reedspoke.data_plane.subscription import UNCONFIRMED_AFTER_S
@@ -50,7 +50,7 @@
     """One connection; each end has the methods of a `Channel` that it uses."""
 
     def __init__(self, model: FleetModel, control: WireControl) -> None:
-        self.silence_s: float | None = None
+        self.idle_timeout_s: float | None = None
         self.fetched: list[FetchRequest] = []
         self._model = model
         self._control = control
@@ -65,7 +65,7 @@
         self._later(self._control.sessions.received, self._far_end, decode(encode(message), EdgeMessage))
 
     async def receive(self, expected: Any) -> Any:
-        async with asyncio.timeout(self.silence_s):
+        async with asyncio.timeout(self.idle_timeout_s):
             found = await self._incoming.get()
         if isinstance(found, Exception):
             raise found
@@ -97,7 +97,7 @@
         decode(payload, ControlMessage)
         self._wire.arrive(payload)
 
-    def waiting(self) -> int:
+    def write_backlog_bytes(self) -> int:
         return 0
 
     def close(self) -> None:
@@ -112,7 +112,7 @@
         self.wires: list[Wire] = []
         self._cache = ConfigurationCache()
         membership = Membership(ControlMember(address, zone), 5.0, 77)
-        state = PublishedState(self._cache, WorkerBook(), membership, self._confirmed_as_of)
+        state = PublishedState(self._cache, WorkerListState(), membership, self._confirmed_as_of)
         self._membership = membership
         self.sessions = model.loop.run_until_complete(self._make_sessions(state))
 
@@ -131,7 +131,7 @@
         super().learn(version)
         if version > self._cache.version:
             view, sequence = version
-            committed = Committed(sequence, sequence, document(sequence), view)
+            committed = CommittedConfiguration(sequence, sequence, document(sequence), view)
             self._cache.install(self._cache.prepare(committed))
 
     def step(self) -> None:
