--- a/reedspoke/control_plane/views/acceptor.py
+++ b/reedspoke/control_plane/views/acceptor.py
@@ -80,7 +80,7 @@
         if request.proposal_number < state.promised:
             self._reject(sender, request, state.promised)
             return
-        self._note_active(request.proposal_number)
+        self._record_active_proposer(request.proposal_number)
         response = PrepareResponse(
             acceptor=self._own,
             view_number=request.view_number,
@@ -100,7 +100,7 @@
         if request.proposal_number < state.promised:
             self._reject(sender, request, state.promised)
             return
-        self._note_active(request.proposal_number)
+        self._record_active_proposer(request.proposal_number)
         if not self._read_lease.may_accept(present, request.view, request.released_at, self._outbox.now):
             return
         accepted = AcceptorRecord(
@@ -115,7 +115,7 @@
     def _state(self, view_number: int) -> AcceptorRecord:
         return self._states.get(view_number) or AcceptorRecord(view_number, ProposalNumber())
 
-    def _note_active(self, proposal_number: ProposalNumber) -> None:
+    def _record_active_proposer(self, proposal_number: ProposalNumber) -> None:
         self._active_proposer = ActiveProposer(proposal_number.proposer, self._outbox.now)
 
     def _store_and_respond(self, state: AcceptorRecord, sender: str, response: Struct) -> None:
--- a/reedspoke/control_plane/views/agreement.py
+++ b/reedspoke/control_plane/views/agreement.py
@@ -113,7 +113,7 @@
     # ---- proposals ----
 
     def set_first_acceptors(self, seeds: tuple[str, ...]) -> None:
-        """This data folder is one of the first start, whose view these addresses decide."""
+        """Take part in the first start, whose view these addresses decide."""
         self._first_acceptors = seeds
 
     def may_propose(self, is_reachable: Callable[[str], bool]) -> bool:
@@ -166,11 +166,11 @@
             case PrepareRequest() | AcceptRequest():
                 self._handle_request(sender, message)
             case PrepareResponse():
-                self._proposer.handle_promise(message)
+                self._proposer.handle_prepare_response(message)
             case AcceptResponse():
-                self._announce_decided(self._proposer.handle_accepted(message))
+                self._announce_decided(self._proposer.handle_accept_response(message))
             case ProposalRejected():
-                self._proposer.handle_rejected(message)
+                self._proposer.handle_rejection(message)
             case ReadLeaseReleased(view_number=view_number, released_at=released_at):
                 if self._view is not None and self._view.number == view_number:
                     self._proposer.read_lease_released(released_at)
--- a/reedspoke/control_plane/views/proposer.py
+++ b/reedspoke/control_plane/views/proposer.py
@@ -117,7 +117,7 @@
         if self._attempt is not None and self._attempt.view_number <= decided_number:
             self._attempt = None
 
-    def handle_promise(self, response: PrepareResponse) -> None:
+    def handle_prepare_response(self, response: PrepareResponse) -> None:
         """Phase 1: an acceptor has promised. With a majority the second phase begins.
 
         A promise that comes later changes nothing, as one proposal number has one value.
@@ -131,7 +131,7 @@
             attempt.value = _value_to_propose(attempt)
             self._send(attempt)
 
-    def handle_accepted(self, response: AcceptResponse) -> View | None:
+    def handle_accept_response(self, response: AcceptResponse) -> View | None:
         """Phase 2: an acceptor has accepted. The view, once it is decided."""
         attempt = self._matching(response.view_number, response.proposal_number)
         key = acceptor_key(response.view_number, response.acceptor)
@@ -140,7 +140,7 @@
         attempt.accepted_by.add(key)
         return attempt.value if attempt.is_decided else None
 
-    def handle_rejected(self, rejection: ProposalRejected) -> None:
+    def handle_rejection(self, rejection: ProposalRejected) -> None:
         """An acceptor has promised a larger proposal number: leave the other proposer some time."""
         if self._matching(rejection.view_number, rejection.proposal_number) is None:
             return
--- a/reedspoke/control_plane/workers/discovery_lease.py
+++ b/reedspoke/control_plane/workers/discovery_lease.py
@@ -58,7 +58,7 @@
 
 
 class DiscoveryLease:
-    """This process as a voter and as a candidate for the lease.
+    """One process as a voter and as a candidate for the lease.
 
     `identity`, below `TERM_STRIDE`, is to differ from process to process: it is the remainder of each of its
     terms. So none is used twice, also after a loss of all processes, when terms begin anew while lists of
--- a/tests/control_plane/test_guards_agreement.py
+++ b/tests/control_plane/test_guards_agreement.py
@@ -30,27 +30,27 @@
 LATER = 1e6
 
 
-def _answers(voter: Voter) -> list[type]:
+def _responses(voter: Voter) -> list[type]:
     return [type(effect.message) for effect in voter.step()]
 
 
 # ---- the acceptor ----
 
 
-def test_a_ballot_below_the_promised_one_is_not_accepted() -> None:
+def test_a_proposal_number_below_the_promised_one_is_not_accepted() -> None:
     voter = Voter(A)
     voter.agreement.receive("at-b", PrepareRequest(2, ProposalNumber(5, "b")))
     voter.agreement.receive("at-c", AcceptRequest(2, ProposalNumber(4, "c"), SAME_TAIL))
-    assert _answers(voter) == [PrepareResponse, ProposalRejected]
+    assert _responses(voter) == [PrepareResponse, ProposalRejected]
 
 
 def test_a_view_with_another_tail_is_not_accepted_while_a_lease_runs() -> None:
     voter = Voter(A)
     voter.agreement.read_lease_voter.grant(voter.outbox.now, voter.outbox.now)
     voter.agreement.receive("at-b", AcceptRequest(2, ProposalNumber(1, "b"), OTHER_TAIL))
-    assert _answers(voter) == []
+    assert _responses(voter) == []
     voter.agreement.receive("at-b", AcceptRequest(2, ProposalNumber(1, "b"), SAME_TAIL))
-    assert _answers(voter) == [AcceptResponse]
+    assert _responses(voter) == [AcceptResponse]
 
 
 def test_a_request_that_comes_again_during_the_store_is_not_answered_before_its_end() -> None:
@@ -64,21 +64,21 @@
     voter = Voter(A)
     voter.agreement.receive("at-b", PrepareRequest(3, ProposalNumber(1, "b")))
     voter.agreement.receive("at-b", AcceptRequest(3, ProposalNumber(1, "b"), View(3, MEMBERS, PRESENT.chain)))
-    assert _answers(voter) == []
+    assert _responses(voter) == []
 
 
 def test_a_stranger_has_no_vote() -> None:
     stranger = Voter(STRANGER)
     stranger.agreement.receive("at-b", PrepareRequest(2, ProposalNumber(1, "b")))
     stranger.agreement.receive("at-b", AcceptRequest(2, ProposalNumber(1, "b"), SAME_TAIL))
-    assert _answers(stranger) == []
+    assert _responses(stranger) == []
 
 
 def test_who_has_heard_that_a_view_is_decided_tells_it_and_votes_no_more() -> None:
     voter = Voter(A)
     voter.agreement.learn(SAME_TAIL)
     voter.agreement.receive("at-b", PrepareRequest(2, ProposalNumber(1, "b")))
-    assert _answers(voter) == [ViewDecided]
+    assert _responses(voter) == [ViewDecided]
 
 
 def test_a_view_that_the_disk_refused_does_not_take_effect() -> None:
@@ -99,16 +99,16 @@
 
 
 @pytest.mark.parametrize(
-    ("newcomers", "wanted", "voters"),
+    ("newcomers", "target", "voters"),
     [(0, 5, 3), (1, 5, 3), (2, 5, 5), (4, 5, 5), (4, 7, 7), (4, 3, 3), (3, 7, 5)],
 )
-def test_others_of_the_first_start_vote_beside_the_seeds(newcomers: int, wanted: int, voters: int) -> None:
-    """As many as are wanted, in odd number; a folder that is older takes no part."""
+def test_others_of_the_first_start_vote_beside_the_seeds(newcomers: int, target: int, voters: int) -> None:
+    """As many as are target, in odd number; a folder that is older takes no part."""
     founders = [Ping(member, 0, (), True, 0, 0, bootstrap=True) for member in MEMBERS]
     others = [Member(f"folder-{number}", f"other-{number}", "z") for number in range(newcomers)]
     pings = [Ping(member, 0, (), True, 0, 0, starts_new=True) for member in others]
     older = Ping(Member("folder-old", "at-old", "z"), 0, (), True, 0, 0)
-    view = form_first_view(tuple(member.address for member in MEMBERS), [older, *pings, *founders], 3, wanted)
+    view = form_first_view(tuple(member.address for member in MEMBERS), [older, *pings, *founders], 3, target)
     assert view is not None
     assert len(view.voters) == voters
     assert view.voters == tuple(link.member for link in view.chain)
@@ -127,7 +127,7 @@
 
 
 class RunningAttempt:
-    """A proposer of SAME_TAIL to three acceptors, in its first ballot."""
+    """A proposer of SAME_TAIL to three acceptors, under its first proposal number."""
 
     def __init__(self) -> None:
         self.outbox = Outbox(A.address, START, 0)
@@ -139,12 +139,14 @@
         assert self.proposer.attempt is not None
         return self.proposer.attempt.proposal_number
 
-    def promise(self, member: Member, accepted: View | None = None, round_: int = 0) -> None:
-        """A promise, with what this acceptor has accepted in an earlier ballot."""
-        before = ProposalNumber(round_, "c:1") if accepted else NO_PROPOSAL
-        self.proposer.handle_promise(PrepareResponse(member, 2, self.proposal_number, before, accepted))
+    def receive_promise(self, member: Member, accepted: View | None = None, counter: int = 0) -> None:
+        """A promise, with what this acceptor has accepted under an earlier proposal number."""
+        before = ProposalNumber(counter, "c:1") if accepted else NO_PROPOSAL
+        self.proposer.handle_prepare_response(
+            PrepareResponse(member, 2, self.proposal_number, before, accepted)
+        )
 
-    def prepared(self) -> bool:
+    def is_prepared(self) -> bool:
         """Whether it goes on to the second phase."""
         assert self.proposer.attempt is not None
         return self.proposer.attempt.is_prepared
@@ -157,42 +159,46 @@
 
 def test_a_stranger_s_promise_does_not_count() -> None:
     attempt = RunningAttempt()
-    attempt.promise(A)
-    attempt.promise(STRANGER)
-    assert not attempt.prepared()
-    attempt.promise(B)
-    assert attempt.prepared()
+    attempt.receive_promise(A)
+    attempt.receive_promise(STRANGER)
+    assert not attempt.is_prepared()
+    attempt.receive_promise(B)
+    assert attempt.is_prepared()
 
 
-def test_a_promise_for_an_earlier_ballot_does_not_count() -> None:
+def test_a_promise_for_an_earlier_proposal_does_not_count() -> None:
     attempt = RunningAttempt()
-    attempt.promise(A)
-    attempt.proposer.handle_promise(PrepareResponse(B, 2, ProposalNumber(0, "a:1"), NO_PROPOSAL, None))
-    assert not attempt.prepared()
+    attempt.receive_promise(A)
+    attempt.proposer.handle_prepare_response(
+        PrepareResponse(B, 2, ProposalNumber(0, "a:1"), NO_PROPOSAL, None)
+    )
+    assert not attempt.is_prepared()
 
 
 def test_a_late_promise_does_not_change_the_value() -> None:
     attempt = RunningAttempt()
-    attempt.promise(A)
-    attempt.promise(B)
-    attempt.promise(C, accepted=OTHER_TAIL, round_=1)
+    attempt.receive_promise(A)
+    attempt.receive_promise(B)
+    attempt.receive_promise(C, accepted=OTHER_TAIL, counter=1)
     assert attempt.value() == SAME_TAIL
 
 
-def test_the_value_of_the_largest_ballot_is_carried_on() -> None:
+def test_the_value_of_the_largest_proposal_number_is_carried_on() -> None:
     attempt = RunningAttempt()
-    attempt.promise(A, accepted=OTHER_TAIL, round_=2)
-    attempt.promise(C, accepted=SAME_TAIL, round_=1)
+    attempt.receive_promise(A, accepted=OTHER_TAIL, counter=2)
+    attempt.receive_promise(C, accepted=SAME_TAIL, counter=1)
     assert attempt.value() == OTHER_TAIL
 
 
 def test_a_stranger_s_acceptance_does_not_count() -> None:
     attempt = RunningAttempt()
     for member in (A, B):
-        attempt.promise(member)
-    assert attempt.proposer.handle_accepted(AcceptResponse(A, 2, attempt.proposal_number)) is None
-    assert attempt.proposer.handle_accepted(AcceptResponse(STRANGER, 2, attempt.proposal_number)) is None
-    assert attempt.proposer.handle_accepted(AcceptResponse(B, 2, attempt.proposal_number)) == SAME_TAIL
+        attempt.receive_promise(member)
+    assert attempt.proposer.handle_accept_response(AcceptResponse(A, 2, attempt.proposal_number)) is None
+    assert (
+        attempt.proposer.handle_accept_response(AcceptResponse(STRANGER, 2, attempt.proposal_number)) is None
+    )
+    assert attempt.proposer.handle_accept_response(AcceptResponse(B, 2, attempt.proposal_number)) == SAME_TAIL
 
 
 # ---- leases ----
@@ -220,7 +226,7 @@
     assert not Voter(STRANGER).agreement.may_confirm_view(PRESENT.number)
 
 
-def test_a_resignation_from_another_view_is_passed_over() -> None:
+def test_a_lease_release_from_another_view_is_passed_over() -> None:
     voter = Voter(A)
     voter.agreement.propose(OTHER_TAIL)
     voter.step()
@@ -239,7 +245,7 @@
     assert voter.agreement.view == View(3, MEMBERS, PRESENT.chain)
 
 
-def test_a_resignation_before_the_newest_grant_ends_nothing_also_in_the_next_view() -> None:
+def test_a_lease_release_before_the_newest_grant_ends_nothing_also_in_the_next_view() -> None:
     lease = ReadLeaseVoter(now=0.0)
     lease.grant(requested_at=20.0, now=20.0)
     lease.enter_view(PRESENT, SAME_TAIL)
--- a/tests/control_plane/test_read_lease.py
+++ b/tests/control_plane/test_read_lease.py
@@ -23,7 +23,7 @@
 OTHER_VOTERS = _view(2, [A, B, C], (A, C, D))
 
 
-def _calm_voter() -> ReadLeaseVoter:
+def _voter_without_grants() -> ReadLeaseVoter:
     return ReadLeaseVoter(now=0.0)
 
 
@@ -35,7 +35,7 @@
 
 
 def test_a_grant_holds_off_other_tails_and_other_voters() -> None:
-    voter = _calm_voter()
+    voter = _voter_without_grants()
     voter.grant(requested_at=20.0, now=20.1)
     end = 20.1 + READ_LEASE_TTL_S
     for proposed in (OTHER_TAIL, OTHER_VOTERS):
@@ -44,15 +44,15 @@
     assert voter.may_accept(PRESENT, SAME_TAIL, None, 20.2)
 
 
-def test_a_resignation_counts_for_what_was_asked_before_it() -> None:
-    voter = _calm_voter()
+def test_a_release_counts_for_what_was_requested_before_it() -> None:
+    voter = _voter_without_grants()
     voter.grant(requested_at=20.0, now=20.1)
     assert voter.may_accept(PRESENT, OTHER_TAIL, 20.0, 20.2)
     assert not voter.may_accept(PRESENT, OTHER_TAIL, 19.9, 20.2)
 
 
 def test_a_deferred_view_pauses_grants_until_the_next_view() -> None:
-    voter = _calm_voter()
+    voter = _voter_without_grants()
     voter.grant(requested_at=20.0, now=20.0)
     assert not voter.may_accept(PRESENT, OTHER_TAIL, None, 20.1)
     assert not voter.may_grant(20.1 + GRANT_BACKOFF_S - 0.01)
@@ -61,7 +61,7 @@
     assert voter.may_grant(20.2)
 
 
-def test_a_tail_needs_a_majority_and_counts_from_when_it_asked() -> None:
+def test_a_tail_needs_a_majority_and_counts_from_when_it_requested() -> None:
     tail = ReadLeaseHolder()
     tail.record_grant("a", 20.0)
     assert not tail.is_held((A, B, C), 20.0)
@@ -79,7 +79,7 @@
     assert tail.is_held((A, B, C), 20.5)
 
 
-def test_a_tail_that_resigned_ignores_what_it_asked_for_before() -> None:
+def test_a_tail_that_released_its_lease_ignores_earlier_requests() -> None:
     tail = ReadLeaseHolder()
     tail.record_grant("a", 20.0)
     tail.record_grant("b", 20.0)
--- a/tests/control_plane/test_view_agreement.py
+++ b/tests/control_plane/test_view_agreement.py
@@ -34,12 +34,12 @@
         self.records = records if records is not None else [encode_record(ViewRecord(PRESENT))]
         self.disk_works = True
         self.entered: list[View] = []
-        self.lives = 0
+        self.incarnations = 0
         self.start()
 
     def start(self) -> None:
         """A new process on the same disk, long after the leases of the old one."""
-        self.lives += 1
+        self.incarnations += 1
         settings_ = ReplicaSettings(
             folder_id=self.member.folder_id,
             address=self.member.address,
@@ -51,7 +51,7 @@
         self.outbox = Outbox(self.member.address, START, 0)
         self.agreement = ViewAgreement(
             settings_,
-            f"{self.member.folder_id}:{self.lives}",
+            f"{self.member.folder_id}:{self.incarnations}",
             self.outbox,
             restore(self.records),
             self.entered.append,
@@ -85,15 +85,15 @@
 def test_one_value_is_decided_whatever_is_lost_doubled_or_restarted(data: st.DataObject) -> None:
     voters = {member.address: Voter(member) for member in MEMBERS}
     network: list[tuple[str, SendTo]] = []
-    told: set[View] = set()
+    decided: set[View] = set()
 
     def collect(address: str) -> None:
         for effect in voters[address].step():
             if isinstance(effect.message, ViewDecided):
-                told.add(effect.message.view)
+                decided.add(effect.message.view)
             elif effect.address in voters:
                 network.append((address, effect))
-        told.update(voters[address].entered)
+        decided.update(voters[address].entered)
 
     for _ in range(data.draw(st.integers(10, 60))):
         action = data.draw(st.sampled_from(["deliver"] * 8 + ["propose", "double", "lose", "restart"]))
@@ -110,7 +110,7 @@
             if action != "lose":
                 voters[effect.address].agreement.receive(sender, effect.message)
                 collect(effect.address)
-    assert len(told) <= 1
+    assert len(decided) <= 1
 
 
 def test_a_promise_is_answered_only_when_it_is_on_disk() -> None:
@@ -178,15 +178,15 @@
     proposer = voters["at-c"]
     proposer.agreement.propose(second)
     values = set()
-    waiting = [("at-c", effect) for effect in proposer.step()]
+    in_transit = [("at-c", effect) for effect in proposer.step()]
     for _ in range(3):
         answers = []
-        for sender, effect in waiting:
+        for sender, effect in in_transit:
             if isinstance(effect.message, AcceptRequest):
                 values.add(effect.message.view)
             voters[effect.address].agreement.receive(sender, effect.message)
             answers += [(effect.address, answer) for answer in voters[effect.address].step()]
-        waiting = answers
+        in_transit = answers
     assert values == {first}
 
 
