--- a/tests/control_plane/test_losses_next_view.py
+++ b/tests/control_plane/test_losses_next_view.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from reedspoke.control_plane.replication.events import ChainLink
+from reedspoke.control_plane.replication.view import ChainLink
 from reedspoke.control_plane.views.largest_chain import Links, largest_connected_chain
 from reedspoke.control_plane.views.next_view import choose_next_view
 from tests.control_plane.view_builders import chain_names, links_of, snapshot_of, view_of, voter_names
--- a/tests/control_plane/view_builders.py
+++ b/tests/control_plane/view_builders.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterable
 
-from reedspoke.control_plane.replication.events import ChainLink, Member, View
+from reedspoke.control_plane.replication.view import ChainLink, Member, View
 from reedspoke.control_plane.views.next_view import MemberCondition, MembershipSnapshot
 
 
