--- a/reedspoke/control_plane/views/first_view.py
+++ b/reedspoke/control_plane/views/first_view.py
@@ -11,19 +11,19 @@
 
 
 def form_first_view(
-    seeds: tuple[str, ...], pings: Iterable[Heartbeat], min_seeds: int, target_members: int
+    seeds: tuple[str, ...], heartbeats: Iterable[Heartbeat], min_seeds: int, target_members: int
 ) -> View | None:
     """The seeds by address, as voters and as chain; None until the folders of at least `min_seeds` are known.
 
     Others that start for the first time are taken in up to `target_members`: with fewer voters than the
     deployment needs, losses within its bounds could leave no majority. Their number is odd.
     """
-    known = list(pings)
-    founders = {ping.member.address: ping.member for ping in known if ping.bootstrap}
+    known = list(heartbeats)
+    founders = {heartbeat.member.address: heartbeat.member for heartbeat in known if heartbeat.bootstrap}
     founding_seeds = [founders[seed] for seed in sorted(set(seeds)) if seed in founders]
     if not founding_seeds or len(founding_seeds) < min_seeds:
         return None
-    newcomers = {ping.member.address: ping.member for ping in known if ping.starts_new}
+    newcomers = {heartbeat.member.address: heartbeat.member for heartbeat in known if heartbeat.starts_new}
     others = [newcomers[address] for address in sorted(set(newcomers) - set(seeds))]
     extra_count = _extra_member_count(len(founding_seeds), len(others), target_members)
     members = tuple(founding_seeds + others[:extra_count])
