--- /dev/null
+++ b/reedspoke/control_plane/api/backend.py
@@ -0,0 +1,36 @@
+"""What the operator API needs of the process that serves it."""
+
+from __future__ import annotations
+
+from collections.abc import Awaitable
+from typing import Protocol
+
+from reedspoke.common.configuration import Configuration
+from reedspoke.control_plane.api.call_log import CompletedCall
+from reedspoke.control_plane.api.schemas import StatusAnswer
+from reedspoke.control_plane.replication.events import GetAnswer, PutAnswer
+
+
+class OperatorBackend(Protocol):
+    """Carries out the operators' calls."""
+
+    def validate(self, document: bytes) -> Awaitable[Configuration]:
+        """Parse a configuration. Raises FleetError, when awaited, where it is invalid."""
+
+    def put(self, match: int, generation: int, document: bytes) -> Awaitable[PutAnswer]:
+        """Replicate the configuration if the newest generation is `match`.
+
+        Raises FleetError where that cannot be tried.
+        """
+
+    def get(self) -> Awaitable[GetAnswer]:
+        """Read the newest configuration. Raises FleetError where that cannot be tried."""
+
+    def holds_majority(self) -> bool:
+        """Whether a majority of voters stands behind this node at this instant."""
+
+    def status(self) -> StatusAnswer:
+        """The state of this node."""
+
+    def call_completed(self, call: CompletedCall) -> None:
+        """Take note of a call that has its response."""
--- /dev/null
+++ b/reedspoke/control_plane/api/call_log.py
@@ -0,0 +1,74 @@
+"""Completed calls of operators: their metrics and log lines."""
+
+from __future__ import annotations
+
+from zlib import crc32
+
+from msgspec import Struct
+
+from reedspoke.common.errors import ErrorCode, FleetError
+from reedspoke.common.json_log import INFO, WARNING, log
+from reedspoke.common.log_rate_limit import LogRateLimiter
+from reedspoke.control_plane.api.http_messages import Request
+from reedspoke.telemetry.metrics import Registry
+
+CALL_EVENT = "operator call"
+DURATION_BUCKETS_S = (0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0)
+SUCCESS = 200
+
+
+class CompletedCall(Struct, frozen=True):
+    """A call of an operator with its response; `error` is None for a success."""
+
+    request: Request
+    status: int
+    error: FleetError | None
+    duration_s: float
+
+    @property
+    def code(self) -> ErrorCode | None:
+        """The code of the error, if there was one."""
+        return None if self.error is None else self.error.code
+
+
+class OperatorCallLog:
+    """Counts the operators' calls, and logs each change and each read that failed."""
+
+    def __init__(self, registry: Registry, rate_limiter: LogRateLimiter) -> None:
+        self._rate_limiter = rate_limiter
+        self._calls = registry.counter(
+            "reedspoke_operator_calls_total", "Calls of operators.", ("method", "path", "status", "code")
+        )
+        self._durations = registry.histogram(
+            "reedspoke_operator_call_seconds", "Time until a call was answered.", DURATION_BUCKETS_S
+        )
+
+    def call_completed(self, call: CompletedCall) -> None:
+        """Count a call, and log it where it was a change or failed."""
+        request = call.request
+        code = "" if call.code is None else str(int(call.code))
+        self._calls.add(request.method, request.path, str(call.status), code)
+        self._durations.observe(call.duration_s)
+        if request.method == "PUT" or call.status != SUCCESS:
+            self._log(call)
+
+    def _log(self, call: CompletedCall) -> None:
+        if not self._rate_limiter.allows():
+            return
+        level = INFO if call.status == SUCCESS else WARNING
+        log(level, CALL_EVENT, **_log_fields(call))
+
+
+def _log_fields(call: CompletedCall) -> dict[str, object]:
+    """The fields of a call's line; the body is identified by its size and CRC-32, as it may hold keys."""
+    request = call.request
+    fields: dict[str, object] = {"method": request.method, "path": request.path, "status": call.status}
+    if call.error is not None:
+        fields.update(code=int(call.error.code), message=call.error.message)
+    match = request.headers.get("if-match", "")
+    if match:
+        fields["match"] = match
+    if request.body:
+        fields.update(size=len(request.body), checksum=f"{crc32(request.body):08x}")
+    fields["took_ms"] = round(call.duration_s * 1000, 1)
+    return fields
--- /dev/null
+++ b/reedspoke/control_plane/api/http_messages.py
@@ -0,0 +1,55 @@
+"""Requests and responses of the HTTP server, and their bytes."""
+
+from __future__ import annotations
+
+from msgspec import Struct, field
+
+from reedspoke.net.http import Head
+
+REASONS = {
+    200: "OK",
+    400: "Bad Request",
+    404: "Not Found",
+    405: "Method Not Allowed",
+    412: "Precondition Failed",
+    413: "Content Too Large",
+    431: "Request Header Fields Too Large",
+    500: "Internal Server Error",
+    501: "Not Implemented",
+    503: "Service Unavailable",
+    505: "HTTP Version Not Supported",
+}
+
+
+class Request(Struct):
+    """A complete request; header names are in lower case, and the path is without its query."""
+
+    method: str
+    path: str
+    headers: dict[str, str]
+    body: bytes
+
+
+class Response(Struct):
+    """A response; Content-Length is added when it is sent."""
+
+    status: int
+    body: bytes
+    headers: dict[str, str] = field(default_factory=lambda: {"Content-Type": "application/json"})
+
+
+def request_of(head: Head, body: bytes) -> Request:
+    """The request with this head and body; `head` has been checked to be ASCII but for field values."""
+    path, _, _ = bytes(head.target).decode("ascii").partition("?")
+    headers = {name.decode("ascii"): bytes(value).decode("latin-1") for name, value in head.fields}
+    return Request(head.method.decode("ascii"), path, headers, body)
+
+
+def encode_response(response: Response, keep_alive: bool) -> bytes:
+    """Head and body of a response."""
+    lines = [f"HTTP/1.1 {response.status} {REASONS.get(response.status, 'Status')}"]
+    lines += [f"{name}: {value}" for name, value in response.headers.items()]
+    lines.append(f"Content-Length: {len(response.body)}")
+    if not keep_alive:
+        lines.append("Connection: close")
+    return "\r\n".join([*lines, "", ""]).encode("latin-1") + response.body
--- /dev/null
+++ b/reedspoke/control_plane/api/schemas.py
@@ -0,0 +1,47 @@
+"""JSON bodies of the operator API.
+
+Names, fields and docstrings of these classes are published in `openapi/operator.json`, and
+`tests/control_plane_process/test_openapi.py` compares the two: none of them changes without the API.
+"""
+
+from __future__ import annotations
+
+from msgspec import Struct
+
+
+class Accepted(Struct):
+    """Body of the answer to a change that is in force."""
+
+    generation: int
+
+
+class ErrorDetail(Struct):
+    """What went wrong: a number that is never reused, its name and a sentence."""
+
+    code: int
+    name: str
+    message: str
+
+
+class ErrorAnswer(Struct):
+    """Body of every answer that is not a 200."""
+
+    error: ErrorDetail
+
+
+class StatusAnswer(Struct):
+    """The state of this scheduler, for the command line."""
+
+    node_name: str
+    address: str
+    view: int
+    voters: tuple[str, ...]
+    chain: tuple[str, ...]
+    generation: int | None
+    sequence: int
+    edges: tuple[str, ...]
+    peers: tuple[str, ...]
+    workers: int
+    workers_version: tuple[int, int]
+    holds_list_duty: bool
+    holds_majority: bool = False
--- a/reedspoke/control_plane/process.py
+++ b/reedspoke/control_plane/process.py
@@ -16,20 +16,17 @@
 from reedspoke.common.metrics_endpoint import serve_metrics
 from reedspoke.common.node_settings import NodeSettings, load_settings, settings_path
 from reedspoke.common.unhandled_errors import end_process
+from reedspoke.control_plane.api.call_log import CompletedCall, OperatorCallLog
+from reedspoke.control_plane.api.error_responses import malformed_request_body
 from reedspoke.control_plane.api.http_server import HttpServer
-from reedspoke.control_plane.api.operator_api import (
-    AnsweredCall,
-    Calls,
-    OperatorApi,
-    StatusAnswer,
-    http_error_body,
-)
+from reedspoke.control_plane.api.operator_api import OperatorApi
+from reedspoke.control_plane.api.schemas import StatusAnswer
 from reedspoke.control_plane.delivery.configuration_cache import ConfigurationCache, Prepared
 from reedspoke.control_plane.delivery.edge_sessions import EdgeSessions
 from reedspoke.control_plane.delivery.membership import Membership
 from reedspoke.control_plane.delivery.published_state import PublishedState
-from reedspoke.control_plane.figures import CallLog, add_process_figures
 from reedspoke.control_plane.file_stamp import stamp_of
+from reedspoke.control_plane.metrics import add_state_metrics
 from reedspoke.control_plane.peers.messages import (
     LeaseAnswer,
     LeaseRelease,
@@ -62,7 +59,7 @@
 TOLD_S = 0.2  # so long after this replica has learned that it is out of the chain, the others know it too
 
 
-class ControlProcess(Calls):
+class ControlProcess:
     """One control scheduler."""
 
     def __init__(self, settings: NodeSettings, path: Path) -> None:
@@ -107,9 +104,9 @@
         )
         self._driver = ReplicaDriver(settings, self._address, self)
         self._registry = Registry()
-        add_process_figures(self._registry, self)
-        self._call_log = CallLog(self._registry, LogRateLimiter(self._loop.time))
-        self._api = HttpServer(OperatorApi(self).handle, http_error_body)
+        add_state_metrics(self._registry, self)
+        self._call_log = OperatorCallLog(self._registry, LogRateLimiter(self._loop.time))
+        self._api = HttpServer(OperatorApi(self).handle, malformed_request_body)
 
     def _build_quota(self, settings: NodeSettings) -> None:
         self._quota = QuotaService(
@@ -209,8 +206,8 @@
         self._check_not_leaving()
         return self._driver.put(match, generation, document)
 
-    def check(self, document: bytes) -> asyncio.Future[Configuration]:
-        """Parse a configuration."""
+    def validate(self, document: bytes) -> asyncio.Future[Configuration]:
+        """Parse and validate a configuration."""
         return self._documents.call(lambda: self._configuration.check(document))
 
     def get(self) -> asyncio.Future[GetAnswer]:
@@ -243,9 +240,9 @@
             holds_majority=self.holds_majority(),
         )
 
-    def answered(self, call: AnsweredCall) -> None:
-        """A call of an operator has its answer."""
-        self._call_log.answered(call)
+    def call_completed(self, call: CompletedCall) -> None:
+        """Count and log a call of an operator."""
+        self._call_log.call_completed(call)
 
     # ---- what the figures are read from ----
 
@@ -253,8 +250,8 @@
         """Connections of data plane schedulers."""
         return self._sessions.count
 
-    def waiting_calls(self) -> int:
-        """Calls of operators without an answer."""
+    def pending_calls(self) -> int:
+        """Calls of operators without a response."""
         return self._driver.waiting_calls
 
     def disk_works(self) -> bool:
--- a/tests/control_plane/test_orders_invalid.py
+++ b/tests/control_plane/test_orders_invalid.py
@@ -11,15 +11,12 @@
 from reedspoke.common.configuration import Configuration
 from reedspoke.common.configuration_parsing import parse_configuration
 from reedspoke.common.errors import ErrorCode
-from reedspoke.control_plane.api.http_server import Request
-from reedspoke.control_plane.api.operator_api import (
-    CONFIGURATION_PATH,
-    OPERATIONS,
-    Calls,
-    OperatorApi,
-    status_of,
-)
-from reedspoke.control_plane.replication.events import PutAnswer
+from reedspoke.control_plane.api.call_log import CompletedCall
+from reedspoke.control_plane.api.error_responses import status_of
+from reedspoke.control_plane.api.http_messages import Request
+from reedspoke.control_plane.api.operator_api import CONFIGURATION_PATH, OPERATIONS, OperatorApi
+from reedspoke.control_plane.api.schemas import StatusAnswer
+from reedspoke.control_plane.replication.events import GetAnswer, PutAnswer
 from reedspoke.control_plane.storage.records import EntryRecord, decode_record
 from tests.control_plane.direct_core import DirectCore
 from tests.control_plane_process.stand_ins import configuration
@@ -41,14 +38,14 @@
 }
 
 
-class CoreCalls(Calls):
-    """The API's way to a core that is driven directly."""
+class CoreBackend:
+    """Puts operators' changes into a core that is driven directly; reads are not used."""
 
     def __init__(self, core: DirectCore) -> None:
         self._core = core
 
-    async def check(self, document: bytes) -> Configuration:
-        """Parse a configuration."""
+    async def validate(self, document: bytes) -> Configuration:
+        """Parse and validate a configuration."""
         return parse_configuration(document)
 
     def holds_majority(self) -> bool:
@@ -59,10 +56,21 @@
         """Have the configuration replicated."""
         return PutAnswer(1, self._core.put("m2", match, generation, document))
 
+    async def get(self) -> GetAnswer:
+        """Not used here."""
+        raise NotImplementedError
+
+    def status(self) -> StatusAnswer:
+        """Not used here."""
+        raise NotImplementedError
+
+    def call_completed(self, call: CompletedCall) -> None:
+        """Nothing is recorded."""
+
 
 def _status(core: DirectCore, match: str, document: bytes) -> int:
     request = Request("PUT", CONFIGURATION_PATH, {"if-match": match}, document)
-    return asyncio.run(OperatorApi(CoreCalls(core)).handle(request)).status
+    return asyncio.run(OperatorApi(CoreBackend(core)).handle(request)).status
 
 
 def _stored(core: DirectCore) -> set[bytes]:
--- a/tests/control_plane_process/test_http_server.py
+++ b/tests/control_plane_process/test_http_server.py
@@ -8,9 +8,10 @@
 import pytest
 
 from reedspoke.common.node_settings import split_address
-from reedspoke.control_plane.api import http_server
-from reedspoke.control_plane.api.http_server import HttpServer, Request, Response
-from reedspoke.control_plane.api.operator_api import http_error_body
+from reedspoke.control_plane.api import http_connection, http_server
+from reedspoke.control_plane.api.error_responses import malformed_request_body
+from reedspoke.control_plane.api.http_messages import Request, Response
+from reedspoke.control_plane.api.http_server import HttpServer
 from tests.ports import free_port
 
 HOST = "127.0.0.1"
@@ -30,7 +31,7 @@
     servers: list[HttpServer] = []
 
     async def run() -> None:
-        server = HttpServer(echo, http_error_body)
+        server = HttpServer(echo, malformed_request_body)
         servers.append(server)
         await server.listen(address)
         reader, writer = await asyncio.open_connection(*split_address(address))
@@ -156,8 +157,8 @@
 
 
 def test_a_request_that_does_not_end_ends_the_connection(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(http_server, "SWEEP_S", 0.02)
-    monkeypatch.setattr(http_server, "REQUEST_S", 0.1)
+    monkeypatch.setattr(http_server, "SWEEP_INTERVAL_S", 0.02)
+    monkeypatch.setattr(http_connection, "REQUEST_TIMEOUT_S", 0.1)
 
     async def conversation(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         writer.write(b"PUT /a HTTP/1.1\r\nContent-Length: 5\r\n\r\nxy")
@@ -168,7 +169,7 @@
 
 
 def test_connections_beyond_the_most_are_closed(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(http_server, "MOST_CONNECTIONS", 1)
+    monkeypatch.setattr(http_server, "MAX_CONNECTIONS", 1)
 
     async def conversation(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         writer.write(b"GET /a HTTP/1.1\r\n\r\n")
--- a/tests/control_plane_process/test_http_server_edges.py
+++ b/tests/control_plane_process/test_http_server_edges.py
@@ -12,9 +12,10 @@
 from msgspec import Struct, field
 
 from reedspoke.common.node_settings import split_address
-from reedspoke.control_plane.api import http_server
-from reedspoke.control_plane.api.http_server import HttpServer, Request, Response
-from reedspoke.control_plane.api.operator_api import http_error_body
+from reedspoke.control_plane.api import http_connection, http_server
+from reedspoke.control_plane.api.error_responses import malformed_request_body
+from reedspoke.control_plane.api.http_messages import Request, Response
+from reedspoke.control_plane.api.http_server import HttpServer
 from tests.ports import free_port
 
 HOST = "127.0.0.1"
@@ -44,7 +45,7 @@
     async def run() -> Operators:
         operators = Operators()
         operators.go_on.set()
-        server = HttpServer(operators.answer, http_error_body)
+        server = HttpServer(operators.answer, malformed_request_body)
         address = f"{HOST}:{free_port((HOST,))}"
         await server.listen(address)
         try:
@@ -134,7 +135,7 @@
 
 
 def test_a_client_that_never_ends_is_cut_off(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(http_server, "MOST_DISCARDED", 1024 * 1024)
+    monkeypatch.setattr(http_connection, "MAX_DISCARDED_BYTES", 1024 * 1024)
 
     async def scene(operators: Operators, address: tuple[str, int]) -> None:
         with pytest.raises(ConnectionError):
@@ -144,8 +145,8 @@
 
 
 def test_a_client_that_does_not_end_its_side_is_let_go(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(http_server, "SWEEP_S", 0.02)
-    monkeypatch.setattr(http_server, "LINGER_S", 0.1)
+    monkeypatch.setattr(http_server, "SWEEP_INTERVAL_S", 0.02)
+    monkeypatch.setattr(http_connection, "LINGER_S", 0.1)
 
     async def scene(operators: Operators, address: tuple[str, int]) -> None:
         reader, writer = await asyncio.open_connection(*address)
--- a/tests/control_plane_process/test_figures.py
+++ b/tests/control_plane_process/test_metrics.py
@@ -5,7 +5,7 @@
 import json
 from typing import Any
 
-from reedspoke.control_plane.figures import CALL_EVENT
+from reedspoke.control_plane.api.call_log import CALL_EVENT
 from tests.control_plane_process.fleet import Fleet
 from tests.control_plane_process.stand_ins import call, configuration
 
--- a/tests/control_plane_process/test_openapi.py
+++ b/tests/control_plane_process/test_openapi.py
@@ -12,16 +12,10 @@
 
 from reedspoke.common.configuration import Document
 from reedspoke.common.errors import ErrorCode
-from reedspoke.control_plane.api.http_server import Request
-from reedspoke.control_plane.api.operator_api import (
-    OPERATIONS,
-    Accepted,
-    ErrorAnswer,
-    StatusAnswer,
-    error_response,
-    http_error_body,
-    status_of,
-)
+from reedspoke.control_plane.api.error_responses import error_response, malformed_request_body, status_of
+from reedspoke.control_plane.api.http_messages import Request
+from reedspoke.control_plane.api.operator_api import OPERATIONS
+from reedspoke.control_plane.api.schemas import Accepted, ErrorAnswer, StatusAnswer
 from reedspoke.control_plane.workers.platform_client import LIST_PATH, PAGE_PARAMETER
 from reedspoke.control_plane.workers.worker_list import PlatformPage, parse_page
 from tests.control_plane_process.stand_ins import configuration, instance
@@ -64,7 +58,7 @@
     for code in ErrorCode:
         validate(OPERATOR, "ErrorAnswer", json.loads(error_response(_error(code)).body))
     for status in (400, 413, 431, 501, 505):
-        validate(OPERATOR, "ErrorAnswer", json.loads(http_error_body(status, "text")))
+        validate(OPERATOR, "ErrorAnswer", json.loads(malformed_request_body(status, "text")))
 
 
 def test_a_valid_configuration_is_a_described_one() -> None:
--- a/tests/control_plane_process/test_operator_api.py
+++ b/tests/control_plane_process/test_operator_api.py
@@ -1,4 +1,4 @@
-"""The operator's calls against a stand-in for the process."""
+"""The operator's backend against a stand-in for the process."""
 
 from __future__ import annotations
 
@@ -12,16 +12,19 @@
 from reedspoke.common.configuration_parsing import parse_configuration
 from reedspoke.common.errors import ErrorCode, FleetError
 from reedspoke.control_plane.api import operator_api
-from reedspoke.control_plane.api.http_server import Request, Response
-from reedspoke.control_plane.api.operator_api import OPERATIONS, Calls, OperatorApi, StatusAnswer, status_of
+from reedspoke.control_plane.api.call_log import CompletedCall
+from reedspoke.control_plane.api.error_responses import status_of
+from reedspoke.control_plane.api.http_messages import Request, Response
+from reedspoke.control_plane.api.operator_api import OPERATIONS, OperatorApi
+from reedspoke.control_plane.api.schemas import StatusAnswer
 from reedspoke.control_plane.replication.events import Committed, GetAnswer, PutAnswer
 from tests.control_plane_process.stand_ins import configuration
 
 PATH = "/reedspoke/configuration"
 
 
-class StandIn(Calls):
-    """Answers as told, or never."""
+class FakeBackend:
+    """A backend that answers as the test sets it, or never."""
 
     def __init__(self) -> None:
         self.put_answer: PutAnswer | None = PutAnswer(1, None)
@@ -30,8 +33,9 @@
         self.majority = True
         self.loses_majority = False  # while a call waits
         self.puts: list[tuple[int, int]] = []
+        self.completed: list[CompletedCall] = []
 
-    async def check(self, document: bytes) -> Configuration:
+    async def validate(self, document: bytes) -> Configuration:
         return parse_configuration(document)
 
     async def put(self, match: int, generation: int, document: bytes) -> PutAnswer:
@@ -61,12 +65,15 @@
     def status(self) -> StatusAnswer:
         return StatusAnswer("n", "a", 1, (), (), None, 0, (), (), 0, (0, 0), False)
 
+    def call_completed(self, call: CompletedCall) -> None:
+        self.completed.append(call)
+
 
 def answered(
-    calls: StandIn, method: str, path: str = PATH, body: bytes = b"", match: str | None = "0"
+    backend: FakeBackend, method: str, path: str = PATH, body: bytes = b"", match: str | None = "0"
 ) -> Response:
     headers = {} if match is None else {"if-match": match}
-    return asyncio.run(OperatorApi(calls).handle(Request(method, path, headers, body)))
+    return asyncio.run(OperatorApi(backend).handle(Request(method, path, headers, body)))
 
 
 def error_code(response: Response) -> int:
@@ -76,75 +83,75 @@
 
 
 def test_a_configuration_is_taken() -> None:
-    calls = StandIn()
-    response = answered(calls, "PUT", body=configuration(3), match=' "2" ')
+    backend = FakeBackend()
+    response = answered(backend, "PUT", body=configuration(3), match=' "2" ')
     assert (response.status, json.loads(response.body)) == (200, {"generation": 3})
-    assert calls.puts == [(2, 3)]
+    assert backend.puts == [(2, 3)]
 
 
 @pytest.mark.parametrize("match", [None, "", "x", "-1", "1.5", "٣", "9" * 19, '"', "1,2"])
 def test_a_match_that_is_missing_or_no_number(match: str | None) -> None:
-    calls = StandIn()
-    response = answered(calls, "PUT", body=configuration(3), match=match)
+    backend = FakeBackend()
+    response = answered(backend, "PUT", body=configuration(3), match=match)
     assert (response.status, error_code(response)) == (400, ErrorCode.CONFIGURATION_MATCH_MISSING)
-    assert calls.puts == []
+    assert backend.puts == []
 
 
 @pytest.mark.parametrize("generation", [0, -5, 2**63])
 def test_a_generation_that_is_out_of_range(generation: int) -> None:
-    response = answered(StandIn(), "PUT", body=configuration(generation))
+    response = answered(FakeBackend(), "PUT", body=configuration(generation))
     assert (response.status, error_code(response)) == (400, ErrorCode.CONFIGURATION_FIELD)
 
 
 @pytest.mark.parametrize("code", sorted(OPERATIONS[PATH]["PUT"].errors))
 def test_each_error_of_a_put_has_its_status(code: ErrorCode) -> None:
-    calls = StandIn()
-    calls.put_answer = PutAnswer(1, code, "text")
-    response = answered(calls, "PUT", body=configuration(3))
+    backend = FakeBackend()
+    backend.put_answer = PutAnswer(1, code, "text")
+    response = answered(backend, "PUT", body=configuration(3))
     assert (response.status, error_code(response)) == (status_of(code), code)
     assert ("Retry-After" in response.headers) == (response.status == 503)
 
 
 @pytest.mark.parametrize("code", sorted(OPERATIONS[PATH]["GET"].errors))
 def test_each_error_of_a_get_has_its_status(code: ErrorCode) -> None:
-    calls = StandIn()
-    calls.get_answer = GetAnswer(1, None, code, "text")
-    response = answered(calls, "GET")
+    backend = FakeBackend()
+    backend.get_answer = GetAnswer(1, None, code, "text")
+    response = answered(backend, "GET")
     assert (response.status, error_code(response)) == (status_of(code), code)
 
 
 @pytest.mark.parametrize("loses", [False, True], ids=["before", "while it waits"])
 @pytest.mark.parametrize("code", [None, *sorted(OPERATIONS[PATH]["PUT"].errors)])
 def test_no_put_is_answered_for_certain_without_a_majority(code: ErrorCode | None, loses: bool) -> None:
-    calls = StandIn()
-    calls.majority, calls.loses_majority = loses, loses
-    calls.put_answer = PutAnswer(1, code, "text")
-    assert answered(calls, "PUT", body=configuration(3)).status == 503
+    backend = FakeBackend()
+    backend.majority, backend.loses_majority = loses, loses
+    backend.put_answer = PutAnswer(1, code, "text")
+    assert answered(backend, "PUT", body=configuration(3)).status == 503
 
 
 @pytest.mark.parametrize("loses", [False, True], ids=["before", "while it waits"])
 @pytest.mark.parametrize("code", [None, *sorted(OPERATIONS[PATH]["GET"].errors)])
 def test_no_get_is_answered_for_certain_without_a_majority(code: ErrorCode | None, loses: bool) -> None:
-    calls = StandIn()
-    calls.majority, calls.loses_majority = loses, loses
+    backend = FakeBackend()
+    backend.majority, backend.loses_majority = loses, loses
     if code is not None:
-        calls.get_answer = GetAnswer(1, None, code, "text")
-    assert answered(calls, "GET").status == 503
+        backend.get_answer = GetAnswer(1, None, code, "text")
+    assert answered(backend, "GET").status == 503
 
 
 @pytest.mark.parametrize("body", [b"", b"{", configuration(0)])
 def test_not_even_an_invalid_document_is_refused_without_a_majority(body: bytes) -> None:
-    calls = StandIn()
-    calls.majority = False
-    assert answered(calls, "PUT", body=body).status == 503
-    calls.majority = True
-    assert answered(calls, "PUT", body=body).status == 400
+    backend = FakeBackend()
+    backend.majority = False
+    assert answered(backend, "PUT", body=body).status == 503
+    backend.majority = True
+    assert answered(backend, "PUT", body=body).status == 400
 
 
 def test_the_status_is_told_without_a_majority() -> None:
-    calls = StandIn()
-    calls.majority = False
-    assert answered(calls, "GET", "/reedspoke/status").status == 200
+    backend = FakeBackend()
+    backend.majority = False
+    assert answered(backend, "GET", "/reedspoke/status").status == 200
 
 
 def test_statuses_that_the_rules_name() -> None:
@@ -160,46 +167,46 @@
 
 
 def test_a_call_without_an_answer_ends_within_a_second(monkeypatch: pytest.MonkeyPatch) -> None:
-    assert operator_api.ANSWER_S < 1.0
-    monkeypatch.setattr(operator_api, "ANSWER_S", 0.05)
-    calls = StandIn()
-    calls.put_answer = calls.get_answer = None
+    assert operator_api.RESPONSE_TIMEOUT_S < 1.0
+    monkeypatch.setattr(operator_api, "RESPONSE_TIMEOUT_S", 0.05)
+    backend = FakeBackend()
+    backend.put_answer = backend.get_answer = None
     began = time.monotonic()
-    put = answered(calls, "PUT", body=configuration(3))
-    get = answered(calls, "GET")
+    put = answered(backend, "PUT", body=configuration(3))
+    get = answered(backend, "GET")
     assert time.monotonic() - began < 0.9
     assert (put.status, error_code(put)) == (503, ErrorCode.WRITE_UNCLEAR)
     assert (get.status, error_code(get)) == (503, ErrorCode.NO_QUORUM)
 
 
 def test_a_process_that_is_not_ready_says_so() -> None:
-    calls = StandIn()
-    calls.raises = FleetError(ErrorCode.SHUTTING_DOWN, "text")
+    backend = FakeBackend()
+    backend.raises = FleetError(ErrorCode.SHUTTING_DOWN, "text")
     for method in ("PUT", "GET"):
-        response = answered(calls, method, body=configuration(3))
+        response = answered(backend, method, body=configuration(3))
         assert (response.status, error_code(response)) == (503, ErrorCode.SHUTTING_DOWN)
 
 
 def test_the_newest_configuration_is_given_byte_for_byte() -> None:
-    response = answered(StandIn(), "GET")
+    response = answered(FakeBackend(), "GET")
     assert (response.status, response.body, response.headers["ETag"]) == (200, configuration(3), '"3"')
 
 
 def test_no_configuration_is_an_answer_of_its_own() -> None:
-    calls = StandIn()
-    calls.get_answer = GetAnswer(1, None)
-    response = answered(calls, "GET")
+    backend = FakeBackend()
+    backend.get_answer = GetAnswer(1, None)
+    response = answered(backend, "GET")
     assert (response.status, error_code(response)) == (404, ErrorCode.NO_CONFIGURATION)
 
 
 def test_too_many_calls_are_turned_away(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(operator_api, "MOST_CALLS", 1)
-    monkeypatch.setattr(operator_api, "ANSWER_S", 0.1)
+    monkeypatch.setattr(operator_api, "MAX_PENDING_CALLS", 1)
+    monkeypatch.setattr(operator_api, "RESPONSE_TIMEOUT_S", 0.1)
 
     async def two_calls() -> list[Response]:
-        calls = StandIn()
-        calls.get_answer = None
-        api = OperatorApi(calls)
+        backend = FakeBackend()
+        backend.get_answer = None
+        api = OperatorApi(backend)
         return await asyncio.gather(*(api.handle(Request("GET", PATH, {}, b"")) for _ in range(2)))
 
     _, second = asyncio.run(two_calls())
