--- a/reedspoke/control_plane/delivery/configuration_cache.py
+++ b/reedspoke/control_plane/delivery/configuration_cache.py
@@ -1,4 +1,4 @@
-"""The committed configuration for data plane schedulers: whole, or as the difference from what they hold."""
+"""The committed configuration for data plane nodes: complete, or as the delta from the one that they have."""
 
 from __future__ import annotations
 
@@ -12,49 +12,50 @@
 from reedspoke.common.messages import NO_VERSION, ConfigurationSnapshot, Version, encode
 from reedspoke.control_plane.replication.events import Committed
 
-MOST_KEPT = 8  # parsed configurations
-MOST_KEPT_BYTES = 8 * 1024 * 1024  # of documents; the newest one is kept whatever its size
+MAX_CACHED = 8  # parsed configurations
+MAX_CACHED_BYTES = 8 * 1024 * 1024  # of documents; the newest one is cached whatever its size
 
 
-class Checked(Struct, frozen=True):
-    """A document and what it says."""
+class ParsedDocument(Struct, frozen=True):
+    """A document and its configuration."""
 
     document: bytes
     configuration: Configuration
 
 
-class Kept(Struct, frozen=True):
-    """A configuration that data plane schedulers may still hold."""
+class CachedConfiguration(Struct, frozen=True):
+    """A configuration that data plane nodes may still have; `size` is that of its document in bytes."""
 
     version: Version
     configuration: Configuration
-    size: int  # of its document
+    size: int
 
 
-class Prepared(Struct, frozen=True):
-    """A committed configuration, parsed, with the encoded difference from the one before."""
+class PreparedConfiguration(Struct, frozen=True):
+    """A committed configuration, parsed, with its encoded message for data plane nodes that have `base`."""
 
     committed: Committed
     configuration: Configuration
     base: Version
-    frame: bytes
+    payload: bytes
 
 
 class ConfigurationCache:
-    """The newest committed configuration, and those before it for differences.
+    """Owns the newest committed configuration, and those before it as bases of deltas.
 
-    `check` and `prepare` take long for a large document: they run on another thread, one at a time.
+    `parse` and `prepare` take long for a large document: they run on another thread, one at a time. All other
+    methods are called on the event loop.
     """
 
     def __init__(self) -> None:
         self._committed: Committed | None = None
-        self._kept: OrderedDict[Version, Kept] = OrderedDict()
-        self._frames: dict[Version, bytes] = {}
-        self._checked: Checked | None = None
+        self._cached: OrderedDict[Version, CachedConfiguration] = OrderedDict()
+        self._payloads: dict[Version, bytes] = {}  # messages that lead to the newest one, by their base
+        self._parsed: ParsedDocument | None = None
 
     @property
     def version(self) -> Version:
-        """Of the newest committed configuration; NO_VERSION before the first."""
+        """That of the newest committed configuration; NO_VERSION before the first."""
         return NO_VERSION if self._committed is None else _version(self._committed)
 
     @property
@@ -62,69 +63,69 @@
         """The newest committed configuration."""
         return self._committed
 
-    def check(self, document: bytes) -> Configuration:
-        """A checked configuration; the last one is remembered, as it is likely to be committed next.
+    def parse(self, document: bytes) -> Configuration:
+        """Parse and validate a document; the last one is cached, as it is likely to be committed next.
 
         Raises FleetError as `parse_configuration` does.
         """
-        checked = self._checked
-        if checked is None or checked.document != document:
-            checked = self._checked = Checked(document, parse_configuration(document))
-        return checked.configuration
-
-    def prepare(self, committed: Committed) -> Prepared:
-        """Parse a committed configuration and encode what is new. Raises FleetError as `check` does."""
-        configuration = self.check(committed.document)
-        self._checked = None
-        before = self._kept.get(self.version)
-        if before is None or before.version >= _version(committed):
-            return Prepared(committed, configuration, NO_VERSION, _snapshot(committed))
-        frame = _difference(before, configuration, committed)
-        return Prepared(committed, configuration, before.version, frame)
-
-    def install(self, prepared: Prepared) -> bool:
-        """Offer a prepared configuration; False where it is not newer."""
+        parsed = self._parsed
+        if parsed is None or parsed.document != document:
+            parsed = self._parsed = ParsedDocument(document, parse_configuration(document))
+        return parsed.configuration
+
+    def prepare(self, committed: Committed) -> PreparedConfiguration:
+        """Parse a committed configuration and encode its delta. Raises FleetError as `parse` does."""
+        configuration = self.parse(committed.document)
+        self._parsed = None
+        newest = self._cached.get(self.version)
+        if newest is None or newest.version >= _version(committed):
+            return PreparedConfiguration(committed, configuration, NO_VERSION, _encode_snapshot(committed))
+        payload = _encode_delta(newest, configuration, committed)
+        return PreparedConfiguration(committed, configuration, newest.version, payload)
+
+    def install(self, prepared: PreparedConfiguration) -> bool:
+        """Make a prepared configuration the newest; False where it is not newer."""
         committed = prepared.committed
         version = _version(committed)
         if version <= self.version:
             return False
-        self._kept[version] = Kept(version, prepared.configuration, len(committed.document))
-        self._frames = {prepared.base: prepared.frame}
+        self._cached[version] = CachedConfiguration(version, prepared.configuration, len(committed.document))
+        self._payloads = {prepared.base: prepared.payload}
         self._committed = committed
-        self._drop_oldest()
+        self._evict_oldest()
         return True
 
-    def frame(self, have: Version) -> bytes | None:
-        """The encoded message that brings a holder of `have` up to date; None where nothing is newer."""
+    def encoded_update(self, known_version: Version) -> bytes | None:
+        """The message that brings a node with `known_version` up to date; None where nothing is newer."""
         committed = self._committed
-        if committed is None or have >= self.version:
+        if committed is None or known_version >= self.version:
             return None
-        base = have if have in self._kept else NO_VERSION
-        if base not in self._frames:
-            self._frames[base] = self._encode(committed, base)
-        return self._frames[base]
+        base = known_version if known_version in self._cached else NO_VERSION
+        if base not in self._payloads:
+            self._payloads[base] = self._encode(committed, base)
+        return self._payloads[base]
 
     def _encode(self, committed: Committed, base: Version) -> bytes:
         if base == NO_VERSION:
-            return _snapshot(committed)
-        return _difference(self._kept[base], self._kept[self.version].configuration, committed)
+            return _encode_snapshot(committed)
+        return _encode_delta(self._cached[base], self._cached[self.version].configuration, committed)
 
-    def _drop_oldest(self) -> None:
-        size = sum(kept.size for kept in self._kept.values())
-        while len(self._kept) > 1 and (len(self._kept) > MOST_KEPT or size > MOST_KEPT_BYTES):
-            _, dropped = self._kept.popitem(last=False)
-            size -= dropped.size
+    def _evict_oldest(self) -> None:
+        size = sum(cached.size for cached in self._cached.values())
+        while len(self._cached) > 1 and (len(self._cached) > MAX_CACHED or size > MAX_CACHED_BYTES):
+            _, evicted = self._cached.popitem(last=False)
+            size -= evicted.size
 
 
 def _version(committed: Committed) -> Version:
     return (committed.view, committed.sequence)
 
 
-def _snapshot(committed: Committed) -> bytes:
+def _encode_snapshot(committed: Committed) -> bytes:
     return encode(ConfigurationSnapshot(_version(committed), committed.document))
 
 
-def _difference(old: Kept, configuration: Configuration, committed: Committed) -> bytes:
-    """The difference, or the whole document where that is not larger."""
+def _encode_delta(old: CachedConfiguration, configuration: Configuration, committed: Committed) -> bytes:
+    """The delta, or the complete document where that is not larger."""
     delta = encode(make_delta(old.configuration, configuration, old.version, _version(committed)))
-    return delta if len(delta) < len(committed.document) else _snapshot(committed)
+    return delta if len(delta) < len(committed.document) else _encode_snapshot(committed)
--- a/reedspoke/control_plane/delivery/edge_sessions.py
+++ b/reedspoke/control_plane/delivery/edge_sessions.py
@@ -1,9 +1,8 @@
-"""Sessions with data plane schedulers: `WatchRequest` is answered when something is new, `FetchRequest` at
-once.
+"""Sessions with data plane nodes: `WatchRequest` is answered when something is new, `FetchRequest` at once.
 
-While no majority of voters stands behind this control scheduler, both are answered with
+While no majority of voters stands behind this control plane node, both are answered with
 `UnconfirmedResponse`. That is decided anew for each message, in the same step in which the message is handed
-to the connection.
+to the connection: a process that was stopped in between may have lost its majority.
 """
 
 from __future__ import annotations
@@ -27,30 +26,31 @@
 from reedspoke.common.transport import Channel
 from reedspoke.control_plane.delivery.published_state import PublishedState
 
-MOST_SESSIONS = 2048
-MOST_WAITING = 12 * 1024 * 1024  # bytes for a data plane scheduler that does not read them
-NO_REQUEST = 0  # in an answer that belongs to no `WatchRequest`
+MAX_SESSIONS = 2048
+MAX_BACKLOG_BYTES = 12 * 1024 * 1024  # for a data plane node that does not read them
+NO_REQUEST = 0  # request id of a response that belongs to no `WatchRequest`
 
 
-OnQuotaAsk = Callable[[Channel, QuotaRequest], None]
+QuotaRequestHandler = Callable[[Channel, QuotaRequest], None]
 
 
-class Session(Struct, eq=False):
-    """One connection of a data plane scheduler."""
+class EdgeSession(Struct, eq=False):
+    """One connection of a data plane node."""
 
     channel: Channel
-    watch: WatchRequest | None = None  # not answered yet
-    watched_at: float = 0.0
-    timer: asyncio.TimerHandle | None = None
-    last: WatchRequest | None = None
-    told: dict[str, Version] = field(default_factory=dict)  # in our last answer
-    told_unconfirmed: bool = False  # and nothing else since
+    pending_watch: WatchRequest | None = None  # not answered yet
+    watch_received_at: float = 0.0
+    heartbeat: asyncio.TimerHandle | None = None  # answers the pending watch at the latest
+    last_watch: WatchRequest | None = None
+    sent_versions: dict[str, Version] = field(default_factory=dict)  # in the last `WatchResponse`
+    sent_unconfirmed: bool = False  # an `UnconfirmedResponse` was sent, and no `WatchResponse` since
 
 
 class EdgeSessions:
-    """All sessions with data plane schedulers.
+    """Owns all sessions with data plane nodes.
 
-    `on_arrival` is called when a data plane scheduler is new or leaves, `on_quota` when one asks for quota.
+    `on_membership_change` is called when a data plane node is new or has left, `on_quota_request` for each
+    request of quota. `heartbeat_s` is the longest time for which a watch stays unanswered.
     """
 
     def __init__(
@@ -58,59 +58,60 @@
         node_name: str,
         state: PublishedState,
         heartbeat_s: float,
-        on_arrival: Callable[[], None],
-        on_quota: OnQuotaAsk = lambda channel, ask: None,
+        on_membership_change: Callable[[], None],
+        on_quota_request: QuotaRequestHandler = lambda channel, request: None,
     ) -> None:
         self._node_name = node_name
         self._state = state
         self._heartbeat_s = heartbeat_s
-        self._on_arrival = on_arrival
-        self._on_quota = on_quota
+        self._on_membership_change = on_membership_change
+        self._on_quota_request = on_quota_request
         self._loop = asyncio.get_running_loop()
-        self._sessions: dict[Channel, Session] = {}
-        self._confirmed = False
+        self._sessions: dict[Channel, EdgeSession] = {}
+        self._confirmed = False  # whether a majority stood behind this node at the last `check_majority`
 
     @property
     def count(self) -> int:
-        """Connections of data plane schedulers."""
+        """Connections of data plane nodes."""
         return len(self._sessions)
 
-    def received(self, channel: Channel, message: EdgeMessage) -> None:
-        """A message of a data plane scheduler."""
+    def message_received(self, channel: Channel, message: EdgeMessage) -> None:
+        """Handle a message of a data plane node; its first one opens the session."""
         session = self._sessions.get(channel)
         if session is None:
-            if len(self._sessions) >= MOST_SESSIONS:
+            if len(self._sessions) >= MAX_SESSIONS:
                 channel.close()
                 return
-            session = self._sessions[channel] = Session(channel)
+            session = self._sessions[channel] = EdgeSession(channel)
         match message:
             case WatchRequest():
-                self._watched(session, message)
+                self._handle_watch(session, message)
             case FetchRequest():
-                self._fetched(session, message)
+                self._handle_fetch(session, message)
             case QuotaRequest():
-                self._on_quota(channel, message)
+                self._on_quota_request(channel, message)
 
-    def ended(self, channel: Channel) -> None:
-        """The connection is over. Who did not say that it would leave is a member for a while still."""
+    def connection_closed(self, channel: Channel) -> None:
+        """Remove a session. A node that was not draining stays a member until it expires."""
         session = self._sessions.pop(channel, None)
         if session is None:
             return
-        if session.timer is not None:
-            session.timer.cancel()
-        if session.last is not None and session.last.draining:
-            self._state.membership.left(session.last.node_name, session.last.incarnation)
-            self._on_arrival()
-
-    def changed(self) -> None:
-        """Something has a new version: answer whoever waits for it."""
+        if session.heartbeat is not None:
+            session.heartbeat.cancel()
+        last = session.last_watch
+        if last is not None and last.draining:
+            self._state.membership.remove_edge(last.node_name, last.incarnation)
+            self._on_membership_change()
+
+    def notify_update(self) -> None:
+        """Answer all pending watches for which some source has a new version."""
         for session in list(self._sessions.values()):
-            if session.watch is not None and self._has_news(session, session.watch):
+            if session.pending_watch is not None and self._has_update(session, session.pending_watch):
                 self._answer(session)
 
-    def look(self) -> None:
-        """Time has passed: where a majority has come or gone, all that wait are told at once."""
-        confirmed = self._state.confirmed_ago(self._loop.time()) is not None
+    def check_majority(self) -> None:
+        """Answer all pending watches where the majority has been lost or regained since the last check."""
+        confirmed = self._state.confirmed_ago_s(self._loop.time()) is not None
         if confirmed == self._confirmed:
             return
         self._confirmed = confirmed
@@ -119,78 +120,86 @@
             self._answer(session)
 
     def close(self) -> None:
-        """End all sessions."""
+        """Close all sessions."""
         for session in list(self._sessions.values()):
             session.channel.close()
 
-    def _watched(self, session: Session, watch: WatchRequest) -> None:
-        session.last = session.watch = watch
-        session.watched_at = self._loop.time()
+    # ---- watches ----
+
+    def _handle_watch(self, session: EdgeSession, watch: WatchRequest) -> None:
+        session.last_watch = session.pending_watch = watch
+        session.watch_received_at = self._loop.time()
         if WORKERS in watch.versions:
             self._state.workers.note_seen(watch.versions[WORKERS])
-        if self._state.membership.watched(watch, self._loop.time()):
+        if self._state.membership.update_edge(watch, self._loop.time()):
             log(INFO, "data plane scheduler", node=watch.node_name, zone=watch.zone)
-            self._on_arrival()
-        if session.watch is None:
-            return  # the arrival itself was news
-        if self._has_news(session, watch):
+            self._on_membership_change()
+        if session.pending_watch is None:
+            return  # the membership change was an update, and this watch has been answered with it
+        if self._has_update(session, watch):
             self._answer(session)
-        elif session.timer is None:
-            session.timer = self._loop.call_later(self._heartbeat_s, self._heartbeat, session)
-
-    def _has_news(self, session: Session, watch: WatchRequest) -> bool:
-        """Each set of versions is told at once one time only, or the two sides would do nothing else."""
-        if self._state.confirmed_ago(self._loop.time()) is None:
-            return not session.told_unconfirmed
-        if session.told_unconfirmed:
+        elif session.heartbeat is None:
+            session.heartbeat = self._loop.call_later(self._heartbeat_s, self._send_heartbeat, session)
+
+    def _has_update(self, session: EdgeSession, watch: WatchRequest) -> bool:
+        """Each set of versions is sent at once one time only, or the two sides would do nothing else."""
+        if self._state.confirmed_ago_s(self._loop.time()) is None:
+            return not session.sent_unconfirmed
+        if session.sent_unconfirmed:
             return True
-        return self._state.differs(watch.versions) and self._state.versions() != session.told
+        return self._state.has_update_for(watch.versions) and self._state.versions() != session.sent_versions
 
-    def _heartbeat(self, session: Session) -> None:
-        session.timer = None
-        if session.watch is not None:
+    def _send_heartbeat(self, session: EdgeSession) -> None:
+        session.heartbeat = None
+        if session.pending_watch is not None:
             self._answer(session)
 
-    def _answer(self, session: Session) -> None:
-        watch = session.watch
+    def _answer(self, session: EdgeSession) -> None:
+        watch = session.pending_watch
         if watch is None:
             return
-        session.watch = None
-        if session.timer is not None:
-            session.timer.cancel()
-            session.timer = None
+        session.pending_watch = None
+        if session.heartbeat is not None:
+            session.heartbeat.cancel()
+            session.heartbeat = None
         now = self._loop.time()
-        confirmed_ago_s = self._state.confirmed_ago(now)
+        confirmed_ago_s = self._state.confirmed_ago_s(now)
         if confirmed_ago_s is None:
-            self._tell_unconfirmed(session, watch.request_id)
+            self._send_unconfirmed(session, watch.request_id)
             return
-        running = self._state.membership.running_except(watch.node_name)
-        suspects = self._state.membership.suspects_except(watch.node_name)
-        session.told = self._state.versions()
-        session.told_unconfirmed = False
-        held_s = now - session.watched_at
+        session.sent_versions = self._state.versions()
+        session.sent_unconfirmed = False
+        load = self._state.membership.load
         session.channel.send(
             WatchResponse(
-                watch.request_id, self._node_name, session.told, running, held_s, confirmed_ago_s, suspects
+                request_id=watch.request_id,
+                node_name=self._node_name,
+                versions=session.sent_versions,
+                running=load.running_except(watch.node_name),
+                wait_s=now - session.watch_received_at,
+                confirmed_ago_s=confirmed_ago_s,
+                suspects=load.suspects_except(watch.node_name),
             )
         )
 
-    def _tell_unconfirmed(self, session: Session, request_id: int) -> None:
-        session.told_unconfirmed = True
-        control = self._state.membership.known_control()
-        session.channel.send(
-            UnconfirmedResponse(request_id, self._node_name, control, self._state.versions())
-        )
+    def _send_unconfirmed(self, session: EdgeSession, request_id: int) -> None:
+        session.sent_unconfirmed = True
+        peers = self._state.membership.known_peers()
+        response = UnconfirmedResponse(request_id, self._node_name, peers, self._state.versions())
+        session.channel.send(response)
+
+    # ---- fetches ----
 
-    def _fetched(self, session: Session, fetch: FetchRequest) -> None:
-        if session.channel.write_backlog_bytes() > MOST_WAITING:
-            log(INFO, "data plane scheduler does not read", node=session.last and session.last.node_name)
+    def _handle_fetch(self, session: EdgeSession, fetch: FetchRequest) -> None:
+        if session.channel.write_backlog_bytes() > MAX_BACKLOG_BYTES:
+            last = session.last_watch
+            log(INFO, "data plane scheduler does not read", node=last and last.node_name)
             session.channel.close()
             return
-        confirmed = self._state.confirmed_ago(self._loop.time()) is not None
+        confirmed = self._state.confirmed_ago_s(self._loop.time()) is not None
         if not confirmed and not fetch.allow_unconfirmed:
-            self._tell_unconfirmed(session, NO_REQUEST)
+            self._send_unconfirmed(session, NO_REQUEST)
             return
-        payload = self._state.frame(fetch.source, fetch.known_version, self._loop.time())
+        payload = self._state.encoded_update(fetch.source, fetch.known_version, self._loop.time())
         if payload is not None:
             session.channel.send_encoded(payload)
--- a/reedspoke/control_plane/delivery/published_state.py
+++ b/reedspoke/control_plane/delivery/published_state.py
@@ -1,6 +1,6 @@
-"""All that data plane schedulers can ask for: the versions of each source, and the encoded messages.
+"""All that data plane nodes can fetch: the versions of each source, and the encoded messages.
 
-Each message is encoded once per version, however many ask for it.
+Each message is encoded once per version, however many nodes fetch it.
 """
 
 from __future__ import annotations
@@ -19,17 +19,17 @@
 from reedspoke.control_plane.delivery.membership import Membership
 from reedspoke.control_plane.workers.worker_list import WorkerBook, aged
 
-WORKERS_FRAME_LIFE_S = 0.5  # a frame with workers that are still cold is older than this only in its encoding
+ENCODED_WORKERS_MAX_AGE_S = 0.5  # of a list with workers that are still warming up: it holds remaining times
 
 
 ConfirmedAsOf = Callable[[], float | None]
 
 
 class PublishedState:
-    """The newest state of each source in this process.
+    """The newest state of each source in this process; it owns the encoded messages alone.
 
-    `confirmed_as_of` answers with the time as of which the configuration here was certainly the newest, on
-    the steady clock; None while no majority stands behind this process.
+    `confirmed_as_of` returns the time as of which the configuration here was certainly the newest, on the
+    steady clock; None while no majority stands behind this process.
     """
 
     def __init__(
@@ -43,14 +43,14 @@
         self.workers = workers
         self.membership = membership
         self._confirmed_as_of = confirmed_as_of
-        self._workers_frame = b""
-        self._workers_version = NO_VERSION
-        self._workers_at = 0.0
-        self._members_frame = b""
-        self._members_version = NO_VERSION
-
-    def confirmed_ago(self, now: float) -> float | None:
-        """How long ago the configuration here was certainly the newest; None: it is not to be handed over."""
+        self._encoded_workers = b""
+        self._encoded_workers_version = NO_VERSION
+        self._encoded_workers_at = 0.0
+        self._encoded_members = b""
+        self._encoded_members_version = NO_VERSION
+
+    def confirmed_ago_s(self, now: float) -> float | None:
+        """How long ago the configuration here was certainly the newest; None: no state may be handed over."""
         as_of = self._confirmed_as_of()
         return None if as_of is None else max(0.0, now - as_of)
 
@@ -62,41 +62,43 @@
             MEMBERS: self.membership.members.version,
         }
 
-    def differs(self, held: dict[str, Version]) -> bool:
-        """Whether the holder of these versions is to be told at once."""
+    def has_update_for(self, known_versions: dict[str, Version]) -> bool:
+        """Whether a node with these versions is to be notified at once."""
         return (
-            self.configuration.version > held.get(CONFIGURATION, NO_VERSION)
-            or self.workers.version > held.get(WORKERS, NO_VERSION)
-            or self.membership.members.version != held.get(MEMBERS, NO_VERSION)
+            self.configuration.version > known_versions.get(CONFIGURATION, NO_VERSION)
+            or self.workers.version > known_versions.get(WORKERS, NO_VERSION)
+            or self.membership.members.version != known_versions.get(MEMBERS, NO_VERSION)
         )
 
-    def frame(self, source: str, have: Version, now: float) -> bytes | None:
-        """The encoded message for a holder of `have`; None where there is none or it is not newer."""
+    def encoded_update(self, source: str, known_version: Version, now: float) -> bytes | None:
+        """The message of a source for a node with `known_version`; None where there is none or it is not
+        newer.
+        """
         if source == CONFIGURATION:
-            return self.configuration.frame(have)
+            return self.configuration.encoded_update(known_version)
         if source == WORKERS:
-            return self.workers_frame(now) if self.workers.version > have else None
-        return self._members(have) if source == MEMBERS else None
+            return self.encoded_workers(now) if self.workers.version > known_version else None
+        return self._encoded_members_update(known_version) if source == MEMBERS else None
 
-    def workers_frame(self, now: float) -> bytes | None:
-        """The list of workers, encoded."""
+    def encoded_workers(self, now: float) -> bytes | None:
+        """The list of workers, encoded; None before the first."""
         current = self.workers.current
         if current is None:
             return None
-        cold = any(entry.cold_left_ms for entry in current.workers)
-        stale = cold and now - self._workers_at > WORKERS_FRAME_LIFE_S
-        if stale or current.version != self._workers_version:
+        warming_up = any(entry.cold_left_ms for entry in current.workers)
+        outdated = warming_up and now - self._encoded_workers_at > ENCODED_WORKERS_MAX_AGE_S
+        if outdated or current.version != self._encoded_workers_version:
             age_ms = (now - self.workers.received_at) * 1000
-            self._workers_frame = encode(aged(current, age_ms))
-            self._workers_version = current.version
-            self._workers_at = now
-        return self._workers_frame
+            self._encoded_workers = encode(aged(current, age_ms))
+            self._encoded_workers_version = current.version
+            self._encoded_workers_at = now
+        return self._encoded_workers
 
-    def _members(self, have: Version) -> bytes | None:
+    def _encoded_members_update(self, known_version: Version) -> bytes | None:
         members = self.membership.members
-        if members.version == have:
+        if members.version == known_version:
             return None
-        if members.version != self._members_version:
-            self._members_frame = encode(members)
-            self._members_version = members.version
-        return self._members_frame
+        if members.version != self._encoded_members_version:
+            self._encoded_members = encode(members)
+            self._encoded_members_version = members.version
+        return self._encoded_members
--- a/reedspoke/control_plane/peers/messages.py
+++ b/reedspoke/control_plane/peers/messages.py
@@ -1,43 +1,51 @@
-"""Messages between control schedulers, beside those of the replica, and the first message of a connection."""
+"""Messages between control plane nodes, beside those of the replicas.
+
+Compatibility is as in `reedspoke.common.messages`: tags, order and defaults are fixed, names are not.
+"""
 
 from __future__ import annotations
 
 from msgspec import Struct
 
-from reedspoke.common.messages import Version
+from reedspoke.common.messages import Version, WorkerList
+from reedspoke.control_plane.replication.messages import ReplicaMessage
 
 
-class Hello(Struct, tag="hello", array_like=True):
-    """First message of a connection that a control scheduler opens: its address for other schedulers."""
+class PeerHello(Struct, tag="hello", array_like=True):
+    """The first message of a connection that a control plane node opens: its address for other nodes."""
 
     address: str
     zone: str
 
 
 class SessionEntry(Struct, array_like=True, frozen=True):
-    """A data plane scheduler that has a session with the sender."""
+    """A data plane node that has a session with the sender.
+
+    `idle_s` is the time since its last message when the table was sent; `running` are the requests and prompt
+    tokens that it has in flight at each worker; `suspects` are workers that have lately failed its requests.
+    """
 
     node_name: str
     incarnation: str
     zone: str
-    silent_s: float  # since its last word, when the table was sent
+    idle_s: float
     running: dict[str, tuple[int, int]]
-    suspects: tuple[str, ...] = ()  # workers that have lately failed its requests
+    suspects: tuple[str, ...] = ()
 
 
 class SessionTable(Struct, tag="sessions", array_like=True):
-    """All sessions of the sender with data plane schedulers; also its sign of life.
+    """All sessions of the sender with data plane nodes; also its heartbeat.
 
-    `workers` is the version of the list of workers that the sender holds, `workers_seen` the highest one that
-    it or one of its data plane schedulers knows of. `life` tells the sender's processes apart, and `number`
-    rises with each table of one: tables on two connections may pass each other.
+    `workers` is the version of the sender's list of workers, `workers_seen` the highest one that it or one of
+    its data plane nodes knows of. `incarnation` tells the sender's processes apart, and `sequence` rises with
+    each table of one: tables on two connections may overtake each other.
     """
 
     entries: tuple[SessionEntry, ...]
     workers: Version
     workers_seen: Version
-    life: int = 0
-    number: int = 0
+    incarnation: int = 0
+    sequence: int = 0
 
 
 class LeaseRequest(Struct, tag="lease_request", array_like=True):
@@ -78,3 +86,4 @@
 
 QuotaMessage = QuotaLoanRequest | QuotaLoan
 LeaseMessage = LeaseRequest | LeaseAnswer | LeaseRelease
+PeerMessage = ReplicaMessage | SessionTable | LeaseMessage | QuotaMessage | WorkerList
--- a/reedspoke/control_plane/peers/transport.py
+++ b/reedspoke/control_plane/peers/transport.py
@@ -1,192 +1,104 @@
-"""Connections between control schedulers, and the port at which they and data plane schedulers arrive.
+"""Connections between control plane nodes, and the port to which they and data plane nodes connect.
 
-Each control scheduler sends over connections that it opened itself, and reads from those that others opened:
-one to each peer for small messages, and one, opened when it is needed, for large ones, so that a document on
-a slow link does not hold up the signs of life. Messages may be lost; on one connection they keep their order.
+Each node sends over connections that it opened itself, and reads from those that others opened: one to each
+peer for small messages, and one, opened when it is needed, for large ones, so that a document on a slow link
+does not delay heartbeats. Messages may be lost; on one connection they keep their order.
 """
 
 from __future__ import annotations
 
 import asyncio
-from collections import deque
 from collections.abc import Callable
 from typing import Protocol
 
 from msgspec import Struct
 
-from reedspoke.common.background import keep_running
-from reedspoke.common.json_log import DEBUG, INFO, log
-from reedspoke.common.messages import EdgeMessage, FetchRequest, WatchRequest, WorkerList, encode
+from reedspoke.common.messages import EdgeMessage, FetchRequest, WatchRequest, encode
 from reedspoke.common.node_settings import split_address
-from reedspoke.common.transport import CONNECTION_ENDED, Channel, open_channel
-from reedspoke.control_plane.peers.messages import (
-    Hello,
-    LeaseAnswer,
-    LeaseRelease,
-    LeaseRequest,
-    QuotaLoan,
-    QuotaLoanRequest,
-    SessionTable,
-)
-from reedspoke.control_plane.replication.messages import ReplicaMessage
-
-REDIAL_PAUSE_S = 0.15
-MOST_WAITING = 8 * 1024 * 1024  # bytes for a peer that does not read them
-MOST_QUEUED = 64  # messages for a peer whose connection is not up yet
-QUEUE_LIFE_S = 1.0  # older messages are of no use to it
-MOST_LINKS = 128
+from reedspoke.common.transport import CONNECTION_ENDED, Channel
+from reedspoke.control_plane.peers.link import PeerLink
+from reedspoke.control_plane.peers.messages import PeerHello, PeerMessage
+
+MAX_LINKS = 128
 LARGE_BYTES = 64 * 1024  # a message of more goes over the connection for large ones
-MOST_ARRIVED = 2048  # connections that others opened
-FIRST_MESSAGE_S = 2.0
-IDLE_LINK_S = 30.0
-SILENT_PEER_S = 10.0  # a connection that brings nothing for so long is over
-
-PeerMessage = (
-    ReplicaMessage
-    | SessionTable
-    | LeaseRequest
-    | LeaseAnswer
-    | LeaseRelease
-    | QuotaLoanRequest
-    | QuotaLoan
-    | WorkerList
-)
-FirstMessage = Hello | WatchRequest | FetchRequest
-
-PeerHandler = Callable[[str, PeerMessage], None]
-
-
-class EdgeSide(Protocol):
-    """Takes the messages of data plane schedulers."""
-
-    def received(self, channel: Channel, message: EdgeMessage) -> None:
-        """A message on a session."""
+MAX_INCOMING = 2048  # connections that others opened
+HANDSHAKE_TIMEOUT_S = 2.0  # for the first message of a connection
+LINK_IDLE_TIMEOUT_S = 30.0  # an outgoing connection that is not used for so long is closed
+PEER_IDLE_TIMEOUT_S = 10.0  # an incoming connection that brings nothing for so long is closed
 
-    def ended(self, channel: Channel) -> None:
-        """The session is over."""
+FirstMessage = PeerHello | WatchRequest | FetchRequest
 
+PeerMessageHandler = Callable[[str, PeerMessage], None]  # with the sender's address
 
-class Queued(Struct):
-    """An encoded message that waits for the connection to come up."""
 
-    payload: bytes
-    at: float
+class SessionHandler(Protocol):
+    """Takes the messages of data plane nodes."""
 
+    def message_received(self, channel: Channel, message: EdgeMessage) -> None:
+        """A message on a session."""
 
-class Arrived(Struct):
-    """A connection that another scheduler opened."""
+    def connection_closed(self, channel: Channel) -> None:
+        """The connection is over; called for those of control plane nodes too."""
 
-    channel: Channel
-    heard_at: float
 
+class LinkKey(Struct, frozen=True):
+    """Which of the connections to a peer: that for large messages or that for all others."""
 
-class PeerLink:
-    """The connection that we open to one other control scheduler, opened again whenever it ends."""
+    address: str
+    for_large: bool
 
-    def __init__(self, address: str, hello: Hello) -> None:
-        self.address = address
-        self._hello = hello
-        self._channel: Channel | None = None
-        self._queue: deque[Queued] = deque(maxlen=MOST_QUEUED)
-        self._loop = asyncio.get_running_loop()
-        self.used_at = self._loop.time()
-        self._task = self._loop.create_task(keep_running("a link to a peer", self._run))
-
-    def send(self, payload: bytes) -> None:
-        """Send or queue an encoded message, or drop it where the peer does not take any."""
-        self.used_at = self._loop.time()
-        if self._channel is None:
-            self._enqueue(payload)
-        elif self._channel.write_backlog_bytes() > MOST_WAITING:
-            log(INFO, "peer does not read", peer=self.address)
-            self._channel.close()
-            self._channel = None
-        else:
-            self._channel.send_encoded(payload)
 
-    def close(self) -> None:
-        """End the connection for good."""
-        self._task.cancel()
-        if self._channel is not None:
-            self._channel.close()
-            self._channel = None
-
-    def _enqueue(self, payload: bytes) -> None:
-        waiting = sum(len(queued.payload) for queued in self._queue)
-        if waiting + len(payload) <= MOST_WAITING:
-            self._queue.append(Queued(payload, self._loop.time()))
-
-    async def _run(self) -> None:
-        while True:
-            try:
-                channel = await open_channel(self.address)
-            except CONNECTION_ENDED:
-                self._queue.clear()
-                await asyncio.sleep(REDIAL_PAUSE_S)
-                continue
-            self._opened(channel)
-            try:
-                await channel.receive(Hello)  # nothing comes: this returns when the connection ends
-            except CONNECTION_ENDED:
-                pass
-            finally:
-                channel.close()
-                self._channel = None
-            log(DEBUG, "peer connection ended", peer=self.address)
-            await asyncio.sleep(REDIAL_PAUSE_S)
-
-    def _opened(self, channel: Channel) -> None:
-        channel.send(self._hello)
-        oldest = self._loop.time() - QUEUE_LIFE_S
-        for queued in self._queue:
-            if queued.at >= oldest:
-                channel.send_encoded(queued.payload)
-        self._queue.clear()
-        self._channel = channel
+class IncomingConnection(Struct):
+    """A connection that another node opened, and when its last message came."""
+
+    channel: Channel
+    received_at: float
 
 
 class PeerTransport:
-    """All connections to and from other control schedulers."""
+    """Owns all connections to and from other control plane nodes, and those from data plane nodes."""
 
-    def __init__(self, own_address: str, zone: str, on_peer: PeerHandler, edges: EdgeSide) -> None:
+    def __init__(
+        self, own_address: str, zone: str, on_peer_message: PeerMessageHandler, sessions: SessionHandler
+    ) -> None:
         self._own_address = own_address
-        self._hello = Hello(own_address, zone)
-        self._on_peer = on_peer
-        self._edges = edges
-        self._links: dict[tuple[str, bool], PeerLink] = {}  # by address, and whether it is for large messages
-        self._arrived: dict[asyncio.Task[None], Arrived] = {}
+        self._hello = PeerHello(own_address, zone)
+        self._on_peer_message = on_peer_message
+        self._sessions = sessions
+        self._links: dict[LinkKey, PeerLink] = {}
+        self._incoming: dict[asyncio.Task[None], IncomingConnection] = {}
         self._loop = asyncio.get_running_loop()
         self._server: asyncio.Server | None = None
 
     async def listen(self) -> None:
-        """Open the port for other schedulers."""
+        """Listen for other nodes. Raises OSError where the port is taken."""
         host, port = split_address(self._own_address)
-        self._server = await asyncio.start_server(self._connection, host, port, backlog=MOST_ARRIVED)
+        self._server = await asyncio.start_server(self._accept, host, port, backlog=MAX_INCOMING)
 
     def send(self, address: str, message: Struct) -> None:
-        """Send to another control scheduler; the message may be lost."""
+        """Send to another control plane node; the message may be lost."""
         self.send_encoded(address, encode(message))
 
     def send_encoded(self, address: str, payload: bytes) -> None:
-        """Send a message that `encode` has made bytes of."""
-        key = (address, len(payload) > LARGE_BYTES)
+        """Send a message that `encode` has encoded."""
+        key = LinkKey(address, len(payload) > LARGE_BYTES)
         link = self._links.get(key)
         if link is None:
-            if address == self._own_address or len(self._links) >= MOST_LINKS:
+            if address == self._own_address or len(self._links) >= MAX_LINKS:
                 return
             link = self._links[key] = PeerLink(address, self._hello)
         link.send(payload)
 
     def close_idle(self) -> None:
-        """End the connections to whom nothing has been sent, or from whom nothing has come, for long."""
+        """Close outgoing connections that nobody uses, and incoming ones that bring nothing."""
         now = self._loop.time()
         for key, link in list(self._links.items()):
-            if link.used_at < now - IDLE_LINK_S:
+            if link.used_at < now - LINK_IDLE_TIMEOUT_S:
                 link.close()
                 del self._links[key]
-        for arrived in self._arrived.values():
-            if arrived.heard_at < now - SILENT_PEER_S:
-                arrived.channel.close()
+        for connection in self._incoming.values():
+            if connection.received_at < now - PEER_IDLE_TIMEOUT_S:
+                connection.channel.close()
 
     def close(self) -> None:
         """End all connections."""
@@ -194,37 +106,43 @@
             self._server.close()
         for link in self._links.values():
             link.close()
-        for task in self._arrived:
+        for task in self._incoming:
             task.cancel()
 
-    async def _connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         channel = Channel(reader, writer)
         task = asyncio.current_task()
-        if task is None or len(self._arrived) >= MOST_ARRIVED:
+        if task is None or len(self._incoming) >= MAX_INCOMING:
             channel.close()
             return
-        arrived = self._arrived[task] = Arrived(channel, self._loop.time())
+        connection = self._incoming[task] = IncomingConnection(channel, self._loop.time())
         try:
-            await self._converse(arrived)
+            await self._receive(connection)
         except CONNECTION_ENDED:
             pass
         except asyncio.CancelledError:
             pass  # the process ends
         finally:
-            del self._arrived[task]
+            del self._incoming[task]
             channel.close()
-            self._edges.ended(channel)
-
-    async def _converse(self, arrived: Arrived) -> None:
-        channel = arrived.channel
-        async with asyncio.timeout(FIRST_MESSAGE_S):
-            first = await channel.receive(FirstMessage)
-        if isinstance(first, Hello):
-            while True:
-                self._on_peer(first.address, await channel.receive(PeerMessage))
-                arrived.heard_at = self._loop.time()
+            self._sessions.connection_closed(channel)
+
+    async def _receive(self, connection: IncomingConnection) -> None:
+        async with asyncio.timeout(HANDSHAKE_TIMEOUT_S):
+            first = await connection.channel.receive(FirstMessage)
+        if isinstance(first, PeerHello):
+            await self._receive_from_peer(connection, first.address)
+        else:
+            await self._receive_session(connection, first)
+
+    async def _receive_from_peer(self, connection: IncomingConnection, sender: str) -> None:
+        while True:
+            self._on_peer_message(sender, await connection.channel.receive(PeerMessage))
+            connection.received_at = self._loop.time()
+
+    async def _receive_session(self, connection: IncomingConnection, first: EdgeMessage) -> None:
         message = first
         while True:
-            self._edges.received(channel, message)
-            message = await channel.receive(EdgeMessage)
-            arrived.heard_at = self._loop.time()
+            self._sessions.message_received(connection.channel, message)
+            message = await connection.channel.receive(EdgeMessage)
+            connection.received_at = self._loop.time()
--- a/reedspoke/control_plane/process.py
+++ b/reedspoke/control_plane/process.py
@@ -21,7 +21,7 @@
 from reedspoke.control_plane.api.http_server import HttpServer
 from reedspoke.control_plane.api.operator_api import OperatorApi
 from reedspoke.control_plane.api.schemas import StatusAnswer
-from reedspoke.control_plane.delivery.configuration_cache import ConfigurationCache, Prepared
+from reedspoke.control_plane.delivery.configuration_cache import ConfigurationCache, PreparedConfiguration
 from reedspoke.control_plane.delivery.edge_sessions import EdgeSessions
 from reedspoke.control_plane.delivery.membership import Membership
 from reedspoke.control_plane.delivery.published_state import PublishedState
@@ -31,11 +31,12 @@
     LeaseAnswer,
     LeaseRelease,
     LeaseRequest,
+    PeerMessage,
     QuotaLoan,
     QuotaLoanRequest,
     SessionTable,
 )
-from reedspoke.control_plane.peers.transport import PeerMessage, PeerTransport
+from reedspoke.control_plane.peers.transport import PeerTransport
 from reedspoke.control_plane.quota.service import QuotaService
 from reedspoke.control_plane.replication.driver import ReplicaDriver
 from reedspoke.control_plane.replication.events import Committed, GetAnswer, PutAnswer, SendTo, View
@@ -50,7 +51,7 @@
 ARRIVALS_S = 0.1  # data plane schedulers that come or go within this time are told of together
 SETTINGS_INTERVAL_S = 2.0
 MAINTENANCE_INTERVAL_S = 5.0
-EDGE_LIFE_HEARTBEATS = 3.0
+EDGE_TTL_HEARTBEATS = 3.0
 LEAVE_S = 1.0  # calls of the operator are answered that long after SIGTERM
 LEAVE_MARGIN_S = 1.0  # the process ends that long before the settings' grace_s is over
 LEAVE_LOOK_S = 0.05
@@ -84,7 +85,7 @@
         now = self._loop.time()
         identity = int.from_bytes(os.urandom(4), "big") >> 1
         own = ControlMember(self._address, settings.zone)
-        self._membership = Membership(own, heartbeat_s * EDGE_LIFE_HEARTBEATS, identity)
+        self._membership = Membership(own, heartbeat_s * EDGE_TTL_HEARTBEATS, identity)
         self._documents = JobThread("documents")
         self._configuration = ConfigurationCache()
         self._book = WorkerBook()
@@ -113,7 +114,7 @@
             self._address,
             settings,
             lambda: self._driver.majority_as_of(),
-            lambda: self._membership.peers_heard(self._loop.time()),
+            lambda: self._membership.live_peers(self._loop.time()),
             lambda address, message: self._transport.send(address, message),
         )
 
@@ -149,7 +150,7 @@
         prepared = self._documents.call(lambda: self._configuration.prepare(committed))
         prepared.add_done_callback(self._prepared)
 
-    def _prepared(self, future: asyncio.Future[Prepared]) -> None:
+    def _prepared(self, future: asyncio.Future[PreparedConfiguration]) -> None:
         error = future.exception()
         if error is not None:
             log(ERROR, "committed configuration cannot be read", message=str(error))
@@ -159,7 +160,7 @@
             committed = prepared.committed
             log(INFO, "configuration in force", generation=committed.generation, sequence=committed.sequence)
             self._quota.configure(prepared.configuration.tenants or {})
-            self._sessions.changed()
+            self._sessions.notify_update()
 
     def _confirmed_as_of(self) -> float | None:
         """The time as of which what is published here was certainly the newest configuration."""
@@ -187,7 +188,7 @@
         now = self._loop.time()
         self._send_lease(self._lease.tick(now))
         self._duty.look()
-        self._sessions.look()
+        self._sessions.check_majority()
         self._quota.ticked()
         if now >= self._table_at:
             self._tell_sessions(now)
@@ -208,7 +209,7 @@
 
     def validate(self, document: bytes) -> asyncio.Future[Configuration]:
         """Parse and validate a configuration."""
-        return self._documents.call(lambda: self._configuration.check(document))
+        return self._documents.call(lambda: self._configuration.parse(document))
 
     def get(self) -> asyncio.Future[GetAnswer]:
         """The newest configuration."""
@@ -233,7 +234,7 @@
             generation=None if committed is None else committed.generation,
             sequence=0 if committed is None else committed.sequence,
             edges=tuple(edge.node_name for edge in self._membership.members.edges),
-            peers=self._membership.peers_heard(now),
+            peers=self._membership.live_peers(now),
             workers=0 if self._book.current is None else len(self._book.current.workers),
             workers_version=self._book.version,
             holds_list_duty=self._lease.holds(now),
@@ -266,7 +267,7 @@
 
     def _peer_message(self, sender: str, message: PeerMessage) -> None:
         now = self._loop.time()
-        self._membership.heard_peer(sender, now)
+        self._membership.peer_seen(sender, now)
         match message:
             case SessionTable():
                 self._heard_table(sender, message, now)
@@ -280,17 +281,17 @@
             case WorkerList():
                 self._lease.term_seen(message.version[0])
                 if self._book.adopt(message, now):
-                    self._sessions.changed()
+                    self._sessions.notify_update()
             case _:
                 self._driver.received(sender, message)
 
     def _heard_table(self, sender: str, table: SessionTable, now: float) -> None:
-        if not self._membership.heard_table(sender, table, now):
+        if not self._membership.update_table(sender, table, now):
             return
         self._book.note_seen(table.workers_seen)
         self._lease.term_seen(self._book.seen[0])
         if self._book.sends_to(table.workers, self._lease.holds(now), now):
-            payload = self._state.workers_frame(now)
+            payload = self._state.encoded_workers(now)
             if payload is not None:
                 self._transport.send_encoded(sender, payload)
         self._refresh_members(now)
@@ -304,11 +305,11 @@
         term = workers.version[0]
         leased = self._lease.holds(now) and self._lease.term == term
         check(Invariant.DUTY_HAS_LEASE, leased or term == UNLEASED_TERM, term=term, held=self._lease.term)
-        payload = self._state.workers_frame(now)
+        payload = self._state.encoded_workers(now)
         log(INFO, "workers", version=workers.version, count=len(workers.workers))
         if payload is not None:
             self._tell_peers(payload)
-        self._sessions.changed()
+        self._sessions.notify_update()
 
     def _sessions_changed(self) -> None:
         """A data plane scheduler has come or gone: all are told soon."""
@@ -317,19 +318,19 @@
 
     def _tell_sessions(self, now: float) -> None:
         self._table_at = now + TABLE_INTERVAL_S
-        self._membership.add_up(now)
+        self._membership.update_load(now)
         self._refresh_members(now)
-        table = self._membership.table(now, self._book.version, self._book.seen)
+        table = self._membership.next_table(now, self._book.version, self._book.seen)
         self._tell_peers(encode(table))
 
     def _tell_peers(self, payload: bytes) -> None:
         """Send to the members of the view, and to whoever else is there."""
-        for address in {*self._peers, *self._membership.peers_heard(self._loop.time())}:
+        for address in {*self._peers, *self._membership.live_peers(self._loop.time())}:
             self._transport.send_encoded(address, payload)
 
     def _refresh_members(self, now: float) -> None:
         if self._membership.refresh(now):
-            self._sessions.changed()
+            self._sessions.notify_update()
 
     # ---- settings and end ----
 
--- a/tests/control_plane/simulated_control.py
+++ b/tests/control_plane/simulated_control.py
@@ -25,8 +25,8 @@
 from reedspoke.control_plane.delivery.edge_sessions import EdgeSessions
 from reedspoke.control_plane.delivery.membership import Membership
 from reedspoke.control_plane.delivery.published_state import PublishedState
-from reedspoke.control_plane.peers.transport import PeerMessage
-from reedspoke.control_plane.process import EDGE_LIFE_HEARTBEATS, ControlProcess
+from reedspoke.control_plane.peers.messages import PeerMessage
+from reedspoke.control_plane.process import EDGE_TTL_HEARTBEATS, ControlProcess
 from reedspoke.control_plane.replication.events import Committed, SendTo, View
 from reedspoke.control_plane.replication.messages import ReplicaMessage
 from reedspoke.control_plane.workers.duty_lease import DutyLease
@@ -149,7 +149,7 @@
         random = self._simulation.random
         own = ControlMember(self._address, settings.zone)
         identity = random.getrandbits(31)
-        self._membership = Membership(own, heartbeat_s * EDGE_LIFE_HEARTBEATS, identity)
+        self._membership = Membership(own, heartbeat_s * EDGE_TTL_HEARTBEATS, identity)
         self._documents: Any = DocumentsThread(self.loop, random, self._prepare_s)
         self._configuration = ConfigurationCache()
         self._book = WorkerBook()
@@ -198,13 +198,13 @@
 
     def heard_peer(self, sender: str) -> None:
         """Any message of another control scheduler is a sign of life."""
-        self._membership.heard_peer(sender, self.loop.time())
+        self._membership.peer_seen(sender, self.loop.time())
 
     def accept(self, channel: SimulatedChannel) -> None:
         """A data plane scheduler has opened a session."""
         self.channels.append(channel)
         channel.on_message = lambda payload: self._edge_message(channel, payload)
-        channel.on_end = lambda: self._sessions.ended(channel)  # type: ignore[arg-type]
+        channel.on_end = lambda: self._sessions.connection_closed(channel)  # type: ignore[arg-type]
 
     def workers(self) -> tuple[WorkerEntry, ...] | None:
         """The list that this scheduler has."""
@@ -215,7 +215,7 @@
         return self._book.version
 
     def _edge_message(self, channel: SimulatedChannel, payload: bytes) -> None:
-        self._sessions.received(channel, decode(payload, EdgeMessage))  # type: ignore[arg-type]
+        self._sessions.message_received(channel, decode(payload, EdgeMessage))  # type: ignore[arg-type]
 
     def _publish_workers(self, workers: WorkerList) -> None:
         self._judge.published(self._address, self._machine.life, workers)
--- a/tests/control_plane/test_guards_lists.py
+++ b/tests/control_plane/test_guards_lists.py
@@ -14,7 +14,7 @@
 from reedspoke.control_plane.workers.list_duty import ListDuty
 from reedspoke.control_plane.workers.worker_list import PlatformInstance, PlatformPage, WorkerBook
 
-EDGE_LIFE_S = 3.0
+EDGE_TTL_S = 3.0
 
 
 def _workers(term: int, count: int) -> WorkerList:
@@ -39,10 +39,10 @@
 
 
 def test_sessions_beyond_the_most_are_no_members(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(membership, "MOST_EDGES", 1)
-    members = Membership(ControlMember("10.0.0.1:1", "za"), EDGE_LIFE_S, 77)
+    monkeypatch.setattr(membership, "MAX_EDGES", 1)
+    members = Membership(ControlMember("10.0.0.1:1", "za"), EDGE_TTL_S, 77)
     for name in ("e1", "e2"):
-        members.watched(WatchRequest(1, name, "1", "zx", {}, {}), 0.0)
+        members.update_edge(WatchRequest(1, name, "1", "zx", {}, {}), 0.0)
     members.refresh(0.0)
     assert [edge.node_name for edge in members.members.edges] == ["e1"]
 
--- a/tests/control_plane/test_guards_peer_transport.py
+++ b/tests/control_plane/test_guards_peer_transport.py
@@ -8,8 +8,9 @@
 
 from reedspoke.common.messages import encode
 from reedspoke.common.transport import CONNECTION_ENDED, open_channel
+from reedspoke.control_plane.peers import link as peer_link
 from reedspoke.control_plane.peers import transport as peer_transport
-from reedspoke.control_plane.peers.messages import Hello, LeaseRelease
+from reedspoke.control_plane.peers.messages import LeaseRelease, PeerHello
 from tests.control_plane_process.test_peer_transport import Scheduler, two
 
 LAST_TERM = 99
@@ -17,7 +18,7 @@
 
 
 def test_what_waits_for_a_connection_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(peer_transport, "MOST_WAITING", 2 * len(encode(LeaseRelease(1))))
+    monkeypatch.setattr(peer_link, "MAX_BACKLOG_BYTES", 2 * len(encode(LeaseRelease(1))))
 
     async def scene(first: Scheduler, second: Scheduler) -> None:
         await second.transport.listen()
@@ -32,7 +33,7 @@
 
 
 def test_what_has_waited_for_too_long_is_not_sent(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(peer_transport, "QUEUE_LIFE_S", -1.0)
+    monkeypatch.setattr(peer_link, "QUEUE_TTL_S", -1.0)
 
     async def scene(first: Scheduler, second: Scheduler) -> None:
         await second.transport.listen()
@@ -49,8 +50,8 @@
 
 
 def test_connections_that_arrive_beyond_the_most_are_closed(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(peer_transport, "MOST_ARRIVED", 1)
-    monkeypatch.setattr(peer_transport, "FIRST_MESSAGE_S", 60.0)
+    monkeypatch.setattr(peer_transport, "MAX_INCOMING", 1)
+    monkeypatch.setattr(peer_transport, "HANDSHAKE_TIMEOUT_S", 60.0)
 
     async def scene(first: Scheduler, second: Scheduler) -> None:
         await second.transport.listen()
@@ -59,47 +60,47 @@
         one_too_many = await open_channel(second.address)
         async with asyncio.timeout(WAIT_S):
             with pytest.raises(CONNECTION_ENDED):
-                await one_too_many.receive(Hello)
+                await one_too_many.receive(PeerHello)
         one_too_many.close()
 
     two(scene)
 
 
 def test_a_connection_that_brings_nothing_for_long_is_closed(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(peer_transport, "SILENT_PEER_S", -1.0)
+    monkeypatch.setattr(peer_transport, "PEER_IDLE_TIMEOUT_S", -1.0)
 
     async def scene(first: Scheduler, second: Scheduler) -> None:
         await second.transport.listen()
         silent = await open_channel(second.address)
-        silent.send(Hello("127.0.0.9:9", "za"))
+        silent.send(PeerHello("127.0.0.9:9", "za"))
         silent.send(LeaseRelease(1))
         await second.until(lambda: second.terms == [1])
         second.transport.close_idle()
         async with asyncio.timeout(WAIT_S):
             with pytest.raises(CONNECTION_ENDED):
-                await silent.receive(Hello)
+                await silent.receive(PeerHello)
         silent.close()
 
     two(scene)
 
 
 def test_who_connects_and_says_nothing_is_let_go(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(peer_transport, "FIRST_MESSAGE_S", 0.1)
+    monkeypatch.setattr(peer_transport, "HANDSHAKE_TIMEOUT_S", 0.1)
 
     async def scene(first: Scheduler, second: Scheduler) -> None:
         await second.transport.listen()
         silent = await open_channel(second.address)
         with pytest.raises((ConnectionError, asyncio.IncompleteReadError)):
             async with asyncio.timeout(WAIT_S):
-                await silent.receive(Hello)
+                await silent.receive(PeerHello)
         silent.close()
 
     two(scene)
 
 
 def test_a_connection_that_nobody_uses_makes_room_for_another(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(peer_transport, "MOST_LINKS", 1)
-    monkeypatch.setattr(peer_transport, "IDLE_LINK_S", -1.0)
+    monkeypatch.setattr(peer_transport, "MAX_LINKS", 1)
+    monkeypatch.setattr(peer_transport, "LINK_IDLE_TIMEOUT_S", -1.0)
 
     async def scene(first: Scheduler, second: Scheduler) -> None:
         await second.transport.listen()
--- a/tests/control_plane/test_guards_process.py
+++ b/tests/control_plane/test_guards_process.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from reedspoke.common.node_settings import NodeSettings
-from reedspoke.control_plane.delivery.configuration_cache import ConfigurationCache, Prepared
+from reedspoke.control_plane.delivery.configuration_cache import ConfigurationCache, PreparedConfiguration
 from reedspoke.control_plane.process import ControlProcess
 from reedspoke.control_plane.replication.events import Committed
 from tests.control_plane_process.stand_ins import configuration
@@ -22,11 +22,13 @@
     """In place of the thread that parses documents: each is ready when the test says so."""
 
     def __init__(self) -> None:
-        self._waiting: list[tuple[Callable[[], Prepared], asyncio.Future[Prepared]]] = []
+        self._waiting: list[
+            tuple[Callable[[], PreparedConfiguration], asyncio.Future[PreparedConfiguration]]
+        ] = []
 
-    def call(self, function: Callable[[], Prepared]) -> asyncio.Future[Prepared]:
+    def call(self, function: Callable[[], PreparedConfiguration]) -> asyncio.Future[PreparedConfiguration]:
         """As `JobThread.call`."""
-        future: asyncio.Future[Prepared] = asyncio.get_running_loop().create_future()
+        future: asyncio.Future[PreparedConfiguration] = asyncio.get_running_loop().create_future()
         self._waiting.append((function, future))
         return future
 
@@ -55,8 +57,8 @@
 class Sessions:
     """In place of the sessions with data plane schedulers."""
 
-    def changed(self) -> None:
-        """As `EdgeSessions.changed`."""
+    def notify_update(self) -> None:
+        """As `EdgeSessions.notify_update`."""
 
 
 class Process(ControlProcess):
--- a/tests/control_plane/test_invariant_checks.py
+++ b/tests/control_plane/test_invariant_checks.py
@@ -121,5 +121,5 @@
 class Silent:
     """Tells nothing to others."""
 
-    def workers_frame(self, now: float) -> None:
+    def encoded_workers(self, now: float) -> None:
         return None
--- a/tests/control_plane/test_unexpected_errors.py
+++ b/tests/control_plane/test_unexpected_errors.py
@@ -12,7 +12,7 @@
 from reedspoke.common.node_settings import NodeSettings
 from reedspoke.common.transport import Channel, open_channel
 from reedspoke.common.unhandled_errors import unhandled_errors
-from reedspoke.control_plane.peers import transport as peer_transport
+from reedspoke.control_plane.peers import link as peer_link
 from reedspoke.control_plane.peers.messages import LeaseRelease
 from reedspoke.control_plane.replication import driver as driver_module
 from reedspoke.control_plane.replication.driver import ReplicaDriver
@@ -83,7 +83,7 @@
             raise failures.pop()
         return await open_channel(address)
 
-    monkeypatch.setattr(peer_transport, "open_channel", open_or_fail)
+    monkeypatch.setattr(peer_link, "open_channel", open_or_fail)
 
     async def scene(first: Scheduler, second: Scheduler) -> None:
         await second.transport.listen()
--- a/tests/control_plane_process/test_configuration_cache.py
+++ b/tests/control_plane_process/test_configuration_cache.py
@@ -14,7 +14,7 @@
 from reedspoke.common.errors import FleetError
 from reedspoke.common.messages import ConfigurationDelta, ConfigurationSnapshot, Version, decode
 from reedspoke.control_plane.delivery import configuration_cache
-from reedspoke.control_plane.delivery.configuration_cache import MOST_KEPT, ConfigurationCache
+from reedspoke.control_plane.delivery.configuration_cache import MAX_CACHED, ConfigurationCache
 from reedspoke.control_plane.replication.events import Committed
 from tests.control_plane_process.stand_ins import configuration
 
@@ -26,7 +26,7 @@
 
 
 def received(cache: ConfigurationCache, have: Version) -> ConfigurationSnapshot | ConfigurationDelta:
-    frame = cache.frame(have)
+    frame = cache.encoded_update(have)
     assert frame is not None
     answer: ConfigurationSnapshot | ConfigurationDelta
     answer = decode(frame, ConfigurationSnapshot | ConfigurationDelta)
@@ -45,16 +45,16 @@
 def test_nothing_is_offered_before_the_first() -> None:
     cache = ConfigurationCache()
     assert cache.version == (0, 0)
-    assert cache.frame((0, 0)) is None
+    assert cache.encoded_update((0, 0)) is None
     with pytest.raises(FleetError):
-        cache.check(b"{")
+        cache.parse(b"{")
 
 
 def test_nothing_is_sent_to_who_holds_the_newest() -> None:
     cache = ConfigurationCache()
     assert commit(cache, 4, configuration(8))
-    assert cache.frame((VIEW, 4)) is None
-    assert cache.frame((VIEW, 9)) is None
+    assert cache.encoded_update((VIEW, 4)) is None
+    assert cache.encoded_update((VIEW, 9)) is None
 
 
 def test_an_older_one_is_not_installed() -> None:
@@ -83,10 +83,10 @@
     answer = received(cache, (VIEW, 1))
     assert isinstance(answer, ConfigurationDelta)
     assert (json.loads(answer.routes), answer.removed_routes) == ([], ("r99",))
-    assert cache.frame((VIEW, 1)) is cache.frame((VIEW, 1))
+    assert cache.encoded_update((VIEW, 1)) is cache.encoded_update((VIEW, 1))
 
 
-@given(st.lists(st.integers(1, 40), min_size=2, max_size=MOST_KEPT + 4))
+@given(st.lists(st.integers(1, 40), min_size=2, max_size=MAX_CACHED + 4))
 def test_whoever_holds_any_of_them_ends_with_the_newest(sizes: list[int]) -> None:
     cache = ConfigurationCache()
     held = []
@@ -112,7 +112,7 @@
 
 
 def test_large_documents_are_not_all_kept(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(configuration_cache, "MOST_KEPT_BYTES", 1)
+    monkeypatch.setattr(configuration_cache, "MAX_CACHED_BYTES", 1)
     cache = ConfigurationCache()
     commit(cache, 1, configuration(2))
     commit(cache, 2, configuration(4))
--- a/tests/control_plane_process/test_edge_sessions.py
+++ b/tests/control_plane_process/test_edge_sessions.py
@@ -26,8 +26,8 @@
 from reedspoke.control_plane.delivery.edge_sessions import EdgeSessions
 from reedspoke.control_plane.delivery.membership import Membership
 from reedspoke.control_plane.delivery.published_state import PublishedState
-from reedspoke.control_plane.peers.messages import Hello, SessionTable
-from reedspoke.control_plane.peers.transport import PeerMessage, PeerTransport
+from reedspoke.control_plane.peers.messages import PeerHello, PeerMessage, SessionTable
+from reedspoke.control_plane.peers.transport import PeerTransport
 from reedspoke.control_plane.replication.events import Committed, Member
 from reedspoke.control_plane.workers.worker_list import WorkerBook
 from tests.control_plane_process.stand_ins import Answer, configuration
@@ -62,18 +62,18 @@
 
     def arrival(self) -> None:
         self.membership.refresh(asyncio.get_running_loop().time())
-        self.sessions.changed()
+        self.sessions.notify_update()
 
     def peer_message(self, sender: str, message: PeerMessage) -> None:
         self.peer_messages.append((sender, message))
 
     def commit(self, sequence: int, document: bytes) -> None:
         self.cache.install(self.cache.prepare(Committed(sequence, sequence * 2, document, VIEW)))
-        self.sessions.changed()
+        self.sessions.notify_update()
 
     def publish(self, workers: WorkerList) -> None:
         self.book.adopt(workers, asyncio.get_running_loop().time())
-        self.sessions.changed()
+        self.sessions.notify_update()
 
 
 class Edge:
@@ -220,7 +220,7 @@
 
 
 def test_sessions_beyond_the_most_are_closed(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(edge_sessions, "MOST_SESSIONS", 1)
+    monkeypatch.setattr(edge_sessions, "MAX_SESSIONS", 1)
 
     async def scene(side: Side, edge: Edge) -> None:
         await edge.watched()
@@ -235,7 +235,7 @@
 def test_a_data_plane_scheduler_that_does_not_read_loses_its_session(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(edge_sessions, "MOST_WAITING", 1_000_000)
+    monkeypatch.setattr(edge_sessions, "MAX_BACKLOG_BYTES", 1_000_000)
 
     async def scene(side: Side, edge: Edge) -> None:
         side.commit(3, configuration(6, routes=20_000))
@@ -286,19 +286,19 @@
 
 def test_a_watch_that_waits_is_answered_when_the_majority_is_lost_and_when_it_is_back() -> None:
     async def scene(side: Side, edge: Edge) -> None:
-        side.sessions.look()
+        side.sessions.check_majority()
         edge.held = (await edge.watched()).versions
         edge.watch()
         await asyncio.sleep(0.02)
         side.confirmed = False
-        side.sessions.look()
+        side.sessions.check_majority()
         took, answer = await elapsed(edge.channel.receive(Answer))
         assert isinstance(answer, UnconfirmedResponse)
         assert took < HEARTBEAT_S / 2
         edge.watch()
         await asyncio.sleep(0.02)
         side.confirmed = True
-        side.sessions.look()
+        side.sessions.check_majority()
         took, answer = await elapsed(edge.channel.receive(Answer))
         assert isinstance(answer, WatchResponse)
         assert took < HEARTBEAT_S / 2
@@ -361,7 +361,7 @@
     async def scene(side: Side, edge: Edge) -> None:
         table = SessionTable((), (1, 1), (1, 2))
         peer = await open_channel(side.address)
-        peer.send(Hello("10.0.0.9:1", "zb"))
+        peer.send(PeerHello("10.0.0.9:1", "zb"))
         peer.send(table)
         while not side.peer_messages:
             await asyncio.sleep(0.01)
--- a/tests/control_plane_process/test_membership.py
+++ b/tests/control_plane_process/test_membership.py
@@ -6,13 +6,14 @@
 from hypothesis import strategies as st
 
 from reedspoke.common.messages import ControlMember, EdgeMember, WatchRequest
-from reedspoke.control_plane.delivery.membership import TABLE_LIFE_S, Membership, Running
+from reedspoke.control_plane.delivery.load_totals import Running
+from reedspoke.control_plane.delivery.membership import TABLE_TTL_S, Membership
 from reedspoke.control_plane.peers.messages import SessionEntry, SessionTable
 from reedspoke.control_plane.replication.events import Member
 
 OWN = ControlMember("10.0.0.1:1", "za")
-EDGE_LIFE_S = 3.0
-IDENTITY = 77
+EDGE_TTL_S = 3.0
+INCARNATION = 77
 NONE = (0, 0)
 
 
@@ -26,12 +27,14 @@
     return SessionTable(entries, (1, 2), (3, 4))
 
 
-def entry(name: str, silent_s: float = 0.0, running: Running | None = None, life: str = "1") -> SessionEntry:
-    return SessionEntry(name, life, "zx", silent_s, running or {})
+def entry(
+    name: str, idle_s: float = 0.0, running: Running | None = None, incarnation: str = "1"
+) -> SessionEntry:
+    return SessionEntry(name, incarnation, "zx", idle_s, running or {})
 
 
 def membership() -> Membership:
-    return Membership(OWN, EDGE_LIFE_S, IDENTITY)
+    return Membership(OWN, EDGE_TTL_S, INCARNATION)
 
 
 def names(members: Membership) -> list[str]:
@@ -40,98 +43,98 @@
 
 def test_an_edge_is_a_member_while_it_watches() -> None:
     members = membership()
-    assert members.watched(watch("e1"), 0.0)
-    assert not members.watched(watch("e1"), 1.0)
+    assert members.update_edge(watch("e1"), 0.0)
+    assert not members.update_edge(watch("e1"), 1.0)
     assert members.refresh(1.0)
     assert members.members.edges == (EdgeMember("e1", "1", "zx"),)
-    assert not members.refresh(1.0 + EDGE_LIFE_S)
-    assert members.refresh(1.1 + EDGE_LIFE_S)
+    assert not members.refresh(1.0 + EDGE_TTL_S)
+    assert members.refresh(1.1 + EDGE_TTL_S)
     assert names(members) == []
 
 
-def test_the_version_changes_with_the_list_alone_and_bears_the_identity() -> None:
+def test_the_version_changes_with_the_list_alone_and_has_the_incarnation() -> None:
     members = membership()
-    members.watched(watch("e1", running={"i": (1, 2)}), 0.0)
+    members.update_edge(watch("e1", running={"i": (1, 2)}), 0.0)
     members.refresh(0.0)
     version = members.members.version
-    members.watched(watch("e1", running={"i": (2, 2)}), 0.1)
+    members.update_edge(watch("e1", running={"i": (2, 2)}), 0.1)
     members.refresh(0.1)
     assert members.members.version == version
     assert version[0] == 77
-    assert members.watched(watch("e1", "2"), 0.2)
+    assert members.update_edge(watch("e1", "2"), 0.2)
     members.refresh(0.2)
     assert members.members.version != version
 
 
 def test_an_edge_that_leaves_is_gone_at_once_and_its_next_life_is_not() -> None:
     members = membership()
-    members.watched(watch("e1", "2"), 0.0)
-    members.left("e1", "1")
+    members.update_edge(watch("e1", "2"), 0.0)
+    members.remove_edge("e1", "1")
     members.refresh(0.0)
     assert names(members) == ["e1"]
-    members.left("e1", "2")
+    members.remove_edge("e1", "2")
     members.refresh(0.0)
     assert names(members) == []
 
 
 def test_edges_of_other_control_schedulers_count_until_their_word_is_old() -> None:
     members = membership()
-    members.watched(watch("e1"), 0.0)
-    members.heard_table("10.0.0.2:1", table(entry("e2")), 0.0)
+    members.update_edge(watch("e1"), 0.0)
+    members.update_table("10.0.0.2:1", table(entry("e2")), 0.0)
     members.refresh(0.0)
     assert names(members) == ["e1", "e2"]
-    assert members.peer_workers("10.0.0.2:1") == (1, 2)
-    members.watched(watch("e1"), TABLE_LIFE_S)
-    members.refresh(TABLE_LIFE_S + 0.1)
+    assert members.workers_version_at("10.0.0.2:1") == (1, 2)
+    members.update_edge(watch("e1"), TABLE_TTL_S)
+    members.refresh(TABLE_TTL_S + 0.1)
     assert names(members) == ["e1"]
-    assert members.peer_workers("10.0.0.2:1") == NONE
+    assert members.workers_version_at("10.0.0.2:1") == NONE
 
 
 def test_an_edge_with_two_sessions_counts_once_by_its_latest_word() -> None:
     members = membership()
-    members.watched(watch("e1", running={"i": (1, 10)}), 0.0)
-    members.heard_table("p", table(entry("e1", 0.2, {"i": (5, 50)})), 1.0)
+    members.update_edge(watch("e1", running={"i": (1, 10)}), 0.0)
+    members.update_table("p", table(entry("e1", 0.2, {"i": (5, 50)})), 1.0)
     members.refresh(1.0)
-    members.add_up(1.0)
+    members.update_load(1.0)
     assert names(members) == ["e1"]
-    assert members.running_except("other") == {"i": (5, 50)}
-    members.watched(watch("e1", running={"i": (2, 20)}), 1.1)
-    members.add_up(1.1)
-    assert members.running_except("other") == {"i": (2, 20)}
+    assert members.load.running_except("other") == {"i": (5, 50)}
+    members.update_edge(watch("e1", running={"i": (2, 20)}), 1.1)
+    members.update_load(1.1)
+    assert members.load.running_except("other") == {"i": (2, 20)}
 
 
 def test_suspicions_are_counted_over_all_edges_but_the_asker() -> None:
     members = membership()
-    members.watched(watch("e1", suspects=("i", "j")), 0.0)
-    members.watched(watch("e2", suspects=("i",)), 0.0)
-    members.heard_table("p", table(SessionEntry("e3", "1", "zx", 0.0, {}, ("i", "k"))), 0.0)
-    members.add_up(0.0)
-    assert members.suspects_except("e4") == {"i": 3, "j": 1, "k": 1}
-    assert members.suspects_except("e1") == {"i": 2, "k": 1}
-    members.watched(watch("e1"), 0.5)
-    members.add_up(0.5)
-    assert members.suspects_except("e4") == {"i": 2, "k": 1}
+    members.update_edge(watch("e1", suspects=("i", "j")), 0.0)
+    members.update_edge(watch("e2", suspects=("i",)), 0.0)
+    members.update_table("p", table(SessionEntry("e3", "1", "zx", 0.0, {}, ("i", "k"))), 0.0)
+    members.update_load(0.0)
+    assert members.load.suspects_except("e4") == {"i": 3, "j": 1, "k": 1}
+    assert members.load.suspects_except("e1") == {"i": 2, "k": 1}
+    members.update_edge(watch("e1"), 0.5)
+    members.update_load(0.5)
+    assert members.load.suspects_except("e4") == {"i": 2, "k": 1}
 
 
 def test_suspicions_are_told_to_other_control_schedulers() -> None:
     members = membership()
-    members.watched(watch("e1", suspects=("i",)), 0.0)
-    (told,) = members.table(0.0, NONE, NONE).entries
+    members.update_edge(watch("e1", suspects=("i",)), 0.0)
+    (told,) = members.next_table(0.0, NONE, NONE).entries
     assert told.suspects == ("i",)
 
 
 def test_suspicions_end_with_the_word_of_their_edge() -> None:
     members = membership()
-    members.watched(watch("e1", suspects=("i",)), 0.0)
-    members.refresh(EDGE_LIFE_S + 0.1)
-    members.add_up(EDGE_LIFE_S + 0.1)
-    assert members.suspects_except("e2") == {}
+    members.update_edge(watch("e1", suspects=("i",)), 0.0)
+    members.refresh(EDGE_TTL_S + 0.1)
+    members.update_load(EDGE_TTL_S + 0.1)
+    assert members.load.suspects_except("e2") == {}
 
 
 def test_a_new_life_elsewhere_replaces_the_old_one_here() -> None:
     members = membership()
-    members.watched(watch("e1", "old"), 0.0)
-    members.heard_table("p", table(entry("e1", 0.1, life="new")), 1.0)
+    members.update_edge(watch("e1", "old"), 0.0)
+    members.update_table("p", table(entry("e1", 0.1, incarnation="new")), 1.0)
     members.refresh(1.0)
     assert [edge.incarnation for edge in members.members.edges] == ["new"]
 
@@ -139,11 +142,11 @@
 def test_control_members_are_those_of_the_view_that_are_heard() -> None:
     members = membership()
     members.set_view((Member("f1", OWN.address, "za"), Member("f2", "p2", "zb"), Member("f3", "p3", "zc")))
-    members.heard_peer("p2", 0.0)
-    members.heard_peer("stranger", 0.0)
+    members.peer_seen("p2", 0.0)
+    members.peer_seen("stranger", 0.0)
     members.refresh(0.0)
     assert list(members.members.control) == [OWN, ControlMember("p2", "zb")]
-    members.refresh(TABLE_LIFE_S + 0.1)
+    members.refresh(TABLE_TTL_S + 0.1)
     assert list(members.members.control) == [OWN]
 
 
@@ -156,10 +159,10 @@
 def test_the_sum_for_an_edge_is_that_of_all_others(here: list[Running], there: list[Running]) -> None:
     members = membership()
     for number, running in enumerate(here):
-        members.watched(watch(f"h{number}", running=running), 0.0)
+        members.update_edge(watch(f"h{number}", running=running), 0.0)
     entries = [entry(f"t{number}", running=running) for number, running in enumerate(there)]
-    members.heard_table("p", table(*entries), 0.0)
-    members.add_up(0.0)
+    members.update_table("p", table(*entries), 0.0)
+    members.update_load(0.0)
     everybody = {f"h{number}": running for number, running in enumerate(here)}
     everybody |= {f"t{number}": running for number, running in enumerate(there)}
     for asker in everybody:
@@ -169,7 +172,7 @@
                 for instance, (requests, tokens) in running.items():
                     so_far = expected.get(instance, (0, 0))
                     expected[instance] = (so_far[0] + requests, so_far[1] + tokens)
-        got = members.running_except(asker)
+        got = members.load.running_except(asker)
         assert _without_zeros(got) == _without_zeros(expected)
 
 
@@ -179,15 +182,15 @@
 
 def test_the_own_table_tells_how_long_each_edge_has_been_silent() -> None:
     members = membership()
-    members.watched(watch("e1", running={"i": (1, 2)}), 1.0)
-    told = members.table(1.5, (1, 1), (2, 2))
+    members.update_edge(watch("e1", running={"i": (1, 2)}), 1.0)
+    told = members.next_table(1.5, (1, 1), (2, 2))
     entries = (SessionEntry("e1", "1", "zx", 0.5, {"i": (1, 2)}),)
-    assert told == SessionTable(entries, (1, 1), (2, 2), IDENTITY, number=1)
+    assert told == SessionTable(entries, (1, 1), (2, 2), INCARNATION, sequence=1)
 
 
-def numbered(name: str, life: int, number: int) -> SessionTable:
-    """A table of one session, as the `number`th of a process."""
-    return SessionTable((entry(name),), (1, 2), (3, 4), life, number)
+def numbered(name: str, incarnation: int, sequence: int) -> SessionTable:
+    """A table of one session, as the one with this `sequence` of a process."""
+    return SessionTable((entry(name),), (1, 2), (3, 4), incarnation, sequence)
 
 
 def edges_known(members: Membership) -> list[str]:
@@ -197,32 +200,32 @@
 
 def test_a_table_that_comes_late_on_an_older_connection_replaces_none() -> None:
     members = membership()
-    assert members.heard_table("p", numbered("new", 7, 2), 0.0)
-    assert not members.heard_table("p", numbered("old", 7, 1), 0.0)
-    assert not members.heard_table("p", numbered("again", 7, 2), 0.0)
+    assert members.update_table("p", numbered("new", 7, 2), 0.0)
+    assert not members.update_table("p", numbered("old", 7, 1), 0.0)
+    assert not members.update_table("p", numbered("again", 7, 2), 0.0)
     assert edges_known(members) == ["new"]
-    assert members.heard_table("p", numbered("newer", 7, 3), 0.0)
+    assert members.update_table("p", numbered("newer", 7, 3), 0.0)
     assert edges_known(members) == ["newer"]
 
 
 def test_a_table_of_the_process_before_replaces_none_of_the_one_that_followed() -> None:
     members = membership()
-    members.heard_table("p", numbered("former", 7, 90), 0.0)
-    assert members.heard_table("p", numbered("present", 8, 1), 0.0)
-    assert not members.heard_table("p", numbered("former", 7, 91), 0.0)
-    assert members.heard_table("p", numbered("present", 8, 2), 0.0)
+    members.update_table("p", numbered("former", 7, 90), 0.0)
+    assert members.update_table("p", numbered("present", 8, 1), 0.0)
+    assert not members.update_table("p", numbered("former", 7, 91), 0.0)
+    assert members.update_table("p", numbered("present", 8, 2), 0.0)
     assert edges_known(members) == ["present"]
 
 
 def test_tables_without_numbers_replace_each_other() -> None:
     members = membership()
     for name in ("one", "two"):
-        assert members.heard_table("p", table(entry(name)), 0.0)
+        assert members.update_table("p", table(entry(name)), 0.0)
     assert edges_known(members) == ["two"]
 
 
 def test_the_own_tables_are_numbered() -> None:
     members = membership()
-    first, second = (members.table(0.0, (1, 1), (2, 2)) for _ in range(2))
-    assert (first.life, second.life) == (IDENTITY, IDENTITY)
-    assert second.number == first.number + 1
+    first, second = (members.next_table(0.0, (1, 1), (2, 2)) for _ in range(2))
+    assert (first.incarnation, second.incarnation) == (INCARNATION, INCARNATION)
+    assert second.sequence == first.sequence + 1
--- a/tests/control_plane_process/test_peer_connections.py
+++ b/tests/control_plane_process/test_peer_connections.py
@@ -13,8 +13,8 @@
 from reedspoke.common.messages import EdgeMessage, encode
 from reedspoke.common.node_settings import split_address
 from reedspoke.common.transport import CONNECTION_ENDED, LENGTH, MAX_FRAME_BYTES, Channel, FramingError
-from reedspoke.control_plane.peers.messages import Hello, LeaseRelease
-from reedspoke.control_plane.peers.transport import PeerMessage, PeerTransport
+from reedspoke.control_plane.peers.messages import LeaseRelease, PeerHello, PeerMessage
+from reedspoke.control_plane.peers.transport import PeerTransport
 from tests.ports import free_port
 
 HOST = "127.0.0.1"
@@ -26,10 +26,10 @@
 class NoEdges:
     """No data plane scheduler comes here."""
 
-    def received(self, channel: Channel, message: EdgeMessage) -> None:
+    def message_received(self, channel: Channel, message: EdgeMessage) -> None:
         raise AssertionError(message)
 
-    def ended(self, channel: Channel) -> None:
+    def connection_closed(self, channel: Channel) -> None:
         """Called for every connection."""
 
 
@@ -70,7 +70,7 @@
 
 
 def hello(address: str = PEER) -> bytes:
-    return frame(encode(Hello(address, "za")))
+    return frame(encode(PeerHello(address, "za")))
 
 
 def release(term: int) -> bytes:
@@ -130,7 +130,7 @@
 MALFORMED = {
     "no message": frame(b"\xc1"),
     "an empty frame": frame(b""),
-    "another type": frame(encode(Hello(PEER, "za"))),
+    "another type": frame(encode(PeerHello(PEER, "za"))),
     "an endless one": LENGTH.pack(MAX_FRAME_BYTES + 1),
     "deep": frame(b"\x91" * 100_000),
 }
@@ -224,7 +224,7 @@
             channel = Channel(reader, writer)
             writer.write(release(9))
             try:
-                await channel.receive(Hello)
+                await channel.receive(PeerHello)
                 while True:
                     came.append((await channel.receive(PeerMessage)).term)
             except CONNECTION_ENDED:
--- a/tests/control_plane_process/test_peer_transport.py
+++ b/tests/control_plane_process/test_peer_transport.py
@@ -10,9 +10,10 @@
 from reedspoke.common.messages import EdgeMessage
 from reedspoke.common.node_settings import split_address
 from reedspoke.common.transport import Channel
+from reedspoke.control_plane.peers import link as peer_link
 from reedspoke.control_plane.peers import transport as peer_transport
-from reedspoke.control_plane.peers.messages import LeaseRelease
-from reedspoke.control_plane.peers.transport import PeerMessage, PeerTransport
+from reedspoke.control_plane.peers.messages import LeaseRelease, PeerMessage
+from reedspoke.control_plane.peers.transport import PeerTransport
 from tests.ports import free_port
 
 HOST = "127.0.0.1"
@@ -21,10 +22,10 @@
 class NoEdges:
     """No data plane scheduler comes here."""
 
-    def received(self, channel: Channel, message: EdgeMessage) -> None:
+    def message_received(self, channel: Channel, message: EdgeMessage) -> None:
         raise AssertionError(message)
 
-    def ended(self, channel: Channel) -> None:
+    def connection_closed(self, channel: Channel) -> None:
         """Called for every connection."""
 
 
@@ -106,7 +107,7 @@
 def test_a_peer_that_does_not_read_loses_messages_and_then_its_connection(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(peer_transport, "MOST_WAITING", 1_000_000)
+    monkeypatch.setattr(peer_link, "MAX_BACKLOG_BYTES", 1_000_000)
 
     async def scene(first: Scheduler, second: Scheduler) -> None:
         arrived: list[asyncio.StreamWriter] = []
@@ -154,7 +155,7 @@
 
 
 def test_connections_that_are_not_used_are_closed(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(peer_transport, "IDLE_LINK_S", 0.0)
+    monkeypatch.setattr(peer_transport, "LINK_IDLE_TIMEOUT_S", 0.0)
 
     async def scene(first: Scheduler, second: Scheduler) -> None:
         await second.transport.listen()
@@ -168,7 +169,7 @@
 
 
 def test_there_are_no_more_connections_than_the_most(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(peer_transport, "MOST_LINKS", 1)
+    monkeypatch.setattr(peer_transport, "MAX_LINKS", 1)
 
     async def scene(first: Scheduler, second: Scheduler) -> None:
         await second.transport.listen()
--- a/tests/data_plane/test_session_wire.py
+++ b/tests/data_plane/test_session_wire.py
@@ -62,7 +62,9 @@
     def send(self, message: Struct) -> None:
         if isinstance(message, FetchRequest):
             self.fetched.append(message)
-        self._later(self._control.sessions.received, self._far_end, decode(encode(message), EdgeMessage))
+        self._later(
+            self._control.sessions.message_received, self._far_end, decode(encode(message), EdgeMessage)
+        )
 
     async def receive(self, expected: Any) -> Any:
         async with asyncio.timeout(self.idle_timeout_s):
@@ -72,7 +74,7 @@
         return decode(found, expected)
 
     def close(self) -> None:
-        self._model.loop.call_later(LATENCY_S, self._control.sessions.ended, self._far_end)
+        self._model.loop.call_later(LATENCY_S, self._control.sessions.connection_closed, self._far_end)
 
     # ---- the end of the control plane ----
 
@@ -121,7 +123,7 @@
 
     def _on_arrival(self) -> None:
         self._membership.refresh(self._model.loop.time())
-        self.sessions.changed()
+        self.sessions.notify_update()
 
     def _confirmed_as_of(self) -> float | None:
         as_of = self.as_of()
@@ -136,8 +138,8 @@
 
     def step(self) -> None:
         self.as_of()
-        self.sessions.changed()
-        self.sessions.look()
+        self.sessions.notify_update()
+        self.sessions.check_majority()
 
     async def connect(self) -> Wire:
         self.wires.append(Wire(self._model, self))
--- a/tests/golden/peer_examples.py
+++ b/tests/golden/peer_examples.py
@@ -8,10 +8,10 @@
 from msgspec import Struct
 
 from reedspoke.control_plane.peers.messages import (
-    Hello,
     LeaseAnswer,
     LeaseRelease,
     LeaseRequest,
+    PeerHello,
     QuotaLoan,
     QuotaLoanRequest,
     SessionEntry,
@@ -19,15 +19,15 @@
 )
 
 PEER_MESSAGES: dict[str, Struct] = {
-    "hello": Hello(address="text1", zone="text2"),
-    "hello by default": Hello(address="text1", zone="text2"),
+    "hello": PeerHello(address="text1", zone="text2"),
+    "hello by default": PeerHello(address="text1", zone="text2"),
     "sessions": SessionTable(
         entries=(
             SessionEntry(
                 node_name="text1",
                 incarnation="text2",
                 zone="text3",
-                silent_s=4.5,
+                idle_s=4.5,
                 running={
                     "text5": (
                         6,
@@ -43,7 +43,7 @@
                 node_name="text10",
                 incarnation="text11",
                 zone="text12",
-                silent_s=13.5,
+                idle_s=13.5,
                 running={
                     "text14": (
                         15,
@@ -64,8 +64,8 @@
             21,
             22,
         ),
-        life=23,
-        number=24,
+        incarnation=23,
+        sequence=24,
     ),
     "sessions by default": SessionTable(
         entries=(
@@ -73,7 +73,7 @@
                 node_name="text1",
                 incarnation="text2",
                 zone="text3",
-                silent_s=4.5,
+                idle_s=4.5,
                 running={
                     "text5": (
                         6,
@@ -89,7 +89,7 @@
                 node_name="text10",
                 incarnation="text11",
                 zone="text12",
-                silent_s=13.5,
+                idle_s=13.5,
                 running={
                     "text14": (
                         15,
--- a/tests/golden/test_messages.py
+++ b/tests/golden/test_messages.py
@@ -86,7 +86,7 @@
         peer_examples.PEER_MESSAGES,
         session_messages.encode,
         session_messages.decode,
-        peer_messages.Hello
+        peer_messages.PeerHello
         | peer_messages.SessionTable
         | peer_messages.LeaseMessage
         | peer_messages.QuotaMessage,
