--- a/reedspoke/control_plane/api/backend.py
+++ b/reedspoke/control_plane/api/backend.py
@@ -8,7 +8,7 @@
 from reedspoke.common.configuration import Configuration
 from reedspoke.control_plane.api.call_log import CompletedCall
 from reedspoke.control_plane.api.schemas import StatusAnswer
-from reedspoke.control_plane.replication.events import GetAnswer, PutAnswer
+from reedspoke.control_plane.replication.effects import GetCompleted, PutCompleted
 
 
 class OperatorBackend(Protocol):
@@ -17,13 +17,13 @@
     def validate(self, document: bytes) -> Awaitable[Configuration]:
         """Parse a configuration. Raises FleetError, when awaited, where it is invalid."""
 
-    def put(self, match: int, generation: int, document: bytes) -> Awaitable[PutAnswer]:
+    def put(self, match: int, generation: int, document: bytes) -> Awaitable[PutCompleted]:
         """Replicate the configuration if the newest generation is `match`.
 
         Raises FleetError where that cannot be tried.
         """
 
-    def get(self) -> Awaitable[GetAnswer]:
+    def get(self) -> Awaitable[GetCompleted]:
         """Read the newest configuration. Raises FleetError where that cannot be tried."""
 
     def holds_majority(self) -> bool:
--- a/reedspoke/control_plane/delivery/configuration_cache.py
+++ b/reedspoke/control_plane/delivery/configuration_cache.py
@@ -10,7 +10,7 @@
 from reedspoke.common.configuration_delta import make_delta
 from reedspoke.common.configuration_parsing import parse_configuration
 from reedspoke.common.messages import NO_VERSION, ConfigurationSnapshot, Version, encode
-from reedspoke.control_plane.replication.events import Committed
+from reedspoke.control_plane.replication.entry import CommittedConfiguration
 
 MAX_CACHED = 8  # parsed configurations
 MAX_CACHED_BYTES = 8 * 1024 * 1024  # of documents; the newest one is cached whatever its size
@@ -34,7 +34,7 @@
 class PreparedConfiguration(Struct, frozen=True):
     """A committed configuration, parsed, with its encoded message for data plane nodes that have `base`."""
 
-    committed: Committed
+    committed: CommittedConfiguration
     configuration: Configuration
     base: Version
     payload: bytes
@@ -48,7 +48,7 @@
     """
 
     def __init__(self) -> None:
-        self._committed: Committed | None = None
+        self._committed: CommittedConfiguration | None = None
         self._cached: OrderedDict[Version, CachedConfiguration] = OrderedDict()
         self._payloads: dict[Version, bytes] = {}  # messages that lead to the newest one, by their base
         self._parsed: ParsedDocument | None = None
@@ -59,7 +59,7 @@
         return NO_VERSION if self._committed is None else _version(self._committed)
 
     @property
-    def committed(self) -> Committed | None:
+    def committed(self) -> CommittedConfiguration | None:
         """The newest committed configuration."""
         return self._committed
 
@@ -73,7 +73,7 @@
             parsed = self._parsed = ParsedDocument(document, parse_configuration(document))
         return parsed.configuration
 
-    def prepare(self, committed: Committed) -> PreparedConfiguration:
+    def prepare(self, committed: CommittedConfiguration) -> PreparedConfiguration:
         """Parse a committed configuration and encode its delta. Raises FleetError as `parse` does."""
         configuration = self.parse(committed.document)
         self._parsed = None
@@ -105,7 +105,7 @@
             self._payloads[base] = self._encode(committed, base)
         return self._payloads[base]
 
-    def _encode(self, committed: Committed, base: Version) -> bytes:
+    def _encode(self, committed: CommittedConfiguration, base: Version) -> bytes:
         if base == NO_VERSION:
             return _encode_snapshot(committed)
         return _encode_delta(self._cached[base], self._cached[self.version].configuration, committed)
@@ -117,15 +117,17 @@
             size -= evicted.size
 
 
-def _version(committed: Committed) -> Version:
+def _version(committed: CommittedConfiguration) -> Version:
     return (committed.view, committed.sequence)
 
 
-def _encode_snapshot(committed: Committed) -> bytes:
+def _encode_snapshot(committed: CommittedConfiguration) -> bytes:
     return encode(ConfigurationSnapshot(_version(committed), committed.document))
 
 
-def _encode_delta(old: CachedConfiguration, configuration: Configuration, committed: Committed) -> bytes:
+def _encode_delta(
+    old: CachedConfiguration, configuration: Configuration, committed: CommittedConfiguration
+) -> bytes:
     """The delta, or the complete document where that is not larger."""
     delta = encode(make_delta(old.configuration, configuration, old.version, _version(committed)))
     return delta if len(delta) < len(committed.document) else _encode_snapshot(committed)
--- a/reedspoke/control_plane/delivery/edge_sessions.py
+++ b/reedspoke/control_plane/delivery/edge_sessions.py
@@ -130,7 +130,7 @@
         session.last_watch = session.pending_watch = watch
         session.watch_received_at = self._loop.time()
         if WORKERS in watch.versions:
-            self._state.workers.note_seen(watch.versions[WORKERS])
+            self._state.workers.observe_version(watch.versions[WORKERS])
         if self._state.membership.update_edge(watch, self._loop.time()):
             log(INFO, "data plane scheduler", node=watch.node_name, zone=watch.zone)
             self._on_membership_change()
--- a/reedspoke/control_plane/delivery/membership.py
+++ b/reedspoke/control_plane/delivery/membership.py
@@ -20,7 +20,7 @@
 )
 from reedspoke.control_plane.delivery.load_totals import LoadTotals, Running
 from reedspoke.control_plane.peers.messages import SessionEntry, SessionTable
-from reedspoke.control_plane.replication.events import Member
+from reedspoke.control_plane.replication.view import Member
 
 TABLE_TTL_S = 2.0  # the table of a peer that sends no newer one expires after this
 MAX_EDGES = 1024
--- a/reedspoke/control_plane/delivery/published_state.py
+++ b/reedspoke/control_plane/delivery/published_state.py
@@ -17,7 +17,7 @@
 )
 from reedspoke.control_plane.delivery.configuration_cache import ConfigurationCache
 from reedspoke.control_plane.delivery.membership import Membership
-from reedspoke.control_plane.workers.worker_list import WorkerBook, aged
+from reedspoke.control_plane.workers.worker_list import WorkerListState, subtract_elapsed
 
 ENCODED_WORKERS_MAX_AGE_S = 0.5  # of a list with workers that are still warming up: it holds remaining times
 
@@ -35,7 +35,7 @@
     def __init__(
         self,
         configuration: ConfigurationCache,
-        workers: WorkerBook,
+        workers: WorkerListState,
         membership: Membership,
         confirmed_as_of: ConfirmedAsOf,
     ) -> None:
@@ -89,7 +89,7 @@
         outdated = warming_up and now - self._encoded_workers_at > ENCODED_WORKERS_MAX_AGE_S
         if outdated or current.version != self._encoded_workers_version:
             age_ms = (now - self.workers.received_at) * 1000
-            self._encoded_workers = encode(aged(current, age_ms))
+            self._encoded_workers = encode(subtract_elapsed(current, age_ms))
             self._encoded_workers_version = current.version
             self._encoded_workers_at = now
         return self._encoded_workers
--- a/tests/control_plane/test_orders_invalid.py
+++ b/tests/control_plane/test_orders_invalid.py
@@ -16,7 +16,7 @@
 from reedspoke.control_plane.api.http_messages import Request
 from reedspoke.control_plane.api.operator_api import CONFIGURATION_PATH, OPERATIONS, OperatorApi
 from reedspoke.control_plane.api.schemas import StatusAnswer
-from reedspoke.control_plane.replication.events import GetAnswer, PutAnswer
+from reedspoke.control_plane.replication.effects import GetCompleted, PutCompleted
 from reedspoke.control_plane.storage.records import EntryRecord, decode_record
 from tests.control_plane.direct_core import DirectCore
 from tests.control_plane_process.stand_ins import configuration
@@ -52,11 +52,11 @@
         """It does, as nothing fails here."""
         return True
 
-    async def put(self, match: int, generation: int, document: bytes) -> PutAnswer:
+    async def put(self, match: int, generation: int, document: bytes) -> PutCompleted:
         """Have the configuration replicated."""
-        return PutAnswer(1, self._core.put("m2", match, generation, document))
+        return PutCompleted(1, self._core.put("m2", match, generation, document))
 
-    async def get(self) -> GetAnswer:
+    async def get(self) -> GetCompleted:
         """Not used here."""
         raise NotImplementedError
 
--- a/tests/control_plane_process/test_membership.py
+++ b/tests/control_plane_process/test_membership.py
@@ -9,7 +9,7 @@
 from reedspoke.control_plane.delivery.load_totals import Running
 from reedspoke.control_plane.delivery.membership import TABLE_TTL_S, Membership
 from reedspoke.control_plane.peers.messages import SessionEntry, SessionTable
-from reedspoke.control_plane.replication.events import Member
+from reedspoke.control_plane.replication.view import Member
 
 OWN = ControlMember("10.0.0.1:1", "za")
 EDGE_TTL_S = 3.0
