--- a/reedspoke/control_plane/process.py
+++ b/reedspoke/control_plane/process.py
@@ -16,29 +16,27 @@
 from reedspoke.common.metrics_endpoint import serve_metrics
 from reedspoke.common.node_settings import NodeSettings, load_settings, settings_path
 from reedspoke.common.unhandled_errors import end_process
+from reedspoke.control_plane.api.call_log import CompletedCall, OperatorCallLog
+from reedspoke.control_plane.api.error_responses import malformed_request_body
 from reedspoke.control_plane.api.http_server import HttpServer
-from reedspoke.control_plane.api.operator_api import (
-    AnsweredCall,
-    Calls,
-    OperatorApi,
-    StatusAnswer,
-    http_error_body,
-)
-from reedspoke.control_plane.delivery.configuration_cache import ConfigurationCache, Prepared
+from reedspoke.control_plane.api.operator_api import OperatorApi
+from reedspoke.control_plane.api.schemas import StatusAnswer
+from reedspoke.control_plane.delivery.configuration_cache import ConfigurationCache, PreparedConfiguration
 from reedspoke.control_plane.delivery.edge_sessions import EdgeSessions
 from reedspoke.control_plane.delivery.membership import Membership
 from reedspoke.control_plane.delivery.published_state import PublishedState
-from reedspoke.control_plane.figures import CallLog, add_process_figures
 from reedspoke.control_plane.file_stamp import stamp_of
+from reedspoke.control_plane.metrics import add_state_metrics
 from reedspoke.control_plane.peers.messages import (
     DiscoveryLeaseRelease,
     DiscoveryLeaseRequest,
     DiscoveryLeaseResponse,
+    PeerMessage,
     QuotaLoan,
     QuotaLoanRequest,
     SessionTable,
 )
-from reedspoke.control_plane.peers.transport import PeerMessage, PeerTransport
+from reedspoke.control_plane.peers.transport import PeerTransport
 from reedspoke.control_plane.quota.service import QuotaService
 from reedspoke.control_plane.replication.driver import ReplicaDriver
 from reedspoke.control_plane.replication.effects import GetCompleted, PutCompleted, SendMessage
@@ -55,7 +53,7 @@
 ARRIVALS_S = 0.1  # data plane schedulers that come or go within this time are told of together
 SETTINGS_INTERVAL_S = 2.0
 MAINTENANCE_INTERVAL_S = 5.0
-EDGE_LIFE_HEARTBEATS = 3.0
+EDGE_TTL_HEARTBEATS = 3.0
 LEAVE_S = 1.0  # calls of the operator are answered that long after SIGTERM
 LEAVE_MARGIN_S = 1.0  # the process ends that long before the settings' grace_s is over
 LEAVE_LOOK_S = 0.05
@@ -64,7 +62,7 @@
 TOLD_S = 0.2  # so long after this replica has learned that it is out of the chain, the others know it too
 
 
-class ControlProcess(Calls):
+class ControlProcess:
     """One control scheduler."""
 
     def __init__(self, settings: NodeSettings, path: Path) -> None:
@@ -89,7 +87,7 @@
         now = self._loop.time()
         identity = int.from_bytes(os.urandom(4), "big") >> 1
         own = ControlMember(self._address, settings.zone)
-        self._membership = Membership(own, heartbeat_s * EDGE_LIFE_HEARTBEATS, identity)
+        self._membership = Membership(own, heartbeat_s * EDGE_TTL_HEARTBEATS, identity)
         self._documents = JobThread("documents")
         self._configuration = ConfigurationCache()
         self._book = WorkerListState()
@@ -109,16 +107,16 @@
         )
         self._driver = ReplicaDriver(settings, self._address, self)
         self._registry = Registry()
-        add_process_figures(self._registry, self)
-        self._call_log = CallLog(self._registry, LogRateLimiter(self._loop.time))
-        self._api = HttpServer(OperatorApi(self).handle, http_error_body)
+        add_state_metrics(self._registry, self)
+        self._call_log = OperatorCallLog(self._registry, LogRateLimiter(self._loop.time))
+        self._api = HttpServer(OperatorApi(self).handle, malformed_request_body)
 
     def _build_quota(self, settings: NodeSettings) -> None:
         self._quota = QuotaService(
             self._address,
             settings,
             lambda: self._driver.majority_as_of(),
-            lambda: self._membership.peers_heard(self._loop.time()),
+            lambda: self._membership.live_peers(self._loop.time()),
             lambda address, message: self._transport.send(address, message),
         )
 
@@ -154,7 +152,7 @@
         prepared = self._documents.call(lambda: self._configuration.prepare(committed))
         prepared.add_done_callback(self._prepared)
 
-    def _prepared(self, future: asyncio.Future[Prepared]) -> None:
+    def _prepared(self, future: asyncio.Future[PreparedConfiguration]) -> None:
         error = future.exception()
         if error is not None:
             log(ERROR, "committed configuration cannot be read", message=str(error))
@@ -164,7 +162,7 @@
             committed = prepared.committed
             log(INFO, "configuration in force", generation=committed.generation, sequence=committed.sequence)
             self._quota.configure(prepared.configuration.tenants or {})
-            self._sessions.changed()
+            self._sessions.notify_update()
 
     def _confirmed_as_of(self) -> float | None:
         """The time as of which what is published here was certainly the newest configuration."""
@@ -192,7 +190,7 @@
         now = self._loop.time()
         self._send_lease(self._lease.tick(now))
         self._duty.check_lease()
-        self._sessions.look()
+        self._sessions.check_majority()
         self._quota.tick()
         if now >= self._table_at:
             self._tell_sessions(now)
@@ -211,9 +209,9 @@
         self._check_not_leaving()
         return self._driver.put(match, generation, document)
 
-    def check(self, document: bytes) -> asyncio.Future[Configuration]:
-        """Parse a configuration."""
-        return self._documents.call(lambda: self._configuration.check(document))
+    def validate(self, document: bytes) -> asyncio.Future[Configuration]:
+        """Parse and validate a configuration."""
+        return self._documents.call(lambda: self._configuration.parse(document))
 
     def get(self) -> asyncio.Future[GetCompleted]:
         """The newest configuration."""
@@ -238,16 +236,16 @@
             generation=None if committed is None else committed.generation,
             sequence=0 if committed is None else committed.sequence,
             edges=tuple(edge.node_name for edge in self._membership.members.edges),
-            peers=self._membership.peers_heard(now),
+            peers=self._membership.live_peers(now),
             workers=0 if self._book.current is None else len(self._book.current.workers),
             workers_version=self._book.version,
             holds_list_duty=self._lease.is_held(now),
             holds_majority=self.holds_majority(),
         )
 
-    def answered(self, call: AnsweredCall) -> None:
-        """A call of an operator has its answer."""
-        self._call_log.answered(call)
+    def call_completed(self, call: CompletedCall) -> None:
+        """Count and log a call of an operator."""
+        self._call_log.call_completed(call)
 
     # ---- what the figures are read from ----
 
@@ -255,8 +253,8 @@
         """Connections of data plane schedulers."""
         return self._sessions.count
 
-    def waiting_calls(self) -> int:
-        """Calls of operators without an answer."""
+    def pending_calls(self) -> int:
+        """Calls of operators without a response."""
         return self._driver.waiting_calls
 
     def disk_works(self) -> bool:
@@ -271,7 +269,7 @@
 
     def _peer_message(self, sender: str, message: PeerMessage) -> None:
         now = self._loop.time()
-        self._membership.heard_peer(sender, now)
+        self._membership.peer_seen(sender, now)
         match message:
             case SessionTable():
                 self._heard_table(sender, message, now)
@@ -285,17 +283,17 @@
             case WorkerList():
                 self._lease.observe_term(message.version[0])
                 if self._book.adopt(message, now):
-                    self._sessions.changed()
+                    self._sessions.notify_update()
             case _:
                 self._driver.received(sender, message)
 
     def _heard_table(self, sender: str, table: SessionTable, now: float) -> None:
-        if not self._membership.heard_table(sender, table, now):
+        if not self._membership.update_table(sender, table, now):
             return
         self._book.observe_version(table.workers_seen)
         self._lease.observe_term(self._book.highest_seen[0])
         if self._book.should_send_to(table.workers, self._lease.is_held(now), now):
-            payload = self._state.workers_frame(now)
+            payload = self._state.encoded_workers(now)
             if payload is not None:
                 self._transport.send_encoded(sender, payload)
         self._refresh_members(now)
@@ -309,11 +307,11 @@
         term = workers.version[0]
         leased = self._lease.is_held(now) and self._lease.term == term
         check(Invariant.DUTY_HAS_LEASE, leased or term == UNLEASED_TERM, term=term, held=self._lease.term)
-        payload = self._state.workers_frame(now)
+        payload = self._state.encoded_workers(now)
         log(INFO, "workers", version=workers.version, count=len(workers.workers))
         if payload is not None:
             self._tell_peers(payload)
-        self._sessions.changed()
+        self._sessions.notify_update()
 
     def _sessions_changed(self) -> None:
         """A data plane scheduler has come or gone: all are told soon."""
@@ -322,19 +320,19 @@
 
     def _tell_sessions(self, now: float) -> None:
         self._table_at = now + TABLE_INTERVAL_S
-        self._membership.add_up(now)
+        self._membership.update_load(now)
         self._refresh_members(now)
-        table = self._membership.table(now, self._book.version, self._book.highest_seen)
+        table = self._membership.next_table(now, self._book.version, self._book.highest_seen)
         self._tell_peers(encode(table))
 
     def _tell_peers(self, payload: bytes) -> None:
         """Send to the members of the view, and to whoever else is there."""
-        for address in {*self._peers, *self._membership.peers_heard(self._loop.time())}:
+        for address in {*self._peers, *self._membership.live_peers(self._loop.time())}:
             self._transport.send_encoded(address, payload)
 
     def _refresh_members(self, now: float) -> None:
         if self._membership.refresh(now):
-            self._sessions.changed()
+            self._sessions.notify_update()
 
     # ---- settings and end ----
 
