--- a/tests/control_plane_process/fleet.py
+++ b/tests/control_plane_process/fleet.py
@@ -43,6 +43,7 @@
         self.folder = fleet.folder / self.name
         self.settings_file = fleet.folder / f"{self.name}.json"
         self.log_file = fleet.folder / f"{self.name}.log"
+        self.root = ROOT  # the checkout whose program it runs
         self.process: subprocess.Popen[bytes] | None = None
 
     def settings(self, *, bootstrap: bool) -> dict[str, Any]:
@@ -74,7 +75,7 @@
         }
         with self.log_file.open("ab") as log:
             self.process = subprocess.Popen(
-                [sys.executable, "-m", "reedspoke.control_plane"], cwd=ROOT, env=environment, stderr=log
+                [sys.executable, "-m", "reedspoke.control_plane"], cwd=self.root, env=environment, stderr=log
             )
 
     def kill(self) -> None:
