--- a/reedspoke/control_plane/replication/chain.py
+++ b/reedspoke/control_plane/replication/chain.py
@@ -1,4 +1,14 @@
-"""Chain replication in the present view: entries go from head to tail, each member syncs, then passes on."""
+"""Chain replication in the present view: entries go from head to tail; each member syncs, then forwards.
+
+After van Renesse and Schneider, "Chain Replication for Supporting High Throughput and Availability" (OSDI
+2004). A member forwards an entry only once it is on its own disk, so that what a member holds all members
+before it hold too (the update propagation invariant), and what the tail holds is committed. The head accepts
+the next change only once the one before is committed, so that no two members differ by more than one entry
+that is not committed.
+
+The view says which members there are. A message of another view changes nothing here: in another view the
+neighbours, and what counts as committed, may differ.
+"""
 
 from __future__ import annotations
 
@@ -8,6 +18,7 @@
 from msgspec import Struct
 
 from reedspoke.common.errors import ErrorCode
+from reedspoke.control_plane.replication.chain_position import ChainPosition, position_of
 from reedspoke.control_plane.replication.configuration_register import ConfigurationRegister
 from reedspoke.control_plane.replication.entry import CommittedConfiguration, Entry
 from reedspoke.control_plane.replication.messages import (
@@ -17,32 +28,18 @@
     SuccessorStatus,
 )
 from reedspoke.control_plane.replication.outbox import Outbox
-from reedspoke.control_plane.replication.settings import (
-    HEARTBEAT_INTERVAL_S,
-    MAX_RESEND_INTERVAL_S,
-    RESEND_BYTES_PER_S,
-    RESEND_GROWTH,
-    RESEND_INTERVAL_S,
-    ReplicaSettings,
-)
-from reedspoke.control_plane.replication.view import ChainLink, Member, View
+from reedspoke.control_plane.replication.settings import HEARTBEAT_INTERVAL_S, ReplicaSettings
+from reedspoke.control_plane.replication.successor_progress import SuccessorProgress
+from reedspoke.control_plane.replication.view import View
 from reedspoke.control_plane.views.first_view import FIRST_VIEW_NUMBER
 from reedspoke.telemetry.invariants import Invariant, check
 
 
-class ForwardAttempt(Struct, frozen=True):
-    """What the successor has been sent last, and how often."""
-
-    sequence: int
-    at: float
-    times: int
-
-
 class Chain:
-    """This replica's place in the chain, and what it tells its neighbours.
+    """Owns this replica's position in the chain; exchanges entries with its neighbours.
 
-    `on_committed` is called with each newer committed entry, `on_settled` whenever nothing is in flight any
-    more or a store has failed.
+    `on_committed` is called with each newer committed entry, `on_idle` whenever nothing is in flight any more
+    or a store has failed.
     """
 
     def __init__(
@@ -51,21 +48,19 @@
         outbox: Outbox,
         register: ConfigurationRegister,
         on_committed: Callable[[CommittedConfiguration], None],
-        on_settled: Callable[[], None],
+        on_idle: Callable[[], None],
     ) -> None:
         self._own = settings.member
         self._minimum = settings.chain_minimum
         self._outbox = outbox
         self._register = register
         self._on_committed = on_committed
-        self._on_settled = on_settled
-        self._view: View | None = None
-        self._position: int | None = None
-        self._passed_on: ForwardAttempt | None = None
-        self._successor: SuccessorStatus | None = None
-        self._state_told_at = float("-inf")
+        self._on_idle = on_idle
+        self._position: ChainPosition | None = None
+        self._successor = SuccessorProgress(outbox, register)
+        self._status_sent_at = float("-inf")
 
-    # ---- place in the view ----
+    # ---- position in the view ----
 
     @property
     def in_chain(self) -> bool:
@@ -75,53 +70,53 @@
     @property
     def is_head(self) -> bool:
         """Whether changes enter here."""
-        return self._position == 0
+        return self._position is not None and self._position.is_head
 
     @property
     def is_tail(self) -> bool:
         """Whether entries are committed here."""
-        return self._view is not None and self._position == len(self._view.chain) - 1
+        return self._position is not None and self._position.is_tail
 
     @property
     def long_enough(self) -> bool:
-        """Whether the chain has enough copies to acknowledge, and the next one has told its state."""
-        if self._view is None or len(self._view.chain) < self._minimum:
+        """Whether the chain has enough members to acknowledge, and the next one has reported its status.
+
+        Before that report the successor may lack entries, or be gone: a change accepted now would be in
+        flight for as long as its repair takes.
+        """
+        if self._position is None or len(self._position.view.chain) < self._minimum:
             return False
-        return self.is_tail or self._successor is not None
+        return self.is_tail or self._successor.is_known
 
     @property
     def complete(self) -> bool:
         """Whether this replica holds everything since it was appended."""
-        link = self._own_link()
-        if link is None or self._register.installing_snapshot or self._outbox.synced_state_lost:
+        if self._position is None or self._register.installing_snapshot or self._outbox.synced_state_lost:
             return False
-        return link.joined == FIRST_VIEW_NUMBER or self._register.synced_since == link.joined
+        joined = self._position.own_link.joined
+        return joined == FIRST_VIEW_NUMBER or self._register.synced_since == joined
 
-    def enter(self, view: View) -> None:
+    def enter_view(self, view: View) -> None:
         """Act in a newer view from now on."""
-        self._view = view
-        folders = [link.member.folder_id for link in view.chain]
-        own = self._own.folder_id
-        self._position = folders.index(own) if own in folders else None
-        self._passed_on = None
-        self._successor = None
+        self._position = position_of(self._own, view)
+        self._successor.enter_view()
         if self._position is None:
-            self._outbox.synced_state_lost = False  # it takes a whole copy before it is complete again
-        self._tell_state()
-        self._pass_on_or_commit()
+            self._outbox.synced_state_lost = False  # it installs a snapshot before it is complete again
+        self._send_status()
+        self._forward_or_commit()
 
     # ---- events ----
 
     def tick(self) -> None:
-        """Tell the predecessor again; it sends what is missing."""
-        if self._outbox.now - self._state_told_at >= HEARTBEAT_INTERVAL_S:
-            self._tell_state()
-            self._pass_on()
+        """Report to the predecessor again, which then sends what is missing."""
+        if self._outbox.now - self._status_sent_at >= HEARTBEAT_INTERVAL_S:
+            self._send_status()
+            self._forward()
 
     def append(self, generation: int, document: bytes, on_stored: Callable[[bool], None]) -> None:
-        """At the head: take a change into the chain. `on_stored` tells whether it is on the head's disk."""
-        assert self._view is not None
-        entry = Entry(self._register.sequence + 1, self._view.number, generation, document)
+        """At the head: append a change to the chain. `on_stored` gets whether it is on the head's disk."""
+        assert self._position is not None
+        entry = Entry(self._register.sequence + 1, self._position.view.number, generation, document)
 
         def on_synced(synced: bool) -> None:
             on_stored(synced)
@@ -130,7 +125,7 @@
         self._register.append(entry, on_synced)
 
     def receive(self, message: Struct) -> bool:
-        """Handle a message; false where it is none of the chain. Those of another view are refused."""
+        """Handle a message; false where it is none of the chain. Those of another view are ignored."""
         match message:
             case AppendRequest():
                 if self._of_this_view(message.view):
@@ -140,7 +135,7 @@
                     self._receive_snapshot(message)
             case SuccessorStatus():
                 if self._of_this_view(message.view):
-                    self._receive_state(message)
+                    self._receive_status(message)
             case CommitNotification():
                 self.committed_up_to(message.view, message.sequence)
             case _:
@@ -151,7 +146,7 @@
         """The tail of this view has committed up to `sequence`."""
         if not self._of_this_view(view) or not self.complete:
             return
-        self._compare_with_others(sequence)
+        self._detect_lost_state(sequence)
         if self._register.entry is not None and self._register.sequence <= sequence:
             self._commit()
 
@@ -159,97 +154,77 @@
 
     def _receive_entry(self, entry: Entry) -> None:
         register = self._register
-        if self._position == 0 or not self.complete or self._outbox.disk_failed:
+        if self.is_head or not self.complete or self._outbox.disk_failed:
             return
         if register.pending_entry is not None:
             return
         if entry.sequence == register.sequence + 1:
-            self._commit()  # the head takes a change only once all before it is committed
+            self._commit()  # the head accepts a change only once all before it is committed
             register.append(entry, self._entry_synced)
         elif entry == register.entry:
-            self._tell_state()
+            self._send_status()
         else:
             self._outbox.log(
-                logging.ERROR, "entry does not follow", held=register.sequence, got=entry.sequence
+                logging.ERROR, "append out of sequence", held=register.sequence, got=entry.sequence
             )
 
     def _receive_snapshot(self, message: InstallSnapshot) -> None:
-        link = self._own_link()
-        if link is None or link.joined != message.joined or self._position == 0:
+        position = self._position
+        if position is None or position.own_link.joined != message.joined or position.is_head:
             return
         if self.complete or self._register.installing_snapshot or self._outbox.disk_failed:
-            self._tell_state()
+            self._send_status()
             return
         self._register.install_snapshot(message.entry, message.history, message.joined, self._entry_synced)
 
     def _entry_synced(self, synced: bool) -> None:
         if synced:
-            self._tell_state()
-            self._pass_on_or_commit()
+            self._send_status()
+            self._forward_or_commit()
         else:
-            self._on_settled()
+            self._on_idle()
+
+    def _send_status(self) -> None:
+        """Report to the predecessor, which also acknowledges what it has sent."""
+        self._status_sent_at = self._outbox.now
+        position = self._position
+        if position is None or position.predecessor is None:
+            return
+        self._check_synced()
+        status = SuccessorStatus(
+            position.view.number,
+            self._own.folder_id,
+            position.own_link.joined,
+            self.complete,
+            self._register.sequence,
+        )
+        self._outbox.send(position.predecessor.address, status)
 
     # ---- as predecessor ----
 
-    def _receive_state(self, state: SuccessorStatus) -> None:
-        successor = self._link_after()
-        if successor is None or successor.member.folder_id != state.folder_id:
-            return
-        if successor.joined != state.joined:
+    def _receive_status(self, status: SuccessorStatus) -> None:
+        successor = self._position.successor if self._position else None
+        if successor is None or successor.member.folder_id != status.folder_id:
             return
-        if self._successor is None or self._successor.complete != state.complete:
-            self._passed_on = None
-        self._successor = state
-        if state.complete and self.complete:
-            self._compare_with_others(state.sequence)
-        self._pass_on()
-
-    def _pass_on_or_commit(self) -> None:
+        if successor.joined != status.joined:
+            return  # sent before this replica was appended anew: it says nothing of what it holds now
+        self._successor.record_status(status)
+        if status.complete and self.complete:
+            self._detect_lost_state(status.sequence)
+        self._forward()
+
+    def _forward_or_commit(self) -> None:
         if self._may_commit():
             self._commit()
-            self._tell_commit()
+            self._notify_commit()
         else:
-            self._pass_on()
+            self._forward()
 
-    def _pass_on(self) -> None:
-        """Send the successor what it lacks, again only after a while."""
-        successor = self._link_after()
-        if successor is None or not self.complete:
+    def _forward(self) -> None:
+        successor = self._position.successor if self._position else None
+        if self._position is None or successor is None or not self.complete:
             return
-        message = self._missing(successor, self._successor)
-        if message is not None and self._due(message):
-            self._passed_on = self._passed_on_again()
-            self._outbox.send(successor.member.address, message)
-
-    def _missing(
-        self, successor: ChainLink, state: SuccessorStatus | None
-    ) -> AppendRequest | InstallSnapshot | None:
-        assert self._view is not None
-        entry = self._register.entry
-        if state is None:
-            return None
-        lag = self._register.sequence - state.sequence
-        if not state.complete or lag > 1:
-            return InstallSnapshot(self._view.number, successor.joined, entry, self._register.packed_history)
-        if lag == 1 and entry is not None:
-            return AppendRequest(self._view.number, entry)
-        return None
-
-    def _due(self, message: AppendRequest | InstallSnapshot) -> bool:
-        passed_on = self._passed_on
-        if passed_on is None or passed_on.sequence != self._register.sequence:
-            return True
-        pause = RESEND_INTERVAL_S + _size(message) / RESEND_BYTES_PER_S
-        for _ in range(passed_on.times - 1):
-            pause = min(pause * RESEND_GROWTH, MAX_RESEND_INTERVAL_S)
-        return self._outbox.now - passed_on.at >= pause
-
-    def _passed_on_again(self) -> ForwardAttempt:
-        before = self._passed_on
-        sequence = self._register.sequence
-        if before is None or before.sequence != sequence:
-            return ForwardAttempt(sequence, self._outbox.now, 1)
-        return ForwardAttempt(sequence, self._outbox.now, before.times + 1)
+        self._successor.send_missing(self._position.view.number, successor)
 
     # ---- commits ----
 
@@ -266,65 +241,32 @@
         committed = self._register.commit()
         if committed is not None:
             self._on_committed(committed)
-        self._on_settled()
+        self._on_idle()
 
-    def _tell_commit(self) -> None:
-        if self._view is None or self._register.committed_sequence == 0:
+    def _notify_commit(self) -> None:
+        if self._position is None or self._register.committed_sequence == 0:
             return
-        for link in self._view.chain[:-1]:
-            self._outbox.send(
-                link.member.address, CommitNotification(self._view.number, self._register.committed_sequence)
-            )
+        view = self._position.view
+        notification = CommitNotification(view.number, self._register.committed_sequence)
+        for link in view.chain[:-1]:
+            self._outbox.send(link.member.address, notification)
 
-    def _compare_with_others(self, sequence: int) -> None:
-        """What is committed, or held by the successor, has been synced here: if it is gone, the copy is lost.
+    def _detect_lost_state(self, sequence: int) -> None:
+        """What is committed, or held by the successor, has been synced here: if it is gone, the disk lost it.
 
-        This member then counts as one with a bad disk, is left out and takes a whole copy from another one.
+        This member then counts as one with a failed disk: a repair leaves it out, and it installs a snapshot
+        of another member. Otherwise it would acknowledge new entries without those before them.
         """
         if sequence <= self._register.sequence:
             return
         self._outbox.synced_state_lost = True
         self._outbox.log(
             logging.ERROR,
-            "synced state is gone",
+            "synced entries lost",
             code=int(ErrorCode.STORAGE_CORRUPT),
             held=self._register.sequence,
             known=sequence,
         )
 
-    # ---- helpers ----
-
     def _of_this_view(self, number: int) -> bool:
-        return self._view is not None and self._view.number == number and self.in_chain
-
-    def _own_link(self) -> ChainLink | None:
-        if self._view is None or self._position is None:
-            return None
-        return self._view.chain[self._position]
-
-    def _link_after(self) -> ChainLink | None:
-        if self._view is None or self._position is None or self.is_tail:
-            return None
-        return self._view.chain[self._position + 1]
-
-    def _predecessor(self) -> Member | None:
-        if self._view is None or not self._position:
-            return None
-        return self._view.chain[self._position - 1].member
-
-    def _tell_state(self) -> None:
-        self._state_told_at = self._outbox.now
-        link = self._own_link()
-        predecessor = self._predecessor()
-        if link is None or predecessor is None or self._view is None:
-            return
-        self._check_synced()
-        state = SuccessorStatus(
-            self._view.number, self._own.folder_id, link.joined, self.complete, self._register.sequence
-        )
-        self._outbox.send(predecessor.address, state)
-
-
-def _size(message: AppendRequest | InstallSnapshot) -> int:
-    document = len(message.entry.document) if message.entry else 0
-    return document + (len(message.history) if isinstance(message, InstallSnapshot) else 0)
+        return self._position is not None and self._position.view.number == number
--- a/reedspoke/control_plane/replication/change_decision.py
+++ b/reedspoke/control_plane/replication/change_decision.py
@@ -16,11 +16,11 @@
     """What a settled register says to a change."""
 
     ACKNOWLEDGE = "it has been accepted"
-    FORGOTTEN = "it may have been accepted before the history begins"
+    HISTORY_EXPIRED = "it may have been accepted before the history begins"
     STALE_MATCH = "the configuration that it builds on has been replaced"
     OLD_GENERATION = "its generation is not above the one that it builds on"
-    HOLD = "the configuration that it builds on is not there yet"
-    TAKE = "it is next"
+    WAIT = "the configuration that it builds on is not there yet"
+    ACCEPT = "it is next"
 
 
 def decide_change(request: PutRequest, change: ChangeId, register: ConfigurationRegister) -> ChangeDecision:
@@ -28,9 +28,9 @@
     if register.has_accepted(change):
         return ChangeDecision.ACKNOWLEDGE
     if register.may_have_evicted(change):
-        return ChangeDecision.FORGOTTEN
+        return ChangeDecision.HISTORY_EXPIRED
     if request.match < register.generation:
         return ChangeDecision.STALE_MATCH
     if request.generation <= request.match:
         return ChangeDecision.OLD_GENERATION
-    return ChangeDecision.HOLD if request.match > register.generation else ChangeDecision.TAKE
+    return ChangeDecision.WAIT if request.match > register.generation else ChangeDecision.ACCEPT
--- a/reedspoke/control_plane/replication/configuration_register.py
+++ b/reedspoke/control_plane/replication/configuration_register.py
@@ -51,7 +51,7 @@
         return self.committed.sequence if self.committed else 0
 
     @property
-    def settled(self) -> bool:
+    def nothing_in_flight(self) -> bool:
         """Whether nothing is in flight."""
         in_flight = self.pending_entry is not None or self.installing_snapshot
         return not in_flight and self.committed_sequence == self.sequence
--- a/reedspoke/control_plane/replication/failure_detector.py
+++ b/reedspoke/control_plane/replication/failure_detector.py
@@ -19,7 +19,7 @@
 class PeerStatus(Struct):
     """The newest ping of a replica, and since when it has been heard without a gap."""
 
-    ping: Heartbeat
+    heartbeat: Heartbeat
     heard_at: float
     heard_since: float
 
@@ -32,33 +32,37 @@
         self._peers: dict[str, PeerStatus] = {}
         self._grace_from = now  # nobody is judged by silence from before this
 
-    def heard_ping(self, ping: Heartbeat, now: float) -> None:
+    def record_heartbeat(self, heartbeat: Heartbeat, now: float) -> None:
         """A ping has come. A folder at the address of an older folder replaces it."""
-        folder_id = ping.member.folder_id
-        self._forget_other_folders(ping.member)
+        folder_id = heartbeat.member.folder_id
+        self._forget_other_folders(heartbeat.member)
         known = self._peers.get(folder_id)
         since = known.heard_since if known and now - known.heard_at <= REACHABLE_TIMEOUT_S else now
-        self._peers[folder_id] = PeerStatus(ping, now, since)
+        self._peers[folder_id] = PeerStatus(heartbeat, now, since)
 
-    def woken(self, now: float) -> None:
+    def process_resumed(self, now: float) -> None:
         """This process was stopped: silence until now says nothing of the others."""
         self._grace_from = now
 
     def members(self, now: float) -> list[Member]:
         """All replicas heard lately, with or without a place in the view."""
-        return [peer.ping.member for peer in self._peers.values() if now - peer.heard_at <= DEAD_TIMEOUT_S]
+        return [
+            peer.heartbeat.member for peer in self._peers.values() if now - peer.heard_at <= DEAD_TIMEOUT_S
+        ]
 
     def latest(self, folder_id: str) -> Heartbeat | None:
         """The newest ping of this replica."""
         peer = self._peers.get(folder_id)
-        return peer.ping if peer else None
+        return peer.heartbeat if peer else None
 
     def heard_for(self, address: str, now: float) -> float:
         """How long the replica at this address has been heard without a gap."""
-        since = [peer.heard_since for peer in self._peers.values() if peer.ping.member.address == address]
+        since = [
+            peer.heard_since for peer in self._peers.values() if peer.heartbeat.member.address == address
+        ]
         return max((now - each for each in since), default=0.0)
 
-    def silent(self, folder_id: str, now: float, limit: float) -> bool:
+    def is_timed_out(self, folder_id: str, now: float, limit: float) -> bool:
         """Whether this replica has not been heard for `limit`, as far as that can be judged."""
         peer = self._peers.get(folder_id)
         heard_at = max(peer.heard_at if peer else self._grace_from, self._grace_from)
@@ -66,64 +70,73 @@
 
     def heard(self, members: Iterable[Member], now: float) -> tuple[str, ...]:
         """The replicas that this one hears; of `members` those are included that can't be judged yet."""
-        judged = {folder for folder, peer in self._peers.items() if self._lately(peer, now)}
+        judged = {folder for folder, peer in self._peers.items() if self._heard_lately(peer, now)}
         if now - self._grace_from <= REACHABLE_TIMEOUT_S:
-            judged.update(member.folder_id for member in members if self._unjudged(member))
+            judged.update(member.folder_id for member in members if self._is_unjudged(member))
         judged.discard(self._own.folder_id)
         return tuple(sorted(judged))
 
-    def mutual(self, folder_id: str, now: float) -> bool:
+    def mutually_reachable(self, folder_id: str, now: float) -> bool:
         """Whether this replica and I hear each other."""
         if folder_id == self._own.folder_id:
             return True
         peer = self._peers.get(folder_id)
         if peer is None or now - peer.heard_at > REACHABLE_TIMEOUT_S:
             return False
-        return self._own.folder_id in peer.ping.heard
+        return self._own.folder_id in peer.heartbeat.heard
+
+    def are_connected(self, one: str, other: str) -> bool:
+        """Whether two replicas hear each other, by their newest heartbeats.
 
-    def connected(self, one: str, other: str) -> bool:
-        """Whether two replicas hear each other, by their newest pings; `mutual` judges my own links."""
+        `mutually_reachable` judges this replica's own links.
+        """
         return other in self._heard_by(one) and one in self._heard_by(other)
 
-    def steady(self, folder_id: str, now: float) -> bool:
+    def is_steady(self, folder_id: str, now: float) -> bool:
         """Whether this replica has been in reach for long enough to be appended."""
         peer = self._peers.get(folder_id)
-        return peer is not None and self.mutual(folder_id, now) and now - peer.heard_since >= JOIN_AFTER_S
+        return (
+            peer is not None
+            and self.mutually_reachable(folder_id, now)
+            and now - peer.heard_since >= JOIN_AFTER_S
+        )
 
-    def established(self, folder_id: str, now: float) -> bool:
+    def is_established(self, folder_id: str, now: float) -> bool:
         """Whether this replica has been in reach for so long that it will hardly be replaced soon."""
         peer = self._peers.get(folder_id)
         return (
-            peer is not None and self.mutual(folder_id, now) and now - peer.heard_since >= ESTABLISHED_AFTER_S
+            peer is not None
+            and self.mutually_reachable(folder_id, now)
+            and now - peer.heard_since >= ESTABLISHED_AFTER_S
         )
 
-    def gone(self, folder_id: str, now: float) -> bool:
+    def is_lost(self, folder_id: str, now: float) -> bool:
         """Whether I have not heard this replica for GONE_S, nor has any other that has run for as long."""
-        if folder_id == self._own.folder_id or not self.silent(folder_id, now, DEAD_TIMEOUT_S):
+        if folder_id == self._own.folder_id or not self.is_timed_out(folder_id, now, DEAD_TIMEOUT_S):
             return False
         witnesses = [
-            peer.ping
+            peer.heartbeat
             for peer in self._peers.values()
             if now - peer.heard_at <= REACHABLE_TIMEOUT_S and now - peer.heard_since > DEAD_TIMEOUT_S
         ]
-        return not any(folder_id in ping.heard for ping in witnesses)
+        return not any(folder_id in heartbeat.heard for heartbeat in witnesses)
 
     def _heard_by(self, folder_id: str) -> tuple[str, ...]:
         peer = self._peers.get(folder_id)
-        return peer.ping.heard if peer else ()
+        return peer.heartbeat.heard if peer else ()
 
-    def _lately(self, peer: PeerStatus, now: float) -> bool:
+    def _heard_lately(self, peer: PeerStatus, now: float) -> bool:
         return now - max(peer.heard_at, self._grace_from) <= REACHABLE_TIMEOUT_S
 
-    def _unjudged(self, member: Member) -> bool:
+    def _is_unjudged(self, member: Member) -> bool:
         """Whether nothing has been heard from this member's address so far."""
-        return all(peer.ping.member.address != member.address for peer in self._peers.values())
+        return all(peer.heartbeat.member.address != member.address for peer in self._peers.values())
 
     def _forget_other_folders(self, member: Member) -> None:
         replaced = [
             folder_id
             for folder_id, peer in self._peers.items()
-            if peer.ping.member.address == member.address and folder_id != member.folder_id
+            if peer.heartbeat.member.address == member.address and folder_id != member.folder_id
         ]
         for folder_id in replaced:
             del self._peers[folder_id]
--- /dev/null
+++ b/reedspoke/control_plane/replication/first_start.py
@@ -0,0 +1,75 @@
+"""The part of a replica in the first start of the whole system, and the seeds that the settings name.
+
+The first view has no view before it whose voters could decide it: the seeds do. A folder takes part only
+where its log says so, and the log says so only where the folder was made at the first start. So a seed whose
+disk is lost later comes back without a vote on the first view, and can't decide a second one beside it.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from msgspec import Struct
+
+from reedspoke.common.errors import ErrorCode
+from reedspoke.control_plane.replication.outbox import Outbox
+from reedspoke.control_plane.replication.settings import ReplicaSettings
+from reedspoke.control_plane.storage.records import BootstrapRecord, RestoredState
+from reedspoke.control_plane.views.agreement import ViewAgreement
+
+
+class FirstStart:
+    """Owns the seeds: those in the log (`stored_seeds`), and those of the settings (`configured_seeds`).
+
+    `on_stored` is called once the log says that this folder has a part in the first start.
+    """
+
+    def __init__(
+        self,
+        settings: ReplicaSettings,
+        outbox: Outbox,
+        agreement: ViewAgreement,
+        restored: RestoredState,
+        on_stored: Callable[[], None],
+    ) -> None:
+        self._settings = settings
+        self._outbox = outbox
+        self._agreement = agreement
+        self._on_stored = on_stored
+        self._store_ended = False
+        self.configured_seeds = settings.seeds
+        self.stored_seeds = restored.seeds
+
+    @property
+    def has_part(self) -> bool:
+        """Whether the log says that this folder was made at the first start."""
+        return bool(self.stored_seeds)
+
+    def records(self) -> list[Struct]:
+        """What the log has to hold."""
+        return [BootstrapRecord(self.stored_seeds)] if self.has_part else []
+
+    def begin(self) -> None:
+        """Take part where the settings say that this is the first start, and this replica is a seed."""
+        if not self._settings.bootstrap or self.has_part:
+            return
+        if self._settings.address in self.configured_seeds:
+            self._store(self.configured_seeds)
+
+    def retry(self) -> None:
+        """Begin again where the disk refused at first."""
+        if self._store_ended and not self._outbox.disk_failed:
+            self.begin()
+
+    def _store(self, seeds: tuple[str, ...]) -> None:
+        """Vote on the first view only once it is on disk that this folder does."""
+        self._store_ended = False
+
+        def on_end(error: ErrorCode | None) -> None:
+            self._store_ended = True
+            if error is None:
+                self.stored_seeds = seeds
+                self._agreement.set_first_acceptors(seeds)
+                self._on_stored()
+
+        self._outbox.store([BootstrapRecord(seeds)], on_end)
--- a/reedspoke/control_plane/replication/get_forwarding.py
+++ b/reedspoke/control_plane/replication/get_forwarding.py
@@ -17,11 +17,11 @@
 
 
 class PendingGetRequest(PendingRequest):
-    """A read without answer; `held` is what this replica knew to be committed when it asked."""
+    """A read without answer; `known` is what this replica knew to be committed when it asked."""
 
     get: GetSubmitted
-    held: CommittedConfiguration | None = None
-    ask_again_at: float = float("-inf")
+    known: CommittedConfiguration | None = None
+    retry_at: float = float("-inf")
 
 
 class GetForwarder(RequestForwarder[PendingGetRequest]):
@@ -33,46 +33,46 @@
         super().__init__(name, outbox, answer_limit_s)
         self._register = register
 
-    def get(self, get: GetSubmitted, view: View | None, contact: ContactState) -> None:
+    def submit(self, get: GetSubmitted, view: View | None, contact: ContactState) -> None:
         """An operator's read."""
-        self._begin(PendingGetRequest(get, came_at=self._outbox.now), view, contact)
+        self._begin(PendingGetRequest(get, submitted_at=self._outbox.now), view, contact)
 
-    def reply(self, reply: GetReply) -> None:
+    def receive_reply(self, reply: GetReply) -> None:
         """The tail's answer."""
-        outstanding = self._outstanding.get(reply.request)
-        if outstanding is None:
+        pending = self._pending.get(reply.request)
+        if pending is None:
             return
         if not reply.ready:
-            outstanding.ask_again_at = min(outstanding.ask_again_at, self._outbox.now + GET_RETRY_INTERVAL_S)
+            pending.retry_at = min(pending.retry_at, self._outbox.now + GET_RETRY_INTERVAL_S)
             return
-        del self._outstanding[reply.request]
-        self._outbox.emit(_answer(outstanding, reply))
+        del self._pending[reply.request]
+        self._outbox.emit(_answer(pending, reply))
 
     def _is_due(self, call: PendingGetRequest) -> bool:
-        return self._outbox.now >= call.ask_again_at
+        return self._outbox.now >= call.retry_at
 
     def _send(self, request: str, call: PendingGetRequest, view: View) -> None:
-        call.ask_again_at = self._outbox.now + RESEND_INTERVAL_S
-        call.held = self._register.committed
-        have = call.held.sequence if call.held else 0
+        call.retry_at = self._outbox.now + RESEND_INTERVAL_S
+        call.known = self._register.committed
+        have = call.known.sequence if call.known else 0
         self._outbox.send(tail_member(view).address, GetRequest(view.number, request, have))
 
     def _expire(self, call: PendingGetRequest) -> None:
-        self._refuse(call, "The newest configuration can't be told for certain.")
+        self._fail(call, "The newest configuration can't be told for certain.")
 
-    def _turn_away(self, call: PendingGetRequest) -> None:
-        self._refuse(call, "This machine reaches no majority.")
+    def _reject(self, call: PendingGetRequest) -> None:
+        self._fail(call, "This machine reaches no majority.")
 
-    def _refuse(self, call: PendingGetRequest, message: str) -> None:
+    def _fail(self, call: PendingGetRequest, message: str) -> None:
         self._outbox.emit(GetCompleted(call.get.request_id, None, ErrorCode.NO_QUORUM, message))
 
 
-def _answer(outstanding: PendingGetRequest, reply: GetReply) -> GetCompleted:
-    request_id = outstanding.get.request_id
+def _answer(pending: PendingGetRequest, reply: GetReply) -> GetCompleted:
+    request_id = pending.get.request_id
     if reply.entry is not None:
         return GetCompleted(request_id, committed_configuration(reply.entry))
-    if reply.sequence and outstanding.held is not None and outstanding.held.sequence == reply.sequence:
-        return GetCompleted(request_id, outstanding.held)
+    if reply.sequence and pending.known is not None and pending.known.sequence == reply.sequence:
+        return GetCompleted(request_id, pending.known)
     if reply.sequence == 0:
         return GetCompleted(
             request_id, None, ErrorCode.NO_CONFIGURATION, "No configuration has been taken yet."
--- a/reedspoke/control_plane/replication/head_queue.py
+++ b/reedspoke/control_plane/replication/head_queue.py
@@ -46,16 +46,16 @@
         self._chain = chain
         self._register = register
         self._limit = answer_limit_s * PENDING_TIME_FRACTION
-        self._waiting: list[PendingPut] = []
+        self._pending: list[PendingPut] = []
         self._replies: dict[str, PutReply] = {}
         self._view = 0
-        self.refusals = RejectionConfirmer(name, outbox)
+        self.rejections = RejectionConfirmer(name, outbox)
 
-    def enter(self, view: View) -> None:
+    def enter_view(self, view: View) -> None:
         """A newer view: the askers send again what is still undecided."""
         self._view = view.number
-        self.refusals.enter(view.number, tail_member(view))
-        self._waiting.clear()
+        self.rejections.enter_view(view.number, tail_member(view))
+        self._pending.clear()
         self._replies.clear()
 
     def receive(self, sender: str, request: PutRequest, majority_reached: bool) -> None:
@@ -65,110 +65,110 @@
         if request.request in self._replies:
             self._outbox.send(sender, self._replies[request.request])
             return
-        if self._is_waiting(request.request):
+        if self._is_pending(request.request):
             return
-        waiting = self._waiting_put(sender, request)
+        pending = self._pending_put(sender, request)
         if not majority_reached:
-            self._expire(waiting)
+            self._expire(pending)
             return
         if self._is_full(request):
-            self._reply(waiting, ErrorCode.WRITE_UNCLEAR, "Too many changes wait.")
+            self._reply(pending, ErrorCode.WRITE_UNCLEAR, "Too many changes wait.")
             return
-        self._waiting.append(waiting)
+        self._pending.append(pending)
         self.advance()
 
     def tick(self) -> None:
         """Give up on what has waited too long."""
-        while self._waiting and self._waiting[0].deadline <= self._outbox.now:
-            self._expire(self._waiting.pop(0))
-        self.refusals.tick()
+        while self._pending and self._pending[0].deadline <= self._outbox.now:
+            self._expire(self._pending.pop(0))
+        self.rejections.tick()
         self.advance()
 
     def advance(self) -> None:
         """Decide as many as possible."""
-        if not self._waiting or not self._may_decide():
+        if not self._pending or not self._may_decide():
             return
-        verdicts = [(waiting, self._verdict(waiting)) for waiting in self._waiting]
-        for waiting, verdict in verdicts:
-            if verdict not in (ChangeDecision.TAKE, ChangeDecision.HOLD):
-                self._waiting.remove(waiting)
-                self._answer(waiting, verdict)
-        following = [waiting for waiting, verdict in verdicts if verdict is ChangeDecision.TAKE]
+        decisions = [(pending, self._decide(pending)) for pending in self._pending]
+        for pending, decision in decisions:
+            if decision not in (ChangeDecision.ACCEPT, ChangeDecision.WAIT):
+                self._pending.remove(pending)
+                self._answer(pending, decision)
+        following = [pending for pending, decision in decisions if decision is ChangeDecision.ACCEPT]
         if following:
-            self._take(following[0])
+            self._accept(following[0])
 
     def _may_decide(self) -> bool:
         chain = self._chain
-        return chain.is_head and chain.complete and chain.long_enough and self._register.settled
+        return chain.is_head and chain.complete and chain.long_enough and self._register.nothing_in_flight
 
-    def _verdict(self, waiting: PendingPut) -> ChangeDecision:
-        return decide_change(waiting.request, waiting.change, self._register)
+    def _decide(self, pending: PendingPut) -> ChangeDecision:
+        return decide_change(pending.request, pending.change, self._register)
 
-    def _answer(self, waiting: PendingPut, verdict: ChangeDecision) -> None:
-        request = waiting.request
-        match verdict:
+    def _answer(self, pending: PendingPut, decision: ChangeDecision) -> None:
+        request = pending.request
+        match decision:
             case ChangeDecision.ACKNOWLEDGE:
-                self._reply(waiting, None)
-            case ChangeDecision.FORGOTTEN:
+                self._reply(pending, None)
+            case ChangeDecision.HISTORY_EXPIRED:
                 message = "The change is older than the history of accepted changes."
-                self._reply(waiting, ErrorCode.WRITE_UNCLEAR, message)
+                self._reply(pending, ErrorCode.WRITE_UNCLEAR, message)
             case ChangeDecision.STALE_MATCH:
                 message = f"The newest generation is {self._register.generation}, not {request.match}."
-                self._refuse(waiting, ErrorCode.CONFIGURATION_STALE_MATCH, message)
+                self._reject(pending, ErrorCode.CONFIGURATION_STALE_MATCH, message)
             case ChangeDecision.OLD_GENERATION:
                 message = f"The generation must be above {request.match}."
-                self._refuse(waiting, ErrorCode.CONFIGURATION_OLD_GENERATION, message)
+                self._reject(pending, ErrorCode.CONFIGURATION_OLD_GENERATION, message)
 
-    def _take(self, waiting: PendingPut) -> None:
+    def _accept(self, pending: PendingPut) -> None:
         if not self._outbox.disk_ok:
             return
 
         def on_stored(stored: bool) -> None:
-            if not stored and waiting in self._waiting:
-                self._waiting.remove(waiting)
-                self._reply(waiting, ErrorCode.WRITE_UNCLEAR, "The disk failed during the write.")
+            if not stored and pending in self._pending:
+                self._pending.remove(pending)
+                self._reply(pending, ErrorCode.WRITE_UNCLEAR, "The disk failed during the write.")
 
-        self._chain.append(waiting.request.generation, waiting.request.document, on_stored)
+        self._chain.append(pending.request.generation, pending.request.document, on_stored)
 
-    def _refuse(self, waiting: PendingPut, error: ErrorCode, message: str) -> None:
+    def _reject(self, pending: PendingPut, error: ErrorCode, message: str) -> None:
         def on_end(confirmed: bool) -> None:
             if confirmed:
-                self._reply(waiting, error, message)
+                self._reply(pending, error, message)
             else:
-                self._expire(waiting)
+                self._expire(pending)
 
-        self.refusals.add(waiting.request.request, waiting.deadline, on_end)
+        self.rejections.add(pending.request.request, pending.deadline, on_end)
 
     def _is_full(self, request: PutRequest) -> bool:
         """Whether the documents that wait would take too much memory with this one; one alone never does."""
-        waiting = sum(len(other.request.document) for other in self._waiting)
-        return waiting > 0 and waiting + len(request.document) > MAX_PENDING_BYTES
+        pending = sum(len(other.request.document) for other in self._pending)
+        return pending > 0 and pending + len(request.document) > MAX_PENDING_BYTES
 
-    def _is_waiting(self, request: str) -> bool:
-        queued = any(waiting.request.request == request for waiting in self._waiting)
-        return queued or self.refusals.has(request)
+    def _is_pending(self, request: str) -> bool:
+        queued = any(pending.request.request == request for pending in self._pending)
+        return queued or self.rejections.is_pending(request)
 
-    def _expire(self, waiting: PendingPut) -> None:
+    def _expire(self, pending: PendingPut) -> None:
         """Give no clear answer: this head, started anew, may still take a copy that is on its way."""
-        self._reply(waiting, ErrorCode.WRITE_UNCLEAR, self._why_unclear(waiting))
+        self._reply(pending, ErrorCode.WRITE_UNCLEAR, self._why_unclear(pending))
 
-    def _why_unclear(self, waiting: PendingPut) -> str:
+    def _why_unclear(self, pending: PendingPut) -> str:
         pending_entry = self._register.pending_entry
-        stored = pending_entry is not None and change_id_of(pending_entry) == waiting.change
-        if stored or self._register.has_accepted(waiting.change):
+        stored = pending_entry is not None and change_id_of(pending_entry) == pending.change
+        if stored or self._register.has_accepted(pending.change):
             return "The write is under way, its end is not known yet."
-        if waiting.request.match > self._register.generation:
-            return f"Generation {waiting.request.match}, which the change builds on, is not in force yet."
+        if pending.request.match > self._register.generation:
+            return f"Generation {pending.request.match}, which the change builds on, is not in force yet."
         return "Too few machines are in reach to take a change."
 
-    def _reply(self, waiting: PendingPut, error: ErrorCode | None, message: str = "") -> None:
-        request = waiting.request
+    def _reply(self, pending: PendingPut, error: ErrorCode | None, message: str = "") -> None:
+        request = pending.request
         reply = PutReply(request.view, request.request, int(error or 0), message)
         self._replies[request.request] = reply
         if len(self._replies) > MAX_CACHED_REPLIES:
             del self._replies[next(iter(self._replies))]
-        self._outbox.send(waiting.reply_to, reply)
+        self._outbox.send(pending.reply_to, reply)
 
-    def _waiting_put(self, sender: str, request: PutRequest) -> PendingPut:
+    def _pending_put(self, sender: str, request: PutRequest) -> PendingPut:
         entry = Entry(0, 0, request.generation, request.document)
         return PendingPut(request, sender, change_id_of(entry), self._outbox.now + self._limit)
--- /dev/null
+++ b/reedspoke/control_plane/replication/heartbeats.py
@@ -0,0 +1,116 @@
+"""Heartbeats: what this replica says of itself to all others, and what follows from theirs.
+
+A heartbeat is sent every `HEARTBEAT_INTERVAL_S`, and at once where the sender's condition or view changes. It
+feeds the failure detector, requests the grants of the voters (`grants`), and carries the committed sequence
+and the number of the view, so that a replica that has missed either catches up.
+"""
+
+from __future__ import annotations
+
+from msgspec import structs
+
+from reedspoke.control_plane.replication.chain import Chain
+from reedspoke.control_plane.replication.configuration_register import ConfigurationRegister
+from reedspoke.control_plane.replication.failure_detector import FailureDetector
+from reedspoke.control_plane.replication.first_start import FirstStart
+from reedspoke.control_plane.replication.grants import ReceivedGrants, VoterGrants
+from reedspoke.control_plane.replication.messages import Heartbeat
+from reedspoke.control_plane.replication.outbox import Outbox
+from reedspoke.control_plane.replication.settings import HEARTBEAT_INTERVAL_S, ReplicaSettings
+from reedspoke.control_plane.replication.view import Member, View
+from reedspoke.control_plane.views.agreement import ViewAgreement
+
+
+class Heartbeats:
+    """Owns when the last heartbeat was sent and to whom they go; `draining`: this process is about to end."""
+
+    def __init__(
+        self,
+        settings: ReplicaSettings,
+        outbox: Outbox,
+        failure_detector: FailureDetector,
+        register: ConfigurationRegister,
+        chain: Chain,
+        agreement: ViewAgreement,
+        first_start: FirstStart,
+        voter_grants: VoterGrants,
+        received_grants: ReceivedGrants,
+    ) -> None:
+        self._settings = settings
+        self._outbox = outbox
+        self._failure_detector = failure_detector
+        self._register = register
+        self._chain = chain
+        self._agreement = agreement
+        self._first_start = first_start
+        self._voter_grants = voter_grants
+        self._received_grants = received_grants
+        self.draining = False
+        self._view_members: frozenset[Member] = frozenset()
+        self._last_sent = float("-inf")
+        self._last_condition = (True, False)  # disk works, copy of the chain's state is complete
+
+    def own(self) -> Heartbeat:
+        """This replica's heartbeat at this instant."""
+        view = self._agreement.view
+        return Heartbeat(
+            member=self._settings.member,
+            view=view.number if view else 0,
+            heard=self._failure_detector.heard(self._view_members, self._outbox.now),
+            disk_ok=self._outbox.disk_ok,
+            # While a snapshot is being stored the log still holds the former state: it must not count as
+            # complete, or a repair could build on a copy that a crash takes back.
+            synced_since=0 if self._register.installing_snapshot else self._register.synced_since,
+            committed=self._register.committed_sequence,
+            draining=self.draining,
+            bootstrap=self._first_start.has_part,
+            undecided=self._agreement.has_undecided_view,
+            sent_at=self._outbox.now,
+            starts_new=view is None and self._settings.bootstrap and not self._first_start.has_part,
+        )
+
+    def tick(self) -> None:
+        """Send a heartbeat where one is due, or the condition that it tells has changed."""
+        due = self._outbox.now - self._last_sent >= HEARTBEAT_INTERVAL_S
+        if due or self._condition() != self._last_condition:
+            self.broadcast()
+
+    def enter_view(self, view: View) -> None:
+        """Tell everybody of the newer view."""
+        self._view_members = frozenset([*view.voters, *(link.member for link in view.chain)])
+        self.broadcast()
+
+    def broadcast(self) -> None:
+        """Send a heartbeat to every known replica, and count the own vote."""
+        self._last_sent = self._outbox.now
+        self._last_condition = self._condition()
+        heartbeat = self.own()
+        if self._received_grants.may_request_read_lease():
+            heartbeat = structs.replace(heartbeat, lease_requested_at=self._outbox.now)
+            self._voter_grants.grant_read_lease(heartbeat)
+        self._voter_grants.confirm_view(heartbeat)
+        for address in sorted(self._addresses()):
+            self._outbox.send(address, heartbeat)
+
+    def receive(self, sender: str, heartbeat: Heartbeat) -> None:
+        """A heartbeat of another replica."""
+        self._failure_detector.record_heartbeat(heartbeat, self._outbox.now)
+        self._voter_grants.grant_read_lease(heartbeat)
+        self._voter_grants.confirm_view(heartbeat)
+        if self._received_grants.should_request_confirmation(heartbeat):
+            self._outbox.send(heartbeat.member.address, self.own())
+        if heartbeat.view < self._agreement.learned_number:
+            self._agreement.send_newest_view(sender)
+        elif heartbeat.view > self._agreement.learned_number:
+            self._outbox.send(sender, self.own())
+        self._chain.committed_up_to(heartbeat.view, heartbeat.committed)
+
+    def _condition(self) -> tuple[bool, bool]:
+        return (self._outbox.disk_ok, self._chain.complete)
+
+    def _addresses(self) -> set[str]:
+        """All members of the view, all replicas heard lately, and the seeds; without this replica."""
+        addresses = {member.address for member in self._view_members}
+        addresses.update(member.address for member in self._failure_detector.members(self._outbox.now))
+        addresses.update(self._first_start.configured_seeds)
+        return addresses - {self._settings.address}
--- a/reedspoke/control_plane/replication/invariants.py
+++ b/reedspoke/control_plane/replication/invariants.py
@@ -15,7 +15,7 @@
         self._committed_sequence = 0
         self._compared: Entry | None = None
 
-    def handled(
+    def check_after_event(
         self, view: View | None, committed: CommittedConfiguration | None, entry: Entry | None
     ) -> None:
         """The replica now acts in this view, knows this to be committed, and has synced this entry."""
--- /dev/null
+++ b/reedspoke/control_plane/replication/membership_observer.py
@@ -0,0 +1,132 @@
+"""What a replica sees of the others when it judges a view: who is in reach, and in what condition.
+
+It joins the failure detector's knowledge with this replica's own heartbeat, so that the choice of a view
+needs no special case for the replica that chooses.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from reedspoke.control_plane.replication.failure_detector import FailureDetector
+from reedspoke.control_plane.replication.messages import Heartbeat
+from reedspoke.control_plane.replication.outbox import Outbox
+from reedspoke.control_plane.replication.settings import ESTABLISHED_AFTER_S, ReplicaSettings
+from reedspoke.control_plane.replication.view import View
+from reedspoke.control_plane.views.first_view import FIRST_VIEW_NUMBER
+from reedspoke.control_plane.views.next_view import MemberCondition, MembershipSnapshot
+from reedspoke.control_plane.views.quorum import majority_size
+
+OwnHeartbeat = Callable[[], Heartbeat]
+
+
+class MembershipObserver:
+    """A view of the failure detector's state; it has none but the time of its start."""
+
+    def __init__(
+        self,
+        settings: ReplicaSettings,
+        outbox: Outbox,
+        failure_detector: FailureDetector,
+        own_heartbeat: OwnHeartbeat,
+    ) -> None:
+        self._settings = settings
+        self._own = settings.member
+        self._outbox = outbox
+        self._failure_detector = failure_detector
+        self._own_heartbeat = own_heartbeat
+        self._started = outbox.now
+
+    def reachable(self, folder_id: str) -> bool:
+        """Whether this replica and that one hear each other."""
+        return self._failure_detector.mutually_reachable(folder_id, self._outbox.now)
+
+    def reaches_majority_of(self, view: View) -> bool:
+        """Whether this replica and a majority of the view's voters hear each other."""
+        reached = sum(self.reachable(voter.folder_id) for voter in view.voters)
+        return reached >= majority_size(len(view.voters))
+
+    def has_staying_peer(self) -> bool:
+        """Whether a replica in reach is not about to shut down."""
+        members = self._failure_detector.members(self._outbox.now)
+        reached = [member for member in members if self.reachable(member.folder_id)]
+        return any(not self.is_draining(member.folder_id) for member in reached)
+
+    def is_draining(self, folder_id: str) -> bool:
+        """Whether this replica has said that its process is about to end."""
+        heartbeat = self._heartbeat_of(folder_id)
+        return heartbeat is not None and heartbeat.draining
+
+    def heard_for_s(self, address: str) -> float:
+        """How long the replica at this address has been heard without a gap, in seconds."""
+        return self._failure_detector.heard_for(address, self._outbox.now)
+
+    def heartbeats_for_first_view(self, seeds: tuple[str, ...]) -> list[Heartbeat]:
+        """Of this replica, of the seeds that were heard, and of whoever else hears this replica too."""
+        members = [
+            member
+            for member in self._failure_detector.members(self._outbox.now)
+            if member.address in seeds or self.reachable(member.folder_id)
+        ]
+        heartbeats = (self._heartbeat_of(member.folder_id) for member in [self._own, *members])
+        return [heartbeat for heartbeat in heartbeats if heartbeat is not None]
+
+    def sees_undecided_view(self, view: View, folder_ids: list[str]) -> bool:
+        """Whether one of these replicas has accepted a next view that may never have been decided."""
+        heartbeats = (self._failure_detector.latest(folder_id) for folder_id in folder_ids)
+        return any(
+            heartbeat.undecided and heartbeat.view == view.number
+            for heartbeat in heartbeats
+            if heartbeat is not None
+        )
+
+    def snapshot(self, view: View) -> MembershipSnapshot:
+        """What the choice of the view after this one is made from."""
+        now = self._outbox.now
+        return MembershipSnapshot(
+            conditions=self._conditions(view),
+            is_connected=self._is_connected,
+            is_lost=lambda folder_id: self._failure_detector.is_lost(folder_id, now),
+            is_draining=self.is_draining,
+            chain_minimum=self._settings.chain_minimum,
+            voters_target=self._settings.voters_target,
+        )
+
+    def _conditions(self, view: View) -> dict[str, MemberCondition]:
+        now = self._outbox.now
+        detector = self._failure_detector
+        joined = {link.member.folder_id: link.joined for link in view.chain}
+        established = now - self._started >= ESTABLISHED_AFTER_S
+        conditions = {self._own.folder_id: _condition(self._own_heartbeat(), joined, True, established)}
+        for member in detector.members(now):
+            folder_id = member.folder_id
+            heartbeat = detector.latest(folder_id)
+            if heartbeat is not None and self.reachable(folder_id):
+                steady = heartbeat.view == view.number and detector.is_steady(folder_id, now)
+                established = detector.is_established(folder_id, now)
+                conditions[folder_id] = _condition(heartbeat, joined, steady, established)
+        return conditions
+
+    def _is_connected(self, one: str, other: str) -> bool:
+        own = self._own.folder_id
+        if own in (one, other):
+            return self.reachable(other if one == own else one)
+        return self._failure_detector.are_connected(one, other)
+
+    def _heartbeat_of(self, folder_id: str) -> Heartbeat | None:
+        if folder_id == self._own.folder_id:
+            return self._own_heartbeat()
+        return self._failure_detector.latest(folder_id)
+
+
+def _condition(
+    heartbeat: Heartbeat, joined: dict[str, int], steady: bool, established: bool
+) -> MemberCondition:
+    """How a replica stands; `joined` has, for each member of the chain, the view that appended it."""
+    return MemberCondition(
+        member=heartbeat.member,
+        healthy=heartbeat.disk_ok,
+        complete=joined.get(heartbeat.member.folder_id) in (FIRST_VIEW_NUMBER, heartbeat.synced_since),
+        steady=steady,
+        established=established,
+    )
--- a/reedspoke/control_plane/replication/messages.py
+++ b/reedspoke/control_plane/replication/messages.py
@@ -17,9 +17,10 @@
 
 
 class Heartbeat(Struct, tag="ping", array_like=True, frozen=True):
-    """Sign of life, sent to every known replica; `lease_sent` is set by a tail that asks for a read lease.
+    """The sender is alive, in this condition; sent to every known replica.
 
-    Each ping asks for a `ViewConfirmation`; `sent` is its time on the sender's steady clock.
+    Each heartbeat requests a `ViewConfirmation`; `sent_at` is its time on the sender's steady clock. One of a
+    tail that requests a read lease has `lease_requested_at` set, a time of the same clock.
 
     `synced_since` is the view since whose appending the sender holds what its predecessor held; `undecided`
     is set where it has accepted a next view that it does not know to be decided. `bootstrap` is set by a seed
@@ -32,16 +33,16 @@
     disk_ok: bool
     synced_since: int
     committed: int
-    leaving: bool = False
+    draining: bool = False
     bootstrap: bool = False
     undecided: bool = False
-    lease_sent: float | None = None
-    sent: float = 0.0
+    lease_requested_at: float | None = None
+    sent_at: float = 0.0
     starts_new: bool = False
 
 
 class ViewConfirmation(Struct, tag="contact_grant", array_like=True, frozen=True):
-    """A voter acts in this view and had accepted no next one when the ping sent at `requested_at` came."""
+    """A voter acts in this view and had accepted no next one when the heartbeat of `requested_at` came."""
 
     folder_id: str
     view_number: int
--- a/reedspoke/control_plane/replication/outbox.py
+++ b/reedspoke/control_plane/replication/outbox.py
@@ -101,16 +101,16 @@
         """
         self._store(self.snapshot_records(), on_end, newest, replace=True)
 
-    def stored(self, event: StoreCompleted) -> None:
+    def store_completed(self, event: StoreCompleted) -> None:
         """A store has ended."""
         pending = self._pending.pop(event.token, None)
         if pending is None:
             return
         if event.error is None:
             self.synced_sequence = max(self.synced_sequence, pending.newest)
-            self._count(pending)
+            self._count_bytes(pending)
         else:
-            self._fail(event.error)
+            self._record_failure(event.error)
         pending.on_end(event.error)
         self._rewrite_when_long()
 
@@ -119,7 +119,7 @@
         if not self.disk_failed or self._pending or self.now < self._probe_after:
             return
         self._probe_after = self.now + DISK_PROBE_S
-        self.store([ProbeRecord()], self._probed)
+        self.store([ProbeRecord()], self._probe_ended)
 
     def _store(self, records: tuple[bytes, ...], on_end: StoreEnd, newest: int, replace: bool) -> None:
         token = self._next_token
@@ -130,23 +130,23 @@
         self._pending[token] = PendingStore(due, size, replace, on_end, newest)
         self._effects.append(StoreRecords(token, records, replace))
 
-    def _count(self, pending: PendingStore) -> None:
+    def _count_bytes(self, pending: PendingStore) -> None:
         if pending.replace:
             self._log_size = self._live_size = pending.size
         else:
             self._log_size += pending.size
 
-    def _fail(self, error: ErrorCode) -> None:
+    def _record_failure(self, error: ErrorCode) -> None:
         if not self.disk_failed:
             self.log(logging.ERROR, "disk refuses a write", code=int(error))
         self.disk_failed = True
         self._probe_after = self.now + DISK_PROBE_S
 
-    def _probed(self, error: ErrorCode | None) -> None:
+    def _probe_ended(self, error: ErrorCode | None) -> None:
         if error is None:
-            self.rewrite(self._rewritten)
+            self.rewrite(self._rewrite_ended)
 
-    def _rewritten(self, error: ErrorCode | None) -> None:
+    def _rewrite_ended(self, error: ErrorCode | None) -> None:
         if error is None:
             self.disk_failed = False
             self.log(logging.INFO, "disk works again")
--- a/reedspoke/control_plane/replication/put_forwarding.py
+++ b/reedspoke/control_plane/replication/put_forwarding.py
@@ -22,18 +22,18 @@
 class PutForwarder(RequestForwarder[PendingPutRequest]):
     """Sends each change to the head of the present view, and again to the next one's."""
 
-    def put(self, put: PutSubmitted, view: View | None, contact: ContactState) -> None:
+    def submit(self, put: PutSubmitted, view: View | None, contact: ContactState) -> None:
         """An operator's change."""
-        self._begin(PendingPutRequest(put, came_at=self._outbox.now), view, contact)
+        self._begin(PendingPutRequest(put, submitted_at=self._outbox.now), view, contact)
 
-    def reply(self, reply: PutReply) -> None:
+    def receive_reply(self, reply: PutReply) -> None:
         """The head's answer. A refusal counts only from the head that was asked last."""
-        outstanding = self._outstanding.get(reply.request)
-        if outstanding is None or (reply.error and reply.view != outstanding.sent_view):
+        pending = self._pending.get(reply.request)
+        if pending is None or (reply.error and reply.view != pending.sent_view):
             return
-        del self._outstanding[reply.request]
+        del self._pending[reply.request]
         error = ErrorCode(reply.error) if reply.error else None
-        self._answer(outstanding.put, error, reply.message)
+        self._answer(pending.put, error, reply.message)
 
     def _is_due(self, call: PendingPutRequest) -> bool:
         wait = RESEND_INTERVAL_S + len(call.put.document) / RESEND_BYTES_PER_S
@@ -48,7 +48,7 @@
     def _expire(self, call: PendingPutRequest) -> None:
         self._answer(call.put, ErrorCode.WRITE_UNCLEAR, "The head has not answered in time.")
 
-    def _turn_away(self, call: PendingPutRequest) -> None:
+    def _reject(self, call: PendingPutRequest) -> None:
         self._answer(call.put, ErrorCode.NO_QUORUM, "This machine reaches no majority.")
 
     def _answer(self, put: PutSubmitted, error: ErrorCode | None, message: str) -> None:
--- a/reedspoke/control_plane/replication/rejection_confirmation.py
+++ b/reedspoke/control_plane/replication/rejection_confirmation.py
@@ -28,7 +28,7 @@
     request: str
     on_end: OnConfirmed
     deadline: float
-    asked_at: float
+    requested_at: float
 
 
 class RejectionConfirmer:
@@ -42,45 +42,45 @@
         self._prefix = f"{KEY_PREFIX}{name}:"
         self._count = 0
         self._outbox = outbox
-        self._waiting: dict[str, PendingRejection] = {}
+        self._pending: dict[str, PendingRejection] = {}
         self._view = 0
         self._tail: Member | None = None
 
-    def enter(self, number: int, tail: Member) -> None:
+    def enter_view(self, number: int, tail: Member) -> None:
         """A newer view: what waited is decided anew by its head."""
         self._view = number
         self._tail = tail
-        self._waiting.clear()
+        self._pending.clear()
 
     def add(self, request: str, deadline: float, on_end: OnConfirmed) -> None:
         """Have a refusal confirmed."""
         self._count += 1
         key = f"{self._prefix}{self._count}"
-        self._waiting[key] = PendingRejection(request, on_end, deadline, self._outbox.now)
-        self._ask(key)
+        self._pending[key] = PendingRejection(request, on_end, deadline, self._outbox.now)
+        self._request_confirmation(key)
 
-    def has(self, request: str) -> bool:
+    def is_pending(self, request: str) -> bool:
         """Whether a refusal of this request waits."""
-        return any(refusal.request == request for refusal in self._waiting.values())
+        return any(rejection.request == request for rejection in self._pending.values())
 
-    def reply(self, reply: GetReply) -> bool:
+    def receive_reply(self, reply: GetReply) -> bool:
         """The tail's answer; false where it belongs to a read."""
         if not reply.request.startswith(KEY_PREFIX):
             return False
-        if reply.ready and reply.view == self._view and reply.request in self._waiting:
-            self._waiting.pop(reply.request).on_end(True)
+        if reply.ready and reply.view == self._view and reply.request in self._pending:
+            self._pending.pop(reply.request).on_end(True)
         return True
 
     def tick(self) -> None:
         """Ask again, or give up."""
-        for key, refusal in list(self._waiting.items()):
-            if self._outbox.now >= refusal.deadline:
-                del self._waiting[key]
-                refusal.on_end(False)
-            elif self._outbox.now - refusal.asked_at >= GET_RETRY_INTERVAL_S:
-                refusal.asked_at = self._outbox.now
-                self._ask(key)
-
-    def _ask(self, key: str) -> None:
+        for key, rejection in list(self._pending.items()):
+            if self._outbox.now >= rejection.deadline:
+                del self._pending[key]
+                rejection.on_end(False)
+            elif self._outbox.now - rejection.requested_at >= GET_RETRY_INTERVAL_S:
+                rejection.requested_at = self._outbox.now
+                self._request_confirmation(key)
+
+    def _request_confirmation(self, key: str) -> None:
         if self._tail is not None:
             self._outbox.send(self._tail.address, GetRequest(self._view, key, have=NO_ENTRY_REQUESTED))
--- a/reedspoke/control_plane/replication/request_forwarding.py
+++ b/reedspoke/control_plane/replication/request_forwarding.py
@@ -15,7 +15,7 @@
 class PendingRequest(Struct, kw_only=True):
     """A call without answer; `sent_view` is the view whose member got it last, 0 before it was sent."""
 
-    came_at: float
+    submitted_at: float
     sent_view: int = 0
 
 
@@ -28,32 +28,32 @@
     def __init__(self, name: str, outbox: Outbox, answer_limit_s: float) -> None:
         self._name = name
         self._outbox = outbox
-        self._limit = answer_limit_s
-        self._outstanding: dict[str, Call] = {}
+        self._limit_s = answer_limit_s
+        self._pending: dict[str, Call] = {}
         self._count = 0
 
     def tick(self, view: View | None, contact: ContactState) -> None:
         """Send again what may have been lost; end what has waited too long."""
-        for request in list(self._outstanding):
+        for request in list(self._pending):
             self._advance(request, view, contact)
 
     def _begin(self, call: Call, view: View | None, contact: ContactState) -> None:
         self._count += 1
         request = f"{self._name}:{self._count}"
-        self._outstanding[request] = call
+        self._pending[request] = call
         self._advance(request, view, contact)
 
     def _advance(self, request: str, view: View | None, contact: ContactState) -> None:
-        call = self._outstanding[request]
-        waited = self._outbox.now - call.came_at
-        if waited >= self._limit:
-            self._expire(self._outstanding.pop(request))
+        call = self._pending[request]
+        waited = self._outbox.now - call.submitted_at
+        if waited >= self._limit_s:
+            self._expire(self._pending.pop(request))
         elif view is not None and contact is ContactState.CONFIRMED:
             if call.sent_view != view.number or self._is_due(call):
                 call.sent_view = view.number
                 self._send(request, call, view)
         elif not call.sent_view and (contact is ContactState.NONE or waited >= MAJORITY_CONTACT_WAIT_S):
-            self._turn_away(self._outstanding.pop(request))
+            self._reject(self._pending.pop(request))
 
     def _is_due(self, call: Call) -> bool:
         """Whether to send it again to the same member."""
@@ -66,6 +66,6 @@
         """No answer has come in time."""
         raise NotImplementedError
 
-    def _turn_away(self, call: Call) -> None:
+    def _reject(self, call: Call) -> None:
         """This machine reaches no majority, and nothing was sent."""
         raise NotImplementedError
--- a/tests/control_plane/chain_replica.py
+++ b/tests/control_plane/chain_replica.py
@@ -74,8 +74,8 @@
         self.chain = Chain(settings, self.outbox, self.register, self.delivered.append, self._settled)
         self.head = HeadQueue("own:1", self.outbox, self.chain, self.register, ANSWER_LIMIT_S)
         self.stores: list[StoreRecords] = []
-        self.head.enter(view)
-        self.chain.enter(view)
+        self.head.enter_view(view)
+        self.chain.enter_view(view)
         self.sent()
 
     def _settled(self) -> None:
@@ -94,4 +94,4 @@
     def end_store(self, error: ErrorCode | None = None) -> None:
         """The oldest store that is out ends."""
         self.sent()
-        self.outbox.stored(StoreCompleted(self.stores.pop(0).token, error))
+        self.outbox.store_completed(StoreCompleted(self.stores.pop(0).token, error))
--- a/tests/control_plane/test_guards_head.py
+++ b/tests/control_plane/test_guards_head.py
@@ -1,4 +1,4 @@
-"""Guards of the head's queue, of its refusals, and of the forwarding of changes, one at a time."""
+"""Guards of the head's queue, of its rejections, and of the forwarding of changes, one at a time."""
 
 from __future__ import annotations
 
@@ -62,7 +62,7 @@
     """The tail confirms whatever it is asked."""
     for message in replica.sent():
         if isinstance(message, GetRequest):
-            replica.head.refusals.reply(GetReply(message.view, message.request, ready=True))
+            replica.head.rejections.receive_reply(GetReply(message.view, message.request, ready=True))
 
 
 def _commit_next(replica: ChainReplica) -> None:
@@ -185,9 +185,9 @@
     def __init__(self) -> None:
         self.ended: list[bool] = []
         self.outbox = Outbox(HEAD.address, START, 0)
-        self.refusals = RejectionConfirmer("own:1", self.outbox)
-        self.refusals.enter(VIEW_NUMBER, TAIL)
-        self.refusals.add("r1", START + ANSWER_LIMIT_S, self.ended.append)
+        self.rejections = RejectionConfirmer("own:1", self.outbox)
+        self.rejections.enter_view(VIEW_NUMBER, TAIL)
+        self.rejections.add("r1", START + ANSWER_LIMIT_S, self.ended.append)
         (sent,) = self.outbox.take()
         asked = sent.message  # type: ignore[union-attr]
         assert isinstance(asked, GetRequest)
@@ -195,32 +195,32 @@
 
 
 def test_a_tail_that_is_not_ready_confirms_no_refusal() -> None:
-    waiting = RefusalUnderWay()
-    waiting.refusals.reply(GetReply(VIEW_NUMBER, waiting.key, ready=False))
-    assert waiting.ended == []
-    waiting.refusals.reply(GetReply(VIEW_NUMBER, waiting.key, ready=True))
-    assert waiting.ended == [True]
+    pending = RefusalUnderWay()
+    pending.rejections.receive_reply(GetReply(VIEW_NUMBER, pending.key, ready=False))
+    assert pending.ended == []
+    pending.rejections.receive_reply(GetReply(VIEW_NUMBER, pending.key, ready=True))
+    assert pending.ended == [True]
 
 
 @pytest.mark.parametrize("view", [VIEW_NUMBER - 1, VIEW_NUMBER + 1])
 def test_the_tail_of_another_view_confirms_no_refusal(view: int) -> None:
-    waiting = RefusalUnderWay()
-    waiting.refusals.reply(GetReply(view, waiting.key, ready=True))
-    assert waiting.ended == []
+    pending = RefusalUnderWay()
+    pending.rejections.receive_reply(GetReply(view, pending.key, ready=True))
+    assert pending.ended == []
 
 
 def test_a_refusal_whose_time_is_over_is_not_confirmed() -> None:
-    waiting = RefusalUnderWay()
-    waiting.outbox.now = START + ANSWER_LIMIT_S
-    waiting.refusals.tick()
-    assert waiting.ended == [False]
+    pending = RefusalUnderWay()
+    pending.outbox.now = START + ANSWER_LIMIT_S
+    pending.rejections.tick()
+    assert pending.ended == [False]
 
 
 @pytest.mark.parametrize(("view", "contact"), [(None, ContactState.NONE), (WHOLE, ContactState.NONE)])
 def test_a_replica_cut_off_refuses_a_change_at_once(view: View | None, contact: ContactState) -> None:
     outbox = Outbox(MIDDLE.address, START, 0)
     puts = PutForwarder("b:1", outbox, ANSWER_LIMIT_S)
-    puts.put(PutSubmitted(1, 0, 10, b"document"), view, contact)
+    puts.submit(PutSubmitted(1, 0, 10, b"document"), view, contact)
     (answer,) = outbox.take()
     assert isinstance(answer, PutCompleted)
     assert answer.error is ErrorCode.NO_QUORUM
@@ -229,7 +229,7 @@
 def test_a_change_that_the_head_has_not_answered_is_unclear() -> None:
     outbox = Outbox(MIDDLE.address, START, 0)
     puts = PutForwarder("b:1", outbox, ANSWER_LIMIT_S)
-    puts.put(PutSubmitted(1, 0, 10, b"document"), WHOLE, ContactState.CONFIRMED)
+    puts.submit(PutSubmitted(1, 0, 10, b"document"), WHOLE, ContactState.CONFIRMED)
     outbox.take()
     outbox.now = START + ANSWER_LIMIT_S
     puts.tick(WHOLE, ContactState.CONFIRMED)
@@ -241,14 +241,14 @@
 def test_a_refusal_by_the_head_of_an_earlier_view_answers_nothing() -> None:
     outbox = Outbox(MIDDLE.address, START, 0)
     puts = PutForwarder("b:1", outbox, ANSWER_LIMIT_S)
-    puts.put(PutSubmitted(1, 0, 10, b"document"), WHOLE, ContactState.CONFIRMED)
+    puts.submit(PutSubmitted(1, 0, 10, b"document"), WHOLE, ContactState.CONFIRMED)
     following = view_of((HEAD, 1), (TAIL, 1), number=VIEW_NUMBER + 1)
     puts.tick(following, ContactState.CONFIRMED)
     outbox.take()
     refused = int(ErrorCode.CONFIGURATION_STALE_MATCH)
-    puts.reply(PutReply(VIEW_NUMBER, "b:1:1", refused))
+    puts.receive_reply(PutReply(VIEW_NUMBER, "b:1:1", refused))
     assert not outbox.take()
-    puts.reply(PutReply(following.number, "b:1:1", refused))
+    puts.receive_reply(PutReply(following.number, "b:1:1", refused))
     assert len(outbox.take()) == 1
 
 
--- a/tests/control_plane/test_guards_outbox.py
+++ b/tests/control_plane/test_guards_outbox.py
@@ -21,7 +21,7 @@
 def _after_a_failed_store() -> Outbox:
     outbox = Outbox("at-a", START, 0)
     outbox.store([ProbeRecord()], lambda error: None)
-    outbox.stored(StoreCompleted(_store(outbox).token, ErrorCode.STORAGE_FAILED))
+    outbox.store_completed(StoreCompleted(_store(outbox).token, ErrorCode.STORAGE_FAILED))
     return outbox
 
 
@@ -37,9 +37,9 @@
     outbox.tick()
     probe = _store(outbox)
     assert not probe.replace
-    outbox.stored(StoreCompleted(probe.token, None))
+    outbox.store_completed(StoreCompleted(probe.token, None))
     assert not outbox.disk_ok
     rewriting = _store(outbox)
     assert rewriting.replace
-    outbox.stored(StoreCompleted(rewriting.token, None))
+    outbox.store_completed(StoreCompleted(rewriting.token, None))
     assert outbox.disk_ok
--- a/tests/control_plane/test_guards_peers.py
+++ b/tests/control_plane/test_guards_peers.py
@@ -22,15 +22,15 @@
 from tests.control_plane.chain_replica import HEAD, MIDDLE, START, TAIL
 
 
-def _ping(member: Member, *heard: Member, bootstrap: bool = False) -> Heartbeat:
+def _heartbeat(member: Member, *heard: Member, bootstrap: bool = False) -> Heartbeat:
     folders = tuple(other.folder_id for other in heard)
     return Heartbeat(member, 1, folders, True, 0, 0, bootstrap=bootstrap)
 
 
-def _hear(peers: FailureDetector, ping: Heartbeat, begin: float, end: float) -> None:
+def _hear(peers: FailureDetector, heartbeat: Heartbeat, begin: float, end: float) -> None:
     now = begin
     while now <= end:
-        peers.heard_ping(ping, now)
+        peers.record_heartbeat(heartbeat, now)
         now += HEARTBEAT_INTERVAL_S
 
 
@@ -39,33 +39,35 @@
     for witnessed in (True, False):
         peers = FailureDetector(HEAD, START)
         heard = (HEAD, TAIL) if witnessed else (HEAD,)
-        _hear(peers, _ping(MIDDLE, *heard), START, end)
-        assert peers.gone(TAIL.folder_id, end) is not witnessed
+        _hear(peers, _heartbeat(MIDDLE, *heard), START, end)
+        assert peers.is_lost(TAIL.folder_id, end) is not witnessed
 
 
 def test_a_replica_is_steady_after_a_while_in_reach() -> None:
     peers = FailureDetector(HEAD, START)
-    peers.heard_ping(_ping(MIDDLE, HEAD), START)
-    assert not peers.steady(MIDDLE.folder_id, START + JOIN_AFTER_S / 2)
-    _hear(peers, _ping(MIDDLE, HEAD), START, START + JOIN_AFTER_S + HEARTBEAT_INTERVAL_S)
-    assert peers.steady(MIDDLE.folder_id, START + JOIN_AFTER_S + HEARTBEAT_INTERVAL_S)
+    peers.record_heartbeat(_heartbeat(MIDDLE, HEAD), START)
+    assert not peers.is_steady(MIDDLE.folder_id, START + JOIN_AFTER_S / 2)
+    _hear(peers, _heartbeat(MIDDLE, HEAD), START, START + JOIN_AFTER_S + HEARTBEAT_INTERVAL_S)
+    assert peers.is_steady(MIDDLE.folder_id, START + JOIN_AFTER_S + HEARTBEAT_INTERVAL_S)
 
 
 def test_a_replica_in_reach_is_one_that_was_heard_lately_and_hears_us() -> None:
     peers = FailureDetector(HEAD, START)
-    peers.heard_ping(_ping(MIDDLE, HEAD), START)
-    peers.heard_ping(_ping(TAIL), START)
-    assert peers.mutual(MIDDLE.folder_id, START + REACHABLE_TIMEOUT_S)
-    assert not peers.mutual(MIDDLE.folder_id, START + REACHABLE_TIMEOUT_S + 0.01)
-    assert not peers.mutual(TAIL.folder_id, START)
+    peers.record_heartbeat(_heartbeat(MIDDLE, HEAD), START)
+    peers.record_heartbeat(_heartbeat(TAIL), START)
+    assert peers.mutually_reachable(MIDDLE.folder_id, START + REACHABLE_TIMEOUT_S)
+    assert not peers.mutually_reachable(MIDDLE.folder_id, START + REACHABLE_TIMEOUT_S + 0.01)
+    assert not peers.mutually_reachable(TAIL.folder_id, START)
 
 
 def test_the_first_view_waits_for_folders_that_were_made_for_it() -> None:
     seeds = (HEAD.address, MIDDLE.address)
-    starting = [_ping(HEAD, bootstrap=True), _ping(MIDDLE, bootstrap=True)]
+    starting = [_heartbeat(HEAD, bootstrap=True), _heartbeat(MIDDLE, bootstrap=True)]
     assert form_first_view(seeds, starting, min_seeds=2, target_members=3) is not None
     assert (
-        form_first_view(seeds, [starting[0], _ping(MIDDLE, bootstrap=False)], min_seeds=2, target_members=3)
+        form_first_view(
+            seeds, [starting[0], _heartbeat(MIDDLE, bootstrap=False)], min_seeds=2, target_members=3
+        )
         is None
     )
 
@@ -81,7 +83,7 @@
     def end_store(self, error: ErrorCode | None = None) -> StoreRecords:
         """The store that is out ends."""
         (store,) = _stores(self.outbox.take())
-        self.outbox.stored(StoreCompleted(store.token, error))
+        self.outbox.store_completed(StoreCompleted(store.token, error))
         return store
 
 
--- a/tests/control_plane/test_guards_reads.py
+++ b/tests/control_plane/test_guards_reads.py
@@ -72,9 +72,9 @@
     replica.register.commit()
     for sequence, expected in ((1, 10), (2, None)):
         gets = GetForwarder("b:1", replica.outbox, replica.register, ANSWER_LIMIT_S)
-        gets.get(GetSubmitted(1), WHOLE, ContactState.CONFIRMED)
+        gets.submit(GetSubmitted(1), WHOLE, ContactState.CONFIRMED)
         replica.outbox.take()
-        gets.reply(GetReply(VIEW_NUMBER, "b:1:1", True, sequence))
+        gets.receive_reply(GetReply(VIEW_NUMBER, "b:1:1", True, sequence))
         (answer,) = replica.outbox.take()
         assert isinstance(answer, GetCompleted)
         if expected is None:
--- a/tests/control_plane/test_guards_replica.py
+++ b/tests/control_plane/test_guards_replica.py
@@ -86,7 +86,7 @@
     def lease_asked_by(self, member: Member, *, hears_us: bool = True) -> list[Struct]:
         """A ping that asks for a read lease."""
         heard = (self.own.folder_id,) if hears_us else ()
-        ping = Heartbeat(member, self.view_number, heard, True, 0, 0, lease_sent=self.now)
+        ping = Heartbeat(member, self.view_number, heard, True, 0, 0, lease_requested_at=self.now)
         return self.receive(member, ping)
 
     def run_beside(self, *members: Member, seconds: float, disk_ok: bool = True) -> list[Struct]:
@@ -160,8 +160,8 @@
 
 def test_an_incomplete_tail_asks_for_no_lease() -> None:
     incomplete = view_of((HEAD, 1), (TAIL, VIEW_NUMBER))
-    assert _last_ping(LoneReplica(TAIL, incomplete).tick(HEARTBEAT_INTERVAL_S)).lease_sent is None
-    assert _last_ping(LoneReplica(TAIL).tick(HEARTBEAT_INTERVAL_S)).lease_sent is not None
+    assert _last_ping(LoneReplica(TAIL, incomplete).tick(HEARTBEAT_INTERVAL_S)).lease_requested_at is None
+    assert _last_ping(LoneReplica(TAIL).tick(HEARTBEAT_INTERVAL_S)).lease_requested_at is not None
 
 
 def test_a_voter_grants_the_tail_in_reach_alone() -> None:
--- a/tests/control_plane/test_invariant_checks.py
+++ b/tests/control_plane/test_invariant_checks.py
@@ -42,23 +42,23 @@
 
 def test_a_view_that_goes_back() -> None:
     seen = ReplicaInvariants()
-    assert broken_by(lambda: seen.handled(view(4), None, None)) == set()
-    assert broken_by(lambda: seen.handled(view(3), None, None)) == {Invariant.VIEW_RISES}
+    assert broken_by(lambda: seen.check_after_event(view(4), None, None)) == set()
+    assert broken_by(lambda: seen.check_after_event(view(3), None, None)) == {Invariant.VIEW_RISES}
 
 
 def test_a_sequence_that_goes_back() -> None:
     seen = ReplicaInvariants()
-    assert broken_by(lambda: seen.handled(None, committed(4), None)) == set()
-    assert broken_by(lambda: seen.handled(None, committed(3), None)) == {Invariant.SEQUENCE_RISES}
-    assert broken_by(lambda: seen.handled(None, None, None)) == {Invariant.SEQUENCE_RISES}
+    assert broken_by(lambda: seen.check_after_event(None, committed(4), None)) == set()
+    assert broken_by(lambda: seen.check_after_event(None, committed(3), None)) == {Invariant.SEQUENCE_RISES}
+    assert broken_by(lambda: seen.check_after_event(None, None, None)) == {Invariant.SEQUENCE_RISES}
 
 
 def test_two_changes_of_one_sequence() -> None:
     held = entry(4)
     same = CommittedConfiguration(4, held.generation, held.document, 1)
     other = structs.replace(same, document=b"another")
-    assert broken_by(lambda: ReplicaInvariants().handled(None, same, held)) == set()
-    assert broken_by(lambda: ReplicaInvariants().handled(None, other, held)) == {
+    assert broken_by(lambda: ReplicaInvariants().check_after_event(None, same, held)) == set()
+    assert broken_by(lambda: ReplicaInvariants().check_after_event(None, other, held)) == {
         Invariant.ONE_CHANGE_A_SEQUENCE
     }
 
@@ -68,7 +68,7 @@
 
     def act() -> None:
         replica.register.entry = entry(2)  # as if its store had ended
-        replica.chain._tell_state()
+        replica.chain._send_status()
 
     assert broken_by(act) == {Invariant.ACKNOWLEDGED_IS_SYNCED}
 
--- a/tests/control_plane/test_orders_requests.py
+++ b/tests/control_plane/test_orders_requests.py
@@ -137,13 +137,13 @@
         sent.add(effect.message.request)
 
 
-# ---- confirmations of refusals ----
+# ---- confirmations of rejections ----
 
 
 def _refusals(name: str, outbox: Outbox) -> RejectionConfirmer:
-    refusals = RejectionConfirmer(name, outbox)
-    refusals.enter(1, Member(folder_id="t", address="tail"))
-    return refusals
+    rejections = RejectionConfirmer(name, outbox)
+    rejections.enter_view(1, Member(folder_id="t", address="tail"))
+    return rejections
 
 
 def _key(outbox: Outbox) -> str:
@@ -161,26 +161,26 @@
     second_life = _refusals("head:2", outbox)
     second_life.add("asker:1:1", 11.0, ends.append)
     key = _key(outbox)
-    assert second_life.reply(late)
+    assert second_life.receive_reply(late)
     assert ends == []
-    assert second_life.reply(GetReply(1, key, ready=True))
+    assert second_life.receive_reply(GetReply(1, key, ready=True))
     assert ends == [True]
 
 
 def test_a_confirmation_counts_once_in_its_view_and_only_when_ready() -> None:
     outbox = Outbox("head", 10.0, 0)
     ends: list[bool] = []
-    refusals = _refusals("head:1", outbox)
-    refusals.add("asker:1:1", 11.0, ends.append)
+    rejections = _refusals("head:1", outbox)
+    rejections.add("asker:1:1", 11.0, ends.append)
     key = _key(outbox)
-    refusals.reply(GetReply(1, key, ready=False))
-    refusals.reply(GetReply(2, key, ready=True))
+    rejections.receive_reply(GetReply(1, key, ready=False))
+    rejections.receive_reply(GetReply(2, key, ready=True))
     assert ends == []
-    assert refusals.has("asker:1:1")
-    refusals.reply(GetReply(1, key, ready=True))
-    refusals.reply(GetReply(1, key, ready=True))
+    assert rejections.is_pending("asker:1:1")
+    rejections.receive_reply(GetReply(1, key, ready=True))
+    rejections.receive_reply(GetReply(1, key, ready=True))
     assert ends == [True]
-    assert not refusals.has("asker:1:1")
+    assert not rejections.is_pending("asker:1:1")
 
 
 def test_a_refusal_that_nobody_confirms_gets_no_clear_answer() -> None:
--- a/tests/control_plane/test_orders_verdicts.py
+++ b/tests/control_plane/test_orders_verdicts.py
@@ -14,7 +14,7 @@
 from reedspoke.control_plane.storage.records import EntryRecord, encode_record, restore
 
 REFUSED = {ChangeDecision.STALE_MATCH, ChangeDecision.OLD_GENERATION}
-NOT_TAKEN = REFUSED | {ChangeDecision.FORGOTTEN}
+NOT_TAKEN = REFUSED | {ChangeDecision.HISTORY_EXPIRED}
 
 Order = tuple[int, int, bytes]
 
@@ -30,16 +30,16 @@
     )
 
 
-def _verdict(register: ConfigurationRegister, order: Order) -> ChangeDecision:
+def _decide(register: ConfigurationRegister, order: Order) -> ChangeDecision:
     match, generation, document = order
     change: ChangeId = change_id_of(Entry(0, 0, generation, document))
     return decide_change(PutRequest(1, "asker:1:1", match, generation, document), change, register)
 
 
 @pytest.mark.parametrize(
-    ("order", "verdict"),
+    ("order", "decision"),
     [
-        ((5, 9, b"next"), ChangeDecision.TAKE),
+        ((5, 9, b"next"), ChangeDecision.ACCEPT),
         ((0, 3, b"taken 3"), ChangeDecision.ACKNOWLEDGE),
         ((3, 5, b"taken 5"), ChangeDecision.ACKNOWLEDGE),
         ((7, 5, b"taken 5"), ChangeDecision.ACKNOWLEDGE),
@@ -49,17 +49,17 @@
         ((5, 5, b"rival"), ChangeDecision.OLD_GENERATION),
         ((5, 4, b"rival"), ChangeDecision.OLD_GENERATION),
         ((9, 7, b"rival"), ChangeDecision.OLD_GENERATION),
-        ((6, 9, b"early"), ChangeDecision.HOLD),
+        ((6, 9, b"early"), ChangeDecision.WAIT),
     ],
 )
-def test_verdicts_after_generations_3_and_5(order: Order, verdict: ChangeDecision) -> None:
-    assert _verdict(_register([3, 5]), order) is verdict
+def test_verdicts_after_generations_3_and_5(order: Order, decision: ChangeDecision) -> None:
+    assert _decide(_register([3, 5]), order) is decision
 
 
 def test_the_first_change_builds_on_0() -> None:
-    assert _verdict(_register([]), (0, 1, b"first")) is ChangeDecision.TAKE
-    assert _verdict(_register([]), (1, 2, b"early")) is ChangeDecision.HOLD
-    assert _verdict(_register([]), (0, 0, b"zero")) is ChangeDecision.OLD_GENERATION
+    assert _decide(_register([]), (0, 1, b"first")) is ChangeDecision.ACCEPT
+    assert _decide(_register([]), (1, 2, b"early")) is ChangeDecision.WAIT
+    assert _decide(_register([]), (0, 0, b"zero")) is ChangeDecision.OLD_GENERATION
 
 
 numbers = st.integers(0, 30)
@@ -76,13 +76,13 @@
     generations: list[int], match: int, generation: int, rival: bool
 ) -> None:
     document = b"a rival" if rival else b"taken %d" % generation
-    verdicts = [
-        _verdict(_register(generations[:count]), (match, generation, document))
+    decisions = [
+        _decide(_register(generations[:count]), (match, generation, document))
         for count in range(len(generations) + 1)
     ]
-    for index, verdict in enumerate(verdicts):
-        later = verdicts[index:]
-        if verdict in REFUSED and rival:
+    for index, decision in enumerate(decisions):
+        later = decisions[index:]
+        if decision in REFUSED and rival:
             assert set(later) <= NOT_TAKEN
-        if verdict is ChangeDecision.ACKNOWLEDGE:
+        if decision is ChangeDecision.ACKNOWLEDGE:
             assert set(later) <= {ChangeDecision.ACKNOWLEDGE}
--- a/tests/control_plane/test_replica_stale.py
+++ b/tests/control_plane/test_replica_stale.py
@@ -158,23 +158,23 @@
 def test_a_refusal_counts_only_from_the_head_that_was_asked_last() -> None:
     outbox = Outbox("at-own", 10.0, 0)
     puts = PutForwarder("own:1", outbox, 0.9)
-    puts.put(PutSubmitted(1, 0, 1, b"first"), _view(1, "a"), contact=ContactState.CONFIRMED)
+    puts.submit(PutSubmitted(1, 0, 1, b"first"), _view(1, "a"), contact=ContactState.CONFIRMED)
     puts.tick(_view(2, "b"), ContactState.CONFIRMED)
     sent = [effect for effect in outbox.take() if isinstance(effect, SendMessage)]
     assert [effect.address for effect in sent] == ["at-a", "at-b"]
     stale = int(ErrorCode.CONFIGURATION_STALE_MATCH)
-    puts.reply(PutReply(1, "own:1:1", stale))
+    puts.receive_reply(PutReply(1, "own:1:1", stale))
     assert _answers(outbox.take()) == []
-    puts.reply(PutReply(2, "own:1:1", stale))
-    puts.reply(PutReply(2, "own:1:1", 0))
+    puts.receive_reply(PutReply(2, "own:1:1", stale))
+    puts.receive_reply(PutReply(2, "own:1:1", 0))
     assert _answers(outbox.take()) == [ErrorCode.CONFIGURATION_STALE_MATCH]
 
 
 def test_an_acknowledgement_counts_from_any_head() -> None:
     outbox = Outbox("at-own", 10.0, 0)
     puts = PutForwarder("own:1", outbox, 0.9)
-    puts.put(PutSubmitted(1, 0, 1, b"first"), _view(1, "a"), contact=ContactState.CONFIRMED)
+    puts.submit(PutSubmitted(1, 0, 1, b"first"), _view(1, "a"), contact=ContactState.CONFIRMED)
     puts.tick(_view(2, "b"), ContactState.CONFIRMED)
     outbox.take()
-    puts.reply(PutReply(1, "own:1:1", 0))
+    puts.receive_reply(PutReply(1, "own:1:1", 0))
     assert _answers(outbox.take()) == [None]
--- a/tests/control_plane/test_storage_size.py
+++ b/tests/control_plane/test_storage_size.py
@@ -79,5 +79,5 @@
     outbox.store([], lambda _: None)
     (store,) = outbox.take()
     assert isinstance(store, StoreRecords)
-    outbox.stored(StoreCompleted(store.token))
+    outbox.store_completed(StoreCompleted(store.token))
     return any(isinstance(effect, StoreRecords) and effect.replace for effect in outbox.take())
--- a/tests/control_plane/test_view_agreement.py
+++ b/tests/control_plane/test_view_agreement.py
@@ -74,7 +74,7 @@
         if self.disk_works:
             self.records.extend(store.records)
         error = None if self.disk_works else ErrorCode.STORAGE_FAILED
-        self.outbox.stored(StoreCompleted(store.token, error))
+        self.outbox.store_completed(StoreCompleted(store.token, error))
         return self.step()
 
 
