--- a/reedspoke/lab/fleet_soak/findings.py
+++ b/reedspoke/lab/fleet_soak/findings.py
@@ -18,7 +18,7 @@
     LIBRARY_EVENT,
     "operator call failed",
     "session given up",
-    "entry does not follow",
+    "append out of sequence",
     "worker discovery failed",
 )
 ENDING_S = 12.0  # from SIGTERM on until the process has ended and begun again
