--- a/reedspoke/control_plane/process.py
+++ b/reedspoke/control_plane/process.py
@@ -257,7 +257,7 @@
 
     def waiting_calls(self) -> int:
         """Calls of operators without an answer."""
-        return self._driver.waiting_calls
+        return self._driver.pending_calls
 
     def disk_works(self) -> bool:
         """Whether the data folder is open and its disk answers."""
@@ -363,7 +363,7 @@
         log(INFO, "leaving")
         self._send_lease(self._lease.shut_down())
         self._duty.check_lease()
-        self._driver.leave()
+        self._driver.start_shutdown()
         last_needed = began
         while not self._has_left(self._loop.time() - began, self._loop.time() - last_needed):
             await asyncio.sleep(LEAVE_LOOK_S)
@@ -379,7 +379,7 @@
             return False
         out_of_chain = out_of_chain_for >= TOLD_S
         if waited < LEAVE_S:
-            return out_of_chain and not self._driver.waiting_calls
+            return out_of_chain and not self._driver.pending_calls
         time_is_up = waited >= self._settings.bounds.grace_s - LEAVE_MARGIN_S
         return time_is_up or out_of_chain or not self._driver.has_staying_peer
 
--- a/reedspoke/control_plane/storage/job_thread.py
+++ b/reedspoke/control_plane/storage/job_thread.py
@@ -35,7 +35,7 @@
             except Exception as error:  # it is raised where the future is awaited
                 self._loop.call_soon_threadsafe(_fail, future, error)
             else:
-                self._loop.call_soon_threadsafe(_settle, future, value)
+                self._loop.call_soon_threadsafe(_resolve, future, value)
 
         self.add(job)
         return future
@@ -45,7 +45,7 @@
             self._jobs.get()()
 
 
-def _settle(future: asyncio.Future[Value], value: Value) -> None:
+def _resolve(future: asyncio.Future[Value], value: Value) -> None:
     if not future.done():
         future.set_result(value)
 
--- /dev/null
+++ b/reedspoke/control_plane/storage/log_opening.py
@@ -0,0 +1,162 @@
+"""Opens the log in the data folder, with the folder's own random id; see `log_format` for its bytes.
+
+What was never synced may be torn or missing after a loss of power; it is cut off. What was synced is either
+read or reported as corrupt, never left out: a replica that has acknowledged an entry and forgets it would
+break the chain's promise to hold it.
+"""
+
+from __future__ import annotations
+
+import os
+import secrets
+from pathlib import Path
+
+from msgspec import Struct
+
+from reedspoke.common.errors import FleetError
+from reedspoke.control_plane.storage.log_format import read_content
+from reedspoke.control_plane.storage.log_slots import (
+    CORRUPT_LOG_NAME,
+    FIRST_REWRITE_NUMBER,
+    FOLDER_ID_BYTES,
+    LOG_NAME,
+    OLD_TEMPORARY_NAME,
+    SLOT_NAMES,
+    SlotContent,
+    parse_slot,
+    slot_content,
+)
+from reedspoke.control_plane.storage.log_writer import LogWriter
+from reedspoke.control_plane.storage.synced_files import (
+    create_file,
+    read_file,
+    remove_file,
+    storage_error,
+    sync_directory,
+    write_at,
+)
+
+
+class OpenedLog(Struct):
+    """What the folder held when it was opened: its id, the records after it, and the writer that goes on.
+
+    `succeeds_corrupt` is set where an earlier log of this folder is in quarantine.
+    """
+
+    folder_id: str
+    records: list[bytes]
+    writer: LogWriter
+    created: bool
+    succeeds_corrupt: bool = False
+
+
+class _Slot(Struct):
+    """A slot whose first batch is good."""
+
+    path: Path
+    content: SlotContent
+    good_length: int
+    last_start: int
+    last_batch: bytes  # from `last_start` on
+    has_unsynced_end: bool
+    damaged: bool
+
+
+def open_log(directory: Path) -> OpenedLog:
+    """Open or make the log of a data folder; all that it returns is synced, and stands twice.
+
+    What was never synced is cut back to the last batch. Raises FleetError STORAGE_CORRUPT where a good batch
+    follows a bad one or the header is wrong, and STORAGE_FULL or STORAGE_FAILED where the disk refuses.
+    """
+    try:
+        return _open_or_create(directory)
+    except OSError as error:
+        raise storage_error(error) from error
+
+
+def quarantine_log(directory: Path) -> Path:
+    """Rename a corrupt log so that the folder starts anew; only the newest such file is kept."""
+    corrupt = directory / CORRUPT_LOG_NAME
+    for name in SLOT_NAMES:
+        if os.path.exists(directory / name):
+            os.replace(directory / name, corrupt)
+    sync_directory(directory)
+    return corrupt
+
+
+def _open_or_create(directory: Path) -> OpenedLog:
+    os.makedirs(directory, exist_ok=True)
+    succeeds_corrupt = os.path.exists(directory / CORRUPT_LOG_NAME)
+    slots = [slot for name in SLOT_NAMES if (slot := _read_slot(directory / name)) is not None]
+    if not slots:
+        slots = _old_temporary(directory)
+    if not slots:
+        return _create_log(directory, succeeds_corrupt)
+    newest = max(slots, key=lambda slot: slot.content.rewrite_number)
+    _remove_others(directory, newest.path)
+    writer = _writer_of(newest)
+    content = newest.content
+    return OpenedLog(content.folder_id, content.records, writer, False, succeeds_corrupt)
+
+
+def _old_temporary(directory: Path) -> list[_Slot]:
+    """A complete rewritten file of the old format whose rename was kept only in part by a loss of power."""
+    slot = _read_slot(directory / OLD_TEMPORARY_NAME)
+    return [] if slot is None else [slot]
+
+
+def _writer_of(slot: _Slot) -> LogWriter:
+    content = slot.content
+    descriptor = os.open(slot.path, os.O_RDWR)
+    writer = LogWriter(slot.path, content.folder_id, content.rewrite_number, descriptor, slot.good_length)
+    try:
+        if slot.has_unsynced_end:
+            os.ftruncate(descriptor, slot.good_length)
+        # A sync that failed before, here or in an earlier process, may have left these bytes in memory alone:
+        # the next one says nothing of them unless they are written again.
+        write_at(descriptor, slot.last_batch, slot.last_start)
+        os.fsync(descriptor)
+        sync_directory(slot.path.parent)
+        if slot.damaged:
+            writer.rewrite(content.records)
+    except (OSError, FleetError):
+        writer.close()
+        raise
+    return writer
+
+
+def _read_slot(path: Path) -> _Slot | None:
+    """A slot; None where there is none, or its first write is incomplete."""
+    if not os.path.exists(path):
+        return None
+    content = read_file(path)
+    read = read_content(content)
+    if not read.batches:
+        return None
+    return _Slot(
+        path=path,
+        content=parse_slot(read),
+        good_length=read.good_length,
+        last_start=read.last_start,
+        last_batch=content[read.last_start : read.good_length],
+        has_unsynced_end=read.good_length < len(content),
+        damaged=read.damaged,
+    )
+
+
+def _create_log(directory: Path, succeeds_corrupt: bool) -> OpenedLog:
+    _remove_others(directory, None)
+    folder_id = secrets.token_hex(FOLDER_ID_BYTES)
+    data = slot_content(folder_id, FIRST_REWRITE_NUMBER, ())
+    path = directory / LOG_NAME
+    descriptor = create_file(path, data)
+    writer = LogWriter(path, folder_id, FIRST_REWRITE_NUMBER, descriptor, len(data))
+    return OpenedLog(folder_id, [], writer, True, succeeds_corrupt)
+
+
+def _remove_others(directory: Path, except_path: Path | None) -> None:
+    """Remove every file of the log but one, for good."""
+    for name in (*SLOT_NAMES, OLD_TEMPORARY_NAME):
+        path = directory / name
+        if path != except_path and os.path.exists(path):
+            remove_file(path)
--- /dev/null
+++ b/reedspoke/control_plane/storage/log_slots.py
@@ -0,0 +1,66 @@
+"""Names and content of the two files, the slots, in which the log may stand."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable, Sequence
+from pathlib import Path
+
+from msgspec import Struct
+
+from reedspoke.common.errors import ErrorCode, FleetError
+from reedspoke.control_plane.storage.log_format import HEADER, LogContent, encode_batch
+
+LOG_NAME = "control.log"
+OTHER_SLOT_NAME = "control.log.2"
+SLOT_NAMES = (LOG_NAME, OTHER_SLOT_NAME)
+OLD_TEMPORARY_NAME = "control.log.new"  # left by rewrites of files with single copies
+CORRUPT_LOG_NAME = "control.log.corrupt"
+FOLDER_ID_BYTES = 8
+FIRST_REWRITE_NUMBER = 1
+SINGLE_COPY_REWRITE_NUMBER = 0  # files with single copies have none: any rewrite is newer
+
+
+def slot_content(folder_id: str, rewrite_number: int, records: Iterable[bytes]) -> bytes:
+    """The bytes of a slot that holds these records."""
+    return HEADER + encode_batch([folder_id.encode(), str(rewrite_number).encode(), *records])
+
+
+class SlotContent(Struct):
+    """What a slot holds: the id of its folder, the number of the rewrite that wrote it, and the records."""
+
+    folder_id: str
+    rewrite_number: int
+    records: list[bytes]
+
+
+def parse_slot(read: LogContent) -> SlotContent:
+    """The content of a slot with at least one good batch.
+
+    Raises FleetError STORAGE_CORRUPT where the first batch does not begin with folder id and rewrite number.
+    """
+    first, *others = read.batches
+    records = [record for batch in others for record in batch]
+    if read.single_copies:
+        return SlotContent(_folder_id_of(first), SINGLE_COPY_REWRITE_NUMBER, first[1:] + records)
+    return SlotContent(_folder_id_of(first), _rewrite_number_of(first), first[2:] + records)
+
+
+def _folder_id_of(first: Sequence[bytes]) -> str:
+    try:
+        folder_id = first[0].decode("ascii")
+        bytes.fromhex(folder_id)
+    except (ValueError, IndexError) as error:
+        raise FleetError(ErrorCode.STORAGE_CORRUPT, "The log does not begin with a folder id.") from error
+    return folder_id
+
+
+def _rewrite_number_of(first: Sequence[bytes]) -> int:
+    try:
+        return int(first[1])
+    except (ValueError, IndexError) as error:
+        raise FleetError(ErrorCode.STORAGE_CORRUPT, "The log does not tell its rewriting.") from error
+
+
+def other_slot(path: Path) -> Path:
+    """The slot that is not this one."""
+    return path.with_name(LOG_NAME if path.name == OTHER_SLOT_NAME else OTHER_SLOT_NAME)
--- a/tests/control_plane/simulated_files.py
+++ b/tests/control_plane/simulated_files.py
@@ -1,4 +1,6 @@
-"""A file system in memory that stands in for `os` in `log_file`, with numbered calls and losses of power.
+"""A file system in memory that stands in for `os` in the modules of the log.
+
+Its calls are numbered, and power may be lost at each.
 
 A loss of power keeps what was synced. Of what was written to a file after its last sync each write stays,
 is missing or is torn; each name that was made, renamed or removed since the last sync of the folder is as it
@@ -16,7 +18,7 @@
 
 import pytest
 
-from reedspoke.control_plane.storage import log_file
+from reedspoke.control_plane.storage import log_opening, log_writer, synced_files
 from reedspoke.control_plane.storage.log_format import COPIES, SINGLE_COPY_HEADER, encode_batch
 
 FOLDER = Path("/data")
@@ -140,7 +142,7 @@
         self._descriptors: dict[int, Descriptor] = {}
         self._next_descriptor = itertools.count(3)
 
-    # ---- what `log_file` uses of `os` ----
+    # ---- what the modules of the log use of `os` ----
 
     def makedirs(self, path: Path, exist_ok: bool) -> None:
         """The folder is always there."""
@@ -289,6 +291,7 @@
 
 
 def use(monkeypatch: pytest.MonkeyPatch, files: SimulatedFiles) -> SimulatedFiles:
-    """Have `log_file` work on this file system."""
-    monkeypatch.setattr(log_file, "os", files)
+    """Have the modules of the log work on this file system."""
+    for module in (log_opening, log_writer, synced_files):
+        monkeypatch.setattr(module, "os", files)
     return files
--- a/tests/control_plane/storage_simulation.py
+++ b/tests/control_plane/storage_simulation.py
@@ -19,8 +19,9 @@
 from reedspoke.control_plane.peers.transport import LARGE_BYTES
 from reedspoke.control_plane.replication.effects import StoreRecords
 from reedspoke.control_plane.replication.messages import AppendRequest, InstallSnapshot
-from reedspoke.control_plane.storage.log_file import SLOT_NAMES, OpenedLog, open_log, quarantine_log
 from reedspoke.control_plane.storage.log_format import encoded_size
+from reedspoke.control_plane.storage.log_opening import OpenedLog, open_log, quarantine_log
+from reedspoke.control_plane.storage.log_slots import SLOT_NAMES
 from tests.control_plane.simulated_files import FOLDER, PowerLost, SimulatedFiles, use
 from tests.control_plane.simulated_parts import Disk, DiskMode
 from tests.control_plane.simulation import Simulation
--- a/tests/control_plane/test_guards_log_file.py
+++ b/tests/control_plane/test_guards_log_file.py
@@ -10,8 +10,9 @@
 import pytest
 
 from reedspoke.common.errors import ErrorCode, FleetError
-from reedspoke.control_plane.storage.log_file import LOG_NAME, open_log, quarantine_log
 from reedspoke.control_plane.storage.log_format import HEADER, SINGLE_COPY_HEADER, encode_batch, read_content
+from reedspoke.control_plane.storage.log_opening import open_log, quarantine_log
+from reedspoke.control_plane.storage.log_slots import LOG_NAME
 
 FILE, DIRECTORY, REPLACED, REMOVED = "file synced", "directory synced", "name replaced", "name removed"
 
--- a/tests/control_plane/test_log_file.py
+++ b/tests/control_plane/test_log_file.py
@@ -11,15 +11,10 @@
 import pytest
 
 from reedspoke.common.errors import ErrorCode, FleetError
-from reedspoke.control_plane.storage import log_file
-from reedspoke.control_plane.storage.log_file import (
-    LOG_NAME,
-    OLD_TEMPORARY_NAME,
-    OTHER_SLOT_NAME,
-    open_log,
-    quarantine_log,
-)
+from reedspoke.control_plane.storage import synced_files
 from reedspoke.control_plane.storage.log_format import HEADER
+from reedspoke.control_plane.storage.log_opening import open_log, quarantine_log
+from reedspoke.control_plane.storage.log_slots import LOG_NAME, OLD_TEMPORARY_NAME, OTHER_SLOT_NAME
 from tests.control_plane.simulated_files import single_copies
 
 BATCHES = [[b"one"], [b"two", b"three"], [b"x" * 60]]
@@ -269,14 +264,14 @@
 ) -> None:
     opened = open_log(tmp_path)
     refuse = [True]
-    original = log_file._sync_directory
+    original = synced_files.sync_directory
 
     def sync_directory(directory: Path) -> None:
         if refuse[0]:
             raise OSError(errno.EIO, "no")
         original(directory)
 
-    monkeypatch.setattr(log_file, "_sync_directory", sync_directory)
+    monkeypatch.setattr(synced_files, "sync_directory", sync_directory)
     with pytest.raises(FleetError):
         opened.writer.rewrite([b"new"])
     with pytest.raises(FleetError):
--- a/tests/control_plane/test_orders_requests.py
+++ b/tests/control_plane/test_orders_requests.py
@@ -11,7 +11,7 @@
 
 from reedspoke.common.errors import ErrorCode
 from reedspoke.common.node_settings import NodeSettings
-from reedspoke.control_plane.replication import driver as driver_module
+from reedspoke.control_plane.replication import replica_storage
 from reedspoke.control_plane.replication.driver import ReplicaDriver, ReplicaEnvironment
 from reedspoke.control_plane.replication.effects import SendMessage
 from reedspoke.control_plane.replication.entry import CommittedConfiguration
@@ -91,7 +91,7 @@
             names.append(f"{settings.folder_id}:{incarnation}")
             super().__init__(settings, records, now, incarnation)
 
-    monkeypatch.setattr(driver_module, "Replica", Noting)
+    monkeypatch.setattr(replica_storage, "Replica", Noting)
 
     async def live() -> None:
         count = len(names)
--- a/tests/control_plane/test_storage_damage.py
+++ b/tests/control_plane/test_storage_damage.py
@@ -5,14 +5,9 @@
 import pytest
 
 from reedspoke.common.errors import ErrorCode, FleetError
-from reedspoke.control_plane.storage.log_file import (
-    CORRUPT_LOG_NAME,
-    LOG_NAME,
-    OLD_TEMPORARY_NAME,
-    open_log,
-    quarantine_log,
-)
 from reedspoke.control_plane.storage.log_format import encode_batch
+from reedspoke.control_plane.storage.log_opening import open_log, quarantine_log
+from reedspoke.control_plane.storage.log_slots import CORRUPT_LOG_NAME, LOG_NAME, OLD_TEMPORARY_NAME
 from tests.control_plane.simulated_files import FOLDER, PowerLost, SimulatedFiles, single_copies, use
 
 BATCHES = ([b"one"], [b"two", b""], [b"three" * 5], [b"three" * 5], [b"newest", b"x" * 30])
--- a/tests/control_plane/test_storage_driver.py
+++ b/tests/control_plane/test_storage_driver.py
@@ -11,14 +11,15 @@
 import pytest
 
 from reedspoke.common.node_settings import NodeSettings
-from reedspoke.control_plane.replication import driver as driver_module
+from reedspoke.control_plane.replication import replica_storage
 from reedspoke.control_plane.replication.driver import ReplicaDriver
 from reedspoke.control_plane.replication.effects import SendMessage
 from reedspoke.control_plane.replication.entry import CommittedConfiguration
 from reedspoke.control_plane.replication.replica import Replica
 from reedspoke.control_plane.replication.settings import ReplicaSettings
 from reedspoke.control_plane.replication.view import View
-from reedspoke.control_plane.storage.log_file import CORRUPT_LOG_NAME, LOG_NAME, open_log
+from reedspoke.control_plane.storage.log_opening import open_log
+from reedspoke.control_plane.storage.log_slots import CORRUPT_LOG_NAME, LOG_NAME
 
 ADDRESS = "127.0.0.1:7660"
 LIMIT_S = 5.0
@@ -47,7 +48,7 @@
         self.threads: list[str] = []
         self.settings: list[ReplicaSettings] = []
         self.records: list[list[bytes]] = []
-        monkeypatch.setattr(driver_module, "Replica", self._make)
+        monkeypatch.setattr(replica_storage, "Replica", self._make)
 
     def _make(self, settings: ReplicaSettings, records: list[bytes], *others: Any) -> Replica:
         self.threads.append(threading.current_thread().name)
@@ -67,7 +68,7 @@
             while not until() or driver._replica is None:
                 await asyncio.sleep(0.005)
             for _ in range(2):
-                await driver._storage.call(lambda: None)  # its stores have ended
+                await driver._storage_thread.call(lambda: None)  # its stores have ended
 
     asyncio.run(run())
 
--- a/tests/control_plane/test_storage_faults.py
+++ b/tests/control_plane/test_storage_faults.py
@@ -9,7 +9,8 @@
 import pytest
 
 from reedspoke.common.errors import FleetError
-from reedspoke.control_plane.storage.log_file import LOG_NAME, OTHER_SLOT_NAME, OpenedLog, open_log
+from reedspoke.control_plane.storage.log_opening import OpenedLog, open_log
+from reedspoke.control_plane.storage.log_slots import LOG_NAME, OTHER_SLOT_NAME
 from tests.control_plane.simulated_files import FOLDER, PowerLost, SimulatedFiles, use
 
 Files = dict[str, bytes]
--- a/tests/golden/test_stored_files.py
+++ b/tests/golden/test_stored_files.py
@@ -17,7 +17,7 @@
 from reedspoke.acme.account import Account
 from reedspoke.acme.record import Record as RenewalRecord
 from reedspoke.acme.record import packed, unpacked
-from reedspoke.control_plane.storage import log_file
+from reedspoke.control_plane.storage import log_opening
 from reedspoke.control_plane.storage.records import RestoredState, restore
 from reedspoke.fleet.replicated_log.log_state import ChangeKind, LogChange
 from reedspoke.fleet.replicated_log.log_store import LogStore
@@ -57,7 +57,7 @@
 @pytest.mark.parametrize("name", sorted(CONTROL_LOG["states"]))
 def test_an_earlier_control_log_yields_its_state(tmp_path: Path, name: str) -> None:
     shutil.copy(DATA / name, tmp_path / "control.log")
-    opened = log_file.open_log(tmp_path)
+    opened = log_opening.open_log(tmp_path)
     opened.writer.close()
     expected = CONTROL_LOG["states"][name]
     assert opened.folder_id == expected["folder_id"]
@@ -84,7 +84,7 @@
 
 
 def test_a_control_log_is_written_as_earlier(tmp_path: Path) -> None:
-    opened = log_file.open_log(tmp_path)
+    opened = log_opening.open_log(tmp_path)
     for batch in CONTROL_LOG["batches"]:
         opened.writer.append([bytes.fromhex(record) for record in batch])
     opened.writer.close()
@@ -93,7 +93,7 @@
 
 def test_a_control_log_is_rewritten_as_earlier(tmp_path: Path) -> None:
     shutil.copy(DATA / "control.log", tmp_path)
-    opened = log_file.open_log(tmp_path)
+    opened = log_opening.open_log(tmp_path)
     opened.writer.rewrite([bytes.fromhex(record) for batch in CONTROL_LOG["batches"] for record in batch])
     opened.writer.close()
     assert [path.name for path in tmp_path.iterdir()] == ["control.log.2"]
