--- a/reedspoke/assembly.py
+++ b/reedspoke/assembly.py
@@ -53,9 +53,9 @@
             party, part = join(node.runtime, peers, me, terms, config.name or str(me), zone)
             node.add(part)
             if operator.bookings is not None:
-                from reedspoke.booking.part import join as join_bookings
+                from reedspoke.booking.subsystem import build_bookings
 
-                node.add(join_bookings(node.runtime, party, operator.bookings))
+                node.add(build_bookings(node.runtime, party, operator.bookings))
         except (ValueError, ReedspokeError) as error:  # keys, or duties too like each other
             raise ConfigError(f"fleet: {error}") from None
     return node
--- /dev/null
+++ b/reedspoke/booking/booking_node.py
@@ -0,0 +1,139 @@
+"""The reservations of one scheduler, joined to its part in the fleet. No I/O.
+
+`BookingNode` owns the replicated log where this scheduler is a voter, follows the singleton role that
+leads the log, and carries the messages of the log and of the booking service. `component.py` joins it to
+the rest of the program; the laboratory runs it as it is.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from reedspoke.booking.booking_service import BookingService
+from reedspoke.booking.leader_queue import LeaderQueue
+from reedspoke.booking.limits import BookingLimits
+from reedspoke.booking.reservation_table import ReservationTable
+from reedspoke.booking.settings import LEADER_ROLE
+from reedspoke.fleet.duties import Duty
+from reedspoke.fleet.frames import Matter, mark
+from reedspoke.fleet.party import Party
+from reedspoke.fleet.replicated_log.log_state import LogChange
+from reedspoke.fleet.replicated_log.messages import CommandReply, CommandRequest, LogEnvelope, Outbox
+from reedspoke.fleet.replicated_log.replicated_log import ReplicatedLog
+
+RETRANSMITS_PER_TTL = 4  # a lost message of the log is sent again that often within the lease of its leader
+
+
+class BookingNode:
+    """The handler of the role that leads the log: whoever holds its lease is told to lead."""
+
+    def __init__(
+        self,
+        party: Party,
+        limits: BookingLimits,
+        lease_ttl_us: int,
+        incarnation: int,
+        unix_time: Callable[[int], int],
+    ) -> None:
+        """`unix_time`: s of Unix time from our us. `incarnation` differs with each start."""
+        assert party.duties is not None
+        self.party, self.duties = party, party.duties
+        member, self.voters = party.mail.me, party.duties.electorate.granters
+        self.table: ReservationTable | None = None
+        self.replicated_log: ReplicatedLog | None = None
+        leader_queue: LeaderQueue | None = None
+        if member in self.voters:
+            self.table = ReservationTable()
+            retransmit_interval_us = lease_ttl_us // RETRANSMITS_PER_TTL
+            self.replicated_log = ReplicatedLog(
+                member, self.voters, incarnation, self.table, retransmit_interval_us
+            )
+            leader_queue = LeaderQueue(
+                self.replicated_log, self.table, limits, unix_time, self._send_log_messages
+            )
+        self.service = BookingService(
+            member, leader_queue, limits, self._leader_at, unix_time, first_number=incarnation
+        )
+        self.stores_changes = False  # whether changes have to be on disk before messages leave
+        self._join_fleet(lease_ttl_us)
+
+    def _join_fleet(self, lease_ttl_us: int) -> None:
+        party = self.party
+        self.duties.add(Duty(LEADER_ROLE, lease_ttl_us, able=self.replicated_log is not None), self)
+        party.heeds[LogEnvelope] = self._on_log_message
+        party.heeds[CommandRequest] = self._on_command_request
+        party.heeds[CommandReply] = self._on_command_reply
+        party.looks.append(self._tick)
+        party.keeps.append(self._take_log_changes)
+
+    def _leader_at(self, now: int) -> int | None:
+        holder = self.duties.holder(LEADER_ROLE, now)
+        return holder.member if holder is not None else None
+
+    # ---- storage ----
+
+    def _take_log_changes(self) -> list[LogChange]:
+        if self.replicated_log is None:
+            return []
+        changes = list(self.replicated_log.state.unsaved_changes)
+        self.replicated_log.state.unsaved_changes.clear()
+        return changes if self.stores_changes else []
+
+    def fail_storage(self, now: int) -> None:
+        """Changes cannot be stored: be silent, and give the role up.
+
+        Guards the others against a leader whose disk is full: it would go on to renew its lease, and
+        nothing could be committed.
+        """
+        assert self.replicated_log is not None
+        self.replicated_log.fail_storage()
+        self.party.gather(self.duties.disable(LEADER_ROLE, now))
+
+    # ---- the role ----
+
+    def begin(self, token: int, until: int, now: int) -> list[object]:
+        """The lease is ours: lead the log, with its token as the term."""
+        assert self.replicated_log is not None
+        self._send_log_messages(self.replicated_log.become_leader(token, now))
+        return []
+
+    def extend(self, until: int, now: int) -> list[object]:
+        """Nothing: the log needs no time, it is safe with any number of leaders."""
+        return []
+
+    def end(self, why: str, now: int) -> list[object]:
+        """The lease is lost."""
+        if self.replicated_log is not None:
+            self.replicated_log.step_down()
+        return []
+
+    def tick(self, now: int) -> list[object]:
+        """Nothing: the node's own tick drives the log, at the followers as well."""
+        return []
+
+    # ---- messages ----
+
+    def _send_log_messages(self, outbox: Outbox) -> None:
+        self.party.gather(_enveloped(outbox))
+
+    def _on_log_message(self, sender: int, envelope: LogEnvelope, now: int) -> list[tuple[int, Matter]]:
+        if envelope.log_name_hash != mark(LEADER_ROLE) or self.replicated_log is None:
+            return []
+        replies = self.replicated_log.receive(sender, envelope.message, now)
+        return [*_enveloped(replies), *self.service.tick(now)]
+
+    def _on_command_request(self, sender: int, request: CommandRequest, now: int) -> list[tuple[int, Matter]]:
+        return [*self.service.on_request(sender, request, now)]
+
+    def _on_command_reply(self, sender: int, reply: CommandReply, now: int) -> list[tuple[int, Matter]]:
+        self.service.on_reply(reply)
+        return []
+
+    def _tick(self, now: int) -> list[tuple[int, Matter]]:
+        outbox = self.replicated_log.tick(now) if self.replicated_log is not None else []
+        return [*_enveloped(outbox), *self.service.tick(now)]
+
+
+def _enveloped(outbox: Outbox) -> list[tuple[int, Matter]]:
+    """Messages of the log, as the fleet sends them."""
+    return [(outgoing.recipient, LogEnvelope(mark(LEADER_ROLE), outgoing.message)) for outgoing in outbox]
--- /dev/null
+++ b/reedspoke/booking/http_api.py
@@ -0,0 +1,163 @@
+"""Bodies of the HTTP API for reservations: requests into commands, outcomes into JSON. No I/O.
+
+`docs/calendar.md` describes the API for its users.
+"""
+
+from __future__ import annotations
+
+from datetime import UTC, datetime
+from typing import Annotated, Any
+
+import msgspec
+from msgspec import Meta, Struct
+
+from reedspoke.booking.messages import (
+    BookingCommand,
+    BookingOutcome,
+    BookingStatus,
+    CancelCommand,
+    Identifier,
+    ReserveCommand,
+    SlotCount,
+    Version,
+    encode_command,
+)
+from reedspoke.booking.recurrence import occurrences
+from reedspoke.errors import ReedspokeError
+
+JSON_CONTENT_TYPE = "application/json"
+HTTP_STATUS: dict[str, int] = {
+    BookingStatus.BOOKED: 201,
+    BookingStatus.CANCELLED: 200,
+    BookingStatus.REFUSED: 409,
+    BookingStatus.STALE: 409,
+    BookingStatus.ABSENT: 404,
+    BookingStatus.UNKNOWN: 202,
+}
+NO_LIMIT_YET = 1  # of a command: the leader fills in the limits
+
+
+class InvalidBookingError(ReedspokeError):
+    """The body is no booking, and no cancellation."""
+
+    code = "no-booking"
+    remedy = "see docs/calendar.md for the body, and the detail for what is wrong with it"
+
+
+class NotAVoterError(ReedspokeError):
+    """This scheduler does not keep the reservations."""
+
+    code = "bookings-elsewhere"
+    remedy = "ask the door of a scheduler that the detail names"
+
+
+class SlotsBody(Struct, forbid_unknown_fields=True, frozen=True):
+    """What is to be reserved, and for whom."""
+
+    tenant: Identifier
+    zone: Identifier
+    slots: SlotCount
+
+
+class BookingBody(SlotsBody, frozen=True):
+    """The body of a booking. Times are in RFC 3339, with their offset."""
+
+    begin: Annotated[datetime, Meta(tz=True)] = msgspec.field(name="from")
+    end: Annotated[datetime, Meta(tz=True)] = msgspec.field(name="to")
+    version: Version = 0
+
+
+class SeriesBody(SlotsBody, frozen=True):
+    """The body of a series of bookings: times of the wall clock at `clock`, a place, repeated by a rule."""
+
+    clock: str
+    repeat: str
+    begin: Annotated[datetime, Meta(tz=False)] = msgspec.field(name="from")
+    end: Annotated[datetime, Meta(tz=False)] = msgspec.field(name="to")
+    version: Version = 0
+
+
+class CancellationBody(Struct, forbid_unknown_fields=True, frozen=True):
+    """The body of a cancellation."""
+
+    version: Version
+
+
+def parse_booking(name: str, body: bytes) -> ReserveCommand:
+    """The command for one booking. Raises InvalidBookingError."""
+    try:
+        booking = msgspec.json.decode(body, type=BookingBody)
+        begin, end = int(booking.begin.timestamp()), int(booking.end.timestamp())
+        return _reserve_command(name, booking, booking.version, begin, end)
+    except (msgspec.DecodeError, ValueError, OverflowError) as error:
+        raise InvalidBookingError(str(error)) from error
+
+
+def parse_series(name: str, body: bytes) -> list[ReserveCommand]:
+    """The commands for a series, each with a name of its own: NAME.1, NAME.2 and so on.
+
+    Raises InvalidBookingError, and RecurrenceError for the rule.
+    """
+    try:
+        series = msgspec.json.decode(body, type=SeriesBody)
+        windows = occurrences(series.begin, series.end, series.repeat, series.clock)
+        return [
+            _reserve_command(f"{name}.{position}", series, series.version, window.begin, window.end)
+            for position, window in enumerate(windows, 1)
+        ]
+    except (msgspec.DecodeError, ValueError, OverflowError) as error:
+        raise InvalidBookingError(str(error)) from error
+
+
+def parse_cancellation(name: str, body: bytes, now_s: int) -> CancelCommand:
+    """The command for a cancellation. Raises InvalidBookingError."""
+    try:
+        cancellation = msgspec.json.decode(body, type=CancellationBody)
+        command = CancelCommand(name, cancellation.version, now_s)
+        _check(command)
+    except (msgspec.DecodeError, ValueError) as error:
+        raise InvalidBookingError(str(error)) from error
+    return command
+
+
+def _reserve_command(name: str, slots: SlotsBody, version: int, begin: int, end: int) -> ReserveCommand:
+    command = ReserveCommand(
+        name, version, slots.tenant, slots.zone, slots.slots, begin, end, NO_LIMIT_YET, NO_LIMIT_YET
+    )
+    _check(command)
+    return command
+
+
+def _check(command: BookingCommand) -> None:
+    """Decoding checks the bounds of the fields, constructing does not. Raises ValueError, ValidationError."""
+    msgspec.msgpack.decode(encode_command(command), type=type(command))
+
+
+def rfc3339(at_s: int) -> str:
+    """s of Unix time, in UTC."""
+    return datetime.fromtimestamp(at_s, UTC).isoformat().replace("+00:00", "Z")
+
+
+def outcome_as_json(outcome: BookingOutcome) -> dict[str, Any]:
+    """The body that answers a request; what is empty is left out."""
+    body: dict[str, Any] = {"name": outcome.name, "state": outcome.status, "version": outcome.version}
+    if outcome.tenant:
+        body |= {
+            "tenant": outcome.tenant,
+            "zone": outcome.zone,
+            "slots": outcome.slots,
+            "from": rfc3339(outcome.begin),
+            "to": rfc3339(outcome.end),
+        }
+    if outcome.reasons:
+        body["because"] = list(outcome.reasons)
+    if outcome.free_windows:
+        body["free"] = [
+            {"from": rfc3339(window.begin), "to": rfc3339(window.end)} for window in outcome.free_windows
+        ]
+    return body
+
+
+def http_status(outcome: BookingOutcome) -> int:
+    """The status that answers a request."""
+    return HTTP_STATUS.get(outcome.status, 200)
--- /dev/null
+++ b/reedspoke/booking/log_writer.py
@@ -0,0 +1,50 @@
+"""The replicated log's storage in the running program: changes go to disk before messages leave."""
+
+from __future__ import annotations
+
+import logging
+from collections.abc import Callable
+from typing import Any
+
+from reedspoke.fleet.events import Keep, Kept, Unkept
+from reedspoke.fleet.replicated_log.log_store import LogStore, LogStoreError
+from reedspoke.fleet.replicated_log.replicated_log import ReplicatedLog
+from reedspoke.net.runtime import Runtime
+
+log = logging.getLogger("reedspoke")
+
+
+class LogWriter:
+    """Owns the log's store. The write blocks the event loop: nothing may be sent before it is done anyway."""
+
+    def __init__(self, runtime: Runtime, store: LogStore, replicated_log: ReplicatedLog) -> None:
+        self.runtime, self.store, self.replicated_log = runtime, store, replicated_log
+
+    def effects(self) -> dict[type, Callable[[Any], None]]:
+        """What the reducer asks for."""
+        return {Keep: self._save}
+
+    def open(self) -> None:
+        """Restore what was stored."""
+        if summary := self.store.load(self.replicated_log):
+            log.info("%s", summary)
+
+    def reload(self) -> None:
+        """Nothing: the directory is the one of the start."""
+
+    def close(self) -> None:
+        """Close the files."""
+        self.store.close()
+
+    def _save(self, effect: Keep) -> None:
+        try:
+            self.store.save(list(effect.changes), self.replicated_log)
+        except LogStoreError as error:
+            log.error(
+                "replicated log: storage failed, this voter acknowledges nothing until a restart: %s",
+                error,
+                extra=error.fields(),
+            )
+            self.runtime.emit(Unkept())
+        else:
+            self.runtime.emit(Kept(effect.then))
--- a/reedspoke/booking/file.py
+++ b/reedspoke/booking/settings.py
@@ -1,4 +1,7 @@
-"""The bookings' part of the operator file."""
+"""The bookings' part of the operator file.
+
+Names and docstrings of the classes are part of the published schema (`deploy/operator.schema.json`).
+"""
 
 from __future__ import annotations
 
@@ -6,23 +9,23 @@
 
 from msgspec import Meta, Struct
 
-from reedspoke.booking.words import Word
+from reedspoke.booking.messages import Identifier
 from reedspoke.units import Duration
 
-DUTY = "bookings"  # the name of the duty that leads their record
+LEADER_ROLE = "bookings"  # the singleton role whose holder leads the replicated log of reservations
 
 
 class Zone(Struct, forbid_unknown_fields=True, frozen=True):
     """What of a zone may be booked."""
 
-    name: Word
+    name: Identifier
     cap: Annotated[int, Meta(ge=1, le=0xFFFF, description="Slots that may be booked at any moment.")]
 
 
 class Team(Struct, forbid_unknown_fields=True, frozen=True):
     """What one tenant may have booked."""
 
-    tenant: Word
+    tenant: Identifier
     most: Annotated[int, Meta(ge=1, le=0xFFFF, description="Slots of one zone at any moment.")]
 
 
--- /dev/null
+++ b/reedspoke/booking/subsystem.py
@@ -0,0 +1,55 @@
+"""The reservations as a subsystem of the program: component, storage, HTTP calls and metrics.
+
+POST   /v1/bookings/NAME            201 booked, 409 refused or stale, 202 not known yet POST
+/v1/bookings/NAME/series     the same by a rule: each occurrence has a name of its own, NAME.1 and so on
+DELETE /v1/bookings/NAME            200 cancelled, 409 stale, 202 not known yet GET    /v1/bookings/NAME
+as it is known here: 200, 404; at a scheduler that is no voter 503 GET    /v1/bookings                 all
+of them, as they are known here
+"""
+
+from __future__ import annotations
+
+from reedspoke.booking.booking_node import BookingNode
+from reedspoke.booking.component import US_PER_SECOND, BookingComponent
+from reedspoke.booking.limits import limits_from
+from reedspoke.booking.log_writer import LogWriter
+from reedspoke.booking.metrics import metrics_text
+from reedspoke.booking.settings import Bookings
+from reedspoke.fleet.party import Party
+from reedspoke.fleet.replicated_log.log_store import LogStore
+from reedspoke.net.runtime import Runtime
+from reedspoke.net.subsystem import NAME, Call, Subsystem
+from reedspoke.units import seconds
+
+LOG_NAME = "bookings"  # of the files in the operator's folder
+INCARNATION_BITS = 0xFFFF_FFFF
+US_PER_MS = 1000
+
+
+def build_bookings(runtime: Runtime, party: Party, settings: Bookings) -> Subsystem:
+    """Stands on the fleet's own subsystem. Raises ValueError for a role of the same name, LogStoreError."""
+    now = runtime.clock.now()
+    incarnation = now // US_PER_MS & INCARNATION_BITS
+    lease_ttl_us = int(seconds(settings.term) * US_PER_SECOND)
+    node = BookingNode(
+        party, limits_from(settings), lease_ttl_us, incarnation, lambda now: now // US_PER_SECOND
+    )
+    component = BookingComponent(runtime.reducer.core, node)
+    extensions = []
+    if settings.folder and node.replicated_log is not None:
+        node.stores_changes = True
+        extensions.append(LogWriter(runtime, LogStore(settings.folder, LOG_NAME), node.replicated_log))
+    return Subsystem(
+        "bookings", (component,), tuple(extensions), _calls(component), lambda: metrics_text(node)
+    )
+
+
+def _calls(component: BookingComponent) -> tuple[Call, ...]:
+    one = (b"bookings", NAME)
+    return (
+        Call(b"POST", (*one, b"series"), component.on_reserve_series),
+        Call(b"POST", one, component.on_reserve),
+        Call(b"DELETE", one, component.on_cancel),
+        Call(b"GET", one, component.on_show),
+        Call(b"GET", (b"bookings",), component.on_list),
+    )
--- a/reedspoke/fleet/replicated_log/log_state.py
+++ b/reedspoke/fleet/replicated_log/log_state.py
@@ -1,6 +1,6 @@
 """One replica's copy of the log: the snapshot, the entries behind it, the term and the commit index.
 
-`LogState` owns all of it and notes each change that has to be on disk before a message that follows from
+`LogState` owns all of it and records each change that has to be on disk before a message that follows from
 it may leave (`unsaved_changes`). No I/O.
 """
 
@@ -109,18 +109,18 @@
         """Accept no lower term from now on."""
         if term > self.current_term:
             self.current_term = term
-            self._note_change(ChangeKind.TERM, term)
+            self._record_change(ChangeKind.TERM, term)
 
     def append(self, term: int, data: bytes) -> None:
         """Add an entry at the end."""
         self.entries.append(LogEntry(term, data))
-        self._note_change(ChangeKind.APPEND, term, data)
+        self._record_change(ChangeKind.APPEND, term, data)
 
     def truncate_after(self, index: int) -> None:
         """Remove the entries behind that index; they were never committed."""
         if index < self.last_index:
             self.entries = self.entries[: index - self.snapshot_index]
-            self._note_change(ChangeKind.TRUNCATE, index)
+            self._record_change(ChangeKind.TRUNCATE, index)
 
     def commit_through(self, index: int) -> None:
         """Apply the entries up to that index that are here, and compact the log where it has grown."""
@@ -138,7 +138,7 @@
         self.snapshot_index = self.commit_index
         self.snapshot_term = term
         self.snapshot = self.state_machine.snapshot()
-        self._note_change(ChangeKind.REWRITE)
+        self._record_change(ChangeKind.REWRITE)
 
     def install_snapshot(self, index: int, term: int, snapshot: bytes) -> None:
         """Replace all entries up to that index by a snapshot from another replica."""
@@ -148,13 +148,13 @@
         self.entries = self.entries[index - self.snapshot_index :] if continues else []
         self.snapshot_index, self.snapshot_term, self.snapshot = index, term, snapshot
         self.commit_index = index
-        self._note_change(ChangeKind.REWRITE)
+        self._record_change(ChangeKind.REWRITE)
 
     def finish_recovery(self) -> None:
         """What the replica has counts from now on."""
         if self.recovering:
             self.recovering = False
-            self._note_change(ChangeKind.REWRITE)
+            self._record_change(ChangeKind.REWRITE)
 
     def persistent_state(self) -> PersistentState:
         """What `restore` takes."""
@@ -171,7 +171,7 @@
         self.entries = list(state.entries)
         self.recovering = False
 
-    def _note_change(self, kind: ChangeKind, number: int = 0, data: bytes = b"") -> None:
+    def _record_change(self, kind: ChangeKind, number: int = 0, data: bytes = b"") -> None:
         """While recovering nothing is acknowledged, so nothing is stored: `finish_recovery` stores it all."""
         if not self.recovering:
             self.unsaved_changes.append(LogChange(kind, number, data))
--- a/reedspoke/lab/stages.py
+++ b/reedspoke/lab/stages.py
@@ -15,9 +15,9 @@
 from pathlib import Path
 from typing import Protocol
 
-from reedspoke.booking.desk import Terms
-from reedspoke.booking.part import when
-from reedspoke.booking.words import Book, Cancel
+from reedspoke.booking.http_api import rfc3339
+from reedspoke.booking.limits import BookingLimits
+from reedspoke.booking.messages import CancelCommand, ReserveCommand
 from reedspoke.lab import relay
 from reedspoke.lab.rig import DUTY as RIG_DUTY
 from reedspoke.lab.rig import Rig
@@ -138,7 +138,7 @@
 
 CAP = 6  # slots of the laboratory's zones that may be booked
 ZONES = ("north", "south")
-TERMS = Terms(dict.fromkeys(ZONES, CAP), {}, step=1, horizon=86_400)
+BOOKING_LIMITS = BookingLimits(dict.fromkeys(ZONES, CAP), {}, step_s=1, horizon_s=86_400)
 
 
 def most_booked(kept: dict[str, tuple[int, int, int, int]]) -> int:
@@ -345,13 +345,13 @@
     return any(action.word == "book" for row in told.rows for cell in row.cells.values() for action in cell)
 
 
-def order_of(action: Action, began: int) -> Book | Cancel:
+def order_of(action: Action, began: int) -> ReserveCommand | CancelCommand:
     """`book NAME ZONE SLOTS FROM..TO [VERSION]`, times in s from `began`; `cancel NAME [VERSION]`, else 1."""
     if action.word == "cancel":
-        return Cancel(action.args[0], int(action.args[1]) if len(action.args) > 1 else 1, began)
+        return CancelCommand(action.args[0], int(action.args[1]) if len(action.args) > 1 else 1, began)
     name, zone, slots, window, *version = action.args
     begin, _, end = window.partition("..")
-    return Book(
+    return ReserveCommand(
         name,
         int(version[0]) if version else 0,
         "team",
@@ -379,7 +379,7 @@
         self.inner = Play(
             len(told.nodes), seed, int(told.setting("period", "400ms")),
             int(told.setting("term", "1s")), 0.05,
-            granters=granters(told), started=False, terms=TERMS if books(told) else None,
+            granters=granters(told), started=False, booking_limits=BOOKING_LIMITS if books(told) else None,
             folder=told.setting("folder", "0") > 0,
         )  # fmt: skip
         self._names: dict[tuple[int, int], tuple[str, int]] = {}  # by node and ticket: name and version
@@ -387,23 +387,24 @@
     def order(self, number: int, action: Action) -> None:
         play = self.inner
         process = play.processes.get(number)
-        if process is None or process.stopped or process.agreed is None:
+        if process is None or process.stopped or process.booking_node is None:
             return
         order = order_of(action, play.born // SECOND)
-        ticket, out = process.agreed.desk.take(order, process.clock())
-        self._names[number, ticket] = order.name, order.version
+        request, out = process.booking_node.service.submit(order, process.clock())
+        self._names[number, request] = order.name, order.version
         process.party.gather(out)
         process.flush()
 
     def told(self) -> list[tuple[str, int, str]]:
         found = list[tuple[str, int, str]]()
         for number, process in self.inner.processes.items():
-            if process.agreed is None:
+            if process.booking_node is None:
                 continue
-            for ticket, told in process.agreed.desk.done:
-                if (asked := self._names.pop((number, ticket), None)) is not None:
-                    found.append((*asked, told.what))
-            process.agreed.desk.done.clear()
+            completed = process.booking_node.service.completed
+            for request, outcome in completed:
+                if (asked := self._names.pop((number, request), None)) is not None:
+                    found.append((*asked, str(outcome.status)))
+            completed.clear()
         return found
 
     async def do(self, number: int, action: Action) -> None:
@@ -441,17 +442,18 @@
             process = self.inner.processes[number]
             standing = {at: one.standing.name.lower() for at, one in process.membership.members.items()}
             lease = process.duties.leases[DUTY]
-            view, agreed = process.view.settled(), process.agreed
+            view, booking_node = process.view.settled(), process.booking_node
+            replicated_log = booking_node.replicated_log if booking_node is not None else None
             kept = None
-            if agreed is not None and agreed.calendar and agreed.record and not agreed.record.recovering:
+            if booking_node and booking_node.table and replicated_log and not replicated_log.recovering:
                 kept = {
                     name: (one.slots, one.begin, one.end, one.version)
-                    for name, one in agreed.calendar.kept.items()
-                    if not one.gone
+                    for name, one in booking_node.table.reservations.items()
+                    if not one.cancelled
                 }
             told[number] = Seen(
                 standing, lease.token if lease.holds(process.clock()) else 0,
-                agreed is not None and agreed.record is not None and agreed.record.serving, kept,
+                replicated_log is not None and replicated_log.serving, kept,
                 f"{view.digest:x}" if view.settled else "", view.behind,
             )  # fmt: skip
         return told
@@ -496,11 +498,15 @@
     async def _order(self, number: int, action: Action) -> None:
         order, program = order_of(action, self._wall), self.rig.schedulers[number].program
         path = f"/v1/bookings/{order.name}"
-        if isinstance(order, Book):
+        if isinstance(order, ReserveCommand):
             body = {
-                "tenant": order.tenant, "zone": order.zone, "slots": order.slots, "from": when(order.begin),
-                "to": when(order.end), "version": order.version,
-            }  # fmt: skip
+                "tenant": order.tenant,
+                "zone": order.zone,
+                "slots": order.slots,
+                "from": rfc3339(order.begin),
+                "to": rfc3339(order.end),
+                "version": order.version,
+            }
             status, text = await program.call("POST", path, json.dumps(body))
         else:
             status, text = await program.call("DELETE", path, json.dumps({"version": order.version}))
--- a/reedspoke/lab/virtual.py
+++ b/reedspoke/lab/virtual.py
@@ -9,8 +9,8 @@
 from itertools import count
 from random import Random
 
-from reedspoke.booking.agreed import Agreed
-from reedspoke.booking.desk import Terms
+from reedspoke.booking.booking_node import BookingNode
+from reedspoke.booking.limits import BookingLimits
 from reedspoke.fleet.duties import Duties, Duty, Electorate
 from reedspoke.fleet.mail import Mail
 from reedspoke.fleet.membership import Membership, Standing
@@ -48,20 +48,20 @@
             self.duties.add(duty)
         self.view = View(number, play.size, wall // SECOND, number % 2, play.period, now)
         self.party = Party(self.mail, self.membership, self.duties, self.view)
-        self.agreed: Agreed | None = None
-        if play.terms is not None:
+        self.booking_node: BookingNode | None = None
+        if play.booking_limits is not None:
             since = play.born
-            self.agreed = Agreed(
+            self.booking_node = BookingNode(
                 self.party,
-                play.terms,
+                play.booking_limits,
                 play.term,
-                next(play.tickets) << 12,
+                next(play.request_numbers) << 12,
                 lambda _: (since + play.now) // SECOND,
             )
-            if play.folder and self.agreed.record is not None:
-                self.agreed.folder = True
+            if play.folder and self.booking_node.replicated_log is not None:
+                self.booking_node.stores_changes = True
                 if number in play.stored_logs:
-                    self.agreed.record.restore(play.stored_logs[number])
+                    self.booking_node.replicated_log.restore(play.stored_logs[number])
         self.tokens: dict[str, int] = {}
         self.want(True)
 
@@ -83,9 +83,9 @@
 
     def flush(self) -> None:
         if any(keep() for keep in self.party.keeps):
-            assert self.agreed is not None
-            assert self.agreed.record is not None
-            state = self.agreed.record.state.persistent_state()
+            assert self.booking_node is not None
+            assert self.booking_node.replicated_log is not None
+            state = self.booking_node.replicated_log.state.persistent_state()
             self.play.stored_logs[self.number] = state
         for to, bodies in self.party.flush(self.clock()):
             others = [at for at in range(self.play.size) if at != self.number] if to < 0 else [to]
@@ -105,11 +105,11 @@
     def __init__(
         self, size: int, seed: int, period: int = SECOND, term: int = 3 * SECOND, drift: float = 0.01,
         rates: tuple[float, ...] = (1.0, 0.995, 1.005), duties: int = 1,
-        granters: tuple[int, ...] = (), started: bool = True, terms: Terms | None = None,
+        granters: tuple[int, ...] = (), started: bool = True, booking_limits: BookingLimits | None = None,
         folder: bool = False,
     ) -> None:  # fmt: skip
-        """`started`: all of them at once, else each by `start`. `terms`: of bookings, None: there are
-        none."""
+        """`started`: all of them at once, else each by `start`. `booking_limits`: None: there are no
+        bookings."""
         self.size, self.period, self.term, self.rates = size, period, term, rates
         self.random, self.now, self.weather = Random(seed), 0, Weather()
         self.weathers: dict[int, Weather] = {}  # of what these send, in place of the common one
@@ -124,7 +124,8 @@
         self._events: list[tuple[int, int, Callable[[], None]]] = []
         self._order = count()
         self.folder, self.stored_logs = folder, dict[int, PersistentState]()
-        self.terms, self.tickets, self.born = terms, count(1), 1_700_000_000 * SECOND
+        self.booking_limits, self.request_numbers = booking_limits, count(1)
+        self.born = 1_700_000_000 * SECOND
         self.processes: dict[int, Process] = {}
         for number in range(size) if started else ():
             self.start(number)
--- a/reedspoke/operator/check.py
+++ b/reedspoke/operator/check.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from reedspoke.booking.file import DUTY, Bookings
+from reedspoke.booking.settings import LEADER_ROLE, Bookings
 from reedspoke.errors import ReedspokeError
 from reedspoke.fleet.file import Fleet
 from reedspoke.operator.types import Acme, Identity, Operator
@@ -91,8 +91,8 @@
         yield from _bookings(told.bookings)
         if told.fleet is None:
             yield "fleet", "is missing, and bookings are agreed on by a fleet"
-        elif DUTY in [one.name for one in told.fleet.duties]:
-            yield "fleet.duties", f"the name {DUTY!r} is taken by bookings"
+        elif LEADER_ROLE in [one.name for one in told.fleet.duties]:
+            yield "fleet.duties", f"the name {LEADER_ROLE!r} is taken by bookings"
     if told.fleet is not None:
         yield from _fleet(told.fleet)
         if told.fleet.certificates and told.acme is None:
--- a/reedspoke/operator/types.py
+++ b/reedspoke/operator/types.py
@@ -8,7 +8,7 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from reedspoke.booking.file import Bookings
+from reedspoke.booking.settings import Bookings
 from reedspoke.fleet.file import Fleet
 from reedspoke.units import Address, Duration, Name
 
--- /dev/null
+++ b/tests/booking/test_booking_node.py
@@ -0,0 +1,33 @@
+"""One scheduler's part in the reservations, in a simulated fleet."""
+
+from __future__ import annotations
+
+from reedspoke.booking.limits import BookingLimits
+from reedspoke.booking.settings import LEADER_ROLE
+from reedspoke.lab.virtual import SECOND, Play
+
+
+def test_a_leader_whose_disk_is_full_hands_its_role_on() -> None:
+    """Guards the others: it kept its lease, committed nothing, and every command was unknown until its
+    restart."""
+    play = Play(3, 1, SECOND // 2, SECOND, booking_limits=BookingLimits({"north": 6}, {}, step_s=1))
+    play.run(5 * SECOND)
+
+    def leaders() -> list[int]:
+        return [
+            at
+            for at, one in play.processes.items()
+            if one.booking_node
+            and one.booking_node.replicated_log
+            and one.booking_node.replicated_log.serving
+        ]
+
+    (first,) = leaders()
+    process = play.processes[first]
+    assert process.booking_node is not None
+    process.booking_node.fail_storage(process.clock())
+    process.flush()
+    play.run(6 * SECOND)
+    (second,) = leaders()
+    assert second != first
+    assert not process.duties.holds(LEADER_ROLE, process.clock())
--- a/tests/booking/test_part.py
+++ b/tests/booking/test_http_api.py
@@ -1,4 +1,4 @@
-"""Bookings at the door of the real program."""
+"""Bookings over the HTTP API of the real program."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 @pytest.fixture
 def pair(start: Start) -> tuple[Node, Node]:
-    """Two schedulers, of which the first grants."""
+    """Two schedulers, of which the first is a voter."""
     members = [f"127.0.0.1:{free_port()}" for _ in range(2)]
     nodes = [start(hosts=1, me=me, balancers=2, operator=operator(me, members, [0])) for me in range(2)]
     return nodes[0], nodes[1]
@@ -37,47 +37,49 @@
     return answer
 
 
-def wanted(slots: int, hour: int, tenant: str = "acme", **more: object) -> dict[str, object]:
+def booking_body(slots: int, hour: int, tenant: str = "acme", **more: object) -> dict[str, object]:
     day = time.strftime("%Y-%m-%d", time.gmtime(time.time() + 2 * 86_400))
     times = {"from": f"{day}T{hour:02}:00:00Z", "to": f"{day}T{hour + 2:02}:00:00+00:00"}
     return {"tenant": tenant, "zone": "north", "slots": slots, **times, **more}
 
 
-def told(answer: Message) -> tuple[int, str]:
+def result(answer: Message) -> tuple[int, str]:
     return answer.status, json.loads(answer.body)["state"]
 
 
 def until_booked(node: Node, name: str, body: dict[str, object]) -> Message:
-    """The record takes a term to begin; until then nobody knows."""
+    """The log has a leader after a lease's time; until then nobody knows."""
     end = time.monotonic() + WAIT
     while (answer := call(node, "POST", f"bookings/{name}", body)).status == 202 and time.monotonic() < end:
         pass
     return answer
 
 
-def test_a_booking_from_any_door_is_the_same_everywhere(pair: tuple[Node, Node]) -> None:
-    granter, other = pair
-    assert told(until_booked(other, "first", wanted(4, 2))) == (201, "booked")
-    answer = call(granter, "POST", "bookings/second", wanted(3, 3))
-    assert told(answer) == (409, "refused")
+def test_a_booking_through_any_scheduler_is_the_same_everywhere(pair: tuple[Node, Node]) -> None:
+    voter, other = pair
+    assert result(until_booked(other, "first", booking_body(4, 2))) == (201, "booked")
+    answer = call(voter, "POST", "bookings/second", booking_body(3, 3))
+    assert result(answer) == (409, "refused")
     body = json.loads(answer.body)
     assert body["because"] == ["first"]
     assert body["free"][0]["from"].endswith("T04:00:00Z")
-    assert told(call(other, "POST", "bookings/first", wanted(4, 2))) == (201, "booked"), "the same name again"
-    assert told(call(other, "POST", "bookings/small", wanted(3, 10, "small"))) == (409, "refused")
-    assert told(call(granter, "DELETE", "bookings/first", {"version": 1})) == (200, "cancelled")
-    assert told(call(other, "POST", "bookings/first", wanted(4, 2))) == (409, "stale")
-    assert told(call(other, "POST", "bookings/second", wanted(3, 3, version=1))) == (201, "booked")
-    assert told(call(granter, "GET", "bookings/second")) == (200, "booked")
-    assert call(granter, "GET", "bookings/never").status == 404
-    listed = json.loads(call(granter, "GET", "bookings").body)
+    assert result(call(other, "POST", "bookings/first", booking_body(4, 2))) == (201, "booked"), (
+        "the same name again"
+    )
+    assert result(call(other, "POST", "bookings/small", booking_body(3, 10, "small"))) == (409, "refused")
+    assert result(call(voter, "DELETE", "bookings/first", {"version": 1})) == (200, "cancelled")
+    assert result(call(other, "POST", "bookings/first", booking_body(4, 2))) == (409, "stale")
+    assert result(call(other, "POST", "bookings/second", booking_body(3, 3, version=1))) == (201, "booked")
+    assert result(call(voter, "GET", "bookings/second")) == (200, "booked")
+    assert call(voter, "GET", "bookings/never").status == 404
+    listed = json.loads(call(voter, "GET", "bookings").body)
     assert [one["name"] for one in listed["bookings"]] == ["second"]
-    figures = granter.call("/v1/metrics").body.decode()
-    assert "scheduler_record_serving 1" in figures
-    assert 'scheduler_bookings_told_total{what="refused"}' in figures
+    metrics = voter.call("/v1/metrics").body.decode()
+    assert "scheduler_record_serving 1" in metrics
+    assert 'scheduler_bookings_told_total{what="refused"}' in metrics
 
 
-def test_who_grants_nothing_says_who_does(pair: tuple[Node, Node]) -> None:
+def test_a_scheduler_that_is_no_voter_says_who_is(pair: tuple[Node, Node]) -> None:
     for path in ("bookings", "bookings/first"):
         answer = call(pair[1], "GET", path)
         assert answer.status == 503
@@ -90,13 +92,13 @@
 @pytest.mark.parametrize(
     "body",
     [
-        b"", b"no json", {}, wanted(0, 2), wanted(3, 2, zone=7), wanted(3, 2, more=1),
-        wanted(3, 2, tenant="Too Large"), {**wanted(3, 2), "from": "2026-01-01T00:00:00"},
-        {**wanted(3, 2), "to": "soon"},
+        b"", b"no json", {}, booking_body(0, 2), booking_body(3, 2, zone=7), booking_body(3, 2, more=1),
+        booking_body(3, 2, tenant="Too Large"), {**booking_body(3, 2), "from": "2026-01-01T00:00:00"},
+        {**booking_body(3, 2), "to": "soon"},
     ],
     ids=repr,
 )  # fmt: skip
-def test_the_door_tells_what_is_no_booking(start: Start, body: object) -> None:
+def test_an_invalid_booking_is_refused_with_a_problem(start: Start, body: object) -> None:
     node = start(hosts=1, operator=operator(0, [f"127.0.0.1:{free_port()}"], [0]))
     answer = call(node, "POST", "bookings/first", body)
     assert answer.status == 400
@@ -109,7 +111,7 @@
     members = [f"127.0.0.1:{free_port()}" for _ in range(3)]
     node = start(hosts=1, balancers=3, operator=operator(0, members, [0, 1, 2]))
     began = time.monotonic()
-    assert told(call(node, "POST", "bookings/first", wanted(4, 2))) == (202, "unknown")
+    assert result(call(node, "POST", "bookings/first", booking_body(4, 2))) == (202, "unknown")
     assert 1.5 < time.monotonic() - began < 2.3
 
 
@@ -119,13 +121,13 @@
         "tenant": "acme", "zone": "north", "slots": 4, "from": f"{day}T02:00:00", "to": f"{day}T04:00:00",
         "clock": "Europe/Vienna", "repeat": "FREQ=WEEKLY;COUNT=3",
     }  # fmt: skip
-    until_booked(pair[1], "first", wanted(1, 20))
+    until_booked(pair[1], "first", booking_body(1, 20))
     answer = call(pair[1], "POST", "bookings/weekly/series", body)
     assert answer.status == 201
     found = json.loads(answer.body)["bookings"]
     assert [one["name"] for one in found] == ["weekly.1", "weekly.2", "weekly.3"]
     assert {one["state"] for one in found} == {"booked"}
-    assert told(call(pair[0], "GET", "bookings/weekly.2")) == (200, "booked")
+    assert result(call(pair[0], "GET", "bookings/weekly.2")) == (200, "booked")
     clash = call(pair[0], "POST", "bookings/other/series", {**body, "repeat": "FREQ=DAILY;COUNT=2"})
     assert clash.status == 409
     states = {one["name"]: one["state"] for one in json.loads(clash.body)["bookings"]}
--- /dev/null
+++ b/tests/booking/test_limits.py
@@ -0,0 +1,29 @@
+"""The operator's limits: what is refused before it comes into the log."""
+
+from __future__ import annotations
+
+import pytest
+from msgspec.structs import replace
+
+from reedspoke.booking.limits import BookingLimits
+from reedspoke.booking.messages import ReserveCommand
+
+
+@pytest.mark.parametrize(
+    ("change", "reason"),
+    [
+        ({"zone": "nowhere"}, "no such zone"), ({"begin": 601}, "grid"),
+        ({"begin": 1200, "end": 600}, "before it"),
+        ({"end": 600 + 86_700}, "longer"), ({"begin": 0, "end": 300}, "over already"),
+        ({"begin": 10**7 // 300 * 300, "end": 10**7 // 300 * 300 + 300}, "horizon"), ({}, ""),
+    ],
+    ids=str,
+)  # fmt: skip
+def test_what_cannot_be_booked_is_refused_where_it_is_requested(change: dict[str, int], reason: str) -> None:
+    limits = BookingLimits({"north": 6}, {"t": 2, "": 4})
+    command = ReserveCommand("n", 0, "t", "north", 1, 600, 900, 1, 1)
+    refusal = limits.refusal(replace(command, **change), 500)
+    assert (reason in refusal) if reason else refusal == ""
+    complete = limits.fill_in(command)
+    assert isinstance(complete, ReserveCommand)
+    assert (complete.zone_limit, complete.tenant_limit) == (6, 2)
--- a/tests/booking/test_rules.py
+++ b/tests/booking/test_recurrence.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from reedspoke.booking.rules import MOST, RuleError, moment, times
+from reedspoke.booking.recurrence import MAX_OCCURRENCES, RecurrenceError, occurrences, unix_time
 
 VIENNA = "Europe/Vienna"
 
@@ -16,28 +16,30 @@
     return datetime.fromtimestamp(at, ZoneInfo(place)).strftime("%d %H:%M%z")
 
 
-def told(begin: str, end: str, rule: str, place: str = VIENNA) -> list[tuple[str, str]]:
-    found = times(datetime.fromisoformat(begin), datetime.fromisoformat(end), rule, place)
+def local_windows(begin: str, end: str, rule: str, place: str = VIENNA) -> list[tuple[str, str]]:
+    found = occurrences(datetime.fromisoformat(begin), datetime.fromisoformat(end), rule, place)
     return [(local(a, place), local(b, place)) for a, b in found]
 
 
 def test_hours_stay_those_of_the_clock_through_a_change() -> None:
-    found = told("2026-03-28T05:00", "2026-03-28T07:00", "FREQ=DAILY;COUNT=3")
+    found = local_windows("2026-03-28T05:00", "2026-03-28T07:00", "FREQ=DAILY;COUNT=3")
     assert [begin for begin, _ in found] == ["28 05:00+0100", "29 05:00+0200", "30 05:00+0200"]
     assert [end for _, end in found] == ["28 07:00+0100", "29 07:00+0200", "30 07:00+0200"]
 
 
 def test_a_time_that_does_not_exist_is_the_moment_of_the_jump() -> None:
-    assert told("2026-03-29T02:30", "2026-03-29T04:00", "FREQ=DAILY;COUNT=1") == [
+    assert local_windows("2026-03-29T02:30", "2026-03-29T04:00", "FREQ=DAILY;COUNT=1") == [
         ("29 03:00+0200", "29 04:00+0200")
     ]
-    assert told("2026-03-29T01:00", "2026-03-29T02:30", "FREQ=DAILY;COUNT=1") == [
+    assert local_windows("2026-03-29T01:00", "2026-03-29T02:30", "FREQ=DAILY;COUNT=1") == [
         ("29 01:00+0100", "29 03:00+0200")
     ]
 
 
 def test_an_hour_that_comes_twice_is_booked_whole() -> None:
-    (only,) = times(datetime(2026, 10, 25, 2, 0), datetime(2026, 10, 25, 2, 30), "FREQ=DAILY;COUNT=1", VIENNA)
+    (only,) = occurrences(
+        datetime(2026, 10, 25, 2, 0), datetime(2026, 10, 25, 2, 30), "FREQ=DAILY;COUNT=1", VIENNA
+    )
     assert (local(only[0]), local(only[1])) == ("25 02:00+0200", "25 02:30+0100")
     assert only[1] - only[0] == 5400
 
@@ -45,7 +47,7 @@
 @pytest.mark.parametrize("place", ["Asia/Tokyo", "Australia/Lord_Howe", "America/St_Johns", "UTC"])
 def test_other_places(place: str) -> None:
     """A half hour's change, an offset of half an hour, no change at all."""
-    found = times(
+    found = occurrences(
         datetime(2026, 1, 31, 2, 0), datetime(2026, 1, 31, 4, 0), "FREQ=MONTHLY;BYMONTHDAY=-1;COUNT=12", place
     )
     assert len(found) == 12
@@ -54,7 +56,7 @@
 
 
 def test_a_jump_is_found_to_the_second() -> None:
-    at = moment(datetime(2026, 3, 29, 2, 59, 59), ZoneInfo(VIENNA), late=False)
+    at = unix_time(datetime(2026, 3, 29, 2, 59, 59), ZoneInfo(VIENNA), late=False)
     assert local(at) == "29 03:00+0200"
     assert local(at - 1) == "29 01:59+0100"
 
@@ -63,7 +65,8 @@
     ("change", "why"),
     [
         ({"rule": "FREQ=SOMETIMES"}, "no rule"), ({"rule": "nonsense"}, "no rule"), ({"rule": ""}, "no rule"),
-        ({"rule": "FREQ=DAILY"}, f"more than {MOST}"), ({"place": "Mars/Olympus"}, "no such clock"),
+        ({"rule": "FREQ=DAILY"}, f"more than {MAX_OCCURRENCES}"),
+        ({"place": "Mars/Olympus"}, "no such clock"),
         ({"place": "../etc/passwd"}, "no such clock"), ({"end": "2026-01-01T01:00"}, "ends before"),
         ({"begin": "2026-01-01T02:00+01:00"}, "no offset"),
         ({"rule": "FREQ=DAILY;UNTIL=20200101T000000"}, "never comes"),
@@ -71,7 +74,7 @@
     ],
     ids=str,
 )  # fmt: skip
-def test_what_is_no_rule_is_told(change: dict[str, str], why: str) -> None:
+def test_what_is_no_rule_is_refused(change: dict[str, str], why: str) -> None:
     given = {
         "begin": "2026-01-01T02:00",
         "end": "2026-01-01T04:00",
@@ -79,5 +82,5 @@
         "place": VIENNA,
     }
     given |= change
-    with pytest.raises(RuleError, match=why):
-        told(**given)
+    with pytest.raises(RecurrenceError, match=why):
+        local_windows(**given)
--- a/tests/golden/test_messages.py
+++ b/tests/golden/test_messages.py
@@ -15,7 +15,7 @@
 import pytest
 from msgspec import Struct
 
-from reedspoke.booking import words as booking_messages
+from reedspoke.booking import messages as booking_messages
 from reedspoke.common import messages as session_messages
 from reedspoke.control_plane.peers import messages as peer_messages
 from reedspoke.control_plane.replication import messages as replica_messages
@@ -122,7 +122,7 @@
     assert members(fleet_messages.Matter) - {bytes} == classes("fleet_messages")
     assert members(fleet_messages.Message) == classes("lease_messages")
     assert members(log_messages.LogMessage) == classes("log_words")
-    assert members(booking_messages.Order) <= classes("booking_orders")
+    assert members(booking_messages.BookingCommand) <= classes("booking_orders")
 
 
 @pytest.mark.parametrize(("group", "name"), CASES)
--- a/tests/lab/test_timelines.py
+++ b/tests/lab/test_timelines.py
@@ -7,10 +7,9 @@
 
 import pytest
 
-from reedspoke.booking.book import Calendar
-from reedspoke.booking.desk import Desk, encoded
-from reedspoke.booking.words import Order
-from reedspoke.fleet.replicated_log.messages import CommandReply, CommandRequest
+from reedspoke.booking.leader_queue import LeaderQueue, Reply, RequestKey
+from reedspoke.booking.messages import BookingCommand, encode_outcome
+from reedspoke.booking.reservation_table import ReservationTable
 from reedspoke.lab.stages import Truth, played, played_really
 from reedspoke.lab.timeline import Action, Claim, Row, Timeline, TimelineError, cut_down, draw, drawn, parse
 from tests.fleet.replicated_log.simulated_voters import CommitsBeforeMajority, ReadsNoMajority
@@ -141,28 +140,29 @@
     ]  # fmt: skip
 
 
-class Hurried(Desk):
-    """It answers by its own copy of the calendar, and brings the order to the record afterwards."""
+class AnswersBeforeCommit(LeaderQueue):
+    """It answers by its own copy of the table, and brings the command to the log afterwards."""
 
-    def _enter(
-        self, key: tuple[int, int], order: Order, now: int
-    ) -> list[tuple[int, CommandRequest | CommandReply]]:
-        if self.calendar is not None and key not in self._known:
-            copy = Calendar()
-            copy.restore(self.calendar.snapshot())
-            self._known[key] = encoded(copy.carry_out(self.terms.bound(order)))
-            self._waiting[key] = order
-            return [*self._answer(key, self._known[key]), *self._next(now)]
-        return super()._enter(key, order, now)
+    def submit(self, key: RequestKey, command: BookingCommand, now: int) -> list[Reply]:
+        if key in self._recent_outcomes:
+            return super().submit(key, command, now)
+        copy = ReservationTable()
+        copy.restore(self.table.snapshot())
+        outcome = encode_outcome(copy.execute(self.limits.fill_in(command)))
+        self._recent_outcomes[key] = outcome
+        self._queue[key] = command
+        return [Reply(key, outcome), *self.advance(now)]
 
 
 @pytest.mark.parametrize(
-    "mutation", [CommitsBeforeMajority, ReadsNoMajority, Hurried], ids=lambda mutation: mutation.__name__
+    "mutation",
+    [CommitsBeforeMajority, ReadsNoMajority, AnswersBeforeCommit],
+    ids=lambda mutation: mutation.__name__,
 )
 def test_mutations_of_bookings_break_a_story(mutation: type, monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards the checks themselves: what would lose or overbook has to be seen by them."""
-    name = "Desk" if issubclass(mutation, Desk) else "ReplicatedLog"
-    monkeypatch.setattr(f"reedspoke.booking.agreed.{name}", mutation)
+    name = "LeaderQueue" if issubclass(mutation, LeaderQueue) else "ReplicatedLog"
+    monkeypatch.setattr(f"reedspoke.booking.booking_node.{name}", mutation)
     stories = [parse(path.read_text()) for path in FILES if path.stem.startswith("book-")]
     assert any(
         played(told, seed).broken or played(told, seed).late for seed in range(1, 8) for told in stories
