--- a/reedspoke/control_plane/replication/replica.py
+++ b/reedspoke/control_plane/replication/replica.py
@@ -1,7 +1,7 @@
 """The replicated control state: a pure state machine, fed with events and answering with effects.
 
 It does no I/O and reads no clock. The shell sends `Tick` about every TICK_S, keeps the order of `Store`
-effects, answers each with `Stored`, and feeds what comes over the network as `Received`.
+effects, answers each with `StoreCompleted`, and feeds what comes over the network as `MessageReceived`.
 """
 
 from __future__ import annotations
@@ -13,54 +13,56 @@
 
 from reedspoke.common.errors import ErrorCode
 from reedspoke.control_plane.replication.chain import Chain
-from reedspoke.control_plane.replication.chain_register import Register
-from reedspoke.control_plane.replication.events import (
-    Committed,
-    Deliver,
+from reedspoke.control_plane.replication.chain_repair import ChainRepair
+from reedspoke.control_plane.replication.configuration_register import ConfigurationRegister
+from reedspoke.control_plane.replication.effects import (
+    DeliverConfiguration,
     Effect,
+    GetCompleted,
+    PutCompleted,
+    ViewChanged,
+)
+from reedspoke.control_plane.replication.entry import CommittedConfiguration
+from reedspoke.control_plane.replication.events import (
     Event,
-    Get,
-    GetAnswer,
-    Leave,
-    Member,
-    Put,
-    PutAnswer,
-    Received,
+    GetSubmitted,
+    MessageReceived,
+    PutSubmitted,
     SeedsChanged,
-    Stored,
+    ShutdownStarted,
+    StoreCompleted,
     Tick,
-    View,
-    ViewChanged,
 )
-from reedspoke.control_plane.replication.gets import GetForwarder, TailReader
-from reedspoke.control_plane.replication.head import HeadQueue
+from reedspoke.control_plane.replication.failure_detector import FailureDetector
+from reedspoke.control_plane.replication.get_forwarding import GetForwarder
+from reedspoke.control_plane.replication.head_queue import HeadQueue
 from reedspoke.control_plane.replication.invariants import ReplicaInvariants
 from reedspoke.control_plane.replication.messages import (
-    ContactGrant,
     GetReply,
     GetRequest,
-    LeaseGrant,
-    Ping,
+    Heartbeat,
     PutReply,
     PutRequest,
-    Resigned,
-    ResignRequest,
+    ReadLeaseGrant,
+    ReadLeaseReleased,
+    ReadLeaseReleaseRequest,
+    ViewConfirmation,
 )
 from reedspoke.control_plane.replication.outbox import Outbox
-from reedspoke.control_plane.replication.peers import Peers
-from reedspoke.control_plane.replication.puts import PutForwarder
-from reedspoke.control_plane.replication.repair import Repair
+from reedspoke.control_plane.replication.put_forwarding import PutForwarder
 from reedspoke.control_plane.replication.settings import (
-    PING_INTERVAL_S,
+    HEARTBEAT_INTERVAL_S,
+    PROCESS_STOP_GAP_S,
     REPAIR_INTERVAL_S,
     TICK_S,
-    WAKE_GAP_S,
     ReplicaSettings,
 )
+from reedspoke.control_plane.replication.tail_reader import TailReader
+from reedspoke.control_plane.replication.view import Member, View
 from reedspoke.control_plane.storage.records import BootstrapRecord, encode_record, restore
 from reedspoke.control_plane.views.agreement import ViewAgreement
-from reedspoke.control_plane.views.lease import TailLease, tail_of
-from reedspoke.control_plane.views.majority_contact import Contact, MajorityContact
+from reedspoke.control_plane.views.majority_contact import ContactState, MajorityContact
+from reedspoke.control_plane.views.read_lease import ReadLeaseHolder, tail_member
 
 __all__ = ["TICK_S", "Replica", "ReplicaSettings"]
 
@@ -97,19 +99,19 @@
         limit = settings.answer_limit_s
         self._outbox = Outbox(settings.address, now, sum(map(len, records)))
         self._outbox.snapshot_records = self.snapshot_records
-        self._peers = Peers(settings.member, now)
-        self._register = Register(self._outbox, restored)
+        self._peers = FailureDetector(settings.member, now)
+        self._register = ConfigurationRegister(self._outbox, restored)
         self._chain = Chain(settings, self._outbox, self._register, self._deliver, self._advance)
         self._head = HeadQueue(name, self._outbox, self._chain, self._register, limit)
         self._puts = PutForwarder(name, self._outbox, limit)
         self._gets = GetForwarder(name, self._outbox, self._register, limit)
-        self._tail_lease = TailLease()
+        self._tail_lease = ReadLeaseHolder()
         self._contact = MajorityContact(now)
         self._contact_asked: set[str] = set()  # voters that were asked out of turn in this view
         self._reader = TailReader(self._outbox, self._chain, self._register, self._holds_lease)
         self._agreement = ViewAgreement(settings, name, self._outbox, restored, self._enter)
         self._invariants = ReplicaInvariants()
-        self._repair = Repair(settings, self._outbox, self._peers, self._agreement, self._own_ping)
+        self._repair = ChainRepair(settings, self._outbox, self._peers, self._agreement, self._own_ping)
         self._start(restored.view)
 
     # ---- what the shell may ask ----
@@ -131,7 +133,7 @@
 
     def holds_majority(self, now: float) -> bool:
         """Whether a majority of voters has lately granted that this replica acts in the newest view."""
-        return self.view is not None and self._contact.holds(now)
+        return self.view is not None and self._contact.is_valid(now)
 
     @property
     def majority_as_of(self) -> float | None:
@@ -144,7 +146,7 @@
         None while this replica may not hand over its state: it is no complete member of the chain, it has
         heard of a newer view, or no majority has lately granted that its own is the newest.
         """
-        if not self.in_chain or self._agreement.behind or not self.holds_majority(now):
+        if not self.in_chain or self._agreement.is_behind or not self.holds_majority(now):
             return None
         return self._contact.confirmed_as_of
 
@@ -154,12 +156,12 @@
         return self._outbox.disk_ok
 
     @property
-    def others_stay(self) -> bool:
+    def has_staying_peer(self) -> bool:
         """Whether a replica in reach is not about to leave."""
-        return self._repair.others_stay()
+        return self._repair.has_staying_peer()
 
     @property
-    def committed(self) -> Committed | None:
+    def committed(self) -> CommittedConfiguration | None:
         """The newest configuration that this replica knows to be committed."""
         return self._register.committed
 
@@ -188,34 +190,34 @@
         if self._reaches_majority():
             return effect
         match effect:
-            case PutAnswer(request_id=request_id, error=error) if error not in UNCLEAR_ERRORS:
-                return PutAnswer(request_id, ErrorCode.WRITE_UNCLEAR, NO_MAJORITY)
-            case GetAnswer(request_id=request_id, error=error) if error is not ErrorCode.NO_QUORUM:
-                return GetAnswer(request_id, None, ErrorCode.NO_QUORUM, NO_MAJORITY)
+            case PutCompleted(request_id=request_id, error=error) if error not in UNCLEAR_ERRORS:
+                return PutCompleted(request_id, ErrorCode.WRITE_UNCLEAR, NO_MAJORITY)
+            case GetCompleted(request_id=request_id, error=error) if error is not ErrorCode.NO_QUORUM:
+                return GetCompleted(request_id, None, ErrorCode.NO_QUORUM, NO_MAJORITY)
         return effect
 
     def _reaches_majority(self) -> bool:
         """Whether a majority has granted, and is still heard."""
         return self.holds_majority(self._outbox.now) and self.majority_reached
 
-    def _contact_state(self) -> Contact:
+    def _contact_state(self) -> ContactState:
         if self._reaches_majority():
-            return Contact.GRANTED
-        return Contact.HEARD if self.majority_reached else Contact.NONE
+            return ContactState.CONFIRMED
+        return ContactState.REACHABLE if self.majority_reached else ContactState.NONE
 
     def _dispatch(self, event: Event) -> None:
         match event:
-            case Received(sender=sender, message=message):
+            case MessageReceived(sender=sender, message=message):
                 self._receive(sender, message)
-            case Stored():
+            case StoreCompleted():
                 self._outbox.stored(event)
             case Tick():
                 self._tick()
-            case Put():
+            case PutSubmitted():
                 self._puts.put(event, self.view, self._contact_state())
-            case Get():
+            case GetSubmitted():
                 self._gets.get(event, self.view, self._contact_state())
-            case Leave():
+            case ShutdownStarted():
                 self._leave()
             case SeedsChanged(seeds=seeds):
                 self._seeds = seeds
@@ -229,14 +231,14 @@
         if self._agreement.receive(sender, message) or self._chain.receive(message):
             return
         match message:
-            case Ping():
+            case Heartbeat():
                 self._receive_ping(sender, message)
-            case LeaseGrant(folder_id=folder_id, view=number, sent=sent):
+            case ReadLeaseGrant(folder_id=folder_id, view_number=number, requested_at=requested_at):
                 if self.view is not None and self.view.number == number:
-                    self._tail_lease.granted(folder_id, sent)
-            case ContactGrant():
+                    self._tail_lease.record_grant(folder_id, requested_at)
+            case ViewConfirmation():
                 self._receive_contact_grant(message)
-            case ResignRequest(view=number):
+            case ReadLeaseReleaseRequest(view_number=number):
                 self._resign(sender, number)
             case PutRequest():
                 self._head.receive(sender, message, self._reaches_majority())
@@ -256,7 +258,7 @@
         self._head.tick()
         self._tick_calls()
         condition = (self._outbox.disk_ok, self._chain.complete)
-        if condition != self._last_condition or now - self._last_ping >= PING_INTERVAL_S:
+        if condition != self._last_condition or now - self._last_ping >= HEARTBEAT_INTERVAL_S:
             self._ping_all()
         if now - self._last_look >= REPAIR_INTERVAL_S - TICK_S / 2:
             self._last_look = now
@@ -277,7 +279,7 @@
 
     def _leave(self) -> None:
         self._leaving = True
-        self._tail_lease.resign(self._outbox.now)
+        self._tail_lease.release(self._outbox.now)
         self._ping_all()
 
     # ---- start and views ----
@@ -296,7 +298,7 @@
             self._seeds_stored = True
             if error is None:
                 self._first_seeds = seeds
-                self._agreement.may_vote_first(seeds)
+                self._agreement.set_first_acceptors(seeds)
                 self._ping_all()
 
         self._outbox.store([BootstrapRecord(seeds)], on_end)
@@ -305,8 +307,8 @@
         self._outbox.log(logging.INFO, "view", number=view.number, chain=_addresses_of_chain(view))
         self._outbox.emit(ViewChanged(view))
         self._view_members = frozenset(_members(view))
-        self._tail_lease.enter()
-        self._contact.enter()
+        self._tail_lease.enter_view()
+        self._contact.enter_view()
         self._contact_asked.clear()
         self._head.enter(view)
         self._chain.enter(view)
@@ -316,25 +318,25 @@
 
     def _notice_gap(self, now: float) -> None:
         """After a stop of this process nobody is judged by silence until it has listened for a while."""
-        if now - self._last_tick > WAKE_GAP_S:
+        if now - self._last_tick > PROCESS_STOP_GAP_S:
             self._peers.woken(now)
             self._repair.woken()
         self._last_tick = now
 
     # ---- pings and leases ----
 
-    def _own_ping(self) -> Ping:
+    def _own_ping(self) -> Heartbeat:
         view = self.view
-        return Ping(
+        return Heartbeat(
             member=self._settings.member,
             view=view.number if view else 0,
             heard=self._peers.heard(self._view_members, self._outbox.now),
             disk_ok=self._outbox.disk_ok,
-            synced_since=0 if self._register.adopting else self._register.synced_since,
+            synced_since=0 if self._register.installing_snapshot else self._register.synced_since,
             committed=self._register.committed_sequence,
             leaving=self._leaving,
             bootstrap=bool(self._first_seeds),
-            undecided=self._agreement.undecided,
+            undecided=self._agreement.has_undecided_view,
             sent=self._outbox.now,
             starts_new=view is None and self._settings.bootstrap and not self._first_seeds,
         )
@@ -354,68 +356,68 @@
         for address in sorted(addresses - {self._settings.address}):
             self._outbox.send(address, ping)
 
-    def _receive_ping(self, sender: str, ping: Ping) -> None:
+    def _receive_ping(self, sender: str, ping: Heartbeat) -> None:
         self._peers.heard_ping(ping, self._outbox.now)
         self._grant(ping)
         self._grant_contact(ping)
         self._ask_for_contact(ping)
         if ping.view < self._agreement.learned_number:
-            self._agreement.tell(sender)
+            self._agreement.send_newest_view(sender)
         elif ping.view > self._agreement.learned_number:
             self._outbox.send(sender, self._own_ping())
         self._chain.committed_up_to(ping.view, ping.committed)
 
     def _asks_for_lease(self) -> bool:
-        return self._chain.is_tail and self._chain.complete and self._tail_lease.may_ask(self._outbox.now)
+        return self._chain.is_tail and self._chain.complete and self._tail_lease.may_request(self._outbox.now)
 
-    def _grant(self, ping: Ping) -> None:
+    def _grant(self, ping: Heartbeat) -> None:
         """As voter: grant the read lease that the tail of my view asks for."""
-        if ping.lease_sent is None or self.view is None or tail_of(self.view) != ping.member:
+        if ping.lease_sent is None or self.view is None or tail_member(self.view) != ping.member:
             return
         reached = self._repair.reachable(ping.member.folder_id)
-        if reached and self._agreement.may_grant(ping.view):
-            self._agreement.voter_lease.grant(ping.lease_sent, self._outbox.now)
-            grant = LeaseGrant(self._settings.folder_id, ping.view, ping.lease_sent)
+        if reached and self._agreement.may_grant_read_lease(ping.view):
+            self._agreement.read_lease_voter.grant(ping.lease_sent, self._outbox.now)
+            grant = ReadLeaseGrant(self._settings.folder_id, ping.view, ping.lease_sent)
             self._outbox.send(ping.member.address, grant)
 
-    def _grant_contact(self, ping: Ping) -> None:
+    def _grant_contact(self, ping: Heartbeat) -> None:
         """As voter: say that the view in which the sender of this ping acts is the newest known here."""
-        if self._agreement.may_confirm(ping.view):
-            grant = ContactGrant(self._settings.folder_id, ping.view, ping.sent)
+        if self._agreement.may_confirm_view(ping.view):
+            grant = ViewConfirmation(self._settings.folder_id, ping.view, ping.sent)
             self._outbox.send(ping.member.address, grant)
 
-    def _ask_for_contact(self, ping: Ping) -> None:
+    def _ask_for_contact(self, ping: Heartbeat) -> None:
         """A voter has come to the present view and has granted nothing in it: ask without delay, but once."""
         view = self.view
         folder_id = ping.member.folder_id
         if view is None or ping.view != view.number or folder_id in self._contact_asked:
             return
-        if not self._contact.has_granted(folder_id):
+        if not self._contact.has_confirmed(folder_id):
             self._contact_asked.add(folder_id)
             self._outbox.send(ping.member.address, self._own_ping())
 
-    def _receive_contact_grant(self, grant: ContactGrant) -> None:
+    def _receive_contact_grant(self, grant: ViewConfirmation) -> None:
         view = self.view
-        if view is None or view.number != grant.view:
+        if view is None or view.number != grant.view_number:
             return
         now = self._outbox.now
         committed_until = self._register.committed_until(now) if self.in_chain else None
-        self._contact.granted(grant.folder_id, grant.sent, now)
+        self._contact.record_confirmation(grant.folder_id, grant.requested_at, now)
         self._contact.update(view.voters, committed_until)
 
     def _holds_lease(self) -> bool:
-        return self.view is not None and self._tail_lease.holds(self.view.voters, self._outbox.now)
+        return self.view is not None and self._tail_lease.is_held(self.view.voters, self._outbox.now)
 
     def _resign(self, sender: str, number: int) -> None:
         if self.view is None or self.view.number != number or not self._chain.is_tail:
             return
-        self._tail_lease.resign(self._outbox.now)
-        self._outbox.send(sender, Resigned(number, self._outbox.now))
+        self._tail_lease.release(self._outbox.now)
+        self._outbox.send(sender, ReadLeaseReleased(number, self._outbox.now))
 
     # ---- entries ----
 
-    def _deliver(self, committed: Committed) -> None:
-        self._outbox.emit(Deliver(committed))
+    def _deliver(self, committed: CommittedConfiguration) -> None:
+        self._outbox.emit(DeliverConfiguration(committed))
 
     def _advance(self) -> None:
         self._head.advance()
--- a/reedspoke/control_plane/storage/records.py
+++ b/reedspoke/control_plane/storage/records.py
@@ -3,17 +3,17 @@
 from __future__ import annotations
 
 from collections.abc import Sequence
-from hashlib import sha256
 
 import ormsgpack
 from msgspec import Struct, ValidationError, convert, field, to_builtins
 
 from reedspoke.common.errors import ErrorCode, FleetError
-from reedspoke.control_plane.replication.change_history import Acknowledged, ChangeHistory, check_packed
-from reedspoke.control_plane.replication.events import View
-from reedspoke.control_plane.replication.messages import Ballot, Entry
+from reedspoke.control_plane.replication.change_history import ChangeHistory, check_packed
+from reedspoke.control_plane.replication.entry import ChangeId, Entry, change_id_of
+from reedspoke.control_plane.replication.messages import ProposalNumber
+from reedspoke.control_plane.replication.view import View
 
-NO_BALLOT = Ballot()
+NO_PROPOSAL = ProposalNumber()
 
 
 class BootstrapRecord(Struct, tag="bootstrap", array_like=True, frozen=True):
@@ -29,12 +29,12 @@
 
 
 class AcceptorRecord(Struct, tag="acceptor", array_like=True, frozen=True):
-    """What this voter has promised and accepted for the view `number`."""
+    """What this voter has promised and accepted for the view `view_number`."""
 
-    number: int
-    promised: Ballot
-    accepted_ballot: Ballot = NO_BALLOT
-    accepted: View | None = None
+    view_number: int
+    promised: ProposalNumber
+    accepted_proposal_number: ProposalNumber = NO_PROPOSAL
+    accepted_view: View | None = None
 
 
 class EntryRecord(Struct, tag="entry", array_like=True, frozen=True):
@@ -55,7 +55,7 @@
 class ListedHistoryRecord(Struct, tag="history", array_like=True, frozen=True):
     """The whole history as earlier versions wrote it; it is only read."""
 
-    history: tuple[Acknowledged, ...]
+    history: tuple[ChangeId, ...]
 
 
 class SyncedRecord(Struct, tag="synced", array_like=True, frozen=True):
@@ -113,11 +113,6 @@
     return state
 
 
-def acknowledged(entry: Entry) -> Acknowledged:
-    """An entry as the history keeps it."""
-    return Acknowledged(entry.generation, sha256(entry.document).digest())
-
-
 def _apply(state: RestoredState, record: Record) -> None:
     match record:
         case BootstrapRecord(seeds=seeds):
@@ -125,8 +120,8 @@
         case ViewRecord(view=view):
             if state.view is None or view.number > state.view.number:
                 state.view = view
-        case AcceptorRecord(number=number):
-            state.acceptors[number] = record
+        case AcceptorRecord(view_number=view_number):
+            state.acceptors[view_number] = record
         case EntryRecord(entry=entry):
             _apply_entry(state, entry)
         case HistoryRecord(history=packed):
@@ -148,5 +143,5 @@
     if replaced:
         state.history.remove_newest()
     state.entry = entry
-    if state.history.newest != acknowledged(entry):
-        state.history.add(acknowledged(entry))
+    if state.history.newest != change_id_of(entry):
+        state.history.add(change_id_of(entry))
--- a/tests/control_plane_process/test_peer_connections.py
+++ b/tests/control_plane_process/test_peer_connections.py
@@ -12,8 +12,8 @@
 
 from reedspoke.common.messages import EdgeMessage, encode
 from reedspoke.common.node_settings import split_address
-from reedspoke.common.transport import CONNECTION_ENDED, LENGTH, MOST_FRAME, Channel, FramingError
-from reedspoke.control_plane.peers.messages import Hello, LeaseRelease
+from reedspoke.common.transport import CONNECTION_ENDED, LENGTH, MAX_FRAME_BYTES, Channel, FramingError
+from reedspoke.control_plane.peers.messages import DiscoveryLeaseRelease, Hello
 from reedspoke.control_plane.peers.transport import PeerMessage, PeerTransport
 from tests.ports import free_port
 
@@ -42,7 +42,7 @@
         self.transport = PeerTransport(self.address, "za", self.received, NoEdges())
 
     def received(self, sender: str, message: PeerMessage) -> None:
-        assert isinstance(message, LeaseRelease)
+        assert isinstance(message, DiscoveryLeaseRelease)
         self.came.append((sender, message.term))
 
     async def connect(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
@@ -74,7 +74,7 @@
 
 
 def release(term: int) -> bytes:
-    return frame(encode(LeaseRelease(term)))
+    return frame(encode(DiscoveryLeaseRelease(term)))
 
 
 async def until(condition: Callable[[], bool]) -> None:
@@ -131,7 +131,7 @@
     "no message": frame(b"\xc1"),
     "an empty frame": frame(b""),
     "another type": frame(encode(Hello(PEER, "za"))),
-    "an endless one": LENGTH.pack(MOST_FRAME + 1),
+    "an endless one": LENGTH.pack(MAX_FRAME_BYTES + 1),
     "deep": frame(b"\x91" * 100_000),
 }
 
@@ -169,7 +169,7 @@
         reader.feed_data(raw)
         reader.feed_eof()
         channel = Channel.__new__(Channel)  # without a socket
-        channel.silence_s, channel._reader = None, reader
+        channel.idle_timeout_s, channel._reader = None, reader
         with pytest.raises((FramingError, asyncio.IncompleteReadError)):
             await receive_all(channel)
 
@@ -235,7 +235,7 @@
         term = 0
         while len(came) < 3:
             term += 1
-            listener.transport.send(address, LeaseRelease(term))
+            listener.transport.send(address, DiscoveryLeaseRelease(term))
             await asyncio.sleep(0.02)
         assert listener.came == []
         server.close()
