--- a/reedspoke/booking/booking_node.py
+++ b/reedspoke/booking/booking_node.py
@@ -14,12 +14,13 @@
 from reedspoke.booking.limits import BookingLimits
 from reedspoke.booking.reservation_table import ReservationTable
 from reedspoke.booking.settings import LEADER_ROLE
-from reedspoke.fleet.duties import Duty
-from reedspoke.fleet.frames import Matter, mark
-from reedspoke.fleet.party import Party
+from reedspoke.fleet.messages.fields import name_hash
+from reedspoke.fleet.messages.frame import OutgoingMessage
+from reedspoke.fleet.node import FleetExtension, FleetNode, MessageHandler
 from reedspoke.fleet.replicated_log.log_state import LogChange
 from reedspoke.fleet.replicated_log.messages import CommandReply, CommandRequest, LogEnvelope, Outbox
 from reedspoke.fleet.replicated_log.replicated_log import ReplicatedLog
+from reedspoke.fleet.roles.singleton_roles import SingletonRole
 
 RETRANSMITS_PER_TTL = 4  # a lost message of the log is sent again that often within the lease of its leader
 
@@ -29,16 +30,16 @@
 
     def __init__(
         self,
-        party: Party,
+        fleet_node: FleetNode,
         limits: BookingLimits,
         lease_ttl_us: int,
         incarnation: int,
         unix_time: Callable[[int], int],
     ) -> None:
         """`unix_time`: s of Unix time from our us. `incarnation` differs with each start."""
-        assert party.duties is not None
-        self.party, self.duties = party, party.duties
-        member, self.voters = party.mail.me, party.duties.electorate.granters
+        assert fleet_node.roles is not None
+        self.fleet_node, self.roles = fleet_node, fleet_node.roles
+        member, self.voters = fleet_node.channel.node_id, fleet_node.roles.configuration.voters
         self.table: ReservationTable | None = None
         self.replicated_log: ReplicatedLog | None = None
         leader_queue: LeaderQueue | None = None
@@ -58,16 +59,18 @@
         self._join_fleet(lease_ttl_us)
 
     def _join_fleet(self, lease_ttl_us: int) -> None:
-        party = self.party
-        self.duties.add(Duty(LEADER_ROLE, lease_ttl_us, able=self.replicated_log is not None), self)
-        party.heeds[LogEnvelope] = self._on_log_message
-        party.heeds[CommandRequest] = self._on_command_request
-        party.heeds[CommandReply] = self._on_command_reply
-        party.looks.append(self._tick)
-        party.keeps.append(self._take_log_changes)
+        self.roles.add(
+            SingletonRole(LEADER_ROLE, lease_ttl_us, eligible=self.replicated_log is not None), self
+        )
+        handlers: dict[type, MessageHandler] = {
+            LogEnvelope: self._on_log_message,
+            CommandRequest: self._on_command_request,
+            CommandReply: self._on_command_reply,
+        }
+        self.fleet_node.add_extension(FleetExtension(handlers, self._tick, self._take_log_changes))
 
     def _leader_at(self, now: int) -> int | None:
-        holder = self.duties.holder(LEADER_ROLE, now)
+        holder = self.roles.holder(LEADER_ROLE, now)
         return holder.member if holder is not None else None
 
     # ---- storage ----
@@ -87,21 +90,21 @@
         """
         assert self.replicated_log is not None
         self.replicated_log.fail_storage()
-        self.party.gather(self.duties.disable(LEADER_ROLE, now))
+        self.fleet_node.enqueue(self.roles.disable(LEADER_ROLE, now))
 
     # ---- the role ----
 
-    def begin(self, token: int, until: int, now: int) -> list[object]:
+    def lease_acquired(self, token: int, expires_at: int, now: int) -> list[object]:
         """The lease is ours: lead the log, with its token as the term."""
         assert self.replicated_log is not None
         self._send_log_messages(self.replicated_log.become_leader(token, now))
         return []
 
-    def extend(self, until: int, now: int) -> list[object]:
+    def lease_renewed(self, expires_at: int, now: int) -> list[object]:
         """Nothing: the log needs no time, it is safe with any number of leaders."""
         return []
 
-    def end(self, why: str, now: int) -> list[object]:
+    def lease_ended(self, reason: str, now: int) -> list[object]:
         """The lease is lost."""
         if self.replicated_log is not None:
             self.replicated_log.step_down()
@@ -114,26 +117,29 @@
     # ---- messages ----
 
     def _send_log_messages(self, outbox: Outbox) -> None:
-        self.party.gather(_enveloped(outbox))
+        self.fleet_node.enqueue(_enveloped(outbox))
 
-    def _on_log_message(self, sender: int, envelope: LogEnvelope, now: int) -> list[tuple[int, Matter]]:
-        if envelope.log_name_hash != mark(LEADER_ROLE) or self.replicated_log is None:
+    def _on_log_message(self, sender: int, envelope: LogEnvelope, now: int) -> list[OutgoingMessage]:
+        if envelope.log_name_hash != name_hash(LEADER_ROLE) or self.replicated_log is None:
             return []
         replies = self.replicated_log.receive(sender, envelope.message, now)
         return [*_enveloped(replies), *self.service.tick(now)]
 
-    def _on_command_request(self, sender: int, request: CommandRequest, now: int) -> list[tuple[int, Matter]]:
+    def _on_command_request(self, sender: int, request: CommandRequest, now: int) -> list[OutgoingMessage]:
         return [*self.service.on_request(sender, request, now)]
 
-    def _on_command_reply(self, sender: int, reply: CommandReply, now: int) -> list[tuple[int, Matter]]:
+    def _on_command_reply(self, sender: int, reply: CommandReply, now: int) -> list[OutgoingMessage]:
         self.service.on_reply(reply)
         return []
 
-    def _tick(self, now: int) -> list[tuple[int, Matter]]:
+    def _tick(self, now: int) -> list[OutgoingMessage]:
         outbox = self.replicated_log.tick(now) if self.replicated_log is not None else []
         return [*_enveloped(outbox), *self.service.tick(now)]
 
 
-def _enveloped(outbox: Outbox) -> list[tuple[int, Matter]]:
+def _enveloped(outbox: Outbox) -> list[OutgoingMessage]:
     """Messages of the log, as the fleet sends them."""
-    return [(outgoing.recipient, LogEnvelope(mark(LEADER_ROLE), outgoing.message)) for outgoing in outbox]
+    return [
+        OutgoingMessage(outgoing.recipient, LogEnvelope(name_hash(LEADER_ROLE), outgoing.message))
+        for outgoing in outbox
+    ]
--- a/reedspoke/booking/component.py
+++ b/reedspoke/booking/component.py
@@ -21,7 +21,7 @@
 from reedspoke.booking.recurrence import RecurrenceError
 from reedspoke.errors import FORM as PROBLEM_CONTENT_TYPE
 from reedspoke.errors import ReedspokeError
-from reedspoke.fleet.events import Unkept
+from reedspoke.fleet.events import LogStoreFailed
 from reedspoke.net import effects as fx
 from reedspoke.net.core import Concern, Core, Reactions
 
@@ -101,7 +101,7 @@
 
     def _submit(self, command: BookingCommand) -> int:
         number, messages = self.service.submit(command, self.core.now)
-        self.node.party.gather(messages)
+        self.node.fleet_node.enqueue(messages)
         return number
 
     def _not_a_voter(self, caller: int) -> fx.Reply:
@@ -116,11 +116,11 @@
 
     def reactions(self) -> Reactions:
         """The events of the log's storage."""
-        return {Unkept: self._on_storage_failed}
+        return {LogStoreFailed: self._on_storage_failed}
 
-    def _on_storage_failed(self, _: Unkept) -> None:
+    def _on_storage_failed(self, _: LogStoreFailed) -> None:
         """Nothing that follows from the changes was sent, and nothing will be: the outcomes are unknown."""
-        self.node.party.keeping -= 1
+        self.node.fleet_node.pending_writes -= 1
         self.node.fail_storage(self.core.now)
         reasons = ("what it would confirm cannot be kept",)
         self.service.completed = [
@@ -130,7 +130,7 @@
 
     def after(self) -> None:
         """Answer the calls whose outcome is known, unless it may follow from a change not on disk yet."""
-        if self.node.party.keeping:
+        if self.node.fleet_node.pending_writes:
             return
         for number, outcome in self.service.completed:
             self._answer(number, outcome)
--- a/reedspoke/booking/log_writer.py
+++ b/reedspoke/booking/log_writer.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from reedspoke.fleet.events import Keep, Kept, Unkept
+from reedspoke.fleet.events import LogChangesStored, LogStoreFailed, StoreLogChanges
 from reedspoke.fleet.replicated_log.log_store import LogStore, LogStoreError
 from reedspoke.fleet.replicated_log.replicated_log import ReplicatedLog
 from reedspoke.net.runtime import Runtime
@@ -22,7 +22,7 @@
 
     def effects(self) -> dict[type, Callable[[Any], None]]:
         """What the reducer asks for."""
-        return {Keep: self._save}
+        return {StoreLogChanges: self._save}
 
     def open(self) -> None:
         """Restore what was stored."""
@@ -36,7 +36,7 @@
         """Close the files."""
         self.store.close()
 
-    def _save(self, effect: Keep) -> None:
+    def _save(self, effect: StoreLogChanges) -> None:
         try:
             self.store.save(list(effect.changes), self.replicated_log)
         except LogStoreError as error:
@@ -45,6 +45,6 @@
                 error,
                 extra=error.fields(),
             )
-            self.runtime.emit(Unkept())
+            self.runtime.emit(LogStoreFailed())
         else:
-            self.runtime.emit(Kept(effect.then))
+            self.runtime.emit(LogChangesStored(effect.then))
--- a/reedspoke/booking/subsystem.py
+++ b/reedspoke/booking/subsystem.py
@@ -15,7 +15,7 @@
 from reedspoke.booking.log_writer import LogWriter
 from reedspoke.booking.metrics import metrics_text
 from reedspoke.booking.settings import Bookings
-from reedspoke.fleet.party import Party
+from reedspoke.fleet.node import FleetNode
 from reedspoke.fleet.replicated_log.log_store import LogStore
 from reedspoke.net.runtime import Runtime
 from reedspoke.net.subsystem import NAME, Call, Subsystem
@@ -26,13 +26,13 @@
 US_PER_MS = 1000
 
 
-def build_bookings(runtime: Runtime, party: Party, settings: Bookings) -> Subsystem:
+def build_bookings(runtime: Runtime, fleet_node: FleetNode, settings: Bookings) -> Subsystem:
     """Stands on the fleet's own subsystem. Raises ValueError for a role of the same name, LogStoreError."""
     now = runtime.clock.now()
     incarnation = now // US_PER_MS & INCARNATION_BITS
     lease_ttl_us = int(seconds(settings.term) * US_PER_SECOND)
     node = BookingNode(
-        party, limits_from(settings), lease_ttl_us, incarnation, lambda now: now // US_PER_SECOND
+        fleet_node, limits_from(settings), lease_ttl_us, incarnation, lambda now: now // US_PER_SECOND
     )
     component = BookingComponent(runtime.reducer.core, node)
     extensions = []
--- a/reedspoke/lab/stages.py
+++ b/reedspoke/lab/stages.py
@@ -392,7 +392,7 @@
         order = order_of(action, play.born // SECOND)
         request, out = process.booking_node.service.submit(order, process.clock())
         self._names[number, request] = order.name, order.version
-        process.party.gather(out)
+        process.party.enqueue(out)
         process.flush()
 
     def told(self) -> list[tuple[str, int, str]]:
@@ -440,9 +440,9 @@
         told = {}
         for number in numbers:
             process = self.inner.processes[number]
-            standing = {at: one.standing.name.lower() for at, one in process.membership.members.items()}
+            standing = {at: one.state.name.lower() for at, one in process.membership.members.items()}
             lease = process.duties.leases[DUTY]
-            view, booking_node = process.view.settled(), process.booking_node
+            view, booking_node = process.view.convergence(), process.booking_node
             replicated_log = booking_node.replicated_log if booking_node is not None else None
             kept = None
             if booking_node and booking_node.table and replicated_log and not replicated_log.recovering:
@@ -454,7 +454,7 @@
             told[number] = Seen(
                 standing, lease.token if lease.holds(process.clock()) else 0,
                 replicated_log is not None and replicated_log.serving, kept,
-                f"{view.digest:x}" if view.settled else "", view.behind,
+                f"{view.digest:x}" if view.converged else "", view.behind,
             )  # fmt: skip
         return told
 
--- a/tests/fleet/replicated_log/simulated_voters.py
+++ b/tests/fleet/replicated_log/simulated_voters.py
@@ -8,7 +8,7 @@
 from random import Random
 
 from reedspoke.errors import ReedspokeError
-from reedspoke.fleet.frames import frames, read
+from reedspoke.fleet.messages.frame import decode_frame, encode_frames
 from reedspoke.fleet.replicated_log.leader import Leader
 from reedspoke.fleet.replicated_log.log_state import LogEntry
 from reedspoke.fleet.replicated_log.messages import LogEnvelope, LogMessage, Outbox
@@ -117,8 +117,8 @@
 
     def send(self, sender: int, outbox: Outbox) -> None:
         for recipient, message in outbox:
-            (body,) = frames(sender, 1, 1, [LogEnvelope(LOG_NAME_HASH, message)])
-            (envelope,) = read(body).matters
+            (body,) = encode_frames(sender, 1, 1, [LogEnvelope(LOG_NAME_HASH, message)])
+            (envelope,) = decode_frame(body).messages
             assert isinstance(envelope, LogEnvelope)
             for _ in range(1 + (self.random.random() < self.rates.duplicate)):
                 if self.random.random() >= self.rates.loss:
