--- a/tests/golden/test_messages.py
+++ b/tests/golden/test_messages.py
@@ -89,7 +89,7 @@
         peer_examples.PEER_MESSAGES,
         session_messages.encode,
         session_messages.decode,
-        peer_messages.Hello
+        peer_messages.PeerHello
         | peer_messages.SessionTable
         | peer_messages.DiscoveryLeaseMessage
         | peer_messages.QuotaMessage,
