--- a/reedspoke/common/metrics_endpoint.py
+++ b/reedspoke/common/metrics_endpoint.py
@@ -35,7 +35,7 @@
     try:
         await server.listen(settings.ip_address, int(port))
     except OSError as error:
-        log(WARNING, "figures are not served", port=port, message=str(error))
+        log(WARNING, "metrics are not served", port=port, message=str(error))
         return None
     return server
 
--- a/reedspoke/data_plane/process.py
+++ b/reedspoke/data_plane/process.py
@@ -136,7 +136,7 @@
     async def _finish(self, frontend: asyncio.Server) -> None:
         """Take nothing new that can go elsewhere, finish what was read, break off what is late."""
         self._closing = True
-        log(INFO, "leaving", open_requests=self._entry.open_requests())
+        log(INFO, "shutting down", open_requests=self._entry.open_requests())
         began = self._loop.time()
         last = began + self._settings.bounds.grace_s - END_MARGIN_S
         self._close_idle()
@@ -167,7 +167,7 @@
         try:
             self._settings = load_settings()
         except FleetError as error:
-            log(WARNING, "settings kept", code=int(error.code), message=error.message)
+            log(WARNING, "settings rejected", code=int(error.code), message=error.message)
 
     def _seeds(self) -> tuple[str, ...]:
         return self._settings.seed_addresses()
--- a/tests/control_plane/simulated_control.py
+++ b/tests/control_plane/simulated_control.py
@@ -13,7 +13,6 @@
 from msgspec import Struct
 
 from reedspoke.common.messages import (
-    ControlMember,
     EdgeMessage,
     Version,
     WorkerEntry,
@@ -21,21 +20,15 @@
     decode,
 )
 from reedspoke.common.node_settings import NodeSettings
-from reedspoke.control_plane.delivery.configuration_cache import ConfigurationCache
-from reedspoke.control_plane.delivery.edge_sessions import EdgeSessions
-from reedspoke.control_plane.delivery.membership import Membership
-from reedspoke.control_plane.delivery.published_state import PublishedState
 from reedspoke.control_plane.peers.messages import PeerMessage
-from reedspoke.control_plane.process import EDGE_TTL_HEARTBEATS, ControlProcess
+from reedspoke.control_plane.process import ControlProcess
 from reedspoke.control_plane.replication.effects import SendMessage
 from reedspoke.control_plane.replication.entry import CommittedConfiguration
 from reedspoke.control_plane.replication.messages import ReplicaMessage
 from reedspoke.control_plane.replication.view import View
 from reedspoke.control_plane.workers.discovery import WorkerDiscovery
-from reedspoke.control_plane.workers.discovery_lease import DiscoveryLease
 from reedspoke.control_plane.workers.platform_client import PlatformClient
 from reedspoke.control_plane.workers.platform_messages import PlatformPage
-from reedspoke.control_plane.workers.worker_list import WorkerListState
 from tests.control_plane.process_loop import ProcessLoop
 from tests.control_plane.simulated_channel import SimulatedChannel
 from tests.control_plane.simulated_parts import Machine
@@ -143,41 +136,41 @@
         self._platform = platform
         self._judge = judge
         super().__init__(settings, NO_SETTINGS_FILE)
-        self._address = machine.address
 
-    def _build(self, settings: NodeSettings) -> None:
-        self._address = self._machine.address
-        now = self.loop.time()
-        heartbeat_s = settings.heartbeat_ms / 1000
-        random = self._simulation.random
-        own = ControlMember(self._address, settings.zone)
-        identity = random.getrandbits(31)
-        self._membership = Membership(own, heartbeat_s * EDGE_TTL_HEARTBEATS, identity)
-        self._documents: Any = DocumentsThread(self.loop, random, self._prepare_s)
-        self._configuration = ConfigurationCache()
-        self._book = WorkerListState()
-        self._state = PublishedState(self._configuration, self._book, self._membership, self._confirmed_as_of)
-        self._lease = DiscoveryLease(self._address, now, fresh_fleet=settings.bootstrap, identity=identity)
-        self._build_quota(settings)
-        self._sessions = EdgeSessions(
-            settings.node_name,
-            self._state,
-            settings.watch_timeout_s(),
-            self._sessions_changed,
-            self._quota.handle_request,
-        )
-        self._transport: Any = PeerLinks(self._simulation, self._address)
-        self._driver: Any = ReplicaView(self._machine, self.loop)
-        duty = SimulatedWorkerDiscovery(
-            settings.cloud_api, self._lease, self._book, self._publish_workers, self._send_lease
+    def _make_address(self, settings: NodeSettings) -> str:
+        return self._machine.address
+
+    def _make_incarnation(self) -> int:
+        return self._simulation.random.getrandbits(31)
+
+    def _make_driver(self, settings: NodeSettings) -> Any:
+        return ReplicaView(self._machine, self.loop)
+
+    def _make_document_thread(self) -> Any:
+        return DocumentsThread(self.loop, self._simulation.random, self._prepare_s)
+
+    def _make_transport(self, settings: NodeSettings) -> Any:
+        return PeerLinks(self._simulation, self._address)
+
+    def _make_discovery(self, settings: NodeSettings) -> WorkerDiscovery:
+        discovery = SimulatedWorkerDiscovery(
+            settings.cloud_api,
+            self._lease,
+            self._workers,
+            self._publish_workers,
+            self._exchange.send_all,
         )
-        duty.platform_client = SimulatedPlatformClient(self._platform, self._simulation, random)
-        self._duty = duty
+        random = self._simulation.random
+        discovery.platform_client = SimulatedPlatformClient(self._platform, self._simulation, random)
+        return discovery
+
+    def _build_endpoints(self) -> None:
+        """There is no operator API and no metrics endpoint."""
 
     def begin(self) -> None:
         """The tasks that the process starts with."""
-        self.loop.create_task(self._duty.run())
-        self.loop.create_task(self._duty.discover_without_lease())
+        self.loop.create_task(self._discovery.run())
+        self.loop.create_task(self._discovery.discover_without_lease())
 
     def term_held(self) -> int | None:
         """The term under which it holds the discovery lease; None: it does not hold it."""
@@ -185,9 +178,8 @@
 
     def begin_leave(self) -> None:
         """What SIGTERM changes here."""
-        self._leaving = True
-        self._send_lease(self._lease.shut_down())
-        self._duty.check_lease()
+        self._shutting_down = True
+        self._exchange.release_lease()
 
     def end_sessions(self) -> None:
         """A process that leaves closes its sessions before it ends."""
@@ -196,8 +188,8 @@
 
     def peer_message(self, sender: str, message: Struct) -> None:
         """A message of another control scheduler, other than those between replicas."""
-        self._peer_message(sender, message)  # type: ignore[arg-type]
-        self._judge.holds(self._address, self._book.current)
+        self._exchange.handle(sender, message)  # type: ignore[arg-type]
+        self._judge.holds(self._address, self._workers.current)
 
     def heard_peer(self, sender: str) -> None:
         """Any message of another control scheduler is a sign of life."""
@@ -211,19 +203,19 @@
 
     def workers(self) -> tuple[WorkerEntry, ...] | None:
         """The list that this scheduler has."""
-        return None if self._book.current is None else self._book.current.workers
+        return None if self._workers.current is None else self._workers.current.workers
 
     def workers_version(self) -> Version:
         """And its version."""
-        return self._book.version
+        return self._workers.version
 
     def _edge_message(self, channel: SimulatedChannel, payload: bytes) -> None:
         self._sessions.message_received(channel, decode(payload, EdgeMessage))  # type: ignore[arg-type]
 
     def _publish_workers(self, workers: WorkerList) -> None:
         self._judge.published(self._address, self._machine.life, workers)
-        self._judge.holds(self._address, self._book.current)
-        super()._publish_workers(workers)
+        self._judge.holds(self._address, self._workers.current)
+        self._exchange.publish_workers(workers)
 
 
 class ControlSchedulers:
--- /dev/null
+++ b/tests/control_plane/test_guards_configuration_publisher.py
@@ -0,0 +1,139 @@
+"""Guards of the publisher: as of when the configuration that it has published was certainly the newest."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Awaitable, Callable
+from typing import cast
+
+from reedspoke.control_plane.delivery.configuration_cache import ConfigurationCache, PreparedConfiguration
+from reedspoke.control_plane.delivery.configuration_publisher import ConfigurationPublisher
+from reedspoke.control_plane.replication.entry import CommittedConfiguration
+from reedspoke.control_plane.storage.job_thread import JobThread
+from tests.control_plane_process.stand_ins import configuration
+
+FAR_AHEAD_S = 1000.0
+
+
+class Documents:
+    """In place of the thread that parses documents: each is ready when the test says so."""
+
+    def __init__(self) -> None:
+        self._waiting: list[
+            tuple[Callable[[], PreparedConfiguration], asyncio.Future[PreparedConfiguration]]
+        ] = []
+
+    def call(self, function: Callable[[], PreparedConfiguration]) -> asyncio.Future[PreparedConfiguration]:
+        """As `JobThread.call`."""
+        future: asyncio.Future[PreparedConfiguration] = asyncio.get_running_loop().create_future()
+        self._waiting.append((function, future))
+        return future
+
+    async def end_first(self) -> None:
+        """The document that came first is ready."""
+        function, future = self._waiting.pop(0)
+        future.set_result(function())
+        await asyncio.sleep(0)
+
+
+class Replica:
+    """In place of the replica's driver."""
+
+    def __init__(self) -> None:
+        self.as_of: float | None = asyncio.get_running_loop().time() + FAR_AHEAD_S
+
+    def confirmed_as_of(self) -> float | None:
+        """As `ReplicaDriver.confirmed_as_of`."""
+        return self.as_of
+
+    def holds_majority(self) -> bool:
+        """As `ReplicaDriver.holds_majority`."""
+        return self.as_of is not None
+
+
+class PublisherWorld:
+    """A publisher with a replica and a document thread that the test drives."""
+
+    def __init__(self) -> None:
+        self.documents = Documents()
+        self.replica = Replica()
+        self.publisher = ConfigurationPublisher(
+            ConfigurationCache(), cast(JobThread, self.documents), self.replica, lambda configuration: None
+        )
+
+    def commit(self, sequence: int) -> None:
+        """The replica knows this change to be committed."""
+        committed = CommittedConfiguration(sequence, sequence, configuration(sequence), 1)
+        self.publisher.publish(committed)
+
+    def confirmed_as_of(self) -> float | None:
+        """The time that data plane nodes are told."""
+        return self.publisher.confirmed_as_of()
+
+
+def play(scene: Callable[[PublisherWorld], Awaitable[None]]) -> None:
+    async def run() -> None:
+        await scene(PublisherWorld())
+
+    asyncio.run(run())
+
+
+def test_a_change_that_is_not_published_yet_ends_what_is_confirmed() -> None:
+    async def scene(world: PublisherWorld) -> None:
+        world.replica.as_of = 5.0
+        assert world.confirmed_as_of() == 5.0
+        world.commit(1)
+        world.replica.as_of = 9.0
+        assert world.confirmed_as_of() == 5.0, "what is published was the newest before the change came"
+        await world.documents.end_first()
+        assert world.confirmed_as_of() == 9.0
+
+    play(scene)
+
+
+def test_what_the_replica_does_not_confirm_is_not_confirmed() -> None:
+    async def scene(world: PublisherWorld) -> None:
+        assert world.confirmed_as_of() is not None
+        world.replica.as_of = None
+        assert world.confirmed_as_of() is None
+        world.commit(1)
+        assert world.confirmed_as_of() is None
+
+    play(scene)
+
+
+def test_what_was_never_the_newest_known_is_confirmed_as_of_no_time() -> None:
+    """As after a start: a change may have been committed long before this process hears of it."""
+
+    async def scene(world: PublisherWorld) -> None:
+        world.commit(1)
+        world.replica.as_of = 1.0
+        assert world.confirmed_as_of() is None
+
+    play(scene)
+
+
+def test_after_a_gap_nothing_is_confirmed_before_the_newest_is_published() -> None:
+    async def scene(world: PublisherWorld) -> None:
+        world.commit(3)
+        assert world.confirmed_as_of() is None
+        await world.documents.end_first()
+        assert world.confirmed_as_of() == world.replica.as_of
+
+    play(scene)
+
+
+def test_of_two_changes_the_first_to_be_published_is_an_old_one() -> None:
+    async def scene(world: PublisherWorld) -> None:
+        since = world.confirmed_as_of()
+        assert since is not None
+        world.commit(1)
+        world.commit(2)
+        world.replica.as_of = since + 1.0
+        assert world.confirmed_as_of() == since
+        await world.documents.end_first()
+        assert world.confirmed_as_of() == since
+        await world.documents.end_first()
+        assert world.confirmed_as_of() == world.replica.as_of
+
+    play(scene)
--- a/tests/control_plane/test_invariant_checks.py
+++ b/tests/control_plane/test_invariant_checks.py
@@ -5,7 +5,7 @@
 import asyncio
 from collections.abc import Callable
 from pathlib import Path
-from typing import Any
+from typing import Any, cast
 
 import pytest
 from msgspec import structs
@@ -13,6 +13,11 @@
 from reedspoke.common.errors import ErrorCode
 from reedspoke.common.messages import WorkerList
 from reedspoke.common.node_settings import NodeSettings
+from reedspoke.control_plane.delivery.edge_sessions import EdgeSessions
+from reedspoke.control_plane.delivery.published_state import PublishedState
+from reedspoke.control_plane.peer_exchange import PeerExchange
+from reedspoke.control_plane.peers.transport import PeerTransport
+from reedspoke.control_plane.quota.service import QuotaService
 from reedspoke.control_plane.replication.driver import ReplicaDriver
 from reedspoke.control_plane.replication.effects import GetCompleted, PutCompleted
 from reedspoke.control_plane.replication.entry import CommittedConfiguration
@@ -21,7 +26,7 @@
 from reedspoke.control_plane.workers.discovery_lease import DiscoveryLease
 from reedspoke.telemetry.invariants import Invariant, monitor
 from tests.control_plane.chain_replica import MIDDLE, ChainReplica, entry
-from tests.control_plane.test_guards_process import Process, play
+from tests.control_plane.test_guards_configuration_publisher import PublisherWorld, play
 from tests.control_plane.test_storage_driver import ADDRESS, Surroundings
 
 
@@ -96,32 +101,45 @@
 
 
 def test_state_that_is_told_without_a_grant() -> None:
-    async def scene(process: Process) -> None:
-        process.driver.as_of = 5.0
-        process.driver.holds_majority = lambda: False  # type: ignore[method-assign]
-        assert broken_by(process.confirmed_as_of) == {Invariant.STATE_HAS_GRANT}
+    async def scene(world: PublisherWorld) -> None:
+        world.replica.as_of = 5.0
+        world.replica.holds_majority = lambda: False  # type: ignore[method-assign]
+        assert broken_by(world.confirmed_as_of) == {Invariant.STATE_HAS_GRANT}
 
     play(scene)
 
 
 def test_a_list_that_is_published_without_the_lease() -> None:
-    async def scene(process: Process) -> None:
+    async def run() -> None:
         loop = asyncio.get_running_loop()
-        lease = DiscoveryLease("127.0.0.1:1", loop.time(), fresh_fleet=True, identity=1)
-        published: Any = process
-        published._lease = lease
-        published._state = Silent()
-
-        def publish() -> None:
-            published._publish_workers(WorkerList((7, 1), ()))
+        exchange = PeerExchange(
+            own_address="127.0.0.1:1",
+            published=cast(PublishedState, WithoutWorkers()),
+            sessions=cast(EdgeSessions, NoSessions()),
+            lease=DiscoveryLease("127.0.0.1:1", loop.time(), fresh_fleet=True, identity=1),
+            quota=cast(QuotaService, None),
+            transport=cast(PeerTransport, None),
+            replica=cast(ReplicaDriver, None),
+            on_lease_update=lambda: None,
+        )
+        unleased = WorkerList((7, 1), ())
+        assert broken_by(lambda: exchange.publish_workers(unleased)) == {Invariant.DUTY_HAS_LEASE}
 
-        assert broken_by(publish) == {Invariant.DUTY_HAS_LEASE}
+    asyncio.run(run())
 
-    play(scene)
 
+class WithoutWorkers:
+    """Published state in which there is no list to send."""
 
-class Silent:
-    """Tells nothing to others."""
+    membership = None
+    workers = None
 
     def encoded_workers(self, now: float) -> None:
         return None
+
+
+class NoSessions:
+    """In place of the sessions with data plane nodes."""
+
+    def notify_update(self) -> None:
+        """There is nobody to notify."""
--- a/tests/control_plane_process/test_process.py
+++ b/tests/control_plane_process/test_process.py
@@ -215,7 +215,7 @@
     node = fleet.nodes[0]
     node.settings_file.write_text("{")
     node.signal(signal.SIGHUP)
-    until(lambda: b'"settings kept"' in node.log_file.read_bytes(), 2.0, "the bad file is told")
+    until(lambda: b'"settings rejected"' in node.log_file.read_bytes(), 2.0, "the bad file is told")
     changed = node.settings(bootstrap=False) | {"seed_nodes": [f"{HOSTS[0]}:{fleet.control_port}"]}
     node.settings_file.write_text(json.dumps(changed))
     until(lambda: b'"seeds changed"' in node.log_file.read_bytes(), 4.0, "new seeds without a signal")
--- a/tests/lab_soak/test_findings.py
+++ b/tests/lab_soak/test_findings.py
@@ -16,7 +16,7 @@
     unexplained,
 )
 
-GOOD = '{"at":"t","level":"info","event":"leaving"}'
+GOOD = '{"at":"t","level":"info","event":"shutting down"}'
 BAD = '{"at":"t","level":"error","event":"invariant violated","attempt_id":"a7"}'
 
 
@@ -37,7 +37,7 @@
 def test_a_folder_of_logs_is_read(tmp_path: Path) -> None:
     (tmp_path / "edge-0.log").write_text(f"{GOOD}\n{BAD}\n")
     assert suspect_lines(tmp_path / "edge-0.log") == [BAD]
-    assert events_in(tmp_path) == {"leaving": 1, "invariant violated": 1}
+    assert events_in(tmp_path) == {"shutting down": 1, "invariant violated": 1}
     assert find_request(tmp_path, "a7") == [f"edge-0: {BAD}"]
 
 
