--- a/reedspoke/booking/booking_node.py
+++ b/reedspoke/booking/booking_node.py
@@ -78,12 +78,11 @@
     def _take_log_changes(self) -> list[LogChange]:
         if self.replicated_log is None:
             return []
-        changes = list(self.replicated_log.state.unsaved_changes)
-        self.replicated_log.state.unsaved_changes.clear()
+        changes = self.replicated_log.state.take_unsaved_changes()
         return changes if self.stores_changes else []
 
     def fail_storage(self, now: int) -> None:
-        """Changes cannot be stored: be silent, and give the role up.
+        """Be silent and give the role up: changes cannot be stored.
 
         Guards the others against a leader whose disk is full: it would go on to renew its lease, and
         nothing could be committed.
@@ -95,23 +94,23 @@
     # ---- the role ----
 
     def lease_acquired(self, token: int, expires_at: int, now: int) -> list[object]:
-        """The lease is ours: lead the log, with its token as the term."""
+        """Lead the log, with the lease's fencing token as the term."""
         assert self.replicated_log is not None
         self._send_log_messages(self.replicated_log.become_leader(token, now))
         return []
 
     def lease_renewed(self, expires_at: int, now: int) -> list[object]:
-        """Nothing: the log needs no time, it is safe with any number of leaders."""
+        """Do nothing: the log needs no time, it is safe with any number of leaders."""
         return []
 
     def lease_ended(self, reason: str, now: int) -> list[object]:
-        """The lease is lost."""
+        """Lead the log no longer."""
         if self.replicated_log is not None:
             self.replicated_log.step_down()
         return []
 
     def tick(self, now: int) -> list[object]:
-        """Nothing: the node's own tick drives the log, at the followers as well."""
+        """Do nothing: the node's own tick drives the log, at the followers as well."""
         return []
 
     # ---- messages ----
--- a/reedspoke/booking/booking_service.py
+++ b/reedspoke/booking/booking_service.py
@@ -64,9 +64,9 @@
         unix_time: Callable[[int], int],
         first_number: int = 0,
     ) -> None:
-        """`leader_queue`: None where this scheduler is no voter. `leader_at`: the scheduler that leads
-        the log.
+        """Serve one scheduler; `leader_queue` is None where it is no voter.
 
+        `leader_at`: the scheduler that leads the log at a time of ours, None where nobody is known to.
         `unix_time`: s of Unix time from our us. `first_number` differs with each start: the leader would
         take a later incarnation's requests for those of a former one.
         """
@@ -81,7 +81,7 @@
     # ---- requests taken here ----
 
     def submit(self, command: BookingCommand, now: int) -> tuple[int, list[OutgoingMessage]]:
-        """The number of the request, and what to send; the outcome comes by `completed`."""
+        """Take a request; returns its number and what to send. The outcome comes by `completed`."""
         number = self._last_number = (self._last_number + 1) & MAX_REQUEST_NUMBER
         if reason := self.limits.refusal(command, self._unix_time(now)):
             self._complete(number, refused(command, reason))
@@ -123,12 +123,12 @@
     # ---- messages and time ----
 
     def on_reply(self, reply: CommandReply) -> None:
-        """The leader's answer; duplicates are dropped."""
+        """Complete a request by the leader's answer; duplicates are dropped."""
         if reply.number in self._pending:
             self._complete(reply.number, decode_outcome(reply.outcome))
 
     def on_request(self, sender: int, request: CommandRequest, now: int) -> list[OutgoingMessage]:
-        """Another scheduler takes us for the leader; what is no command is dropped."""
+        """Queue the command of a scheduler that takes us for the leader; what is no command is dropped."""
         try:
             command = decode_command(request.command)
         except (msgspec.DecodeError, ValueError):
--- a/reedspoke/booking/component.py
+++ b/reedspoke/booking/component.py
@@ -115,7 +115,7 @@
     # ---- events ----
 
     def reactions(self) -> Reactions:
-        """The events of the log's storage."""
+        """Return the handlers of the storage's events."""
         return {LogStoreFailed: self._on_storage_failed}
 
     def _on_storage_failed(self, _: LogStoreFailed) -> None:
@@ -135,7 +135,7 @@
         for number, outcome in self.service.completed:
             self._answer(number, outcome)
         self.service.completed.clear()
-        self._log_lines()
+        self._write_log_lines()
 
     def _answer(self, number: int, outcome: BookingOutcome) -> None:
         if (series := self._series.pop(number, None)) is not None:
@@ -152,13 +152,10 @@
         body = {"bookings": [outcome_as_json(outcome) for outcome in outcomes]}
         self.core.ask(_json_reply(series.caller, body, status))
 
-    def _log_lines(self) -> None:
+    def _write_log_lines(self) -> None:
         replicated_log = self.node.replicated_log
-        if replicated_log is None:
-            return
-        for text in replicated_log.replica.log_lines:
+        for text in replicated_log.take_log_lines() if replicated_log is not None else ():
             self.core.ask(fx.Say(text))
-        replicated_log.replica.log_lines.clear()
 
 
 def _json_reply(caller: int, body: object, status: int = 0) -> fx.Reply:
--- a/reedspoke/booking/http_api.py
+++ b/reedspoke/booking/http_api.py
@@ -45,7 +45,7 @@
 
 
 class NotAVoterError(ReedspokeError):
-    """This scheduler does not keep the reservations."""
+    """The scheduler is no voter, so it does not keep the reservations."""
 
     code = "bookings-elsewhere"
     remedy = "ask the door of a scheduler that the detail names"
@@ -84,7 +84,7 @@
 
 
 def parse_booking(name: str, body: bytes) -> ReserveCommand:
-    """The command for one booking. Raises InvalidBookingError."""
+    """Return the command for one booking. Raises InvalidBookingError."""
     try:
         booking = msgspec.json.decode(body, type=BookingBody)
         begin, end = int(booking.begin.timestamp()), int(booking.end.timestamp())
@@ -94,7 +94,7 @@
 
 
 def parse_series(name: str, body: bytes) -> list[ReserveCommand]:
-    """The commands for a series, each with a name of its own: NAME.1, NAME.2 and so on.
+    """Return the commands for a series, each with a name of its own: NAME.1, NAME.2 and so on.
 
     Raises InvalidBookingError, and RecurrenceError for the rule.
     """
@@ -110,7 +110,7 @@
 
 
 def parse_cancellation(name: str, body: bytes, now_s: int) -> CancelCommand:
-    """The command for a cancellation. Raises InvalidBookingError."""
+    """Return the command for a cancellation. Raises InvalidBookingError."""
     try:
         cancellation = msgspec.json.decode(body, type=CancellationBody)
         command = CancelCommand(name, cancellation.version, now_s)
@@ -129,17 +129,20 @@
 
 
 def _check(command: BookingCommand) -> None:
-    """Decoding checks the bounds of the fields, constructing does not. Raises ValueError, ValidationError."""
+    """Check the bounds of the fields, as decoding does and constructing does not.
+
+    Raises ValueError, ValidationError.
+    """
     msgspec.msgpack.decode(encode_command(command), type=type(command))
 
 
 def rfc3339(at_s: int) -> str:
-    """s of Unix time, in UTC."""
+    """Format s of Unix time, in UTC."""
     return datetime.fromtimestamp(at_s, UTC).isoformat().replace("+00:00", "Z")
 
 
 def outcome_as_json(outcome: BookingOutcome) -> dict[str, Any]:
-    """The body that answers a request; what is empty is left out."""
+    """Return the body that answers a request; what is empty is left out."""
     body: dict[str, Any] = {"name": outcome.name, "state": outcome.status, "version": outcome.version}
     if outcome.tenant:
         body |= {
@@ -159,5 +162,5 @@
 
 
 def http_status(outcome: BookingOutcome) -> int:
-    """The status that answers a request."""
+    """Return the HTTP status that answers a request."""
     return HTTP_STATUS.get(outcome.status, 200)
--- a/reedspoke/booking/leader_queue.py
+++ b/reedspoke/booking/leader_queue.py
@@ -1,5 +1,4 @@
-"""The leader's queue of commands: one after another into the replicated log, each answered once it is
-committed.
+"""The leader's queue of commands, which go into the replicated log one after another.
 
 `LeaderQueue` owns the commands that wait, the one that is in the log but not committed, and the outcomes
 of the last ones, for requests that come again. No I/O.
@@ -76,7 +75,7 @@
         return self.advance(now)
 
     def clear_unless_serving(self) -> None:
-        """The leadership is lost: whoever took the commands sends them to the next leader."""
+        """Drop all commands once the leadership is lost: who took them sends them to the next leader."""
         if not self.replicated_log.serving:
             self._queue.clear()
             self._in_flight = None
--- a/reedspoke/booking/limits.py
+++ b/reedspoke/booking/limits.py
@@ -42,7 +42,7 @@
         return ""
 
     def fill_in(self, command: BookingCommand) -> BookingCommand:
-        """The command with the limits of this scheduler, the one that puts it into the log."""
+        """Return the command with the limits of this scheduler, which puts it into the log."""
         if not isinstance(command, ReserveCommand):
             return command
         zone_limit = max(1, self.zones.get(command.zone, 1))
@@ -53,7 +53,7 @@
 
 
 def limits_from(settings: Bookings) -> BookingLimits:
-    """The limits that the operator file gives."""
+    """Return the limits that the operator file gives."""
     return BookingLimits(
         {zone.name: zone.cap for zone in settings.zones},
         {team.tenant: team.most for team in settings.teams},
--- a/reedspoke/booking/log_writer.py
+++ b/reedspoke/booking/log_writer.py
@@ -21,7 +21,7 @@
         self.runtime, self.store, self.replicated_log = runtime, store, replicated_log
 
     def effects(self) -> dict[type, Callable[[Any], None]]:
-        """What the reducer asks for."""
+        """Return the handlers of the effects that this extension carries out."""
         return {StoreLogChanges: self._save}
 
     def open(self) -> None:
@@ -30,7 +30,7 @@
             log.info("%s", summary)
 
     def reload(self) -> None:
-        """Nothing: the directory is the one of the start."""
+        """Do nothing: the directory is the one of the start."""
 
     def close(self) -> None:
         """Close the files."""
--- a/reedspoke/booking/messages.py
+++ b/reedspoke/booking/messages.py
@@ -102,7 +102,7 @@
 
 
 def encode_command(command: BookingCommand) -> bytes:
-    """Raises ValueError where it is too long for an entry of the log."""
+    """Encode a command. Raises ValueError where it is too long for an entry of the log."""
     data = _encode(command)
     if len(data) > MAX_ENTRY_BYTES:
         raise ValueError(f"{len(data)} bytes, at most {MAX_ENTRY_BYTES}")
@@ -110,7 +110,7 @@
 
 
 def encode_outcome(outcome: BookingOutcome) -> bytes:
-    """At most MAX_OUTCOME_BYTES: reasons and free windows are left out, the last first."""
+    """Encode an outcome, in MAX_OUTCOME_BYTES at most: reasons and windows are left out, the last first."""
     while len(data := _encode(outcome)) > MAX_OUTCOME_BYTES:
         if outcome.free_windows and len(outcome.free_windows) >= len(outcome.reasons):
             outcome = msgspec.structs.replace(outcome, free_windows=outcome.free_windows[:-1])
@@ -120,10 +120,10 @@
 
 
 def name_of(command: BookingCommand) -> str:
-    """The reservation that a command is about; a purge has none."""
+    """Return the reservation that a command is about; "" for a purge."""
     return "" if isinstance(command, PurgeCommand) else command.name
 
 
 def refused(command: BookingCommand, reason: str) -> BookingOutcome:
-    """The outcome of a command that breaks a rule."""
+    """Return the outcome of a command that breaks a rule."""
     return BookingOutcome(BookingStatus.REFUSED, name_of(command), (reason,))
--- a/reedspoke/booking/recurrence.py
+++ b/reedspoke/booking/recurrence.py
@@ -38,7 +38,7 @@
 
 
 def unix_time(wall: datetime, clock: ZoneInfo, *, late: bool) -> int:
-    """s of Unix time of a wall clock's time. `late`: of two such moments the later one."""
+    """Return the s of Unix time of a wall clock's time. `late`: of two such moments the later one."""
     at = int(wall.replace(tzinfo=clock, fold=late).timestamp())
     if datetime.fromtimestamp(at, clock).replace(tzinfo=None) == wall:
         return at
@@ -46,7 +46,7 @@
 
 
 def _moment_of_jump(wall: datetime, clock: ZoneInfo) -> int:
-    """The wall time does not exist: its two readings lie around the jump, which is found by bisection."""
+    """Find the jump over a wall time that does not exist: its two readings lie around it."""
     low, high = sorted(int(wall.replace(tzinfo=clock, fold=fold).timestamp()) for fold in (0, 1))
     offset_before = datetime.fromtimestamp(low, clock).utcoffset()
     while high - low > 1:
@@ -58,17 +58,17 @@
     return high
 
 
-def occurrences(begin: datetime, end: datetime, rule: str, place: str) -> list[Window]:
-    """The windows of a rule, the earliest first. `begin` and `end` are wall clock times without an offset.
+def occurrences(begin: datetime, end: datetime, rule: str, time_zone: str) -> list[Window]:
+    """Return the windows of a rule, the earliest first. Raises RecurrenceError.
 
-    Raises RecurrenceError.
+    `begin` and `end` are wall clock times without an offset.
     """
     if begin.tzinfo is not None or end.tzinfo is not None:
         raise RecurrenceError("times of a rule have no offset: the clock's place gives it")
     length = end - begin
     if not timedelta(0) < length:
         raise RecurrenceError("it ends before it begins")
-    clock = _clock_of(place)
+    clock = _clock_of(time_zone)
     starts = list(islice(_parse_rule(rule, begin), MAX_OCCURRENCES + 1))
     if len(starts) > MAX_OCCURRENCES:
         raise RecurrenceError(f"more than {MAX_OCCURRENCES} times: give it COUNT or UNTIL")
@@ -80,11 +80,11 @@
     ]
 
 
-def _clock_of(place: str) -> ZoneInfo:
+def _clock_of(time_zone: str) -> ZoneInfo:
     try:
-        return ZoneInfo(place)
+        return ZoneInfo(time_zone)
     except (ZoneInfoNotFoundError, ValueError, OSError) as error:
-        raise RecurrenceError(f"no such clock: {place!r}") from error
+        raise RecurrenceError(f"no such clock: {time_zone!r}") from error
 
 
 def _parse_rule(rule: str, begin: datetime) -> rrule:
--- a/reedspoke/booking/reservation_table.py
+++ b/reedspoke/booking/reservation_table.py
@@ -70,7 +70,7 @@
         self.last_applied = AppliedCommand(index, self.execute(decode_command(command)))
 
     def snapshot(self) -> bytes:
-        """All reservations; the usage follows from them."""
+        """Return all reservations; the usage follows from them."""
         return msgspec.msgpack.encode(self.reservations)
 
     def restore(self, snapshot: bytes) -> None:
@@ -137,7 +137,7 @@
         return tuple(name for _, name in sorted(found)[:MAX_CONFLICTS_SHOWN])
 
     def _free_windows(self, command: ReserveCommand) -> tuple[FreeWindow, ...]:
-        """The next windows of that length in which there is room."""
+        """Return the next windows of that length in which there is room."""
         if command.slots > command.zone_limit:
             return ()
         usage = self._zone_usage.get(command.zone, SlotUsage())
@@ -188,7 +188,7 @@
     # ---- queries ----
 
     def lookup(self, name: str) -> BookingOutcome:
-        """The reservation as it stands: booked, cancelled or absent."""
+        """Return the reservation as it stands: booked, cancelled or absent."""
         reservation = self.reservations.get(name)
         if reservation is None:
             return self._outcome(BookingStatus.ABSENT, name)
@@ -204,11 +204,11 @@
         )
 
     def active_names(self) -> list[str]:
-        """Names of the reservations that are not cancelled, sorted."""
+        """Return the names of the reservations that are not cancelled, sorted."""
         return sorted(name for name, one in self.reservations.items() if not one.cancelled)
 
     def slots_reserved(self, zone: str, at: int, tenant: str = "") -> int:
-        """Slots of that zone that are reserved at that time, by that tenant alone where it is named."""
+        """Return the slots of that zone reserved at that time, by that tenant alone where it is named."""
         usage = self._tenant_usage.get((zone, tenant)) if tenant else self._zone_usage.get(zone)
         return self._peak(usage, at, at + 1)
 
--- a/reedspoke/booking/slot_usage.py
+++ b/reedspoke/booking/slot_usage.py
@@ -39,13 +39,13 @@
             del self.steps[at]
 
     def peak(self, begin: int, end: int) -> int:
-        """The most slots that are reserved at any moment from `begin` to before `end`."""
+        """Return the most slots reserved at any moment from `begin` to before `end`."""
         position = self.steps.bisect_right(begin) - 1
         inside = self.steps.irange(begin, end, inclusive=(False, False))
         return max([self.steps.values()[position], *(self.steps[at] for at in inside)])
 
     def windows_below(self, begin: int, length: int, level: int) -> Iterator[FreeWindow]:
-        """Windows of that length from `begin` on with at most `level` slots reserved, the earliest first."""
+        """Yield windows of that length from `begin` on with at most `level` slots reserved, in order."""
         start, position = begin, self.steps.bisect_right(begin) - 1
         keys, levels = self.steps.keys(), self.steps.values()
         while position < len(keys):
--- a/reedspoke/fleet/replicated_log/follower.py
+++ b/reedspoke/fleet/replicated_log/follower.py
@@ -27,11 +27,11 @@
         self.replica, self.recovery = replica, recovery
 
     def on_log_state_request(self, sender: int, message: LogStateRequest) -> Outbox:
-        """A new leader reads a majority before it serves."""
+        """Tell a new leader where our log ends: it reads a majority before it serves."""
         return [Outgoing(sender, self.replica.log_state_reply(message.term))]
 
     def on_recover_empty(self, message: RecoverEmpty) -> Outbox:
-        """Only the incarnation that was found without state may go on so: a later one asks for itself."""
+        """Go on without state, if it was this incarnation that the leader found without."""
         if message.incarnation == self.replica.incarnation:
             self.replica.state.finish_recovery()
         return []
@@ -73,7 +73,7 @@
                 return []
 
     def on_fetch_request(self, sender: int, message: FetchRequest) -> Outbox:
-        """A new leader takes over our log: the next entries, or a chunk of the snapshot."""
+        """Send a new leader that takes over our log the next entries, or a chunk of the snapshot."""
         state = self.replica.state
         if state.recovering or message.term != state.current_term:
             return []
--- a/reedspoke/fleet/replicated_log/leader.py
+++ b/reedspoke/fleet/replicated_log/leader.py
@@ -101,7 +101,7 @@
             self._reset(sender, incarnation)
 
     def on_accepted(self, sender: int, message: AppendAccepted, now: int) -> Outbox:
-        """The follower has all up to that index."""
+        """Count the follower for all entries up to that index."""
         progress = self._progress_of(sender, message.incarnation)
         progress.match_index = max(progress.match_index, message.match_index)
         progress.probe_index, progress.snapshot_offset = None, 0
@@ -131,7 +131,7 @@
         return []
 
     def _replicate(self, voter: int, progress: FollowerProgress, now: int) -> Outbox:
-        """The next entries, a few at once and a single one while its log is probed."""
+        """Send the next entries, a few at once and a single one while its log is probed."""
         state = self.replica.state
         if progress.probe_index is None:
             limit = progress.match_index + MAX_ENTRIES_IN_FLIGHT
--- a/reedspoke/fleet/replicated_log/log_state.py
+++ b/reedspoke/fleet/replicated_log/log_state.py
@@ -85,7 +85,7 @@
         return self.term_at(self.last_index)
 
     def term_at(self, index: int) -> int:
-        """Term of that entry; UNKNOWN_TERM where it is behind the log's end or within the snapshot."""
+        """Return the term of that entry; UNKNOWN_TERM behind the log's end and within the snapshot."""
         if index == self.snapshot_index:
             return self.snapshot_term
         if self.snapshot_index < index <= self.last_index:
@@ -93,16 +93,16 @@
         return UNKNOWN_TERM
 
     def entry_at(self, index: int) -> LogEntry:
-        """The entry at an index from `snapshot_index` + 1 to `last_index`."""
+        """Return the entry at an index from `snapshot_index` + 1 to `last_index`."""
         return self.entries[index - self.snapshot_index - 1]
 
     def append_message(self, term: int, index: int) -> Append:
-        """That entry, as a leader or the source of a takeover sends it."""
+        """Return that entry, as a leader or the source of a takeover sends it."""
         entry = self.entry_at(index)
         return Append(term, index, self.term_at(index - 1), entry.term, self.commit_index, entry.data)
 
     def commit_message(self, term: int) -> Append:
-        """No entry: the log ends here, and how much of it is committed."""
+        """Return a message without entry: the log ends here, and how much of it is committed."""
         return Append(term, self.last_index + 1, self.last_term, 0, self.commit_index, b"")
 
     def adopt_term(self, term: int) -> None:
@@ -132,7 +132,7 @@
             self._compact()
 
     def _compact(self) -> None:
-        """The state machine is at the commit index now: its snapshot replaces all entries up to there."""
+        """Replace the committed entries by a snapshot of the state machine, which is at the commit index."""
         term = self.term_at(self.commit_index)
         self.entries = self.entries[self.commit_index - self.snapshot_index :]
         self.snapshot_index = self.commit_index
@@ -151,13 +151,13 @@
         self._record_change(ChangeKind.REWRITE)
 
     def finish_recovery(self) -> None:
-        """What the replica has counts from now on."""
+        """Let the replica count for quorums from now on."""
         if self.recovering:
             self.recovering = False
             self._record_change(ChangeKind.REWRITE)
 
     def persistent_state(self) -> PersistentState:
-        """What `restore` takes."""
+        """Return what `restore` takes."""
         return PersistentState(
             self.snapshot_index, self.snapshot_term, self.snapshot, self.current_term, tuple(self.entries)
         )
@@ -171,7 +171,12 @@
         self.entries = list(state.entries)
         self.recovering = False
 
+    def take_unsaved_changes(self) -> list[LogChange]:
+        """Return the changes that have to be stored, and forget them."""
+        changes, self.unsaved_changes = self.unsaved_changes, []
+        return changes
+
     def _record_change(self, kind: ChangeKind, number: int = 0, data: bytes = b"") -> None:
-        """While recovering nothing is acknowledged, so nothing is stored: `finish_recovery` stores it all."""
+        """Note a change; while recovering nothing is acknowledged, and `finish_recovery` stores it all."""
         if not self.recovering:
             self.unsaved_changes.append(LogChange(kind, number, data))
--- a/reedspoke/fleet/replicated_log/log_store.py
+++ b/reedspoke/fleet/replicated_log/log_store.py
@@ -86,7 +86,7 @@
                 pass  # it was written as the state file
 
     def state(self) -> PersistentState:
-        """What the replica is to go on with."""
+        """Return what the replica is to go on with."""
         stored = self.stored
         return PersistentState(
             stored.snapshot_index,
@@ -98,13 +98,13 @@
 
 
 def encode_item(body: object) -> bytes:
-    """An item of the log file."""
+    """Return an item of the log file."""
     data = msgspec.msgpack.encode(body)
     return len(data).to_bytes(4) + crc32(data).to_bytes(4) + data
 
 
 def decode_items(raw: bytes) -> list[bytes]:
-    """The items up to the first one that is torn."""
+    """Return the items up to the first one that is torn."""
     bodies: list[bytes] = []
     offset = 0
     while offset + ITEM_HEADER_BYTES <= len(raw):
@@ -165,7 +165,7 @@
         return f"replicated log: {self._state_path.name}: {reason}: starting without state"
 
     def _read_changes(self, generation: int) -> list[StoredChange]:
-        """Those that follow the state of that generation: a crash may leave the log of the one before."""
+        """Read the changes to the state of that generation: a crash may leave the log of the one before."""
         try:
             bodies = decode_items(self._log_path.read_bytes())
         except OSError:
@@ -194,7 +194,10 @@
         self._log_bytes += len(data)
 
     def _rewrite(self, state: PersistentState) -> None:
-        """The complete state, and an empty log that follows it. Until the rename the old files stay valid."""
+        """Write the complete state, and an empty log that follows it.
+
+        Until the rename the old files stay valid.
+        """
         self._generation += 1
         temporary = self._write_temporary(state)
         self.close()
@@ -226,7 +229,7 @@
         return temporary
 
     def _sync_directory(self) -> None:
-        """A rename is on disk only once its directory is."""
+        """Sync the directory: a rename is on disk only once its directory is."""
         descriptor = os.open(self.directory, os.O_RDONLY)
         try:
             os.fsync(descriptor)
@@ -241,6 +244,6 @@
 
 
 def _write_all(descriptor: int, data: bytes) -> None:
-    """Raises OSError where not all was written: the disk is full."""
+    """Write all, or raise OSError: the disk is full."""
     if os.write(descriptor, data) != len(data):
         raise OSError(errno.ENOSPC, "short write")
--- a/reedspoke/fleet/replicated_log/recovery.py
+++ b/reedspoke/fleet/replicated_log/recovery.py
@@ -38,7 +38,7 @@
         return [Outgoing(voter, RecoveryRequest(replica.incarnation)) for voter in replica.other_voters]
 
     def reply_to(self, request: RecoveryRequest, leader_term: int) -> RecoveryReply | None:
-        """The answer to another voter that recovers; None: this one has nothing to tell."""
+        """Return the answer to another voter that recovers; None: this one has nothing to tell."""
         state = self.replica.state
         if state.recovering:
             return None
@@ -64,7 +64,7 @@
             self.target = RecoveryTarget(highest_term, max(reply.last_index for reply in of_leader))
 
     def finish_if_caught_up(self, term: int, match_index: int) -> bool:
-        """Whether the replica may acknowledge entries of that leader, whom it follows up to that index."""
+        """Return whether the replica may acknowledge that leader's entries, which it has up to that index."""
         if not self.replica.state.recovering:
             return True
         if self.target is None or self.target.term != term or match_index < self.target.last_index:
--- a/reedspoke/fleet/replicated_log/replica.py
+++ b/reedspoke/fleet/replicated_log/replica.py
@@ -37,7 +37,7 @@
         return len(self.voters) // 2 + 1
 
     def log_state_reply(self, term: int) -> LogStateReply:
-        """Where this replica's log ends."""
+        """Return where this replica's log ends."""
         state = self.state
         return LogStateReply(term, self.incarnation, state.recovering, state.last_term, state.last_index)
 
--- a/reedspoke/fleet/replicated_log/replicated_log.py
+++ b/reedspoke/fleet/replicated_log/replicated_log.py
@@ -119,7 +119,7 @@
     # ---- the lease, commands, storage ----
 
     def become_leader(self, term: int, now: int) -> Outbox:
-        """The lease is ours, with that fencing token."""
+        """Take over as the leader of that term, the fencing token of the lease that was acquired."""
         if self.storage_failed:
             return []
         takeover = self.leadership = self.takeover_type(self.replica, term, now)
@@ -127,11 +127,11 @@
         return self._serve_if_complete(takeover, takeover.start(), now)
 
     def step_down(self) -> None:
-        """The lease is lost, or a later leader is known."""
+        """Lead no longer: the lease is lost, or a later leader is known."""
         self.leadership = None
 
     def propose(self, command: bytes, now: int) -> tuple[int, Outbox]:
-        """The index of the command's entry, and what to send.
+        """Append a command; returns the index of its entry, and what to send.
 
         The command is committed once `commit_index` has reached that index while `leader_term` is still
         the same. Raises ValueError where this replica does not serve, or for a command that is empty or
@@ -145,11 +145,11 @@
         return index, self.leader.propose(command, now)
 
     def restore(self, state: PersistentState) -> None:
-        """At the start, from disk."""
+        """Take over the state that was stored on disk, at the start."""
         self.state.restore(state)
 
     def fail_storage(self) -> None:
-        """Changes cannot be stored: from now on this replica is silent, as if it were down."""
+        """Be silent from now on, as if the process were down: changes cannot be stored."""
         self.storage_failed = True
         self.step_down()
 
@@ -165,10 +165,15 @@
             case Leader() as leader:
                 return leader.tick(now)
 
+    def take_log_lines(self) -> list[str]:
+        """Return what happened since the last call, for the program's log."""
+        lines, self.replica.log_lines = self.replica.log_lines, []
+        return lines
+
     # ---- messages ----
 
     def receive(self, sender: int, message: LogMessage, now: int) -> Outbox:
-        """The answers to a message of another voter."""
+        """Handle a message of another voter; returns what to send."""
         if sender not in self.replica.other_voters or self.storage_failed:
             return []
         match message:
@@ -192,7 +197,7 @@
     def _on_voter_reply(
         self, sender: int, message: LogStateReply | AppendAccepted | AppendRejected, now: int
     ) -> Outbox:
-        """To us as the leader, or as one that takes over."""
+        """Handle an answer to us as the leader, or as one that takes over."""
         role = self.leadership
         if role is None:
             return []
--- a/reedspoke/fleet/replicated_log/snapshot_transfer.py
+++ b/reedspoke/fleet/replicated_log/snapshot_transfer.py
@@ -12,7 +12,7 @@
 
 
 def snapshot_message(state: LogState, term: int, offset: int) -> InstallSnapshot:
-    """The chunk of our snapshot that begins at that byte."""
+    """Return the chunk of our snapshot that begins at that byte."""
     snapshot = state.snapshot
     return InstallSnapshot(
         term,
--- a/reedspoke/fleet/replicated_log/state_machine.py
+++ b/reedspoke/fleet/replicated_log/state_machine.py
@@ -12,7 +12,7 @@
         """Carry out a committed command; called once for each, in the order of the log."""
 
     def snapshot(self) -> bytes:
-        """The complete state, as `restore` takes it."""
+        """Return the complete state, as `restore` takes it."""
 
     def restore(self, snapshot: bytes) -> None:
         """Replace the state by that of a snapshot."""
--- a/reedspoke/fleet/replicated_log/takeover.py
+++ b/reedspoke/fleet/replicated_log/takeover.py
@@ -93,7 +93,7 @@
         ]
 
     def on_append(self, sender: int, message: Append) -> Outbox:
-        """An entry of the log that is taken over; what stands here in its place was never committed."""
+        """Store an entry of the log that is taken over; what stands in its place was never committed."""
         if sender != self._source or message.term != self.term:
             return []
         state = self.replica.state
@@ -114,7 +114,7 @@
         return [self._fetch(sender)] if self._next_index > self._requested_through else []
 
     def on_install_snapshot(self, message: InstallSnapshot) -> Outbox:
-        """A chunk of the snapshot that the fetched entries stand behind."""
+        """Collect a chunk of the snapshot that the fetched entries stand behind."""
         if message.last_included_index <= self.replica.state.snapshot_index:
             return []
         match self.replica.receive_snapshot_chunk(message):
