--- a/tests/control_plane/test_orders_features.py
+++ b/tests/control_plane/test_orders_features.py
@@ -8,7 +8,7 @@
 from pytest_bdd import given, parsers, scenarios, then, when
 
 from reedspoke.common.errors import ErrorCode
-from tests.control_plane.rivals import Contest
+from tests.control_plane.competing_changes import CompetingChanges
 from tests.control_plane.simulation import Simulation
 
 scenarios("features/orders.feature")
@@ -21,7 +21,7 @@
     """A core, the operators who compete there, and other calls that the story made."""
 
     simulation: Simulation
-    contest: Contest | None = None
+    contest: CompetingChanges | None = None
     calls: list[int] = field(default_factory=list)
     ends: list[ErrorCode | None] = field(default_factory=list)
 
@@ -35,7 +35,7 @@
         self.simulation.run(ANSWER_S)
         return [self.simulation.judge.put_answers[call].error for call in self.calls]
 
-    def rivals(self) -> Contest:
+    def rivals(self) -> CompetingChanges:
         """The operators who compete."""
         assert self.contest is not None
         return self.contest
@@ -61,7 +61,7 @@
 
 @when(parsers.parse("{count:d} operators put different versions {generation:d} on top of {match:d} at once"))
 def rivals_put(story: Story, count: int, generation: int, match: int) -> None:
-    story.contest = Contest(story.simulation, count, match, generation)
+    story.contest = CompetingChanges(story.simulation, count, match, generation)
     story.contest.send()
 
 
--- a/tests/control_plane/test_orders_points.py
+++ b/tests/control_plane/test_orders_points.py
@@ -7,7 +7,7 @@
 import pytest
 
 from reedspoke.common.errors import ErrorCode
-from tests.control_plane.rivals import REFUSED, Contest
+from tests.control_plane.competing_changes import REJECTED, CompetingChanges
 from tests.control_plane.schedule import check_end, come_back
 from tests.control_plane.simulation import Simulation
 
@@ -29,9 +29,9 @@
     return simulation
 
 
-def _contest(simulation: Simulation) -> Contest:
+def _contest(simulation: Simulation) -> CompetingChanges:
     """All send, and after a while all send again, whatever they were told."""
-    contest = Contest(simulation, OPERATORS, MATCH, NUMBER)
+    contest = CompetingChanges(simulation, OPERATORS, MATCH, NUMBER)
     for pause in (0.05, 1.5):
         contest.send()
         simulation.run(pause)
@@ -98,12 +98,12 @@
     assert 2 < STORES < MOST_POINTS
 
 
-def _check(simulation: Simulation, contest: Contest) -> None:
+def _check(simulation: Simulation, contest: CompetingChanges) -> None:
     come_back(simulation, restarts_within=2.1)
     contest.check()
     ends = contest.resend_all()
     assert ends.count(None) == 1
-    assert all(error is None or error in REFUSED for error in ends), ends
+    assert all(error is None or error in REJECTED for error in ends), ends
     simulation.kill(_head(simulation), restart_after=0.1)
     simulation.run(1.0)
     simulation.settle()
@@ -147,5 +147,5 @@
     getattr(simulation, fault).add(simulation.message_count + number)
     contest = _contest(simulation)
     answers = {answer.error for answer in simulation.judge.put_answers.values()}
-    assert answers <= REFUSED | {None, ErrorCode.WRITE_UNCLEAR}
+    assert answers <= REJECTED | {None, ErrorCode.WRITE_UNCLEAR}
     _check(simulation, contest)
--- a/tests/control_plane/test_orders_refused.py
+++ b/tests/control_plane/test_orders_refused.py
@@ -8,8 +8,8 @@
 from reedspoke.control_plane.replication.events import MessageReceived
 from reedspoke.control_plane.replication.messages import PutReply, PutRequest
 from reedspoke.control_plane.storage.records import EntryRecord, decode_record
+from tests.control_plane.competing_changes import REJECTED
 from tests.control_plane.direct_core import DirectCore
-from tests.control_plane.rivals import REFUSED
 from tests.control_plane.schedule import Faults, check_end, come_back
 from tests.control_plane.simulation import Simulation
 
@@ -92,7 +92,7 @@
     for generation in range(11, 31):
         assert core.put("m1", generation - 1, generation, b"%d" % generation) is None
         for match, other, document in refused:
-            assert core.put("m3", match, other, document) in REFUSED
+            assert core.put("m3", match, other, document) in REJECTED
         if generation % 5 == 0:
             core.restart()
     stored = {record.entry.document for record in _stored_entries(core)}
--- a/tests/control_plane/test_orders_rivals.py
+++ b/tests/control_plane/test_orders_rivals.py
@@ -5,7 +5,7 @@
 import pytest
 
 from reedspoke.common.errors import ErrorCode
-from tests.control_plane.rivals import REFUSED, Contest
+from tests.control_plane.competing_changes import REJECTED, CompetingChanges
 from tests.control_plane.schedule import Faults, check_end, come_back
 from tests.control_plane.simulation import Simulation
 
@@ -23,11 +23,11 @@
 
 def _ends(errors: list[ErrorCode | None]) -> list[bool]:
     """Whether each was acknowledged; the others have to be refused, as nothing is in trouble."""
-    assert all(error is None or error in REFUSED for error in errors), errors
+    assert all(error is None or error in REJECTED for error in errors), errors
     return [error is None for error in errors]
 
 
-def _check_ends_stay(simulation: Simulation, contest: Contest) -> None:
+def _check_ends_stay(simulation: Simulation, contest: CompetingChanges) -> None:
     ends = _ends(contest.resend_all())
     assert ends.count(True) == 1
     for address in list(simulation.machines):
@@ -48,7 +48,7 @@
 def test_one_of_many_wins_whatever_fails_meanwhile(operators: int, seed: int, machines: int) -> None:
     simulation = _core(seed, machines)
     faults = Faults(simulation, tolerated=(machines - 1) // 2)
-    contest = Contest(simulation, operators, match=3, generation=NUMBER)
+    contest = CompetingChanges(simulation, operators, match=3, generation=NUMBER)
     for _ in range(ROUNDS):
         contest.send()
         if simulation.random.random() < 0.6:
@@ -69,7 +69,7 @@
 @pytest.mark.parametrize("loss", ["kill", "freeze", "isolate"])
 def test_one_wins_where_the_head_is_lost_at_once(operators: int, after: float, loss: str) -> None:
     simulation = _core(17, machines=3)
-    contest = Contest(simulation, operators, match=3, generation=NUMBER)
+    contest = CompetingChanges(simulation, operators, match=3, generation=NUMBER)
     contest.send()
     simulation.run(after)
     getattr(simulation, loss)(simulation.chain()[0])
@@ -83,7 +83,7 @@
 
 def test_ends_stay_after_many_later_changes() -> None:
     simulation = _core(18, machines=3)
-    contest = Contest(simulation, 8, match=3, generation=NUMBER)
+    contest = CompetingChanges(simulation, 8, match=3, generation=NUMBER)
     contest.send()
     simulation.run(1.0)
     ends = _ends(contest.resend_all())
