--- a/reedspoke/control_plane/quota/allocator.py
+++ b/reedspoke/control_plane/quota/allocator.py
@@ -1,4 +1,4 @@
-"""Answers data plane schedulers' requests for quota, out of this control scheduler's share. Pure; no clock.
+"""Answers data plane nodes' requests for quota, out of this control plane node's share. Pure; no clock.
 
 Where the share of a tenant's quota does not hold what a request costs, the other owners are asked for loans
 at once, and the request waits. A loan leaves the lender's bucket before it reaches the borrower's, so that no
@@ -33,18 +33,18 @@
 
 Requester = Any  # whoever the response goes to; handed back as it came
 MajorityAsOf = Callable[[], float | None]
-ReachablePeers = Callable[[], Collection[str]]  # addresses of control schedulers that were heard of late
+ReachablePeers = Callable[[], Collection[str]]  # addresses of control plane nodes that were heard of late
 
 
 class SendResponse(Struct, frozen=True):
-    """Send this response to the data plane scheduler that requested it."""
+    """Send this response to the data plane node that requested it."""
 
     requester: Requester
     response: QuotaResponse
 
 
 class SendToPeer(Struct, frozen=True):
-    """Send this to another control scheduler."""
+    """Send this to another control plane node."""
 
     address: str
     message: QuotaLoanRequest | QuotaLoan
@@ -77,7 +77,7 @@
 
 
 class QuotaAllocator:
-    """All tenants' quotas at one control scheduler. Owns their buckets and pending requests."""
+    """All tenants' quotas at one control plane node. Owns their buckets and pending requests."""
 
     def __init__(
         self,
@@ -110,7 +110,7 @@
         self._borrowing = {name: quota for name, quota in self._borrowing.items() if name in self._quotas}
 
     def refresh(self, now: float) -> None:
-        """Time has passed: all buckets follow this control scheduler's share."""
+        """Time has passed: all buckets follow this control plane node's share."""
         if now >= self._refresh_at:
             self._refresh_at = now + REFRESH_INTERVAL_S
             for tenant, quota in self._quotas.items():
@@ -132,7 +132,7 @@
     # ---- requests ----
 
     def handle_request(self, requester: Requester, request: QuotaRequest, now: float) -> list[QuotaEffect]:
-        """A data plane scheduler's request; it is answered now, or once loans have come."""
+        """A data plane node's request; it is answered now, or once loans have come."""
         quota = self._quotas.get(request.tenant)
         if quota is None or not self._is_lease_held(now):
             is_unlimited = quota is None and request.tenant in self._known_tenants
@@ -155,7 +155,7 @@
     # ---- loans ----
 
     def handle_loan_request(self, sender: str, request: QuotaLoanRequest, now: float) -> list[QuotaEffect]:
-        """Another control scheduler lacks units of a tenant's quota."""
+        """Another control plane node lacks units of a tenant's quota."""
         quota = self._quotas.get(request.tenant)
         units = 0.0
         if quota is not None and self._is_lease_held(now) and not quota.pending:
--- a/reedspoke/control_plane/quota/service.py
+++ b/reedspoke/control_plane/quota/service.py
@@ -1,4 +1,4 @@
-"""Quotas of tenants at a control scheduler: joins the allocator to sessions, peers and the clock."""
+"""Quotas of tenants at a control plane node: joins the allocator to sessions, peers and the clock."""
 
 from __future__ import annotations
 
@@ -51,15 +51,15 @@
         self._allocator.refresh(self._loop.time())
 
     def handle_request(self, channel: Channel, request: QuotaRequest) -> None:
-        """A data plane scheduler's request; the response goes to its channel, at once or after loans."""
+        """A data plane node's request; the response goes to its channel, at once or after loans."""
         self._carry_out(self._allocator.handle_request(channel, request, self._loop.time()))
 
     def handle_loan_request(self, sender: str, request: QuotaLoanRequest) -> None:
-        """Another control scheduler lacks units."""
+        """Another control plane node lacks units."""
         self._carry_out(self._allocator.handle_loan_request(sender, request, self._loop.time()))
 
     def handle_loan(self, loan: QuotaLoan) -> None:
-        """Another control scheduler lends units, or has none."""
+        """Another control plane node lends units, or has none."""
         self._carry_out(self._allocator.handle_loan(loan, self._loop.time()))
 
     def _carry_out(self, effects: list[QuotaEffect]) -> None:
--- a/reedspoke/control_plane/quota/share.py
+++ b/reedspoke/control_plane/quota/share.py
@@ -1,4 +1,4 @@
-"""Which share of a tenant's quota this control scheduler may grant. Pure; no clock.
+"""Which share of a tenant's quota this control plane node may grant. Pure; no clock.
 
 A tenant's quota is shared evenly by a few of the voters of the agreed view, its owners; rendezvous hashing by
 the tenant's name (Thaler and Ravishankar, 1998) names them, so that nobody is asked and no quota rests while
--- a/reedspoke/control_plane/quota/token_bucket.py
+++ b/reedspoke/control_plane/quota/token_bucket.py
@@ -1,4 +1,4 @@
-"""Token bucket of one tenant's share of its quota at one control scheduler; it can lend. Pure; no clock.
+"""Token bucket of one tenant's share of its quota at one control plane node; it can lend. Pure; no clock.
 
 While units are scarce a request is granted only at a level above a reserve, and the reserve is what the
 largest requests of late have taken: so a large request finds as much as a small one does, and is not refused
@@ -71,7 +71,7 @@
         return min(self.largest_recent_request, MAX_RESERVE_SHARE * self.capacity)
 
     def lend(self, requested: float, *, is_scarce: bool) -> float:
-        """Give up to so many units to another control scheduler; the units given.
+        """Give up to so many units to another control plane node; the units given.
 
         While they are scarce here, only what exceeds the reserve.
         """
@@ -81,7 +81,7 @@
         return units
 
     def receive_loan(self, units: float) -> None:
-        """Another control scheduler has given these units.
+        """Another control plane node has given these units.
 
         They may exceed the capacity until `remove_overflow`.
         """
--- a/reedspoke/control_plane/workers/__init__.py
+++ b/reedspoke/control_plane/workers/__init__.py
@@ -1,4 +1,5 @@
-"""Discovery of workers: one control scheduler at a time polls the platform's list and publishes what changed.
+"""Discovery of workers: one control plane node at a time polls the platform's list and publishes what
+changed.
 
 This package owns
 
--- a/reedspoke/control_plane/workers/discovery.py
+++ b/reedspoke/control_plane/workers/discovery.py
@@ -34,7 +34,7 @@
     """Polls while the lease is held; a task of the process runs it from start to end.
 
     Owns the connection to the platform and the newest answer under the present lease. `worker_list` is the
-    state that the process shares with the delivery to data plane schedulers.
+    state that the process shares with the delivery to data plane nodes.
     """
 
     def __init__(
--- a/reedspoke/control_plane/workers/discovery_lease.py
+++ b/reedspoke/control_plane/workers/discovery_lease.py
@@ -1,4 +1,4 @@
-"""The discovery lease: which control scheduler polls the platform's list of workers.
+"""The discovery lease: which control plane node polls the platform's list of workers.
 
 A lease as of Gray and Cheriton ("Leases", 1989), granted by a majority of the voters of the present view, as
 in Chubby (Burrows, 2006). What makes two holders at one time unlikely enough:
--- a/reedspoke/control_plane/workers/lease_voter.py
+++ b/reedspoke/control_plane/workers/lease_voter.py
@@ -1,4 +1,4 @@
-"""The voters' side of the discovery lease: what one control scheduler has granted. Pure; no clock."""
+"""The voters' side of the discovery lease: what one control plane node has granted. Pure; no clock."""
 
 from __future__ import annotations
 
--- a/reedspoke/control_plane/workers/worker_list.py
+++ b/reedspoke/control_plane/workers/worker_list.py
@@ -67,7 +67,7 @@
         return self.highest_seen > self.version
 
     def adopt(self, workers: WorkerList, now: float) -> bool:
-        """Take a list of another control scheduler; False where it is not newer than the one here."""
+        """Take a list of another control plane node; False where it is not newer than the one here."""
         if workers.version <= self.version or len(workers.workers) > MAX_WORKERS:
             return False
         self._replace(workers, now)
--- a/tests/control_plane_process/quota_simulation.py
+++ b/tests/control_plane_process/quota_simulation.py
@@ -1,6 +1,6 @@
 """Plays quotas of one tenant over many schedulers, and judges every sliding window.
 
-Real `QuotaAllocator` and `QuotaShare` of each control scheduler; data plane schedulers are reduced to their
+Real `QuotaAllocator` and `QuotaShare` of each control plane node; data plane nodes are reduced to their
 requests. Control schedulers are killed and start anew, are cut off from each other, leave the view and come
 back; messages take time and are lost at partitions. Run it for long with
 
@@ -33,8 +33,8 @@
 VIEW_LAG_S = 0.05  # until a member of a new view has learnt of it
 CONTACT_S = 0.05  # how old the newest contact with a majority is
 WARM_UP_S = 8.0
-OUTAGES = 0.5  # share of the runs in which all control schedulers are lost at once
-MOST_LOST = 2  # control schedulers at once
+OUTAGES = 0.5  # share of the runs in which all control plane nodes are lost at once
+MOST_LOST = 2  # control plane nodes at once
 
 
 class SimulationParameters(Struct, frozen=True):
@@ -75,14 +75,14 @@
 
 
 class Control(Struct, eq=False):
-    """One control scheduler."""
+    """One control plane node."""
 
     address: str
     allocator: QuotaAllocator
     share: QuotaShare
     majority_as_of: float | None = None
     is_up: bool = True
-    is_partitioned: bool = False  # from the other control schedulers
+    is_partitioned: bool = False  # from the other control plane nodes
 
 
 class Arrival(Struct, frozen=True):
@@ -299,7 +299,7 @@
         self._at(self.now + REPAIR_S, lambda: self._leave_view(address))
 
     def _lose_all(self) -> None:
-        """All control schedulers are killed at one moment and come back one after the other."""
+        """All control plane nodes are killed at one moment and come back one after the other."""
         for address, control in self._controls.items():
             control.is_up = False
             self._at(self.now + self.random.uniform(0.5, 1.6), lambda name=address: self._start_again(name))  # type: ignore[misc]
--- a/tests/control_plane_process/test_quota_allocator.py
+++ b/tests/control_plane_process/test_quota_allocator.py
@@ -1,4 +1,4 @@
-"""Grants of quota at one control scheduler, its loans, and short runs of the simulation."""
+"""Grants of quota at one control plane node, its loans, and short runs of the simulation."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class AllocatorHarness:
-    """The control scheduler `a` of three, with a full bucket."""
+    """The control plane node `a` of three, with a full bucket."""
 
     def __init__(self) -> None:
         self.majority_as_of: float | None = START - 1.0
@@ -196,7 +196,7 @@
 
 
 def test_the_simulation_notices_grants_without_a_share(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The judge is of use: with a whole quota at each control scheduler it finds the rule broken."""
+    """The judge is of use: with a whole quota at each control plane node it finds the rule broken."""
     monkeypatch.setattr(QuotaShare, "share", lambda self, tenant, now, majority_as_of: 1.0)
     seeds = [seed for seed in range(40) if has_large_surge(seed)]
     assert any(play(seed)[1] > 1 for seed in seeds[:5])
--- a/tests/control_plane_process/test_quota_share.py
+++ b/tests/control_plane_process/test_quota_share.py
@@ -1,4 +1,4 @@
-"""The shares of control schedulers in quotas, over changes of the view."""
+"""The shares of control plane nodes in quotas, over changes of the view."""
 
 from __future__ import annotations
 
