--- a/reedspoke/common/metrics_endpoint.py
+++ b/reedspoke/common/metrics_endpoint.py
@@ -42,13 +42,13 @@
 
 def add_invariant_metrics(registry: Registry) -> None:
     """Add counters of how often each invariant was evaluated, and violated."""
-    registry.by_label(
+    registry.labelled_gauge(
         "reedspoke_invariant_evaluations_total",
         "Evaluations of each invariant.",
         "invariant",
         lambda: {item.value: monitor.evaluated[item] for item in Invariant},
     )
-    registry.by_label(
+    registry.labelled_gauge(
         "reedspoke_invariant_violations_total",
         "Evaluations that found the invariant broken.",
         "invariant",
--- a/reedspoke/control_plane/metrics.py
+++ b/reedspoke/control_plane/metrics.py
@@ -45,4 +45,4 @@
             "disk_works": source.disk_works(),
         }
 
-    registry.by_label("reedspoke_control_state", "State of this control scheduler.", "what", values)
+    registry.labelled_gauge("reedspoke_control_state", "State of this control scheduler.", "what", values)
--- a/reedspoke/telemetry/metrics.py
+++ b/reedspoke/telemetry/metrics.py
@@ -1,7 +1,7 @@
-"""Counters, gauges and histograms of a process, told in the Prometheus text format (version 0.0.4).
+"""Counters, gauges and histograms of a process in Prometheus' text format (version 0.0.4).
 
-A small set of our own: beside the libraries that are loaded anyway, `prometheus_client` costs 5 MB and 0.06 s
-at each start.
+A small implementation of our own: beside the libraries that are loaded anyway, `prometheus_client` costs 5
+MB and 0.06 s at each start.
 """
 
 from __future__ import annotations
@@ -12,20 +12,24 @@
 from typing import Protocol
 
 CONTENT_TYPE = b"text/plain; version=0.0.4; charset=utf-8"
-LabelValues = tuple[str, ...]
+LabelNames = tuple[str, ...]
+LabelValues = tuple[str, ...]  # in the order of the names
 Sample = tuple[LabelValues, float]
 
 
 class Metric(Protocol):
-    """What the registry tells."""
+    """One metric family of the registry."""
 
-    def lines(self) -> Iterator[str]: ...
+    def lines(self) -> Iterator[str]:
+        """The family in the text format, without line ends."""
+        ...
 
 
 class Counter:
     """A number that only rises, for each combination of label values."""
 
-    def __init__(self, name: str, help_text: str, labels: LabelValues = ()) -> None:
+    def __init__(self, name: str, help_text: str, labels: LabelNames = ()) -> None:
+        """`labels` are the names of the labels."""
         self._name = name
         self._help = help_text
         self._labels = labels
@@ -40,32 +44,36 @@
         return self._values.get(values, 0.0)
 
     def lines(self) -> Iterator[str]:
-        yield from heading(self._name, self._help, "counter")
+        """The family in the text format."""
+        yield from heading_lines(self._name, self._help, "counter")
         for values, count in sorted(self._values.items()):
-            yield sample(self._name, self._labels, values, count)
+            yield sample_line(self._name, self._labels, values, count)
 
 
 class Gauge:
-    """Numbers that are read when they are told."""
+    """Numbers that are read when the metrics are rendered."""
 
     def __init__(
-        self, name: str, help_text: str, read: Callable[[], Iterable[Sample]], labels: LabelValues = ()
+        self, name: str, help_text: str, read: Callable[[], Iterable[Sample]], labels: LabelNames = ()
     ) -> None:
+        """`read` returns all samples."""
         self._name = name
         self._help = help_text
         self._read = read
         self._labels = labels
 
     def lines(self) -> Iterator[str]:
-        yield from heading(self._name, self._help, "gauge")
+        """The family in the text format."""
+        yield from heading_lines(self._name, self._help, "gauge")
         for values, number in self._read():
-            yield sample(self._name, self._labels, values, number)
+            yield sample_line(self._name, self._labels, values, number)
 
 
 class Histogram:
-    """How often values lay below each of some bounds."""
+    """How many observed values lay at or below each of some upper bounds."""
 
     def __init__(self, name: str, help_text: str, bounds: tuple[float, ...]) -> None:
+        """`bounds` are ascending."""
         self._name = name
         self._help = help_text
         self._bounds = bounds
@@ -78,66 +86,72 @@
         self._sum += value
 
     def lines(self) -> Iterator[str]:
-        yield from heading(self._name, self._help, "histogram")
+        """The family in the text format."""
+        yield from heading_lines(self._name, self._help, "histogram")
         total = 0
         for bound, count in zip((*map(str, self._bounds), "+Inf"), self._counts, strict=True):
             total += count
-            yield sample(f"{self._name}_bucket", ("le",), (bound,), total)
-        yield sample(f"{self._name}_sum", (), (), self._sum)
-        yield sample(f"{self._name}_count", (), (), total)
+            yield sample_line(f"{self._name}_bucket", ("le",), (bound,), total)
+        yield sample_line(f"{self._name}_sum", (), (), self._sum)
+        yield sample_line(f"{self._name}_count", (), (), total)
 
 
 class Registry:
-    """All figures of a process."""
+    """All metrics of a process."""
 
     def __init__(self) -> None:
+        """There is no metric yet."""
         self._metrics: list[Metric] = []
 
     def counter(self, name: str, help_text: str, labels: LabelValues = ()) -> Counter:
-        """A new counter."""
+        """Adds a counter."""
         counter = Counter(name, help_text, labels)
         self._metrics.append(counter)
         return counter
 
     def histogram(self, name: str, help_text: str, bounds: tuple[float, ...]) -> Histogram:
-        """A new histogram; `bounds` rise."""
+        """Adds a histogram; `bounds` are ascending."""
         histogram = Histogram(name, help_text, bounds)
         self._metrics.append(histogram)
         return histogram
 
     def gauge(self, name: str, help_text: str, read: Callable[[], float]) -> None:
-        """One number that `read` tells."""
+        """Adds a gauge whose value `read` returns."""
         self._metrics.append(Gauge(name, help_text, lambda: [((), read())]))
 
-    def by_label(
+    def labelled_gauge(
         self, name: str, help_text: str, label: str, read: Callable[[], Mapping[str, float]]
     ) -> None:
-        """Numbers by the values of one label."""
-        samples = Gauge(name, help_text, lambda: [((key,), n) for key, n in read().items()], (label,))
-        self._metrics.append(samples)
+        """Adds a gauge with one label; `read` returns the numbers by the label's values."""
+        gauge = Gauge(
+            name, help_text, lambda: [((value,), number) for value, number in read().items()], (label,)
+        )
+        self._metrics.append(gauge)
 
     def text(self) -> str:
-        """All figures as they are now."""
+        """All metrics as they are now."""
         return "".join(line + "\n" for metric in self._metrics for line in metric.lines())
 
 
-def heading(name: str, help_text: str, kind: str) -> Iterator[str]:
-    """The lines before the samples of a metric."""
+def heading_lines(name: str, help_text: str, kind: str) -> Iterator[str]:
+    """The lines before the samples of a metric family."""
     yield f"# HELP {name} {help_text}"
     yield f"# TYPE {name} {kind}"
 
 
-def sample(name: str, labels: LabelValues, values: LabelValues, number: float) -> str:
-    """One line of a metric."""
-    pairs = ",".join(f'{label}="{escaped(value)}"' for label, value in zip(labels, values, strict=True))
-    return f"{name}{{{pairs}}} {told(number)}" if pairs else f"{name} {told(number)}"
+def sample_line(name: str, labels: LabelNames, values: LabelValues, number: float) -> str:
+    """The line of one sample."""
+    pairs = ",".join(
+        f'{label}="{escape_label_value(value)}"' for label, value in zip(labels, values, strict=True)
+    )
+    return f"{name}{{{pairs}}} {format_number(number)}" if pairs else f"{name} {format_number(number)}"
 
 
-def escaped(value: str) -> str:
-    """A label's value as the format wants it."""
+def escape_label_value(value: str) -> str:
+    """A label's value as the text format wants it between its quotes."""
     return value.replace("\\", "\\\\").replace('"', '\\"').replace("\n", "\\n")
 
 
-def told(number: float) -> str:
-    """A number without needless digits; whole ones keep all of theirs."""
+def format_number(number: float) -> str:
+    """A number without needless digits; integers keep all of theirs."""
     return str(int(number)) if number == int(number) else repr(round(number, 9))
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -39,7 +39,7 @@
 @pytest.fixture(autouse=True)
 def invariants_hold() -> Iterator[None]:
     """A test fails if the code under test, in this process, has broken an invariant."""
-    monitor.forget()
+    monitor.reset_violations()
     yield
-    broken = monitor.forget()
+    broken = monitor.reset_violations()
     assert not broken, f"invariants were violated: {broken}"
--- a/tests/control_plane/hunt.py
+++ b/tests/control_plane/hunt.py
@@ -25,12 +25,12 @@
 
 def failure(seed: int, steps: Sequence[Step], machines: int, tolerated: int) -> Exception | None:
     """What goes wrong in a schedule; None where it breaks no rule and no invariant."""
-    monitor.forget()
+    monitor.reset_violations()
     try:
         play_schedule(seed, steps, machines, tolerated)
     except Exception as error:  # whatever the program raises is a find as well
         return error
-    return invariant_error(monitor.forget())
+    return invariant_error(monitor.reset_violations())
 
 
 def invariant_error(broken: list[Violation]) -> Exception | None:
--- a/tests/control_plane/test_invariant_checks.py
+++ b/tests/control_plane/test_invariant_checks.py
@@ -27,9 +27,9 @@
 
 def broken_by(doing: Callable[[], object]) -> set[Invariant]:
     """The invariants that this violates."""
-    monitor.forget()
+    monitor.reset_violations()
     doing()
-    return {violation.invariant for violation in monitor.forget()}
+    return {violation.invariant for violation in monitor.reset_violations()}
 
 
 def view(number: int) -> View:
--- a/tests/data_plane/test_invariant_checks.py
+++ b/tests/data_plane/test_invariant_checks.py
@@ -24,9 +24,9 @@
 
 def broken_by(play: Callable[[], object]) -> set[Invariant]:
     """The invariants that this violates."""
-    monitor.forget()
+    monitor.reset_violations()
     play()
-    return {violation.invariant for violation in monitor.forget()}
+    return {violation.invariant for violation in monitor.reset_violations()}
 
 
 def sent(scene: Scene) -> None:
--- a/tests/data_plane/test_request_keys.py
+++ b/tests/data_plane/test_request_keys.py
@@ -259,8 +259,8 @@
     ask(keyed, Reedspoke_Key="k1")
     assert monitor.violated[Invariant.KEY_IS_CERTAIN] == 1
     keyed.arrival().worker.say(keyed.arrival().whole())
-    monitor.forget()
+    monitor.reset_violations()
     monkeypatch.setattr("reedspoke.data_plane.headers.WITHHELD", frozenset())
     ask(keyed, Reedspoke_Key="k2")
     assert monitor.violated[Invariant.TENANT_IS_KEY_HOLDER] == 1
-    monitor.forget()
+    monitor.reset_violations()
--- a/tests/decision/test_suspicion.py
+++ b/tests/decision/test_suspicion.py
@@ -156,4 +156,4 @@
     assert scheduler.avoided_workers(0.1) == 0
     monkeypatch.setattr(worker_pool.WorkerPool, "_avoids_too_many", lambda self, now: True)
     scheduler.others_suspect({"w0": 2}, 0.0)
-    assert {item.invariant for item in monitor.forget()} == {Invariant.MOST_WORKERS_ARE_USED}
+    assert {item.invariant for item in monitor.reset_violations()} == {Invariant.MOST_WORKERS_ARE_USED}
--- a/tests/telemetry/test_metrics.py
+++ b/tests/telemetry/test_metrics.py
@@ -1,11 +1,11 @@
-"""Figures in the Prometheus text format."""
+"""Metrics in Prometheus' text format."""
 
 from __future__ import annotations
 
 from reedspoke.telemetry.metrics import Registry
 
 
-def test_a_counter_is_told_for_each_combination_of_labels() -> None:
+def test_a_counter_has_a_sample_for_each_combination_of_labels() -> None:
     registry = Registry()
     counter = registry.counter("reedspoke_things_total", "Things.", ("kind", "status"))
     counter.add("a", "200")
@@ -27,7 +27,7 @@
     assert registry.text().splitlines()[-1] == 'n{name="a\\"b\\\\c\\nd"} 1'
 
 
-def test_a_gauge_is_read_when_it_is_told() -> None:
+def test_a_gauge_is_read_when_it_is_rendered() -> None:
     registry = Registry()
     level = [1.0]
     registry.gauge("level", "Level.", lambda: level[0])
@@ -36,9 +36,9 @@
     assert registry.text().splitlines()[-1] == "level 2.5"
 
 
-def test_gauges_by_label_are_told_for_each_key() -> None:
+def test_a_labelled_gauge_has_a_sample_for_each_value() -> None:
     registry = Registry()
-    registry.by_label("state", "State.", "what", lambda: {"view": 3, "voters": 5})
+    registry.labelled_gauge("state", "State.", "what", lambda: {"view": 3, "voters": 5})
     assert registry.text().splitlines()[-2:] == ['state{what="view"} 3', 'state{what="voters"} 5']
 
 
--- a/tests/telemetry/test_metrics_server.py
+++ b/tests/telemetry/test_metrics_server.py
@@ -1,15 +1,15 @@
-"""The figures over HTTP."""
+"""Metrics over HTTP."""
 
 from __future__ import annotations
 
 import asyncio
 
-from reedspoke.telemetry.metrics_server import MOST_CONNECTIONS, MOST_HEAD, MetricsServer
+from reedspoke.telemetry.metrics_server import MAX_CONNECTIONS, MAX_HEAD_BYTES, MetricsServer
 
 HOST = "127.0.0.1"
 
 
-async def ask(port: int, *requests: bytes) -> bytes:
+async def exchange(port: int, *requests: bytes) -> bytes:
     """What comes back on one connection until its end, or until it is idle after the last answer."""
     reader, writer = await asyncio.open_connection(HOST, port)
     for request in requests:
@@ -27,14 +27,14 @@
     return port
 
 
-def play(*requests: bytes, text: str = "n 1\n") -> bytes:
+def answers_to(*requests: bytes, text: str = "n 1\n") -> bytes:
     """Answers of a server to these requests on one connection."""
 
     async def run() -> bytes:
         server = MetricsServer("/metrics", lambda: text)
         await server.listen(HOST, 0)
         try:
-            return await ask(port_of(server), *requests)
+            return await exchange(port_of(server), *requests)
         finally:
             server.close()
 
@@ -44,25 +44,25 @@
 GET = b"GET /metrics HTTP/1.1\r\nHost: x\r\n\r\n"
 
 
-def test_the_figures_are_told_at_their_path_alone() -> None:
-    found = play(GET)
+def test_metrics_are_served_at_their_path_alone() -> None:
+    found = answers_to(GET)
     assert found.startswith(b"HTTP/1.1 200 OK\r\nContent-Type: text/plain; version=0.0.4")
     assert found.endswith(b"Content-Length: 4\r\n\r\nn 1\n")
-    assert play(b"GET /other HTTP/1.1\r\n\r\n").startswith(b"HTTP/1.1 404 ")
-    assert play(b"POST /metrics HTTP/1.1\r\n\r\n").startswith(b"HTTP/1.1 404 ")
-    assert play(b"nonsense\r\n\r\n").startswith(b"HTTP/1.1 404 ")
+    assert answers_to(b"GET /other HTTP/1.1\r\n\r\n").startswith(b"HTTP/1.1 404 ")
+    assert answers_to(b"POST /metrics HTTP/1.1\r\n\r\n").startswith(b"HTTP/1.1 404 ")
+    assert answers_to(b"nonsense\r\n\r\n").startswith(b"HTTP/1.1 404 ")
 
 
-def test_one_connection_carries_several_questions() -> None:
-    assert play(GET, GET).count(b"HTTP/1.1 200 OK") == 2
+def test_one_connection_carries_several_requests() -> None:
+    assert answers_to(GET, GET).count(b"HTTP/1.1 200 OK") == 2
 
 
-def test_a_head_without_an_end_is_bounded() -> None:
+def test_a_head_without_an_end_is_limited() -> None:
     async def run() -> None:
         server = MetricsServer("/metrics", str)
         await server.listen(HOST, 0)
         reader, writer = await asyncio.open_connection(HOST, port_of(server))
-        writer.write(b"x" * (MOST_HEAD + 1))
+        writer.write(b"x" * (MAX_HEAD_BYTES + 1))
         try:
             found = await reader.read()
         except ConnectionResetError:
@@ -73,23 +73,23 @@
     asyncio.run(run())
 
 
-def test_few_connections_are_held_at_a_time() -> None:
+def test_the_number_of_connections_is_limited() -> None:
     async def run() -> None:
         server = MetricsServer("/metrics", str)
         await server.listen(HOST, 0)
-        held = []
-        for _ in range(MOST_CONNECTIONS):
+        open_connections = []
+        for _ in range(MAX_CONNECTIONS):
             reader, writer = await asyncio.open_connection(HOST, port_of(server))
             writer.write(GET)
             await reader.readuntil(b"\r\n\r\n")
-            held.append(writer)
+            open_connections.append(writer)
         reader, writer = await asyncio.open_connection(HOST, port_of(server))
         try:
             refused = await reader.read()
         except ConnectionResetError:
             refused = b""
         assert refused == b""
-        assert len(server.connections) == MOST_CONNECTIONS
+        assert len(server.connections) == MAX_CONNECTIONS
         server.close()
 
     asyncio.run(run())
