--- a/reedspoke/lab/fleet_emulator/fleet.py
+++ b/reedspoke/lab/fleet_emulator/fleet.py
@@ -9,7 +9,7 @@
 from reedspoke.lab.fleet_emulator.ingress import EdgeAddress, is_ready
 from reedspoke.lab.fleet_emulator.layout import Layout, control_settings, edge_settings
 from reedspoke.lab.fleet_emulator.process import CONTROL_PLANE, DATA_PLANE, FleetProcess
-from reedspoke.operator_cli.client import Answer, Call, OperatorClient
+from reedspoke.operator_cli.client import ApiRequest, ApiResponse, OperatorClient
 from reedspoke.operator_cli.commands import CONFIGURATION_PATH, JSON_HEADERS
 from reedspoke.operator_cli.errors import OperatorError
 
@@ -64,15 +64,15 @@
 
     async def send_configuration(
         self, document: bytes, match: int, timeout_s: float = FIRST_CONFIGURATION_TIMEOUT_S
-    ) -> Answer:
+    ) -> ApiResponse:
         """PUT a configuration, as operators do. Raises FleetStartError where nobody answers."""
         client = OperatorClient(self.control_addresses, timeout_s)
-        call = Call("PUT", CONFIGURATION_PATH, document, {**JSON_HEADERS, "If-Match": str(match)})
+        call = ApiRequest("PUT", CONFIGURATION_PATH, document, {**JSON_HEADERS, "If-Match": str(match)})
         try:
             answer = await asyncio.to_thread(client.send, call)
         except OperatorError as error:
             raise FleetStartError(f"{error}; {self._first_log()}") from error
-        if not answer.success:
+        if not answer.is_success:
             raise FleetStartError(f"configuration refused with {answer.status}: {answer.body!r}")
         return answer
 
--- a/reedspoke/operator_cli/__main__.py
+++ b/reedspoke/operator_cli/__main__.py
@@ -14,7 +14,7 @@
 
 
 def execute(options: argparse.Namespace) -> str:
-    """What the command prints. Raises OperatorError or FleetError."""
+    """Carries out a command and returns what it prints. Raises OperatorError or FleetError."""
     action = getattr(options, "action", options.command)
     if action == "check":
         return check_configuration(options)
@@ -23,7 +23,7 @@
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    """Run one command; the exit code."""
+    """Runs one command and returns its exit status."""
     options = build_parser().parse_args(arguments)
     try:
         print(execute(options))
--- a/reedspoke/operator_cli/arguments.py
+++ b/reedspoke/operator_cli/arguments.py
@@ -9,7 +9,7 @@
 
 
 def build_parser() -> argparse.ArgumentParser:
-    """The parser; `command` and, for configurations, `action` name what is to be done."""
+    """The parser of the command line; `command` and, for configurations, `action` name what is to be done."""
     parser = argparse.ArgumentParser(
         prog="python -m reedspoke.operator_cli", description="Commands for the operators of a fleet."
     )
@@ -27,7 +27,7 @@
 
 
 def add_configuration_commands(parser: argparse.ArgumentParser) -> None:
-    """`config get`, `config put` and `config check`."""
+    """Adds `config get`, `config put` and `config check`."""
     actions = parser.add_subparsers(dest="action", required=True)
     get = actions.add_parser("get", help="print the newest configuration")
     get.add_argument("--output", type=Path, help="write it to this file instead")
--- a/reedspoke/operator_cli/client.py
+++ b/reedspoke/operator_cli/client.py
@@ -1,4 +1,4 @@
-"""Calls to the control plane over HTTP/1.1: redirects, and the next address after a failure."""
+"""Requests to the control plane over HTTP/1.1: redirects, and retries at the next address after a failure."""
 
 from __future__ import annotations
 
@@ -11,40 +11,52 @@
 
 from reedspoke.operator_cli.errors import OperatorError, OperatorErrorCode
 
-MOST_REDIRECTS = 2
-ANSWER_TIMEOUT_S = 1.0
+MAX_REDIRECTS = 2
+RESPONSE_TIMEOUT_S = 1.0
 BYTES_PER_EXTRA_SECOND = 1_000_000  # a large body is given more time
-FIRST_PAUSE_S = 0.1
-LONGEST_PAUSE_S = 1.0
-FINAL_STATUSES = frozenset((400, 409, 412, 413, 422))
-PASSING_STATUSES = frozenset((408, 429))
-MOST_OTHER_REFUSALS = 3
-REDIRECT = 307
+INITIAL_BACKOFF_S = 0.1
+MAX_BACKOFF_S = 1.0
+TEMPORARY_REDIRECT = 307
+FINAL_STATUSES = frozenset((400, 409, 412, 413, 422))  # end a request at once
+RETRYABLE_STATUSES = frozenset((408, 429))
+MAX_OTHER_REJECTIONS = 3  # other 4xx statuses, over all addresses
 
 
-class Answer(Struct, frozen=True):
-    """What a control scheduler answered, and which one it was."""
+class ApiRequest(Struct, frozen=True):
+    """One request; it may be sent to several control schedulers, always unchanged."""
+
+    method: str
+    path: str
+    body: bytes = b""
+    headers: dict[str, str] = {}
+
+
+class ApiResponse(Struct, frozen=True):
+    """What the control scheduler at `address` answered; `location` is the target of a redirect."""
 
     status: int
     body: bytes
     address: str
+    location: str = ""
 
     @property
-    def success(self) -> bool:
+    def is_success(self) -> bool:
+        """Whether the request was carried out."""
         return 200 <= self.status < 300
 
+    @property
+    def is_final(self) -> bool:
+        """Whether the response ends a request at once."""
+        return self.is_success or self.status in FINAL_STATUSES
 
-class Call(Struct, frozen=True):
-    """One request; it may be sent to several control schedulers, always unchanged."""
-
-    method: str
-    path: str
-    body: bytes = b""
-    headers: dict[str, str] = {}
+    @property
+    def is_other_rejection(self) -> bool:
+        """Whether it is a rejection that ends a request only when it comes repeatedly."""
+        return 400 <= self.status < 500 and self.status not in FINAL_STATUSES | RETRYABLE_STATUSES
 
 
 class OperatorClient:
-    """Sends a call to the addresses in turn until one gives a clear answer or the time is over."""
+    """Sends a request to the addresses in turn until a response is final or the time is over."""
 
     def __init__(
         self,
@@ -53,78 +65,69 @@
         clock: Callable[[], float] = time.monotonic,
         sleep: Callable[[float], None] = time.sleep,
     ) -> None:
+        """`timeout_s` is for all attempts of a request together; `clock` returns seconds."""
         self._addresses = addresses
         self._timeout_s = timeout_s
         self._clock = clock
         self._sleep = sleep
 
-    def send(self, call: Call) -> Answer:
-        """The first clear answer, which may be a refusal. Raises OperatorError where none came in time."""
-        end = self._clock() + self._timeout_s
-        pause = FIRST_PAUSE_S
-        refusals = 0
-        attempt = 0
+    def send(self, request: ApiRequest) -> ApiResponse:
+        """The first final response, which may be a rejection. Raises OperatorError where none came in
+        time."""
+        deadline = self._clock() + self._timeout_s
+        backoff_s = INITIAL_BACKOFF_S
+        rejections = 0
+        attempts = 0
         while True:
-            address = self._addresses[attempt % len(self._addresses)]
-            attempt += 1
+            address = self._addresses[attempts % len(self._addresses)]
+            attempts += 1
             try:
-                answer = send_following_redirects(address, call)
-                cause = f"{answer.address} answered {answer.status}"
+                response = send_following_redirects(address, request)
+                rejections += response.is_other_rejection
+                if response.is_final or rejections >= MAX_OTHER_REJECTIONS:
+                    return response
+                failure = f"{response.address} answered {response.status}"
             except (OSError, http.client.HTTPException) as error:
-                answer = None
-                cause = f"{address}: {error or type(error).__name__}"
-            if answer is not None:
-                refusals += is_other_refusal(answer.status)
-                if is_clear(answer.status) or refusals >= MOST_OTHER_REFUSALS:
-                    return answer
-            if self._clock() + pause >= end:
-                text = f"no clear answer in {self._timeout_s:g} s and {attempt} tries; last: {cause}"
+                failure = f"{address}: {error or type(error).__name__}"
+            if self._clock() + backoff_s >= deadline:
+                text = f"no clear answer in {self._timeout_s:g} s and {attempts} tries; last: {failure}"
                 raise OperatorError(OperatorErrorCode.NO_ANSWER, text)
-            self._sleep(pause)
-            pause = min(2 * pause, LONGEST_PAUSE_S)
-
-
-def is_clear(status: int) -> bool:
-    """Whether an answer with this status ends a call at once."""
-    return 200 <= status < 300 or status in FINAL_STATUSES
-
-
-def is_other_refusal(status: int) -> bool:
-    """Whether the status is a refusal that ends a call only when it comes again and again."""
-    return 400 <= status < 500 and status not in FINAL_STATUSES | PASSING_STATUSES
-
-
-def send_following_redirects(address: str, call: Call) -> Answer:
-    """One try, beginning at `address`."""
-    path = call.path
-    for _ in range(MOST_REDIRECTS + 1):
-        status, body, location = exchange(address, path, call)
-        if status != REDIRECT:
-            return Answer(status, body, address)
-        address, path = redirect_target(location)
-    text = f"more than {MOST_REDIRECTS} redirects; last to {address}"
+            self._sleep(backoff_s)
+            backoff_s = min(2 * backoff_s, MAX_BACKOFF_S)
+
+
+def send_following_redirects(address: str, request: ApiRequest) -> ApiResponse:
+    """One attempt, which begins at `address`. Raises OSError, HTTPException and OperatorError."""
+    path = request.path
+    for _ in range(MAX_REDIRECTS + 1):
+        response = send_once(address, path, request)
+        if response.status != TEMPORARY_REDIRECT:
+            return response
+        address, path = redirect_target(response.location)
+    text = f"more than {MAX_REDIRECTS} redirects; last to {address}"
     raise OperatorError(OperatorErrorCode.TOO_MANY_REDIRECTS, text)
 
 
-def exchange(address: str, path: str, call: Call) -> tuple[int, bytes, str]:
-    """Status, body and `Location` of the answer of one control scheduler."""
+def send_once(address: str, path: str, request: ApiRequest) -> ApiResponse:
+    """The response of one control scheduler. Raises OSError, HTTPException and OperatorError."""
     host, port = parse_address(address)
-    timeout = ANSWER_TIMEOUT_S + len(call.body) / BYTES_PER_EXTRA_SECOND
-    connection = http.client.HTTPConnection(host, port, timeout=timeout)
+    timeout_s = RESPONSE_TIMEOUT_S + len(request.body) / BYTES_PER_EXTRA_SECOND
+    connection = http.client.HTTPConnection(host, port, timeout=timeout_s)
     try:
-        connection.request(call.method, path, body=call.body or None, headers=call.headers)
+        connection.request(request.method, path, body=request.body or None, headers=request.headers)
         response = connection.getresponse()
-        return response.status, response.read(), response.getheader("Location", "")
+        location = response.getheader("Location", "")
+        return ApiResponse(response.status, response.read(), address, location)
     finally:
         connection.close()
 
 
 def redirect_target(location: str) -> tuple[str, str]:
-    """Address and path that a `Location` header names."""
-    parts = urlsplit(location)
-    if not parts.hostname or not parts.port:
+    """Address and path that a `Location` header names. Raises OperatorError."""
+    target = urlsplit(location)
+    if not target.hostname or not target.port:
         raise OperatorError(OperatorErrorCode.MALFORMED_ANSWER, f"a redirect to {location!r}")
-    return f"{parts.hostname}:{parts.port}", parts.path or "/"
+    return f"{target.hostname}:{target.port}", target.path or "/"
 
 
 def parse_address(address: str) -> tuple[str, int]:
@@ -136,8 +139,8 @@
 
 
 def parse_addresses(text: str) -> tuple[str, ...]:
-    """The addresses of a list separated by commas."""
-    addresses = tuple(part.strip() for part in text.split(",") if part.strip())
+    """The addresses of a list separated by commas. Raises OperatorError."""
+    addresses = tuple(address.strip() for address in text.split(",") if address.strip())
     if not addresses:
         raise OperatorError(OperatorErrorCode.ADDRESS_INVALID, "no address is given")
     for address in addresses:
--- a/reedspoke/operator_cli/commands.py
+++ b/reedspoke/operator_cli/commands.py
@@ -1,4 +1,4 @@
-"""The commands: each makes its calls and returns what is to be printed."""
+"""The commands: each sends its requests and returns what is to be printed. All raise OperatorError."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 import msgspec
 
 from reedspoke.common.configuration_parsing import parse_configuration
-from reedspoke.operator_cli.client import Answer, Call, OperatorClient
+from reedspoke.operator_cli.client import ApiRequest, ApiResponse, OperatorClient
 from reedspoke.operator_cli.errors import OperatorError, OperatorErrorCode
 from reedspoke.operator_cli.rendering import Members, StatusFields, member_table, status_table
 
@@ -18,7 +18,7 @@
 NOT_FOUND = 404
 NO_GENERATION = 0
 JSON_HEADERS = {"Content-Type": "application/json"}
-MOST_QUOTED = 500  # characters of a body in an error message
+MAX_QUOTED_CHARACTERS = 500  # of a body in an error message
 
 
 class Generation(msgspec.Struct):
@@ -27,41 +27,41 @@
     generation: int
 
 
-class RefusalDetail(msgspec.Struct):
-    """What a control scheduler says is wrong."""
+class RejectionDetail(msgspec.Struct):
+    """The error that a control scheduler answers with."""
 
     code: int
     name: str
     message: str
 
 
-class Refusal(msgspec.Struct):
-    """Body of an error answer."""
+class Rejection(msgspec.Struct):
+    """The body of an error response."""
 
-    error: RefusalDetail
+    error: RejectionDetail
 
 
 def get_configuration(client: OperatorClient, options: argparse.Namespace) -> str:
-    """`config get`."""
-    answer = accepted(client.send(Call("GET", CONFIGURATION_PATH)))
+    """`config get`: prints the configuration, or writes its exact bytes to a file."""
+    response = accepted(client.send(ApiRequest("GET", CONFIGURATION_PATH)))
     if options.output is None:
-        return pretty(answer.body)
-    write_file(options.output, answer.body)
-    return f"generation {generation_of(answer)} written to {options.output}"
+        return pretty(response.body)
+    write_file(options.output, response.body)
+    return f"generation {generation_of(response)} written to {options.output}"
 
 
 def put_configuration(client: OperatorClient, options: argparse.Namespace) -> str:
-    """`config put`."""
+    """`config put`: replaces the configuration."""
     document = read_file(options.file)
     generation = parse_configuration(document).generation
     match = current_generation(client) if options.match is None else options.match
     headers = {**JSON_HEADERS, "If-Match": str(match)}
-    answer = accepted(client.send(Call("PUT", CONFIGURATION_PATH, document, headers)))
-    return f"generation {generation} acknowledged by {answer.address}"
+    response = accepted(client.send(ApiRequest("PUT", CONFIGURATION_PATH, document, headers)))
+    return f"generation {generation} acknowledged by {response.address}"
 
 
 def check_configuration(options: argparse.Namespace) -> str:
-    """`config check`."""
+    """`config check`: validates a file, without any request. Raises FleetError for an invalid one."""
     configuration = parse_configuration(read_file(options.file))
     return (
         f"generation {configuration.generation} is valid: "
@@ -70,14 +70,14 @@
 
 
 def show_status(client: OperatorClient, options: argparse.Namespace) -> str:
-    """`status`."""
-    answer = accepted(client.send(Call("GET", STATUS_PATH)))
-    return pretty(answer.body) if options.json else status_table(decode_fields(answer))
+    """`status`: what one control scheduler reports."""
+    response = accepted(client.send(ApiRequest("GET", STATUS_PATH)))
+    return pretty(response.body) if options.json else status_table(decode_fields(response))
 
 
 def show_members(client: OperatorClient, options: argparse.Namespace) -> str:
-    """`members`."""
-    members = decode_members(accepted(client.send(Call("GET", STATUS_PATH))))
+    """`members`: the schedulers of the fleet."""
+    members = decode_members(accepted(client.send(ApiRequest("GET", STATUS_PATH))))
     return pretty(msgspec.json.encode(members)) if options.json else member_table(members)
 
 
@@ -91,58 +91,60 @@
 
 def current_generation(client: OperatorClient) -> int:
     """Generation of the newest configuration, 0 where there is none yet."""
-    answer = client.send(Call("GET", CONFIGURATION_PATH))
-    if answer.status == NOT_FOUND:
+    response = client.send(ApiRequest("GET", CONFIGURATION_PATH))
+    if response.status == NOT_FOUND:
         return NO_GENERATION
-    return generation_of(accepted(answer))
+    return generation_of(accepted(response))
 
 
-def generation_of(answer: Answer) -> int:
+def generation_of(response: ApiResponse) -> int:
+    """The generation of the configuration in the response."""
     try:
-        return msgspec.json.decode(answer.body, type=Generation).generation
+        return msgspec.json.decode(response.body, type=Generation).generation
     except msgspec.DecodeError as error:
-        raise malformed(answer, error) from error
+        raise malformed(response, error) from error
 
 
-def accepted(answer: Answer) -> Answer:
-    """The answer where it is a success. Raises OperatorError for a refusal."""
-    if answer.success:
-        return answer
-    text = f"{answer.address} answered {answer.status}: {refusal_text(answer.body)}"
+def accepted(response: ApiResponse) -> ApiResponse:
+    """The response where it is a success. Raises OperatorError for a rejection."""
+    if response.is_success:
+        return response
+    text = f"{response.address} answered {response.status}: {rejection_text(response.body)}"
     raise OperatorError(OperatorErrorCode.REFUSED, text)
 
 
-def refusal_text(body: bytes) -> str:
-    """What the body of an error answer says."""
+def rejection_text(body: bytes) -> str:
+    """What the body of an error response says."""
     try:
-        detail = msgspec.json.decode(body, type=Refusal).error
+        detail = msgspec.json.decode(body, type=Rejection).error
     except msgspec.DecodeError:
-        return body.decode("utf-8", "replace").strip()[:MOST_QUOTED]
+        return body.decode("utf-8", "replace").strip()[:MAX_QUOTED_CHARACTERS]
     return f"E{detail.code} {detail.name}: {detail.message}"
 
 
-def decode_fields(answer: Answer) -> StatusFields:
-    """The body's fields, whatever they are: a newer control plane may tell more."""
+def decode_fields(response: ApiResponse) -> StatusFields:
+    """The fields of a status, whatever they are: a newer control plane may report more."""
     try:
-        return msgspec.json.decode(answer.body, type=StatusFields)
+        return msgspec.json.decode(response.body, type=StatusFields)
     except msgspec.DecodeError as error:
-        raise malformed(answer, error) from error
+        raise malformed(response, error) from error
 
 
-def decode_members(answer: Answer) -> Members:
-    """Who is in the fleet, out of a status."""
+def decode_members(response: ApiResponse) -> Members:
+    """The members of the fleet in a status."""
     try:
-        return msgspec.json.decode(answer.body, type=Members)
+        return msgspec.json.decode(response.body, type=Members)
     except msgspec.DecodeError as error:
-        raise malformed(answer, error) from error
+        raise malformed(response, error) from error
 
 
-def malformed(answer: Answer, error: Exception) -> OperatorError:
-    return OperatorError(OperatorErrorCode.MALFORMED_ANSWER, f"{answer.address}: {error}")
+def malformed(response: ApiResponse, error: Exception) -> OperatorError:
+    """The error for a response that cannot be decoded."""
+    return OperatorError(OperatorErrorCode.MALFORMED_ANSWER, f"{response.address}: {error}")
 
 
 def pretty(body: bytes) -> str:
-    """JSON with indents, or the bytes as they are where they are no JSON."""
+    """Indented JSON, or the text as it is where it is not JSON."""
     try:
         return msgspec.json.format(body, indent=2).decode()
     except msgspec.DecodeError:
@@ -150,6 +152,7 @@
 
 
 def read_file(path: Path) -> bytes:
+    """The content of a file. Raises OperatorError."""
     try:
         return path.read_bytes()
     except OSError as error:
@@ -157,6 +160,7 @@
 
 
 def write_file(path: Path, content: bytes) -> None:
+    """Writes a file. Raises OperatorError."""
     try:
         path.write_bytes(content)
     except OSError as error:
--- a/reedspoke/operator_cli/errors.py
+++ b/reedspoke/operator_cli/errors.py
@@ -44,8 +44,10 @@
     code: OperatorErrorCode
 
     def __init__(self, code: OperatorErrorCode, message: str) -> None:
+        """`message` says what went wrong."""
         super().__init__(code, message)
 
     @property
     def exit_code(self) -> ExitCode:
+        """The exit status of the command."""
         return EXIT_CODES[self.code]
--- a/reedspoke/operator_cli/rendering.py
+++ b/reedspoke/operator_cli/rendering.py
@@ -1,4 +1,4 @@
-"""Tables of plain text."""
+"""Renders tables as plain text."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Members(Struct, frozen=True):
-    """The part of a status that tells who is in the fleet."""
+    """The members of the fleet, as a status reports them."""
 
     chain: tuple[str, ...] = ()
     voters: tuple[str, ...] = ()
@@ -24,10 +24,10 @@
     """Columns as wide as their longest cell."""
     cells = [[str(cell) for cell in row] for row in (header, *rows)]
     widths = [max(len(row[column]) for row in cells) for column in range(len(header))]
-    lines = (
+    padded_rows = (
         COLUMN_GAP.join(cell.ljust(width) for cell, width in zip(row, widths, strict=True)) for row in cells
     )
-    return "\n".join(line.rstrip() for line in lines)
+    return "\n".join(row.rstrip() for row in padded_rows)
 
 
 def status_table(status: StatusFields) -> str:
@@ -36,13 +36,13 @@
 
 
 def cell_text(value: msgspec.Raw) -> str:
-    """A JSON value as one line; a text without its quotes."""
+    """A JSON value on one line; a string without its quotes."""
     text = bytes(value).decode()
     return str(msgspec.json.decode(text)) if text.startswith('"') else text
 
 
 def member_table(members: Members) -> str:
-    """A row for each scheduler, by role; the chain stands from head to tail."""
+    """A row for each scheduler, by role; the chain is listed from head to tail."""
     rows = [("chain", name) for name in members.chain]
     rows += [("voter", name) for name in members.voters]
     rows += [("peer", name) for name in members.peers]
--- a/tests/operator_cli/stub_server.py
+++ b/tests/operator_cli/stub_server.py
@@ -1,4 +1,4 @@
-"""A control scheduler that answers from a script, on loopback."""
+"""A control scheduler on loopback that gives scripted responses."""
 
 from __future__ import annotations
 
--- a/tests/operator_cli/test_commands.py
+++ b/tests/operator_cli/test_commands.py
@@ -67,8 +67,8 @@
 
 def test_put_sends_the_match_that_is_given(document: Path, capsys: pytest.CaptureFixture[str]) -> None:
     with stub_server(ScriptedAnswer(200, b"{}")) as stub:
-        words = ["--address", stub.address, "config", "put", str(document), "--match", "5"]
-        assert main(words) == ExitCode.DONE
+        arguments = ["--address", stub.address, "config", "put", str(document), "--match", "5"]
+        assert main(arguments) == ExitCode.DONE
     (received,) = stub.received
     assert (received.method, received.match, received.body) == ("PUT", "5", DOCUMENT)
     assert "generation 7 acknowledged" in capsys.readouterr().out
@@ -93,24 +93,24 @@
     with stub_server(ScriptedAnswer(200, b"{}")) as head:
         location = f"http://{head.address}/reedspoke/configuration"
         with stub_server(ScriptedAnswer(307, location=location)) as other:
-            words = ["--address", other.address, "config", "put", str(document), "--match", "0"]
-            assert main(words) == ExitCode.DONE
+            arguments = ["--address", other.address, "config", "put", str(document), "--match", "0"]
+            assert main(arguments) == ExitCode.DONE
     assert head.received[0].body == DOCUMENT
 
 
 def test_a_circle_of_redirects_ends(document: Path, capsys: pytest.CaptureFixture[str]) -> None:
     with stub_server(ScriptedAnswer(307)) as stub:
         stub.answers[0].location = f"http://{stub.address}/reedspoke/configuration"
-        words = ["--address", stub.address, "config", "put", str(document), "--match", "0"]
-        assert main(words) == ExitCode.NO_ANSWER
+        arguments = ["--address", stub.address, "config", "put", str(document), "--match", "0"]
+        assert main(arguments) == ExitCode.NO_ANSWER
     assert len(stub.received) == 3
     assert capsys.readouterr().err.startswith("E604 ")
 
 
 def test_a_refusal_is_final_and_shows_the_code(document: Path, capsys: pytest.CaptureFixture[str]) -> None:
     with stub_server(ScriptedAnswer(412, REFUSAL)) as stub:
-        words = ["--address", stub.address, "config", "put", str(document), "--match", "5"]
-        assert main(words) == ExitCode.REFUSED
+        arguments = ["--address", stub.address, "config", "put", str(document), "--match", "5"]
+        assert main(arguments) == ExitCode.REFUSED
     assert len(stub.received) == 1
     captured = capsys.readouterr()
     assert captured.out == ""
@@ -129,8 +129,8 @@
 
 
 def test_nobody_answers(capsys: pytest.CaptureFixture[str]) -> None:
-    words = ["--address", unused_address(), "--timeout", "0.3", "status"]
-    assert main(words) == ExitCode.NO_ANSWER
+    arguments = ["--address", unused_address(), "--timeout", "0.3", "status"]
+    assert main(arguments) == ExitCode.NO_ANSWER
     assert capsys.readouterr().err.startswith("E601 no_answer: ")
 
 
