--- a/reedspoke/fleet/roles/__init__.py
+++ b/reedspoke/fleet/roles/__init__.py
@@ -1,7 +1,8 @@
 """Singleton roles: what exactly one scheduler of the fleet does at a time, each guarded by a lease.
 
-The operator file, the command line, the wire and the metrics call a role a *duty*, and the voters *granters*;
-those words are mapped to the ones used here in `reedspoke.assembly`, `fleet.status` and `fleet.metrics`.
+The operator file, the command line, the wire and the metrics call a role a *duty*, and the voters
+*granters*; those words are mapped to the ones used here in `reedspoke.assembly`, `fleet.status`,
+`fleet.metrics` and, for the header `X-Duty`, in `call_client`.
 
 Owns: the roles of this member, who is known to hold each of them (`singleton_roles`), and the two general
 handlers of a role: one that calls an HTTP address periodically (`periodic_call`, with its client
--- a/reedspoke/fleet/settings.py
+++ b/reedspoke/fleet/settings.py
@@ -1,4 +1,8 @@
-"""The fleet's part of the operator file."""
+"""The object `fleet` of the operator file.
+
+Keys, class names and docstrings are part of the published schema (`reedspoke config schema`) and keep its
+words: a `duty` is a singleton role, its `term` the time to live of the lease, a `granter` a voter.
+"""
 
 from __future__ import annotations
 
--- a/reedspoke/lab/mutants.py
+++ b/reedspoke/lab/mutants.py
@@ -1,4 +1,4 @@
-"""Lease cores that each lack one of the reasons by which a duty has one holder: play must catch every one."""
+"""Lease cores that each lack one of the reasons by which a lease has one holder: play must catch each one."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Forgetful(LeaseParticipant):
-    """Its granter answers at once after a start."""
+    """Its voter answers at once after a start."""
 
     def __init__(self, *rest: object) -> None:
         super().__init__(*rest)  # type: ignore[arg-type]
@@ -18,7 +18,7 @@
 
 
 class Trusting(LeaseParticipant):
-    """A holder that believes in the whole term by its own clock."""
+    """A holder that believes in the full time to live by its own clock."""
 
     def __init__(self, *rest: object) -> None:
         super().__init__(*rest)  # type: ignore[arg-type]
@@ -38,7 +38,7 @@
 
 
 class Blind(LeaseParticipant):
-    """It does not ask who holds."""
+    """It ignores the lease that a voter knows to be running."""
 
     def _receive_answer(self, voter: int, message: VoterMessage, now: int) -> None:
         if isinstance(message, PrepareResponse):
@@ -47,7 +47,7 @@
 
 
 class Yielding(LeaseParticipant):
-    """Its granter heeds old ballots."""
+    """Its voter answers old proposals."""
 
     def __init__(self, *rest: object) -> None:
         super().__init__(*rest)  # type: ignore[arg-type]
@@ -55,7 +55,7 @@
 
 
 class Careless(LeaseVoter):
-    """Old ballots count as much as new ones."""
+    """Old proposals count as much as new ones."""
 
     def receive(self, message: ProposerMessage, now: int) -> VoterMessage | None:
         self.prepared = 0
@@ -63,7 +63,7 @@
 
 
 class Reborn(LeaseParticipant):
-    """Its lives look alike: the process that replaces a holder is taken for it."""
+    """Its incarnations look alike: the process that replaces a holder is taken for it."""
 
     def __init__(self, *rest: object) -> None:
         super().__init__(*rest)  # type: ignore[arg-type]
--- a/reedspoke/start.py
+++ b/reedspoke/start.py
@@ -11,7 +11,7 @@
 
 
 def join_peers(node: Node) -> None:
-    """Words on jobs, where the configuration names peers and the settings allow them."""
+    """Load sharing, where the configuration names peers and the settings allow messages."""
     config = node.config
     if config.peers is not None:
         from reedspoke.fleet.service import build_fleet
