--- a/reedspoke/booking/booking_node.py
+++ b/reedspoke/booking/booking_node.py
@@ -15,7 +15,7 @@
 from reedspoke.booking.reservation_table import ReservationTable
 from reedspoke.booking.settings import LEADER_ROLE
 from reedspoke.fleet.messages.fields import name_hash
-from reedspoke.fleet.messages.frame import Message
+from reedspoke.fleet.messages.frame import OutgoingMessage
 from reedspoke.fleet.node import FleetExtension, FleetNode, MessageHandler
 from reedspoke.fleet.replicated_log.log_state import LogChange
 from reedspoke.fleet.replicated_log.messages import CommandReply, CommandRequest, LogEnvelope, Outbox
@@ -78,12 +78,11 @@
     def _take_log_changes(self) -> list[LogChange]:
         if self.replicated_log is None:
             return []
-        changes = list(self.replicated_log.state.unsaved_changes)
-        self.replicated_log.state.unsaved_changes.clear()
+        changes = self.replicated_log.state.take_unsaved_changes()
         return changes if self.stores_changes else []
 
     def fail_storage(self, now: int) -> None:
-        """Changes cannot be stored: be silent, and give the role up.
+        """Be silent and give the role up: changes cannot be stored.
 
         Guards the others against a leader whose disk is full: it would go on to renew its lease, and
         nothing could be committed.
@@ -95,23 +94,23 @@
     # ---- the role ----
 
     def lease_acquired(self, token: int, expires_at: int, now: int) -> list[object]:
-        """The lease is ours: lead the log, with its token as the term."""
+        """Lead the log, with the lease's fencing token as the term."""
         assert self.replicated_log is not None
         self._send_log_messages(self.replicated_log.become_leader(token, now))
         return []
 
     def lease_renewed(self, expires_at: int, now: int) -> list[object]:
-        """Nothing: the log needs no time, it is safe with any number of leaders."""
+        """Do nothing: the log needs no time, it is safe with any number of leaders."""
         return []
 
     def lease_ended(self, reason: str, now: int) -> list[object]:
-        """The lease is lost."""
+        """Lead the log no longer."""
         if self.replicated_log is not None:
             self.replicated_log.step_down()
         return []
 
     def tick(self, now: int) -> list[object]:
-        """Nothing: the node's own tick drives the log, at the followers as well."""
+        """Do nothing: the node's own tick drives the log, at the followers as well."""
         return []
 
     # ---- messages ----
@@ -119,28 +118,27 @@
     def _send_log_messages(self, outbox: Outbox) -> None:
         self.fleet_node.enqueue(_enveloped(outbox))
 
-    def _on_log_message(self, sender: int, envelope: LogEnvelope, now: int) -> list[tuple[int, Message]]:
+    def _on_log_message(self, sender: int, envelope: LogEnvelope, now: int) -> list[OutgoingMessage]:
         if envelope.log_name_hash != name_hash(LEADER_ROLE) or self.replicated_log is None:
             return []
         replies = self.replicated_log.receive(sender, envelope.message, now)
         return [*_enveloped(replies), *self.service.tick(now)]
 
-    def _on_command_request(
-        self, sender: int, request: CommandRequest, now: int
-    ) -> list[tuple[int, Message]]:
+    def _on_command_request(self, sender: int, request: CommandRequest, now: int) -> list[OutgoingMessage]:
         return [*self.service.on_request(sender, request, now)]
 
-    def _on_command_reply(self, sender: int, reply: CommandReply, now: int) -> list[tuple[int, Message]]:
+    def _on_command_reply(self, sender: int, reply: CommandReply, now: int) -> list[OutgoingMessage]:
         self.service.on_reply(reply)
         return []
 
-    def _tick(self, now: int) -> list[tuple[int, Message]]:
+    def _tick(self, now: int) -> list[OutgoingMessage]:
         outbox = self.replicated_log.tick(now) if self.replicated_log is not None else []
         return [*_enveloped(outbox), *self.service.tick(now)]
 
 
-def _enveloped(outbox: Outbox) -> list[tuple[int, Message]]:
+def _enveloped(outbox: Outbox) -> list[OutgoingMessage]:
     """Messages of the log, as the fleet sends them."""
     return [
-        (outgoing.recipient, LogEnvelope(name_hash(LEADER_ROLE), outgoing.message)) for outgoing in outbox
+        OutgoingMessage(outgoing.recipient, LogEnvelope(name_hash(LEADER_ROLE), outgoing.message))
+        for outgoing in outbox
     ]
--- a/reedspoke/booking/booking_service.py
+++ b/reedspoke/booking/booking_service.py
@@ -28,6 +28,7 @@
     name_of,
     refused,
 )
+from reedspoke.fleet.messages.frame import OutgoingMessage
 from reedspoke.fleet.replicated_log.messages import CommandReply, CommandRequest
 
 RETRY_INTERVAL_US = 250_000
@@ -35,16 +36,6 @@
 MAX_REQUEST_NUMBER = 0xFFFF_FFFF
 
 
-class OutgoingCommand(NamedTuple):
-    """A request or a reply and the scheduler that it is sent to."""
-
-    recipient: int
-    message: CommandRequest | CommandReply
-
-
-Outbox = list[OutgoingCommand]
-
-
 class CompletedRequest(NamedTuple):
     """The number of a request that was taken here, and what became of it."""
 
@@ -73,9 +64,9 @@
         unix_time: Callable[[int], int],
         first_number: int = 0,
     ) -> None:
-        """`leader_queue`: None where this scheduler is no voter. `leader_at`: the scheduler that leads
-        the log.
+        """Serve one scheduler; `leader_queue` is None where it is no voter.
 
+        `leader_at`: the scheduler that leads the log at a time of ours, None where nobody is known to.
         `unix_time`: s of Unix time from our us. `first_number` differs with each start: the leader would
         take a later incarnation's requests for those of a former one.
         """
@@ -89,8 +80,8 @@
 
     # ---- requests taken here ----
 
-    def submit(self, command: BookingCommand, now: int) -> tuple[int, Outbox]:
-        """The number of the request, and what to send; the outcome comes by `completed`."""
+    def submit(self, command: BookingCommand, now: int) -> tuple[int, list[OutgoingMessage]]:
+        """Take a request; returns its number and what to send. The outcome comes by `completed`."""
         number = self._last_number = (self._last_number + 1) & MAX_REQUEST_NUMBER
         if reason := self.limits.refusal(command, self._unix_time(now)):
             self._complete(number, refused(command, reason))
@@ -98,14 +89,14 @@
         self._pending[number] = PendingRequest(command, now + REQUEST_TIMEOUT_US, now)
         return number, self._send(number, now)
 
-    def _send(self, number: int, now: int) -> Outbox:
+    def _send(self, number: int, now: int) -> list[OutgoingMessage]:
         request, leader = self._pending[number], self._leader_at(now)
         request.sent_at = now
         if leader is None:
             return []
         if leader == self.member:
             return self._submit_to_queue(RequestKey(self.member, number), request.command, now)
-        return [OutgoingCommand(leader, CommandRequest(number, encode_command(request.command)))]
+        return [OutgoingMessage(leader, CommandRequest(number, encode_command(request.command)))]
 
     def _complete(self, number: int, outcome: BookingOutcome) -> None:
         self._pending.pop(number, None)
@@ -114,17 +105,17 @@
 
     # ---- at the leader ----
 
-    def _submit_to_queue(self, key: RequestKey, command: BookingCommand, now: int) -> Outbox:
+    def _submit_to_queue(self, key: RequestKey, command: BookingCommand, now: int) -> list[OutgoingMessage]:
         if self._leader_queue is None:
             return []
         return self._route(self._leader_queue.submit(key, command, now))
 
-    def _route(self, replies: list[Reply]) -> Outbox:
+    def _route(self, replies: list[Reply]) -> list[OutgoingMessage]:
         """Complete what was requested here; the rest goes to the schedulers that took it."""
-        messages: Outbox = []
+        messages: list[OutgoingMessage] = []
         for key, outcome in replies:
             if key.member != self.member:
-                messages.append(OutgoingCommand(key.member, CommandReply(key.number, outcome)))
+                messages.append(OutgoingMessage(key.member, CommandReply(key.number, outcome)))
             elif key.number in self._pending:
                 self._complete(key.number, decode_outcome(outcome))
         return messages
@@ -132,23 +123,23 @@
     # ---- messages and time ----
 
     def on_reply(self, reply: CommandReply) -> None:
-        """The leader's answer; duplicates are dropped."""
+        """Complete a request by the leader's answer; duplicates are dropped."""
         if reply.number in self._pending:
             self._complete(reply.number, decode_outcome(reply.outcome))
 
-    def on_request(self, sender: int, request: CommandRequest, now: int) -> Outbox:
-        """Another scheduler takes us for the leader; what is no command is dropped."""
+    def on_request(self, sender: int, request: CommandRequest, now: int) -> list[OutgoingMessage]:
+        """Queue the command of a scheduler that takes us for the leader; what is no command is dropped."""
         try:
             command = decode_command(request.command)
         except (msgspec.DecodeError, ValueError):
             return []
         return self._submit_to_queue(RequestKey(sender, request.number), command, now)
 
-    def tick(self, now: int) -> Outbox:
+    def tick(self, now: int) -> list[OutgoingMessage]:
         """Give up what is too late, send again what is not answered, and go on with the leader's queue."""
         if self._leader_queue is not None:
             self._leader_queue.clear_unless_serving()
-        messages: Outbox = []
+        messages: list[OutgoingMessage] = []
         for number, request in list(self._pending.items()):
             if now >= request.deadline:
                 self._complete(number, _timed_out(request.command))
