--- a/reedspoke/fleet/component.py
+++ b/reedspoke/fleet/component.py
@@ -183,7 +183,7 @@
         if self.roles is not None:
             self._update_candidacy(self.roles)
             for effect in self.roles.effects:
-                self.core.ask(effect)  # type: ignore[arg-type]
+                self.core.ask(effect)
             self.roles.effects.clear()
             self._log_changes(self.roles)
         if self.load_sharing is not None:
--- a/reedspoke/fleet/roles/delegated.py
+++ b/reedspoke/fleet/roles/delegated.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from reedspoke.fleet.events import RoleAcquired, RoleLost
+from reedspoke.net.effects import FurtherEffect
 
 
 class DelegatedRole:
@@ -13,19 +14,19 @@
         """`role` is the name of the role."""
         self.role, self._token = role, 0
 
-    def lease_acquired(self, token: int, expires_at: int, now: int) -> list[object]:
+    def lease_acquired(self, token: int, expires_at: int, now: int) -> list[FurtherEffect]:
         """Reports the role to the part."""
         self._token = token
         return [RoleAcquired(self.role, token, expires_at)]
 
-    def lease_renewed(self, expires_at: int, now: int) -> list[object]:
+    def lease_renewed(self, expires_at: int, now: int) -> list[FurtherEffect]:
         """Reports the later end to the part."""
         return [RoleAcquired(self.role, self._token, expires_at)]
 
-    def lease_ended(self, reason: str, now: int) -> list[object]:
+    def lease_ended(self, reason: str, now: int) -> list[FurtherEffect]:
         """Reports the loss to the part."""
         return [RoleLost(self.role)]
 
-    def tick(self, now: int) -> list[object]:
+    def tick(self, now: int) -> list[FurtherEffect]:
         """Nothing: the part has timers of its own."""
         return []
--- a/reedspoke/fleet/roles/handler.py
+++ b/reedspoke/fleet/roles/handler.py
@@ -4,6 +4,8 @@
 
 from typing import Protocol
 
+from reedspoke.net.effects import FurtherEffect
+
 
 class RoleHandler(Protocol):
     """What the holder of a role does with it. It performs no I/O: each method returns effects for the
@@ -13,18 +15,18 @@
     can reject an older one. Times are microseconds of the monotonic clock.
     """
 
-    def lease_acquired(self, token: int, expires_at: int, now: int) -> list[object]:
+    def lease_acquired(self, token: int, expires_at: int, now: int) -> list[FurtherEffect]:
         """The role is this member's, until `expires_at` at the latest unless the lease is renewed."""
         ...
 
-    def lease_renewed(self, expires_at: int, now: int) -> list[object]:
+    def lease_renewed(self, expires_at: int, now: int) -> list[FurtherEffect]:
         """The role stays this member's until `expires_at`."""
         ...
 
-    def lease_ended(self, reason: str, now: int) -> list[object]:
+    def lease_ended(self, reason: str, now: int) -> list[FurtherEffect]:
         """The role is this member's no longer."""
         ...
 
-    def tick(self, now: int) -> list[object]:
+    def tick(self, now: int) -> list[FurtherEffect]:
         """Called several times within a time to live while the role is held."""
         ...
--- a/reedspoke/fleet/roles/periodic_call.py
+++ b/reedspoke/fleet/roles/periodic_call.py
@@ -7,6 +7,7 @@
 from __future__ import annotations
 
 from reedspoke.fleet.events import CallRoleTarget
+from reedspoke.net.effects import FurtherEffect
 
 NO_TOKEN = 0
 FIRST_SUCCESS_STATUS, FIRST_REDIRECT_STATUS = 200, 300
@@ -22,22 +23,22 @@
         self.succeeded = self.failed = 0
         self._due_at, self._is_open = 0, False
 
-    def lease_acquired(self, token: int, expires_at: int, now: int) -> list[object]:
+    def lease_acquired(self, token: int, expires_at: int, now: int) -> list[FurtherEffect]:
         """The first call is due at once."""
         self.token, self.expires_at, self._due_at = token, expires_at, now
         return self.tick(now)
 
-    def lease_renewed(self, expires_at: int, now: int) -> list[object]:
+    def lease_renewed(self, expires_at: int, now: int) -> list[FurtherEffect]:
         """Later calls may end later."""
         self.expires_at = expires_at
         return []
 
-    def lease_ended(self, reason: str, now: int) -> list[object]:
+    def lease_ended(self, reason: str, now: int) -> list[FurtherEffect]:
         """No further call is made; one that is open goes on, and its token fences it."""
         self.token = NO_TOKEN
         return []
 
-    def tick(self, now: int) -> list[object]:
+    def tick(self, now: int) -> list[FurtherEffect]:
         """The next call, where it is due and none is open."""
         if not self.token or self._is_open or now < self._due_at or now >= self.expires_at:
             return []
--- a/reedspoke/fleet/roles/singleton_roles.py
+++ b/reedspoke/fleet/roles/singleton_roles.py
@@ -41,6 +41,7 @@
 from reedspoke.fleet.messages.fields import NO_MEMBER, name_hash
 from reedspoke.fleet.messages.lease import ConfigurationDigest, LeaseHeld, LeaseMessage
 from reedspoke.fleet.roles.handler import RoleHandler
+from reedspoke.net.effects import FurtherEffect
 
 DEFAULT_VOTERS = 5  # the first members, where the configuration names no voters
 EVERY_PEER = -1
@@ -115,7 +116,7 @@
         self.lease_ends: Counter[tuple[str, str]] = Counter()
         self.last_end_reason: dict[str, LeaseEndReason] = {}
         self.log_lines: list[str] = []
-        self.effects: list[object] = []
+        self.effects: list[FurtherEffect] = []
         self.conflicting_members: dict[int, int] = {}
         self._known_holders: dict[str, LeaseHolder] = {}
         self._candidacies: dict[str, bool] = {}
