--- a/reedspoke/control_plane/replication/chain.py
+++ b/reedspoke/control_plane/replication/chain.py
@@ -128,16 +128,16 @@
         """Handle a message; false where it is none of the chain. Those of another view are ignored."""
         match message:
             case AppendRequest():
-                if self._of_this_view(message.view):
+                if self._of_this_view(message.view_number):
                     self._receive_entry(message.entry)
             case InstallSnapshot():
-                if self._of_this_view(message.view):
+                if self._of_this_view(message.view_number):
                     self._receive_snapshot(message)
             case SuccessorStatus():
-                if self._of_this_view(message.view):
+                if self._of_this_view(message.view_number):
                     self._receive_status(message)
             case CommitNotification():
-                self.committed_up_to(message.view, message.sequence)
+                self.committed_up_to(message.view_number, message.sequence)
             case _:
                 return False
         return True
--- a/reedspoke/control_plane/replication/change_decision.py
+++ b/reedspoke/control_plane/replication/change_decision.py
@@ -1,6 +1,6 @@
-"""What becomes of a change, by a register in which everything is committed: a decision without any state.
+"""What becomes of a change: a pure function of the change and of a register with nothing in flight.
 
-A refusal is final: generations only rise, so that a stale match and a generation that is too low stay so.
+A rejection is final: generations only rise, so that a stale match and a generation that is too low stay so.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class ChangeDecision(Enum):
-    """What a settled register says to a change."""
+    """What the head does with a change."""
 
     ACKNOWLEDGE = "it has been accepted"
     HISTORY_EXPIRED = "it may have been accepted before the history begins"
@@ -24,7 +24,7 @@
 
 
 def decide_change(request: PutRequest, change: ChangeId, register: ConfigurationRegister) -> ChangeDecision:
-    """The verdict on a request; `change` is its number and digest."""
+    """Decide a request; `change` is the id of the change in it."""
     if register.has_accepted(change):
         return ChangeDecision.ACKNOWLEDGE
     if register.may_have_evicted(change):
--- a/reedspoke/control_plane/replication/change_history.py
+++ b/reedspoke/control_plane/replication/change_history.py
@@ -1,4 +1,4 @@
-"""The accepted changes by number and digest, oldest first, bounded, and packed for disk and network alike.
+"""The ids of the accepted changes, oldest first, bounded, and packed for disk and network alike.
 
 Generations rise from change to change, so that the packed rows are sorted and are searched as they stand.
 """
@@ -15,7 +15,7 @@
 
 
 class ChangeHistory:
-    """The newest HISTORY_LIMIT accepted changes; older ones are forgotten."""
+    """The newest HISTORY_LIMIT accepted changes; older ones are evicted."""
 
     def __init__(self, packed: bytes = b"") -> None:
         """Raises ValueError where `packed` is not whole rows."""
@@ -36,7 +36,7 @@
 
     @property
     def oldest_generation(self) -> int:
-        """Generation of the oldest change that is remembered, 0 where there is none."""
+        """Generation of the oldest change in the history, 0 where there is none."""
         return self._generation(0) if self._rows else 0
 
     @property
@@ -45,13 +45,13 @@
         return self._change(len(self) - 1) if self._rows else None
 
     def add(self, change: ChangeId) -> None:
-        """Remember a change, whose generation is above all others, in place of the oldest if need be."""
+        """Add a change, whose generation is above all others; a full history evicts the oldest."""
         self._rows += ROW.pack(change.generation, change.digest)
         if len(self) > HISTORY_LIMIT:
             del self._rows[: ROW.size]
 
     def remove_newest(self) -> None:
-        """Forget the change that was added last."""
+        """Remove the change that was added last."""
         del self._rows[-ROW.size :]
 
     def packed(self) -> bytes:
--- a/reedspoke/control_plane/replication/configuration_register.py
+++ b/reedspoke/control_plane/replication/configuration_register.py
@@ -22,7 +22,7 @@
 
 
 class ConfigurationRegister:
-    """Holds the newest synced entry, the one that is being stored, and how far entries are committed."""
+    """Owns the newest synced entry, the one that is being stored, and how far entries are committed."""
 
     def __init__(self, outbox: Outbox, restored: RestoredState) -> None:
         self._outbox = outbox
@@ -52,7 +52,7 @@
 
     @property
     def nothing_in_flight(self) -> bool:
-        """Whether nothing is in flight."""
+        """Whether the newest entry is synced and committed, and no snapshot is being stored."""
         in_flight = self.pending_entry is not None or self.installing_snapshot
         return not in_flight and self.committed_sequence == self.sequence
 
@@ -60,7 +60,7 @@
         """`committed` is the newest, unless something has been committed after this time.
 
         An entry is committed only after it has been synced here. None where entries may have been committed
-        of which this replica has not been told.
+        of which this replica has not been notified.
         """
         if self.installing_snapshot:
             return None
@@ -72,11 +72,11 @@
         return self._history.packed()
 
     def has_accepted(self, change: ChangeId) -> bool:
-        """Whether this change has been accepted; it is committed if the register is settled."""
+        """Whether this change has been accepted; it is committed if nothing is in flight."""
         return change in self._history
 
     def may_have_evicted(self, change: ChangeId) -> bool:
-        """Whether this change may have been accepted before the oldest one that the history still holds.
+        """Whether this change may have been accepted before the oldest one in the history.
 
         Each accepted change has the next sequence, so that a history shorter than the sequence has lost some.
         """
@@ -101,7 +101,7 @@
     def install_snapshot(
         self, entry: Entry | None, packed_history: bytes, joined: int, on_synced: OnSynced
     ) -> None:
-        """Take over a predecessor's state in place of the own."""
+        """Replace the state by that of the predecessor; `on_synced` tells whether it is on disk."""
         self.entry = entry
         self._synced_at = None
         self.pending_entry = None
@@ -118,7 +118,7 @@
         self._outbox.rewrite(on_end, self.sequence)
 
     def commit(self) -> CommittedConfiguration | None:
-        """The newest synced entry is committed; it is returned where this is news."""
+        """The newest synced entry is committed; it is returned where that was not known before."""
         if self.entry is None or self.entry.sequence <= self.committed_sequence:
             return None
         self.committed = committed_configuration(self.entry)
--- a/reedspoke/control_plane/replication/failure_detector.py
+++ b/reedspoke/control_plane/replication/failure_detector.py
@@ -1,4 +1,4 @@
-"""What a replica knows of the others from their pings: who is in reach, both ways, and in what condition."""
+"""What a replica knows of the others from their heartbeats: who is in reach, both ways, in what condition."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class PeerStatus(Struct):
-    """The newest ping of a replica, and since when it has been heard without a gap."""
+    """The newest heartbeat of a replica, and since when it has been heard without a gap."""
 
     heartbeat: Heartbeat
     heard_at: float
@@ -25,15 +25,19 @@
 
 
 class FailureDetector:
-    """Failure detector: a replica is in reach while each hears the other's pings."""
+    """Owns the newest heartbeat of each replica.
+
+    A replica is in reach while each hears the other's heartbeats: over a link that works one way only,
+    neither may rely on the other.
+    """
 
     def __init__(self, own: Member, now: float) -> None:
         self._own = own
         self._peers: dict[str, PeerStatus] = {}
-        self._grace_from = now  # nobody is judged by silence from before this
+        self._grace_from = now  # no timeout counts from before this
 
     def record_heartbeat(self, heartbeat: Heartbeat, now: float) -> None:
-        """A ping has come. A folder at the address of an older folder replaces it."""
+        """A heartbeat has come. A folder at the address of an older folder replaces it."""
         folder_id = heartbeat.member.folder_id
         self._forget_other_folders(heartbeat.member)
         known = self._peers.get(folder_id)
@@ -41,17 +45,17 @@
         self._peers[folder_id] = PeerStatus(heartbeat, now, since)
 
     def process_resumed(self, now: float) -> None:
-        """This process was stopped: silence until now says nothing of the others."""
+        """This process was stopped: what it has missed until now says nothing of the others."""
         self._grace_from = now
 
     def members(self, now: float) -> list[Member]:
-        """All replicas heard lately, with or without a place in the view."""
+        """All replicas heard lately, whether members of the view or not."""
         return [
             peer.heartbeat.member for peer in self._peers.values() if now - peer.heard_at <= DEAD_TIMEOUT_S
         ]
 
     def latest(self, folder_id: str) -> Heartbeat | None:
-        """The newest ping of this replica."""
+        """The newest heartbeat of this replica."""
         peer = self._peers.get(folder_id)
         return peer.heartbeat if peer else None
 
--- a/reedspoke/control_plane/replication/get_forwarding.py
+++ b/reedspoke/control_plane/replication/get_forwarding.py
@@ -17,7 +17,7 @@
 
 
 class PendingGetRequest(PendingRequest):
-    """A read without answer; `known` is what this replica knew to be committed when it asked."""
+    """A read without answer; `known` is what this replica knew to be committed when it sent the request."""
 
     get: GetSubmitted
     known: CommittedConfiguration | None = None
@@ -25,7 +25,7 @@
 
 
 class GetForwarder(RequestForwarder[PendingGetRequest]):
-    """Asks the tail until it answers or the bound is reached."""
+    """Requests the configuration of the tail until it replies or the time limit is reached."""
 
     def __init__(
         self, name: str, outbox: Outbox, register: ConfigurationRegister, answer_limit_s: float
@@ -38,14 +38,14 @@
         self._begin(PendingGetRequest(get, submitted_at=self._outbox.now), view, contact)
 
     def receive_reply(self, reply: GetReply) -> None:
-        """The tail's answer."""
-        pending = self._pending.get(reply.request)
+        """The tail's reply."""
+        pending = self._pending.get(reply.request_id)
         if pending is None:
             return
         if not reply.ready:
             pending.retry_at = min(pending.retry_at, self._outbox.now + GET_RETRY_INTERVAL_S)
             return
-        del self._pending[reply.request]
+        del self._pending[reply.request_id]
         self._outbox.emit(_answer(pending, reply))
 
     def _is_due(self, call: PendingGetRequest) -> bool:
--- a/reedspoke/control_plane/replication/grants.py
+++ b/reedspoke/control_plane/replication/grants.py
@@ -49,15 +49,15 @@
         if requested_at is None or view is None or tail_member(view) != heartbeat.member:
             return
         reached = self._failure_detector.mutually_reachable(heartbeat.member.folder_id, self._outbox.now)
-        if reached and self._agreement.may_grant_read_lease(heartbeat.view):
+        if reached and self._agreement.may_grant_read_lease(heartbeat.view_number):
             self._agreement.read_lease_voter.grant(requested_at, self._outbox.now)
-            grant = ReadLeaseGrant(self._own.folder_id, heartbeat.view, requested_at)
+            grant = ReadLeaseGrant(self._own.folder_id, heartbeat.view_number, requested_at)
             self._outbox.send(heartbeat.member.address, grant)
 
     def confirm_view(self, heartbeat: Heartbeat) -> None:
         """Say that the view in which the sender acts is the newest known here."""
-        if self._agreement.may_confirm_view(heartbeat.view):
-            confirmation = ViewConfirmation(self._own.folder_id, heartbeat.view, heartbeat.sent_at)
+        if self._agreement.may_confirm_view(heartbeat.view_number):
+            confirmation = ViewConfirmation(self._own.folder_id, heartbeat.view_number, heartbeat.sent_at)
             self._outbox.send(heartbeat.member.address, confirmation)
 
 
@@ -132,7 +132,7 @@
         """Whether a voter in the present view has not confirmed it; the request out of turn is made once."""
         view = self._agreement.view
         folder_id = heartbeat.member.folder_id
-        if view is None or heartbeat.view != view.number or folder_id in self._requested:
+        if view is None or heartbeat.view_number != view.number or folder_id in self._requested:
             return False
         if self._contact.has_confirmed(folder_id):
             return False
--- a/reedspoke/control_plane/replication/head_queue.py
+++ b/reedspoke/control_plane/replication/head_queue.py
@@ -1,8 +1,8 @@
-"""Changes at the head of the chain: taken one at a time, each once what it builds on is in force.
+"""Changes at the head of the chain: accepted one at a time, each once what it builds on is in force.
 
-What is refused stays refused, wherever a copy of the request is still on its way. A change that builds on a
-generation not reached yet may become right, and is held; at its deadline it gets no clear answer, as does all
-else that is not ruled out for good.
+A rejection is final, also for a duplicate of the request that is still in the network. A change that builds
+on a generation not reached yet may become valid, and stays pending; at its deadline it gets no clear answer,
+as does all else that is not ruled out for good.
 """
 
 from __future__ import annotations
@@ -21,10 +21,9 @@
 from reedspoke.control_plane.views.read_lease import tail_member
 
 MAX_CACHED_REPLIES = 512
-MAX_PENDING_BYTES = (
-    24 * 1024 * 1024
-)  # of documents: six of the largest; askers send again what got no clear answer
-PENDING_TIME_FRACTION = 0.9  # of the asker's own limit
+# Of documents: six of the largest. A forwarder sends again what got no clear answer.
+MAX_PENDING_BYTES = 24 * 1024 * 1024
+PENDING_TIME_FRACTION = 0.9  # of the forwarder's own limit
 
 
 class PendingPut(Struct, eq=False):
@@ -37,7 +36,11 @@
 
 
 class HeadQueue:
-    """Decides changes. A request that came twice is decided once; one of another view is not taken at all."""
+    """Owns the pending changes of the present view and the latest replies.
+
+    A request that came twice is decided once; one of another view is ignored, as the head of that view
+    decides it. So no change is answered by two heads.
+    """
 
     def __init__(
         self, name: str, outbox: Outbox, chain: Chain, register: ConfigurationRegister, answer_limit_s: float
@@ -45,27 +48,27 @@
         self._outbox = outbox
         self._chain = chain
         self._register = register
-        self._limit = answer_limit_s * PENDING_TIME_FRACTION
+        self._limit_s = answer_limit_s * PENDING_TIME_FRACTION
         self._pending: list[PendingPut] = []
         self._replies: dict[str, PutReply] = {}
         self._view = 0
         self.rejections = RejectionConfirmer(name, outbox)
 
     def enter_view(self, view: View) -> None:
-        """A newer view: the askers send again what is still undecided."""
+        """A newer view: the forwarders send again what is still undecided."""
         self._view = view.number
         self.rejections.enter_view(view.number, tail_member(view))
         self._pending.clear()
         self._replies.clear()
 
     def receive(self, sender: str, request: PutRequest, majority_reached: bool) -> None:
-        """A change has come, from another replica or from this one."""
-        if request.view != self._view or not self._chain.is_head:
+        """A change, forwarded by another replica or by this one."""
+        if request.view_number != self._view or not self._chain.is_head:
             return
-        if request.request in self._replies:
-            self._outbox.send(sender, self._replies[request.request])
+        if request.request_id in self._replies:
+            self._outbox.send(sender, self._replies[request.request_id])
             return
-        if self._is_pending(request.request):
+        if self._is_pending(request.request_id):
             return
         pending = self._pending_put(sender, request)
         if not majority_reached:
@@ -137,7 +140,7 @@
             else:
                 self._expire(pending)
 
-        self.rejections.add(pending.request.request, pending.deadline, on_end)
+        self.rejections.add(pending.request.request_id, pending.deadline, on_end)
 
     def _is_full(self, request: PutRequest) -> bool:
         """Whether the documents that wait would take too much memory with this one; one alone never does."""
@@ -145,11 +148,11 @@
         return pending > 0 and pending + len(request.document) > MAX_PENDING_BYTES
 
     def _is_pending(self, request: str) -> bool:
-        queued = any(pending.request.request == request for pending in self._pending)
+        queued = any(pending.request.request_id == request for pending in self._pending)
         return queued or self.rejections.is_pending(request)
 
     def _expire(self, pending: PendingPut) -> None:
-        """Give no clear answer: this head, started anew, may still take a copy that is on its way."""
+        """Give no clear answer: after a restart this head may still accept a duplicate in the network."""
         self._reply(pending, ErrorCode.WRITE_UNCLEAR, self._why_unclear(pending))
 
     def _why_unclear(self, pending: PendingPut) -> str:
@@ -163,12 +166,12 @@
 
     def _reply(self, pending: PendingPut, error: ErrorCode | None, message: str = "") -> None:
         request = pending.request
-        reply = PutReply(request.view, request.request, int(error or 0), message)
-        self._replies[request.request] = reply
+        reply = PutReply(request.view_number, request.request_id, int(error or 0), message)
+        self._replies[request.request_id] = reply
         if len(self._replies) > MAX_CACHED_REPLIES:
             del self._replies[next(iter(self._replies))]
         self._outbox.send(pending.reply_to, reply)
 
     def _pending_put(self, sender: str, request: PutRequest) -> PendingPut:
         entry = Entry(0, 0, request.generation, request.document)
-        return PendingPut(request, sender, change_id_of(entry), self._outbox.now + self._limit)
+        return PendingPut(request, sender, change_id_of(entry), self._outbox.now + self._limit_s)
--- a/reedspoke/control_plane/replication/heartbeats.py
+++ b/reedspoke/control_plane/replication/heartbeats.py
@@ -55,7 +55,7 @@
         view = self._agreement.view
         return Heartbeat(
             member=self._settings.member,
-            view=view.number if view else 0,
+            view_number=view.number if view else 0,
             heard=self._failure_detector.heard(self._view_members, self._outbox.now),
             disk_ok=self._outbox.disk_ok,
             # While a snapshot is being stored the log still holds the former state: it must not count as
@@ -99,11 +99,11 @@
         self._voter_grants.confirm_view(heartbeat)
         if self._received_grants.should_request_confirmation(heartbeat):
             self._outbox.send(heartbeat.member.address, self.own())
-        if heartbeat.view < self._agreement.learned_number:
+        if heartbeat.view_number < self._agreement.learned_number:
             self._agreement.send_newest_view(sender)
-        elif heartbeat.view > self._agreement.learned_number:
+        elif heartbeat.view_number > self._agreement.learned_number:
             self._outbox.send(sender, self.own())
-        self._chain.committed_up_to(heartbeat.view, heartbeat.committed)
+        self._chain.committed_up_to(heartbeat.view_number, heartbeat.committed)
 
     def _condition(self) -> tuple[bool, bool]:
         return (self._outbox.disk_ok, self._chain.complete)
--- a/reedspoke/control_plane/replication/invariants.py
+++ b/reedspoke/control_plane/replication/invariants.py
@@ -1,4 +1,4 @@
-"""Invariants of one life of a replica, evaluated after each event that it has handled."""
+"""Invariants of one incarnation of a replica, checked after each event that it has handled."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class ReplicaInvariants:
-    """Remembers what was seen last."""
+    """Owns what was seen last."""
 
     def __init__(self) -> None:
         self._view_number = 0
--- a/reedspoke/control_plane/replication/membership_observer.py
+++ b/reedspoke/control_plane/replication/membership_observer.py
@@ -75,7 +75,7 @@
         """Whether one of these replicas has accepted a next view that may never have been decided."""
         heartbeats = (self._failure_detector.latest(folder_id) for folder_id in folder_ids)
         return any(
-            heartbeat.undecided and heartbeat.view == view.number
+            heartbeat.undecided and heartbeat.view_number == view.number
             for heartbeat in heartbeats
             if heartbeat is not None
         )
@@ -102,7 +102,7 @@
             folder_id = member.folder_id
             heartbeat = detector.latest(folder_id)
             if heartbeat is not None and self.reachable(folder_id):
-                steady = heartbeat.view == view.number and detector.is_steady(folder_id, now)
+                steady = heartbeat.view_number == view.number and detector.is_steady(folder_id, now)
                 established = detector.is_established(folder_id, now)
                 conditions[folder_id] = _condition(heartbeat, joined, steady, established)
         return conditions
--- a/reedspoke/control_plane/replication/messages.py
+++ b/reedspoke/control_plane/replication/messages.py
@@ -28,7 +28,7 @@
     """
 
     member: Member
-    view: int
+    view_number: int
     heard: tuple[str, ...]
     disk_ok: bool
     synced_since: int
@@ -125,9 +125,9 @@
 
 
 class SuccessorStatus(Struct, tag="chain_state", array_like=True, frozen=True):
-    """Successor to predecessor: what I have on disk; also the acknowledgement of an `AppendRequest`."""
+    """Successor to predecessor: what the sender has on disk, which also acknowledges an `AppendRequest`."""
 
-    view: int
+    view_number: int
     folder_id: str
     joined: int
     complete: bool
@@ -137,17 +137,17 @@
 class AppendRequest(Struct, tag="append", array_like=True, frozen=True):
     """Predecessor to successor: the next entry."""
 
-    view: int
+    view_number: int
     entry: Entry
 
 
 class InstallSnapshot(Struct, tag="snapshot", array_like=True, frozen=True):
-    """Predecessor to a successor that was appended in the view `joined`: all, in place of what it has.
+    """Predecessor to a successor that was appended in the view `joined`: the full state.
 
     `history` is a packed `ChangeHistory`.
     """
 
-    view: int
+    view_number: int
     joined: int
     entry: Entry | None
     history: bytes
@@ -159,45 +159,45 @@
 class CommitNotification(Struct, tag="commit", array_like=True, frozen=True):
     """Tail to the others of the chain: everything up to `sequence` is committed."""
 
-    view: int
+    view_number: int
     sequence: int
 
 
 class PutRequest(Struct, tag="put_request", array_like=True, frozen=True):
-    """A change, forwarded to the head of `view`."""
+    """A change, forwarded to the head of the view."""
 
-    view: int
-    request: str
+    view_number: int
+    request_id: str
     match: int
     generation: int
     document: bytes
 
 
 class PutReply(Struct, tag="put_reply", array_like=True, frozen=True):
-    """Final answer of the head of `view` to a `PutRequest`; `error` 0 means acknowledged."""
+    """Final reply of the head of the view to a `PutRequest`; `error` 0 means acknowledged."""
 
-    view: int
-    request: str
+    view_number: int
+    request_id: str
     error: int
     message: str = ""
 
 
 class GetRequest(Struct, tag="get_request", array_like=True, frozen=True):
-    """A read, forwarded to the tail of `view`; the asker holds the committed sequence `have`."""
+    """A read, forwarded to the tail of the view; `known_sequence` is the newest that the forwarder has."""
 
-    view: int
-    request: str
-    have: int
+    view_number: int
+    request_id: str
+    known_sequence: int
 
 
 class GetReply(Struct, tag="get_reply", array_like=True, frozen=True):
-    """The tail's answer: newest committed `sequence` (0: none), with the entry unless the asker holds it.
+    """The tail's reply: newest committed `sequence` (0: none), with the entry unless the forwarder has it.
 
     `ready` is false where the tail may not answer yet.
     """
 
-    view: int
-    request: str
+    view_number: int
+    request_id: str
     ready: bool
     sequence: int = 0
     entry: Entry | None = None
--- a/reedspoke/control_plane/replication/outbox.py
+++ b/reedspoke/control_plane/replication/outbox.py
@@ -26,7 +26,7 @@
 class PendingStore(Struct):
     """A store that has not ended."""
 
-    due: float  # the disk is in trouble where it has not ended by then
+    due: float  # the disk is failing where it has not ended by then
     size: int
     replace: bool
     on_end: StoreEnd
@@ -36,8 +36,10 @@
 class Outbox:
     """Collects effects, numbers stores, and knows the state of the disk.
 
-    After a failed store the disk counts as bad until a small probe and then a rewriting of the whole log,
+    After a failed store the disk counts as failed until a small probe and then a rewrite of the whole log,
     which also removes whatever the failed store left, have succeeded.
+
+    `now` is the time of the event that is being handled.
     """
 
     def __init__(self, address: str, now: float, restored_size: int) -> None:
@@ -52,7 +54,7 @@
         self._pending: dict[int, PendingStore] = {}
         self._next_token = 1
         self._log_size = COPIES * restored_size
-        self._live_size = 0  # not known before the first rewriting
+        self._live_size = 0  # not known before the first rewrite
         self._probe_after = 0.0
 
     @property
@@ -84,7 +86,7 @@
             self._effects.append(SendMessage(address, message))
 
     def log(self, level: int, text: str, **fields: object) -> None:
-        """Tell the operator."""
+        """Write a line to the operator's log."""
         self._effects.append(LogEvent(level, text, fields))
 
     def store(self, records: Sequence[Struct], on_end: StoreEnd) -> None:
@@ -125,8 +127,8 @@
         token = self._next_token
         self._next_token += 1
         size = encoded_size(records)
-        waiting = size + sum(store.size for store in self._pending.values())
-        due = self.now + DISK_STALL_S + waiting / DISK_BYTES_PER_S
+        unwritten = size + sum(store.size for store in self._pending.values())
+        due = self.now + DISK_STALL_S + unwritten / DISK_BYTES_PER_S
         self._pending[token] = PendingStore(due, size, replace, on_end, newest)
         self._effects.append(StoreRecords(token, records, replace))
 
@@ -138,7 +140,7 @@
 
     def _record_failure(self, error: ErrorCode) -> None:
         if not self.disk_failed:
-            self.log(logging.ERROR, "disk refuses a write", code=int(error))
+            self.log(logging.ERROR, "log write failed", code=int(error))
         self.disk_failed = True
         self._probe_after = self.now + DISK_PROBE_S
 
@@ -149,7 +151,7 @@
     def _rewrite_ended(self, error: ErrorCode | None) -> None:
         if error is None:
             self.disk_failed = False
-            self.log(logging.INFO, "disk works again")
+            self.log(logging.INFO, "disk recovered")
 
     def _rewrite_when_long(self) -> None:
         if self.disk_failed or any(store.replace for store in self._pending.values()):
@@ -159,4 +161,4 @@
 
 
 def _ignore(error: ErrorCode | None) -> None:
-    """The rewriting of a log that has grown long changes nothing, whether it succeeds or not."""
+    """Rewriting a log that has grown long changes nothing, whether it succeeds or not."""
--- a/reedspoke/control_plane/replication/put_forwarding.py
+++ b/reedspoke/control_plane/replication/put_forwarding.py
@@ -1,4 +1,4 @@
-"""Changes that operators handed to this replica: forwarded to the head, answered within a bound."""
+"""Changes that operators submit at this replica: forwarded to the head, answered within a time limit."""
 
 from __future__ import annotations
 
@@ -27,11 +27,14 @@
         self._begin(PendingPutRequest(put, submitted_at=self._outbox.now), view, contact)
 
     def receive_reply(self, reply: PutReply) -> None:
-        """The head's answer. A refusal counts only from the head that was asked last."""
-        pending = self._pending.get(reply.request)
-        if pending is None or (reply.error and reply.view != pending.sent_view):
+        """The head's reply. A rejection counts only from the head to which the change was sent last.
+
+        An earlier head may reject what the present one has been sent, and acknowledges.
+        """
+        pending = self._pending.get(reply.request_id)
+        if pending is None or (reply.error and reply.view_number != pending.sent_view):
             return
-        del self._pending[reply.request]
+        del self._pending[reply.request_id]
         error = ErrorCode(reply.error) if reply.error else None
         self._answer(pending.put, error, reply.message)
 
--- a/reedspoke/control_plane/replication/rejection_confirmation.py
+++ b/reedspoke/control_plane/replication/rejection_confirmation.py
@@ -1,7 +1,7 @@
-"""Refusals of the head that wait until the tail has confirmed that the head's view is still in force.
+"""Rejections of the head, which wait until the tail has confirmed that the head's view is still in force.
 
-A head that was cut off may lack changes that the others have acknowledged since, and must not refuse them.
-A tail that holds its read lease in the same view rules that out.
+A partitioned head may lack changes that the others have acknowledged since, and must not reject them. A tail
+that holds its read lease in the same view rules that out. The request for a confirmation is a read.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from reedspoke.control_plane.replication.settings import GET_RETRY_INTERVAL_S
 from reedspoke.control_plane.replication.view import Member
 
-KEY_PREFIX = "refusal "  # tells the keys from the names of reads
+KEY_PREFIX = "refusal "  # on the wire; tells the keys from the request ids of reads
 
 NO_ENTRY_REQUESTED = 2**62  # no sequence is larger, so that the tail sends no entry
 
@@ -23,7 +23,7 @@
 
 
 class PendingRejection(Struct):
-    """A refusal that is not confirmed yet; `on_end` is told whether it was confirmed in time."""
+    """A rejection that is not confirmed yet; `on_end` gets whether it was confirmed in time."""
 
     request: str
     on_end: OnConfirmed
@@ -32,10 +32,10 @@
 
 
 class RejectionConfirmer:
-    """Asks the tail for each refusal, until it confirms or the deadline is reached.
+    """Requests a confirmation of the tail for each rejection, until it confirms or the deadline is reached.
 
-    Each has a key of its own, so that an answer to an earlier question confirms nothing: the name of the
-    refused request would come again where the head has been started anew, as the asker repeats it.
+    Each has a key of its own, so that a reply to an earlier request confirms nothing: the id of the rejected
+    request would come again where the head has been restarted, as the forwarder repeats it.
     """
 
     def __init__(self, name: str, outbox: Outbox) -> None:
@@ -47,32 +47,32 @@
         self._tail: Member | None = None
 
     def enter_view(self, number: int, tail: Member) -> None:
-        """A newer view: what waited is decided anew by its head."""
+        """A newer view: its head decides anew what was pending."""
         self._view = number
         self._tail = tail
         self._pending.clear()
 
     def add(self, request: str, deadline: float, on_end: OnConfirmed) -> None:
-        """Have a refusal confirmed."""
+        """Have a rejection confirmed."""
         self._count += 1
         key = f"{self._prefix}{self._count}"
         self._pending[key] = PendingRejection(request, on_end, deadline, self._outbox.now)
         self._request_confirmation(key)
 
     def is_pending(self, request: str) -> bool:
-        """Whether a refusal of this request waits."""
+        """Whether a rejection of this request waits for its confirmation."""
         return any(rejection.request == request for rejection in self._pending.values())
 
     def receive_reply(self, reply: GetReply) -> bool:
-        """The tail's answer; false where it belongs to a read."""
-        if not reply.request.startswith(KEY_PREFIX):
+        """The tail's reply; false where it belongs to a read."""
+        if not reply.request_id.startswith(KEY_PREFIX):
             return False
-        if reply.ready and reply.view == self._view and reply.request in self._pending:
-            self._pending.pop(reply.request).on_end(True)
+        if reply.ready and reply.view_number == self._view and reply.request_id in self._pending:
+            self._pending.pop(reply.request_id).on_end(True)
         return True
 
     def tick(self) -> None:
-        """Ask again, or give up."""
+        """Request again, or give up."""
         for key, rejection in list(self._pending.items()):
             if self._outbox.now >= rejection.deadline:
                 del self._pending[key]
@@ -83,4 +83,6 @@
 
     def _request_confirmation(self, key: str) -> None:
         if self._tail is not None:
-            self._outbox.send(self._tail.address, GetRequest(self._view, key, have=NO_ENTRY_REQUESTED))
+            self._outbox.send(
+                self._tail.address, GetRequest(self._view, key, known_sequence=NO_ENTRY_REQUESTED)
+            )
--- a/reedspoke/control_plane/replication/request_forwarding.py
+++ b/reedspoke/control_plane/replication/request_forwarding.py
@@ -1,4 +1,4 @@
-"""Calls of operators that another replica answers: sent on, sent again, and ended within a bound."""
+"""Calls of operators that another replica answers: forwarded, retried, and ended within a time limit."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class PendingRequest(Struct, kw_only=True):
-    """A call without answer; `sent_view` is the view whose member got it last, 0 before it was sent."""
+    """A call without answer; `sent_view` is the view in which it was sent last, 0 before it was sent."""
 
     submitted_at: float
     sent_view: int = 0
@@ -23,7 +23,11 @@
 
 
 class RequestForwarder(Generic[Call]):
-    """Calls by the name of their request. Each is sent once a majority of voters has granted."""
+    """Owns the calls without answer, by the id of their request.
+
+    A call is sent only once a majority of voters has confirmed this replica's view: a partitioned replica
+    would send it to a head or tail that is no longer one.
+    """
 
     def __init__(self, name: str, outbox: Outbox, answer_limit_s: float) -> None:
         self._name = name
@@ -56,10 +60,11 @@
             self._reject(self._pending.pop(request))
 
     def _is_due(self, call: Call) -> bool:
-        """Whether to send it again to the same member."""
+        """Whether to send it again to the same member, as the message or its reply may be lost."""
         raise NotImplementedError
 
     def _send(self, request: str, call: Call, view: View) -> None:
+        """Send it to the member of this view that answers it."""
         raise NotImplementedError
 
     def _expire(self, call: Call) -> None:
@@ -67,5 +72,5 @@
         raise NotImplementedError
 
     def _reject(self, call: Call) -> None:
-        """This machine reaches no majority, and nothing was sent."""
+        """This replica reaches no majority, and nothing was sent: the call has certainly had no effect."""
         raise NotImplementedError
--- a/reedspoke/control_plane/replication/settings.py
+++ b/reedspoke/control_plane/replication/settings.py
@@ -1,4 +1,7 @@
-"""Settings of a replica and the times that its rules are built on."""
+"""Settings of a replica, and the times and sizes that its rules are built on.
+
+`docs/control-safety.md` tells which of them depend on each other. Names in `_S` are seconds.
+"""
 
 from __future__ import annotations
 
@@ -6,37 +9,54 @@
 
 from reedspoke.control_plane.replication.view import Member
 
-TICK_S = 0.05  # the shell sends `Tick` this often
+# ---- the failure detector ----
+
+TICK_S = 0.05  # the driver sends `Tick` this often
 HEARTBEAT_INTERVAL_S = 0.15
 REACHABLE_TIMEOUT_S = 0.6  # a replica not heard for this long is unreachable
 DEAD_TIMEOUT_S = 1.2  # a voter not heard by anyone for this long may be replaced
 PROCESS_STOP_GAP_S = 0.35  # a longer gap between two ticks means that this process was stopped
-READ_LEASE_TTL_S = 0.7  # a voter accepts no other tail for this long after a grant
-MAJORITY_CONTACT_TTL_S = (
-    0.8  # what a majority has granted to a replica lasts for this long from when it asked
-)
-MAJORITY_CONTACT_WAIT_S = 0.25  # a call waits for so long for the majority of voters to grant
-READ_LEASE_MARGIN_S = 0.1  # the tail counts its lease as shorter by this
-GRANT_BACKOFF_S = (
-    1.2  # no lease is asked for, or granted, for this long after a resignation or a deferred view
-)
+JOIN_AFTER_S = 0.3  # how long a joiner must be connected before it is appended
+ESTABLISHED_AFTER_S = 10.0  # before it has been in reach for so long, nobody votes beside enough voters
+
+# ---- grants of the voters ----
+
+# A voter accepts no other tail for this long after a grant.
+READ_LEASE_TTL_S = 0.7
+# The tail counts its lease as shorter by this: its clock may run slower than a voter's.
+READ_LEASE_MARGIN_S = 0.1
+# After a release or a deferred view no lease is requested or granted for this long: the view can be decided.
+GRANT_BACKOFF_S = 1.2
+# A majority's confirmations of a view count for this long from when they were requested.
+MAJORITY_CONTACT_TTL_S = 0.8
+# A call waits for so long for the majority of voters to confirm.
+MAJORITY_CONTACT_WAIT_S = 0.25
+
+# ---- repair and agreement ----
+
 REPAIR_INTERVAL_S = 0.1  # how often a member looks for a better view
 PROPOSE_AFTER_S = 0.08  # how long a better view must be in sight before it is proposed
 RANK_DELAY_S = 0.25  # the further back in the chain, the later a member proposes
-ESTABLISHED_AFTER_S = 10.0  # before it has been in reach for so long, nobody votes beside enough voters
-JOIN_AFTER_S = 0.3  # how long a joiner must be connected before it is appended
 PROPOSAL_RESEND_INTERVAL_S = 0.1
 PROPOSAL_TIMEOUT_S = 1.6
 PROPOSER_ACTIVE_S = 0.9  # another proposer is left alone for this long after its last message
 REJECTED_BACKOFF_S = 0.2
+
+# ---- messages of the chain and of calls ----
+
 GET_RETRY_INTERVAL_S = 0.1
 RESEND_INTERVAL_S = 0.4  # a chain message is sent again after this and the time that its size takes
 RESEND_BYTES_PER_S = 4_000_000
-RESEND_GROWTH = 2  # the pause grows by this each time, so that copies do not fill a slow link
+RESEND_GROWTH = 2  # the interval grows by this each time, so that repeated messages do not fill a slow link
 MAX_RESEND_INTERVAL_S = 10.0
-DISK_STALL_S = 0.5  # a store outstanding for longer means that the disk is in trouble,
-DISK_BYTES_PER_S = 8_000_000  # beside the time that its bytes, and those before it, take at this speed
-DISK_PROBE_S = 0.3
+
+# ---- the disk ----
+
+# A store outstanding for longer means that the disk is failing, beside the time that its bytes, and those
+# before it, take at DISK_BYTES_PER_S.
+DISK_STALL_S = 0.5
+DISK_BYTES_PER_S = 8_000_000
+DISK_PROBE_S = 0.3  # how often a failed disk is tried again
 REWRITE_BYTES = 16 * 1024 * 1024  # the log is rewritten when more of it than this is out of date
 HISTORY_LIMIT = 8192  # accepted changes that are remembered, 40 bytes each
 
--- a/reedspoke/control_plane/replication/tail_reader.py
+++ b/reedspoke/control_plane/replication/tail_reader.py
@@ -12,7 +12,7 @@
 
 
 class TailReader:
-    """Answers reads at the tail."""
+    """Replies to reads. While the newest entry is not committed the forwarder has to try again."""
 
     def __init__(
         self, outbox: Outbox, chain: Chain, register: ConfigurationRegister, holds_lease: Callable[[], bool]
@@ -23,15 +23,15 @@
         self._holds_lease = holds_lease
 
     def receive(self, sender: str, request: GetRequest, view: View | None) -> None:
-        """A read has come, from another replica or from this one."""
+        """A read, forwarded by another replica or by this one."""
         number = view.number if view else 0
-        ready = number == request.view and self._may_answer()
+        ready = number == request.view_number and self._may_answer()
         if not ready:
-            self._outbox.send(sender, GetReply(number, request.request, ready=False))
+            self._outbox.send(sender, GetReply(number, request.request_id, ready=False))
             return
         sequence = self._register.sequence
-        entry = self._register.entry if sequence > request.have else None
-        self._outbox.send(sender, GetReply(number, request.request, True, sequence, entry))
+        entry = self._register.entry if sequence > request.known_sequence else None
+        self._outbox.send(sender, GetReply(number, request.request_id, True, sequence, entry))
 
     def _may_answer(self) -> bool:
         chain = self._chain
--- a/tests/control_plane/test_guards_answers.py
+++ b/tests/control_plane/test_guards_answers.py
@@ -72,7 +72,7 @@
     assert isinstance(sent, SendMessage)
     assert isinstance(sent.message, PutRequest)
     loss(member)
-    reply = PutReply(VIEW_NUMBER, sent.message.request, 0)
+    reply = PutReply(VIEW_NUMBER, sent.message.request_id, 0)
     (answer,) = _handle(member, MessageReceived(HEAD.address, reply))
     assert isinstance(answer, PutCompleted)
     assert answer.error is told
@@ -94,7 +94,7 @@
     assert isinstance(sent, SendMessage)
     assert isinstance(sent.message, GetRequest)
     loss(member)
-    reply = GetReply(VIEW_NUMBER, sent.message.request, ready=True)
+    reply = GetReply(VIEW_NUMBER, sent.message.request_id, ready=True)
     (answer,) = _handle(member, MessageReceived(TAIL.address, reply))
     assert isinstance(answer, GetCompleted)
     assert answer.error is told
--- a/tests/control_plane/test_guards_head.py
+++ b/tests/control_plane/test_guards_head.py
@@ -62,7 +62,9 @@
     """The tail confirms whatever it is asked."""
     for message in replica.sent():
         if isinstance(message, GetRequest):
-            replica.head.rejections.receive_reply(GetReply(message.view, message.request, ready=True))
+            replica.head.rejections.receive_reply(
+                GetReply(message.view_number, message.request_id, ready=True)
+            )
 
 
 def _commit_next(replica: ChainReplica) -> None:
@@ -191,7 +193,7 @@
         (sent,) = self.outbox.take()
         asked = sent.message  # type: ignore[union-attr]
         assert isinstance(asked, GetRequest)
-        self.key = asked.request
+        self.key = asked.request_id
 
 
 def test_a_tail_that_is_not_ready_confirms_no_refusal() -> None:
@@ -261,7 +263,7 @@
     assert _replies(replica) == []
     _receive(replica, PutRequest(VIEW_NUMBER, "beyond", 50, 70, b"d"))
     (reply,) = _replies(replica)
-    assert (reply.request, reply.error) == ("beyond", ErrorCode.WRITE_UNCLEAR)
+    assert (reply.request_id, reply.error) == ("beyond", ErrorCode.WRITE_UNCLEAR)
     assert "Too many changes wait" in reply.message
 
 
--- a/tests/control_plane/test_guards_reads.py
+++ b/tests/control_plane/test_guards_reads.py
@@ -33,7 +33,7 @@
     replica: ChainReplica, view: View = WHOLE, asked_view: int = VIEW_NUMBER, lease: bool = True
 ) -> GetReply:
     reader = TailReader(replica.outbox, replica.chain, replica.register, lambda: lease)
-    reader.receive("at-asker", GetRequest(asked_view, "r1", have=0), view)
+    reader.receive("at-asker", GetRequest(asked_view, "r1", known_sequence=0), view)
     (reply,) = replica.sent()
     assert isinstance(reply, GetReply)
     return reply
--- a/tests/control_plane/test_guards_replica.py
+++ b/tests/control_plane/test_guards_replica.py
@@ -101,7 +101,7 @@
 
     def read_is_answered(self) -> bool:
         """Whether it answers a read as the tail."""
-        sent = self.receive(HEAD, GetRequest(self.view_number, "r1", have=0))
+        sent = self.receive(HEAD, GetRequest(self.view_number, "r1", known_sequence=0))
         (reply,) = _of_type(sent, GetReply)
         assert isinstance(reply, GetReply)
         return reply.ready
--- a/tests/control_plane/test_orders_refused.py
+++ b/tests/control_plane/test_orders_refused.py
@@ -169,7 +169,7 @@
     core.sent.clear()
     for request in requests:
         core.inject(head, MessageReceived("m9", request))
-    return {reply.request: reply.error for reply in _replies(core)}
+    return {reply.request_id: reply.error for reply in _replies(core)}
 
 
 def _replies(core: DirectCore) -> list[PutReply]:
--- a/tests/control_plane/test_orders_requests.py
+++ b/tests/control_plane/test_orders_requests.py
@@ -134,7 +134,7 @@
 
 def _note_request(effect: SendMessage, sent: set[str]) -> None:
     if isinstance(effect.message, PutRequest):
-        sent.add(effect.message.request)
+        sent.add(effect.message.request_id)
 
 
 # ---- confirmations of rejections ----
@@ -149,7 +149,7 @@
 def _key(outbox: Outbox) -> str:
     (effect,) = (effect for effect in outbox.take() if isinstance(effect, SendMessage))
     assert isinstance(effect.message, GetRequest)
-    return effect.message.request
+    return effect.message.request_id
 
 
 def test_a_late_confirmation_is_none_for_a_head_that_was_started_anew() -> None:
--- a/tests/control_plane/test_replica_stale.py
+++ b/tests/control_plane/test_replica_stale.py
@@ -56,7 +56,7 @@
 
     def is_old_ping(event: Event) -> bool:
         ping = event.message if isinstance(event, MessageReceived) else None
-        return isinstance(ping, Heartbeat) and ping.view == OLD_VIEW and own in ping.heard
+        return isinstance(ping, Heartbeat) and ping.view_number == OLD_VIEW and own in ping.heard
 
     machine.missed = [event for event in machine.missed if is_old_ping(event)]
     core.thaw(address)
--- a/tests/golden/replica_examples.py
+++ b/tests/golden/replica_examples.py
@@ -45,7 +45,7 @@
 REPLICA_MESSAGES: dict[str, Struct] = {
     "ping": Heartbeat(
         member=Member(folder_id="text1", address="text2", zone="text3"),
-        view=4,
+        view_number=4,
         heard=(
             "text5",
             "text6",
@@ -62,7 +62,7 @@
     ),
     "ping by default": Heartbeat(
         member=Member(folder_id="text1", address="text2", zone="text3"),
-        view=4,
+        view_number=4,
         heard=(
             "text5",
             "text6",
@@ -194,40 +194,44 @@
     "resign_request by default": ReadLeaseReleaseRequest(view_number=1),
     "resigned": ReadLeaseReleased(view_number=1, released_at=2.5),
     "resigned by default": ReadLeaseReleased(view_number=1, released_at=2.5),
-    "chain_state": SuccessorStatus(view=1, folder_id="text2", joined=3, complete=True, sequence=4),
-    "chain_state by default": SuccessorStatus(view=1, folder_id="text2", joined=3, complete=True, sequence=4),
-    "append": AppendRequest(view=1, entry=Entry(sequence=2, view=3, generation=4, document=b"bytes5")),
+    "chain_state": SuccessorStatus(view_number=1, folder_id="text2", joined=3, complete=True, sequence=4),
+    "chain_state by default": SuccessorStatus(
+        view_number=1, folder_id="text2", joined=3, complete=True, sequence=4
+    ),
+    "append": AppendRequest(view_number=1, entry=Entry(sequence=2, view=3, generation=4, document=b"bytes5")),
     "append by default": AppendRequest(
-        view=1, entry=Entry(sequence=2, view=3, generation=4, document=b"bytes5")
+        view_number=1, entry=Entry(sequence=2, view=3, generation=4, document=b"bytes5")
     ),
     "snapshot": InstallSnapshot(
-        view=1,
+        view_number=1,
         joined=2,
         entry=Entry(sequence=3, view=4, generation=5, document=b"bytes6"),
         history=bytes(range(40)),
     ),
     "snapshot by default": InstallSnapshot(
-        view=1,
+        view_number=1,
         joined=2,
         entry=Entry(sequence=3, view=4, generation=5, document=b"bytes6"),
         history=bytes(range(40)),
     ),
-    "commit": CommitNotification(view=1, sequence=2),
-    "commit by default": CommitNotification(view=1, sequence=2),
-    "put_request": PutRequest(view=1, request="text2", match=3, generation=4, document=b"bytes5"),
-    "put_request by default": PutRequest(view=1, request="text2", match=3, generation=4, document=b"bytes5"),
-    "put_reply": PutReply(view=1, request="text2", error=3, message="text4"),
-    "put_reply by default": PutReply(view=1, request="text2", error=3),
-    "get_request": GetRequest(view=1, request="text2", have=3),
-    "get_request by default": GetRequest(view=1, request="text2", have=3),
+    "commit": CommitNotification(view_number=1, sequence=2),
+    "commit by default": CommitNotification(view_number=1, sequence=2),
+    "put_request": PutRequest(view_number=1, request_id="text2", match=3, generation=4, document=b"bytes5"),
+    "put_request by default": PutRequest(
+        view_number=1, request_id="text2", match=3, generation=4, document=b"bytes5"
+    ),
+    "put_reply": PutReply(view_number=1, request_id="text2", error=3, message="text4"),
+    "put_reply by default": PutReply(view_number=1, request_id="text2", error=3),
+    "get_request": GetRequest(view_number=1, request_id="text2", known_sequence=3),
+    "get_request by default": GetRequest(view_number=1, request_id="text2", known_sequence=3),
     "get_reply": GetReply(
-        view=1,
-        request="text2",
+        view_number=1,
+        request_id="text2",
         ready=True,
         sequence=3,
         entry=Entry(sequence=4, view=5, generation=6, document=b"bytes7"),
     ),
-    "get_reply by default": GetReply(view=1, request="text2", ready=True),
+    "get_reply by default": GetReply(view_number=1, request_id="text2", ready=True),
 }
 
 LOG_RECORDS: dict[str, Struct] = {
