--- /dev/null
+++ b/reedspoke/control_plane/node_backend.py
@@ -0,0 +1,117 @@
+"""The backend of the operator API, and the source of the state metrics."""
+
+from __future__ import annotations
+
+import asyncio
+
+from reedspoke.common.configuration import Configuration
+from reedspoke.common.errors import ErrorCode, FleetError
+from reedspoke.control_plane.api.call_log import CompletedCall, OperatorCallLog
+from reedspoke.control_plane.api.schemas import StatusAnswer
+from reedspoke.control_plane.delivery.configuration_publisher import ConfigurationPublisher
+from reedspoke.control_plane.delivery.edge_sessions import EdgeSessions
+from reedspoke.control_plane.delivery.published_state import PublishedState
+from reedspoke.control_plane.peer_exchange import PeerExchange
+from reedspoke.control_plane.replication.driver import ReplicaDriver
+from reedspoke.control_plane.replication.effects import GetCompleted, PutCompleted
+from reedspoke.control_plane.workers.discovery_lease import DiscoveryLease
+
+
+class NodeBackend:
+    """Implements `api.backend.OperatorBackend` and `metrics.MetricsSource` by the node's components.
+
+    It owns whether the node is shutting down: from then on calls that need the replica are refused.
+    """
+
+    def __init__(
+        self,
+        *,
+        node_name: str,
+        address: str,
+        driver: ReplicaDriver,
+        exchange: PeerExchange,
+        lease: DiscoveryLease,
+        published: PublishedState,
+        publisher: ConfigurationPublisher,
+        sessions: EdgeSessions,
+        call_log: OperatorCallLog,
+    ) -> None:
+        self.node_name = node_name
+        self.shutting_down = False
+        self._address = address
+        self._driver = driver
+        self._exchange = exchange
+        self._lease = lease
+        self._published = published
+        self._publisher = publisher
+        self._sessions = sessions
+        self._call_log = call_log
+        self._loop = asyncio.get_running_loop()
+
+    # ---- operators' calls ----
+
+    def validate(self, document: bytes) -> asyncio.Future[Configuration]:
+        """Parse and validate a configuration. The future has a FleetError where it is invalid."""
+        return self._publisher.validate(document)
+
+    def put(self, match: int, generation: int, document: bytes) -> asyncio.Future[PutCompleted]:
+        """Replicate the configuration.
+
+        Raises FleetError while shutting down, and before the data folder is open.
+        """
+        self._check_not_shutting_down()
+        return self._driver.put(match, generation, document)
+
+    def get(self) -> asyncio.Future[GetCompleted]:
+        """Read the newest configuration. Raises FleetError as `put` does."""
+        self._check_not_shutting_down()
+        return self._driver.get()
+
+    def holds_majority(self) -> bool:
+        """Whether a majority of voters stands behind this node at this instant."""
+        return self._driver.holds_majority()
+
+    def call_completed(self, call: CompletedCall) -> None:
+        """Count and log a call of an operator."""
+        self._call_log.call_completed(call)
+
+    def _check_not_shutting_down(self) -> None:
+        if self.shutting_down:
+            raise FleetError(ErrorCode.SHUTTING_DOWN, "this scheduler is about to end")
+
+    # ---- state ----
+
+    def status(self) -> StatusAnswer:
+        """The state of this node."""
+        view = self._exchange.view
+        committed = self._published.configuration.committed
+        workers = self._published.workers
+        membership = self._published.membership
+        now = self._loop.time()
+        return StatusAnswer(
+            node_name=self.node_name,
+            address=self._address,
+            view=0 if view is None else view.number,
+            voters=() if view is None else tuple(voter.address for voter in view.voters),
+            chain=() if view is None else tuple(link.member.address for link in view.chain),
+            generation=None if committed is None else committed.generation,
+            sequence=0 if committed is None else committed.sequence,
+            edges=tuple(edge.node_name for edge in membership.members.edges),
+            peers=membership.live_peers(now),
+            workers=0 if workers.current is None else len(workers.current.workers),
+            workers_version=workers.version,
+            holds_list_duty=self._lease.is_held(now),
+            holds_majority=self.holds_majority(),
+        )
+
+    def open_sessions(self) -> int:
+        """Connections of data plane nodes."""
+        return self._sessions.count
+
+    def pending_calls(self) -> int:
+        """Calls of operators without a response."""
+        return self._driver.waiting_calls
+
+    def disk_works(self) -> bool:
+        """Whether the data folder is open and its disk answers."""
+        return self._driver.disk_works
--- a/reedspoke/control_plane/peer_exchange.py
+++ b/reedspoke/control_plane/peer_exchange.py
@@ -36,7 +36,7 @@
 
 
 class PeerExchange:
-    """Owns who the peers of the newest view are, and when the next session table is due.
+    """Owns the newest known view, and when the next session table is due.
 
     `on_lease_update` is called after each message or tick that may have changed the discovery lease.
     """
@@ -63,11 +63,13 @@
         self._replica = replica
         self._on_lease_update = on_lease_update
         self._loop = asyncio.get_running_loop()
-        self._peers: tuple[str, ...] = ()
+        self.view: View | None = None
+        self._peers: tuple[str, ...] = ()  # the other members of the view
         self._next_table_at = 0.0
 
     def set_view(self, view: View) -> None:
-        """Take over the members and voters of a newer view."""
+        """Take over a newer view."""
+        self.view = view
         chain = {link.member.address: link.member for link in view.chain}
         members = chain | {voter.address: voter for voter in view.voters}
         self._peers = tuple(address for address in members if address != self._own_address)
@@ -76,6 +78,11 @@
         self._lease.set_voters(voters)
         self._quota.set_voters(frozenset(voters))
 
+    def is_in_chain(self) -> bool:
+        """Whether this node is a member of the chain, as far as it knows."""
+        chain = () if self.view is None else self.view.chain
+        return self._own_address in [link.member.address for link in chain]
+
     # ---- from peers ----
 
     def handle(self, sender: str, message: PeerMessage) -> None:
--- a/reedspoke/control_plane/process.py
+++ b/reedspoke/control_plane/process.py
@@ -1,8 +1,7 @@
 """The process of a control plane node: builds its components, runs them, and shuts them down in order.
 
-`ControlProcess` is what connects the components: the environment of the replica's driver and the backend of
-the operator API. It owns the newest known view and whether it is shutting down; all other state is a
-component's.
+`ControlProcess` is the environment of the replica's driver: it passes what is committed, agreed and sent to
+the components. It owns the components; all other state is theirs.
 """
 
 from __future__ import annotations
@@ -14,18 +13,16 @@
 from reedspoke.common.background import keep_running
 from reedspoke.common.configuration import Configuration
 from reedspoke.common.early_signals import handle_signals
-from reedspoke.common.errors import ErrorCode, FleetError
 from reedspoke.common.json_log import ERROR, INFO, log
 from reedspoke.common.log_rate_limit import LogRateLimiter
 from reedspoke.common.messages import ControlMember
 from reedspoke.common.metrics_endpoint import serve_metrics
 from reedspoke.common.node_settings import NodeSettings, settings_path
 from reedspoke.common.unhandled_errors import end_process
-from reedspoke.control_plane.api.call_log import CompletedCall, OperatorCallLog
+from reedspoke.control_plane.api.call_log import OperatorCallLog
 from reedspoke.control_plane.api.error_responses import malformed_request_body
 from reedspoke.control_plane.api.http_server import HttpServer
 from reedspoke.control_plane.api.operator_api import OperatorApi
-from reedspoke.control_plane.api.schemas import StatusAnswer
 from reedspoke.control_plane.delivery.configuration_cache import ConfigurationCache
 from reedspoke.control_plane.delivery.configuration_publisher import ConfigurationPublisher
 from reedspoke.control_plane.delivery.edge_sessions import EdgeSessions
@@ -33,11 +30,12 @@
 from reedspoke.control_plane.delivery.published_state import PublishedState
 from reedspoke.control_plane.graceful_shutdown import GracefulShutdown
 from reedspoke.control_plane.metrics import add_state_metrics
+from reedspoke.control_plane.node_backend import NodeBackend
 from reedspoke.control_plane.peer_exchange import PeerExchange
 from reedspoke.control_plane.peers.transport import PeerTransport
 from reedspoke.control_plane.quota.service import QuotaService
 from reedspoke.control_plane.replication.driver import ReplicaDriver
-from reedspoke.control_plane.replication.effects import GetCompleted, PutCompleted, SendMessage
+from reedspoke.control_plane.replication.effects import SendMessage
 from reedspoke.control_plane.replication.entry import CommittedConfiguration
 from reedspoke.control_plane.replication.view import View
 from reedspoke.control_plane.settings_watcher import SettingsWatcher
@@ -59,15 +57,13 @@
         self._loop = asyncio.get_running_loop()
         self._settings = SettingsWatcher(path, settings, self._settings_reloaded)
         self._address = self._make_address(settings)
-        self._view: View | None = None
         self._sigterm_received = asyncio.Event()
-        self._shutting_down = False
         self._next_maintenance_at = 0.0
         incarnation = self._make_incarnation()
         self._driver = self._make_driver(settings)
         self._build_state(settings, incarnation)
         self._build_exchange(settings)
-        self._build_endpoints()
+        self._build_endpoints(settings)
 
     # ---- assembly ----
 
@@ -115,11 +111,21 @@
         )
         self._discovery = self._make_discovery(settings)
 
-    def _build_endpoints(self) -> None:
+    def _build_endpoints(self, settings: NodeSettings) -> None:
         self._registry = Registry()
-        add_state_metrics(self._registry, self)
-        self._call_log = OperatorCallLog(self._registry, LogRateLimiter(self._loop.time))
-        self._api = HttpServer(OperatorApi(self).handle, malformed_request_body)
+        self._backend = NodeBackend(
+            node_name=settings.node_name,
+            address=self._address,
+            driver=self._driver,
+            exchange=self._exchange,
+            lease=self._lease,
+            published=self._published,
+            publisher=self._publisher,
+            sessions=self._sessions,
+            call_log=OperatorCallLog(self._registry, LogRateLimiter(self._loop.time)),
+        )
+        add_state_metrics(self._registry, self._backend)
+        self._api = HttpServer(OperatorApi(self._backend).handle, malformed_request_body)
 
     def _make_address(self, settings: NodeSettings) -> str:
         return f"{settings.ip_address}:{settings.internal_ports[0]}"
@@ -177,12 +183,12 @@
         log(INFO, "control plane ends")
 
     async def _shut_down(self) -> None:
-        self._shutting_down = True
+        self._backend.shutting_down = True
         self._api.closing = True
         log(INFO, "shutting down")
         self._exchange.release_lease()
         self._driver.leave()
-        await GracefulShutdown(self._driver, self._is_in_chain, self._grace_s).wait()
+        await GracefulShutdown(self._driver, self._exchange.is_in_chain, self._grace_s).wait()
         self._sessions.close()
         self._api.close()
         self._transport.close()
@@ -190,10 +196,6 @@
     def _grace_s(self) -> float:
         return self._settings.settings.bounds.grace_s
 
-    def _is_in_chain(self) -> bool:
-        chain = () if self._view is None else self._view.chain
-        return self._address in [link.member.address for link in chain]
-
     def _discovery_ended(self, task: asyncio.Task[None]) -> None:
         if not task.cancelled() and task.exception() is not None:
             log(ERROR, "worker discovery failed", error=repr(task.exception()))
@@ -203,6 +205,7 @@
         if settings.seed_addresses() != previous.seed_addresses():
             log(INFO, "seeds changed", seeds=settings.seed_nodes)
             self._driver.seeds_changed(settings.seed_addresses())
+        self._backend.node_name = settings.node_name
         self._discovery.update_settings(settings.cloud_api)
 
     def _configuration_published(self, configuration: Configuration) -> None:
@@ -221,7 +224,6 @@
 
     def view_changed(self, view: View) -> None:
         """Take over a newer view."""
-        self._view = view
         self._exchange.set_view(view)
 
     def ticked(self) -> None:
@@ -236,72 +238,6 @@
             self._next_maintenance_at = now + MAINTENANCE_INTERVAL_S
             self._transport.close_idle()
 
-    # ---- backend of the operator API ----
-
-    def validate(self, document: bytes) -> asyncio.Future[Configuration]:
-        """Parse and validate a configuration. The future has a FleetError where it is invalid."""
-        return self._publisher.validate(document)
-
-    def put(self, match: int, generation: int, document: bytes) -> asyncio.Future[PutCompleted]:
-        """Replicate the configuration.
-
-        Raises FleetError while shutting down, and before the data folder is open.
-        """
-        self._check_not_shutting_down()
-        return self._driver.put(match, generation, document)
-
-    def get(self) -> asyncio.Future[GetCompleted]:
-        """Read the newest configuration. Raises FleetError as `put` does."""
-        self._check_not_shutting_down()
-        return self._driver.get()
-
-    def holds_majority(self) -> bool:
-        """Whether a majority of voters stands behind this node at this instant."""
-        return self._driver.holds_majority()
-
-    def status(self) -> StatusAnswer:
-        """The state of this node."""
-        view = self._view
-        committed = self._configuration.committed
-        now = self._loop.time()
-        return StatusAnswer(
-            node_name=self._settings.settings.node_name,
-            address=self._address,
-            view=0 if view is None else view.number,
-            voters=() if view is None else tuple(voter.address for voter in view.voters),
-            chain=() if view is None else tuple(link.member.address for link in view.chain),
-            generation=None if committed is None else committed.generation,
-            sequence=0 if committed is None else committed.sequence,
-            edges=tuple(edge.node_name for edge in self._membership.members.edges),
-            peers=self._membership.live_peers(now),
-            workers=0 if self._workers.current is None else len(self._workers.current.workers),
-            workers_version=self._workers.version,
-            holds_list_duty=self._lease.is_held(now),
-            holds_majority=self.holds_majority(),
-        )
-
-    def call_completed(self, call: CompletedCall) -> None:
-        """Count and log a call of an operator."""
-        self._call_log.call_completed(call)
-
-    def _check_not_shutting_down(self) -> None:
-        if self._shutting_down:
-            raise FleetError(ErrorCode.SHUTTING_DOWN, "this scheduler is about to end")
-
-    # ---- source of the metrics, with `status` ----
-
-    def open_sessions(self) -> int:
-        """Connections of data plane nodes."""
-        return self._sessions.count
-
-    def pending_calls(self) -> int:
-        """Calls of operators without a response."""
-        return self._driver.waiting_calls
-
-    def disk_works(self) -> bool:
-        """Whether the data folder is open and its disk answers."""
-        return self._driver.disk_works
-
 
 async def serve(settings: NodeSettings) -> None:
     """Run a control plane node until SIGTERM."""
--- a/tests/control_plane/simulated_control.py
+++ b/tests/control_plane/simulated_control.py
@@ -164,7 +164,7 @@
         discovery.platform_client = SimulatedPlatformClient(self._platform, self._simulation, random)
         return discovery
 
-    def _build_endpoints(self) -> None:
+    def _build_endpoints(self, settings: NodeSettings) -> None:
         """There is no operator API and no metrics endpoint."""
 
     def begin(self) -> None:
@@ -178,7 +178,6 @@
 
     def begin_leave(self) -> None:
         """What SIGTERM changes here."""
-        self._shutting_down = True
         self._exchange.release_lease()
 
     def end_sessions(self) -> None:
