--- a/reedspoke/control_plane/process.py
+++ b/reedspoke/control_plane/process.py
@@ -131,7 +131,7 @@
         return f"{settings.ip_address}:{settings.internal_ports[0]}"
 
     def _make_incarnation(self) -> int:
-        """A random number of 31 bits, as older versions take it for a signed one."""
+        """A random number of 31 bits."""
         return int.from_bytes(os.urandom(4), "big") >> 1
 
     def _make_driver(self, settings: NodeSettings) -> ReplicaDriver:
--- a/tests/common/test_background.py
+++ b/tests/common/test_background.py
@@ -24,7 +24,7 @@
             raise self.error
 
 
-def test_it_begins_again_until_it_returns() -> None:
+def test_failed_work_is_restarted_until_it_returns() -> None:
     work = Work(3, ZeroDivisionError())
     before = unhandled_errors.count
     asyncio.run(keep_running("work", work.run, backoff_s=0))
--- a/tests/common/test_configuration_delta.py
+++ b/tests/common/test_configuration_delta.py
@@ -72,9 +72,7 @@
 
 @settings(max_examples=60, deadline=None)
 @given(old=documents(), new=documents())
-def test_a_difference_makes_the_new_configuration_of_the_old_one(
-    old: Configuration, new: Configuration
-) -> None:
+def test_a_delta_turns_the_old_configuration_into_the_new_one(old: Configuration, new: Configuration) -> None:
     delta = make_delta(old, new, (3, 0), (8, 0))
     arrived = decode(encode(delta), ConfigurationDelta)
     assert arrived == delta
@@ -83,7 +81,7 @@
 
 @settings(max_examples=20, deadline=None)
 @given(old=documents(), new=documents())
-def test_applying_a_difference_leaves_the_old_configuration_as_it_is(
+def test_applying_a_delta_does_not_change_the_old_configuration(
     old: Configuration, new: Configuration
 ) -> None:
     routes, upstreams, limits = dict(old.routes), dict(old.upstreams), dict(old.limits)
@@ -93,14 +91,14 @@
 
 @settings(max_examples=20, deadline=None)
 @given(same=documents())
-def test_no_difference_is_empty(same: Configuration) -> None:
+def test_the_delta_of_equal_configurations_is_empty(same: Configuration) -> None:
     delta = make_delta(same, same, (1, 0), (2, 0))
     assert (delta.routes, delta.upstreams, delta.limits) == (b"[]", b"[]", b"")
     assert not delta.removed_routes
     assert not delta.removed_upstreams
 
 
-def test_a_difference_holds_only_what_has_changed() -> None:
+def test_a_delta_contains_only_what_has_changed() -> None:
     many = [route(name=f"r{number}", path_prefix=f"/{number}/") for number in range(200)]
     old = parse(document(*many))
     many[7] = many[7] | {"timeout_ms": 1}
--- a/tests/common/test_configuration_parsing.py
+++ b/tests/common/test_configuration_parsing.py
@@ -59,20 +59,20 @@
 
 
 @pytest.mark.parametrize(("made", "code"), [case[1:] for case in INVALID], ids=[case[0] for case in INVALID])
-def test_an_invalid_document_is_refused_with_its_code(made: dict[str, Any], code: ErrorCode) -> None:
+def test_an_invalid_document_is_rejected_with_its_code(made: dict[str, Any], code: ErrorCode) -> None:
     with pytest.raises(FleetError) as refused:
         parse(made)
     assert refused.value.code is code
 
 
 @pytest.mark.parametrize("raw", [b"", b"{", b"\xff\xfe", b'{"generation":1,', b"nonsense"])
-def test_what_cannot_be_read_whole_is_refused(raw: bytes) -> None:
+def test_an_unreadable_document_is_rejected(raw: bytes) -> None:
     with pytest.raises(FleetError) as refused:
         parse_configuration(raw)
     assert refused.value.code is ErrorCode.CONFIGURATION_UNREADABLE
 
 
-def test_every_cut_of_a_valid_document_is_refused() -> None:
+def test_every_truncation_of_a_valid_document_is_rejected() -> None:
     raw = json.dumps(document(route(), split(1, 2) | {"name": "r2", "path_prefix": "/q/"})).encode()
     assert parse_configuration(raw).generation == 1
     for length in range(len(raw)):
@@ -80,7 +80,7 @@
             parse_configuration(raw[:length])
 
 
-def test_a_fault_names_the_route() -> None:
+def test_an_error_names_the_route() -> None:
     with pytest.raises(FleetError, match="r7"):
         parse(document(route(), route(name="r7", path_prefix="/q/", timeout_ms=0)))
 
@@ -99,7 +99,7 @@
     assert parsed.upstreams["u1"] == {"name": "u1", "engine": {}}
 
 
-def test_the_parts_of_a_split_are_kept() -> None:
+def test_the_weights_of_a_traffic_split_are_parsed() -> None:
     parsed = parse(document(split(90, 10)))
     assert [(part["upstream"], part["weight"]) for part in route_targets(parsed.routes["r1"])] == [
         ("u1", 90),
@@ -111,7 +111,7 @@
     assert len(parse(document(route(), route(name="r2", hostname="b.example"))).routes) == 2
 
 
-def test_a_checked_document_is_read_as_it_was_checked() -> None:
+def test_a_validated_document_is_parsed_to_the_same_configuration() -> None:
     raw = json.dumps(document(route(), split(1, 3) | {"name": "r2", "path_prefix": "/q/"})).encode()
     assert parse_validated(raw) == parse_configuration(raw)
 
@@ -120,7 +120,7 @@
     ("raw", "code"),
     [(b"{", ErrorCode.CONFIGURATION_UNREADABLE), (b'{"generation": "x"}', ErrorCode.CONFIGURATION_FIELD)],
 )
-def test_bytes_that_are_no_document_are_not_read(raw: bytes, code: ErrorCode) -> None:
+def test_bytes_that_are_no_document_are_rejected_without_validation(raw: bytes, code: ErrorCode) -> None:
     with pytest.raises(FleetError) as found:
         parse_validated(raw)
     assert found.value.code is code
--- a/tests/common/test_entry_point.py
+++ b/tests/common/test_entry_point.py
@@ -52,7 +52,7 @@
 
 
 @pytest.mark.usefixtures("collector")
-def test_usable_settings_are_served(write: Callable[[dict[str, Any]], None]) -> None:
+def test_valid_settings_start_the_program(write: Callable[[dict[str, Any]], None]) -> None:
     write(FILE)
     served: list[str] = []
 
@@ -72,7 +72,7 @@
     assert log_lines[0]["code"] == ErrorCode.SETTINGS_INVALID
 
 
-def test_a_role_may_need_more(write: Callable[[dict[str, Any]], None]) -> None:
+def test_a_role_may_require_further_settings(write: Callable[[dict[str, Any]], None]) -> None:
     write(FILE)
 
     def refuse(settings: NodeSettings) -> None:
--- a/tests/common/test_messages.py
+++ b/tests/common/test_messages.py
@@ -49,17 +49,17 @@
 
 
 @pytest.mark.parametrize("message", EDGE_MESSAGES, ids=lambda message: type(message).__name__)
-def test_what_the_data_plane_sends_arrives(message: Struct) -> None:
+def test_messages_of_the_data_plane_are_decoded(message: Struct) -> None:
     assert decode(encode(message), EdgeMessage) == message
 
 
 @pytest.mark.parametrize("message", CONTROL_MESSAGES, ids=lambda message: type(message).__name__)
-def test_what_the_control_plane_sends_arrives(message: Struct) -> None:
+def test_messages_of_the_control_plane_are_decoded(message: Struct) -> None:
     assert decode(encode(message), ControlMessage) == message
 
 
 @pytest.mark.parametrize("message", CONTROL_MESSAGES, ids=lambda message: type(message).__name__)
-def test_a_message_that_is_not_expected_is_refused(message: Struct) -> None:
+def test_a_message_of_another_type_is_rejected(message: Struct) -> None:
     with pytest.raises(msgspec.ValidationError):
         decode(encode(message), EdgeMessage)
 
@@ -67,7 +67,7 @@
 @pytest.mark.parametrize(
     "message", EDGE_MESSAGES + CONTROL_MESSAGES, ids=lambda message: type(message).__name__
 )
-def test_every_cut_of_a_message_is_refused(message: Struct) -> None:
+def test_every_truncation_of_a_message_is_rejected(message: Struct) -> None:
     payload = encode(message)
     expected = EdgeMessage if message in EDGE_MESSAGES else ControlMessage
     for length in range(len(payload)):
@@ -75,7 +75,7 @@
             decode(payload[:length], expected)
 
 
-def test_fields_that_a_later_version_adds_are_passed_over() -> None:
+def test_fields_that_a_later_version_adds_are_ignored() -> None:
     import ormsgpack
 
     later = ormsgpack.packb(["fetch", "workers", [1, 2], True, "a later field"])
--- a/tests/common/test_node_settings.py
+++ b/tests/common/test_node_settings.py
@@ -41,7 +41,7 @@
     return json.dumps(FILE | changes).encode()
 
 
-def test_what_the_file_tells_is_read() -> None:
+def test_all_settings_of_the_file_are_parsed() -> None:
     settings = parse_settings(raw())
     assert settings.bind.frontend == "10.1.0.12:8144"
     assert settings.bounds.grace_s == 8
@@ -81,13 +81,13 @@
 
 
 @pytest.mark.parametrize("text", [b"", b"{", b"[]", b"\xff"])
-def test_a_file_that_is_no_settings_is_refused(text: bytes) -> None:
+def test_a_file_that_is_no_settings_is_rejected(text: bytes) -> None:
     with pytest.raises(FleetError) as refused:
         parse_settings(text)
     assert refused.value.code is ErrorCode.SETTINGS_INVALID
 
 
-def test_a_file_that_is_not_there_is_refused(tmp_path: Path) -> None:
+def test_a_missing_file_is_rejected(tmp_path: Path) -> None:
     with pytest.raises(FleetError, match="absent") as refused:
         load_settings(tmp_path / "absent.json")
     assert refused.value.code is ErrorCode.SETTINGS_UNREADABLE
@@ -110,6 +110,6 @@
     assert split_address("10.1.0.12:8144") == ("10.1.0.12", 8144)
 
 
-def test_the_deploy_file_tells_where_the_figures_are() -> None:
+def test_the_deploy_file_names_the_metrics_endpoint() -> None:
     deploy = tomllib.loads((Path(__file__).parents[2] / "deploy" / "system.toml").read_text())
     assert [role["metrics"] for role in deploy["roles"].values()] == [DEFAULT_METRICS, DEFAULT_METRICS]
--- a/tests/common/test_stall_tolerant_timer.py
+++ b/tests/common/test_stall_tolerant_timer.py
@@ -28,7 +28,7 @@
         order.append("answer")
 
 
-def test_it_rings_at_its_time(loop: VirtualLoop) -> None:
+def test_the_timer_fires_at_its_time(loop: VirtualLoop) -> None:
     rang: list[float] = []
     began = loop.time()
     StallTolerantTimer(loop, began + LIMIT_S, lambda: rang.append(loop.time()))
@@ -39,7 +39,7 @@
 
 
 @pytest.mark.parametrize("passes", range(1, YIELDS_WHEN_LATE - 1))
-def test_what_came_while_the_process_stood_still_is_heard_first(loop: VirtualLoop, passes: int) -> None:
+def test_responses_that_arrived_during_a_stall_are_handled_first(loop: VirtualLoop, passes: int) -> None:
     order: list[str] = []
     StallTolerantTimer(loop, loop.time() + LIMIT_S, lambda: order.append("limit"))
     loop._virtual.now += STALL_S
@@ -48,7 +48,7 @@
     assert order == ["answer", "limit"]
 
 
-def test_on_time_it_waits_for_nothing(loop: VirtualLoop) -> None:
+def test_a_timer_that_is_on_time_does_not_yield(loop: VirtualLoop) -> None:
     order: list[str] = []
     StallTolerantTimer(loop, loop.time() + LIMIT_S, lambda: order.append("limit"))
     loop.call_at(loop.time() + LIMIT_S, after_passes, loop, 4, order)
@@ -57,7 +57,7 @@
 
 
 @pytest.mark.parametrize("stalled", [False, True])
-def test_once_cancelled_it_does_not_ring(loop: VirtualLoop, stalled: bool) -> None:
+def test_a_cancelled_timer_does_not_fire(loop: VirtualLoop, stalled: bool) -> None:
     rang: list[bool] = []
     timer = StallTolerantTimer(loop, loop.time() + LIMIT_S, lambda: rang.append(True))
     if stalled:
--- a/tests/common/test_tenants.py
+++ b/tests/common/test_tenants.py
@@ -29,7 +29,7 @@
         ([{"api_keys": ["k1"]}], ErrorCode.CONFIGURATION_FIELD),
     ],
 )
-def test_invalid_tenants_are_refused_and_no_key_is_told(tenants: list[Any], code: ErrorCode) -> None:
+def test_invalid_tenants_are_rejected_without_naming_a_key(tenants: list[Any], code: ErrorCode) -> None:
     with pytest.raises(FleetError) as caught:
         parse(document(route(), tenants=tenants))
     assert caught.value.code is code
@@ -47,7 +47,7 @@
         [tenant("a", "k1", unit="token_count", plain_tokens=200, rate_per_s=10.5, burst=3, priority=1, x=1)],
     ],
 )
-def test_valid_tenants_are_taken(tenants: list[Any]) -> None:
+def test_valid_tenants_are_accepted(tenants: list[Any]) -> None:
     held = parse(document(route(public=True), tenants=tenants)).tenants
     assert held is not None
     assert list(held) == [each["name"] for each in tenants]
@@ -69,14 +69,14 @@
 
 @pytest.mark.parametrize("before", CHANGES)
 @pytest.mark.parametrize("after", CHANGES)
-def test_a_difference_brings_the_tenants_over(before: list[Any] | None, after: list[Any] | None) -> None:
+def test_a_delta_replaces_the_tenants(before: list[Any] | None, after: list[Any] | None) -> None:
     old = parse(document(route(), tenants=before))
     new = parse(document(route(), tenants=after, generation=2))
     delta = decode(encode(make_delta(old, new, (1, 1), (1, 2))), ConfigurationDelta)
     assert apply_delta(old, delta) == new
 
 
-def test_a_difference_holds_only_the_tenants_that_changed() -> None:
+def test_a_delta_contains_only_the_tenants_that_changed() -> None:
     old = parse(document(route(), tenants=[tenant(f"t{n}", f"k{n}") for n in range(50)]))
     new = parse(document(route(), tenants=[tenant(f"t{n}", f"k{n}") for n in range(1, 50)], generation=2))
     delta = make_delta(old, new, (1, 1), (1, 2))
--- a/tests/control_plane/test_guards_configuration_publisher.py
+++ b/tests/control_plane/test_guards_configuration_publisher.py
@@ -78,7 +78,7 @@
     asyncio.run(run())
 
 
-def test_a_change_that_is_not_published_yet_ends_what_is_confirmed() -> None:
+def test_a_committed_change_ends_the_confirmation_until_it_is_published() -> None:
     async def scene(world: PublisherWorld) -> None:
         world.replica.as_of = 5.0
         assert world.confirmed_as_of() == 5.0
@@ -91,7 +91,7 @@
     play(scene)
 
 
-def test_what_the_replica_does_not_confirm_is_not_confirmed() -> None:
+def test_nothing_is_confirmed_that_the_replica_does_not_confirm() -> None:
     async def scene(world: PublisherWorld) -> None:
         assert world.confirmed_as_of() is not None
         world.replica.as_of = None
@@ -102,7 +102,7 @@
     play(scene)
 
 
-def test_what_was_never_the_newest_known_is_confirmed_as_of_no_time() -> None:
+def test_a_configuration_that_was_never_the_newest_known_is_not_confirmed() -> None:
     """As after a start: a change may have been committed long before this process hears of it."""
 
     async def scene(world: PublisherWorld) -> None:
@@ -123,7 +123,7 @@
     play(scene)
 
 
-def test_of_two_changes_the_first_to_be_published_is_an_old_one() -> None:
+def test_the_first_of_two_committed_changes_is_not_confirmed_when_published() -> None:
     async def scene(world: PublisherWorld) -> None:
         since = world.confirmed_as_of()
         assert since is not None
--- a/tests/control_plane/test_guards_peer_transport.py
+++ b/tests/control_plane/test_guards_peer_transport.py
@@ -17,7 +17,7 @@
 WAIT_S = 5.0
 
 
-def test_what_waits_for_a_connection_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_queue_for_a_connection_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(peer_link, "MAX_BACKLOG_BYTES", 2 * len(encode(DiscoveryLeaseRelease(1))))
 
     async def scene(first: Scheduler, second: Scheduler) -> None:
@@ -32,7 +32,7 @@
     two(scene)
 
 
-def test_what_has_waited_for_too_long_is_not_sent(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_expired_messages_are_not_sent(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(peer_link, "QUEUE_TTL_S", -1.0)
 
     async def scene(first: Scheduler, second: Scheduler) -> None:
@@ -49,7 +49,7 @@
     two(scene)
 
 
-def test_connections_that_arrive_beyond_the_most_are_closed(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_incoming_connections_beyond_the_limit_are_closed(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(peer_transport, "MAX_INCOMING", 1)
     monkeypatch.setattr(peer_transport, "HANDSHAKE_TIMEOUT_S", 60.0)
 
@@ -66,7 +66,7 @@
     two(scene)
 
 
-def test_a_connection_that_brings_nothing_for_long_is_closed(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_idle_incoming_connection_is_closed(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(peer_transport, "PEER_IDLE_TIMEOUT_S", -1.0)
 
     async def scene(first: Scheduler, second: Scheduler) -> None:
@@ -84,7 +84,7 @@
     two(scene)
 
 
-def test_who_connects_and_says_nothing_is_let_go(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_connection_without_a_handshake_is_closed(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(peer_transport, "HANDSHAKE_TIMEOUT_S", 0.1)
 
     async def scene(first: Scheduler, second: Scheduler) -> None:
@@ -98,7 +98,7 @@
     two(scene)
 
 
-def test_a_connection_that_nobody_uses_makes_room_for_another(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_idle_outgoing_connection_makes_room_for_another(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(peer_transport, "MAX_LINKS", 1)
     monkeypatch.setattr(peer_transport, "LINK_IDLE_TIMEOUT_S", -1.0)
 
--- a/tests/control_plane/test_invariant_checks.py
+++ b/tests/control_plane/test_invariant_checks.py
@@ -100,7 +100,7 @@
     asyncio.run(run())
 
 
-def test_state_that_is_told_without_a_grant() -> None:
+def test_state_that_is_confirmed_without_a_grant() -> None:
     async def scene(world: PublisherWorld) -> None:
         world.replica.as_of = 5.0
         world.replica.holds_majority = lambda: False  # type: ignore[method-assign]
--- a/tests/control_plane/test_unexpected_errors.py
+++ b/tests/control_plane/test_unexpected_errors.py
@@ -54,7 +54,7 @@
     asyncio.run(run())
 
 
-def test_the_ticks_go_on_after_an_error_in_one_of_them(tmp_path: Path) -> None:
+def test_ticks_go_on_after_an_error_in_one_of_them(tmp_path: Path) -> None:
     surroundings = FailingSurroundings()
     before = unhandled_errors.count
     drive(tmp_path, surroundings, lambda driver: surroundings.ticks >= TICKS)
--- a/tests/control_plane_process/test_configuration_cache.py
+++ b/tests/control_plane_process/test_configuration_cache.py
@@ -42,7 +42,7 @@
     return apply_delta(held, answer)
 
 
-def test_nothing_is_offered_before_the_first() -> None:
+def test_there_is_no_update_before_the_first_configuration() -> None:
     cache = ConfigurationCache()
     assert cache.version == (0, 0)
     assert cache.encoded_update((0, 0)) is None
@@ -50,7 +50,7 @@
         cache.parse(b"{")
 
 
-def test_nothing_is_sent_to_who_holds_the_newest() -> None:
+def test_there_is_no_update_for_the_newest_version() -> None:
     cache = ConfigurationCache()
     assert commit(cache, 4, configuration(8))
     assert cache.encoded_update((VIEW, 4)) is None
@@ -74,7 +74,7 @@
     assert isinstance(received(cache, (VIEW, 4)), ConfigurationSnapshot | ConfigurationDelta)
 
 
-def test_a_small_change_is_sent_as_a_difference_and_encoded_once() -> None:
+def test_a_small_change_is_sent_as_a_delta_and_encoded_once() -> None:
     cache = ConfigurationCache()
     commit(cache, 1, configuration(2, routes=100))
     changed = json.loads(configuration(4, routes=100))
@@ -87,7 +87,7 @@
 
 
 @given(st.lists(st.integers(1, 40), min_size=2, max_size=MAX_CACHED + 4))
-def test_whoever_holds_any_of_them_ends_with_the_newest(sizes: list[int]) -> None:
+def test_an_update_for_any_version_leads_to_the_newest(sizes: list[int]) -> None:
     cache = ConfigurationCache()
     held = []
     for number, size in enumerate(sizes, 1):
@@ -111,7 +111,7 @@
         assert brought_up_to_date(cache, old, (VIEW, have)) == parse_configuration(configuration(6))
 
 
-def test_large_documents_are_not_all_kept(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_large_documents_are_evicted(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(configuration_cache, "MAX_CACHED_BYTES", 1)
     cache = ConfigurationCache()
     commit(cache, 1, configuration(2))
--- a/tests/control_plane_process/test_edge_sessions.py
+++ b/tests/control_plane_process/test_edge_sessions.py
@@ -43,25 +43,25 @@
 Received = TypeVar("Received")
 
 
-class Side:
-    """The control scheduler's side of sessions, without its replica."""
+class ControlSide:
+    """The control plane node's side of sessions, without its replica."""
 
     def __init__(self) -> None:
         self.address = f"{HOST}:{free_port((HOST,))}"
         self.membership = Membership(ControlMember(self.address, "za"), 5.0, 77)
         self.cache = ConfigurationCache()
-        self.book = WorkerListState()
+        self.workers = WorkerListState()
         self.confirmed = True
         self.confirmed_ago_s = 0.0
-        self.state = PublishedState(self.cache, self.book, self.membership, self.confirmed_as_of)
-        self.sessions = EdgeSessions("core", self.state, HEARTBEAT_S, self.arrival)
+        self.state = PublishedState(self.cache, self.workers, self.membership, self.confirmed_as_of)
+        self.sessions = EdgeSessions("core", self.state, HEARTBEAT_S, self.membership_changed)
         self.peer_messages: list[tuple[str, PeerMessage]] = []
         self.transport = PeerTransport(self.address, "za", self.peer_message, self.sessions)
 
     def confirmed_as_of(self) -> float | None:
         return asyncio.get_running_loop().time() - self.confirmed_ago_s if self.confirmed else None
 
-    def arrival(self) -> None:
+    def membership_changed(self) -> None:
         self.membership.refresh(asyncio.get_running_loop().time())
         self.sessions.notify_update()
 
@@ -73,45 +73,46 @@
         self.sessions.notify_update()
 
     def publish(self, workers: WorkerList) -> None:
-        self.book.adopt(workers, asyncio.get_running_loop().time())
+        self.workers.adopt(workers, asyncio.get_running_loop().time())
         self.sessions.notify_update()
 
 
 class Edge:
-    """The data plane scheduler's side."""
+    """The data plane node's side."""
 
     def __init__(self, channel: Channel, name: str) -> None:
         self.channel = channel
         self.name = name
-        self.held: dict[str, Version] = {}
-        self.asked = 0
+        self.known_versions: dict[str, Version] = {}
+        self.request_id = 0
 
     def watch(self, *, draining: bool = False) -> None:
-        self.asked += 1
-        self.channel.send(WatchRequest(self.asked, self.name, "1", "za", self.held, {}, draining))
+        self.request_id += 1
+        watch = WatchRequest(self.request_id, self.name, "1", "za", self.known_versions, draining=draining)
+        self.channel.send(watch)
 
     async def versions(self) -> WatchResponse:
         answer = await self.channel.receive(Answer)
         assert isinstance(answer, WatchResponse)
         return answer
 
-    async def watched(self) -> WatchResponse:
+    async def watch_response(self) -> WatchResponse:
         self.watch()
         return await self.versions()
 
-    async def everything(self) -> None:
+    async def receive_until_closed(self) -> None:
         while True:
             await self.channel.receive(Answer)
 
-    async def fetch(self, source: str, have: Version = (0, 0)) -> Answer:
-        self.channel.send(FetchRequest(source, have))
+    async def fetch(self, source: str, known_version: Version = (0, 0)) -> Answer:
+        self.channel.send(FetchRequest(source, known_version))
         answer: Answer = await self.channel.receive(Answer)
         return answer
 
 
-def play(scene: Callable[[Side, Edge], Awaitable[None]]) -> None:
+def play(scene: Callable[[ControlSide, Edge], Awaitable[None]]) -> None:
     async def run() -> None:
-        side = Side()
+        side = ControlSide()
         await side.transport.listen()
         edge = Edge(await open_channel(side.address), "edge-1")
         async with asyncio.timeout(5):
@@ -122,7 +123,7 @@
     asyncio.run(run())
 
 
-async def elapsed(awaited: Awaitable[Received]) -> tuple[float, Received]:
+async def timed(awaited: Awaitable[Received]) -> tuple[float, Received]:
     loop = asyncio.get_running_loop()
     began = loop.time()
     answer = await awaited
@@ -130,22 +131,22 @@
 
 
 def test_a_watch_with_nothing_new_is_answered_after_the_heartbeat() -> None:
-    async def scene(side: Side, edge: Edge) -> None:
-        edge.held = (await edge.watched()).versions
-        took, answer = await elapsed(edge.watched())
+    async def scene(side: ControlSide, edge: Edge) -> None:
+        edge.known_versions = (await edge.watch_response()).versions
+        took, answer = await timed(edge.watch_response())
         assert HEARTBEAT_S * 0.9 <= took < HEARTBEAT_S * 3
         assert answer.request_id == 2
 
     play(scene)
 
 
-def test_a_watch_that_waits_is_answered_as_soon_as_something_is_new() -> None:
-    async def scene(side: Side, edge: Edge) -> None:
-        edge.held = (await edge.watched()).versions
+def test_a_pending_watch_is_answered_as_soon_as_there_is_an_update() -> None:
+    async def scene(side: ControlSide, edge: Edge) -> None:
+        edge.known_versions = (await edge.watch_response()).versions
         edge.watch()
         await asyncio.sleep(0.02)
         side.commit(3, configuration(6))
-        took, answer = await elapsed(edge.versions())
+        took, answer = await timed(edge.versions())
         assert took < HEARTBEAT_S / 2
         assert answer.versions["configuration"] == (VIEW, 3)
         snapshot = await edge.fetch("configuration")
@@ -155,29 +156,29 @@
     play(scene)
 
 
-def test_who_is_behind_is_told_at_once_but_of_the_same_versions_only_once() -> None:
-    async def scene(side: Side, edge: Edge) -> None:
+def test_an_outdated_node_is_notified_at_once_but_only_once_of_the_same_versions() -> None:
+    async def scene(side: ControlSide, edge: Edge) -> None:
         side.commit(3, configuration(6))
-        took, first = await elapsed(edge.watched())
+        took, first = await timed(edge.watch_response())
         assert took < HEARTBEAT_S / 2
-        took, again = await elapsed(edge.watched())
+        took, again = await timed(edge.watch_response())
         assert took >= HEARTBEAT_S * 0.9, "two sides that tell each other the same would never rest"
         assert again.versions == first.versions
         edge.watch()
         side.commit(4, configuration(8))
-        took, _ = await elapsed(edge.versions())
+        took, _ = await timed(edge.versions())
         assert took < HEARTBEAT_S / 2
 
     play(scene)
 
 
-def test_who_is_ahead_is_not_sent_anything_older() -> None:
-    async def scene(side: Side, edge: Edge) -> None:
+def test_a_node_with_newer_versions_is_sent_nothing_older() -> None:
+    async def scene(side: ControlSide, edge: Edge) -> None:
         side.commit(3, configuration(6))
         side.publish(WorkerList((2, 2), (WORKER,)))
-        edge.held = {"configuration": (VIEW, 9), "workers": (8, 1)}
-        await edge.watched()
-        assert side.book.highest_seen == (8, 1)
+        edge.known_versions = {"configuration": (VIEW, 9), "workers": (8, 1)}
+        await edge.watch_response()
+        assert side.workers.highest_seen == (8, 1)
         edge.channel.send(FetchRequest("configuration", (VIEW, 9)))
         edge.channel.send(FetchRequest("workers", (8, 1)))
         edge.channel.send(FetchRequest("no such source", (0, 0)))
@@ -186,10 +187,10 @@
     play(scene)
 
 
-def test_the_time_until_a_worker_is_warm_is_counted_on() -> None:
-    async def scene(side: Side, edge: Edge) -> None:
+def test_the_remaining_warm_up_time_of_a_worker_decreases() -> None:
+    async def scene(side: ControlSide, edge: Edge) -> None:
         side.publish(WorkerList((2, 2), (WORKER,)))
-        side.book.received_at -= 0.4
+        side.workers.received_at -= 0.4
         answer = await edge.fetch("workers")
         assert isinstance(answer, WorkerList)
         assert 100.0 < answer.workers[0].cold_left_ms <= 600.0
@@ -197,9 +198,9 @@
     play(scene)
 
 
-def test_who_says_that_it_leaves_is_no_member_once_its_session_is_over() -> None:
-    async def scene(side: Side, edge: Edge) -> None:
-        await edge.watched()
+def test_a_draining_node_is_no_member_once_its_session_is_closed() -> None:
+    async def scene(side: ControlSide, edge: Edge) -> None:
+        await edge.watch_response()
         assert [member.node_name for member in side.membership.members.edges] == ["edge-1"]
         edge.watch(draining=True)
         await asyncio.sleep(0.05)
@@ -210,9 +211,9 @@
     play(scene)
 
 
-def test_who_loses_its_session_is_a_member_for_a_while() -> None:
-    async def scene(side: Side, edge: Edge) -> None:
-        await edge.watched()
+def test_a_node_that_loses_its_session_stays_a_member_for_a_while() -> None:
+    async def scene(side: ControlSide, edge: Edge) -> None:
+        await edge.watch_response()
         edge.channel.close()
         await asyncio.sleep(0.05)
         assert len(side.membership.members.edges) == 1
@@ -220,48 +221,48 @@
     play(scene)
 
 
-def test_sessions_beyond_the_most_are_closed(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_sessions_beyond_the_limit_are_closed(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(edge_sessions, "MAX_SESSIONS", 1)
 
-    async def scene(side: Side, edge: Edge) -> None:
-        await edge.watched()
+    async def scene(side: ControlSide, edge: Edge) -> None:
+        await edge.watch_response()
         other = Edge(await open_channel(side.address), "edge-2")
         with pytest.raises(CONNECTION_ENDED):
-            await other.watched()
-        await edge.watched()
+            await other.watch_response()
+        await edge.watch_response()
 
     play(scene)
 
 
-def test_a_data_plane_scheduler_that_does_not_read_loses_its_session(
+def test_the_session_of_a_node_that_does_not_read_is_closed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(edge_sessions, "MAX_BACKLOG_BYTES", 1_000_000)
 
-    async def scene(side: Side, edge: Edge) -> None:
+    async def scene(side: ControlSide, edge: Edge) -> None:
         side.commit(3, configuration(6, routes=20_000))
         for _ in range(200):
             edge.channel.send(FetchRequest("configuration", (0, 0)))
             await asyncio.sleep(0.001)
         with pytest.raises(CONNECTION_ENDED):
-            await edge.everything()
+            await edge.receive_until_closed()
 
     play(scene)
 
 
-def test_an_answer_tells_how_long_it_waited_and_as_of_when_it_is_confirmed() -> None:
-    async def scene(side: Side, edge: Edge) -> None:
-        edge.held = (await edge.watched()).versions
+def test_a_response_has_its_waiting_time_and_the_age_of_its_confirmation() -> None:
+    async def scene(side: ControlSide, edge: Edge) -> None:
+        edge.known_versions = (await edge.watch_response()).versions
         side.confirmed_ago_s = 0.25
-        answer = await edge.watched()
+        answer = await edge.watch_response()
         assert answer.wait_s == pytest.approx(HEARTBEAT_S, abs=HEARTBEAT_S / 2)
         assert answer.confirmed_ago_s == pytest.approx(0.25, abs=0.01)
 
     play(scene)
 
 
-def test_without_a_majority_a_watch_and_a_fetch_bring_nothing_but_the_word_of_it() -> None:
-    async def scene(side: Side, edge: Edge) -> None:
+def test_without_a_majority_a_watch_and_a_fetch_are_answered_as_unconfirmed() -> None:
+    async def scene(side: ControlSide, edge: Edge) -> None:
         side.commit(3, configuration(6))
         side.publish(WorkerList((2, 2), (WORKER,)))
         side.confirmed = False
@@ -275,8 +276,8 @@
     play(scene)
 
 
-def test_who_asks_for_what_is_unconfirmed_gets_it() -> None:
-    async def scene(side: Side, edge: Edge) -> None:
+def test_a_fetch_that_allows_unconfirmed_state_gets_it() -> None:
+    async def scene(side: ControlSide, edge: Edge) -> None:
         side.commit(3, configuration(6))
         side.confirmed = False
         edge.channel.send(FetchRequest("configuration", allow_unconfirmed=True))
@@ -285,45 +286,45 @@
     play(scene)
 
 
-def test_a_watch_that_waits_is_answered_when_the_majority_is_lost_and_when_it_is_back() -> None:
-    async def scene(side: Side, edge: Edge) -> None:
+def test_a_pending_watch_is_answered_when_the_majority_is_lost_and_regained() -> None:
+    async def scene(side: ControlSide, edge: Edge) -> None:
         side.sessions.check_majority()
-        edge.held = (await edge.watched()).versions
+        edge.known_versions = (await edge.watch_response()).versions
         edge.watch()
         await asyncio.sleep(0.02)
         side.confirmed = False
         side.sessions.check_majority()
-        took, answer = await elapsed(edge.channel.receive(Answer))
+        took, answer = await timed(edge.channel.receive(Answer))
         assert isinstance(answer, UnconfirmedResponse)
         assert took < HEARTBEAT_S / 2
         edge.watch()
         await asyncio.sleep(0.02)
         side.confirmed = True
         side.sessions.check_majority()
-        took, answer = await elapsed(edge.channel.receive(Answer))
+        took, answer = await timed(edge.channel.receive(Answer))
         assert isinstance(answer, WatchResponse)
         assert took < HEARTBEAT_S / 2
 
     play(scene)
 
 
-def test_the_word_of_a_lost_majority_is_repeated_with_each_heartbeat_only() -> None:
-    async def scene(side: Side, edge: Edge) -> None:
+def test_an_unconfirmed_response_is_repeated_with_each_heartbeat_only() -> None:
+    async def scene(side: ControlSide, edge: Edge) -> None:
         side.confirmed = False
         edge.watch()
         await edge.channel.receive(Answer)
         edge.watch()
-        took, _ = await elapsed(edge.channel.receive(Answer))
+        took, _ = await timed(edge.channel.receive(Answer))
         assert took >= HEARTBEAT_S * 0.9
 
     play(scene)
 
 
-def test_a_process_that_was_stopped_before_its_answer_hands_over_nothing_as_current() -> None:
+def test_a_process_that_was_stopped_before_its_response_sends_no_state_as_current() -> None:
     """The grant runs out while the process stands still between the arrival of a watch and its answer."""
 
-    async def scene(side: Side, edge: Edge) -> None:
-        edge.held = (await edge.watched()).versions
+    async def scene(side: ControlSide, edge: Edge) -> None:
+        edge.known_versions = (await edge.watch_response()).versions
         edge.watch()
         await asyncio.sleep(0.02)
         side.confirmed = False
@@ -334,8 +335,8 @@
     play(scene)
 
 
-def test_the_word_of_a_lost_majority_names_other_control_schedulers() -> None:
-    async def scene(side: Side, edge: Edge) -> None:
+def test_an_unconfirmed_response_names_other_control_plane_nodes() -> None:
+    async def scene(side: ControlSide, edge: Edge) -> None:
         side.membership.set_view((Member("f1", side.address, "za"), Member("f2", "10.0.0.9:7660", "zb")))
         side.confirmed = False
         edge.watch()
@@ -347,19 +348,19 @@
 
 
 @pytest.mark.parametrize("payload", [b"", b"x", b"\xc1", b"\x91\xa5watch", b"\x92\xa5other\x01"])
-def test_a_message_that_is_none_ends_its_connection_alone(payload: bytes) -> None:
-    async def scene(side: Side, edge: Edge) -> None:
+def test_a_malformed_message_ends_only_its_own_connection(payload: bytes) -> None:
+    async def scene(side: ControlSide, edge: Edge) -> None:
         bad = await open_channel(side.address)
         bad.send_encoded(payload)
         with pytest.raises(CONNECTION_ENDED):
             await bad.receive(Answer)
-        await edge.watched()
+        await edge.watch_response()
 
     play(scene)
 
 
-def test_messages_of_another_control_scheduler_come_with_its_address() -> None:
-    async def scene(side: Side, edge: Edge) -> None:
+def test_messages_of_a_peer_are_handled_with_its_address() -> None:
+    async def scene(side: ControlSide, edge: Edge) -> None:
         table = SessionTable((), (1, 1), (1, 2))
         peer = await open_channel(side.address)
         peer.send(PeerHello("10.0.0.9:1", "zb"))
--- a/tests/control_plane_process/test_http_server.py
+++ b/tests/control_plane_process/test_http_server.py
@@ -80,7 +80,7 @@
 
 
 @pytest.mark.parametrize("kind", BODIES)
-def test_a_request_may_be_cut_anywhere(kind: str) -> None:
+def test_a_request_may_arrive_in_any_segments(kind: str) -> None:
     data = BODIES[kind]
 
     async def conversation(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -94,7 +94,7 @@
     talk(conversation)
 
 
-def test_a_large_body_comes_whole() -> None:
+def test_a_large_body_is_received_completely() -> None:
     body = bytes(range(256)) * 20_000
 
     async def conversation(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -116,7 +116,7 @@
         (b"PUT /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nz\r\n", 400),
     ],
 )
-def test_what_is_refused_gets_an_answer_and_the_end(data: bytes, status: int) -> None:
+def test_a_malformed_request_is_answered_and_its_connection_closed(data: bytes, status: int) -> None:
     async def conversation(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         writer.write(data)
         got, head, body = await answer(reader)
@@ -128,7 +128,7 @@
     talk(conversation)
 
 
-def test_a_fault_in_a_handler_is_an_answer() -> None:
+def test_an_error_in_a_handler_is_answered() -> None:
     async def conversation(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         writer.write(b"GET /fails HTTP/1.1\r\n\r\nGET /b HTTP/1.1\r\n\r\n")
         assert (await answer(reader))[0] == 500
@@ -146,7 +146,7 @@
     talk(conversation)
 
 
-def test_who_waits_for_it_is_told_to_go_on() -> None:
+def test_a_client_that_expects_100_continue_gets_it() -> None:
     async def conversation(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         writer.write(b"PUT /a HTTP/1.1\r\nContent-Length: 2\r\nExpect: 100-continue\r\n\r\n")
         assert await reader.readuntil(b"\r\n\r\n") == b"HTTP/1.1 100 Continue\r\n\r\n"
@@ -168,7 +168,7 @@
     talk(conversation)
 
 
-def test_connections_beyond_the_most_are_closed(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_connections_beyond_the_limit_are_closed(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(http_server, "MAX_CONNECTIONS", 1)
 
     async def conversation(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
--- a/tests/control_plane_process/test_http_server_edges.py
+++ b/tests/control_plane_process/test_http_server_edges.py
@@ -85,7 +85,7 @@
 
 
 @pytest.mark.parametrize("reset", [False, True])
-def test_a_request_that_is_cut_off_anywhere_is_never_run(reset: bool) -> None:
+def test_a_truncated_request_is_never_run(reset: bool) -> None:
     async def scene(operators: Operators, address: tuple[str, int]) -> None:
         for length in range(len(PUT)):
             reader, writer = await asyncio.open_connection(*address)
@@ -114,7 +114,7 @@
 
 
 @pytest.mark.parametrize("name", REFUSED)
-def test_a_refusal_arrives_at_a_client_that_reads_only_at_the_end(name: str) -> None:
+def test_a_rejection_reaches_a_client_that_reads_only_at_the_end(name: str) -> None:
     data, status = REFUSED[name]
 
     async def scene(operators: Operators, address: tuple[str, int]) -> None:
@@ -125,7 +125,7 @@
     assert with_server(scene).paths == []
 
 
-def test_the_last_answer_arrives_though_more_was_sent_behind_its_request() -> None:
+def test_the_last_response_arrives_though_more_was_sent_after_its_request() -> None:
     async def scene(operators: Operators, address: tuple[str, int]) -> None:
         last = b"GET /last HTTP/1.1\r\nConnection: close\r\n\r\n"
         found = await asyncio.to_thread(exchange, address, last + LARGE)
@@ -134,7 +134,7 @@
     assert with_server(scene).paths == ["/last"]
 
 
-def test_a_client_that_never_ends_is_cut_off(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_client_that_never_stops_sending_is_aborted(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(http_connection, "MAX_DISCARDED_BYTES", 1024 * 1024)
 
     async def scene(operators: Operators, address: tuple[str, int]) -> None:
@@ -144,7 +144,7 @@
     with_server(scene)
 
 
-def test_a_client_that_does_not_end_its_side_is_let_go(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_client_that_does_not_close_its_side_is_aborted(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(http_server, "SWEEP_INTERVAL_S", 0.02)
     monkeypatch.setattr(http_connection, "LINGER_S", 0.1)
 
@@ -158,7 +158,7 @@
     with_server(scene)
 
 
-def test_what_a_client_sent_behind_a_request_is_not_run_once_it_has_left() -> None:
+def test_pipelined_requests_are_not_run_once_the_client_has_gone() -> None:
     async def scene(operators: Operators, address: tuple[str, int]) -> None:
         operators.go_on.clear()
         both = b"GET /first HTTP/1.1\r\n\r\nPUT /second HTTP/1.1\r\nContent-Length: 0\r\n\r\n"
@@ -192,7 +192,7 @@
     with_server(scene)
 
 
-def test_a_client_that_ends_its_side_behind_the_request_gets_its_answer() -> None:
+def test_a_client_that_half_closes_after_its_request_gets_its_response() -> None:
     async def scene(operators: Operators, address: tuple[str, int]) -> None:
         reader, writer = await asyncio.open_connection(*address)
         writer.write(PUT)
@@ -202,7 +202,7 @@
     with_server(scene)
 
 
-def test_a_client_that_has_gone_before_its_last_answer_is_no_error() -> None:
+def test_a_client_that_has_gone_before_its_last_response_is_no_error() -> None:
     errors: list[dict[str, object]] = []
 
     async def scene(operators: Operators, address: tuple[str, int]) -> None:
@@ -234,7 +234,7 @@
         b"GET http://\xe9/ HTTP/1.1",
     ],
 )
-def test_a_target_that_is_not_ascii_is_refused_and_runs_nothing(line: bytes) -> None:
+def test_a_target_that_is_not_ascii_is_rejected_and_not_run(line: bytes) -> None:
     async def scene(operators: Operators, address: tuple[str, int]) -> None:
         answer = await asyncio.to_thread(exchange, address, line + b"\r\nHost: h\r\n\r\n")
         assert answer.startswith(b"HTTP/1.1 400 ")
--- a/tests/control_plane_process/test_membership.py
+++ b/tests/control_plane_process/test_membership.py
@@ -52,7 +52,7 @@
     assert names(members) == []
 
 
-def test_the_version_changes_with_the_list_alone_and_has_the_incarnation() -> None:
+def test_the_version_changes_only_with_the_list_and_has_the_incarnation() -> None:
     members = membership()
     members.update_edge(watch("e1", running={"i": (1, 2)}), 0.0)
     members.refresh(0.0)
@@ -66,7 +66,7 @@
     assert members.members.version != version
 
 
-def test_an_edge_that_leaves_is_gone_at_once_and_its_next_life_is_not() -> None:
+def test_a_removed_edge_is_gone_at_once_and_its_next_incarnation_is_not() -> None:
     members = membership()
     members.update_edge(watch("e1", "2"), 0.0)
     members.remove_edge("e1", "1")
@@ -77,7 +77,7 @@
     assert names(members) == []
 
 
-def test_edges_of_other_control_schedulers_count_until_their_word_is_old() -> None:
+def test_edges_of_peers_count_until_their_table_expires() -> None:
     members = membership()
     members.update_edge(watch("e1"), 0.0)
     members.update_table("10.0.0.2:1", table(entry("e2")), 0.0)
@@ -90,7 +90,7 @@
     assert members.workers_version_at("10.0.0.2:1") == NONE
 
 
-def test_an_edge_with_two_sessions_counts_once_by_its_latest_word() -> None:
+def test_an_edge_with_two_sessions_counts_once_by_its_newest_entry() -> None:
     members = membership()
     members.update_edge(watch("e1", running={"i": (1, 10)}), 0.0)
     members.update_table("p", table(entry("e1", 0.2, {"i": (5, 50)})), 1.0)
@@ -103,7 +103,7 @@
     assert members.load.running_except("other") == {"i": (2, 20)}
 
 
-def test_suspicions_are_counted_over_all_edges_but_the_asker() -> None:
+def test_suspicions_are_counted_over_all_edges_but_the_receiver() -> None:
     members = membership()
     members.update_edge(watch("e1", suspects=("i", "j")), 0.0)
     members.update_edge(watch("e2", suspects=("i",)), 0.0)
@@ -116,14 +116,14 @@
     assert members.load.suspects_except("e4") == {"i": 2, "k": 1}
 
 
-def test_suspicions_are_told_to_other_control_schedulers() -> None:
+def test_suspicions_are_sent_to_peers() -> None:
     members = membership()
     members.update_edge(watch("e1", suspects=("i",)), 0.0)
     (told,) = members.next_table(0.0, NONE, NONE).entries
     assert told.suspects == ("i",)
 
 
-def test_suspicions_end_with_the_word_of_their_edge() -> None:
+def test_suspicions_expire_with_their_edge() -> None:
     members = membership()
     members.update_edge(watch("e1", suspects=("i",)), 0.0)
     members.refresh(EDGE_TTL_S + 0.1)
@@ -131,7 +131,7 @@
     assert members.load.suspects_except("e2") == {}
 
 
-def test_a_new_life_elsewhere_replaces_the_old_one_here() -> None:
+def test_a_new_incarnation_at_a_peer_replaces_the_old_one_here() -> None:
     members = membership()
     members.update_edge(watch("e1", "old"), 0.0)
     members.update_table("p", table(entry("e1", 0.1, incarnation="new")), 1.0)
@@ -139,7 +139,7 @@
     assert [edge.incarnation for edge in members.members.edges] == ["new"]
 
 
-def test_control_members_are_those_of_the_view_that_are_heard() -> None:
+def test_control_members_are_the_live_members_of_the_view() -> None:
     members = membership()
     members.set_view((Member("f1", OWN.address, "za"), Member("f2", "p2", "zb"), Member("f3", "p3", "zc")))
     members.peer_seen("p2", 0.0)
@@ -180,7 +180,7 @@
     return {instance: load for instance, load in running.items() if load != (0, 0)}
 
 
-def test_the_own_table_tells_how_long_each_edge_has_been_silent() -> None:
+def test_the_own_table_has_the_idle_time_of_each_edge() -> None:
     members = membership()
     members.update_edge(watch("e1", running={"i": (1, 2)}), 1.0)
     told = members.next_table(1.5, (1, 1), (2, 2))
@@ -198,7 +198,7 @@
     return [edge.node_name for edge in members.members.edges]
 
 
-def test_a_table_that_comes_late_on_an_older_connection_replaces_none() -> None:
+def test_a_late_table_of_an_older_connection_replaces_no_newer_one() -> None:
     members = membership()
     assert members.update_table("p", numbered("new", 7, 2), 0.0)
     assert not members.update_table("p", numbered("old", 7, 1), 0.0)
@@ -208,7 +208,7 @@
     assert edges_known(members) == ["newer"]
 
 
-def test_a_table_of_the_process_before_replaces_none_of_the_one_that_followed() -> None:
+def test_a_table_of_the_previous_incarnation_replaces_none_of_the_present_one() -> None:
     members = membership()
     members.update_table("p", numbered("former", 7, 90), 0.0)
     assert members.update_table("p", numbered("present", 8, 1), 0.0)
@@ -217,14 +217,14 @@
     assert edges_known(members) == ["present"]
 
 
-def test_tables_without_numbers_replace_each_other() -> None:
+def test_tables_without_a_sequence_replace_each_other() -> None:
     members = membership()
     for name in ("one", "two"):
         assert members.update_table("p", table(entry(name)), 0.0)
     assert edges_known(members) == ["two"]
 
 
-def test_the_own_tables_are_numbered() -> None:
+def test_the_own_tables_have_rising_sequences() -> None:
     members = membership()
     first, second = (members.next_table(0.0, (1, 1), (2, 2)) for _ in range(2))
     assert (first.incarnation, second.incarnation) == (INCARNATION, INCARNATION)
--- a/tests/control_plane_process/test_metrics.py
+++ b/tests/control_plane_process/test_metrics.py
@@ -18,7 +18,7 @@
     return [line for line in lines if line["event"] == CALL_EVENT]
 
 
-def test_a_change_and_its_refusal_can_be_explained_afterwards(fleet: Fleet) -> None:
+def test_a_change_and_its_rejection_are_logged(fleet: Fleet) -> None:
     document = configuration(3)
     fleet.put_until_taken(document, 0, TAKEN_S)
     reply = fleet.nodes[0].put(configuration(9), "2")
@@ -34,7 +34,7 @@
     assert refused["checksum"] != taken["checksum"]
 
 
-def test_the_figures_of_a_node_tell_its_state(fleet: Fleet) -> None:
+def test_the_metrics_of_a_node_have_its_state(fleet: Fleet) -> None:
     fleet.put_until_taken(configuration(3), 0, TAKEN_S)
     node = fleet.nodes[0]
     node.get()
--- a/tests/control_plane_process/test_operator_api.py
+++ b/tests/control_plane_process/test_operator_api.py
@@ -1,4 +1,4 @@
-"""The operator's backend against a stand-in for the process."""
+"""The operators' calls against a fake backend."""
 
 from __future__ import annotations
 
@@ -83,7 +83,7 @@
     return code
 
 
-def test_a_configuration_is_taken() -> None:
+def test_a_configuration_is_accepted() -> None:
     backend = FakeBackend()
     response = answered(backend, "PUT", body=configuration(3), match=' "2" ')
     assert (response.status, json.loads(response.body)) == (200, {"generation": 3})
@@ -123,7 +123,7 @@
 
 @pytest.mark.parametrize("loses", [False, True], ids=["before", "while it waits"])
 @pytest.mark.parametrize("code", [None, *sorted(OPERATIONS[PATH]["PUT"].errors)])
-def test_no_put_is_answered_for_certain_without_a_majority(code: ErrorCode | None, loses: bool) -> None:
+def test_no_put_has_a_definite_answer_without_a_majority(code: ErrorCode | None, loses: bool) -> None:
     backend = FakeBackend()
     backend.majority, backend.loses_majority = loses, loses
     backend.put_answer = PutCompleted(1, code, "text")
@@ -132,7 +132,7 @@
 
 @pytest.mark.parametrize("loses", [False, True], ids=["before", "while it waits"])
 @pytest.mark.parametrize("code", [None, *sorted(OPERATIONS[PATH]["GET"].errors)])
-def test_no_get_is_answered_for_certain_without_a_majority(code: ErrorCode | None, loses: bool) -> None:
+def test_no_get_has_a_definite_answer_without_a_majority(code: ErrorCode | None, loses: bool) -> None:
     backend = FakeBackend()
     backend.majority, backend.loses_majority = loses, loses
     if code is not None:
@@ -141,7 +141,7 @@
 
 
 @pytest.mark.parametrize("body", [b"", b"{", configuration(0)])
-def test_not_even_an_invalid_document_is_refused_without_a_majority(body: bytes) -> None:
+def test_not_even_an_invalid_document_is_rejected_without_a_majority(body: bytes) -> None:
     backend = FakeBackend()
     backend.majority = False
     assert answered(backend, "PUT", body=body).status == 503
@@ -149,7 +149,7 @@
     assert answered(backend, "PUT", body=body).status == 400
 
 
-def test_the_status_is_told_without_a_majority() -> None:
+def test_the_status_is_answered_without_a_majority() -> None:
     backend = FakeBackend()
     backend.majority = False
     assert answered(backend, "GET", "/reedspoke/status").status == 200
@@ -200,7 +200,7 @@
     assert (response.status, error_code(response)) == (404, ErrorCode.NO_CONFIGURATION)
 
 
-def test_too_many_calls_are_turned_away(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_calls_beyond_the_limit_are_rejected(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(operator_api, "MAX_PENDING_CALLS", 1)
     monkeypatch.setattr(operator_api, "RESPONSE_TIMEOUT_S", 0.1)
 
--- a/tests/control_plane_process/test_peer_connections.py
+++ b/tests/control_plane_process/test_peer_connections.py
@@ -94,7 +94,7 @@
         assert await reader.read() == b""
 
 
-def test_frames_may_be_cut_anywhere() -> None:
+def test_frames_may_arrive_in_any_segments() -> None:
     raw = hello() + release(1) + release(2)
 
     async def scene(listener: Listener) -> None:
@@ -111,7 +111,7 @@
     with_listener(scene)
 
 
-def test_a_frame_that_is_cut_off_is_no_message() -> None:
+def test_a_truncated_frame_is_no_message() -> None:
     whole = hello() + release(1)
     raw = whole + release(2)
 
@@ -137,7 +137,7 @@
 
 
 @pytest.mark.parametrize("name", MALFORMED)
-def test_what_is_no_message_ends_its_own_connection_only(name: str) -> None:
+def test_bytes_that_are_no_message_end_only_their_own_connection(name: str) -> None:
     async def scene(listener: Listener) -> None:
         _, other = await listener.connect()
         other.write(hello(OTHER) + release(1))
@@ -197,7 +197,7 @@
     with_listener(scene)
 
 
-def test_each_connection_keeps_its_order_whatever_the_others_bring() -> None:
+def test_each_connection_keeps_its_order_whatever_the_others_receive() -> None:
     async def scene(listener: Listener) -> None:
         writers = [(await listener.connect())[1] for _ in range(3)]
         for writer in writers:
--- a/tests/control_plane_process/test_peer_transport.py
+++ b/tests/control_plane_process/test_peer_transport.py
@@ -70,7 +70,7 @@
     two(scene)
 
 
-def test_the_connection_is_opened_again_when_the_other_comes_back() -> None:
+def test_the_connection_is_opened_again_when_the_peer_is_back() -> None:
     async def scene(first: Scheduler, second: Scheduler) -> None:
         first.transport.send(second.address, DiscoveryLeaseRelease(1))
         await asyncio.sleep(0.1)
@@ -95,7 +95,7 @@
     two(scene)
 
 
-def test_a_message_to_oneself_goes_nowhere() -> None:
+def test_a_message_to_the_own_address_is_dropped() -> None:
     async def scene(first: Scheduler, second: Scheduler) -> None:
         first.transport.send(first.address, DiscoveryLeaseRelease(1))
         await asyncio.sleep(0.05)
@@ -168,7 +168,7 @@
     two(scene)
 
 
-def test_there_are_no_more_connections_than_the_most(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_outgoing_connections_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(peer_transport, "MAX_LINKS", 1)
 
     async def scene(first: Scheduler, second: Scheduler) -> None:
--- a/tests/control_plane_process/test_process.py
+++ b/tests/control_plane_process/test_process.py
@@ -38,7 +38,7 @@
     until(answered, UP_S, "an answer that there is none")
 
 
-def test_a_configuration_is_taken_and_given_back_byte_for_byte_everywhere(fleet: Fleet) -> None:
+def test_a_configuration_is_accepted_and_returned_byte_for_byte_everywhere(fleet: Fleet) -> None:
     document = fleet.first_configuration()
     for node in fleet.nodes:
         reply = node.get()
@@ -46,7 +46,7 @@
         assert (reply.status, reply.body) == (200, document)
 
 
-def test_what_the_operator_may_get_for_an_answer(fleet: Fleet) -> None:
+def test_the_responses_that_an_operator_may_get(fleet: Fleet) -> None:
     document = fleet.first_configuration()
     node = fleet.nodes[2]
     second = configuration(9, routes=3)
@@ -77,7 +77,7 @@
         assert newest.body == second
 
 
-def test_paths_and_methods_that_are_not_there(fleet: Fleet) -> None:
+def test_unknown_paths_and_methods(fleet: Fleet) -> None:
     fleet.first_configuration()
     address = fleet.nodes[0].control
     for method, path, status in (("GET", "/", 404), ("POST", "/reedspoke/configuration", 405)):
@@ -86,7 +86,7 @@
         assert reply.status == status
 
 
-def test_a_configuration_of_four_megabytes_is_taken_in_chunks_and_passed_on(fleet: Fleet) -> None:
+def test_a_configuration_of_four_megabytes_is_accepted_in_chunks_and_replicated(fleet: Fleet) -> None:
     fleet.first_configuration()
     large = configuration(9, routes=30000)
     assert len(large) > 4_000_000
@@ -180,7 +180,7 @@
 
 
 @pytest.mark.parametrize("leaver", range(3))
-def test_a_scheduler_ends_in_order_and_the_others_go_on(fleet: Fleet, leaver: int) -> None:
+def test_a_node_shuts_down_gracefully_and_the_others_go_on(fleet: Fleet, leaver: int) -> None:
     fleet.first_configuration()
     node = fleet.nodes[leaver]
     edge = EdgeClient(node.internal)
@@ -210,7 +210,7 @@
         assert key in told["message"]
 
 
-def test_settings_that_change_are_taken_in_and_bad_ones_are_not(fleet: Fleet) -> None:
+def test_changed_settings_are_reloaded_and_invalid_ones_rejected(fleet: Fleet) -> None:
     fleet.first_configuration()
     node = fleet.nodes[0]
     node.settings_file.write_text("{")
--- a/tests/control_plane_process/test_process_data_plane.py
+++ b/tests/control_plane_process/test_process_data_plane.py
@@ -28,7 +28,7 @@
 # ---- the data plane ----
 
 
-def test_a_session_is_told_of_configuration_workers_and_members(fleet: Fleet) -> None:
+def test_a_session_delivers_configuration_workers_and_members(fleet: Fleet) -> None:
     document = fleet.first_configuration()
     edge = EdgeClient(fleet.nodes[0].internal)
     held: dict[str, Answer] = {}
@@ -50,7 +50,7 @@
     assert [member.node_name for member in members.edges] == ["edge-1"]
 
 
-def test_a_session_is_told_of_a_change_at_once_and_gets_the_difference(fleet: Fleet) -> None:
+def test_a_session_is_notified_of_a_change_at_once_and_gets_the_delta(fleet: Fleet) -> None:
     fleet.first_configuration()
     edge = EdgeClient(fleet.nodes[2].internal)
     until(lambda: edge.versions.keys() >= NEEDED or edge.catch_up() is None, WORKERS_S, "everything has come")
@@ -70,7 +70,7 @@
     assert delta.version > before
 
 
-def test_a_small_change_of_a_large_configuration_comes_as_a_difference(fleet: Fleet) -> None:
+def test_a_small_change_of_a_large_configuration_is_delivered_as_a_delta(fleet: Fleet) -> None:
     fleet.put_until_taken(configuration(3, routes=500), 0, UP_S)
     edge = EdgeClient(fleet.nodes[1].internal)
     until(lambda: "configuration" in edge.catch_up(), 3.0, "the first configuration has come")
@@ -143,7 +143,7 @@
 # ---- the list of workers ----
 
 
-def test_a_drain_is_told_soon_and_one_scheduler_alone_calls_the_platform(fleet: Fleet) -> None:
+def test_a_draining_worker_is_published_soon_and_one_node_alone_calls_the_platform(fleet: Fleet) -> None:
     edge = EdgeClient(fleet.nodes[0].internal)
     first = first_workers(edge)
     fleet.platform.instances[0] = instance("i-1", state="draining")
@@ -156,7 +156,7 @@
     assert fleet.platform.calls - before <= pages * 4
 
 
-def test_another_takes_the_list_when_its_holder_is_killed(fleet: Fleet) -> None:
+def test_another_node_takes_over_discovery_when_the_lease_holder_is_killed(fleet: Fleet) -> None:
     holder = until(fleet.duty_holder, WORKERS_S, "one holds the duty")
     others = [node for node in fleet.nodes if node is not holder]
     edge = EdgeClient(others[0].internal)
@@ -168,7 +168,7 @@
     assert len(changed.workers) == 4
 
 
-def test_a_frozen_holder_does_not_go_on_when_it_wakes(fleet: Fleet) -> None:
+def test_a_frozen_lease_holder_does_not_go_on_when_it_resumes(fleet: Fleet) -> None:
     holder = until(fleet.duty_holder, WORKERS_S, "one holds the duty")
     others = [node for node in fleet.nodes if node is not holder]
     first_workers(EdgeClient(others[0].internal))
@@ -195,7 +195,7 @@
     assert len(changed.workers) == 4
 
 
-def test_a_list_that_a_data_plane_scheduler_holds_from_before_is_overtaken(fleet: Fleet) -> None:
+def test_a_list_that_a_data_plane_node_has_from_before_is_superseded(fleet: Fleet) -> None:
     edge = EdgeClient(fleet.nodes[0].internal)
     first_workers(edge)
     edge.versions["workers"] = (50, 3)
--- a/tests/control_plane_process/test_process_leave.py
+++ b/tests/control_plane_process/test_process_leave.py
@@ -23,7 +23,7 @@
 
 
 @pytest.mark.parametrize(("lost", "leaver", "stays"), [(0, 2, 1), (2, 1, 0), (1, 0, 2)])
-def test_one_whose_copy_is_needed_stays_until_its_successor_has_it(
+def test_a_node_whose_replica_is_needed_stays_until_its_successor_has_it(
     fleet: Fleet, lost: int, leaver: int, stays: int
 ) -> None:
     document = fleet.first_configuration()
@@ -45,7 +45,7 @@
     until(read_back, UP_S, "the configuration is read at the successor")
 
 
-def test_one_whose_successor_does_not_come_ends_in_time(fleet: Fleet) -> None:
+def test_a_node_without_a_successor_ends_within_its_grace_period(fleet: Fleet) -> None:
     fleet.first_configuration()
     fleet.nodes[0].kill()
     _wait_until_chain_has(fleet, 1, 2)
@@ -57,7 +57,7 @@
     assert time.monotonic() - began > GRACE_S / 2
 
 
-def test_all_that_end_together_do_not_wait_for_one_another(fleet: Fleet) -> None:
+def test_nodes_that_shut_down_together_do_not_wait_for_one_another(fleet: Fleet) -> None:
     fleet.first_configuration()
     for node in fleet.nodes:
         node.signal(signal.SIGTERM)
