--- a/reedspoke/control_plane/graceful_shutdown.py
+++ b/reedspoke/control_plane/graceful_shutdown.py
@@ -21,7 +21,7 @@
     """What the shutdown needs of the replica."""
 
     @property
-    def waiting_calls(self) -> int:
+    def pending_calls(self) -> int:
         """Calls of operators without a response."""
 
     @property
@@ -54,6 +54,6 @@
             return False
         out_of_chain = out_of_chain_s >= VIEW_PROPAGATION_S
         if waited_s < PENDING_CALLS_S:
-            return out_of_chain and not self._replica.waiting_calls
+            return out_of_chain and not self._replica.pending_calls
         time_is_up = waited_s >= self._grace_s() - GRACE_MARGIN_S
         return time_is_up or out_of_chain or not self._replica.has_staying_peer
--- a/reedspoke/control_plane/node_backend.py
+++ b/reedspoke/control_plane/node_backend.py
@@ -110,7 +110,7 @@
 
     def pending_calls(self) -> int:
         """Calls of operators without a response."""
-        return self._driver.waiting_calls
+        return self._driver.pending_calls
 
     def disk_works(self) -> bool:
         """Whether the data folder is open and its disk answers."""
--- a/reedspoke/control_plane/process.py
+++ b/reedspoke/control_plane/process.py
@@ -187,7 +187,7 @@
         self._api.closing = True
         log(INFO, "shutting down")
         self._exchange.release_lease()
-        self._driver.leave()
+        self._driver.start_shutdown()
         await GracefulShutdown(self._driver, self._exchange.is_in_chain, self._grace_s).wait()
         self._sessions.close()
         self._api.close()
