--- a/reedspoke/control_plane/replication/chain_repair.py
+++ b/reedspoke/control_plane/replication/chain_repair.py
@@ -82,8 +82,8 @@
 
     def _is_given_up(self, seed: str) -> bool:
         """Whether this seed has no part in the first start, as its disk was lost, or has not come."""
-        without_part = self._observer.heard_for_s(seed) >= SEED_STARTS_WITHIN_S
-        return without_part or self._outbox.now - self._started >= SEED_COMES_WITHIN_S
+        no_participant = self._observer.heard_for_s(seed) >= SEED_STARTS_WITHIN_S
+        return no_participant or self._outbox.now - self._started >= SEED_COMES_WITHIN_S
 
     # ---- the next view ----
 
--- a/reedspoke/control_plane/storage/log_format.py
+++ b/reedspoke/control_plane/storage/log_format.py
@@ -54,14 +54,14 @@
 
 def encode_batch(records: Iterable[bytes]) -> bytes:
     """Both copies of a batch."""
-    parts: list[bytes] = []
+    chunks: list[bytes] = []
     checksum = length = 0
     for record in records:
-        for part in (_RECORD_PREFIX.pack(len(record)), record):
-            parts.append(part)
-            checksum = zlib.crc32(part, checksum)
-            length += len(part)
-    return b"".join(COPIES * [_COPY_PREFIX.pack(length, checksum), *parts])
+        for chunk in (_RECORD_PREFIX.pack(len(record)), record):
+            chunks.append(chunk)
+            checksum = zlib.crc32(chunk, checksum)
+            length += len(chunk)
+    return b"".join(COPIES * [_COPY_PREFIX.pack(length, checksum), *chunks])
 
 
 def encoded_size(records: Iterable[bytes]) -> int:
--- a/tests/control_plane/fleet_troubles.py
+++ b/tests/control_plane/fleet_fault_injection.py
@@ -6,9 +6,9 @@
 from functools import partial
 from random import Random
 
+from tests.control_plane.fault_injection import SHORT_S, Log
 from tests.control_plane.simulated_fleet import SimulatedFleet
 from tests.control_plane.simulation import Simulation
-from tests.control_plane.troubles import SHORT_S, Log
 
 NODE_CUT_S = (0.5, 20.0)
 PLATFORM_OUT_S = (0.5, 6.0)
--- a/tests/control_plane/random_schedule.py
+++ b/tests/control_plane/random_schedule.py
@@ -10,12 +10,12 @@
 from random import Random
 
 from tests.control_plane.calm import CONTACT_S
-from tests.control_plane.fleet_troubles import FleetTroubles
+from tests.control_plane.fault_injection import CUT_S, Troubles
+from tests.control_plane.fleet_fault_injection import FleetTroubles
 from tests.control_plane.operators import MOST_ORDERS, Operators
 from tests.control_plane.schedule import SETTLE_LIMIT_S, check_end
 from tests.control_plane.simulated_fleet import SimulatedFleet
 from tests.control_plane.simulation import Simulation
-from tests.control_plane.troubles import CUT_S, Troubles
 
 ORDER_SHARE = 0.72
 TROUBLE_SHARE = 0.18
--- a/tests/control_plane/test_orders_rivals.py
+++ b/tests/control_plane/test_puts_concurrent.py
@@ -5,7 +5,7 @@
 import pytest
 
 from reedspoke.common.errors import ErrorCode
-from tests.control_plane.rivals import REFUSED, Contest
+from tests.control_plane.concurrent_operators import REFUSED, Contest
 from tests.control_plane.schedule import Faults, check_end, come_back
 from tests.control_plane.simulation import Simulation
 
--- a/tests/control_plane/test_orders_points.py
+++ b/tests/control_plane/test_puts_fault_points.py
@@ -7,7 +7,7 @@
 import pytest
 
 from reedspoke.common.errors import ErrorCode
-from tests.control_plane.rivals import REFUSED, Contest
+from tests.control_plane.concurrent_operators import REFUSED, Contest
 from tests.control_plane.schedule import check_end, come_back
 from tests.control_plane.simulation import Simulation
 
--- a/tests/control_plane/test_orders_features.py
+++ b/tests/control_plane/test_puts_features.py
@@ -8,7 +8,7 @@
 from pytest_bdd import given, parsers, scenarios, then, when
 
 from reedspoke.common.errors import ErrorCode
-from tests.control_plane.rivals import Contest
+from tests.control_plane.concurrent_operators import Contest
 from tests.control_plane.simulation import Simulation
 
 scenarios("features/orders.feature")
