--- a/tests/control_plane/chain_replica.py
+++ b/tests/control_plane/chain_replica.py
@@ -29,7 +29,7 @@
     return View(number, voters, tuple(ChainLink(member, joined) for member, joined in links))
 
 
-WHOLE = view_of((HEAD, 1), (MIDDLE, 1), (TAIL, 1))
+FULL_CHAIN = view_of((HEAD, 1), (MIDDLE, 1), (TAIL, 1))
 
 
 def entry(sequence: int, document: bytes = b"") -> Entry:
@@ -51,7 +51,7 @@
     def __init__(
         self,
         own: Member,
-        view: View = WHOLE,
+        view: View = FULL_CHAIN,
         held: Entry | None = None,
         synced_since: int = 0,
         tolerated: int = 1,
@@ -71,14 +71,14 @@
             self.outbox, RestoredState(entry=held, history=history, synced_since=synced_since)
         )
         self.delivered: list[CommittedConfiguration] = []
-        self.chain = Chain(settings, self.outbox, self.register, self.delivered.append, self._settled)
+        self.chain = Chain(settings, self.outbox, self.register, self.delivered.append, self._advance_head)
         self.head = HeadQueue("own:1", self.outbox, self.chain, self.register, ANSWER_LIMIT_S)
         self.stores: list[StoreRecords] = []
         self.head.enter_view(view)
         self.chain.enter_view(view)
         self.sent()
 
-    def _settled(self) -> None:
+    def _advance_head(self) -> None:
         self.head.advance()
 
     def sent(self) -> list[Struct]:
--- a/tests/control_plane/direct_core.py
+++ b/tests/control_plane/direct_core.py
@@ -33,7 +33,7 @@
         self.sent: list[SendMessage] = []
         self._tolerated = tolerated
         self._folders: dict[str, str] = {}
-        self._lives = 0
+        self._incarnations = 0
         self._events: deque[tuple[str, Event]] = deque()
         self._answers: dict[int, PutCompleted] = {}
         self._requests = 0
@@ -43,8 +43,8 @@
 
     def lose_disk(self, address: str) -> None:
         """The folder is empty from now on; the process is to be started again."""
-        self._lives += 1
-        self._folders[address] = f"folder-{self._lives}"
+        self._incarnations += 1
+        self._folders[address] = f"folder-{self._incarnations}"
         self.disks[address] = []
 
     def restart(self, bootstrap: bool = False) -> None:
@@ -56,7 +56,7 @@
 
     def start(self, address: str, bootstrap: bool = False) -> None:
         """One process starts from its disk."""
-        self._lives += 1
+        self._incarnations += 1
         settings = ReplicaSettings(
             folder_id=self._folders[address],
             address=address,
@@ -66,7 +66,7 @@
             machines_tolerated=self._tolerated,
         )
         records = list(self.disks[address])
-        self.replicas[address] = Replica(settings, records, self.now, f"life-{self._lives}")
+        self.replicas[address] = Replica(settings, records, self.now, f"life-{self._incarnations}")
 
     def run(self, duration: float) -> None:
         """Let time pass."""
--- a/tests/control_plane/fault_injection.py
+++ b/tests/control_plane/fault_injection.py
@@ -26,7 +26,7 @@
 Log = Callable[[str], None]
 
 
-class Troubles:
+class FaultInjector:
     """Brings troubles about; each method is one kind, named as in a schedule."""
 
     def __init__(self, simulation: Simulation, operators: Operators, log: Log, beyond: bool = False) -> None:
--- a/tests/control_plane/fleet_fault_injection.py
+++ b/tests/control_plane/fleet_fault_injection.py
@@ -14,7 +14,7 @@
 PLATFORM_OUT_S = (0.5, 6.0)
 
 
-class FleetTroubles:
+class FleetFaultInjector:
     """Each method is one kind, named as in a schedule."""
 
     def __init__(self, simulation: Simulation, fleet: SimulatedFleet, log: Log) -> None:
--- a/tests/control_plane/loss_schedule.py
+++ b/tests/control_plane/loss_schedule.py
@@ -53,7 +53,7 @@
     until: float = FOREVER
 
 
-Trouble = Callable[[Lost, str], None]
+Fault = Callable[[Lost, str], None]
 
 
 class DecidedViews:
@@ -91,7 +91,7 @@
         self._operator = Operator(simulation)
         self._names = itertools.count(1)
         self._losses: list[Lost] = []
-        self._armed: Trouble | None = None
+        self._armed: Fault | None = None
         self._armed_for = 0
         self._views = DecidedViews()
         self.figures = Figures()
@@ -131,21 +131,21 @@
 
     def _lose(self, armed: bool) -> None:
         """Lose a machine now, or just before one of the next messages, such as those that decide a view."""
-        trouble = self._random.choice(
+        fault = self._random.choice(
             [self._kill, self._power, self._disk, self._replace, self._leave]
             + [self._freeze, self._isolate, self._stall]
         )
         if armed:
-            self._armed = trouble
+            self._armed = fault
             self._armed_for = self._simulation.message_count + self._random.randint(1, ARMED_MESSAGES)
         else:
-            self._begin(trouble)
+            self._begin(fault)
 
     def _on_message(self, count: int) -> None:
         """Before a message is sent: some are a moment for a loss, some for a check."""
         if self._armed is not None and count >= self._armed_for:
-            trouble, self._armed = self._armed, None
-            self._begin(trouble)
+            fault, self._armed = self._armed, None
+            self._begin(fault)
         elif self._random.random() < MESSAGE_CHECK_SHARE:
             self._check_records()
 
@@ -153,7 +153,7 @@
         if isinstance(effect.message, ViewDecided):
             self._views.decided(effect.message.view)
 
-    def _begin(self, trouble: Trouble) -> None:
+    def _begin(self, fault: Fault) -> None:
         if len(self._lost()) >= self._tolerated:
             return
         taken = self._lost_addresses() | {loss.leaving for loss in self._lost()}
@@ -162,7 +162,7 @@
         loss = Lost({address})
         self._losses.append(loss)
         self.figures.losses += 1
-        trouble(loss, address)
+        fault(loss, address)
 
     def _harm_again(self) -> None:
         """A machine that is back, but still counts as lost, loses its process, power or disk once more."""
@@ -290,12 +290,12 @@
     """SIGTERM: the process ends once it is out of the chain, as the program does, or when its time is up."""
     simulation.inject(address, ShutdownStarted())
     machine = simulation.machines[address]
-    life, began = machine.life, simulation.now
+    incarnation, began = machine.incarnation, simulation.now
     last_needed = began
 
     def look() -> None:
         nonlocal last_needed
-        if machine.life != life:
+        if machine.incarnation != incarnation:
             on_end()
             return
         now = simulation.now
--- a/tests/control_plane/random_schedule.py
+++ b/tests/control_plane/random_schedule.py
@@ -10,26 +10,26 @@
 from random import Random
 
 from tests.control_plane.calm import CONTACT_S
-from tests.control_plane.fault_injection import CUT_S, Troubles
-from tests.control_plane.fleet_fault_injection import FleetTroubles
+from tests.control_plane.fault_injection import CUT_S, FaultInjector
+from tests.control_plane.fleet_fault_injection import FleetFaultInjector
 from tests.control_plane.operators import MOST_ORDERS, Operators
 from tests.control_plane.schedule import SETTLE_LIMIT_S, check_end
 from tests.control_plane.simulated_fleet import SimulatedFleet
 from tests.control_plane.simulation import Simulation
 
 ORDER_SHARE = 0.72
-TROUBLE_SHARE = 0.18
+FAULT_SHARE = 0.18
 FLEET_SHARE = 0.1
 CALM_SHARE = 0.15
 MOST_PAUSE_S = 0.7
 MOST_CALM_S = 12.0
 BEYOND_SHARE = 0.4  # of schedules, in which cuts and stops may strike more machines than are tolerated
-LONGEST_TROUBLE_S = CUT_S[1] + 2.0
+LONGEST_FAULT_S = CUT_S[1] + 2.0
 RACES = (2, 2, 2, 4, 8)
 ACK_LOSS = 0.7
 
 ORDERS = {"order": 10, "race": 4, "again": 3, "stale": 1, "read": 4, "lose answers": 1, "keep answers": 1}
-TROUBLES = {
+FAULTS = {
     "kill": 4,
     "power": 3,
     "freeze": 4,
@@ -50,7 +50,7 @@
 }
 
 
-FLEET_TROUBLES = {
+FLEET_FAULTS = {
     "worker_comes": 4,
     "worker_drains": 5,
     "platform_out": 2,
@@ -76,19 +76,19 @@
     seed: int
     simulation: Simulation
     operators: Operators = field(init=False)
-    troubles: Troubles = field(init=False)
+    faults: FaultInjector = field(init=False)
     fleet: SimulatedFleet = field(init=False)
-    fleet_troubles: FleetTroubles = field(init=False)
+    fleet_faults: FleetFaultInjector = field(init=False)
     lines: list[str] = field(default_factory=list)
 
     def __post_init__(self) -> None:
         self.operators = Operators(self.simulation)
         beyond = Random(f"beyond {self.seed}").random() < BEYOND_SHARE
-        self.troubles = Troubles(self.simulation, self.operators, self.log, beyond)
+        self.faults = FaultInjector(self.simulation, self.operators, self.log, beyond)
         self.fleet = SimulatedFleet(self.simulation)
-        self.fleet_troubles = FleetTroubles(self.simulation, self.fleet, self.log)
-        self.troubles.on_cut = self._cut_outside
-        self.troubles.on_join = self.fleet.data_plane.join
+        self.fleet_faults = FleetFaultInjector(self.simulation, self.fleet, self.log)
+        self.faults.on_cut = self._cut_outside
+        self.faults.on_join = self.fleet.data_plane.join
 
     def log(self, text: str) -> None:
         """Note what happens."""
@@ -97,10 +97,10 @@
     def take(self, step: Step) -> None:
         """Carry out one step."""
         rng = Random(f"step {self.seed} {step.number}")
-        if step.kind in TROUBLES:
-            getattr(self.troubles, step.kind)(rng)
-        elif step.kind in FLEET_TROUBLES:
-            getattr(self.fleet_troubles, step.kind)(rng)
+        if step.kind in FAULTS:
+            getattr(self.faults, step.kind)(rng)
+        elif step.kind in FLEET_FAULTS:
+            getattr(self.fleet_faults, step.kind)(rng)
         else:
             self._order(step.kind, rng)
         self.simulation.run(step.pause)
@@ -109,8 +109,8 @@
         """All troubles end, all orders get their answers, and the last checks are made."""
         simulation = self.simulation
         self.operators.answer_loss = 0.0
-        self.troubles.stop()
-        simulation.run(LONGEST_TROUBLE_S if simulation.network.cut else 6.0)
+        self.faults.stop()
+        simulation.run(LONGEST_FAULT_S if simulation.network.cut else 6.0)
         simulation.heal()
         self.fleet.heal()
         simulation.settle(SETTLE_LIMIT_S)
@@ -151,9 +151,9 @@
 
 
 def _draw_step(rng: Random, number: int) -> Step:
-    kinds = rng.choices([ORDERS, TROUBLES, FLEET_TROUBLES], [ORDER_SHARE, TROUBLE_SHARE, FLEET_SHARE])[0]
+    kinds = rng.choices([ORDERS, FAULTS, FLEET_FAULTS], [ORDER_SHARE, FAULT_SHARE, FLEET_SHARE])[0]
     kind = rng.choices(list(kinds), list(kinds.values()))[0]
-    calm = kinds is TROUBLES and rng.random() < CALM_SHARE
+    calm = kinds is FAULTS and rng.random() < CALM_SHARE
     return Step(number, kind, rng.uniform(0.0, MOST_CALM_S if calm else MOST_PAUSE_S))
 
 
--- a/tests/control_plane/simulated_control.py
+++ b/tests/control_plane/simulated_control.py
@@ -44,7 +44,7 @@
 from tests.control_plane.worker_list_judge import WorkerListJudge
 
 PREPARE_S = (0.0, 0.02)  # a configuration is parsed on another thread
-FIRST_LIFE = 1
+FIRST_INCARNATION = 1
 NO_SETTINGS_FILE = Path("/nonexistent/settings.json")
 
 Value = TypeVar("Value")
@@ -221,7 +221,7 @@
         self._sessions.message_received(channel, decode(payload, EdgeMessage))  # type: ignore[arg-type]
 
     def _publish_workers(self, workers: WorkerList) -> None:
-        self._judge.published(self._address, self._machine.life, workers)
+        self._judge.published(self._address, self._machine.incarnation, workers)
         self._judge.holds(self._address, self._book.current)
         super()._publish_workers(workers)
 
@@ -245,7 +245,7 @@
             node_name=machine.address,
             ip_address=machine.address,
             zone=machine.zone,
-            bootstrap=machine.bootstrap and machine.life == FIRST_LIFE,
+            bootstrap=machine.bootstrap and machine.incarnation == FIRST_INCARNATION,
         )
 
         def build() -> None:
--- a/tests/control_plane/simulated_core.py
+++ b/tests/control_plane/simulated_core.py
@@ -110,7 +110,7 @@
         machine = self.machines.get(address)
         if machine is None or machine.gone or machine.replica is not None:
             return
-        machine.life += 1
+        machine.incarnation += 1
         machine.frozen = False
         machine.leaving = False
         machine.missed = []
@@ -127,17 +127,17 @@
             machines_tolerated=self.tolerated,
         )
         records = list(machine.disk.records)
-        machine.replica = Replica(settings, records, machine.clock(self.now), f"life-{machine.life}")
+        machine.replica = Replica(settings, records, machine.clock(self.now), f"life-{machine.incarnation}")
         for component in self.components:
             component.started(machine)
-        self._tick(address, machine.life)
+        self._tick(address, machine.incarnation)
 
     def _stop(self, address: str, keep_unsynced: bool) -> None:
         machine = self.machines[address]
         if machine.replica is None:
             return
         machine.replica = None
-        machine.life += 1
+        machine.incarnation += 1
         self.calm.disturbed(self.now, address)
         self.judge.stopped(address)
         for component in self.components:
@@ -151,15 +151,15 @@
         if after is not None:
             self.at(self.now + after, self._starter(address))
 
-    def _tick(self, address: str, life: int) -> None:
+    def _tick(self, address: str, incarnation: int) -> None:
         machine = self.machines.get(address)
-        if machine is None or machine.life != life:
+        if machine is None or machine.incarnation != incarnation:
             return
         if machine.frozen:
             machine.tick_is_due = True
         else:
             self._ticked(machine)
-        self.at(self.now + TICK_S, lambda: self._tick(address, life))
+        self.at(self.now + TICK_S, lambda: self._tick(address, incarnation))
 
     def _ticked(self, machine: Machine) -> None:
         machine.tick_is_due = False
@@ -179,9 +179,9 @@
                 component.received(machine, event.sender, event.message)
             if not isinstance(event.message, REPLICA_MESSAGES):
                 return
-        life = machine.life
+        incarnation = machine.incarnation
         for effect in machine.replica.handle(machine.clock(self.now), event):
-            if machine.life != life:
+            if machine.incarnation != incarnation:
                 return  # a fault at a numbered point has ended this process
             self._carry_out(address, effect)
 
@@ -299,7 +299,7 @@
     def _start_store(self, address: str, store: StoreRecords) -> None:
         """Stores end in their order; while the disk hangs they wait."""
         machine = self.machines[address]
-        life = machine.life
+        incarnation = machine.incarnation
         machine.disk.waiting.append(store)
         if machine.disk.mode is DiskMode.STALLS:
             return
@@ -307,8 +307,8 @@
         self._disk_free[address] = end
 
         def finish() -> None:
-            same_life = machine.life == life and store in machine.disk.waiting
-            if same_life and machine.disk.mode is not DiskMode.STALLS:
+            same_incarnation = machine.incarnation == incarnation and store in machine.disk.waiting
+            if same_incarnation and machine.disk.mode is not DiskMode.STALLS:
                 self._finish_store(machine, store)
 
         self.at(end, finish)
--- a/tests/control_plane/simulated_data_plane.py
+++ b/tests/control_plane/simulated_data_plane.py
@@ -30,13 +30,13 @@
 
 @dataclass
 class Node:
-    """One machine of the data plane; `life` counts its processes."""
+    """One machine of the data plane; `incarnation` counts its processes."""
 
     name: str
     zone: str
     clock_skew: float
     clock_rate: float
-    life: int = 0
+    incarnation: int = 0
     scheduler: DataPlaneScheduler | None = None
     frozen: bool = False
 
@@ -68,7 +68,7 @@
         )
         subscription = Subscription(listener, self.confirmation)
         sessions = SimulatedSessions(
-            subscription, self._own_state, lambda: self.seeds, Random(f"{node.name} {node.life}")
+            subscription, self._own_state, lambda: self.seeds, Random(f"{node.name} {node.incarnation}")
         )
         sessions.world = world
         sessions.node = node
@@ -79,7 +79,7 @@
         return self.confirmation.in_doubt(self.loop.time())
 
     def _own_state(self) -> OwnState:
-        return OwnState(self._node.name, str(self._node.life), self._node.zone, False, {})
+        return OwnState(self._node.name, str(self._node.incarnation), self._node.zone, False, {})
 
     def _configured(self, configuration: Configuration, version: Version) -> None:
         before = self.generation or 0
@@ -130,7 +130,7 @@
         node = self.nodes[name]
         if node.scheduler is not None:
             return
-        node.life += 1
+        node.incarnation += 1
         node.frozen = False
         self._note(name)
         self.list_judge.started(name)
--- a/tests/control_plane/simulated_parts.py
+++ b/tests/control_plane/simulated_parts.py
@@ -49,7 +49,7 @@
 
 @dataclass
 class Machine:
-    """One core machine; `life` tells its processes apart."""
+    """One core machine; `incarnation` tells its processes apart."""
 
     address: str
     zone: str
@@ -61,7 +61,7 @@
     frozen: bool = False
     leaving: bool = False
     gone: bool = False  # for good: it is not started again
-    life: int = 0
+    incarnation: int = 0
     tick_is_due: bool = False  # it came while the process stood still
     missed: list[Event] = field(default_factory=list)
     calls: dict[int, int] = field(default_factory=dict)  # of operators, by their number in this process
--- a/tests/control_plane/simulation.py
+++ b/tests/control_plane/simulation.py
@@ -180,13 +180,13 @@
         machine = self.machines[address]
         machine.leaving = True
         self.calm.disturbed(self.now, address)
-        life = machine.life
+        incarnation = machine.incarnation
         self._handle(address, ShutdownStarted())
         for component in self.components:
             component.leaving(machine)
 
         def end() -> None:
-            if machine.life == life and address in self.machines:
+            if machine.incarnation == incarnation and address in self.machines:
                 self._stop(address, keep_unsynced=True)
 
         self.at(self.now + gone_after, end)
--- a/tests/control_plane/test_guards_configuration_register.py
+++ b/tests/control_plane/test_guards_configuration_register.py
@@ -12,9 +12,9 @@
     restore,
 )
 from tests.control_plane.chain_replica import (
+    FULL_CHAIN,
     MIDDLE,
     VIEW_NUMBER,
-    WHOLE,
     ChainReplica,
     entry,
     packed_history,
@@ -67,8 +67,8 @@
 
 def test_the_newest_view_of_the_log_counts() -> None:
     older = view_of(number=VIEW_NUMBER - 1)
-    restored = restore([encode_record(ViewRecord(view)) for view in (WHOLE, older)])
-    assert restored.view == WHOLE
+    restored = restore([encode_record(ViewRecord(view)) for view in (FULL_CHAIN, older)])
+    assert restored.view == FULL_CHAIN
 
 
 def test_an_adopted_state_without_entry_replaces_the_one_before() -> None:
--- a/tests/control_plane/test_guards_head.py
+++ b/tests/control_plane/test_guards_head.py
@@ -23,18 +23,18 @@
 from reedspoke.control_plane.views.majority_contact import ContactState
 from tests.control_plane.chain_replica import (
     ANSWER_LIMIT_S,
+    FULL_CHAIN,
     HEAD,
     MIDDLE,
     START,
     TAIL,
     VIEW_NUMBER,
-    WHOLE,
     ChainReplica,
     view_of,
 )
 
 
-def _head(view: View = WHOLE) -> ChainReplica:
+def _head(view: View = FULL_CHAIN) -> ChainReplica:
     """A head whose successor has told that it holds the same."""
     replica = ChainReplica(HEAD, view)
     successor = view.chain[1]
@@ -218,7 +218,7 @@
     assert pending.ended == [False]
 
 
-@pytest.mark.parametrize(("view", "contact"), [(None, ContactState.NONE), (WHOLE, ContactState.NONE)])
+@pytest.mark.parametrize(("view", "contact"), [(None, ContactState.NONE), (FULL_CHAIN, ContactState.NONE)])
 def test_a_replica_cut_off_refuses_a_change_at_once(view: View | None, contact: ContactState) -> None:
     outbox = Outbox(MIDDLE.address, START, 0)
     puts = PutForwarder("b:1", outbox, ANSWER_LIMIT_S)
@@ -231,10 +231,10 @@
 def test_a_change_that_the_head_has_not_answered_is_unclear() -> None:
     outbox = Outbox(MIDDLE.address, START, 0)
     puts = PutForwarder("b:1", outbox, ANSWER_LIMIT_S)
-    puts.submit(PutSubmitted(1, 0, 10, b"document"), WHOLE, ContactState.CONFIRMED)
+    puts.submit(PutSubmitted(1, 0, 10, b"document"), FULL_CHAIN, ContactState.CONFIRMED)
     outbox.take()
     outbox.now = START + ANSWER_LIMIT_S
-    puts.tick(WHOLE, ContactState.CONFIRMED)
+    puts.tick(FULL_CHAIN, ContactState.CONFIRMED)
     assert [answer.error for answer in outbox.take() if isinstance(answer, PutCompleted)] == [
         ErrorCode.WRITE_UNCLEAR
     ]
@@ -243,7 +243,7 @@
 def test_a_refusal_by_the_head_of_an_earlier_view_answers_nothing() -> None:
     outbox = Outbox(MIDDLE.address, START, 0)
     puts = PutForwarder("b:1", outbox, ANSWER_LIMIT_S)
-    puts.submit(PutSubmitted(1, 0, 10, b"document"), WHOLE, ContactState.CONFIRMED)
+    puts.submit(PutSubmitted(1, 0, 10, b"document"), FULL_CHAIN, ContactState.CONFIRMED)
     following = view_of((HEAD, 1), (TAIL, 1), number=VIEW_NUMBER + 1)
     puts.tick(following, ContactState.CONFIRMED)
     outbox.take()
--- a/tests/control_plane/test_guards_replica.py
+++ b/tests/control_plane/test_guards_replica.py
@@ -32,9 +32,18 @@
 )
 from reedspoke.control_plane.replication.view import Member, View
 from reedspoke.control_plane.storage.records import ViewRecord, encode_record
-from tests.control_plane.chain_replica import HEAD, MIDDLE, START, TAIL, VIEW_NUMBER, WHOLE, entry, view_of
+from tests.control_plane.chain_replica import (
+    FULL_CHAIN,
+    HEAD,
+    MIDDLE,
+    START,
+    TAIL,
+    VIEW_NUMBER,
+    entry,
+    view_of,
+)
 
-OTHER_TAIL = View(VIEW_NUMBER + 1, WHOLE.voters, WHOLE.chain[:-1])
+OTHER_TAIL = View(VIEW_NUMBER + 1, FULL_CHAIN.voters, FULL_CHAIN.chain[:-1])
 LONG_PAUSE_S = 5.0
 PROPOSED_BY_S = REACHABLE_TIMEOUT_S + PROPOSE_AFTER_S + 3 * RANK_DELAY_S + 1.0
 
@@ -45,7 +54,7 @@
     def __init__(
         self,
         own: Member,
-        view: View | None = WHOLE,
+        view: View | None = FULL_CHAIN,
         *,
         tolerated: int = 1,
         bootstrap: bool = False,
--- a/tests/control_plane/test_guards_tail_reader.py
+++ b/tests/control_plane/test_guards_tail_reader.py
@@ -15,11 +15,11 @@
 from reedspoke.control_plane.views.majority_contact import ContactState
 from tests.control_plane.chain_replica import (
     ANSWER_LIMIT_S,
+    FULL_CHAIN,
     HEAD,
     MIDDLE,
     TAIL,
     VIEW_NUMBER,
-    WHOLE,
     ChainReplica,
     entry,
     view_of,
@@ -30,7 +30,7 @@
 
 
 def _reply(
-    replica: ChainReplica, view: View = WHOLE, asked_view: int = VIEW_NUMBER, lease: bool = True
+    replica: ChainReplica, view: View = FULL_CHAIN, asked_view: int = VIEW_NUMBER, lease: bool = True
 ) -> GetReply:
     reader = TailReader(replica.outbox, replica.chain, replica.register, lambda: lease)
     reader.receive("at-asker", GetRequest(asked_view, "r1", known_sequence=0), view)
@@ -72,7 +72,7 @@
     replica.register.commit()
     for sequence, expected in ((1, 10), (2, None)):
         gets = GetForwarder("b:1", replica.outbox, replica.register, ANSWER_LIMIT_S)
-        gets.submit(GetSubmitted(1), WHOLE, ContactState.CONFIRMED)
+        gets.submit(GetSubmitted(1), FULL_CHAIN, ContactState.CONFIRMED)
         replica.outbox.take()
         gets.receive_reply(GetReply(VIEW_NUMBER, "b:1:1", True, sequence))
         (answer,) = replica.outbox.take()
--- a/tests/control_plane/worker_list_judge.py
+++ b/tests/control_plane/worker_list_judge.py
@@ -38,14 +38,14 @@
         """A new process has no list."""
         self._held.pop(name, None)
 
-    def published(self, address: str, life: int, workers: WorkerList) -> None:
+    def published(self, address: str, incarnation: int, workers: WorkerList) -> None:
         """A control scheduler publishes a list."""
         self.publications += 1
         term = workers.version[0]
         if term == UNLEASED_TERM:
             return
-        holder = self._holders.setdefault(term, (address, life))
-        assert holder == (address, life), f"two processes publish under term {term}"
+        holder = self._holders.setdefault(term, (address, incarnation))
+        assert holder == (address, incarnation), f"two processes publish under term {term}"
         state = self._state_of(workers)
         assert self._states.setdefault(workers.version, state) == state, f"two lists {workers.version}"
 
