--- a/reedspoke/assembly.py
+++ b/reedspoke/assembly.py
@@ -53,9 +53,9 @@
             fleet_node, part = build_fleet(node.runtime, peers, me, options, config.name or str(me), zone)
             node.add(part)
             if operator.bookings is not None:
-                from reedspoke.booking.part import join as join_bookings
+                from reedspoke.booking.subsystem import build_bookings
 
-                node.add(join_bookings(node.runtime, fleet_node, operator.bookings))
+                node.add(build_bookings(node.runtime, fleet_node, operator.bookings))
         except (ValueError, ReedspokeError) as error:  # keys, or duties too like each other
             raise ConfigError(f"fleet: {error}") from None
     return node
