--- a/reedspoke/control_plane/replication/configuration_register.py
+++ b/reedspoke/control_plane/replication/configuration_register.py
@@ -15,8 +15,13 @@
     change_id_of,
     committed_configuration,
 )
+from reedspoke.control_plane.replication.log_records import (
+    EntryRecord,
+    HistoryRecord,
+    RestoredState,
+    SyncedRecord,
+)
 from reedspoke.control_plane.replication.outbox import Outbox
-from reedspoke.control_plane.storage.records import EntryRecord, HistoryRecord, RestoredState, SyncedRecord
 
 OnSynced = Callable[[bool], None]
 
--- /dev/null
+++ b/reedspoke/control_plane/replication/effect_buffer.py
@@ -0,0 +1,42 @@
+"""Effects that a replica collects while it handles one event, and its messages to itself."""
+
+from __future__ import annotations
+
+from msgspec import Struct
+
+from reedspoke.control_plane.replication.effects import Effect, LogEvent, SendMessage
+
+
+class EffectBuffer:
+    """Owns the effects of the event that is being handled, and the time `now` at which it happened."""
+
+    def __init__(self, address: str, now: float) -> None:
+        self.now = now
+        self._address = address
+        self._effects: list[Effect] = []
+        self._to_self: list[Struct] = []
+
+    def take(self) -> list[Effect]:
+        """The effects collected so far."""
+        effects, self._effects = self._effects, []
+        return effects
+
+    def take_to_self(self) -> list[Struct]:
+        """Messages of this replica to itself, which never leave it."""
+        messages, self._to_self = self._to_self, []
+        return messages
+
+    def emit(self, effect: Effect) -> None:
+        """Add an effect."""
+        self._effects.append(effect)
+
+    def send(self, address: str, message: Struct) -> None:
+        """Send to a replica, which may be this one."""
+        if address == self._address:
+            self._to_self.append(message)
+        else:
+            self._effects.append(SendMessage(address, message))
+
+    def log(self, level: int, text: str, **fields: object) -> None:
+        """Write a line to the operator's log."""
+        self._effects.append(LogEvent(level, text, fields))
--- a/reedspoke/control_plane/replication/first_start.py
+++ b/reedspoke/control_plane/replication/first_start.py
@@ -12,9 +12,9 @@
 from msgspec import Struct
 
 from reedspoke.common.errors import ErrorCode
+from reedspoke.control_plane.replication.log_records import BootstrapRecord, RestoredState
 from reedspoke.control_plane.replication.outbox import Outbox
 from reedspoke.control_plane.replication.settings import ReplicaSettings
-from reedspoke.control_plane.storage.records import BootstrapRecord, RestoredState
 from reedspoke.control_plane.views.agreement import ViewAgreement
 
 
--- a/reedspoke/control_plane/replication/outbox.py
+++ b/reedspoke/control_plane/replication/outbox.py
@@ -1,4 +1,4 @@
-"""Effects that a replica collects while it handles one event, and the stores whose end is awaited."""
+"""Stores whose end is awaited, and the state of the disk that follows from how they end."""
 
 from __future__ import annotations
 
@@ -8,8 +8,10 @@
 from msgspec import Struct
 
 from reedspoke.common.errors import ErrorCode
-from reedspoke.control_plane.replication.effects import Effect, LogEvent, SendMessage, StoreRecords
+from reedspoke.control_plane.replication.effect_buffer import EffectBuffer
+from reedspoke.control_plane.replication.effects import StoreRecords
 from reedspoke.control_plane.replication.events import StoreCompleted
+from reedspoke.control_plane.replication.log_records import EntryRecord, ProbeRecord, encode_record
 from reedspoke.control_plane.replication.settings import (
     DISK_BYTES_PER_S,
     DISK_PROBE_S,
@@ -17,7 +19,6 @@
     REWRITE_BYTES,
 )
 from reedspoke.control_plane.storage.log_format import COPIES, encoded_size
-from reedspoke.control_plane.storage.records import EntryRecord, ProbeRecord, encode_record
 
 StoreEnd = Callable[[ErrorCode | None], None]
 SnapshotRecords = Callable[[], tuple[bytes, ...]]
@@ -33,24 +34,19 @@
     newest: int  # sequence of the newest entry in it, 0: none
 
 
-class Outbox:
-    """Collects effects, numbers stores, and knows the state of the disk.
+class Outbox(EffectBuffer):
+    """Owns the stores that have not ended, and the state of the disk.
 
     After a failed store the disk counts as failed until a small probe and then a rewrite of the whole log,
     which also removes whatever the failed store left, have succeeded.
-
-    `now` is the time of the event that is being handled.
     """
 
     def __init__(self, address: str, now: float, restored_size: int) -> None:
-        self.now = now
+        super().__init__(address, now)
         self.disk_failed = False
         self.synced_state_lost = False
         self.snapshot_records: SnapshotRecords = tuple
         self.synced_sequence = 0  # of the newest entry whose store has ended well, of all since the start
-        self._address = address
-        self._effects: list[Effect] = []
-        self._to_self: list[Struct] = []
         self._pending: dict[int, PendingStore] = {}
         self._next_token = 1
         self._log_size = COPIES * restored_size
@@ -64,31 +60,6 @@
             return False
         return all(self.now <= store.due for store in self._pending.values())
 
-    def take(self) -> list[Effect]:
-        """The effects collected so far."""
-        effects, self._effects = self._effects, []
-        return effects
-
-    def take_to_self(self) -> list[Struct]:
-        """Messages of this replica to itself, which never leave it."""
-        messages, self._to_self = self._to_self, []
-        return messages
-
-    def emit(self, effect: Effect) -> None:
-        """Add an effect."""
-        self._effects.append(effect)
-
-    def send(self, address: str, message: Struct) -> None:
-        """Send to a replica, which may be this one."""
-        if address == self._address:
-            self._to_self.append(message)
-        else:
-            self._effects.append(SendMessage(address, message))
-
-    def log(self, level: int, text: str, **fields: object) -> None:
-        """Write a line to the operator's log."""
-        self._effects.append(LogEvent(level, text, fields))
-
     def store(self, records: Sequence[Struct], on_end: StoreEnd) -> None:
         """Append records; `on_end` is called with the result."""
         newest = max(
@@ -130,7 +101,7 @@
         unwritten = size + sum(store.size for store in self._pending.values())
         due = self.now + DISK_STALL_S + unwritten / DISK_BYTES_PER_S
         self._pending[token] = PendingStore(due, size, replace, on_end, newest)
-        self._effects.append(StoreRecords(token, records, replace))
+        self.emit(StoreRecords(token, records, replace))
 
     def _count_bytes(self, pending: PendingStore) -> None:
         if pending.replace:
--- a/reedspoke/control_plane/replication/replica.py
+++ b/reedspoke/control_plane/replication/replica.py
@@ -50,6 +50,7 @@
 from reedspoke.control_plane.replication.head_queue import HeadQueue
 from reedspoke.control_plane.replication.heartbeats import Heartbeats
 from reedspoke.control_plane.replication.invariants import ReplicaInvariants
+from reedspoke.control_plane.replication.log_records import RestoredState, encode_record, restore
 from reedspoke.control_plane.replication.membership_observer import MembershipObserver
 from reedspoke.control_plane.replication.messages import (
     GetReply,
@@ -71,7 +72,6 @@
 )
 from reedspoke.control_plane.replication.tail_reader import TailReader
 from reedspoke.control_plane.replication.view import View
-from reedspoke.control_plane.storage.records import RestoredState, encode_record, restore
 from reedspoke.control_plane.views.agreement import ViewAgreement
 from reedspoke.control_plane.views.majority_contact import ContactState
 
--- a/reedspoke/control_plane/views/__init__.py
+++ b/reedspoke/control_plane/views/__init__.py
@@ -9,5 +9,5 @@
 
 Nothing here does I/O or reads a clock: messages and log writes go to the replica's `Outbox`, which also has
 the time of the event that is being handled. The package may import `replication.view`, its messages, settings
-and outbox, and `storage.records`; `replication` drives it.
+and outbox, and `log_records`; `replication` drives it.
 """
--- a/reedspoke/control_plane/views/acceptor.py
+++ b/reedspoke/control_plane/views/acceptor.py
@@ -12,6 +12,7 @@
 from msgspec import Struct, structs
 
 from reedspoke.common.errors import ErrorCode
+from reedspoke.control_plane.replication.log_records import AcceptorRecord, RestoredState
 from reedspoke.control_plane.replication.messages import (
     AcceptRequest,
     AcceptResponse,
@@ -23,7 +24,6 @@
 from reedspoke.control_plane.replication.outbox import Outbox
 from reedspoke.control_plane.replication.settings import PROPOSER_ACTIVE_S
 from reedspoke.control_plane.replication.view import Member, View
-from reedspoke.control_plane.storage.records import AcceptorRecord, RestoredState
 from reedspoke.control_plane.views.read_lease import ReadLeaseVoter
 
 
--- a/reedspoke/control_plane/views/agreement.py
+++ b/reedspoke/control_plane/views/agreement.py
@@ -34,6 +34,7 @@
 from msgspec import Struct
 
 from reedspoke.common.errors import ErrorCode
+from reedspoke.control_plane.replication.log_records import RestoredState, ViewRecord
 from reedspoke.control_plane.replication.messages import (
     AcceptRequest,
     AcceptResponse,
@@ -47,7 +48,6 @@
 from reedspoke.control_plane.replication.outbox import Outbox
 from reedspoke.control_plane.replication.settings import ReplicaSettings
 from reedspoke.control_plane.replication.view import Member, View
-from reedspoke.control_plane.storage.records import RestoredState, ViewRecord
 from reedspoke.control_plane.views.acceptor import Acceptor
 from reedspoke.control_plane.views.first_view import FIRST_VIEW_NUMBER
 from reedspoke.control_plane.views.proposer import Proposer, acceptor_key
--- a/tests/control_plane/chain_replica.py
+++ b/tests/control_plane/chain_replica.py
@@ -12,10 +12,10 @@
 from reedspoke.control_plane.replication.entry import CommittedConfiguration, Entry, change_id_of
 from reedspoke.control_plane.replication.events import StoreCompleted
 from reedspoke.control_plane.replication.head_queue import HeadQueue
+from reedspoke.control_plane.replication.log_records import RestoredState
 from reedspoke.control_plane.replication.outbox import Outbox
 from reedspoke.control_plane.replication.settings import ReplicaSettings
 from reedspoke.control_plane.replication.view import ChainLink, Member, View
-from reedspoke.control_plane.storage.records import RestoredState
 
 START = 100.0
 ANSWER_LIMIT_S = 1.0
--- a/tests/control_plane/loss_check.py
+++ b/tests/control_plane/loss_check.py
@@ -15,9 +15,9 @@
 
 from reedspoke.common.errors import ErrorCode
 from reedspoke.control_plane.replication.entry import ChangeId
+from reedspoke.control_plane.replication.log_records import RestoredState, restore
 from reedspoke.control_plane.replication.settings import REACHABLE_TIMEOUT_S
 from reedspoke.control_plane.replication.view import Member, View
-from reedspoke.control_plane.storage.records import RestoredState, restore
 from reedspoke.control_plane.views.first_view import FIRST_VIEW_NUMBER
 from reedspoke.control_plane.views.quorum import majority_size
 from tests.control_plane.schedule import check_end
--- a/tests/control_plane/test_change_decision.py
+++ b/tests/control_plane/test_change_decision.py
@@ -9,9 +9,9 @@
 from reedspoke.control_plane.replication.change_decision import ChangeDecision, decide_change
 from reedspoke.control_plane.replication.configuration_register import ConfigurationRegister
 from reedspoke.control_plane.replication.entry import ChangeId, Entry, change_id_of
+from reedspoke.control_plane.replication.log_records import EntryRecord, encode_record, restore
 from reedspoke.control_plane.replication.messages import PutRequest
 from reedspoke.control_plane.replication.outbox import Outbox
-from reedspoke.control_plane.storage.records import EntryRecord, encode_record, restore
 
 REFUSED = {ChangeDecision.STALE_MATCH, ChangeDecision.OLD_GENERATION}
 NOT_TAKEN = REFUSED | {ChangeDecision.HISTORY_EXPIRED}
--- a/tests/control_plane/test_guards_agreement.py
+++ b/tests/control_plane/test_guards_agreement.py
@@ -5,6 +5,7 @@
 import pytest
 
 from reedspoke.control_plane.replication.effects import SendMessage
+from reedspoke.control_plane.replication.log_records import NO_PROPOSAL
 from reedspoke.control_plane.replication.messages import (
     AcceptRequest,
     AcceptResponse,
@@ -18,7 +19,6 @@
 )
 from reedspoke.control_plane.replication.outbox import Outbox
 from reedspoke.control_plane.replication.view import ChainLink, Member, View
-from reedspoke.control_plane.storage.records import NO_PROPOSAL
 from reedspoke.control_plane.views.first_view import form_first_view
 from reedspoke.control_plane.views.proposer import Proposer
 from reedspoke.control_plane.views.read_lease import ReadLeaseHolder, ReadLeaseVoter
--- a/tests/control_plane/test_guards_configuration_register.py
+++ b/tests/control_plane/test_guards_configuration_register.py
@@ -4,7 +4,7 @@
 
 from reedspoke.common.errors import ErrorCode
 from reedspoke.control_plane.replication.entry import Entry
-from reedspoke.control_plane.storage.records import (
+from reedspoke.control_plane.replication.log_records import (
     EntryRecord,
     HistoryRecord,
     ViewRecord,
--- a/tests/control_plane/test_guards_failure_detector.py
+++ b/tests/control_plane/test_guards_failure_detector.py
@@ -6,6 +6,7 @@
 from reedspoke.control_plane.replication.effects import Effect, StoreRecords
 from reedspoke.control_plane.replication.events import StoreCompleted
 from reedspoke.control_plane.replication.failure_detector import FailureDetector
+from reedspoke.control_plane.replication.log_records import ProbeRecord
 from reedspoke.control_plane.replication.messages import Heartbeat
 from reedspoke.control_plane.replication.outbox import Outbox
 from reedspoke.control_plane.replication.settings import (
@@ -17,7 +18,6 @@
     REACHABLE_TIMEOUT_S,
 )
 from reedspoke.control_plane.replication.view import Member
-from reedspoke.control_plane.storage.records import ProbeRecord
 from reedspoke.control_plane.views.first_view import form_first_view
 from tests.control_plane.chain_replica import HEAD, MIDDLE, START, TAIL
 
--- a/tests/control_plane/test_guards_outbox.py
+++ b/tests/control_plane/test_guards_outbox.py
@@ -5,9 +5,9 @@
 from reedspoke.common.errors import ErrorCode
 from reedspoke.control_plane.replication.effects import StoreRecords
 from reedspoke.control_plane.replication.events import StoreCompleted
+from reedspoke.control_plane.replication.log_records import ProbeRecord
 from reedspoke.control_plane.replication.outbox import Outbox
 from reedspoke.control_plane.replication.settings import DISK_PROBE_S
-from reedspoke.control_plane.storage.records import ProbeRecord
 
 START = 100.0
 
--- a/tests/control_plane/test_guards_replica.py
+++ b/tests/control_plane/test_guards_replica.py
@@ -8,6 +8,7 @@
 from reedspoke.common.errors import ErrorCode
 from reedspoke.control_plane.replication.effects import Effect, SendMessage, StoreRecords
 from reedspoke.control_plane.replication.events import MessageReceived, StoreCompleted, Tick
+from reedspoke.control_plane.replication.log_records import ViewRecord, encode_record
 from reedspoke.control_plane.replication.messages import (
     AcceptRequest,
     AcceptResponse,
@@ -31,7 +32,6 @@
     TICK_S,
 )
 from reedspoke.control_plane.replication.view import Member, View
-from reedspoke.control_plane.storage.records import ViewRecord, encode_record
 from tests.control_plane.chain_replica import (
     FULL_CHAIN,
     HEAD,
--- a/tests/control_plane/test_majority_contact.py
+++ b/tests/control_plane/test_majority_contact.py
@@ -7,10 +7,10 @@
 
 from reedspoke.common.errors import ErrorCode
 from reedspoke.control_plane.replication.events import MessageReceived, ShutdownStarted
+from reedspoke.control_plane.replication.log_records import AcceptorRecord
 from reedspoke.control_plane.replication.messages import ProposalNumber, ViewConfirmation
 from reedspoke.control_plane.replication.settings import MAJORITY_CONTACT_TTL_S
 from reedspoke.control_plane.replication.view import Member, View
-from reedspoke.control_plane.storage.records import AcceptorRecord
 from reedspoke.control_plane.views.majority_contact import MajorityContact
 from tests.control_plane.schedule import Faults, Operator
 from tests.control_plane.simulated_parts import DiskMode
--- a/tests/control_plane/test_puts_history.py
+++ b/tests/control_plane/test_puts_history.py
@@ -13,15 +13,15 @@
 from reedspoke.common.messages import decode, encode
 from reedspoke.control_plane.replication.change_history import ROW, ChangeHistory
 from reedspoke.control_plane.replication.entry import ChangeId, Entry
-from reedspoke.control_plane.replication.messages import InstallSnapshot, ReplicaMessage
-from reedspoke.control_plane.replication.settings import HISTORY_LIMIT
-from reedspoke.control_plane.storage.records import (
+from reedspoke.control_plane.replication.log_records import (
     EntryRecord,
     HistoryRecord,
     ListedHistoryRecord,
     encode_record,
     restore,
 )
+from reedspoke.control_plane.replication.messages import InstallSnapshot, ReplicaMessage
+from reedspoke.control_plane.replication.settings import HISTORY_LIMIT
 from tests.control_plane.direct_core import DirectCore
 
 LATER_CHANGES = 5000
--- a/tests/control_plane/test_puts_invalid.py
+++ b/tests/control_plane/test_puts_invalid.py
@@ -17,7 +17,7 @@
 from reedspoke.control_plane.api.operator_api import CONFIGURATION_PATH, OPERATIONS, OperatorApi
 from reedspoke.control_plane.api.schemas import StatusAnswer
 from reedspoke.control_plane.replication.effects import GetCompleted, PutCompleted
-from reedspoke.control_plane.storage.records import EntryRecord, decode_record
+from reedspoke.control_plane.replication.log_records import EntryRecord, decode_record
 from tests.control_plane.direct_core import DirectCore
 from tests.control_plane_process.stand_ins import configuration
 
--- a/tests/control_plane/test_puts_rejected.py
+++ b/tests/control_plane/test_puts_rejected.py
@@ -6,8 +6,8 @@
 
 from reedspoke.common.errors import ErrorCode
 from reedspoke.control_plane.replication.events import MessageReceived
+from reedspoke.control_plane.replication.log_records import EntryRecord, decode_record
 from reedspoke.control_plane.replication.messages import PutReply, PutRequest
-from reedspoke.control_plane.storage.records import EntryRecord, decode_record
 from tests.control_plane.concurrent_operators import REFUSED
 from tests.control_plane.direct_core import DirectCore
 from tests.control_plane.schedule import Faults, check_end, come_back
--- a/tests/control_plane/test_puts_views.py
+++ b/tests/control_plane/test_puts_views.py
@@ -13,6 +13,7 @@
     StoreRecords,
 )
 from reedspoke.control_plane.replication.events import Event, MessageReceived
+from reedspoke.control_plane.replication.log_records import restore
 from reedspoke.control_plane.replication.messages import (
     CommitNotification,
     GetReply,
@@ -21,7 +22,6 @@
     PutRequest,
 )
 from reedspoke.control_plane.replication.view import Member
-from reedspoke.control_plane.storage.records import restore
 from tests.control_plane.simulation import Simulation
 
 ASIDE = 10_000  # id of a call that the test makes itself
--- a/tests/control_plane/test_replica_answers.py
+++ b/tests/control_plane/test_replica_answers.py
@@ -7,10 +7,10 @@
 from reedspoke.common.errors import ErrorCode
 from reedspoke.control_plane.replication.effects import SendMessage
 from reedspoke.control_plane.replication.entry import ChangeId
+from reedspoke.control_plane.replication.log_records import restore
 from reedspoke.control_plane.replication.messages import AppendRequest
 from reedspoke.control_plane.replication.settings import HISTORY_LIMIT, READ_LEASE_TTL_S, REWRITE_BYTES
 from reedspoke.control_plane.storage.log_format import COPIES
-from reedspoke.control_plane.storage.records import restore
 from tests.control_plane.schedule import come_back
 from tests.control_plane.simulated_parts import DiskMode
 from tests.control_plane.simulation import Simulation
--- a/tests/control_plane/test_replica_stale.py
+++ b/tests/control_plane/test_replica_stale.py
@@ -8,6 +8,7 @@
 from reedspoke.control_plane.replication.effects import Effect, PutCompleted, SendMessage
 from reedspoke.control_plane.replication.entry import Entry
 from reedspoke.control_plane.replication.events import Event, MessageReceived, PutSubmitted
+from reedspoke.control_plane.replication.log_records import restore
 from reedspoke.control_plane.replication.messages import (
     AcceptRequest,
     AppendRequest,
@@ -22,7 +23,6 @@
 from reedspoke.control_plane.replication.outbox import Outbox
 from reedspoke.control_plane.replication.put_forwarding import PutForwarder
 from reedspoke.control_plane.replication.view import ChainLink, Member, View
-from reedspoke.control_plane.storage.records import restore
 from reedspoke.control_plane.views.majority_contact import ContactState
 from tests.control_plane.simulation import Simulation
 
--- a/tests/control_plane/test_storage_lost_state.py
+++ b/tests/control_plane/test_storage_lost_state.py
@@ -7,6 +7,7 @@
 
 from reedspoke.common.errors import ErrorCode
 from reedspoke.control_plane.replication.events import MessageReceived
+from reedspoke.control_plane.replication.log_records import EntryRecord, encode_record
 from reedspoke.control_plane.replication.messages import (
     AppendRequest,
     CommitNotification,
@@ -14,7 +15,6 @@
     SuccessorStatus,
 )
 from reedspoke.control_plane.storage.log_format import encode_batch
-from reedspoke.control_plane.storage.records import EntryRecord, encode_record
 from tests.control_plane.simulated_files import SimulatedFiles
 from tests.control_plane.storage_simulation import StorageSimulation
 
--- a/tests/control_plane/test_view_agreement.py
+++ b/tests/control_plane/test_view_agreement.py
@@ -8,6 +8,7 @@
 from reedspoke.common.errors import ErrorCode
 from reedspoke.control_plane.replication.effects import SendMessage, StoreRecords
 from reedspoke.control_plane.replication.events import StoreCompleted
+from reedspoke.control_plane.replication.log_records import ViewRecord, encode_record, restore
 from reedspoke.control_plane.replication.messages import (
     AcceptRequest,
     AcceptResponse,
@@ -20,7 +21,6 @@
 from reedspoke.control_plane.replication.outbox import Outbox
 from reedspoke.control_plane.replication.settings import READ_LEASE_TTL_S, ReplicaSettings
 from reedspoke.control_plane.replication.view import ChainLink, Member, View
-from reedspoke.control_plane.storage.records import ViewRecord, encode_record, restore
 from reedspoke.control_plane.views.agreement import ViewAgreement
 
 MEMBERS = tuple(Member(folder_id=name, address=f"at-{name}") for name in "abc")
--- a/tests/golden/replica_examples.py
+++ b/tests/golden/replica_examples.py
@@ -8,6 +8,16 @@
 from msgspec import Struct
 
 from reedspoke.control_plane.replication.entry import ChangeId, Entry
+from reedspoke.control_plane.replication.log_records import (
+    AcceptorRecord,
+    BootstrapRecord,
+    EntryRecord,
+    HistoryRecord,
+    ListedHistoryRecord,
+    ProbeRecord,
+    SyncedRecord,
+    ViewRecord,
+)
 from reedspoke.control_plane.replication.messages import (
     AcceptRequest,
     AcceptResponse,
@@ -31,16 +41,6 @@
     ViewDecided,
 )
 from reedspoke.control_plane.replication.view import ChainLink, Member, View
-from reedspoke.control_plane.storage.records import (
-    AcceptorRecord,
-    BootstrapRecord,
-    EntryRecord,
-    HistoryRecord,
-    ListedHistoryRecord,
-    ProbeRecord,
-    SyncedRecord,
-    ViewRecord,
-)
 
 REPLICA_MESSAGES: dict[str, Struct] = {
     "ping": Heartbeat(
--- a/tests/golden/test_messages.py
+++ b/tests/golden/test_messages.py
@@ -18,8 +18,8 @@
 from reedspoke.booking import messages as booking_messages
 from reedspoke.common import messages as session_messages
 from reedspoke.control_plane.peers import messages as peer_messages
+from reedspoke.control_plane.replication import log_records
 from reedspoke.control_plane.replication import messages as replica_messages
-from reedspoke.control_plane.storage import records as log_records
 from reedspoke.fleet.messages import frame as fleet_frame
 from reedspoke.fleet.messages import lease as lease_messages
 from reedspoke.fleet.replicated_log import messages as log_messages
--- a/tests/golden/test_stored_files.py
+++ b/tests/golden/test_stored_files.py
@@ -17,8 +17,8 @@
 from reedspoke.acme.account import Account
 from reedspoke.acme.record import Record as RenewalRecord
 from reedspoke.acme.record import packed, unpacked
+from reedspoke.control_plane.replication.log_records import RestoredState, restore
 from reedspoke.control_plane.storage import log_opening
-from reedspoke.control_plane.storage.records import RestoredState, restore
 from reedspoke.fleet.replicated_log.log_state import ChangeKind, LogChange
 from reedspoke.fleet.replicated_log.log_store import LogStore
 from reedspoke.fleet.replicated_log.replicated_log import ReplicatedLog
