--- a/reedspoke/fleet/component.py
+++ b/reedspoke/fleet/component.py
@@ -8,6 +8,7 @@
 
 from __future__ import annotations
 
+from http import HTTPStatus
 from zlib import crc32
 
 from reedspoke import interface as api
@@ -37,7 +38,6 @@
 TICKS_PER_PERIOD = 8
 TICKS_PER_TTL = 40
 RELEASED_TTLS = 2  # for which a role that an operator has released is not wanted here again
-CONFLICT = 409  # the target of a call knows a later token
 MAX_MEMBER_DIGITS = 5
 
 
@@ -128,7 +128,7 @@
         assert self.roles is not None
         if isinstance(handler := self.roles.handlers.get(event.role), PeriodicCall):
             handler.call_finished(event.status)
-        if event.status == CONFLICT and event.later_token:
+        if event.status == HTTPStatus.CONFLICT and event.later_token:
             self.node.enqueue(self.roles.call_rejected(event.role, event.later_token, self.core.now))
 
     # ---- operators ----
@@ -205,8 +205,7 @@
             self.core.ask(send)
 
     def _update_candidacy(self, roles: SingletonRoles) -> None:
-        """A process that is about to end hands its roles over; otherwise their leases would have to
-        expire."""
+        """A process that is about to end hands its roles over; else their leases would have to expire."""
         candidate = self.state.life is Life.SERVING and not self.state.leaving()
         if candidate:
             self.node.phase = NodePhase.SERVING
--- a/reedspoke/fleet/failure_detector.py
+++ b/reedspoke/fleet/failure_detector.py
@@ -277,8 +277,7 @@
         outgoing.extend(OutgoingMessage(member, self._update_of(subject)) for subject in sorted(subjects))
 
     def _next_to_probe(self, now: int) -> int | None:
-        """The next live member of a shuffled list: each is probed within as many periods as there are
-        members."""
+        """The next live member of a shuffled list: all are probed within as many periods as members."""
         for _ in range(len(self.members) + len(self._probe_order)):
             if not self._probe_order:
                 self._probe_order = sorted(self.members)
--- a/reedspoke/fleet/lease/participant.py
+++ b/reedspoke/fleet/lease/participant.py
@@ -44,6 +44,7 @@
 )
 from reedspoke.fleet.lease.tokens import (
     MAX_MEMBERS,
+    NO_TOKEN,
     ROUND_US,
     member_of,
     proposal_number,
@@ -73,8 +74,6 @@
 MAX_BACKOFF_DOUBLINGS = 3  # many candidates must not spoil each other's proposals for ever
 NOT_PREFERRED_DELAY = 0.25  # members outside the preferred zone propose for a vacant lease that much later
 
-NO_TOKEN = 0
-
 
 @dataclass(slots=True)
 class Proposal:
--- a/reedspoke/fleet/lease/tokens.py
+++ b/reedspoke/fleet/lease/tokens.py
@@ -13,6 +13,7 @@
 MEMBER_BITS = 10
 INCARNATION_BITS = 16
 PROPOSER_BITS = MEMBER_BITS + INCARNATION_BITS
+NO_TOKEN = 0
 ROUND_US = 10_000  # of the wall clock in one round; rounds are seldom begun faster, and 64 bits hold them
 
 
@@ -49,7 +50,7 @@
 
     def __init__(self) -> None:
         """No token is known."""
-        self.token = self.rejections = 0
+        self.token, self.rejections = NO_TOKEN, 0
 
     def admits(self, token: int) -> bool:
         """Whether no higher token is known; remembers it then."""
--- a/reedspoke/fleet/load_sharing.py
+++ b/reedspoke/fleet/load_sharing.py
@@ -204,8 +204,7 @@
         return any(report.load.slots > 0 for report in expired)
 
     def loads_of_others(self, workers: Iterable[str]) -> WorkerLoads:
-        """What the peers have reserved at these workers, by their reports; workers with nothing are left
-        out."""
+        """What the peers have reported for these workers; workers without reservations are left out."""
         if not self._totals:
             return {}
         worker_by_hash = {name_hash(worker): worker for worker in workers}
--- a/reedspoke/fleet/node.py
+++ b/reedspoke/fleet/node.py
@@ -20,11 +20,11 @@
 from reedspoke.fleet.messages.anti_entropy import MemberEntry
 from reedspoke.fleet.messages.failure_detector import MemberUpdate, Ping
 from reedspoke.fleet.messages.fields import name_hash
-from reedspoke.fleet.messages.frame import EVERY_PEER, Frame, Message, OutgoingMessage
+from reedspoke.fleet.messages.frame import Frame, Message, OutgoingMessage
 from reedspoke.fleet.messages.lease import ConfigurationDigest, LeaseHeld, LeaseMessage
 from reedspoke.fleet.replicated_log.log_state import LogChange
 from reedspoke.fleet.roles.singleton_roles import SingletonRoles
-from reedspoke.fleet.transport.channel import FrameChannel
+from reedspoke.fleet.transport.channel import UNKNOWN_SENDER, FrameChannel
 
 
 class NodePhase(IntEnum):
@@ -78,9 +78,8 @@
 
     # ---- events ----
 
-    def receive(self, datagram: bytes, now: int, sender: int = EVERY_PEER) -> Frame | None:
-        """Takes in a datagram; its frame, or None where it is ignored. `sender` is the member by its
-        address."""
+    def receive(self, datagram: bytes, now: int, sender: int = UNKNOWN_SENDER) -> Frame | None:
+        """Takes in a datagram; its frame, or None where it is ignored. `sender`: the member, by address."""
         frame = self.channel.receive(datagram, sender)
         if frame is None:
             return None
--- a/reedspoke/fleet/roles/call_client.py
+++ b/reedspoke/fleet/roles/call_client.py
@@ -7,13 +7,13 @@
 import logging
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
+from http import HTTPStatus
 from typing import Any
 
 from reedspoke.fleet.events import CallRoleTarget, RoleCallFinished
 from reedspoke.net.runtime import Runtime
 
 SECOND_US = 1_000_000
-CONFLICT = 409  # the target knows a later token
 CONNECTION_ERROR = 599  # tornado's status where there was no answer
 MAX_TOKEN = (1 << 63) - 1
 
@@ -83,5 +83,5 @@
             log.warning("role %s: HTTP call failed: %s", effect.role, error)
             return 0, 0
         status = answer.code if answer.code < CONNECTION_ERROR else 0
-        token = answer.headers.get("Fencing-Token", "") if answer.code == CONFLICT else ""
+        token = answer.headers.get("Fencing-Token", "") if answer.code == HTTPStatus.CONFLICT else ""
         return status, int(token) if token.isascii() and token.isdigit() else 0
--- a/reedspoke/fleet/roles/delegated.py
+++ b/reedspoke/fleet/roles/delegated.py
@@ -3,16 +3,16 @@
 from __future__ import annotations
 
 from reedspoke.fleet.events import RoleAcquired, RoleLost
+from reedspoke.fleet.lease.tokens import NO_TOKEN
 from reedspoke.net.effects import FurtherEffect
 
 
 class DelegatedRole:
-    """A `RoleHandler`. The part compares its clock with `expires_at` before each act, and sends the token
-    along."""
+    """A `RoleHandler`. Before each act the part compares its clock with `expires_at` and sends the token."""
 
     def __init__(self, role: str) -> None:
         """`role` is the name of the role."""
-        self.role, self._token = role, 0
+        self.role, self._token = role, NO_TOKEN
 
     def lease_acquired(self, token: int, expires_at: int, now: int) -> list[FurtherEffect]:
         """Reports the role to the part."""
--- a/reedspoke/fleet/roles/periodic_call.py
+++ b/reedspoke/fleet/roles/periodic_call.py
@@ -7,9 +7,9 @@
 from __future__ import annotations
 
 from reedspoke.fleet.events import CallRoleTarget
+from reedspoke.fleet.lease.tokens import NO_TOKEN
 from reedspoke.net.effects import FurtherEffect
 
-NO_TOKEN = 0
 FIRST_SUCCESS_STATUS, FIRST_REDIRECT_STATUS = 200, 300
 
 
--- a/reedspoke/fleet/roles/singleton_roles.py
+++ b/reedspoke/fleet/roles/singleton_roles.py
@@ -21,7 +21,6 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 from random import Random
-from typing import NamedTuple
 from zlib import crc32
 
 from reedspoke.fleet.lease.events import (
@@ -39,12 +38,12 @@
 from reedspoke.fleet.lease.participant import LeaseParticipant
 from reedspoke.fleet.lease.tokens import FencingGuard, member_of
 from reedspoke.fleet.messages.fields import NO_MEMBER, name_hash
+from reedspoke.fleet.messages.frame import EVERY_PEER, OutgoingMessage
 from reedspoke.fleet.messages.lease import ConfigurationDigest, LeaseHeld, LeaseMessage
 from reedspoke.fleet.roles.handler import RoleHandler
 from reedspoke.net.effects import FurtherEffect
 
 DEFAULT_VOTERS = 5  # the first members, where the configuration names no voters
-EVERY_PEER = -1
 US_PER_MS = 1000
 CONFLICT_TTLS = 3  # of the longest time to live, after the last message of a member configured differently
 TTL_MISMATCH = "other term"  # label of a metric: lease messages with another time to live
@@ -86,13 +85,6 @@
     expires_at: int
 
 
-class OutgoingLeaseMessage(NamedTuple):
-    """A message and its recipient, a member or EVERY_PEER."""
-
-    recipient: int
-    message: LeaseMessage | LeaseHeld
-
-
 class SingletonRoles:
     """The roles of one member.
 
@@ -122,7 +114,7 @@
         self._candidacies: dict[str, bool] = {}
         self._ineligible: set[str] = set()
         self._name_by_hash: dict[int, str] = {}
-        self._outgoing: list[OutgoingLeaseMessage] = []
+        self._outgoing: list[OutgoingMessage] = []
 
     def add(self, role: SingletonRole, handler: RoleHandler | None = None) -> None:
         """Adds a role. Raises ValueError where another role has the same name, or a name of the same hash."""
@@ -143,7 +135,7 @@
         if not role.eligible:
             self._ineligible.add(role.name)
 
-    def disable(self, name: str, now: int) -> list[OutgoingLeaseMessage]:
+    def disable(self, name: str, now: int) -> list[OutgoingMessage]:
         """This member can no longer do the role: it releases the lease, and wants it no more."""
         outgoing = self.set_candidacy(False, NO_MEMBER, now, [name])
         self._ineligible.add(name)
@@ -153,7 +145,7 @@
 
     def set_candidacy(
         self, candidate: bool, successor: int, now: int, names: Iterable[str] | None = None
-    ) -> list[OutgoingLeaseMessage]:
+    ) -> list[OutgoingMessage]:
         """Whether this member wants these roles (all without `names`).
 
         `successor` is the member that may propose first for a role that is released, or NO_MEMBER.
@@ -166,9 +158,7 @@
                 self._handle(name, CandidacyChanged(candidate, successor), now)
         return self._take_outgoing()
 
-    def receive_digest(
-        self, sender: int, digest: ConfigurationDigest, now: int
-    ) -> list[OutgoingLeaseMessage]:
+    def receive_digest(self, sender: int, digest: ConfigurationDigest, now: int) -> list[OutgoingMessage]:
         """The digest of another member has come: where it differs from ours, all leases are released."""
         if digest == self.digest:
             self.conflicting_members.pop(sender, None)
@@ -185,7 +175,7 @@
         self.conflicting_members[sender] = now + CONFLICT_TTLS * longest_ttl_us
         return self._take_outgoing()
 
-    def tick(self, now: int) -> list[OutgoingLeaseMessage]:
+    def tick(self, now: int) -> list[OutgoingMessage]:
         """Time has passed; due several times within the shortest time to live."""
         self._expire_conflicts(now)
         for name in self.leases:
@@ -203,7 +193,7 @@
             for name, candidate in self._candidacies.items():
                 self._handle(name, CandidacyChanged(candidate), now)
 
-    def call_rejected(self, name: str, token: int, now: int) -> list[OutgoingLeaseMessage]:
+    def call_rejected(self, name: str, token: int, now: int) -> list[OutgoingMessage]:
         """The target of a role's calls knows a later token than ours."""
         self._supersede(name, token, now)
         return self._take_outgoing()
@@ -219,7 +209,7 @@
         if had_lease:
             self._lease_ended(name, LeaseEndReason.SUPERSEDED, now)
 
-    def receive(self, sender: int, message: LeaseMessage | LeaseHeld, now: int) -> list[OutgoingLeaseMessage]:
+    def receive(self, sender: int, message: LeaseMessage | LeaseHeld, now: int) -> list[OutgoingMessage]:
         """A message about a role's lease has come from another member."""
         name = self._name_by_hash.get(message.role_hash)
         if name is None:
@@ -282,7 +272,7 @@
         match effect:
             case SendMessage(recipient, message):
                 wrapped = LeaseMessage(name_hash(name), lease.ttl_us // US_PER_MS, message)
-                self._outgoing.append(OutgoingLeaseMessage(recipient, wrapped))
+                self._outgoing.append(OutgoingMessage(recipient, wrapped))
             case LeaseAcquired(token, expires_at):
                 self.fencing_guards[name].admits(token)
                 self._record_holder(name, LeaseHolder(self.member, token, expires_at))
@@ -297,7 +287,7 @@
     def _announce(self, name: str, expires_at: int, now: int) -> None:
         remaining_ms = max(0, (expires_at - now) // US_PER_MS)
         announcement = LeaseHeld(name_hash(name), self.leases[name].token, remaining_ms)
-        self._outgoing.append(OutgoingLeaseMessage(EVERY_PEER, announcement))
+        self._outgoing.append(OutgoingMessage(EVERY_PEER, announcement))
 
     def _lease_ended(self, name: str, reason: LeaseEndReason, now: int) -> None:
         self.lease_ends[name, reason] += 1
@@ -307,6 +297,6 @@
         if (handler := self.handlers.get(name)) is not None:
             self.effects += handler.lease_ended(reason, now)
 
-    def _take_outgoing(self) -> list[OutgoingLeaseMessage]:
+    def _take_outgoing(self) -> list[OutgoingMessage]:
         outgoing, self._outgoing = self._outgoing, []
         return outgoing
--- a/reedspoke/fleet/transport/channel.py
+++ b/reedspoke/fleet/transport/channel.py
@@ -41,8 +41,7 @@
         return [self.keys.sign(body) for body in bodies] if self.keys is not None else bodies
 
     def receive(self, datagram: bytes, sender: int = UNKNOWN_SENDER) -> Frame | None:
-        """The frame of a datagram, or None where it is to be ignored; `sender` is the member by its
-        address."""
+        """The frame of a datagram, or None where it is ignored. `sender`: the member by its address."""
         body = self.keys.verify(datagram) if self.keys is not None else datagram
         if body is None:
             self.counters["unsealed"] += 1
--- a/reedspoke/operator_cli/client.py
+++ b/reedspoke/operator_cli/client.py
@@ -72,8 +72,7 @@
         self._sleep = sleep
 
     def send(self, request: ApiRequest) -> ApiResponse:
-        """The first final response, which may be a rejection. Raises OperatorError where none came in
-        time."""
+        """The first final response, which may be a rejection. Raises OperatorError after the time-out."""
         deadline = self._clock() + self._timeout_s
         backoff_s = INITIAL_BACKOFF_S
         rejections = 0
