--- a/reedspoke/control_plane/replication/replica.py
+++ b/reedspoke/control_plane/replication/replica.py
@@ -50,6 +50,7 @@
 from reedspoke.control_plane.replication.head_queue import HeadQueue
 from reedspoke.control_plane.replication.heartbeats import Heartbeats
 from reedspoke.control_plane.replication.invariants import ReplicaInvariants
+from reedspoke.control_plane.replication.log_records import RestoredState, encode_record, restore
 from reedspoke.control_plane.replication.membership_observer import MembershipObserver
 from reedspoke.control_plane.replication.messages import (
     GetReply,
@@ -71,7 +72,6 @@
 )
 from reedspoke.control_plane.replication.tail_reader import TailReader
 from reedspoke.control_plane.replication.view import View
-from reedspoke.control_plane.storage.records import RestoredState, encode_record, restore
 from reedspoke.control_plane.views.agreement import ViewAgreement
 from reedspoke.control_plane.views.majority_contact import ContactState
 
@@ -294,7 +294,7 @@
     def _look_for_better_view(self) -> None:
         if self.view is not None:
             self._repair.propose_next(self.view)
-        elif self._first_start.has_part:
+        elif self._first_start.takes_part:
             self._repair.propose_first(self._first_start.stored_seeds)
         else:
             self._first_start.retry()
--- a/tests/control_plane/simulated_control.py
+++ b/tests/control_plane/simulated_control.py
@@ -37,7 +37,7 @@
 from tests.control_plane.worker_list_judge import WorkerListJudge
 
 PREPARE_S = (0.0, 0.02)  # a configuration is parsed on another thread
-FIRST_LIFE = 1
+FIRST_INCARNATION = 1
 NO_SETTINGS_FILE = Path("/nonexistent/settings.json")
 
 Value = TypeVar("Value")
@@ -164,7 +164,7 @@
         discovery.platform_client = SimulatedPlatformClient(self._platform, self._simulation, random)
         return discovery
 
-    def _build_endpoints(self) -> None:
+    def _build_endpoints(self, settings: NodeSettings) -> None:
         """There is no operator API and no metrics endpoint."""
 
     def begin(self) -> None:
@@ -178,7 +178,6 @@
 
     def begin_leave(self) -> None:
         """What SIGTERM changes here."""
-        self._shutting_down = True
         self._exchange.release_lease()
 
     def end_sessions(self) -> None:
@@ -213,7 +212,7 @@
         self._sessions.message_received(channel, decode(payload, EdgeMessage))  # type: ignore[arg-type]
 
     def _publish_workers(self, workers: WorkerList) -> None:
-        self._judge.published(self._address, self._machine.life, workers)
+        self._judge.published(self._address, self._machine.incarnation, workers)
         self._judge.holds(self._address, self._workers.current)
         self._exchange.publish_workers(workers)
 
@@ -237,7 +236,7 @@
             node_name=machine.address,
             ip_address=machine.address,
             zone=machine.zone,
-            bootstrap=machine.bootstrap and machine.life == FIRST_LIFE,
+            bootstrap=machine.bootstrap and machine.incarnation == FIRST_INCARNATION,
         )
 
         def build() -> None:
