--- a/reedspoke/control_plane/replication/failure_detector.py
+++ b/reedspoke/control_plane/replication/failure_detector.py
@@ -98,24 +98,14 @@
 
     def is_steady(self, folder_id: str, now: float) -> bool:
         """Whether this replica has been in reach for long enough to be appended."""
-        peer = self._peers.get(folder_id)
-        return (
-            peer is not None
-            and self.mutually_reachable(folder_id, now)
-            and now - peer.heard_since >= JOIN_AFTER_S
-        )
+        return self._reachable_for(folder_id, now, JOIN_AFTER_S)
 
     def is_established(self, folder_id: str, now: float) -> bool:
         """Whether this replica has been in reach for so long that it will hardly be replaced soon."""
-        peer = self._peers.get(folder_id)
-        return (
-            peer is not None
-            and self.mutually_reachable(folder_id, now)
-            and now - peer.heard_since >= ESTABLISHED_AFTER_S
-        )
+        return self._reachable_for(folder_id, now, ESTABLISHED_AFTER_S)
 
     def is_lost(self, folder_id: str, now: float) -> bool:
-        """Whether I have not heard this replica for GONE_S, nor has any other that has run for as long."""
+        """Whether neither this replica nor any that has run as long heard that one for `DEAD_TIMEOUT_S`."""
         if folder_id == self._own.folder_id or not self.is_timed_out(folder_id, now, DEAD_TIMEOUT_S):
             return False
         witnesses = [
@@ -125,6 +115,12 @@
         ]
         return not any(folder_id in heartbeat.heard for heartbeat in witnesses)
 
+    def _reachable_for(self, folder_id: str, now: float, duration_s: float) -> bool:
+        peer = self._peers.get(folder_id)
+        if peer is None or not self.mutually_reachable(folder_id, now):
+            return False
+        return now - peer.heard_since >= duration_s
+
     def _heard_by(self, folder_id: str) -> tuple[str, ...]:
         peer = self._peers.get(folder_id)
         return peer.heartbeat.heard if peer else ()
--- a/reedspoke/control_plane/replication/first_start.py
+++ b/reedspoke/control_plane/replication/first_start.py
@@ -41,17 +41,17 @@
         self.stored_seeds = restored.seeds
 
     @property
-    def takes_part(self) -> bool:
+    def is_participant(self) -> bool:
         """Whether the log says that this folder was made at the first start."""
         return bool(self.stored_seeds)
 
     def records(self) -> list[Struct]:
         """What the log has to hold."""
-        return [BootstrapRecord(self.stored_seeds)] if self.takes_part else []
+        return [BootstrapRecord(self.stored_seeds)] if self.is_participant else []
 
     def begin(self) -> None:
         """Take part where the settings say that this is the first start, and this replica is a seed."""
-        if not self._settings.bootstrap or self.takes_part:
+        if not self._settings.bootstrap or self.is_participant:
             return
         if self._settings.address in self.configured_seeds:
             self._store(self.configured_seeds)
--- a/reedspoke/control_plane/replication/heartbeats.py
+++ b/reedspoke/control_plane/replication/heartbeats.py
@@ -63,10 +63,10 @@
             synced_since=0 if self._register.installing_snapshot else self._register.synced_since,
             committed=self._register.committed_sequence,
             draining=self.draining,
-            bootstrap=self._first_start.takes_part,
+            bootstrap=self._first_start.is_participant,
             undecided=self._agreement.has_undecided_view,
             sent_at=self._outbox.now,
-            starts_new=view is None and self._settings.bootstrap and not self._first_start.takes_part,
+            starts_new=view is None and self._settings.bootstrap and not self._first_start.is_participant,
         )
 
     def tick(self) -> None:
--- a/reedspoke/control_plane/replication/replica.py
+++ b/reedspoke/control_plane/replication/replica.py
@@ -294,7 +294,7 @@
     def _look_for_better_view(self) -> None:
         if self.view is not None:
             self._repair.propose_next(self.view)
-        elif self._first_start.takes_part:
+        elif self._first_start.is_participant:
             self._repair.propose_first(self._first_start.stored_seeds)
         else:
             self._first_start.retry()
