--- a/tests/test_documentation_names.py
+++ b/tests/test_documentation_names.py
@@ -9,6 +9,8 @@
 
 import pytest
 
+from reedspoke.decision.messages import FailReason, RefuseReason
+
 ROOT = Path(__file__).parent.parent
 PAGES = ("docs/architecture.md", "docs/glossary.md")
 PACKAGES = sorted(path.name for path in (ROOT / "reedspoke").iterdir() if (path / "__init__.py").is_file())
@@ -60,3 +62,9 @@
 def test_every_path_of_a_page_exists(page: str) -> None:
     paths = set(PATH.findall((ROOT / page).read_text()))
     assert [path for path in sorted(paths) if not (ROOT / path).exists()] == []
+
+
+@pytest.mark.parametrize("reason", [*RefuseReason, *FailReason], ids=str)
+def test_every_reason_in_the_request_log_is_explained(reason: RefuseReason | FailReason) -> None:
+    page = (ROOT / "docs/operating-the-fleet.md").read_text()
+    assert f"| `{reason.name}` |" in page
