--- a/tests/golden/test_public_names.py
+++ b/tests/golden/test_public_names.py
@@ -1,7 +1,7 @@
 """Names that others rely on outlive every rename: settings, metrics, error codes, commands, headers, paths.
 
-`data/public_names.json` was written by an earlier version. It only grows: who adds a public name adds it there
-in the same change, and no name that stands there is changed or removed.
+`data/public_names.json` was written by an earlier version. It only grows: who adds a public name adds it
+there in the same change, and no name that stands there is changed or removed.
 """
 
 from __future__ import annotations
