--- a/reedspoke/control_plane/__init__.py
+++ b/reedspoke/control_plane/__init__.py
@@ -3,8 +3,7 @@
 Each sub-package owns one kind of state, and its docstring says which:
 
 - `replication`, `views` and `storage`: the replicated configuration, the agreement on who replicates it, and
-the
-  log on disk. The three make one state machine without I/O, its driver and its file.
+  the log on disk. The three make one state machine without I/O, its driver and its file.
 - `peers`: connections and messages between control plane nodes.
 - `workers`: the list of workers, and the lease of the node that polls the platform for it.
 - `quota`: what is granted of tenants' quotas.
