--- a/reedspoke/booking/subsystem.py
+++ b/reedspoke/booking/subsystem.py
@@ -1,7 +1,7 @@
 """The reservations as a subsystem of the program: component, storage, HTTP calls and metrics.
 
     POST   /v1/bookings/NAME            201 booked, 409 rejected or stale, 202 not known yet
-    POST   /v1/bookings/NAME/series     the same by a rule: each occurrence has a name of its own, NAME.1 and so on
+    POST   /v1/bookings/NAME/series     the same by a rule: occurrences are named NAME.1 and so on
     DELETE /v1/bookings/NAME            200 cancelled, 409 stale, 202 not known yet
     GET    /v1/bookings/NAME            as it is known here: 200, 404; at a scheduler that is no voter 503
     GET    /v1/bookings                 all of them, as they are known here
