--- a/reedspoke/data_plane/attempt.py
+++ b/reedspoke/data_plane/attempt.py
@@ -7,8 +7,8 @@
 from reedspoke.data_plane.event_stream import EventSplitter
 from reedspoke.data_plane.upstream_connection import UpstreamConnection
 from reedspoke.decision.attempt_fate import Ending, Evidence
+from reedspoke.decision.attempt_timeout import OpenAttempt
 from reedspoke.decision.messages import Job, WorkerEntry
-from reedspoke.decision.silence import OpenAttempt
 
 
 class Attempt(Struct):
@@ -30,16 +30,16 @@
     splitter: EventSplitter | None = None  # of a stream of events
 
     def open(self, job: Job, pause_s: float, heard_at: float, *, may_have_run: bool) -> OpenAttempt:
-        """What tells whether it is overdue, or has gone silent; `pause_s` as in `OpenAttempt`."""
+        """What tells whether it is overdue, or has gone silent; `pause_s`: its `event_gap_target_s`."""
         return OpenAttempt(
             job_id=job.job_id,
             instance_id=self.worker.instance_id,
             repeat=job.repeat,
             streaming=job.streaming,
-            aim_s=job.aim_s,
-            pause_s=pause_s,
+            latency_target_s=job.latency_target_s,
+            event_gap_target_s=pause_s,
             sent_at=self.sent_at,
-            heard_at=heard_at,
+            last_received_at=heard_at,
             deadline=job.deadline,
             connected=self.bytes_sent,
             may_have_run=may_have_run,
--- a/reedspoke/data_plane/exchange.py
+++ b/reedspoke/data_plane/exchange.py
@@ -41,10 +41,10 @@
 from reedspoke.data_plane.upstream_connection import Failure, UpstreamConnection
 from reedspoke.data_plane.upstream_pool import ConnectFailure, ConnectResult, UpstreamPool
 from reedspoke.data_plane.upstream_request import UpstreamRequest
-from reedspoke.decision.answer_use import AnswerUse, may_pass, use_of_answer
+from reedspoke.decision.answer_action import AnswerAction, action_for_answer, may_forward
 from reedspoke.decision.attempt_fate import Ending, Evidence, Fate, fate_of, is_wrong_instance
+from reedspoke.decision.attempt_timeout import OpenAttempt
 from reedspoke.decision.messages import Expire, Fail, Job, Refuse, WorkerEntry
-from reedspoke.decision.silence import OpenAttempt
 from reedspoke.net.http import Head
 
 MOST_WHOLE_ANSWER = 8 * 1024 * 1024  # bytes of an answer that is read whole before it is passed on
@@ -117,7 +117,7 @@
     def expire(self, decision: Expire) -> None:
         """The time for the request is over."""
         self._call_off()
-        self._end_with(expired(ran=decision.ran), RequestOutcome.EXPIRED, "deadline")
+        self._end_with(expired(ran=decision.may_have_run), RequestOutcome.EXPIRED, "deadline")
 
     @isolated
     def give_up_attempt(self) -> None:
@@ -327,18 +327,18 @@
         answer = WholeAnswer(status_line(attempt.status), attempt.fields, bytes(attempt.body or b""))
         if is_wrong_instance(evidence):
             self._pool.forget(attempt.worker.instance_id)  # they all lead to another worker
-        use = use_of_answer(evidence, self.job.repeat, self._response.begun)
-        if use is AnswerUse.NOT_RUN:
+        use = action_for_answer(evidence, self.job.repeat, self._response.begun)
+        if use is AnswerAction.NOT_RUN:
             self._attempt_over(evidence)
-        elif use is AnswerUse.TRY_ELSEWHERE:
-            self._answer = answer if may_pass(attempt.status) else self._answer
+        elif use is AnswerAction.RETRY:
+            self._answer = answer if may_forward(attempt.status) else self._answer
             self._attempt_over(Evidence(Ending.MALFORMED, True, attempt.status))
         else:
             self._attempt_over(Evidence(Ending.COMPLETE, True, attempt.status))
             self._end_with_worker_s(answer, use)
 
-    def _end_with_worker_s(self, answer: WholeAnswer, use: AnswerUse) -> None:
-        if use is AnswerUse.PASS_ON:
+    def _end_with_worker_s(self, answer: WholeAnswer, use: AnswerAction) -> None:
+        if use is AnswerAction.FORWARD:
             check_success(self._request.attempt_id, status_of(answer), answer.fields)
             self._end_with(answer, RequestOutcome.SERVED, "")
         else:
--- a/reedspoke/data_plane/exchange_invariants.py
+++ b/reedspoke/data_plane/exchange_invariants.py
@@ -7,7 +7,7 @@
 from reedspoke.data_plane.headers import API_KEY, ATTEMPT_ID, RESPONSE_SEAL, TENANT_NAME, text_of
 from reedspoke.data_plane.request_trace import RequestTrace
 from reedspoke.data_plane.upstream_request import UpstreamRequest
-from reedspoke.decision.attempt_fate import PROMISES, Fate
+from reedspoke.decision.attempt_fate import NOT_EXECUTED_STATUSES, Fate
 from reedspoke.decision.messages import Job, Repeat
 from reedspoke.net.http import Head
 from reedspoke.telemetry.invariants import Invariant, check
@@ -85,5 +85,9 @@
 
 def check_final_answer(job: Job, trace: RequestTrace, status: int, *, ran: bool) -> None:
     """An answer of this status is about to be the request's final one."""
-    allowed = job.repeat is not Repeat.NEVER or status not in PROMISES or not (ran or may_have_run(trace))
+    allowed = (
+        job.repeat is not Repeat.NEVER
+        or status not in NOT_EXECUTED_STATUSES
+        or not (ran or may_have_run(trace))
+    )
     check(Invariant.REFUSED_HAS_NOT_RUN, allowed, attempt_id=trace.attempt_id, status=status, trace=trace)
--- a/reedspoke/data_plane/forwarder.py
+++ b/reedspoke/data_plane/forwarder.py
@@ -18,6 +18,8 @@
 from reedspoke.data_plane.route_table import CompiledRoute
 from reedspoke.data_plane.upstream_pool import MOST_IDLE, UpstreamPool
 from reedspoke.decision.attempt_fate import Evidence, cause_of, outcome_of
+from reedspoke.decision.attempt_timeout import timed_out_attempts
+from reedspoke.decision.deadline_expiry import expired_requests
 from reedspoke.decision.dispatcher import Dispatcher
 from reedspoke.decision.messages import (
     AttemptEnd,
@@ -32,8 +34,6 @@
     Upstream,
     WorkerEntry,
 )
-from reedspoke.decision.overdue import overdue_ends
-from reedspoke.decision.silence import attempts_to_give_up
 
 MOST_AVOIDED_TOLD = 8  # workers, in the log line of a request
 WATCH_INTERVAL_S = 0.1  # between two looks for silent workers and deadlines
@@ -105,15 +105,15 @@
     def set_others_load(self, running: dict[str, tuple[int, int]]) -> None:
         """What all other schedulers hold at workers."""
         loads = {name: Load(requests, tokens) for name, (requests, tokens) in running.items()}
-        self._apply(self._dispatcher.others_load(loads, self._loop.time()))
+        self._apply(self._dispatcher.set_others_load(loads, self._loop.time()))
 
     def set_others_suspects(self, suspects: dict[str, int]) -> None:
         """How many other schedulers suspect each worker."""
-        self._dispatcher.others_suspect(suspects, self._loop.time())
+        self._dispatcher.set_others_suspicions(suspects, self._loop.time())
 
     def own_suspects(self) -> tuple[str, ...]:
         """The workers that this scheduler suspects, for the others."""
-        return self._dispatcher.own_suspects(self._loop.time())
+        return self._dispatcher.suspected_workers(self._loop.time())
 
     def avoided_workers(self) -> int:
         """Workers that requests avoid, as several schedulers suspect them."""
@@ -123,7 +123,7 @@
         """How many schedulers there are, this one included."""
         self._schedulers = max(1, schedulers)
         self._share_connections()
-        self._dispatcher.fleet_size(schedulers, self._loop.time())
+        self._dispatcher.set_fleet_size(schedulers, self._loop.time())
 
     def _share_connections(self) -> None:
         self._pool.most_idle = {
@@ -179,7 +179,7 @@
 
     def first_event(self, exchange: Exchange) -> None:
         """The first event of an attempt has come."""
-        self._apply(self._dispatcher.attempt_started(exchange.job.job_id, self._loop.time()))
+        self._apply(self._dispatcher.first_event_received(exchange.job.job_id, self._loop.time()))
 
     def attempt_ended(self, exchange: Exchange, evidence: Evidence) -> None:
         """An attempt has ended, other than by being called off."""
@@ -213,7 +213,7 @@
     def _carry_out(self, exchange: Exchange, decision: Decision) -> None:
         match decision:
             case Send(instance_id=instance_id, urgency=urgency):
-                avoided = self._dispatcher.avoided_by(decision.job_id, self._loop.time())
+                avoided = self._dispatcher.workers_avoided_by(decision.job_id, self._loop.time())
                 exchange.send(self._workers[instance_id], urgency, avoided[:MOST_AVOIDED_TOLD])
             case Refuse():
                 exchange.refuse(decision)
@@ -226,13 +226,13 @@
         if self._wake is not None:
             self._wake.cancel()
             self._wake = None
-        at = self._dispatcher.wake_at(self._loop.time())
+        at = self._dispatcher.next_timer_at(self._loop.time())
         if at is not None:
             self._wake = self._loop.call_at(at, self._timer)
 
     def _timer(self) -> None:
         self._wake = None
-        self._apply(self._dispatcher.timer(self._loop.time()))
+        self._apply(self._dispatcher.timer_fired(self._loop.time()))
 
     # ---- silence ----
 
@@ -249,9 +249,9 @@
 
     def _end_what_is_late(self, now: float) -> None:
         attempts = [attempt for item in self._exchanges.values() if (attempt := item.open_attempt())]
-        for expired in overdue_ends(attempts, now):
+        for expired in expired_requests(attempts, now):
             self._end_overdue(expired)
-        for job_id in attempts_to_give_up(attempts, self._heard_from, now):
+        for job_id in timed_out_attempts(attempts, self._heard_from, now):
             exchange = self._exchanges.get(job_id)
             if exchange is not None and self._gains_by_another(exchange, now):
                 exchange.give_up_attempt()
@@ -271,7 +271,7 @@
     def _forget(self, job_id: int) -> None:
         """A job has ended otherwise than was decided; an attempt that was out has been called off."""
         now = self._loop.time()
-        self._apply(self._dispatcher.job_gone(job_id, now))
+        self._apply(self._dispatcher.client_left(job_id, now))
         self._apply(self._dispatcher.attempt_ended(job_id, AttemptEnd(Outcome.CANCELLED), now))
 
 
--- a/reedspoke/data_plane/forwarder_invariants.py
+++ b/reedspoke/data_plane/forwarder_invariants.py
@@ -9,13 +9,16 @@
 
 def check_forgotten(trace: RequestTrace, job_id: int, dispatcher: Dispatcher) -> None:
     """The request's client has left, and the dispatcher was told."""
-    forgotten = not dispatcher.holds(job_id)
+    forgotten = not dispatcher.has_job(job_id)
     check(Invariant.GONE_CLIENT_HOLDS_NOTHING, forgotten, attempt_id=trace.attempt_id, trace=trace)
 
 
 def check_idle(dispatcher: Dispatcher) -> None:
     """No request is open any more."""
-    residue = dispatcher.residue()
+    residue = dispatcher.unreleased()
     check(
-        Invariant.IDLE_HOLDS_NOTHING, not (residue or dispatcher.jobs), residue=residue, jobs=dispatcher.jobs
+        Invariant.IDLE_HOLDS_NOTHING,
+        not (residue or dispatcher.job_count),
+        residue=residue,
+        jobs=dispatcher.job_count,
     )
--- a/reedspoke/data_plane/job_builder.py
+++ b/reedspoke/data_plane/job_builder.py
@@ -15,21 +15,21 @@
 )
 from reedspoke.data_plane.permit import Permit
 from reedspoke.data_plane.route_table import CompiledRoute
-from reedspoke.decision.messages import Job, Part, Repeat
+from reedspoke.decision.messages import Job, PromptPart, Repeat
 from reedspoke.net.http import Head
 
 MOST_PARTS = 64
 COUNT = re.compile(r"[0-9]{1,9}")  # `isdigit` would take other digits too, and `int` has no bound
 
 
-def parse_parts(text: str) -> tuple[Part, ...]:
+def parse_parts(text: str) -> tuple[PromptPart, ...]:
     """The parts of a prompt, written as `ID:TOKENS` with commas between; what is malformed ends the list."""
     parts = []
     for item in text.split(",")[:MOST_PARTS]:
         part_id, _, tokens = item.strip().partition(":")
         if not part_id or COUNT.fullmatch(tokens) is None:
             break
-        parts.append(Part(part_id, int(tokens)))
+        parts.append(PromptPart(part_id, int(tokens)))
     return tuple(parts)
 
 
@@ -77,7 +77,7 @@
         parts=parts,
         prompt_tokens=tokens_in or sum(part.tokens for part in parts),
         output_tokens=tokens_out,
-        aim_s=route.target,
+        latency_target_s=route.target,
         deadline=arrived + time_limit(head, route),
         max_attempts=route.max_attempts,
         arrived=arrived,
--- a/reedspoke/data_plane/process.py
+++ b/reedspoke/data_plane/process.py
@@ -29,7 +29,7 @@
 from reedspoke.data_plane.request_log import RequestLog
 from reedspoke.data_plane.subscription import Listener, Subscription
 from reedspoke.data_plane.upstream_pool import UpstreamPool
-from reedspoke.decision.dispatcher import BudgetRule, Dispatcher
+from reedspoke.decision.dispatcher import Dispatcher, RetryBudgetRule
 from reedspoke.telemetry.invariants import Invariant, check
 from reedspoke.telemetry.metrics import Registry
 
@@ -94,7 +94,9 @@
 
     def _make_dispatcher(self) -> Dispatcher:
         bounds = self._settings.bounds
-        rule = BudgetRule(window_s=bounds.retry_window_s, ratio=bounds.retry_ratio, slack=bounds.retry_slack)
+        rule = RetryBudgetRule(
+            window_s=bounds.retry_window_s, ratio=bounds.retry_ratio, slack=bounds.retry_slack
+        )
         return Dispatcher(zone=self._settings.zone, budget=rule, started=self._loop.time())
 
     # ---- life ----
--- a/reedspoke/decision/answer_use.py
+++ b/reedspoke/decision/answer_action.py
@@ -7,7 +7,7 @@
 
 from enum import Enum, auto
 
-from reedspoke.decision.attempt_fate import PROMISES, Evidence, Fate, fate_of
+from reedspoke.decision.attempt_fate import NOT_EXECUTED_STATUSES, Evidence, Fate, fate_of
 from reedspoke.decision.messages import Repeat
 
 STATUS_BAD_REQUEST = 400
@@ -15,28 +15,28 @@
 LEAST_SERVER_ERROR = 500
 
 
-class AnswerUse(Enum):
+class AnswerAction(Enum):
     """What becomes of the answer."""
 
-    PASS_ON = auto()  # to the client, as it is
+    FORWARD = auto()  # to the client, as it is
     REPLACE = auto()  # by an error of our own that promises nothing
     NOT_RUN = auto()  # it is a refusal: the request is as if it had never been sent
-    TRY_ELSEWHERE = auto()  # it is an error, and another worker may do better
+    RETRY = auto()  # it is an error, and another worker may do better
 
 
-def use_of_answer(evidence: Evidence, repeat: Repeat, stream_begun: bool) -> AnswerUse:
+def action_for_answer(evidence: Evidence, repeat: Repeat, stream_begun: bool) -> AnswerAction:
     """`evidence` is of a whole answer; `stream_begun`: a part of an earlier answer has been passed on."""
     refused_everywhere = evidence.status == STATUS_BAD_REQUEST  # no worker would take it
     if fate_of(evidence) is Fate.NEVER_RAN and not refused_everywhere:
-        return AnswerUse.NOT_RUN
+        return AnswerAction.NOT_RUN
     if stream_begun:
-        return AnswerUse.TRY_ELSEWHERE if repeat is Repeat.RESUMABLE else AnswerUse.REPLACE
+        return AnswerAction.RETRY if repeat is Repeat.RESUMABLE else AnswerAction.REPLACE
     worth = evidence.status >= LEAST_SERVER_ERROR and evidence.status != STATUS_WORKER_TIMEOUT
     if worth and repeat is not Repeat.NEVER:
-        return AnswerUse.TRY_ELSEWHERE
-    return AnswerUse.PASS_ON if may_pass(evidence.status) else AnswerUse.REPLACE
+        return AnswerAction.RETRY
+    return AnswerAction.FORWARD if may_forward(evidence.status) else AnswerAction.REPLACE
 
 
-def may_pass(status: int) -> bool:
+def may_forward(status: int) -> bool:
     """Guards a promise that nobody made: a worker's own 503 without proof says that it may have run."""
-    return status not in PROMISES
+    return status not in NOT_EXECUTED_STATUSES
--- a/reedspoke/decision/attempt_fate.py
+++ b/reedspoke/decision/attempt_fate.py
@@ -40,7 +40,7 @@
     bytes_sent: bool  # whether any byte of the request may have left
     status: int = 0  # of the answer's head; 0: none came
     not_executed: bool = False  # Reedspoke-Not-Executed stands in the head
-    version_asked: bool = False  # the request names the weights that it wants: a 421 may be about these
+    version_requested: bool = False  # the request names the weights that it wants: a 421 may be about these
 
     @property
     def refused(self) -> bool:
@@ -51,7 +51,7 @@
 LEAST_REFUSAL = 400
 STATUS_WRONG_INSTANCE = 421
 STATUS_FULL = 503
-PROMISES = frozenset((408, 421, 429, 503))  # statuses that say: it has not run and never will
+NOT_EXECUTED_STATUSES = frozenset((408, 421, 429, 503))  # statuses that say: it has not run and never will
 
 
 class FinalStatus(Enum):
@@ -119,7 +119,7 @@
 
 def is_wrong_instance(evidence: Evidence) -> bool:
     """Whether another worker answers at the address."""
-    return evidence.status == STATUS_WRONG_INSTANCE and not evidence.version_asked
+    return evidence.status == STATUS_WRONG_INSTANCE and not evidence.version_requested
 
 
 OUTCOMES = {
@@ -132,7 +132,7 @@
     Ending.CONNECT_FAILED: Cause.CONNECT_FAILED,
     Ending.RESET: Cause.RESET,
     Ending.CLOSED: Cause.RESET,
-    Ending.SILENCE: Cause.SILENT,
+    Ending.SILENCE: Cause.TIMED_OUT,
     Ending.MALFORMED: Cause.BAD_ANSWER,
     Ending.ABANDONED: Cause.NONE,
 }
--- a/reedspoke/decision/silence.py
+++ b/reedspoke/decision/attempt_timeout.py
@@ -12,7 +12,7 @@
 
 from reedspoke.decision.messages import Repeat
 
-LEAST_SILENCE_S = 2.0  # a client leaves a stream after this silence at the earliest,
+MIN_STREAM_TIMEOUT_S = 2.0  # a client leaves a stream after this silence at the earliest,
 SILENCE_OF_AIM = 4.0  # after this multiple of the aim,
 SILENCE_OF_PAUSE = 8.0  # and of the longest pause that is in time
 PART_OF_SILENCE = 0.5  # of what the client bears: the other half is for the next worker
@@ -26,16 +26,16 @@
     instance_id: str
     repeat: Repeat
     streaming: bool
-    aim_s: float
-    pause_s: float  # the longest pause between events that is in time; 0: unknown
+    latency_target_s: float
+    event_gap_target_s: float  # the longest pause between events that is in time; 0: unknown
     sent_at: float
-    heard_at: float  # of this attempt; `sent_at` where nothing has come
+    last_received_at: float  # of this attempt; `sent_at` where nothing has come
     deadline: float
     connected: bool = True  # its request has been sent; else the connection is still coming up
     may_have_run: bool = True  # this attempt, or one before it
 
 
-def attempts_to_give_up(
+def timed_out_attempts(
     attempts: Iterable[OpenAttempt], heard_from: dict[str, float], now: float
 ) -> list[int]:
     """Jobs whose attempt is to be called off, as its worker is silent and the job may go to another one.
@@ -48,16 +48,20 @@
 def _is_lost(attempt: OpenAttempt, heard_from: dict[str, float], now: float) -> bool:
     if attempt.repeat is Repeat.NEVER or not attempt.connected:
         return False
-    limit = patience(attempt)
-    if now - attempt.heard_at < limit:
+    limit = attempt_timeout_s(attempt)
+    if now - attempt.last_received_at < limit:
         return False
     since = max(heard_from.get(attempt.instance_id, 0.0), attempt.sent_at)
     return now - since >= limit
 
 
-def patience(attempt: OpenAttempt) -> float:
+def attempt_timeout_s(attempt: OpenAttempt) -> float:
     """Seconds without a byte that an attempt is given."""
     if not attempt.streaming:
-        return PLAIN_WAIT_OF_AIM * attempt.aim_s
-    borne = max(LEAST_SILENCE_S, SILENCE_OF_AIM * attempt.aim_s, SILENCE_OF_PAUSE * attempt.pause_s)
+        return PLAIN_WAIT_OF_AIM * attempt.latency_target_s
+    borne = max(
+        MIN_STREAM_TIMEOUT_S,
+        SILENCE_OF_AIM * attempt.latency_target_s,
+        SILENCE_OF_PAUSE * attempt.event_gap_target_s,
+    )
     return PART_OF_SILENCE * borne
--- a/reedspoke/decision/dispatcher.py
+++ b/reedspoke/decision/dispatcher.py
@@ -1,7 +1,7 @@
 """The dispatcher inside a scheduler: takes events, returns decisions, one `Service` for each upstream.
 
 It does no I/O and reads no clock: each event comes with the time, in seconds of one steady clock that never
-goes back. After each event ask `wake_at` when `timer` is to be called.
+goes back. After each event ask `next_timer_at` when `timer` is to be called.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 UNKNOWN_SERVICE_RETRY_S = 0.5  # Retry-After where a route's service is not known yet
 
 
-class BudgetRule(Struct, frozen=True, kw_only=True):
+class RetryBudgetRule(Struct, frozen=True, kw_only=True):
     """The fleet's retry budget for each service."""
 
     window_s: float
@@ -39,7 +39,7 @@
 class Dispatcher:
     """Decides for one scheduler."""
 
-    def __init__(self, *, zone: str, budget: BudgetRule, started: float) -> None:
+    def __init__(self, *, zone: str, budget: RetryBudgetRule, started: float) -> None:
         self._zone = zone
         self._rule = budget
         self._started = started
@@ -70,22 +70,22 @@
             service.set_workers(self._entries_of(service.upstream.name), now)
         return self._decided()
 
-    def others_load(self, loads: Mapping[str, Load], now: float) -> list[Decision]:
+    def set_others_load(self, loads: Mapping[str, Load], now: float) -> list[Decision]:
         """What all others together hold, by instance id; a worker that is not named has nothing of theirs."""
         for service in self._services.values():
             service.set_others(loads, now)
         return self._decided()
 
-    def others_suspect(self, suspects: Mapping[str, int], now: float) -> None:
+    def set_others_suspicions(self, suspects: Mapping[str, int], now: float) -> None:
         """How many other schedulers suspect each worker, by instance id; none where it is not named."""
         for service in self._services.values():
             service.pool.set_others_suspects(suspects, now)
 
-    def fleet_size(self, schedulers: int, now: float) -> None:
+    def set_fleet_size(self, schedulers: int, now: float) -> None:
         """The number of schedulers known, this one included; 0: unknown."""
         self._schedulers = schedulers
         for budget in self._budgets.values():
-            budget.fleet_size(schedulers, now)
+            budget.set_fleet_size(schedulers, now)
 
     def job_arrived(self, job: Job, now: float) -> list[Decision]:
         """A request was read whole and has a route."""
@@ -96,17 +96,17 @@
         service.arrive(job, now)
         return self._decided()
 
-    def job_gone(self, job_id: int, now: float) -> list[Decision]:
+    def client_left(self, job_id: int, now: float) -> list[Decision]:
         """The client has left. An attempt that is out is to be ended as CANCELLED by the caller."""
         if (service := self._service_of.get(job_id)) is not None:
             service.leave(job_id, now)
             self._forget(job_id)
         return self._decided()
 
-    def attempt_started(self, job_id: int, now: float) -> list[Decision]:
+    def first_event_received(self, job_id: int, now: float) -> list[Decision]:
         """The first event of a stream, or the first byte of another answer, has come from the worker."""
         if (service := self._service_of.get(job_id)) is not None:
-            service.attempt_started(job_id, now)
+            service.first_event_received(job_id, now)
         return self._decided()
 
     def attempt_ended(self, job_id: int, end: AttemptEnd, now: float) -> list[Decision]:
@@ -122,28 +122,28 @@
         service = self._service_of.get(job_id)
         return service is not None and service.can_move(job_id, now)
 
-    def timer(self, now: float) -> list[Decision]:
+    def timer_fired(self, now: float) -> list[Decision]:
         """Time has passed."""
         for service in self._services.values():
             service.tick(now)
         return self._decided()
 
-    def wake_at(self, now: float) -> float | None:
+    def next_timer_at(self, now: float) -> float | None:
         """When `timer` is to be called at the latest; None: after the next event."""
-        times = [at for service in self._services.values() if (at := service.wake_at(now)) is not None]
+        times = [at for service in self._services.values() if (at := service.next_timer_at(now)) is not None]
         return min(times, default=None)
 
-    def holds(self, job_id: int) -> bool:
+    def has_job(self, job_id: int) -> bool:
         """Whether the job waits or has an attempt out."""
         return job_id in self._service_of or any(service.knows(job_id) for service in self._services.values())
 
-    def residue(self) -> dict[str, Residue]:
+    def unreleased(self) -> dict[str, Residue]:
         """What is held by each service for whom no job is known, where that is anything."""
-        idle = {name: service.residue() for name, service in self._services.items() if service.idle}
+        idle = {name: service.unreleased() for name, service in self._services.items() if service.idle}
         return {name: residue for name, residue in idle.items() if residue != NOTHING_LEFT}
 
     @property
-    def jobs(self) -> int:
+    def job_count(self) -> int:
         """Jobs that wait or have an attempt out."""
         return len(self._service_of)
 
@@ -159,15 +159,17 @@
             loads.update(service.pool.own_load())
         return loads
 
-    def own_suspects(self, now: float) -> tuple[str, ...]:
+    def suspected_workers(self, now: float) -> tuple[str, ...]:
         """The workers that this scheduler suspects, to be told to the others."""
-        return tuple(name for service in self._services.values() for name in service.pool.own_suspects(now))
+        return tuple(
+            name for service in self._services.values() for name in service.pool.suspected_workers(now)
+        )
 
     def avoided_workers(self, now: float) -> int:
         """Workers that requests avoid, as several schedulers suspect them."""
         return sum(len(service.pool.avoided(now)) for service in self._services.values())
 
-    def avoided_by(self, job_id: int, now: float) -> tuple[str, ...]:
+    def workers_avoided_by(self, job_id: int, now: float) -> tuple[str, ...]:
         """The workers that this job avoids, as several schedulers suspect them."""
         service = self._service_of.get(job_id)
         return () if service is None else tuple(service.pool.avoided(now))
@@ -183,7 +185,7 @@
         budget = RetryBudget(
             window_s=rule.window_s, ratio=rule.ratio, slack=rule.slack, started=self._started
         )
-        budget.fleet_size(self._schedulers, now)
+        budget.set_fleet_size(self._schedulers, now)
         return budget
 
     def _entries_of(self, upstream: str) -> list[WorkerEntry]:
--- a/reedspoke/decision/job_class.py
+++ b/reedspoke/decision/job_class.py
@@ -39,7 +39,7 @@
     hold_until: float  # it is refused if it still waits then
     waiting: bool = True
     closed: bool = False  # its client has left
-    ran: bool = False  # an attempt may have run
+    may_have_run: bool = False  # an attempt may have run
     tried: list[str] = field(default_factory=list)  # workers, in order
     arrivals: int = 0  # attempts of which something may have reached a worker; one more is a repeat
     passed: bool = False  # its client has a part of the answer
--- a/reedspoke/decision/messages.py
+++ b/reedspoke/decision/messages.py
@@ -35,12 +35,12 @@
     WRONG_INSTANCE = auto()  # another worker answers at its address
     DEADLINE = auto()  # the request's time was over in the worker's queue
     CONNECT_FAILED = auto()  # no connection came up
-    SILENT = auto()  # nothing came in time
+    TIMED_OUT = auto()  # nothing came in time
     RESET = auto()  # the connection ended before the answer did
     BAD_ANSWER = auto()  # an error of its own, or bytes that are no answer
 
 
-class Part(Struct, frozen=True):
+class PromptPart(Struct, frozen=True):
     """A part of a prompt; parts of the same id hold the same tokens."""
 
     id: str
@@ -59,10 +59,10 @@
     repeat: Repeat
     streaming: bool = False
     model: str = ""
-    parts: tuple[Part, ...] = ()  # in order; the last is its own or its session's
+    parts: tuple[PromptPart, ...] = ()  # in order; the last is its own or its session's
     prompt_tokens: int = 0
     output_tokens: int = 0  # the most that may come; 0: unknown
-    aim_s: float
+    latency_target_s: float
     deadline: float  # after it nobody waits for the answer
     max_attempts: int = 1
     arrived: float
@@ -168,7 +168,7 @@
     """The deadline is over. Where an attempt may have run (`ran`) the answer is 504, else 503."""
 
     job_id: int
-    ran: bool
+    may_have_run: bool
 
 
 Decision = Send | Refuse | Fail | Expire
--- a/reedspoke/decision/placement.py
+++ b/reedspoke/decision/placement.py
@@ -115,7 +115,7 @@
     def _best_of(self, ask: Ask, workers: list[WorkerState], start: int) -> Placed | None:
         """The cheapest of these, whose places in the order begin at `start`."""
         found, least = None, float("inf")
-        patient = self.engine and ask.now - ask.job.arrived < PATIENT_PART * ask.job.aim_s
+        patient = self.engine and ask.now - ask.job.arrived < PATIENT_PART * ask.job.latency_target_s
         near = start  # workers before and with this one that don't rest
         unread, expected_s = 0, 0.0
         for place, worker in enumerate(workers, start):
@@ -138,8 +138,8 @@
 
     def _late_s(self, job: Job) -> float:
         """Late is what is late for the tightest aim of the service: all its kinds wait in the same line."""
-        if self._aims.get(job.route) != job.aim_s:
-            self._aims[job.route] = job.aim_s
+        if self._aims.get(job.route) != job.latency_target_s:
+            self._aims[job.route] = job.latency_target_s
             self._tightest = min(self._aims.values())
         return LATE_PART * self._tightest
 
@@ -174,9 +174,9 @@
         """Seconds that the choice is worth beside the time to the first event."""
         cost = worker.excess(ask.now) + self._load_cost(ask.job, worker)
         if worker.entry.zone != self._zone:
-            cost += CROSS_ZONE * ask.job.aim_s
+            cost += CROSS_ZONE * ask.job.latency_target_s
         if worker.suspicion.is_shared(ask.now):
-            cost += SUSPECTED * ask.job.aim_s
+            cost += SUSPECTED * ask.job.latency_target_s
         if self.engine and ask.shared_tokens > cached:
             told = TOLD_BY_ORDER[place] if place < len(TOLD_BY_ORDER) else 0.0
             again = (ask.shared_tokens - cached) * self._speed.token_read_s
@@ -187,7 +187,7 @@
         """What an expected lateness costs; a plain service's workers are told apart by their load alone."""
         if not self.engine:
             return 0.0
-        return LATE_WEIGHT * max(0.0, first_s + worker.excess(ask.now) - LATE_FROM * ask.job.aim_s)
+        return LATE_WEIGHT * max(0.0, first_s + worker.excess(ask.now) - LATE_FROM * ask.job.latency_target_s)
 
     def _load_cost(self, job: Job, worker: WorkerState) -> float:
         share = (worker.taken + 1) / max(1, worker.entry.capacity)
--- a/reedspoke/decision/prefix_cache.py
+++ b/reedspoke/decision/prefix_cache.py
@@ -13,7 +13,7 @@
 from collections.abc import Iterable, Sequence
 from hashlib import blake2b
 
-from reedspoke.decision.messages import Part
+from reedspoke.decision.messages import PromptPart
 
 HASH_RANGE = 2.0**64
 ENTRIES = 4096  # parts remembered of a worker at most, whatever its memory: bounds ours
@@ -33,7 +33,7 @@
         """Tokens kept by this estimate."""
         return self._tokens
 
-    def cached_tokens(self, chain: Sequence[int], parts: Sequence[Part]) -> int:
+    def cached_tokens(self, chain: Sequence[int], parts: Sequence[PromptPart]) -> int:
         """Tokens of a prompt that need not be read again. `chain` is `chain_of` its model and parts."""
         tokens = 0
         for link, part in zip(chain, parts, strict=True):
@@ -42,7 +42,7 @@
             tokens += part.tokens
         return tokens
 
-    def record(self, chain: Sequence[int], parts: Sequence[Part]) -> tuple[int, ...]:
+    def record(self, chain: Sequence[int], parts: Sequence[PromptPart]) -> tuple[int, ...]:
         """A prompt was sent: its parts are kept from now on, as the latest used. Returns the new ones."""
         added = tuple(link for link in chain if link not in self._kept)
         for link, part in zip(chain, parts, strict=True):
@@ -70,7 +70,7 @@
         self._make_room()
 
 
-def chain_of(model: str, parts: Iterable[Part]) -> tuple[int, ...]:
+def chain_of(model: str, parts: Iterable[PromptPart]) -> tuple[int, ...]:
     """For each part the hash that names it together with the model and every part before it."""
     links: list[int] = []
     link = hash(model)
--- a/reedspoke/decision/retry_budget.py
+++ b/reedspoke/decision/retry_budget.py
@@ -56,7 +56,7 @@
         """Repeats that are set aside and not used yet."""
         return self._reserved
 
-    def fleet_size(self, schedulers: int, now: float) -> None:
+    def set_fleet_size(self, schedulers: int, now: float) -> None:
         """The number of schedulers known from now on, this one included; 0: unknown."""
         if not self._sizes or self._sizes[-1][1] != schedulers:
             self._sizes.append((now, schedulers))
--- a/reedspoke/decision/service.py
+++ b/reedspoke/decision/service.py
@@ -99,7 +99,7 @@
         """A client's request; it is sent at once where a worker can take it."""
         self.budget.request(now)
         if now >= job.deadline:
-            self.decisions.append(Expire(job.job_id, ran=False))
+            self.decisions.append(Expire(job.job_id, may_have_run=False))
             return
         if self._waiting_count() >= QUEUE_MOST:
             after = self._retry_after.refuse(job.job_id, job.deadline - now, now)
@@ -108,7 +108,9 @@
         job_class, cost = self._class_of(job), self.pool.expected_cost(job)
         self._shares.offer(job_class, cost, rank_of(job), now)
         self._queue.seed(job_class, key_of(job), self._largest_seen(job, cost))
-        state = JobState(job, job_class, cost, min(job.arrived + HOLD_PART * job.aim_s, job.deadline))
+        state = JobState(
+            job, job_class, cost, min(job.arrived + HOLD_PART * job.latency_target_s, job.deadline)
+        )
         self._jobs[job.job_id] = state
         self._enqueue(state, now)
         self._forget_idle()
@@ -125,7 +127,7 @@
             self._queue.clock(now, self._classes.values())
             self._close(state)
 
-    def attempt_started(self, job_id: int, now: float) -> None:
+    def first_event_received(self, job_id: int, now: float) -> None:
         """The first event or byte of the answer has come."""
         if (out := self._out.get(job_id)) is not None:
             self.pool.first_event(job_id, out.worker, now)
@@ -144,7 +146,7 @@
             self._queue.reverse(out.state.job_class, out.charge)
             out.state.job_class.queue.refund(turn_of(out.state.job), out.turn_cost)
         else:
-            out.state.ran = True
+            out.state.may_have_run = True
             out.state.passed |= out.state.job.streaming and out.running.first_event > 0
             whole = end.outcome is Outcome.OK
             self._queue.finish(out.state.job_class, out.charge, cost, learn=whole)
@@ -191,7 +193,7 @@
             else:
                 self._hold(state)
 
-    def wake_at(self, now: float) -> float | None:
+    def next_timer_at(self, now: float) -> float | None:
         """When `tick` is to be called next; None: only after another event."""
         while self._holds and not self._is_held(self._holds[0][1]):
             heapq.heappop(self._holds)
@@ -283,7 +285,7 @@
         if state.closed or end.outcome in (Outcome.OK, Outcome.CANCELLED):
             self._close(state)
         elif now >= state.job.deadline:
-            self._answer(state, Expire(state.job.job_id, state.ran))
+            self._answer(state, Expire(state.job.job_id, state.may_have_run))
         elif another_attempt(fate(state), state.job.repeat, state.passed) is Another.NO:
             self._answer(state, Fail(state.job.job_id, FailReason.MAY_HAVE_RUN))
         elif state.arrivals >= state.job.max_attempts or unreached(state) >= MOST_UNREACHED:
@@ -297,14 +299,14 @@
 
     def _requeue(self, state: JobState, now: float) -> None:
         """Back to the head of its queue."""
-        state.hold_until = min(now + HOLD_PART * state.job.aim_s, state.job.deadline)
+        state.hold_until = min(now + HOLD_PART * state.job.latency_target_s, state.job.deadline)
         self._enqueue(state, now, head=True)
         self._hold(state)
 
     def _give_up(self, state: JobState, now: float) -> None:
         """A job has waited as long as it may: its client gets its final answer at once."""
         if now >= state.job.deadline:
-            self._answer(state, Expire(state.job.job_id, state.ran))
+            self._answer(state, Expire(state.job.job_id, state.may_have_run))
         elif (placed := self._last_resort(state, now)) is not None:
             self._queue.clock(now, self._classes.values())
             self._send(state, placed, now)
@@ -349,7 +351,7 @@
         """Whether no job is known."""
         return not (self._jobs or self._out)
 
-    def residue(self) -> Residue:
+    def unreleased(self) -> Residue:
         """What is held now."""
         return Residue(
             waiting=sum(len(job_class.queue) for job_class in self._classes.values()),
@@ -420,4 +422,4 @@
 
 def fate(state: JobState) -> Fate:
     """The fate of all of the job's attempts that have ended without an answer."""
-    return Fate.MAY_HAVE_RUN if state.ran else Fate.NEVER_RAN
+    return Fate.MAY_HAVE_RUN if state.may_have_run else Fate.NEVER_RAN
--- a/reedspoke/decision/suspicion.py
+++ b/reedspoke/decision/suspicion.py
@@ -21,7 +21,7 @@
 
 KEPT_S = 3.0  # after the last failure
 LEAST_SCHEDULERS = 2  # that suspect a worker, this one included, for it to be avoided
-FAILURES = frozenset({Cause.CONNECT_FAILED, Cause.RESET, Cause.SILENT, Cause.WRONG_INSTANCE})
+FAILURES = frozenset({Cause.CONNECT_FAILED, Cause.RESET, Cause.TIMED_OUT, Cause.WRONG_INSTANCE})
 
 
 class Suspicion(Struct, eq=False):
--- a/reedspoke/decision/urgency.py
+++ b/reedspoke/decision/urgency.py
@@ -18,8 +18,8 @@
 )  # shares of the aim that reading the prompt takes; each lowers the urgency by one
 
 
-def urgency_of(reading_s: float, aim_s: float) -> int:
+def urgency_of(reading_s: float, latency_target_s: float) -> int:
     """0 is the most urgent, 9 the least. `reading_s`: the time to read what the worker does not keep."""
-    if aim_s <= 0:
+    if latency_target_s <= 0:
         return USUAL_URGENCY
-    return FIRST_URGENCY + bisect(READING_STEPS, reading_s / aim_s)
+    return FIRST_URGENCY + bisect(READING_STEPS, reading_s / latency_target_s)
--- a/reedspoke/decision/worker_pool.py
+++ b/reedspoke/decision/worker_pool.py
@@ -90,7 +90,7 @@
         told_of = ((name, self._workers.get(name)) for name in self._told_of)
         return [name for name, worker in told_of if worker is not None and worker.suspicion.is_shared(now)]
 
-    def own_suspects(self, now: float) -> list[str]:
+    def suspected_workers(self, now: float) -> list[str]:
         """The workers that have lately failed our requests; none where most have, as the fault is then more
         likely to be on our side."""
         names = [name for name, worker in self._workers.items() if worker.suspicion.is_own(now)]
@@ -139,7 +139,7 @@
         """The urgency to tell the worker; None where it has no engine."""
         if self._engine is None:
             return None
-        return urgency_of(attempt.unread_tokens * self._speed.token_read_s, job.aim_s)
+        return urgency_of(attempt.unread_tokens * self._speed.token_read_s, job.latency_target_s)
 
     def start(self, job: Job, placed: Placed) -> None:
         """The job is sent."""
--- a/reedspoke/decision/worker_state.py
+++ b/reedspoke/decision/worker_state.py
@@ -161,9 +161,9 @@
             self._full(sent, now)
         elif cause is Cause.WRONG_INSTANCE:
             self.gone = True
-        elif cause in (Cause.CONNECT_FAILED, Cause.SILENT):
+        elif cause in (Cause.CONNECT_FAILED, Cause.TIMED_OUT):
             self._let_be(now)
-        if cause in (Cause.SILENT, Cause.RESET, Cause.BAD_ANSWER):
+        if cause in (Cause.TIMED_OUT, Cause.RESET, Cause.BAD_ANSWER):
             self._unsound(now)
         elif outcome is Outcome.OK:
             self.heard()
--- a/tests/data_plane/loopback.py
+++ b/tests/data_plane/loopback.py
@@ -17,7 +17,7 @@
 from reedspoke.data_plane.forwarder import Forwarder
 from reedspoke.data_plane.route_table import RouteTable
 from reedspoke.data_plane.upstream_pool import ConnectResult, UpstreamPool
-from reedspoke.decision.dispatcher import BudgetRule, Dispatcher
+from reedspoke.decision.dispatcher import Dispatcher, RetryBudgetRule
 from tests.data_plane.wire import SeenAnswer, SeenRequest, chunked, events, read_answers, read_requests
 from tests.data_plane.world import HOST, KINDS, SEAL, Frontend, request_bytes
 
@@ -175,9 +175,9 @@
     """A data plane that has run for long."""
     loop = asyncio.get_running_loop()
     started = loop.time() - 500
-    budget = BudgetRule(window_s=10, ratio=0.2, slack=50)
+    budget = RetryBudgetRule(window_s=10, ratio=0.2, slack=50)
     dispatcher = Dispatcher(zone="za", budget=budget, started=started)
-    dispatcher.fleet_size(1, started)
+    dispatcher.set_fleet_size(1, started)
     pool = RedirectedPool(loop)
     forwarder = Forwarder(loop, pool, dispatcher)
     made = Loopback(pool, forwarder, Frontend(forwarder), script)
--- a/tests/data_plane/test_silence.py
+++ b/tests/data_plane/test_attempt_timeout.py
@@ -4,8 +4,8 @@
 
 import pytest
 
+from reedspoke.decision.attempt_timeout import OpenAttempt, attempt_timeout_s, timed_out_attempts
 from reedspoke.decision.messages import Repeat
-from reedspoke.decision.silence import OpenAttempt, attempts_to_give_up, patience
 
 SENT = 100.0
 LONG = 60.0
@@ -16,8 +16,8 @@
     *,
     repeat: Repeat = Repeat.RESUMABLE,
     streaming: bool = True,
-    aim_s: float = 2.0,
-    pause_s: float = 0.0,
+    latency_target_s: float = 2.0,
+    event_gap_target_s: float = 0.0,
     heard_after: float = 0.0,
     time_s: float = LONG,
 ) -> OpenAttempt:
@@ -26,39 +26,40 @@
         instance_id="i-1",
         repeat=repeat,
         streaming=streaming,
-        aim_s=aim_s,
-        pause_s=pause_s,
+        latency_target_s=latency_target_s,
+        event_gap_target_s=event_gap_target_s,
         sent_at=SENT,
-        heard_at=SENT + heard_after,
+        last_received_at=SENT + heard_after,
         deadline=SENT + time_s,
     )
 
 
 def given_up(made: OpenAttempt, after: float, worker_heard_after: float | None = None) -> bool:
     heard_from = {} if worker_heard_after is None else {"i-1": SENT + worker_heard_after}
-    return attempts_to_give_up([made], heard_from, SENT + after) == [made.job_id]
+    return timed_out_attempts([made], heard_from, SENT + after) == [made.job_id]
 
 
 @pytest.mark.parametrize(
-    ("aim_s", "pause_s", "expected"), [(2.0, 0.1, 4.0), (0.1, 0.1, 1.0), (0.1, 0.6, 2.4), (1.0, 0.0, 2.0)]
+    ("latency_target_s", "event_gap_target_s", "expected"),
+    [(2.0, 0.1, 4.0), (0.1, 0.1, 1.0), (0.1, 0.6, 2.4), (1.0, 0.0, 2.0)],
 )
 def test_a_stream_is_given_half_of_the_silence_that_its_client_bears(
-    aim_s: float, pause_s: float, expected: float
+    latency_target_s: float, event_gap_target_s: float, expected: float
 ) -> None:
-    made = attempt(aim_s=aim_s, pause_s=pause_s)
-    assert patience(made) == pytest.approx(expected)
+    made = attempt(latency_target_s=latency_target_s, event_gap_target_s=event_gap_target_s)
+    assert attempt_timeout_s(made) == pytest.approx(expected)
     assert not given_up(made, expected - 0.01)
     assert given_up(made, expected + 0.01)
 
 
 def test_silence_counts_from_the_last_event_of_a_stream() -> None:
-    started = attempt(aim_s=0.5, heard_after=0.5)
+    started = attempt(latency_target_s=0.5, heard_after=0.5)
     assert not given_up(started, 1.4)
     assert given_up(started, 1.5)
 
 
 def test_a_plain_request_is_given_twice_its_aim() -> None:
-    plain = attempt(repeat=Repeat.IDEMPOTENT, streaming=False, aim_s=2.0)
+    plain = attempt(repeat=Repeat.IDEMPOTENT, streaming=False, latency_target_s=2.0)
     assert not given_up(plain, 3.9)
     assert given_up(plain, 4.0)
 
@@ -79,4 +80,4 @@
 
 def test_only_the_silent_ones_are_given_up() -> None:
     attempts = [attempt(1), attempt(2, heard_after=2.9), attempt(3, repeat=Repeat.NEVER), attempt(4)]
-    assert attempts_to_give_up(attempts, {}, SENT + 4.5) == [1, 4]
+    assert timed_out_attempts(attempts, {}, SENT + 4.5) == [1, 4]
--- a/tests/data_plane/test_attempts_table.py
+++ b/tests/data_plane/test_attempts_table.py
@@ -11,7 +11,7 @@
 from msgspec import Struct
 
 from reedspoke.data_plane import upstream_pool
-from reedspoke.decision import silence
+from reedspoke.decision import attempt_timeout
 from tests.data_plane.loopback import LAST_EVENT, DeafListener, Loopback, Script, WorkerSide, start
 from tests.data_plane.wire import SeenAnswer, chunked, event, events
 from tests.data_plane.world import AGAIN, ONCE, RESUME, SEAL, STREAM
@@ -189,7 +189,7 @@
 @pytest.fixture(autouse=True)
 def _short_times(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(upstream_pool, "CONNECT_TIMEOUT_S", CONNECT_TIMEOUT_S)
-    monkeypatch.setattr(silence, "LEAST_SILENCE_S", LEAST_SILENCE_S)
+    monkeypatch.setattr(attempt_timeout, "MIN_STREAM_TIMEOUT_S", LEAST_SILENCE_S)
 
 
 def is_whole_success(path: str, answer: SeenAnswer) -> bool:
--- a/tests/data_plane/test_exchange_whole.py
+++ b/tests/data_plane/test_exchange_whole.py
@@ -87,13 +87,13 @@
 ) -> None:
     """From that it knows which workers are slow, and which are nearly full."""
     begun: list[float] = []
-    told = world.dispatcher.attempt_started
+    told = world.dispatcher.first_event_received
 
-    def attempt_started(job_id: int, now: float) -> list[Decision]:
+    def first_event_received(job_id: int, now: float) -> list[Decision]:
         begun.append(now)
         return told(job_id, now)
 
-    monkeypatch.setattr(world.dispatcher, "attempt_started", attempt_started)
+    monkeypatch.setattr(world.dispatcher, "first_event_received", first_event_received)
     world.asked(path)
     world.run_for(0.3)
     arrival = world.arrival()
--- a/tests/data_plane/test_guards_exchange.py
+++ b/tests/data_plane/test_guards_exchange.py
@@ -15,7 +15,7 @@
 from reedspoke.data_plane.route_table import CompiledRoute, Target
 from reedspoke.data_plane.upstream_connection import AnswerListener, UpstreamConnection
 from reedspoke.data_plane.upstream_pool import ConnectResult
-from reedspoke.decision.answer_use import may_pass
+from reedspoke.decision.answer_action import may_forward
 from reedspoke.decision.attempt_fate import Ending, Evidence, cause_of
 from reedspoke.decision.messages import (
     Cause,
@@ -142,7 +142,7 @@
             upstream="u1",
             priority=1,
             repeat=repeat,
-            aim_s=1.0,
+            latency_target_s=1.0,
             deadline=self.loop.time() + DEADLINE_S,
             max_attempts=2,
             arrived=self.loop.time(),
@@ -300,7 +300,7 @@
     scene.exchange.send(FIRST)
     scene.connected()
     scene.exchange.shut_down()
-    assert [may_pass(_status(answer)) for answer in scene.client.answers] == [True]
+    assert [may_forward(_status(answer)) for answer in scene.client.answers] == [True]
 
 
 def test_at_the_end_of_the_process_a_request_that_has_not_left_may_be_sent_again(scene: Scene) -> None:
@@ -331,4 +331,4 @@
 
 @pytest.mark.parametrize("status", [200, 404, 408, 421, 429, 500, 502, 503, 504])
 def test_statuses_that_promise_are_not_passed_on(status: int) -> None:
-    assert may_pass(status) is (status not in (408, 421, 429, 503))
+    assert may_forward(status) is (status not in (408, 421, 429, 503))
--- a/tests/data_plane/test_job_builder.py
+++ b/tests/data_plane/test_job_builder.py
@@ -12,7 +12,7 @@
 from reedspoke.data_plane.job_builder import build_job, parse_parts, parse_token_count, repeat_of, time_limit
 from reedspoke.data_plane.permit import Permit
 from reedspoke.data_plane.route_table import CompiledRoute, Target
-from reedspoke.decision.messages import Job, Part, Repeat
+from reedspoke.decision.messages import Job, PromptPart, Repeat
 from tests.data_plane.test_headers import request
 
 VALUES = st.binary(max_size=40).filter(lambda raw: not any(byte < 32 or byte == 127 for byte in raw))
@@ -51,10 +51,14 @@
     )
     assert job.model == "m"
     assert (job.prompt_tokens, job.output_tokens) == (1460, 80)
-    assert job.parts == (Part("5c1e07a2", 800), Part("91bd3f06", 410), Part("e4402b7d", 250))
+    assert job.parts == (
+        PromptPart("5c1e07a2", 800),
+        PromptPart("91bd3f06", 410),
+        PromptPart("e4402b7d", 250),
+    )
     assert job.subject == "91bd3f06"
     assert job.deadline == pytest.approx(101.2)
-    assert (job.aim_s, job.arrived, job.max_attempts) == (0.5, 100.0, 2)
+    assert (job.latency_target_s, job.arrived, job.max_attempts) == (0.5, 100.0, 2)
 
 
 def test_a_request_that_tells_nothing_takes_the_routes_time() -> None:
@@ -87,17 +91,17 @@
     ("text", "parts"),
     [
         ("", ()),
-        ("a:1", (Part("a", 1),)),
-        ("a:1,b", (Part("a", 1),)),
-        ("a:1,:2", (Part("a", 1),)),
-        ("a:1,b:-2,c:3", (Part("a", 1),)),
-        ("a:1,b:x", (Part("a", 1),)),
+        ("a:1", (PromptPart("a", 1),)),
+        ("a:1,b", (PromptPart("a", 1),)),
+        ("a:1,:2", (PromptPart("a", 1),)),
+        ("a:1,b:-2,c:3", (PromptPart("a", 1),)),
+        ("a:1,b:x", (PromptPart("a", 1),)),
         ("a:\xb2", ()),
-        ("a:1,b:\xb9", (Part("a", 1),)),
+        ("a:1,b:\xb9", (PromptPart("a", 1),)),
         ("a:1:2", ()),
     ],
 )
-def test_what_is_malformed_ends_the_list_of_parts(text: str, parts: tuple[Part, ...]) -> None:
+def test_what_is_malformed_ends_the_list_of_parts(text: str, parts: tuple[PromptPart, ...]) -> None:
     assert parse_parts(text) == parts
 
 
--- a/tests/data_plane/world.py
+++ b/tests/data_plane/world.py
@@ -21,7 +21,7 @@
 from reedspoke.data_plane.request_entry import NoExchange
 from reedspoke.data_plane.route_table import RouteTable
 from reedspoke.data_plane.upstream_pool import UpstreamPool
-from reedspoke.decision.dispatcher import BudgetRule, Dispatcher
+from reedspoke.decision.dispatcher import Dispatcher, RetryBudgetRule
 from tests.data_plane.virtual_loop import TICK_S, VirtualLoop
 from tests.data_plane.wire import (
     SeenAnswer,
@@ -300,7 +300,7 @@
         """Whether nothing of any request is left."""
         return (
             self.forwarder.open_exchanges() == 0
-            and self.dispatcher.jobs == 0
+            and self.dispatcher.job_count == 0
             and not self.forwarder.own_load()
         )
 
@@ -329,9 +329,9 @@
     loop.connector = network.connect
     started = loop.time() - 500
     dispatcher = Dispatcher(
-        zone="za", budget=BudgetRule(window_s=10, ratio=0.2, slack=slack), started=started
+        zone="za", budget=RetryBudgetRule(window_s=10, ratio=0.2, slack=slack), started=started
     )
-    dispatcher.fleet_size(1, started)
+    dispatcher.set_fleet_size(1, started)
     pool = UpstreamPool(loop)
     forwarder = Forwarder(loop, pool, dispatcher)
     world = World(loop, network, forwarder, Frontend(forwarder), dispatcher, pool)
--- a/tests/decision/engine_model.py
+++ b/tests/decision/engine_model.py
@@ -13,7 +13,7 @@
 
 from msgspec import Struct, field
 
-from reedspoke.decision.dispatcher import BudgetRule, Dispatcher
+from reedspoke.decision.dispatcher import Dispatcher, RetryBudgetRule
 from reedspoke.decision.messages import (
     AttemptEnd,
     Cause,
@@ -22,7 +22,7 @@
     Job,
     Load,
     Outcome,
-    Part,
+    PromptPart,
     Repeat,
     Send,
     Upstream,
@@ -56,7 +56,7 @@
     shared: int  # tokens
     own: int
     output: int
-    aim_s: float
+    latency_target_s: float
     deadline_s: float
     subjects: int = 40
     hot: float = 0.0  # part of the requests that the first subject gets
@@ -163,7 +163,7 @@
 
     def in_time(self, kind: Kind) -> float:
         """The part of a kind's requests whose first event came within the aim."""
-        prompt = sum(first <= kind.aim_s for first in self.first_s[kind.route])
+        prompt = sum(first <= kind.latency_target_s for first in self.first_s[kind.route])
         return prompt / max(1, self.asked[kind.route])
 
     @property
@@ -193,9 +193,9 @@
         self.weights = [1 + self.random.random() for _ in self.schedulers]
 
     def _scheduler(self, index: int, count: int) -> Dispatcher:
-        budget = BudgetRule(window_s=10, ratio=0.2, slack=50)
+        budget = RetryBudgetRule(window_s=10, ratio=0.2, slack=50)
         dispatcher = Dispatcher(zone=ZONES[index % 3], budget=budget, started=-100.0)
-        dispatcher.fleet_size(count, -100.0)
+        dispatcher.set_fleet_size(count, -100.0)
         engine = Engine(self.rules.capacity, self.rules.kv_tokens)
         dispatcher.configure([Upstream("llm", engine)], 0.0)
         entries = [
@@ -217,7 +217,7 @@
             for worker in self.workers.values():
                 self._work(worker)
             for number, dispatcher in enumerate(self.schedulers):
-                self._carry_out(number, dispatcher.timer(self.now))
+                self._carry_out(number, dispatcher.timer_fired(self.now))
             if index % told_every == 0:
                 self._tell()
         self.result.read_tokens = sum(worker.read_tokens for worker in self.workers.values())
@@ -247,10 +247,10 @@
             priority=kind.priority,
             repeat=Repeat.NEVER,
             streaming=True,
-            parts=(Part(f"{kind.route}{subject}", kind.shared), Part(f"own{job_id}", own)),
+            parts=(PromptPart(f"{kind.route}{subject}", kind.shared), PromptPart(f"own{job_id}", own)),
             prompt_tokens=kind.shared + own,
             output_tokens=kind.output,
-            aim_s=kind.aim_s,
+            latency_target_s=kind.latency_target_s,
             deadline=self.now + kind.deadline_s,
             max_attempts=2,
             arrived=self.now,
@@ -271,7 +271,7 @@
             if task.job.job_id in self.counted:
                 self.result.first_s[task.job.route].append(at - task.job.arrived)
             self._carry_out(
-                task.scheduler, self.schedulers[task.scheduler].attempt_started(task.job.job_id, at)
+                task.scheduler, self.schedulers[task.scheduler].first_event_received(task.job.job_id, at)
             )
         for task in ended:
             self._served(task.job)
@@ -308,7 +308,7 @@
                 for name, load in loads.items() if other != number else ():
                     known = others.get(name, Load())
                     others[name] = Load(known.requests + load.requests, known.tokens + load.tokens)
-            self._carry_out(number, dispatcher.others_load(others, self.now))
+            self._carry_out(number, dispatcher.set_others_load(others, self.now))
         self.told = held
 
 
@@ -322,7 +322,7 @@
             shared=5400,
             own=1200,
             output=385,
-            aim_s=1.2,
+            latency_target_s=1.2,
             deadline_s=12,
         ),
         Kind(
@@ -332,11 +332,18 @@
             shared=200,
             own=430,
             output=294,
-            aim_s=1,
+            latency_target_s=1,
             deadline_s=10,
         ),
         Kind(
-            route="plan", priority=2, per_s=16 * scale, shared=570, own=1230, output=21, aim_s=2, deadline_s=3
+            route="plan",
+            priority=2,
+            per_s=16 * scale,
+            shared=570,
+            own=1230,
+            output=21,
+            latency_target_s=2,
+            deadline_s=3,
         ),
     ]
     return [change(kind) for kind in kinds]
--- a/tests/decision/facts.py
+++ b/tests/decision/facts.py
@@ -4,14 +4,14 @@
 
 from collections.abc import Sequence
 
-from reedspoke.decision.dispatcher import BudgetRule, Dispatcher
+from reedspoke.decision.dispatcher import Dispatcher, RetryBudgetRule
 from reedspoke.decision.messages import (
     AttemptEnd,
     Cause,
     Engine,
     Job,
     Outcome,
-    Part,
+    PromptPart,
     Repeat,
     Upstream,
     WorkerEntry,
@@ -60,7 +60,7 @@
     priority: int = 0,
     repeat: Repeat = Repeat.NEVER,
     model: str = "",
-    aim_s: float = 1.0,
+    latency_target_s: float = 1.0,
     deadline_s: float = 10.0,
     arrived: float = 0.0,
     max_attempts: int = 2,
@@ -75,17 +75,17 @@
         repeat=repeat,
         streaming=streaming,
         model=model,
-        parts=(Part(subject, shared), Part(f"own{job_id}", own)),
+        parts=(PromptPart(subject, shared), PromptPart(f"own{job_id}", own)),
         prompt_tokens=shared + own,
         output_tokens=output,
-        aim_s=aim_s,
+        latency_target_s=latency_target_s,
         deadline=arrived + deadline_s,
         max_attempts=max_attempts,
         arrived=arrived,
     )
 
 
-def plain(job_id: int, *, arrived: float = 0.0, aim_s: float = 0.4, max_attempts: int = 2) -> Job:
+def plain(job_id: int, *, arrived: float = 0.0, latency_target_s: float = 0.4, max_attempts: int = 2) -> Job:
     """A request to a service without an engine."""
     return Job(
         job_id=job_id,
@@ -93,7 +93,7 @@
         upstream="svc",
         priority=0,
         repeat=Repeat.IDEMPOTENT,
-        aim_s=aim_s,
+        latency_target_s=latency_target_s,
         deadline=arrived + 3.0,
         max_attempts=max_attempts,
         arrived=arrived,
@@ -102,8 +102,8 @@
 
 def dispatcher(entries: Sequence[WorkerEntry], *, zone: str = "north", slack: float = 50.0) -> Dispatcher:
     """A scheduler that has run for long, with an engine service `llm` and a plain one `svc`."""
-    made = Dispatcher(zone=zone, budget=BudgetRule(window_s=10, ratio=0.2, slack=slack), started=STARTED)
-    made.fleet_size(1, STARTED)
+    made = Dispatcher(zone=zone, budget=RetryBudgetRule(window_s=10, ratio=0.2, slack=slack), started=STARTED)
+    made.set_fleet_size(1, STARTED)
     made.configure([Upstream("llm", ENGINE), Upstream("svc")], 0.0)
     made.workers_changed(entries, 0.0)
     return made
--- /dev/null
+++ b/tests/decision/test_answer_action.py
@@ -0,0 +1,52 @@
+"""What is done with a whole answer: every case against the rules."""
+
+from __future__ import annotations
+
+from itertools import product
+
+import pytest
+
+from reedspoke.decision.answer_action import AnswerAction, action_for_answer
+from reedspoke.decision.attempt_fate import NOT_EXECUTED_STATUSES, Ending, Evidence
+from reedspoke.decision.messages import Repeat
+
+STATUSES = (200, 204, 302, 400, 404, 408, 421, 429, 500, 502, 503, 504)
+CASES = list(product(STATUSES, (False, True), Repeat, (False, True)))
+
+
+@pytest.mark.parametrize(("status", "told", "repeat", "begun"), CASES)
+def test_no_promise_is_passed_on_and_no_unsafe_request_goes_elsewhere_without_proof(
+    status: int, told: bool, repeat: Repeat, begun: bool
+) -> None:
+    use = action_for_answer(Evidence(Ending.COMPLETE, True, status, told), repeat, begun)
+    proven = status == 421 or (told and status >= 400)
+    if use is AnswerAction.NOT_RUN:
+        assert proven
+    if use is AnswerAction.FORWARD:
+        assert status not in NOT_EXECUTED_STATUSES
+        assert not begun
+    if use is AnswerAction.RETRY:
+        assert repeat is not Repeat.NEVER
+        assert not begun or repeat is Repeat.RESUMABLE
+
+
+@pytest.mark.parametrize(
+    ("status", "told", "repeat", "begun", "use"),
+    [
+        (200, False, Repeat.NEVER, False, AnswerAction.FORWARD),
+        (200, True, Repeat.NEVER, False, AnswerAction.FORWARD),
+        (400, True, Repeat.NEVER, False, AnswerAction.FORWARD),
+        (400, True, Repeat.RESUMABLE, True, AnswerAction.RETRY),
+        (404, False, Repeat.NEVER, True, AnswerAction.REPLACE),
+        (421, False, Repeat.NEVER, False, AnswerAction.NOT_RUN),
+        (429, False, Repeat.IDEMPOTENT, False, AnswerAction.REPLACE),
+        (500, False, Repeat.IDEMPOTENT, False, AnswerAction.RETRY),
+        (500, False, Repeat.NEVER, False, AnswerAction.FORWARD),
+        (503, False, Repeat.NEVER, False, AnswerAction.REPLACE),
+        (503, True, Repeat.NEVER, False, AnswerAction.NOT_RUN),
+        (503, True, Repeat.NEVER, True, AnswerAction.NOT_RUN),
+        (504, False, Repeat.IDEMPOTENT, False, AnswerAction.FORWARD),
+    ],
+)
+def test_named_cases(status: int, told: bool, repeat: Repeat, begun: bool, use: AnswerAction) -> None:
+    assert action_for_answer(Evidence(Ending.COMPLETE, True, status, told), repeat, begun) is use
--- a/tests/decision/test_attempt_fate.py
+++ b/tests/decision/test_attempt_fate.py
@@ -118,7 +118,7 @@
         (Evidence(Ending.COMPLETE, bytes_sent=True, status=429, not_executed=True), Cause.NONE),
         (Evidence(Ending.COMPLETE, bytes_sent=True, status=421, not_executed=True), Cause.WRONG_INSTANCE),
         (Evidence(Ending.CONNECT_FAILED, bytes_sent=False), Cause.CONNECT_FAILED),
-        (Evidence(Ending.SILENCE, bytes_sent=True), Cause.SILENT),
+        (Evidence(Ending.SILENCE, bytes_sent=True), Cause.TIMED_OUT),
         (Evidence(Ending.RESET, bytes_sent=True), Cause.RESET),
         (Evidence(Ending.CLOSED, bytes_sent=True), Cause.RESET),
         (Evidence(Ending.MALFORMED, bytes_sent=True), Cause.BAD_ANSWER),
--- a/tests/decision/test_overdue.py
+++ b/tests/decision/test_deadline_expiry.py
@@ -4,9 +4,9 @@
 
 import pytest
 
+from reedspoke.decision.attempt_timeout import OpenAttempt, timed_out_attempts
+from reedspoke.decision.deadline_expiry import expired_requests
 from reedspoke.decision.messages import Expire, Repeat
-from reedspoke.decision.overdue import overdue_ends
-from reedspoke.decision.silence import OpenAttempt, attempts_to_give_up
 
 
 def attempt(
@@ -17,10 +17,10 @@
         instance_id="i-1",
         repeat=Repeat.IDEMPOTENT,
         streaming=False,
-        aim_s=0.1,
-        pause_s=0.0,
+        latency_target_s=0.1,
+        event_gap_target_s=0.0,
         sent_at=0.0,
-        heard_at=0.0,
+        last_received_at=0.0,
         deadline=deadline,
         connected=connected,
         may_have_run=may_have_run,
@@ -29,15 +29,15 @@
 
 def test_only_what_is_over_ends() -> None:
     attempts = [attempt(1, 5.0), attempt(2, 5.1), attempt(3, 4.9)]
-    assert overdue_ends(attempts, 5.0) == [Expire(1, ran=True), Expire(3, ran=True)]
+    assert expired_requests(attempts, 5.0) == [Expire(1, may_have_run=True), Expire(3, may_have_run=True)]
 
 
 @pytest.mark.parametrize("may_have_run", [False, True])
 def test_the_end_promises_only_what_is_certain(may_have_run: bool) -> None:
-    (end,) = overdue_ends([attempt(1, 5.0, may_have_run=may_have_run)], 6.0)
-    assert end.ran is may_have_run
+    (end,) = expired_requests([attempt(1, 5.0, may_have_run=may_have_run)], 6.0)
+    assert end.may_have_run is may_have_run
 
 
 def test_a_connection_that_comes_up_is_not_a_silent_worker() -> None:
     attempts = [attempt(1, 99.0, connected=False), attempt(2, 99.0)]
-    assert attempts_to_give_up(attempts, {}, 5.0) == [2]
+    assert timed_out_attempts(attempts, {}, 5.0) == [2]
--- a/tests/decision/test_dispatcher.py
+++ b/tests/decision/test_dispatcher.py
@@ -52,17 +52,17 @@
 def advance(scheduler: Dispatcher, now: float, until: float) -> list[tuple[float, Decision]]:
     """Call the timer whenever it is asked for; what was decided when."""
     decided: list[tuple[float, Decision]] = []
-    while (at := scheduler.wake_at(now)) is not None and at <= until:
+    while (at := scheduler.next_timer_at(now)) is not None and at <= until:
         assert at > now
         now = at
-        decided += [(now, decision) for decision in scheduler.timer(now)]
+        decided += [(now, decision) for decision in scheduler.timer_fired(now)]
     return decided
 
 
 def test_a_request_is_sent_at_once_while_there_is_room() -> None:
     scheduler = dispatcher([entry("w0")])
     assert sent(only(scheduler.job_arrived(job(1), 0.0))) == (1, "w0")
-    assert scheduler.wake_at(0.0) is None
+    assert scheduler.next_timer_at(0.0) is None
 
 
 def test_without_room_it_waits_and_goes_when_a_position_frees() -> None:
@@ -72,17 +72,17 @@
     assert sent(only(scheduler.attempt_ended(1, OK, 0.1))) == (2, "w0")
 
 
-@pytest.mark.parametrize("aim_s", [0.1, 1.0, 4.0])
-def test_what_waits_is_refused_within_a_quarter_of_its_aim(aim_s: float) -> None:
+@pytest.mark.parametrize("latency_target_s", [0.1, 1.0, 4.0])
+def test_what_waits_is_refused_within_a_quarter_of_its_aim(latency_target_s: float) -> None:
     scheduler = dispatcher(one_place())
     scheduler.job_arrived(job(1), 0.0)
-    scheduler.job_arrived(job(2, aim_s=aim_s), 0.0)
+    scheduler.job_arrived(job(2, latency_target_s=latency_target_s), 0.0)
     ((at, refused),) = advance(scheduler, 0.0, 20.0)
     assert isinstance(refused, Refuse)
     assert refused.reason is RefuseReason.OVERLOAD
-    assert 0.15 * aim_s < at < 0.25 * aim_s
+    assert 0.15 * latency_target_s < at < 0.25 * latency_target_s
     assert 0 < refused.retry_after_s <= (10.0 - at) / 3
-    assert scheduler.jobs == 1
+    assert scheduler.job_count == 1
     assert scheduler.attempt_ended(1, OK, 5.0) == []
 
 
@@ -114,15 +114,15 @@
 
 def test_a_request_whose_deadline_is_over_expires() -> None:
     scheduler = dispatcher([entry("w0")])
-    assert only(scheduler.job_arrived(job(1, deadline_s=0.0), 0.0)) == Expire(1, ran=False)
-    assert scheduler.jobs == 0
+    assert only(scheduler.job_arrived(job(1, deadline_s=0.0), 0.0)) == Expire(1, may_have_run=False)
+    assert scheduler.job_count == 0
 
 
 def test_a_deadline_in_the_queue_ends_it() -> None:
     scheduler = dispatcher(one_place())
     scheduler.job_arrived(job(1), 0.0)
     scheduler.job_arrived(job(2, deadline_s=0.1), 0.0)
-    assert advance(scheduler, 0.0, 1.0) == [(0.1, Expire(2, ran=False))]
+    assert advance(scheduler, 0.0, 1.0) == [(0.1, Expire(2, may_have_run=False))]
 
 
 def test_a_worker_that_drains_gets_nothing_more() -> None:
@@ -152,7 +152,7 @@
         now = job_id * 5.0
         scheduler.job_arrived(job(job_id, max_attempts=1, arrived=now), now)
         scheduler.attempt_ended(job_id, REFUSED, now)
-    scheduler.others_load({"w0": Load(40, 0)}, 25.05)
+    scheduler.set_others_load({"w0": Load(40, 0)}, 25.05)
     scheduler.job_arrived(job(9, arrived=25.1), 25.1)
     ((_, decision),) = advance(scheduler, 25.1, 40.0)
     assert isinstance(decision, Refuse)
@@ -215,7 +215,7 @@
         ((_, refused),) = advance(scheduler, now, now + 5)
         assert isinstance(refused, Refuse)
         scheduler.attempt_ended(10 + turn, OK, now + 5)
-    assert scheduler.jobs == 0
+    assert scheduler.job_count == 0
 
 
 @pytest.mark.parametrize(
@@ -233,7 +233,7 @@
     scheduler = dispatcher([entry("w0"), entry("w1")])
     first = only(scheduler.job_arrived(job(1, repeat=repeat), 0.0))
     if started:
-        scheduler.attempt_started(1, 0.1)
+        scheduler.first_event_received(1, 0.1)
     then = only(scheduler.attempt_ended(1, RESET, 0.2))
     assert type(then) is expected
     if isinstance(then, Send):
@@ -255,14 +255,14 @@
     scheduler = dispatcher([entry("w0"), entry("w1")])
     scheduler.job_arrived(job(1, repeat=repeat, max_attempts=1), 0.0)
     if started:
-        scheduler.attempt_started(1, 0.1)
+        scheduler.first_event_received(1, 0.1)
     assert type(only(scheduler.attempt_ended(1, RESET, 0.2))) is expected
 
 
 def test_a_stream_once_passed_on_is_not_refused_by_what_follows() -> None:
     scheduler = dispatcher([entry("w0"), entry("w1")])
     scheduler.job_arrived(job(1, repeat=Repeat.RESUMABLE), 0.0)
-    scheduler.attempt_started(1, 0.1)
+    scheduler.first_event_received(1, 0.1)
     assert sends(scheduler.attempt_ended(1, RESET, 0.2)) == [1]
     ended = only(scheduler.attempt_ended(1, FULL, 0.3))
     assert ended == Fail(1, FailReason.ATTEMPTS)
@@ -271,40 +271,40 @@
 def test_a_plain_repeatable_request_may_start_again_though_bytes_have_come() -> None:
     scheduler = dispatcher([entry("p0", upstream="svc", capacity=6), entry("p1", upstream="svc", capacity=6)])
     scheduler.job_arrived(plain(1), 0.0)
-    scheduler.attempt_started(1, 0.01)
+    scheduler.first_event_received(1, 0.01)
     assert sends(scheduler.attempt_ended(1, RESET, 0.02)) == [1]
 
 
 def test_after_the_deadline_there_is_no_further_attempt() -> None:
     scheduler = dispatcher([entry("w0"), entry("w1")])
     scheduler.job_arrived(job(1, repeat=Repeat.IDEMPOTENT), 0.0)
-    assert only(scheduler.attempt_ended(1, RESET, 10.0)) == Expire(1, ran=True)
+    assert only(scheduler.attempt_ended(1, RESET, 10.0)) == Expire(1, may_have_run=True)
 
 
 @pytest.mark.parametrize("end", [OK, RESET, FULL, CANCELLED])
 def test_nothing_is_decided_for_a_client_that_has_left(end: AttemptEnd) -> None:
     scheduler = dispatcher(one_place(2))
     scheduler.job_arrived(job(1, repeat=Repeat.IDEMPOTENT), 0.0)
-    assert scheduler.job_gone(1, 0.1) == []
+    assert scheduler.client_left(1, 0.1) == []
     assert scheduler.attempt_ended(1, end, 0.2) == []
-    assert scheduler.jobs == 0
+    assert scheduler.job_count == 0
 
 
 def test_a_client_that_leaves_the_queue_leaves_nothing_behind() -> None:
     scheduler = dispatcher(one_place())
     scheduler.job_arrived(job(1), 0.0)
     scheduler.job_arrived(job(2), 0.0)
-    scheduler.job_gone(2, 0.1)
+    scheduler.client_left(2, 0.1)
     assert scheduler.attempt_ended(1, OK, 0.15) == []
-    assert scheduler.jobs == 0
-    assert scheduler.wake_at(0.2) is None
+    assert scheduler.job_count == 0
+    assert scheduler.next_timer_at(0.2) is None
 
 
 def test_events_of_unknown_jobs_are_passed_over() -> None:
     scheduler = dispatcher([entry("w0")])
     decisions = [
-        scheduler.job_gone(5, 0.0),
-        scheduler.attempt_started(5, 0.0),
+        scheduler.client_left(5, 0.0),
+        scheduler.first_event_received(5, 0.0),
         scheduler.attempt_ended(5, OK, 0.0),
     ]
     assert decisions == [[], [], []]
@@ -340,22 +340,36 @@
     large = 10_000
     for step in range(400):
         now = step * 0.01
-        decisions = scheduler.timer(now)
+        decisions = scheduler.timer_fired(now)
         for at, job_id in [pair for pair in ends if pair[0] <= now]:
             ends.remove((at, job_id))
             decisions += scheduler.attempt_ended(job_id, OK, now)
         small = job(
-            step, route="small", subject=str(step), shared=10, own=20_000, output=10, aim_s=2.0, arrived=now
+            step,
+            route="small",
+            subject=str(step),
+            shared=10,
+            own=20_000,
+            output=10,
+            latency_target_s=2.0,
+            arrived=now,
         )
         decisions += scheduler.job_arrived(small, now)
         if step == 100:
             big = job(
-                large, route="large", subject="x", shared=10, own=300_000, output=10, aim_s=4.0, arrived=now
+                large,
+                route="large",
+                subject="x",
+                shared=10,
+                own=300_000,
+                output=10,
+                latency_target_s=4.0,
+                arrived=now,
             )
             decisions += scheduler.job_arrived(big, now)
         for job_id in sends(decisions):
             sent_at[job_id] = now
-            scheduler.attempt_started(job_id, now)
+            scheduler.first_event_received(job_id, now)
             ends.append((now + random.uniform(0.3, 0.5), job_id))
     assert large in sent_at
 
@@ -365,7 +379,7 @@
     scheduler = dispatcher(one_place())
     answers = [scheduler.job_arrived(job(job_id), 0.0) for job_id in range(20)]
     assert sum(len(answer) for answer in answers[11:]) == 9
-    assert scheduler.jobs == 11
+    assert scheduler.job_count == 11
 
 
 def test_accounts_of_routes_that_are_no_longer_asked_for_are_forgotten() -> None:
@@ -374,10 +388,10 @@
         now = job_id * 0.01
         route = f"route{job_id // 10}" if job_id < 5000 else "last"
         scheduler.job_arrived(job(job_id, route=route, arrived=now), now)
-        scheduler.attempt_started(job_id, now + 0.003)
+        scheduler.first_event_received(job_id, now + 0.003)
         scheduler.attempt_ended(job_id, OK, now + 0.005)
     assert len(scheduler.accounts("llm")) < 300
-    assert scheduler.jobs == 0
+    assert scheduler.job_count == 0
 
 
 # ---- connections that do not come up ----
--- a/tests/decision/test_dispatcher_play.py
+++ b/tests/decision/test_dispatcher_play.py
@@ -58,10 +58,10 @@
         for other in list(out):
             lot = random.random()
             if lot < 0.1:
-                carry_out(scheduler.attempt_started(other, now))
+                carry_out(scheduler.first_event_received(other, now))
             elif lot < 0.3:
                 del out[other]
-                silent = AttemptEnd(Outcome.FAILED, Cause.SILENT)
+                silent = AttemptEnd(Outcome.FAILED, Cause.TIMED_OUT)
                 end = random.choice((OK, OK, OK, FULL, REFUSED, RESET, silent))
                 arrivals[other] += end is not REFUSED
                 if end is OK:
@@ -70,21 +70,21 @@
             elif lot < 0.31 and other in open_jobs:
                 del out[other]
                 del open_jobs[other]
-                carry_out(scheduler.job_gone(other, now))
+                carry_out(scheduler.client_left(other, now))
                 carry_out(scheduler.attempt_ended(other, CANCELLED, now))
-        if (at := scheduler.wake_at(now)) is not None and at <= now + 0.01:
-            carry_out(scheduler.timer(now))
+        if (at := scheduler.next_timer_at(now)) is not None and at <= now + 0.01:
+            carry_out(scheduler.timer_fired(now))
     for job_id in list(out):
         del out[job_id]
         del open_jobs[job_id]
         carry_out(scheduler.attempt_ended(job_id, OK, now))
     for _ in range(200):
         now += 0.02
-        carry_out(scheduler.timer(now))
+        carry_out(scheduler.timer_fired(now))
         for job_id in list(out):
             del out[job_id]
             del open_jobs[job_id]
             carry_out(scheduler.attempt_ended(job_id, OK, now))
     assert not open_jobs
-    assert scheduler.jobs == 0
+    assert scheduler.job_count == 0
     assert scheduler.own_load() == {}
--- a/tests/decision/test_placement.py
+++ b/tests/decision/test_placement.py
@@ -27,7 +27,7 @@
 def serve(scheduler: Dispatcher, request: Job, now: float = 0.0) -> str | None:
     """The worker that runs the job, to its end."""
     found = sent_to(scheduler, request, now)
-    scheduler.attempt_started(request.job_id, now + 0.01)
+    scheduler.first_event_received(request.job_id, now + 0.01)
     scheduler.attempt_ended(request.job_id, OK, now + 0.02)
     return found
 
@@ -54,11 +54,11 @@
     scheduler = dispatcher(NINE)
     first = sent_to(scheduler, job(1))
     others = {name.instance_id: Load(30, 0) for name in NINE if name.instance_id == first}
-    scheduler.others_load(others, 0.1)
+    scheduler.set_others_load(others, 0.1)
     second_job = job(2, shared=100, own=9000)
     second = serve(scheduler, second_job, 0.2)
     again = Job(**{name: getattr(second_job, name) for name in second_job.__struct_fields__} | {"job_id": 3})
-    scheduler.others_load({}, 0.3)
+    scheduler.set_others_load({}, 0.3)
     assert serve(scheduler, again, 0.4) == second
 
 
@@ -78,13 +78,13 @@
         home = serve(scheduler, job(turn, shared=9000), turn)
         assert home is not None
         homes.add(home)
-        scheduler.others_load({name: Load(64, 0) for name in homes}, turn + 0.5)
+        scheduler.set_others_load({name: Load(64, 0) for name in homes}, turn + 0.5)
         serve(scheduler, job(10 + turn, subject=f"other{turn}"), turn + 0.6)
     assert len(homes) == 3
     assert sent_to(scheduler, job(20, shared=9000, arrived=5.0), 5.0) is None
     assert sent_to(scheduler, job(21, shared=90, subject="short", arrived=5.0), 5.0) is not None
-    assert sends_of(scheduler.timer(5.0 + placement.PATIENT_PART - 0.02)) == []
-    assert sends_of(scheduler.timer(5.0 + placement.PATIENT_PART + 0.001)) == [20]
+    assert sends_of(scheduler.timer_fired(5.0 + placement.PATIENT_PART - 0.02)) == []
+    assert sends_of(scheduler.timer_fired(5.0 + placement.PATIENT_PART + 0.001)) == [20]
 
 
 def test_a_worker_that_rests_gets_nothing_until_its_rest_is_over() -> None:
@@ -92,8 +92,8 @@
     scheduler.job_arrived(job(1, model="m", max_attempts=1), 0.0)
     scheduler.attempt_ended(1, AttemptEnd(Outcome.NOT_EXECUTED, Cause.CONNECT_FAILED), 0.0)
     assert sent_to(scheduler, job(2, model="m"), 0.01) is None
-    assert sends_of(scheduler.timer(0.09)) == []
-    assert sends_of(scheduler.timer(0.11)) == [2]
+    assert sends_of(scheduler.timer_fired(0.09)) == []
+    assert sends_of(scheduler.timer_fired(0.11)) == [2]
 
 
 def test_a_prompt_that_was_not_run_is_not_taken_to_be_kept() -> None:
@@ -117,9 +117,9 @@
     scheduler = dispatcher(NINE)
     home = serve(scheduler, job(1))
     assert home is not None
-    scheduler.others_load({home: told}, 1.0)
+    scheduler.set_others_load({home: told}, 1.0)
     assert serve(scheduler, job(2), 1.0) != home
-    scheduler.others_load({}, 2.0)
+    scheduler.set_others_load({}, 2.0)
     assert serve(scheduler, job(3), 2.0) == home
 
 
@@ -166,7 +166,7 @@
     three = [entry(f"p{zone}", upstream="svc", zone=zone, capacity=6) for zone in ("north", "south", "west")]
     scheduler = dispatcher(three)
     assert {serve(scheduler, plain(index, arrived=index), index) for index in range(20)} == {"pnorth"}
-    scheduler.others_load({"pnorth": Load(5, 0)}, 20.0)
+    scheduler.set_others_load({"pnorth": Load(5, 0)}, 20.0)
     assert serve(scheduler, plain(30, arrived=20.0), 20.0) != "pnorth"
 
 
@@ -188,6 +188,6 @@
         found = sent_to(scheduler, plain(index, arrived=now), now)
         places[found] += 1
         took = 0.05 if found == "fast" else 0.19
-        scheduler.attempt_started(index, now + took)
+        scheduler.first_event_received(index, now + took)
         scheduler.attempt_ended(index, OK, now + took)
     assert places["fast"] > 4 * places["slow"]
--- a/tests/decision/test_prefix_cache.py
+++ b/tests/decision/test_prefix_cache.py
@@ -8,17 +8,17 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from reedspoke.decision.messages import Part
+from reedspoke.decision.messages import PromptPart
 from reedspoke.decision.prefix_cache import PrefixCache, chain_of, rendezvous, score
 
-A, B, C = Part("a", 100), Part("b", 50), Part("c", 30)
+A, B, C = PromptPart("a", 100), PromptPart("b", 50), PromptPart("c", 30)
 
 
-def cached(cache: PrefixCache, *parts: Part, model: str = "m") -> int:
+def cached(cache: PrefixCache, *parts: PromptPart, model: str = "m") -> int:
     return cache.cached_tokens(chain_of(model, parts), parts)
 
 
-def record(cache: PrefixCache, *parts: Part, model: str = "m") -> tuple[int, ...]:
+def record(cache: PrefixCache, *parts: PromptPart, model: str = "m") -> tuple[int, ...]:
     return cache.record(chain_of(model, parts), parts)
 
 
@@ -43,22 +43,22 @@
     record(cache, A)
     record(cache, B)
     record(cache, A)
-    record(cache, Part("d", 60))
+    record(cache, PromptPart("d", 60))
     assert (cached(cache, A), cached(cache, B), cache.tokens) == (100, 0, 160)
 
 
 def test_of_one_prompt_the_last_part_gives_way_first() -> None:
     cache = PrefixCache(180)
     record(cache, A, B)
-    record(cache, Part("d", 40))
+    record(cache, PromptPart("d", 40))
     assert cached(cache, A, B) == 100
 
 
 def test_the_number_of_parts_is_bounded_whatever_the_memory() -> None:
     cache = PrefixCache(10**9, entries=3)
     for index in range(10):
-        record(cache, Part(str(index), 1))
-    assert [cached(cache, Part(str(index), 1)) for index in (6, 7, 9)] == [0, 1, 1]
+        record(cache, PromptPart(str(index), 1))
+    assert [cached(cache, PromptPart(str(index), 1)) for index in (6, 7, 9)] == [0, 1, 1]
     assert cache.tokens == 3
 
 
@@ -94,7 +94,7 @@
 ) -> None:
     cache = PrefixCache(limit)
     for names in prompts:
-        parts = tuple(Part(name, 10 + ord(name)) for name in names)
+        parts = tuple(PromptPart(name, 10 + ord(name)) for name in names)
         chain = chain_of("m", parts)
         added = cache.record(chain, parts)
         if len(names) % 3 == 0:
--- a/tests/decision/test_retry_budget.py
+++ b/tests/decision/test_retry_budget.py
@@ -17,7 +17,7 @@
 
 def budget(slack: float = 0.0, schedulers: int = 1, started: float = -1000.0) -> RetryBudget:
     made = RetryBudget(window_s=WINDOW_S, ratio=RATIO, slack=slack, started=started)
-    made.fleet_size(schedulers, started)
+    made.set_fleet_size(schedulers, started)
     return made
 
 
@@ -66,22 +66,22 @@
 def test_no_slack_while_the_number_of_schedulers_is_unknown() -> None:
     own = RetryBudget(window_s=WINDOW_S, ratio=RATIO, slack=50, started=-1000.0)
     assert spend_all(own, 0.0) == 0
-    own.fleet_size(5, 0.0)
+    own.set_fleet_size(5, 0.0)
     assert spend_all(own, 0.0) == 8
-    own.fleet_size(0, 30.0)
+    own.set_fleet_size(0, 30.0)
     assert spend_all(own, 40.0) == 0
 
 
 def test_a_fleet_that_shrinks_keeps_its_small_parts_for_long() -> None:
     own = budget(slack=50, schedulers=10)
-    own.fleet_size(1, 0.0)
+    own.set_fleet_size(1, 0.0)
     assert spend_all(own, 1.0) == 4
     assert spend_all(own, WINDOW_S * (retry_budget.SIZE_WINDOWS + 2)) == 40
 
 
 def test_a_fleet_that_grows_makes_parts_smaller_at_once() -> None:
     own = budget(slack=50, schedulers=2)
-    own.fleet_size(10, 0.0)
+    own.set_fleet_size(10, 0.0)
     assert spend_all(own, 0.0) == 4
 
 
@@ -147,7 +147,7 @@
         alive = [life for life in self.lives if life]
         for life in alive:
             if self.random.random() < 0.9:
-                life.budget.fleet_size(len(alive), now)
+                life.budget.set_fleet_size(len(alive), now)
 
     def step(self, now: float, rate: float, greed: float) -> None:
         for life in self.lives:
--- a/tests/decision/test_suspicion.py
+++ b/tests/decision/test_suspicion.py
@@ -36,7 +36,7 @@
 
 @pytest.mark.parametrize(
     ("cause", "suspected"),
-    [(Cause.RESET, True), (Cause.SILENT, True), (Cause.CONNECT_FAILED, True), (Cause.WRONG_INSTANCE, True)]
+    [(Cause.RESET, True), (Cause.TIMED_OUT, True), (Cause.CONNECT_FAILED, True), (Cause.WRONG_INSTANCE, True)]
     + [(Cause.FULL, False), (Cause.BAD_ANSWER, False), (Cause.DEADLINE, False), (Cause.NONE, False)],
 )
 def test_what_raises_a_suspicion(cause: Cause, suspected: bool) -> None:
@@ -74,7 +74,7 @@
             failed.append(where)
             scheduler.attempt_ended(number, RESET, 0.01)
         else:
-            scheduler.attempt_started(number, 0.01)
+            scheduler.first_event_received(number, 0.01)
             scheduler.attempt_ended(number, AttemptEnd(Outcome.CANCELLED), 0.01)
         if len(failed) == count:
             break
@@ -83,16 +83,16 @@
 
 def test_own_suspects_are_told_while_they_are_few() -> None:
     scheduler = dispatcher(FOUR)
-    assert scheduler.own_suspects(0.0) == ()
+    assert scheduler.suspected_workers(0.0) == ()
     failed = failed_at(scheduler, 2)
-    assert sorted(scheduler.own_suspects(0.1)) == sorted(failed)
-    assert scheduler.own_suspects(KEPT_S + 0.1) == ()
+    assert sorted(scheduler.suspected_workers(0.1)) == sorted(failed)
+    assert scheduler.suspected_workers(KEPT_S + 0.1) == ()
 
 
 def test_who_suspects_most_workers_suspects_itself() -> None:
     scheduler = dispatcher(FOUR)
     failed_at(scheduler, 3)
-    assert scheduler.own_suspects(0.1) == ()
+    assert scheduler.suspected_workers(0.1) == ()
 
 
 @pytest.mark.parametrize(("make", "upstream"), [(job, "llm"), (plain, "svc")])
@@ -101,25 +101,25 @@
 ) -> None:
     scheduler = dispatcher([entry(f"w{index}", upstream=upstream) for index in range(4)])
     home = sent_to(scheduler, make(1), 0.0)
-    scheduler.attempt_started(1, 0.01)
+    scheduler.first_event_received(1, 0.01)
     scheduler.attempt_ended(1, OK, 0.02)
     assert home is not None
-    scheduler.others_suspect({home: 2}, 0.05)
+    scheduler.set_others_suspicions({home: 2}, 0.05)
     assert scheduler.avoided_workers(0.1) == 1
     assert all(sent_to(scheduler, make(number), 0.1) != home for number in range(2, 20))
 
 
 def test_a_suspected_worker_is_used_where_the_others_are_full() -> None:
     scheduler = dispatcher(FOUR)
-    scheduler.others_suspect({"w0": 9}, 0.0)
+    scheduler.set_others_suspicions({"w0": 9}, 0.0)
     full = {worker.instance_id: Load(worker.capacity, 0) for worker in FOUR[1:]}
-    scheduler.others_load(full, 0.0)
+    scheduler.set_others_load(full, 0.0)
     assert sent_to(scheduler, job(1), 0.1) == "w0"
 
 
 def test_all_suspected_is_as_none_suspected() -> None:
     suspected, plain_one = dispatcher(FOUR), dispatcher(FOUR)
-    suspected.others_suspect({worker.instance_id: 5 for worker in FOUR}, 0.0)
+    suspected.set_others_suspicions({worker.instance_id: 5 for worker in FOUR}, 0.0)
     for number in range(30):
         request = job(number, subject=f"s{number % 7}")
         assert sent_to(suspected, request) == sent_to(plain_one, request)
@@ -128,32 +128,32 @@
 def test_one_scheduler_s_word_moves_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(placement, "SUSPECTED", 1000.0)
     suspected, plain_one = dispatcher(FOUR), dispatcher(FOUR)
-    suspected.others_suspect({"w0": 1, "w1": 1}, 0.0)
+    suspected.set_others_suspicions({"w0": 1, "w1": 1}, 0.0)
     for number in range(30):
         assert sent_to(suspected, job(number)) == sent_to(plain_one, job(number))
 
 
 def test_where_most_would_be_avoided_none_is() -> None:
     scheduler = dispatcher(FOUR)
-    scheduler.others_suspect({"w0": 9, "w1": 9}, 0.0)
+    scheduler.set_others_suspicions({"w0": 9, "w1": 9}, 0.0)
     assert scheduler.avoided_workers(0.1) == 2
-    scheduler.others_suspect({"w0": 9, "w1": 9, "w2": 2}, 0.2)
+    scheduler.set_others_suspicions({"w0": 9, "w1": 9, "w2": 2}, 0.2)
     assert scheduler.avoided_workers(0.3) == 0
 
 
 def test_a_job_knows_whom_it_avoids() -> None:
     scheduler = dispatcher(FOUR)
-    scheduler.others_suspect({"w2": 2}, 0.0)
+    scheduler.set_others_suspicions({"w2": 2}, 0.0)
     assert sent_to(scheduler, job(1), 0.1) is not None
-    assert scheduler.avoided_by(1, 0.1) == ("w2",)
-    assert scheduler.avoided_by(99, 0.1) == ()
+    assert scheduler.workers_avoided_by(1, 0.1) == ("w2",)
+    assert scheduler.workers_avoided_by(99, 0.1) == ()
 
 
 def test_too_many_avoided_workers_violate_the_invariant(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(worker_pool, "MOST_AVOIDED", 0.0)
     scheduler = dispatcher(FOUR)
-    scheduler.others_suspect({"w0": 2}, 0.0)
+    scheduler.set_others_suspicions({"w0": 2}, 0.0)
     assert scheduler.avoided_workers(0.1) == 0
     monkeypatch.setattr(worker_pool.WorkerPool, "_avoids_too_many", lambda self, now: True)
-    scheduler.others_suspect({"w0": 2}, 0.0)
+    scheduler.set_others_suspicions({"w0": 2}, 0.0)
     assert {item.invariant for item in monitor.reset_violations()} == {Invariant.MOST_WORKERS_ARE_USED}
--- a/tests/decision/test_tenant_turns.py
+++ b/tests/decision/test_tenant_turns.py
@@ -6,7 +6,7 @@
 from msgspec import structs
 
 from reedspoke.decision.job_class import URGENCY, JobClass, JobState, Shares, rank_of, turn_of
-from reedspoke.decision.messages import Job, Part, Repeat
+from reedspoke.decision.messages import Job, PromptPart, Repeat
 from reedspoke.decision.size_bands import Band
 from reedspoke.decision.subject_queue import SubjectQueue
 
@@ -16,8 +16,8 @@
     upstream="u",
     priority=1,
     repeat=Repeat.NEVER,
-    parts=(Part("shared", 10), Part("own", 5)),
-    aim_s=1.0,
+    parts=(PromptPart("shared", 10), PromptPart("own", 5)),
+    latency_target_s=1.0,
     deadline=5.0,
     arrived=0.0,
 )
