--- a/reedspoke/control_plane/evacuation/service.py
+++ b/reedspoke/control_plane/evacuation/service.py
@@ -43,7 +43,7 @@
         self._logged: frozenset[str] = frozenset()
         self._adjusted: AdjustedWorkers | None = None
 
-    async def order(self, zone: str, evacuated: bool) -> None:
+    async def set_evacuated(self, zone: str, evacuated: bool) -> None:
         """Evacuate a zone, or withdraw that; done again, it changes nothing.
 
         Raises FleetError: UNKNOWN_ZONE; NO_QUORUM where too few nodes are in reach; TALLY_UNCLEAR where the
@@ -60,7 +60,7 @@
         if order is not None:
             await self._tallies.add(order)
 
-    def zones(self) -> frozenset[str]:
+    def evacuated_zones(self) -> frozenset[str]:
         """The zones that are evacuated, as far as this node knows."""
         zones = evacuated_zones(self._tallies.newest_of_all(ZONE_PREFIX))
         if zones != self._logged:
@@ -72,7 +72,7 @@
         """The list with the workers of evacuated zones as draining; None while the orders are not known."""
         if not self._tallies.knows_what_it_acknowledged():
             return None
-        zones = self.zones()
+        zones = self.evacuated_zones()
         if self._adjusted is None or self._adjusted.zones != zones or self._adjusted.entries is not entries:
             self._adjusted = AdjustedWorkers(entries, zones, drain_zones(entries, zones))
         return self._adjusted.adjusted
--- a/reedspoke/control_plane/node_backend.py
+++ b/reedspoke/control_plane/node_backend.py
@@ -88,7 +88,7 @@
         self._check_not_shutting_down()
         if not self.holds_majority():
             raise FleetError(ErrorCode.NO_QUORUM, "no majority stands behind this machine")
-        await self._evacuations.order(zone, evacuated)
+        await self._evacuations.set_evacuated(zone, evacuated)
 
     def holds_majority(self) -> bool:
         """Whether a majority of voters stands behind this node at this instant."""
@@ -125,7 +125,7 @@
             workers_version=workers.version,
             holds_list_duty=self._lease.is_held(now),
             holds_majority=self.holds_majority(),
-            evacuated=sorted(self._evacuations.zones()),
+            evacuated=sorted(self._evacuations.evacuated_zones()),
         )
 
     def open_sessions(self) -> int:
@@ -142,4 +142,4 @@
 
     def tally_figures(self) -> dict[str, float]:
         """Numbers of the tallies here."""
-        return self._tallies.figures()
+        return self._tallies.metric_values()
--- a/reedspoke/control_plane/process.py
+++ b/reedspoke/control_plane/process.py
@@ -163,7 +163,7 @@
             self._address,
             settings.zone,
             lambda sender, message: self._exchange.handle(sender, message),
-            self._tallies.received,
+            self._tallies.message_received,
             self._sessions,
         )
 
--- a/reedspoke/control_plane/replication/outbox.py
+++ b/reedspoke/control_plane/replication/outbox.py
@@ -18,7 +18,7 @@
     DISK_STALL_S,
     REWRITE_BYTES,
 )
-from reedspoke.control_plane.storage.log_format import COPIES, encoded_size
+from reedspoke.control_plane.storage.log_format import BATCH_COPIES, encoded_size
 
 StoreEnd = Callable[[ErrorCode | None], None]
 SnapshotRecords = Callable[[], tuple[bytes, ...]]
@@ -49,7 +49,7 @@
         self.synced_sequence = 0  # of the newest entry whose store has ended well, of all since the start
         self._pending: dict[int, PendingStore] = {}
         self._next_token = 1
-        self._log_size = COPIES * restored_size
+        self._log_size = BATCH_COPIES * restored_size
         self._live_size = 0  # not known before the first rewrite
         self._probe_after = 0.0
 
--- a/reedspoke/control_plane/replication/replica_storage.py
+++ b/reedspoke/control_plane/replication/replica_storage.py
@@ -21,7 +21,7 @@
 from reedspoke.control_plane.storage.durable_log import DurableLog
 from reedspoke.control_plane.storage.job_thread import JobThread
 from reedspoke.control_plane.storage.log_opening import OpenedLog
-from reedspoke.control_plane.storage.log_slots import LOG_NAME
+from reedspoke.control_plane.storage.log_slots import CONTROL_LOG_NAME
 
 INCARNATION_BYTES = 16
 
@@ -47,7 +47,7 @@
         self._on_opened = on_opened
         self._on_stored = on_stored
         directory = Path(settings.data_dir or "")
-        self._log = DurableLog(directory, LOG_NAME, thread, self._thread_restore, self._opened)
+        self._log = DurableLog(directory, CONTROL_LOG_NAME, thread, self._thread_restore, self._opened)
 
     def open(self) -> None:
         """Open the data folder, again and again until it succeeds."""
@@ -63,7 +63,7 @@
 
     def _thread_restore(self, opened: OpenedLog) -> Replica:
         # A folder whose log was corrupt has lost its part of what the fleet agreed on.
-        lost_part = opened.succeeds_corrupt or self._log.was_corrupt
+        lost_part = opened.follows_corrupt_log or self._log.was_corrupt
         settings = ReplicaSettings(
             folder_id=opened.folder_id,
             address=self._own_address,
--- a/reedspoke/control_plane/storage/log_format.py
+++ b/reedspoke/control_plane/storage/log_format.py
@@ -18,7 +18,7 @@
 
 HEADER = b"RSCTLOG2"
 SINGLE_COPY_HEADER = b"RSCTLOG1"  # of files made before batches were doubled
-COPIES = 2
+BATCH_COPIES = 2
 MAX_BATCH_BYTES = 64 * 1024 * 1024
 _COPY_PREFIX = struct.Struct(">II")
 _RECORD_PREFIX = struct.Struct(">I")
@@ -61,12 +61,12 @@
             chunks.append(chunk)
             checksum = zlib.crc32(chunk, checksum)
             length += len(chunk)
-    return b"".join(COPIES * [_COPY_PREFIX.pack(length, checksum), *chunks])
+    return b"".join(BATCH_COPIES * [_COPY_PREFIX.pack(length, checksum), *chunks])
 
 
 def encoded_size(records: Iterable[bytes]) -> int:
     """Bytes that a batch of these records takes in the file."""
-    return COPIES * (_COPY_PREFIX.size + sum(_RECORD_PREFIX.size + len(record) for record in records))
+    return BATCH_COPIES * (_COPY_PREFIX.size + sum(_RECORD_PREFIX.size + len(record) for record in records))
 
 
 def read_content(content: bytes) -> LogContent:
@@ -102,7 +102,7 @@
     found = _first_copy_after(content, start)
     if found is None:
         return None
-    if found.start - start != found.size or _equal_copies(content, found) % COPIES == 0:
+    if found.start - start != found.size or _equal_copies(content, found) % BATCH_COPIES == 0:
         raise FleetError(ErrorCode.STORAGE_CORRUPT, "A bad batch is followed by good ones.")
     return found
 
--- a/reedspoke/control_plane/storage/log_opening.py
+++ b/reedspoke/control_plane/storage/log_opening.py
@@ -16,10 +16,10 @@
 from reedspoke.common.errors import FleetError
 from reedspoke.control_plane.storage.log_format import read_content
 from reedspoke.control_plane.storage.log_slots import (
+    CONTROL_LOG_NAME,
     CORRUPT_SUFFIX,
     FIRST_REWRITE_NUMBER,
     FOLDER_ID_BYTES,
-    LOG_NAME,
     OLD_TEMPORARY_SUFFIX,
     SlotContent,
     parse_slot,
@@ -40,14 +40,14 @@
 class OpenedLog(Struct):
     """What the folder held when it was opened: its id, the records after it, and the writer that goes on.
 
-    `succeeds_corrupt` is set where an earlier log of this folder is in quarantine.
+    `follows_corrupt_log` is set where an earlier log of this folder is in quarantine.
     """
 
     folder_id: str
     records: list[bytes]
     writer: LogWriter
     created: bool
-    succeeds_corrupt: bool = False
+    follows_corrupt_log: bool = False
 
 
 class _Slot(Struct):
@@ -62,7 +62,7 @@
     damaged: bool
 
 
-def open_log(directory: Path, name: str = LOG_NAME) -> OpenedLog:
+def open_log(directory: Path, name: str = CONTROL_LOG_NAME) -> OpenedLog:
     """Open or make a log of a data folder; all that it returns is synced, and stands twice.
 
     What was never synced is cut back to the last batch. Raises FleetError STORAGE_CORRUPT where a good batch
@@ -74,7 +74,7 @@
         raise storage_error(error) from error
 
 
-def quarantine_log(directory: Path, name: str = LOG_NAME) -> Path:
+def quarantine_log(directory: Path, name: str = CONTROL_LOG_NAME) -> Path:
     """Rename a corrupt log so that the folder starts anew; only the newest such file is kept."""
     corrupt = directory / (name + CORRUPT_SUFFIX)
     for slot in slot_names(name):
@@ -86,17 +86,17 @@
 
 def _open_or_create(directory: Path, name: str) -> OpenedLog:
     os.makedirs(directory, exist_ok=True)
-    succeeds_corrupt = os.path.exists(directory / (name + CORRUPT_SUFFIX))
+    follows_corrupt_log = os.path.exists(directory / (name + CORRUPT_SUFFIX))
     slots = [slot for one in slot_names(name) if (slot := _read_slot(directory / one)) is not None]
     if not slots:
         slots = _old_temporary(directory, name)
     if not slots:
-        return _create_log(directory, name, succeeds_corrupt)
+        return _create_log(directory, name, follows_corrupt_log)
     newest = max(slots, key=lambda slot: slot.content.rewrite_number)
     _remove_others(directory, name, newest.path)
     writer = _writer_of(newest)
     content = newest.content
-    return OpenedLog(content.folder_id, content.records, writer, False, succeeds_corrupt)
+    return OpenedLog(content.folder_id, content.records, writer, False, follows_corrupt_log)
 
 
 def _old_temporary(directory: Path, name: str) -> list[_Slot]:
@@ -144,14 +144,14 @@
     )
 
 
-def _create_log(directory: Path, name: str, succeeds_corrupt: bool) -> OpenedLog:
+def _create_log(directory: Path, name: str, follows_corrupt_log: bool) -> OpenedLog:
     _remove_others(directory, name, None)
     folder_id = secrets.token_hex(FOLDER_ID_BYTES)
     data = slot_content(folder_id, FIRST_REWRITE_NUMBER, ())
     path = directory / name
     descriptor = create_file(path, data)
     writer = LogWriter(path, folder_id, FIRST_REWRITE_NUMBER, descriptor, len(data))
-    return OpenedLog(folder_id, [], writer, True, succeeds_corrupt)
+    return OpenedLog(folder_id, [], writer, True, follows_corrupt_log)
 
 
 def _remove_others(directory: Path, name: str, except_path: Path | None) -> None:
--- a/reedspoke/control_plane/storage/log_slots.py
+++ b/reedspoke/control_plane/storage/log_slots.py
@@ -10,14 +10,14 @@
 from reedspoke.common.errors import ErrorCode, FleetError
 from reedspoke.control_plane.storage.log_format import HEADER, LogContent, encode_batch
 
-LOG_NAME = "control.log"
+CONTROL_LOG_NAME = "control.log"
 OTHER_SLOT_SUFFIX = ".2"
 OLD_TEMPORARY_SUFFIX = ".new"  # left by rewrites of files with single copies
 CORRUPT_SUFFIX = ".corrupt"
-OTHER_SLOT_NAME = LOG_NAME + OTHER_SLOT_SUFFIX
-SLOT_NAMES = (LOG_NAME, OTHER_SLOT_NAME)
-OLD_TEMPORARY_NAME = LOG_NAME + OLD_TEMPORARY_SUFFIX
-CORRUPT_LOG_NAME = LOG_NAME + CORRUPT_SUFFIX
+OTHER_SLOT_NAME = CONTROL_LOG_NAME + OTHER_SLOT_SUFFIX
+SLOT_NAMES = (CONTROL_LOG_NAME, OTHER_SLOT_NAME)
+OLD_TEMPORARY_NAME = CONTROL_LOG_NAME + OLD_TEMPORARY_SUFFIX
+CORRUPT_LOG_NAME = CONTROL_LOG_NAME + CORRUPT_SUFFIX
 FOLDER_ID_BYTES = 8
 FIRST_REWRITE_NUMBER = 1
 SINGLE_COPY_REWRITE_NUMBER = 0  # files with single copies have none: any rewrite is newer
--- a/reedspoke/control_plane/tallies/replica.py
+++ b/reedspoke/control_plane/tallies/replica.py
@@ -386,7 +386,7 @@
         vector = self._state.log.vector
         return all(covers(peer.vector, vector) for peer in self._contacts.in_contact(now))
 
-    def figures(self, now: float) -> dict[str, float]:
+    def metric_values(self, now: float) -> dict[str, float]:
         """Numbers for the metrics."""
         return {
             "tallies": self._state.counts.tally_count,
--- a/reedspoke/control_plane/tallies/service.py
+++ b/reedspoke/control_plane/tallies/service.py
@@ -142,7 +142,7 @@
 
     # ---- peers ----
 
-    def received(self, sender: str, message: TallyMessage) -> None:
+    def message_received(self, sender: str, message: TallyMessage) -> None:
         """A message of another node."""
         if self._replica is not None:
             self._handle(MessageReceived(sender, message))
@@ -203,6 +203,6 @@
         else:
             future.set_exception(FleetError(completed.error, completed.message))
 
-    def figures(self) -> dict[str, float]:
+    def metric_values(self) -> dict[str, float]:
         """Numbers for the metrics; none before the log is open."""
-        return {} if self._replica is None else self._replica.figures(self._loop.time())
+        return {} if self._replica is None else self._replica.metric_values(self._loop.time())
--- a/reedspoke/control_plane/tallies/storage.py
+++ b/reedspoke/control_plane/tallies/storage.py
@@ -12,13 +12,12 @@
 from reedspoke.control_plane.storage.durable_log import DurableLog
 from reedspoke.control_plane.storage.job_thread import JobThread
 from reedspoke.control_plane.storage.log_opening import OpenedLog
-from reedspoke.control_plane.storage.log_slots import LOG_NAME as CONTROL_LOG_NAME
-from reedspoke.control_plane.storage.log_slots import slot_names
+from reedspoke.control_plane.storage.log_slots import CONTROL_LOG_NAME, slot_names
 from reedspoke.control_plane.tallies.events import StoreCompleted, StoreRecords
 from reedspoke.control_plane.tallies.replica import TallyReplica
 from reedspoke.control_plane.tallies.settings import TallySettings, max_ids
 
-LOG_NAME = "tallies.log"
+TALLY_LOG_NAME = "tallies.log"
 
 
 class TallyStorage:
@@ -40,7 +39,7 @@
         # A machine that has a control log has not lost its disk: a version without tallies ran on it before.
         self._is_upgrade = any((directory / name).exists() for name in slot_names(CONTROL_LOG_NAME))
         self._log: DurableLog[TallyReplica] = DurableLog(
-            directory, LOG_NAME, JobThread("tallies"), self._thread_restore, self._opened
+            directory, TALLY_LOG_NAME, JobThread("tallies"), self._thread_restore, self._opened
         )
 
     def open(self) -> None:
@@ -58,7 +57,7 @@
     def _thread_restore(self, opened: OpenedLog) -> TallyReplica:
         """Replay the records; called on the storage thread."""
         limits = self._settings.limits
-        lost_state = opened.succeeds_corrupt or self._log.was_corrupt
+        lost_state = opened.follows_corrupt_log or self._log.was_corrupt
         settings = TallySettings(
             folder_id=opened.folder_id,
             incarnation=self._incarnation,
--- a/tests/control_plane/simulated_files.py
+++ b/tests/control_plane/simulated_files.py
@@ -19,7 +19,7 @@
 import pytest
 
 from reedspoke.control_plane.storage import log_opening, log_writer, synced_files
-from reedspoke.control_plane.storage.log_format import COPIES, SINGLE_COPY_HEADER, encode_batch
+from reedspoke.control_plane.storage.log_format import BATCH_COPIES, SINGLE_COPY_HEADER, encode_batch
 
 FOLDER = Path("/data")
 TORN_PARTS = 20  # into which a write may be torn
@@ -287,7 +287,7 @@
 def single_copies(*batches: list[bytes]) -> bytes:
     """A file as it was before batches were doubled."""
     copies = [encode_batch(batch) for batch in batches]
-    return SINGLE_COPY_HEADER + b"".join(both[: len(both) // COPIES] for both in copies)
+    return SINGLE_COPY_HEADER + b"".join(both[: len(both) // BATCH_COPIES] for both in copies)
 
 
 def use(monkeypatch: pytest.MonkeyPatch, files: SimulatedFiles) -> SimulatedFiles:
--- a/tests/control_plane/tallies/test_orders.py
+++ b/tests/control_plane/tallies/test_orders.py
@@ -129,14 +129,14 @@
     steps = Steps(created=True)
     steps.in_touch(*PEERS[:3], vector={"f-p1": 1})
     steps.tick(0.05)
-    assert not steps.replica.figures(steps.now)["recovered"]
+    assert not steps.replica.metric_values(steps.now)["recovered"]
     steps.receive("p1", TallyEntries("f-p1", 1, (TallyAdd("t", 1, 1),)))
     steps.stored()
     steps.tick(0.05)
     steps.stored()
-    assert steps.replica.figures(steps.now)["recovered"]
+    assert steps.replica.metric_values(steps.now)["recovered"]
     again = Steps(records=tuple(steps.records))
-    assert again.replica.figures(again.now)["recovered"]
+    assert again.replica.metric_values(again.now)["recovered"]
 
 
 def test_too_few_nodes_in_reach_take_no_order() -> None:
@@ -201,7 +201,7 @@
     async def run() -> EvacuationService:
         service = EvacuationService(cast(TallyService, tallies), ("za", "zb"))
         for zone, evacuated in orders:
-            await service.order(zone, evacuated)
+            await service.set_evacuated(zone, evacuated)
         return service
 
     return asyncio.run(run())
@@ -210,9 +210,9 @@
 def test_orders_and_repeated_orders() -> None:
     tallies = FakeTallies()
     service = ordered(tallies, ("za", True), ("za", True), ("zb", False))
-    assert service.zones() == {"za"}
+    assert service.evacuated_zones() == {"za"}
     assert {add.add_id for add in tallies.adds} == {1}
-    assert ordered(tallies, ("za", False)).zones() == frozenset()
+    assert ordered(tallies, ("za", False)).evacuated_zones() == frozenset()
 
 
 def test_an_unknown_zone_is_refused() -> None:
--- a/tests/control_plane/tallies/test_records.py
+++ b/tests/control_plane/tallies/test_records.py
@@ -17,7 +17,7 @@
     entries_record,
     restore,
 )
-from reedspoke.control_plane.tallies.storage import LOG_NAME
+from reedspoke.control_plane.tallies.storage import TALLY_LOG_NAME
 from tests.control_plane.tallies.test_counts import content
 
 
@@ -76,21 +76,21 @@
 def test_the_file_stands_beside_the_control_log(tmp_path: Path) -> None:
     control = open_log(tmp_path)
     control.writer.append([b"control"])
-    tallies = open_log(tmp_path, LOG_NAME)
+    tallies = open_log(tmp_path, TALLY_LOG_NAME)
     tallies.writer.append([b"one"])
     tallies.writer.rewrite([b"one", b"two"])
     tallies.writer.rewrite([b"one", b"two", b"three"])
     for opened in (control, tallies):
         opened.writer.close()
     assert open_log(tmp_path).records == [b"control"]
-    assert open_log(tmp_path, LOG_NAME).records == [b"one", b"two", b"three"]
+    assert open_log(tmp_path, TALLY_LOG_NAME).records == [b"one", b"two", b"three"]
     assert control.folder_id != tallies.folder_id
 
 
 def test_a_corrupt_file_goes_aside_and_leaves_the_other(tmp_path: Path) -> None:
     open_log(tmp_path).writer.append([b"control"])
-    open_log(tmp_path, LOG_NAME).writer.append([b"one"])
-    quarantine_log(tmp_path, LOG_NAME)
-    again = open_log(tmp_path, LOG_NAME)
-    assert (again.records, again.created, again.succeeds_corrupt) == ([], True, True)
+    open_log(tmp_path, TALLY_LOG_NAME).writer.append([b"one"])
+    quarantine_log(tmp_path, TALLY_LOG_NAME)
+    again = open_log(tmp_path, TALLY_LOG_NAME)
+    assert (again.records, again.created, again.follows_corrupt_log) == ([], True, True)
     assert open_log(tmp_path).records == [b"control"]
--- a/tests/control_plane/tallies/test_replica.py
+++ b/tests/control_plane/tallies/test_replica.py
@@ -179,7 +179,7 @@
     for _ in range(int(CALL_LIMIT_S / 0.2) + 1):
         steps.tick(0.2)
         steps.in_touch(*PEERS)
-    assert steps.replica.figures(steps.now)["waiting_adds"] == 0
+    assert steps.replica.metric_values(steps.now)["waiting_adds"] == 0
     assert answer(steps, call) == WAITING
     assert steps.replica.total("t", steps.now) == 1  # it counts all the same
 
@@ -319,7 +319,7 @@
     steps.stored()
     steps.in_touch(*PEERS, vector={OWN: 1})
     steps.tick(0.3)
-    assert steps.replica.figures(steps.now)["entries_retained"] == 0
+    assert steps.replica.metric_values(steps.now)["entries_retained"] == 0
     steps.receive("p1", TallyPull({}))
     (chunk,) = steps.sent_to("p1", TallyStateChunk)
     assert chunk == TallyStateChunk(
@@ -332,7 +332,7 @@
     steps.stored()
     steps.in_touch("p1", "p2", "p3", vector={OWN: 1})
     steps.tick(0.3)
-    assert steps.replica.figures(steps.now)["entries_retained"] == 1
+    assert steps.replica.metric_values(steps.now)["entries_retained"] == 1
 
 
 # ---- the whole state ----
--- a/tests/control_plane/tallies/test_storage.py
+++ b/tests/control_plane/tallies/test_storage.py
@@ -10,7 +10,7 @@
 from reedspoke.common.node_settings import NodeSettings
 from reedspoke.control_plane.storage.log_opening import open_log, quarantine_log
 from reedspoke.control_plane.tallies.replica import TallyReplica
-from reedspoke.control_plane.tallies.storage import LOG_NAME, TallyStorage
+from reedspoke.control_plane.tallies.storage import TALLY_LOG_NAME, TallyStorage
 
 
 def opened(folder: Path, bootstrap: bool) -> TallyReplica:
@@ -46,6 +46,6 @@
 @pytest.mark.parametrize("bootstrap", [True, False])
 def test_a_folder_whose_tallies_were_corrupt(tmp_path: Path, bootstrap: bool) -> None:
     open_log(tmp_path).writer.close()
-    open_log(tmp_path, LOG_NAME).writer.close()
-    quarantine_log(tmp_path, LOG_NAME)
+    open_log(tmp_path, TALLY_LOG_NAME).writer.close()
+    quarantine_log(tmp_path, TALLY_LOG_NAME)
     assert not lost_nothing(opened(tmp_path, bootstrap=bootstrap))
--- a/tests/control_plane/test_guards_log_file.py
+++ b/tests/control_plane/test_guards_log_file.py
@@ -12,7 +12,7 @@
 from reedspoke.common.errors import ErrorCode, FleetError
 from reedspoke.control_plane.storage.log_format import HEADER, SINGLE_COPY_HEADER, encode_batch, read_content
 from reedspoke.control_plane.storage.log_opening import open_log, quarantine_log
-from reedspoke.control_plane.storage.log_slots import LOG_NAME
+from reedspoke.control_plane.storage.log_slots import CONTROL_LOG_NAME
 
 FILE, DIRECTORY, REPLACED, REMOVED = "file synced", "directory synced", "name replaced", "name removed"
 
@@ -90,7 +90,7 @@
     opened = open_log(tmp_path)
     opened.writer.append([b"one"])
     opened.writer.close()
-    path = tmp_path / LOG_NAME
+    path = tmp_path / CONTROL_LOG_NAME
     content = bytearray(path.read_bytes())
     content[0] ^= 1
     first = content.index(opened.folder_id.encode())
@@ -120,10 +120,10 @@
 def test_of_two_slots_the_one_that_was_written_later_counts(tmp_path: Path) -> None:
     opened = open_log(tmp_path)
     opened.writer.append([b"old"])
-    old = (tmp_path / LOG_NAME).read_bytes()
+    old = (tmp_path / CONTROL_LOG_NAME).read_bytes()
     opened.writer.rewrite([b"new"])
     opened.writer.close()
-    (tmp_path / LOG_NAME).write_bytes(old)
+    (tmp_path / CONTROL_LOG_NAME).write_bytes(old)
     again = open_log(tmp_path)
     again.writer.close()
     assert again.records == [b"new"]
--- a/tests/control_plane/test_log_file.py
+++ b/tests/control_plane/test_log_file.py
@@ -14,7 +14,7 @@
 from reedspoke.control_plane.storage import synced_files
 from reedspoke.control_plane.storage.log_format import HEADER
 from reedspoke.control_plane.storage.log_opening import open_log, quarantine_log
-from reedspoke.control_plane.storage.log_slots import LOG_NAME, OLD_TEMPORARY_NAME, OTHER_SLOT_NAME
+from reedspoke.control_plane.storage.log_slots import CONTROL_LOG_NAME, OLD_TEMPORARY_NAME, OTHER_SLOT_NAME
 from tests.control_plane.simulated_files import single_copies
 
 BATCHES = [[b"one"], [b"two", b"three"], [b"x" * 60]]
@@ -25,7 +25,7 @@
     for batch in BATCHES:
         opened.writer.append(batch)
     opened.writer.close()
-    return (directory / LOG_NAME).read_bytes()
+    return (directory / CONTROL_LOG_NAME).read_bytes()
 
 
 def _copies(content: bytes | bytearray, record: bytes) -> tuple[int, int]:
@@ -60,7 +60,7 @@
 
 def test_a_file_torn_at_any_byte_keeps_the_whole_batches(tmp_path: Path) -> None:
     content = _written(tmp_path)
-    path = tmp_path / LOG_NAME
+    path = tmp_path / CONTROL_LOG_NAME
     whole = [b"one", b"two", b"three", b"x" * 60]
     for length in range(len(HEADER), len(content)):
         path.write_bytes(content[:length])
@@ -73,23 +73,23 @@
 @pytest.mark.parametrize("filler", [b"\0", b"\xff", b"garbage"])
 def test_an_end_that_holds_anything_else_is_cut_back(tmp_path: Path, filler: bytes) -> None:
     content = _written(tmp_path)
-    (tmp_path / LOG_NAME).write_bytes(content + filler * 100)
+    (tmp_path / CONTROL_LOG_NAME).write_bytes(content + filler * 100)
     assert _reopened(tmp_path) == [b"one", b"two", b"three", b"x" * 60]
-    assert (tmp_path / LOG_NAME).read_bytes() == content
+    assert (tmp_path / CONTROL_LOG_NAME).read_bytes() == content
 
 
 def test_a_last_batch_with_a_hole_in_both_copies_is_cut_back(tmp_path: Path) -> None:
     content = bytearray(_written(tmp_path))
     for copy in _copies(content, b"x" * 60):
         content[copy + 10 : copy + 20] = bytes(10)
-    (tmp_path / LOG_NAME).write_bytes(content)
+    (tmp_path / CONTROL_LOG_NAME).write_bytes(content)
     assert _reopened(tmp_path) == [b"one", b"two", b"three"]
 
 
 def test_appending_goes_on_after_a_cut(tmp_path: Path) -> None:
     content = _written(tmp_path)
     first_copy, _ = _copies(content, b"x" * 60)
-    (tmp_path / LOG_NAME).write_bytes(content[: first_copy + 59])
+    (tmp_path / CONTROL_LOG_NAME).write_bytes(content[: first_copy + 59])
     opened = open_log(tmp_path)
     opened.writer.append([b"after"])
     opened.writer.close()
@@ -100,7 +100,7 @@
     content = bytearray(_written(tmp_path))
     for copy in _copies(content, b"two"):
         content[copy] ^= 1
-    (tmp_path / LOG_NAME).write_bytes(content)
+    (tmp_path / CONTROL_LOG_NAME).write_bytes(content)
     with pytest.raises(FleetError) as raised:
         open_log(tmp_path)
     assert raised.value.code is ErrorCode.STORAGE_CORRUPT
@@ -109,7 +109,7 @@
 def test_a_bad_header_before_good_records_is_mended(tmp_path: Path) -> None:
     content = bytearray(_written(tmp_path))
     content[0] ^= 1
-    (tmp_path / LOG_NAME).write_bytes(content)
+    (tmp_path / CONTROL_LOG_NAME).write_bytes(content)
     opened = open_log(tmp_path)
     opened.writer.close()
     assert opened.records == [b"one", b"two", b"three", b"x" * 60]
@@ -119,7 +119,7 @@
 def test_a_bad_header_of_a_file_with_single_copies_is_an_error(tmp_path: Path) -> None:
     content = bytearray(single_copies([b"0011223344556677"], *BATCHES))
     content[0] ^= 1
-    (tmp_path / LOG_NAME).write_bytes(content)
+    (tmp_path / CONTROL_LOG_NAME).write_bytes(content)
     with pytest.raises(FleetError) as raised:
         open_log(tmp_path)
     assert raised.value.code is ErrorCode.STORAGE_CORRUPT
@@ -139,7 +139,7 @@
 def test_a_file_that_was_torn_while_it_was_made_is_made_again(tmp_path: Path) -> None:
     made = open_log(tmp_path)
     made.writer.close()
-    content = (tmp_path / LOG_NAME).read_bytes()
+    content = (tmp_path / CONTROL_LOG_NAME).read_bytes()
     first_copy_end = (len(HEADER) + len(content)) // 2
     for length in range(len(content)):
         (tmp_path / made.writer.path.name).write_bytes(content[:length])
--- a/tests/control_plane/test_replica_answers.py
+++ b/tests/control_plane/test_replica_answers.py
@@ -10,7 +10,7 @@
 from reedspoke.control_plane.replication.log_records import restore
 from reedspoke.control_plane.replication.messages import AppendRequest
 from reedspoke.control_plane.replication.settings import HISTORY_LIMIT, READ_LEASE_TTL_S, REWRITE_BYTES
-from reedspoke.control_plane.storage.log_format import COPIES
+from reedspoke.control_plane.storage.log_format import BATCH_COPIES
 from tests.control_plane.schedule import come_back
 from tests.control_plane.simulated_parts import DiskMode
 from tests.control_plane.simulation import Simulation
@@ -159,7 +159,7 @@
         assert core.put_and_wait("m1", generation - 1, generation, document + b"%d" % generation) is None
     for machine in core.machines.values():
         size = sum(map(len, machine.disk.records))
-        assert COPIES * size < REWRITE_BYTES + 4 * 2_000_000
+        assert BATCH_COPIES * size < REWRITE_BYTES + 4 * 2_000_000
     for address in core.machines:
         core.lose_power(address)
     core.run(1.0)
--- a/tests/control_plane/test_storage_damage.py
+++ b/tests/control_plane/test_storage_damage.py
@@ -7,7 +7,7 @@
 from reedspoke.common.errors import ErrorCode, FleetError
 from reedspoke.control_plane.storage.log_format import encode_batch
 from reedspoke.control_plane.storage.log_opening import open_log, quarantine_log
-from reedspoke.control_plane.storage.log_slots import CORRUPT_LOG_NAME, LOG_NAME, OLD_TEMPORARY_NAME
+from reedspoke.control_plane.storage.log_slots import CONTROL_LOG_NAME, CORRUPT_LOG_NAME, OLD_TEMPORARY_NAME
 from tests.control_plane.simulated_files import FOLDER, PowerLost, SimulatedFiles, single_copies, use
 
 BATCHES = ([b"one"], [b"two", b""], [b"three" * 5], [b"three" * 5], [b"newest", b"x" * 30])
@@ -32,9 +32,9 @@
 
 def _is_pristine(content: bytes, monkeypatch: pytest.MonkeyPatch) -> bool:
     """Whether opening such a file changes nothing."""
-    files = use(monkeypatch, SimulatedFiles({LOG_NAME: content}))
+    files = use(monkeypatch, SimulatedFiles({CONTROL_LOG_NAME: content}))
     open_log(FOLDER)
-    return files.after_kill() == {LOG_NAME: content}
+    return files.after_kill() == {CONTROL_LOG_NAME: content}
 
 
 def _outcome() -> str:
@@ -55,7 +55,7 @@
     for position in range(len(content)):
         damaged = bytearray(content)
         damaged[position] ^= mask
-        files = use(monkeypatch, SimulatedFiles({LOG_NAME: bytes(damaged)}))
+        files = use(monkeypatch, SimulatedFiles({CONTROL_LOG_NAME: bytes(damaged)}))
         opened = open_log(FOLDER)
         assert opened.records == RECORDS, position
         (left,) = files.after_kill().values()
@@ -73,7 +73,7 @@
         for position in range(newest - length):
             damaged = bytearray(content)
             damaged[position : position + length] = bytes(length)
-            use(monkeypatch, SimulatedFiles({LOG_NAME: bytes(damaged)}))
+            use(monkeypatch, SimulatedFiles({CONTROL_LOG_NAME: bytes(damaged)}))
             outcomes[_outcome()] += 1
     assert min(outcomes.values()) > 100
 
@@ -86,7 +86,7 @@
     size = len(encode_batch(BATCHES[-1])) // 2
     start = len(content) - (2 - copy) * size
     content[start : start + size] = bytes(size)
-    use(monkeypatch, SimulatedFiles({LOG_NAME: bytes(content)}))
+    use(monkeypatch, SimulatedFiles({CONTROL_LOG_NAME: bytes(content)}))
     assert open_log(FOLDER).records == RECORDS
 
 
@@ -97,7 +97,7 @@
     size = len(encode_batch(BATCHES[-1])) // 2
     content[-1] ^= 1
     content[-1 - size] ^= 1
-    use(monkeypatch, SimulatedFiles({LOG_NAME: bytes(content)}))
+    use(monkeypatch, SimulatedFiles({CONTROL_LOG_NAME: bytes(content)}))
     assert open_log(FOLDER).records == RECORDS[: -len(BATCHES[-1])]
 
 
@@ -108,7 +108,7 @@
     start = content.index(both)
     for copy in (start, start + len(both) // 2):
         content[copy + 9] ^= 1
-    use(monkeypatch, SimulatedFiles({LOG_NAME: bytes(content)}))
+    use(monkeypatch, SimulatedFiles({CONTROL_LOG_NAME: bytes(content)}))
     with pytest.raises(FleetError) as raised:
         open_log(FOLDER)
     assert raised.value.code is ErrorCode.STORAGE_CORRUPT
@@ -125,10 +125,10 @@
     opened.writer.append([b"z"])
     short, long = encode_batch([b"x" * 8]), encode_batch([b"y" * 28])
     assert 2 * len(short) == len(long)
-    content = bytearray(files.after_kill()[LOG_NAME])
+    content = bytearray(files.after_kill()[CONTROL_LOG_NAME])
     start = content.index(short)
     content[start : start + len(short)] = bytes(len(short))
-    use(monkeypatch, SimulatedFiles({LOG_NAME: bytes(content)}))
+    use(monkeypatch, SimulatedFiles({CONTROL_LOG_NAME: bytes(content)}))
     with pytest.raises(FleetError) as raised:
         open_log(FOLDER)
     assert raised.value.code is ErrorCode.STORAGE_CORRUPT
@@ -139,7 +139,7 @@
     content[-1] ^= 1
     calls = 0
     for number in range(1, 30):
-        files = use(monkeypatch, SimulatedFiles({LOG_NAME: bytes(content)}))
+        files = use(monkeypatch, SimulatedFiles({CONTROL_LOG_NAME: bytes(content)}))
         files.lose_power_at = number
         try:
             open_log(FOLDER)
@@ -156,7 +156,7 @@
 
 def test_a_file_with_single_copies_is_read_and_doubled(monkeypatch: pytest.MonkeyPatch) -> None:
     old = single_copies([FOLDER_ID], *BATCHES)
-    files = use(monkeypatch, SimulatedFiles({LOG_NAME: old, OLD_TEMPORARY_NAME: old[:40]}))
+    files = use(monkeypatch, SimulatedFiles({CONTROL_LOG_NAME: old, OLD_TEMPORARY_NAME: old[:40]}))
     opened = open_log(FOLDER)
     assert (opened.folder_id, opened.records) == (FOLDER_ID.decode(), RECORDS)
     (left,) = files.after_kill().values()
@@ -175,17 +175,17 @@
 
 def test_a_folder_that_was_set_aside_is_known_to_be_no_new_one(monkeypatch: pytest.MonkeyPatch) -> None:
     """Its settings may still say that the whole fleet starts for the first time."""
-    files = use(monkeypatch, SimulatedFiles({LOG_NAME: _content(monkeypatch)}))
+    files = use(monkeypatch, SimulatedFiles({CONTROL_LOG_NAME: _content(monkeypatch)}))
     use(monkeypatch, files)
     before = open_log(FOLDER)
     quarantine_log(FOLDER)
     for _ in range(2):
         opened = open_log(FOLDER)
         assert opened.folder_id != before.folder_id
-        assert opened.succeeds_corrupt
+        assert opened.follows_corrupt_log
         assert opened.records == []
     assert CORRUPT_LOG_NAME in files.after_kill()
-    assert not before.succeeds_corrupt
+    assert not before.follows_corrupt_log
 
 
 def test_power_is_lost_at_each_call_while_a_folder_is_set_aside(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -196,7 +196,7 @@
     content[start : start + len(both)] = bytes(len(both))
     points = 0
     for number in range(1, 10):
-        files = use(monkeypatch, SimulatedFiles({LOG_NAME: bytes(content)}))
+        files = use(monkeypatch, SimulatedFiles({CONTROL_LOG_NAME: bytes(content)}))
         files.lose_power_at = number
         try:
             quarantine_log(FOLDER)
--- a/tests/control_plane/test_storage_driver.py
+++ b/tests/control_plane/test_storage_driver.py
@@ -19,7 +19,7 @@
 from reedspoke.control_plane.replication.settings import ReplicaSettings
 from reedspoke.control_plane.replication.view import View
 from reedspoke.control_plane.storage.log_opening import open_log
-from reedspoke.control_plane.storage.log_slots import CORRUPT_LOG_NAME, LOG_NAME
+from reedspoke.control_plane.storage.log_slots import CONTROL_LOG_NAME, CORRUPT_LOG_NAME
 
 ADDRESS = "127.0.0.1:7660"
 LIMIT_S = 5.0
@@ -107,5 +107,5 @@
     opened.writer.append([b"another"])
     opened.writer.close()
     if damage == "bytes":
-        content = (folder / LOG_NAME).read_bytes()
-        (folder / LOG_NAME).write_bytes(content.replace(b"no known", b"NO KNOWN"))
+        content = (folder / CONTROL_LOG_NAME).read_bytes()
+        (folder / CONTROL_LOG_NAME).write_bytes(content.replace(b"no known", b"NO KNOWN"))
--- a/tests/control_plane/test_storage_faults.py
+++ b/tests/control_plane/test_storage_faults.py
@@ -10,7 +10,7 @@
 
 from reedspoke.common.errors import FleetError
 from reedspoke.control_plane.storage.log_opening import OpenedLog, open_log
-from reedspoke.control_plane.storage.log_slots import LOG_NAME, OTHER_SLOT_NAME
+from reedspoke.control_plane.storage.log_slots import CONTROL_LOG_NAME, OTHER_SLOT_NAME
 from tests.control_plane.simulated_files import FOLDER, PowerLost, SimulatedFiles, use
 
 Files = dict[str, bytes]
@@ -212,10 +212,10 @@
     files = use(monkeypatch, SimulatedFiles())
     opened = open_log(FOLDER)
     opened.writer.append([b"old"])
-    old = bytes(files.names[LOG_NAME].content)
+    old = bytes(files.names[CONTROL_LOG_NAME].content)
     opened.writer.rewrite([b"new"])
     new = bytes(files.names[OTHER_SLOT_NAME].content)
-    for one, other in ((LOG_NAME, OTHER_SLOT_NAME), (OTHER_SLOT_NAME, LOG_NAME)):
+    for one, other in ((CONTROL_LOG_NAME, OTHER_SLOT_NAME), (OTHER_SLOT_NAME, CONTROL_LOG_NAME)):
         left = use(monkeypatch, SimulatedFiles({one: old, other: new}))
         assert open_log(FOLDER).records == [b"new"]
         assert list(left.synced_names) == [other]
--- a/tests/control_plane/test_storage_size.py
+++ b/tests/control_plane/test_storage_size.py
@@ -14,7 +14,7 @@
 from reedspoke.control_plane.replication.events import StoreCompleted
 from reedspoke.control_plane.replication.outbox import Outbox
 from reedspoke.control_plane.replication.settings import REWRITE_BYTES
-from reedspoke.control_plane.storage.log_format import COPIES, encode_batch, encoded_size
+from reedspoke.control_plane.storage.log_format import BATCH_COPIES, encode_batch, encoded_size
 from tests.control_plane.storage_simulation import StorageSimulation
 
 MEGABYTE = 1 << 20
@@ -49,7 +49,7 @@
     sizes = [largest, MEGABYTE, largest, 2 * MEGABYTE]
     documents = [b"%06d" % number + b"x" * sizes[number % 4] for number in range(LARGE_CHANGES)]
     most = _most_bytes(_alone(monkeypatch), documents)
-    assert most < REWRITE_BYTES + 4 * COPIES * largest + MEGABYTE
+    assert most < REWRITE_BYTES + 4 * BATCH_COPIES * largest + MEGABYTE
     assert most < 64 * MEGABYTE
 
 
@@ -58,8 +58,8 @@
     monkeypatch.setattr(replica_outbox, "REWRITE_BYTES", limit)
     documents = [b"%06d" % number + b"x" * SMALL_DOCUMENT for number in range(SMALL_CHANGES)]
     most = _most_bytes(_alone(monkeypatch), documents)
-    history = 2 * COPIES * SMALL_CHANGES * 45
-    assert most < limit + 8 * COPIES * SMALL_DOCUMENT + history
+    history = 2 * BATCH_COPIES * SMALL_CHANGES * 45
+    assert most < limit + 8 * BATCH_COPIES * SMALL_DOCUMENT + history
 
 
 def test_the_size_is_counted_as_it_is_on_disk() -> None:
@@ -69,7 +69,7 @@
 
 def test_a_log_that_was_long_at_the_start_is_rewritten_by_the_first_store() -> None:
     """What of it is out of date is not known then; by its whole length it might grow with each restart."""
-    outbox = Outbox("at-own", 10.0, REWRITE_BYTES // COPIES + 1)
+    outbox = Outbox("at-own", 10.0, REWRITE_BYTES // BATCH_COPIES + 1)
     outbox.snapshot_records = lambda: (b"state",)
     assert _replaces_after_one_store(outbox)
     assert not _replaces_after_one_store(Outbox("at-own", 10.0, 1000))
--- a/tests/control_plane/test_unexpected_errors.py
+++ b/tests/control_plane/test_unexpected_errors.py
@@ -18,7 +18,7 @@
 from reedspoke.control_plane.replication.driver import ReplicaDriver
 from reedspoke.control_plane.replication.replica import Replica
 from tests.control_plane.test_storage_driver import ADDRESS, Surroundings
-from tests.control_plane_process.test_peer_transport import Scheduler, two
+from tests.control_plane_process.test_peer_transport import TransportNode, with_two_nodes
 
 LIMIT_S = 5.0
 FAILING_TICK = 3
@@ -85,7 +85,7 @@
 
     monkeypatch.setattr(peer_link, "open_channel", open_or_fail)
 
-    async def scene(first: Scheduler, second: Scheduler) -> None:
+    async def scene(first: TransportNode, second: TransportNode) -> None:
         await second.transport.listen()
 
         def has_come() -> bool:
@@ -94,4 +94,4 @@
 
         await second.until(has_come)
 
-    two(scene)
+    with_two_nodes(scene)
--- a/tests/control_plane_process/test_peer_transport.py
+++ b/tests/control_plane_process/test_peer_transport.py
@@ -34,7 +34,7 @@
         """Called for every connection."""
 
 
-class Scheduler:
+class TransportNode:
     """A transport, and what came by it."""
 
     def __init__(self, address: str) -> None:
@@ -52,9 +52,9 @@
                 await asyncio.sleep(0.01)
 
 
-def two(scene: Callable[[Scheduler, Scheduler], Awaitable[None]]) -> None:
+def with_two_nodes(scene: Callable[[TransportNode, TransportNode], Awaitable[None]]) -> None:
     async def run() -> None:
-        first, second = (Scheduler(f"{HOST}:{free_port((HOST,))}") for _ in range(2))
+        first, second = (TransportNode(f"{HOST}:{free_port((HOST,))}") for _ in range(2))
         await first.transport.listen()
         await scene(first, second)
         for scheduler in (first, second):
@@ -65,18 +65,18 @@
 
 
 def test_messages_come_in_order_from_the_very_first() -> None:
-    async def scene(first: Scheduler, second: Scheduler) -> None:
+    async def scene(first: TransportNode, second: TransportNode) -> None:
         await second.transport.listen()
         for term in range(50):
             first.transport.send(second.address, DiscoveryLeaseRelease(term))
         await second.until(lambda: len(second.terms) == 50)
         assert second.terms == list(range(50))
 
-    two(scene)
+    with_two_nodes(scene)
 
 
 def test_the_connection_is_opened_again_when_the_peer_is_back() -> None:
-    async def scene(first: Scheduler, second: Scheduler) -> None:
+    async def scene(first: TransportNode, second: TransportNode) -> None:
         first.transport.send(second.address, DiscoveryLeaseRelease(1))
         await asyncio.sleep(0.1)
         await second.transport.listen()
@@ -91,22 +91,22 @@
         await first.until(sent)
         second.transport.close()
         await asyncio.sleep(0.05)
-        third = Scheduler(second.address)
+        third = TransportNode(second.address)
         await third.transport.listen()
         second.terms = third.terms
         await first.until(sent)
         third.transport.close()
 
-    two(scene)
+    with_two_nodes(scene)
 
 
 def test_a_message_to_the_own_address_is_dropped() -> None:
-    async def scene(first: Scheduler, second: Scheduler) -> None:
+    async def scene(first: TransportNode, second: TransportNode) -> None:
         first.transport.send(first.address, DiscoveryLeaseRelease(1))
         await asyncio.sleep(0.05)
         assert first.terms == []
 
-    two(scene)
+    with_two_nodes(scene)
 
 
 def test_a_peer_that_does_not_read_loses_messages_and_then_its_connection(
@@ -114,7 +114,7 @@
 ) -> None:
     monkeypatch.setattr(peer_link, "MAX_BACKLOG_BYTES", 1_000_000)
 
-    async def scene(first: Scheduler, second: Scheduler) -> None:
+    async def scene(first: TransportNode, second: TransportNode) -> None:
         arrived: list[asyncio.StreamWriter] = []
 
         async def never_reads(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -133,11 +133,11 @@
             writer.transport.abort()
         server.close()
 
-    two(scene)
+    with_two_nodes(scene)
 
 
 def test_small_messages_come_while_a_large_one_is_stuck() -> None:
-    async def scene(first: Scheduler, second: Scheduler) -> None:
+    async def scene(first: TransportNode, second: TransportNode) -> None:
         received: list[bytearray] = []
 
         async def reads_little(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -156,13 +156,13 @@
         first.transport.close()
         server.close()
 
-    two(scene)
+    with_two_nodes(scene)
 
 
 def test_connections_that_are_not_used_are_closed(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(peer_transport, "LINK_IDLE_TIMEOUT_S", 0.0)
 
-    async def scene(first: Scheduler, second: Scheduler) -> None:
+    async def scene(first: TransportNode, second: TransportNode) -> None:
         await second.transport.listen()
         first.transport.send(second.address, DiscoveryLeaseRelease(1))
         await second.until(lambda: second.terms == [1])
@@ -170,17 +170,17 @@
         first.transport.send(second.address, DiscoveryLeaseRelease(2))
         await second.until(lambda: second.terms == [1, 2])
 
-    two(scene)
+    with_two_nodes(scene)
 
 
 def test_outgoing_connections_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(peer_transport, "MAX_LINKS", 1)
 
-    async def scene(first: Scheduler, second: Scheduler) -> None:
+    async def scene(first: TransportNode, second: TransportNode) -> None:
         await second.transport.listen()
         first.transport.send("127.0.0.9:9", DiscoveryLeaseRelease(0))
         first.transport.send(second.address, DiscoveryLeaseRelease(1))
         await asyncio.sleep(0.1)
         assert second.terms == []
 
-    two(scene)
+    with_two_nodes(scene)
--- a/tests/control_plane_process/test_process.py
+++ b/tests/control_plane_process/test_process.py
@@ -11,7 +11,7 @@
 from reedspoke.common.configuration_delta import apply_delta
 from reedspoke.common.configuration_parsing import parse_configuration
 from reedspoke.common.messages import ConfigurationDelta
-from reedspoke.control_plane.storage.log_format import COPIES, encode_batch
+from reedspoke.control_plane.storage.log_format import BATCH_COPIES, encode_batch
 from tests.control_plane_process.fleet import HEARTBEAT_MS, HOSTS, UP_S, Fleet
 from tests.control_plane_process.stand_ins import (
     Answer,
@@ -161,8 +161,8 @@
     node.kill()
     log = node.folder / "control.log"
     content = bytearray(log.read_bytes())
-    copy_size = len(encode_batch([b"-" * 16, b"1"])) // COPIES
-    for copy in range(COPIES):
+    copy_size = len(encode_batch([b"-" * 16, b"1"])) // BATCH_COPIES
+    for copy in range(BATCH_COPIES):
         content[20 + copy * copy_size] ^= 0xFF  # in both copies of the first batch, which good ones follow
     log.write_bytes(content)
     node.start()
