--- a/reedspoke/decision/__init__.py
+++ b/reedspoke/decision/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions of the data plane, split by concern. Nothing here does I/O or reads a clock."""
+"""Decisions of the data plane: fair queueing, placement, retries. No module does I/O or reads a clock."""
--- a/reedspoke/decision/attempt_fate.py
+++ b/reedspoke/decision/attempt_fate.py
@@ -1,7 +1,8 @@
-"""The fate of an attempt, and what it allows: one type, decided in one place.
+"""The fate of an attempt: whether the request ran at the worker, and which retries and answers that allows.
 
-Statuses 429, 503, 408 and 421 promise a client that its request has not run and never will. So the fate of
-an attempt says whether that is proven, and everything else follows from the fate and from the request's kind.
+Statuses 429, 503, 408 and 421 tell a client that its request has not run and never will. So the fate of an
+attempt says whether that is proven. Retries and final answers follow from the fate and from whether the
+request may be repeated.
 """
 
 from __future__ import annotations
@@ -14,63 +15,65 @@
 
 
 class Fate(Enum):
-    """What became of a request at a worker."""
+    """Whether a request ran at a worker."""
 
-    NEVER_RAN = auto()  # proven: it has not run there and never will
-    MAY_HAVE_RUN = auto()  # nothing is proven
-    ANSWERED = auto()  # a whole answer has come
+    NEVER_RAN = auto()  # It is proven that the request has not run there and never will.
+    MAY_HAVE_RUN = auto()  # Nothing is proven.
+    ANSWERED = auto()  # A complete answer was received.
 
 
 class Ending(Enum):
-    """How the connection's part in an attempt ended."""
+    """How the exchange on the connection to the worker ended."""
 
-    COMPLETE = auto()  # a whole answer to this attempt came
-    CONNECT_FAILED = auto()  # refused, timed out or cut while connecting
-    RESET = auto()
-    CLOSED = auto()
-    SILENCE = auto()  # nothing came in time
-    MALFORMED = auto()  # bytes that are no answer, or that belong to another request
-    ABANDONED = auto()  # given up by us
+    COMPLETE = auto()  # A complete answer to this attempt was received.
+    CONNECT_FAILED = auto()  # The connection was refused, reset or timed out while it was being opened.
+    RESET = auto()  # The worker reset the connection.
+    CLOSED = auto()  # The worker closed the connection before the answer was complete.
+    SILENCE = auto()  # The attempt timed out without data from the worker.
+    MALFORMED = auto()  # The bytes are no valid answer, or belong to another request.
+    ABANDONED = auto()  # This scheduler cancelled the attempt.
 
 
 class Evidence(Struct, frozen=True):
-    """What was seen of an attempt."""
+    """What was observed of an attempt."""
 
     ending: Ending
-    bytes_sent: bool  # whether any byte of the request may have left
-    status: int = 0  # of the answer's head; 0: none came
-    not_executed: bool = False  # Reedspoke-Not-Executed stands in the head
-    version_requested: bool = False  # the request names the weights that it wants: a 421 may be about these
+    bytes_sent: bool  # Whether any byte of the request may have been sent.
+    status: int = 0  # The status in the answer's head; 0 if no head was received.
+    not_executed: bool = False  # Whether the head contains Reedspoke-Not-Executed.
+    # Whether the request names the version of the model weights that it wants. A 421 may then be
+    # about the version.
+    version_requested: bool = False
 
     @property
     def refused(self) -> bool:
-        """Whether the worker said that it has not run the request. A success that says so proves nothing."""
-        return self.status == STATUS_WRONG_INSTANCE or self.not_executed and self.status >= LEAST_REFUSAL
+        """Whether the worker reported that it did not run the request. A success status proves nothing."""
+        return self.status == STATUS_WRONG_INSTANCE or self.not_executed and self.status >= MIN_REFUSAL_STATUS
 
 
-LEAST_REFUSAL = 400
+MIN_REFUSAL_STATUS = 400
 STATUS_WRONG_INSTANCE = 421
-STATUS_FULL = 503
-NOT_EXECUTED_STATUSES = frozenset((408, 421, 429, 503))  # statuses that say: it has not run and never will
+STATUS_UNAVAILABLE = 503
+NOT_EXECUTED_STATUSES = frozenset((408, 421, 429, 503))  # They tell the client that its request never ran.
 
 
 class FinalStatus(Enum):
-    """The kinds of final answers that a fate allows the system to make up itself."""
+    """The kind of error status that the scheduler may generate as the final answer."""
 
-    PROMISE = auto()  # 429, 503, 408 or 421: has not run, or may be repeated anyway
-    NO_PROMISE = auto()  # 502 or 504
+    RETRYABLE = auto()  # 429, 503, 408 or 421: the request has not run, or may be repeated anyway.
+    NOT_RETRYABLE = auto()  # 502 or 504: the request may have run and must not be repeated.
 
 
-class Another(Enum):
-    """Whether the request may be sent to a further worker."""
+class NextAttempt(Enum):
+    """Whether and how the request may be sent to another worker."""
 
-    NO = auto()
-    WHOLE = auto()  # from its start
-    RESUMED = auto()  # from the last event on, with Last-Event-Id
+    NONE = auto()  # No further attempt is allowed.
+    FROM_START = auto()  # The request is repeated from its start.
+    RESUMED = auto()  # The stream continues after the last event, with Last-Event-Id.
 
 
 def fate_of(evidence: Evidence) -> Fate:
-    """The fate that the evidence proves; MAY_HAVE_RUN unless it proves more."""
+    """The fate that the evidence proves; MAY_HAVE_RUN if it proves nothing."""
     if not evidence.bytes_sent:
         return Fate.NEVER_RAN
     if evidence.refused:
@@ -81,53 +84,56 @@
 
 
 def final_status(fate: Fate, repeat: Repeat) -> FinalStatus:
-    """What a client may be told after its request's last attempt had this fate and nothing was passed on."""
+    """The kind of final answer after a last attempt of this fate, if nothing was forwarded yet."""
     if fate is Fate.NEVER_RAN or repeat is not Repeat.NEVER:
-        return FinalStatus.PROMISE
-    return FinalStatus.NO_PROMISE
+        return FinalStatus.RETRYABLE
+    return FinalStatus.NOT_RETRYABLE
 
 
-def another_attempt(fate: Fate, repeat: Repeat, events_passed: bool) -> Another:
-    """Whether a further attempt is harmless. `events_passed`: whether the client has got a part of the answer
-    already. How many attempts the route and the retry budget allow is not asked here."""
+def next_attempt(fate: Fate, repeat: Repeat, events_forwarded: bool) -> NextAttempt:
+    """Which further attempt cannot do harm.
+
+    `events_forwarded` tells whether the client already has a part of the answer. The limits of the route and
+    of the retry budget are checked elsewhere.
+    """
     if fate is Fate.ANSWERED:
-        return Another.NO
-    if events_passed:
-        return Another.RESUMED if repeat is Repeat.RESUMABLE else Another.NO
+        return NextAttempt.NONE
+    if events_forwarded:
+        return NextAttempt.RESUMED if repeat is Repeat.RESUMABLE else NextAttempt.NONE
     if fate is Fate.NEVER_RAN or repeat is not Repeat.NEVER:
-        return Another.WHOLE
-    return Another.NO
+        return NextAttempt.FROM_START
+    return NextAttempt.NONE
 
 
 def outcome_of(evidence: Evidence) -> Outcome:
-    """The outcome to tell the dispatcher."""
+    """The outcome of the attempt, for the dispatcher."""
     if evidence.ending is Ending.ABANDONED:
         return Outcome.CANCELLED
-    return OUTCOMES[fate_of(evidence)]
+    return OUTCOME_BY_FATE[fate_of(evidence)]
 
 
 def cause_of(evidence: Evidence) -> Cause:
-    """What the evidence says of the worker."""
+    """What the evidence says about the worker, for the dispatcher."""
     if is_wrong_instance(evidence):
         return Cause.WRONG_INSTANCE
     if evidence.refused:
-        return Cause.FULL if evidence.status == STATUS_FULL else Cause.NONE
+        return Cause.FULL if evidence.status == STATUS_UNAVAILABLE else Cause.NONE
     if evidence.ending is Ending.COMPLETE:
         return Cause.BAD_ANSWER if evidence.status >= 500 else Cause.NONE
-    return CAUSES[evidence.ending]
+    return CAUSE_BY_ENDING[evidence.ending]
 
 
 def is_wrong_instance(evidence: Evidence) -> bool:
-    """Whether another worker answers at the address."""
+    """Whether another worker instance answers at the address."""
     return evidence.status == STATUS_WRONG_INSTANCE and not evidence.version_requested
 
 
-OUTCOMES = {
+OUTCOME_BY_FATE = {
     Fate.NEVER_RAN: Outcome.NOT_EXECUTED,
     Fate.MAY_HAVE_RUN: Outcome.FAILED,
     Fate.ANSWERED: Outcome.OK,
 }
-CAUSES = {
+CAUSE_BY_ENDING = {
     Ending.COMPLETE: Cause.NONE,
     Ending.CONNECT_FAILED: Cause.CONNECT_FAILED,
     Ending.RESET: Cause.RESET,
--- a/reedspoke/decision/attempt_timeout.py
+++ b/reedspoke/decision/attempt_timeout.py
@@ -1,7 +1,7 @@
-"""Which attempts to give up because their worker is silent. No I/O, no clock.
+"""Finds attempts that have timed out because their worker sends nothing. No I/O, no clock.
 
-A worker whose machine is dark answers nothing, on any connection. A single request that takes long proves
-nothing; a worker from which nothing at all comes while requests are out there does.
+A worker whose machine has failed sends nothing on any connection. A single slow request does not prove such a
+failure, so an attempt times out only if no data at all arrived from its worker, on any connection.
 """
 
 from __future__ import annotations
@@ -12,56 +12,58 @@
 
 from reedspoke.decision.messages import Repeat
 
-MIN_STREAM_TIMEOUT_S = 2.0  # a client leaves a stream after this silence at the earliest,
-SILENCE_OF_AIM = 4.0  # after this multiple of the aim,
-SILENCE_OF_PAUSE = 8.0  # and of the longest pause that is in time
-PART_OF_SILENCE = 0.5  # of what the client bears: the other half is for the next worker
-PLAIN_WAIT_OF_AIM = 2.0  # of a plain request
+# A client abandons a stream after the longest of these times without data: a fixed time, a multiple of the
+# latency target, and a multiple of the target for the gap between events.
+MIN_STREAM_TIMEOUT_S = 2.0
+STREAM_TIMEOUT_PER_LATENCY_TARGET = 4.0
+STREAM_TIMEOUT_PER_EVENT_GAP = 8.0
+ATTEMPT_SHARE = 0.5  # Share of the client's timeout for one attempt; the rest is left for the next worker.
+PLAIN_TIMEOUT_PER_LATENCY_TARGET = 2.0  # Timeout of a request without streaming, in latency targets.
 
 
 class OpenAttempt(Struct, frozen=True):
-    """An attempt that is out."""
+    """An attempt in flight."""
 
     job_id: int
     instance_id: str
     repeat: Repeat
     streaming: bool
     latency_target_s: float
-    event_gap_target_s: float  # the longest pause between events that is in time; 0: unknown
+    event_gap_target_s: float  # The target for the gap between events; 0 if unknown.
     sent_at: float
-    last_received_at: float  # of this attempt; `sent_at` where nothing has come
+    last_received_at: float  # When data of this attempt arrived last; `sent_at` if none has.
     deadline: float
-    connected: bool = True  # its request has been sent; else the connection is still coming up
-    may_have_run: bool = True  # this attempt, or one before it
+    connected: bool = True  # Whether the request was sent; otherwise the connection is being opened.
+    may_have_run: bool = True  # Whether this attempt or an earlier one may have run.
 
 
 def timed_out_attempts(
-    attempts: Iterable[OpenAttempt], heard_from: dict[str, float], now: float
+    attempts: Iterable[OpenAttempt], last_received_from: dict[str, float], now: float
 ) -> list[int]:
-    """Jobs whose attempt is to be called off, as its worker is silent and the job may go to another one.
+    """The ids of jobs whose attempt timed out and that may be sent to another worker.
 
-    `heard_from` has for each worker when anything came from it last.
+    `last_received_from` maps each worker to the time when data arrived from it last.
     """
-    return [attempt.job_id for attempt in attempts if _is_lost(attempt, heard_from, now)]
+    return [attempt.job_id for attempt in attempts if _has_timed_out(attempt, last_received_from, now)]
 
 
-def _is_lost(attempt: OpenAttempt, heard_from: dict[str, float], now: float) -> bool:
+def _has_timed_out(attempt: OpenAttempt, last_received_from: dict[str, float], now: float) -> bool:
     if attempt.repeat is Repeat.NEVER or not attempt.connected:
         return False
     limit = attempt_timeout_s(attempt)
     if now - attempt.last_received_at < limit:
         return False
-    since = max(heard_from.get(attempt.instance_id, 0.0), attempt.sent_at)
+    since = max(last_received_from.get(attempt.instance_id, 0.0), attempt.sent_at)
     return now - since >= limit
 
 
 def attempt_timeout_s(attempt: OpenAttempt) -> float:
-    """Seconds without a byte that an attempt is given."""
+    """The time without data after which an attempt has timed out."""
     if not attempt.streaming:
-        return PLAIN_WAIT_OF_AIM * attempt.latency_target_s
-    borne = max(
+        return PLAIN_TIMEOUT_PER_LATENCY_TARGET * attempt.latency_target_s
+    client_timeout_s = max(
         MIN_STREAM_TIMEOUT_S,
-        SILENCE_OF_AIM * attempt.latency_target_s,
-        SILENCE_OF_PAUSE * attempt.event_gap_target_s,
+        STREAM_TIMEOUT_PER_LATENCY_TARGET * attempt.latency_target_s,
+        STREAM_TIMEOUT_PER_EVENT_GAP * attempt.event_gap_target_s,
     )
-    return PART_OF_SILENCE * borne
+    return ATTEMPT_SHARE * client_timeout_s
--- a/reedspoke/decision/engine_speed.py
+++ b/reedspoke/decision/engine_speed.py
@@ -1,56 +1,61 @@
-"""What a service's workers have been seen to take: for a prompt token, for an output token, for a request."""
+"""Speed estimates for a service: prefill time per token, decode time per token, time per plain request."""
 
 from __future__ import annotations
 
-TOKEN_READ_S = 25e-6  # before anything is seen: to read a prompt token
-TOKEN_WRITE_S = 5e-3  # before anything is seen: from one output token to the next
-REQUEST_S = 0.05  # before anything is seen: from the send of a plain request to its answer
-LEARN = 0.05  # weight of a new sample
-LATE_WEIGHT = 0.25  # of a first event that came later than expected
-ENOUGH = 20  # samples before workers are compared
-OUTLIER = 3.0  # a sample counts at most as this multiple of what was expected
-TOKENS_SCALE = 1000.0  # keeps both parts of the fit of like size
-READ_LEAST_S, READ_MOST_S = 1e-6, 1e-3
+# Estimates before the first sample.
+INITIAL_PREFILL_S_PER_TOKEN = 25e-6
+INITIAL_DECODE_S_PER_TOKEN = 5e-3
+INITIAL_REQUEST_S = 0.05  # From sending a plain request to the first byte of its answer.
+EWMA_WEIGHT = 0.05  # Weight of a new sample.
+LATE_SAMPLE_FACTOR = 0.25  # Scales the weight of a first event that arrived later than expected.
+MIN_SAMPLES = 20  # Samples needed before workers are compared with each other.
+MAX_SAMPLE_RATIO = 3.0  # A sample is clipped to this multiple of the expected value.
+TOKENS_SCALE = 1000.0  # Keeps both coefficients of the fit at a similar magnitude.
+MIN_PREFILL_S_PER_TOKEN, MAX_PREFILL_S_PER_TOKEN = 1e-6, 1e-3
 
 
 class EngineSpeed:
-    """Running averages over a service's workers; a first event's delay is fitted as base + tokens x rate.
+    """Moving averages over a service's workers. The delay of a first event is fitted as base + tokens x rate.
 
-    What waits behind other schedulers' requests is late for no fault of the speed, so late ones count less.
+    A first event may also be late because the request queued behind those of other schedulers, which says
+    nothing about the speed. So late samples get less weight.
     """
 
     def __init__(self) -> None:
-        self.token_read_s = TOKEN_READ_S
-        self.token_write_s = TOKEN_WRITE_S
+        self.prefill_s_per_token = INITIAL_PREFILL_S_PER_TOKEN
+        self.decode_s_per_token = INITIAL_DECODE_S_PER_TOKEN
         self.base_s = 0.0
-        self.request_s = REQUEST_S
+        self.request_s = INITIAL_REQUEST_S
         self._samples = 0
 
     @property
-    def settled(self) -> bool:
-        """Whether enough has been seen to compare workers by."""
-        return self._samples >= ENOUGH
+    def has_enough_samples(self) -> bool:
+        """Whether there are enough samples to compare workers with each other."""
+        return self._samples >= MIN_SAMPLES
 
-    def learn_first_event(self, tokens: int, delay_s: float) -> None:
-        """A first event came so long after the send, with so many prompt tokens read before it."""
+    def record_first_event(self, tokens: int, delay_s: float) -> None:
+        """Record the delay of a first event since the send, and the prompt tokens prefilled before it."""
         self._samples += 1
         x = tokens / TOKENS_SCALE
-        expected = self.base_s + tokens * self.token_read_s
-        error = min(delay_s, OUTLIER * max(expected, self.base_s + TOKEN_WRITE_S)) - expected
-        weight = LEARN * (LATE_WEIGHT if error > 0 else 1.0)
+        expected = self.base_s + tokens * self.prefill_s_per_token
+        error = (
+            min(delay_s, MAX_SAMPLE_RATIO * max(expected, self.base_s + INITIAL_DECODE_S_PER_TOKEN))
+            - expected
+        )
+        weight = EWMA_WEIGHT * (LATE_SAMPLE_FACTOR if error > 0 else 1.0)
         step = weight * error / (1 + x * x)
         self.base_s = max(0.0, self.base_s + step)
-        rate = self.token_read_s + step * x / TOKENS_SCALE
-        self.token_read_s = min(READ_MOST_S, max(READ_LEAST_S, rate))
+        rate = self.prefill_s_per_token + step * x / TOKENS_SCALE
+        self.prefill_s_per_token = min(MAX_PREFILL_S_PER_TOKEN, max(MIN_PREFILL_S_PER_TOKEN, rate))
 
-    def learn_output(self, tokens: int, duration_s: float) -> None:
-        """So many output tokens took so long."""
+    def record_output(self, tokens: int, duration_s: float) -> None:
+        """Record the time that a number of output tokens took."""
         if tokens > 0 and duration_s > 0:
-            sample = min(duration_s / tokens, OUTLIER * self.token_write_s)
-            self.token_write_s += LEARN * (sample - self.token_write_s)
+            sample = min(duration_s / tokens, MAX_SAMPLE_RATIO * self.decode_s_per_token)
+            self.decode_s_per_token += EWMA_WEIGHT * (sample - self.decode_s_per_token)
 
-    def learn_request(self, duration_s: float) -> None:
-        """The first byte of an answer came so long after the send."""
+    def record_request_duration(self, duration_s: float) -> None:
+        """Record the delay of the first byte of an answer since the send."""
         self._samples += 1
-        weight = max(LEARN, 1 / self._samples)
-        self.request_s += weight * (min(duration_s, OUTLIER * self.request_s) - self.request_s)
+        weight = max(EWMA_WEIGHT, 1 / self._samples)
+        self.request_s += weight * (min(duration_s, MAX_SAMPLE_RATIO * self.request_s) - self.request_s)
--- a/reedspoke/decision/job_class.py
+++ b/reedspoke/decision/job_class.py
@@ -1,15 +1,17 @@
-"""What a client of the fair queue is here, and its share.
-
-No request names a client and the configuration holds no shares. A client is a class of jobs: a route's
-requests of one size band. Weighed: a client for each (route, subject) has so few requests at one scheduler
-that nearly all are fresh, their start tag the clock, and the smallest job goes first for ever; a client for
-each route lets small jobs pass for large ones in L_max. Classes last, so their tags bind, and what must not
-starve (kinds of requests, their largest tenth, the fifth below it) has an account of its own. Tenants, or
-subjects where requests carry no keys, take turns inside a class: by tenant and class there would again be so
-few requests of each that nearly all are fresh.
-
-A class's share is the work that it offers, a little more for urgent routes. So in a shortage all classes
-have about the same part of their requests served, the more urgent ones a little more.
+"""Job classes: the clients of the fair queue, and their shares.
+
+Requests name no client and the configuration holds no shares, so the client of the fair queue is a job class:
+the requests of one route in one size band. Two alternatives are worse. With a client for each route and
+subject, one scheduler sees so few requests of each that nearly every client is new and starts at the current
+virtual time; then the smallest job always goes first. With a client for each route, small jobs are charged
+the L_max of large ones. Job classes live long enough for their tags to matter, and each group that must not
+starve (a route, its largest tenth of requests, the fifth below it) has an account of its own. Inside a class,
+tenants take turns, or subjects where requests carry no keys. Tenants have no accounts of their own because
+there would again be too few requests for each tenant and class.
+
+The share of a class is proportional to the work that it offers, weighted slightly by the urgency of its
+route. So under overload all classes have about the same part of their requests served, urgent ones a little
+more.
 """
 
 from __future__ import annotations
@@ -22,12 +24,12 @@
 from reedspoke.decision.size_bands import Band
 from reedspoke.decision.subject_queue import SubjectQueue
 
-OFFERED_MEMORY_S = 10.0  # over which offered work is averaged
-URGENCY = 1.4  # share of a route against one that is a rank less urgent
-LEAST_SHARE = 1e-6  # keeps tags finite
-COST_LEARN = 0.05  # weight of a new cost in a class's ratio
-COST_RATIO_MOST = 10.0  # one job that hung must not look like a habit
-URGENCY_RANKS = 3  # ranks beyond which urgency counts no more: the least urgent must not starve
+OFFERED_WORK_DECAY_S = 10.0  # Time constant of the average of offered work.
+SHARE_RATIO_PER_RANK = 1.4  # Weight of a route relative to one that is one rank less urgent.
+MIN_SHARE = 1e-6  # Keeps tags finite.
+COST_EWMA_WEIGHT = 0.05  # Weight of a new cost in the cost ratio of a class.
+MAX_COST_RATIO = 10.0  # Limits the effect of a single job that hung.
+MAX_PRIORITY_RANK = 3  # Higher ranks count as this one, so that the least urgent do not starve.
 
 
 class JobState(Struct, eq=False):
@@ -35,75 +37,76 @@
 
     job: Job
     job_class: JobClass
-    cost: float  # expected before a worker is chosen, in engine seconds
-    hold_until: float  # it is refused if it still waits then
+    cost: float  # The cost expected before a worker is chosen, in engine seconds.
+    wait_until: float  # If it is still queued then, it is refused or sent as a last resort.
     waiting: bool = True
-    closed: bool = False  # its client has left
-    may_have_run: bool = False  # an attempt may have run
-    tried: list[str] = field(default_factory=list)  # workers, in order
-    arrivals: int = 0  # attempts of which something may have reached a worker; one more is a repeat
-    passed: bool = False  # its client has a part of the answer
+    client_gone: bool = False  # Whether its client has disconnected.
+    may_have_run: bool = False  # Whether an attempt may have run.
+    tried: list[str] = field(default_factory=list)  # The workers tried so far, in order.
+    # Attempts that may have reached a worker. Any attempt after these counts as a retry.
+    delivered_attempts: int = 0
+    partly_forwarded: bool = False  # Whether its client has received a part of the answer.
 
 
 class JobClass(Struct, eq=False):
-    """A client of the fair queue: the jobs of a route and size band."""
+    """A client of the fair queue: the jobs of one route and size band."""
 
     route: str
     band: Band
     phi: float = 1.0
-    start: float = -math.inf  # set when its first job arrives
+    start: float = -math.inf  # Set when its first job arrives.
     out: int = 0
     largest: dict[str, float] = field(default_factory=dict)
     queue: SubjectQueue[JobState] = field(default_factory=SubjectQueue)
-    cost_ratio: float = 1.0  # what its jobs have cost against what was expected
-    offered: float = 0.0  # work of recent arrivals, decayed, by the urgency of their route
-    offered_at: float = 0.0
+    cost_ratio: float = 1.0  # Moving average of the actual over the expected cost of its jobs.
+    offered_work: float = 0.0  # Decayed work of recent arrivals, weighted by urgency.
+    offered_work_at: float = 0.0
 
-    def learn_cost(self, expected: float, cost: float) -> None:
-        """A job has ended that was expected to cost so much."""
-        ratio = min(COST_RATIO_MOST, cost / expected)
-        self.cost_ratio += COST_LEARN * (ratio - self.cost_ratio)
+    def record_cost(self, expected: float, cost: float) -> None:
+        """Record the expected and the actual cost of a job that has ended."""
+        ratio = min(MAX_COST_RATIO, cost / expected)
+        self.cost_ratio += COST_EWMA_WEIGHT * (ratio - self.cost_ratio)
 
 
 class Shares:
-    """Gives each class its share: its part of the work that all classes have offered lately."""
+    """Sets the share of each class: its part of the work recently offered by all classes."""
 
     def __init__(self) -> None:
         self._total = 0.0
         self._at = 0.0
 
-    def offer(self, job_class: JobClass, cost: float, rank: float, now: float) -> None:
-        """A job of that cost and urgency (as `rank_of` has it) arrives: the share of its class follows."""
-        work = cost * job_class.cost_ratio * URGENCY**-rank
+    def record_arrival(self, job_class: JobClass, cost: float, rank: float, now: float) -> None:
+        """Update the share of a class for an arriving job of this cost and `priority_rank`."""
+        work = cost * job_class.cost_ratio * SHARE_RATIO_PER_RANK**-rank
         self._total = self._total * decay(self._at, now) + work
-        job_class.offered = job_class.offered * decay(job_class.offered_at, now) + work
-        self._at = job_class.offered_at = now
-        job_class.phi = max(LEAST_SHARE, job_class.offered / self._total)
+        job_class.offered_work = job_class.offered_work * decay(job_class.offered_work_at, now) + work
+        self._at = job_class.offered_work_at = now
+        job_class.phi = max(MIN_SHARE, job_class.offered_work / self._total)
 
 
 def decay(since: float, now: float) -> float:
-    """What is left of offered work after that time."""
-    return math.exp(min(0.0, since - now) / OFFERED_MEMORY_S)
+    """The factor by which offered work has decayed since that time."""
+    return math.exp(min(0.0, since - now) / OFFERED_WORK_DECAY_S)
 
 
-def rank_of(job: Job) -> float:
-    """The urgency of a job, 0 the most: that of its tenant, and that of its route among the tenant's jobs."""
-    route = float(min(max(job.priority, 0), URGENCY_RANKS))
+def priority_rank(job: Job) -> float:
+    """The rank of a job, 0 the most urgent: by the tenant's priority first, then by the route's."""
+    route = float(min(max(job.priority, 0), MAX_PRIORITY_RANK))
     if job.tenant_priority is None:
         return route
-    return min(max(job.tenant_priority, 0), URGENCY_RANKS) + route / (URGENCY_RANKS + 1)
+    return min(max(job.tenant_priority, 0), MAX_PRIORITY_RANK) + route / (MAX_PRIORITY_RANK + 1)
 
 
-def turn_of(job: Job) -> str:
-    """Who takes turns inside a class: tenants where requests carry keys, else subjects."""
+def fairness_key(job: Job) -> str:
+    """The key by which jobs of a class take turns: the tenant if the request has a key, else the subject."""
     return f"tenant {job.tenant}" if job.tenant else job.subject
 
 
-def key_of(job: Job) -> str:
-    """The job key of L_max: models differ in speed."""
+def cost_key(job: Job) -> str:
+    """The job key for L_max: the model, as models differ in speed."""
     return job.model
 
 
-def head_key(job_class: JobClass) -> str:
-    """The job key of the class's head job."""
-    return key_of(job_class.queue.head().job)
+def head_cost_key(job_class: JobClass) -> str:
+    """The cost key of the class's head job."""
+    return cost_key(job_class.queue.head().job)
--- a/reedspoke/decision/service.py
+++ b/reedspoke/decision/service.py
@@ -1,4 +1,4 @@
-"""The ordinary path for one service: its queue, its workers, and who goes next to which of them."""
+"""The dispatch of one service: its queue, its workers, and the choice of the next job and its worker."""
 
 from __future__ import annotations
 
@@ -7,9 +7,17 @@
 
 from msgspec import Struct
 
-from reedspoke.decision.attempt_fate import Another, Fate, FinalStatus, another_attempt, final_status
+from reedspoke.decision.attempt_fate import Fate, FinalStatus, NextAttempt, final_status, next_attempt
 from reedspoke.decision.fair_queue import Charge, FairQueue, finish_tag
-from reedspoke.decision.job_class import JobClass, JobState, Shares, head_key, key_of, rank_of, turn_of
+from reedspoke.decision.job_class import (
+    JobClass,
+    JobState,
+    Shares,
+    cost_key,
+    fairness_key,
+    head_cost_key,
+    priority_rank,
+)
 from reedspoke.decision.messages import (
     AttemptEnd,
     Cause,
@@ -26,310 +34,335 @@
     Upstream,
     WorkerEntry,
 )
-from reedspoke.decision.placement import Placed
+from reedspoke.decision.placement import ChosenWorker
 from reedspoke.decision.retry_after import RetryAfter
 from reedspoke.decision.retry_budget import RetryBudget
 from reedspoke.decision.size_bands import SizeBands
 from reedspoke.decision.worker_pool import WorkerPool
-from reedspoke.decision.worker_state import Running, WorkerState
+from reedspoke.decision.worker_state import RunningAttempt, WorkerState
 
-CLOCK_MEMORY_S = 2.0  # over which the rate of finished work is averaged for the virtual clock
-REFRESH_S = 0.010  # between charges of running jobs, as in the paper
-HOLD_PART = 0.22  # of the aim that a job waits for a worker: refused within a quarter, with a timer's delay
-HALF_TAKEN = 0.5  # share of positions taken under which a job is sent to any worker rather than refused
-LOOK_EVERY_S = 0.02  # while jobs wait: rests and delays end as time passes
-QUEUE_MOST = 1000  # jobs that wait; what comes beyond them is refused at once
-CREDIT_JOBS = 4.0  # jobs of its share that a class without work keeps: those of rare ones come at random
-LOOK_AHEAD = 2  # subjects of a class whose next job may go while those before wait for a worker
-MOST_UNREACHED = 3  # workers to which no connection came up, before a job is given up
-FORGET_EVERY = 256  # arrivals between looks for classes without work
+CLOCK_WINDOW_S = 2.0  # Averaging time of the rate of finished work, for the virtual time.
+CHARGE_INTERVAL_S = 0.010  # Time between charges of running jobs, as in the 2DFQ paper.
+# Share of the latency target that a job waits for a worker. With the delay of a timer, a job is refused
+# within a quarter of its target.
+MAX_WAIT_SHARE = 0.22
+LAST_RESORT_MAX_LOAD = 0.5  # Below this load share, a job is sent to any worker rather than refused.
+POLL_INTERVAL_S = 0.02  # Timer interval while jobs are queued, as backoffs of workers expire meanwhile.
+MAX_QUEUED_JOBS = 1000  # Maximum queue length; further jobs are refused at once.
+IDLE_CREDIT_JOBS = 4.0  # Jobs of credit that an idle class keeps, as jobs of rare classes arrive at random.
+LOOK_AHEAD_SUBJECTS = 2  # Subjects of a class that are considered while earlier ones wait for a worker.
+MAX_FAILED_CONNECTIONS = 3  # Connections that may fail before a job is given up.
+CLEANUP_INTERVAL_ARRIVALS = 256  # Arrivals between searches for idle classes.
 
 
-class OutAttempt(Struct, eq=False):
-    """An attempt that is out: who pays for it and how much so far."""
+class InFlightAttempt(Struct, eq=False):
+    """An attempt in flight, with the charges for it."""
 
     state: JobState
     worker: WorkerState
-    running: Running
+    running: RunningAttempt
     charge: Charge
-    turn_cost: float  # what its subject was charged
+    turn_cost: float  # The cost charged to its fairness key.
 
 
-class Residue(Struct, frozen=True):
-    """What a service holds; all 0 while it has no job."""
+class HeldResources(Struct, frozen=True):
+    """The resources that a service holds; all are 0 while it has no job."""
 
-    waiting: int  # in the queues of its classes
-    out: int  # attempts that its classes count
-    running: int  # positions of its workers
-    reserved: int  # repeats set aside of the retry budget
+    waiting: int  # Jobs in the queues of its classes.
+    in_flight: int  # Attempts counted by its classes.
+    running: int  # Occupied positions of its workers.
+    reserved: int  # Reserved retries of the retry budget.
 
 
-NOTHING_LEFT = Residue(0, 0, 0, 0)
+NOTHING_HELD = HeldResources(0, 0, 0, 0)
 
 
-class Fit(Struct, eq=False):
-    """A waiting job and the worker that it may go to now."""
+class Candidate(Struct, eq=False):
+    """A queued job and the worker that it may be sent to now."""
 
     state: JobState
-    placed: Placed
+    chosen: ChosenWorker
 
 
 class Service:
-    """Queue and workers of one upstream. Methods that may decide something add to `decisions`."""
+    """The queue and the workers of one upstream. Methods that make decisions append them to `decisions`."""
 
     def __init__(self, upstream: Upstream, zone: str, budget: RetryBudget) -> None:
         self.upstream = upstream
         self.budget = budget
         self.pool = WorkerPool(upstream, zone)
         self.decisions: list[Decision] = []
-        self._queue = FairQueue(CLOCK_MEMORY_S, REFRESH_S)
+        self._queue = FairQueue(CLOCK_WINDOW_S, CHARGE_INTERVAL_S)
         self._classes: dict[tuple[str, int], JobClass] = {}
-        self._reserved: set[str] = set()  # workers left to drain for a large job, as of the last release
+        self._reserved: set[str] = set()  # Workers kept free for large jobs in the last dispatch.
         self._shares = Shares()
         self._bands: dict[str, SizeBands] = {}
         self._jobs: dict[int, JobState] = {}
-        self._out: dict[int, OutAttempt] = {}
-        self._holds: list[tuple[float, int]] = []  # heap of (time, job id)
+        self._in_flight: dict[int, InFlightAttempt] = {}
+        self._wait_ends: list[tuple[float, int]] = []  # A heap of (time, job id).
         self._retry_after = RetryAfter()
-        self._arrivals = 0
+        self._arrival_count = 0
 
     # ---- events ----
 
-    def arrive(self, job: Job, now: float) -> None:
-        """A client's request; it is sent at once where a worker can take it."""
-        self.budget.request(now)
+    def job_arrived(self, job: Job, now: float) -> None:
+        """Queue a job, and send it at once if a worker can take it."""
+        self.budget.record_request(now)
         if now >= job.deadline:
             self.decisions.append(Expire(job.job_id, may_have_run=False))
             return
-        if self._waiting_count() >= QUEUE_MOST:
-            after = self._retry_after.refuse(job.job_id, job.deadline - now, now)
+        if self._waiting_count() >= MAX_QUEUED_JOBS:
+            after = self._retry_after.record_refusal(job.job_id, job.deadline - now, now)
             self.decisions.append(Refuse(job.job_id, after, RefuseReason.OVERLOAD))
             return
         job_class, cost = self._class_of(job), self.pool.expected_cost(job)
-        self._shares.offer(job_class, cost, rank_of(job), now)
-        self._queue.seed(job_class, key_of(job), self._largest_seen(job, cost))
+        self._shares.record_arrival(job_class, cost, priority_rank(job), now)
+        self._queue.seed_largest(job_class, cost_key(job), self._largest_seen(job, cost))
         state = JobState(
-            job, job_class, cost, min(job.arrived + HOLD_PART * job.latency_target_s, job.deadline)
+            job, job_class, cost, min(job.arrived + MAX_WAIT_SHARE * job.latency_target_s, job.deadline)
         )
         self._jobs[job.job_id] = state
         self._enqueue(state, now)
         self._forget_idle()
-        self.release(now)
-        self._hold(state)
+        self.dispatch_waiting(now)
+        self._schedule_wait_end(state)
 
-    def leave(self, job_id: int, now: float) -> None:
-        """The client has left. An attempt that is out ends with its own event."""
+    def client_left(self, job_id: int, now: float) -> None:
+        """The client disconnected. An attempt in flight ends with its own event."""
         state = self._jobs.get(job_id)
         if state is None:
             return
-        state.closed = True
+        state.client_gone = True
         if state.waiting:
-            self._queue.clock(now, self._classes.values())
+            self._queue.advance_clock(now, self._classes.values())
             self._close(state)
 
     def first_event_received(self, job_id: int, now: float) -> None:
-        """The first event or byte of the answer has come."""
-        if (out := self._out.get(job_id)) is not None:
-            self.pool.first_event(job_id, out.worker, now)
-            self.release(now)
+        """The first event or byte of the answer arrived."""
+        if (in_flight := self._in_flight.get(job_id)) is not None:
+            self.pool.first_event(job_id, in_flight.worker, now)
+            self.dispatch_waiting(now)
 
     def attempt_ended(self, job_id: int, end: AttemptEnd, now: float) -> None:
-        """An attempt has ended: settle its account, and decide on the job's next one."""
-        out = self._out.pop(job_id, None)
-        if out is None:
+        """An attempt has ended: settle its charges, and decide whether there is another one."""
+        in_flight = self._in_flight.pop(job_id, None)
+        if in_flight is None:
             return
-        self._queue.clock(now, self._classes.values())  # while its class still counts as active
-        cost = self.pool.cost(out.worker, out.running, now)
-        self.pool.end(job_id, out.worker, end, now)
-        out.state.arrivals += end.cause is not Cause.CONNECT_FAILED
+        self._queue.advance_clock(now, self._classes.values())  # The class must still count as active.
+        cost = self.pool.cost(in_flight.worker, in_flight.running, now)
+        self.pool.end(job_id, in_flight.worker, end, now)
+        in_flight.state.delivered_attempts += end.cause is not Cause.CONNECT_FAILED
         if end.outcome is Outcome.NOT_EXECUTED:
-            self._queue.reverse(out.state.job_class, out.charge)
-            out.state.job_class.queue.refund(turn_of(out.state.job), out.turn_cost)
+            self._queue.reverse_attempt(in_flight.state.job_class, in_flight.charge)
+            in_flight.state.job_class.queue.refund(fairness_key(in_flight.state.job), in_flight.turn_cost)
         else:
-            out.state.may_have_run = True
-            out.state.passed |= out.state.job.streaming and out.running.first_event > 0
+            in_flight.state.may_have_run = True
+            in_flight.state.partly_forwarded |= (
+                in_flight.state.job.streaming and in_flight.running.first_event > 0
+            )
             whole = end.outcome is Outcome.OK
-            self._queue.finish(out.state.job_class, out.charge, cost, learn=whole)
+            self._queue.finish_attempt(in_flight.state.job_class, in_flight.charge, cost, learn=whole)
             if whole:
-                out.state.job_class.learn_cost(out.state.cost, cost)
-        self._after(out.state, end, now)
-        self.release(now)
+                in_flight.state.job_class.record_cost(in_flight.state.cost, cost)
+        self._after_attempt(in_flight.state, end, now)
+        self.dispatch_waiting(now)
 
     def can_move(self, job_id: int, now: float) -> bool:
-        """Whether the job could go to another worker at once if its attempt were given up."""
-        out = self._out.get(job_id)
-        if out is None or out.state.arrivals + 1 >= out.state.job.max_attempts:
+        """Whether the job could be sent to another worker at once if its attempt were cancelled."""
+        in_flight = self._in_flight.get(job_id)
+        if in_flight is None or in_flight.state.delivered_attempts + 1 >= in_flight.state.job.max_attempts:
             return False
-        excluded = self._reserved.union(out.state.tried)
-        placed = self.pool.placement.best(out.state.job, excluded, now)
-        return placed is not None and self.budget.has_left(now)
+        excluded = self._reserved.union(in_flight.state.tried)
+        chosen = self.pool.placement.choose(in_flight.state.job, excluded, now)
+        return chosen is not None and self.budget.can_reserve(now)
 
     def set_upstream(self, upstream: Upstream, now: float) -> None:
-        """The configuration has changed the service."""
+        """Apply a changed configuration of the service."""
         self.upstream = upstream
         self.pool.set_upstream(upstream)
-        self.release(now)
+        self.dispatch_waiting(now)
 
     def set_workers(self, entries: Iterable[WorkerEntry], now: float) -> None:
-        """The whole list of this service's workers."""
+        """Replace the list of this service's workers."""
         self.pool.set_entries(entries)
-        self.release(now)
+        self.dispatch_waiting(now)
 
     def set_others(self, loads: Mapping[str, Load], now: float) -> None:
-        """What other schedulers hold at the workers."""
+        """Set the load of other schedulers on the workers."""
         self.pool.set_others(loads)
-        self.release(now)
+        self.dispatch_waiting(now)
 
-    def tick(self, now: float) -> None:
-        """Time has passed: serve what can be served, answer what has waited too long."""
-        self.release(now)
-        while self._holds and self._holds[0][0] <= now:
-            _, job_id = heapq.heappop(self._holds)
+    def timer_fired(self, now: float) -> None:
+        """Send the jobs that can be sent, and end those that have waited too long."""
+        self.dispatch_waiting(now)
+        while self._wait_ends and self._wait_ends[0][0] <= now:
+            _, job_id = heapq.heappop(self._wait_ends)
             state = self._jobs.get(job_id)
             if state is None or not state.waiting:
                 continue
-            if state.hold_until <= now:
-                self._give_up(state, now)
+            if state.wait_until <= now:
+                self._end_wait(state, now)
             else:
-                self._hold(state)
+                self._schedule_wait_end(state)
 
     def next_timer_at(self, now: float) -> float | None:
-        """When `tick` is to be called next; None: only after another event."""
-        while self._holds and not self._is_held(self._holds[0][1]):
-            heapq.heappop(self._holds)
-        if not self._holds:
+        """When to call `timer_fired` next; None if nothing is due before another event."""
+        while self._wait_ends and not self._is_waiting(self._wait_ends[0][1]):
+            heapq.heappop(self._wait_ends)
+        if not self._wait_ends:
             return None
-        return min(self._holds[0][0], now + LOOK_EVERY_S)
+        return min(self._wait_ends[0][0], now + POLL_INTERVAL_S)
 
-    # ---- the ordinary path ----
+    # ---- dispatch ----
 
-    def release(self, now: float) -> None:
-        """Give free positions to waiting classes by 2DFQ^E."""
+    def dispatch_waiting(self, now: float) -> None:
+        """Assign free positions to classes with queued jobs by 2DFQ^E."""
         waiting = [job_class for job_class in self._classes.values() if job_class.queue]
         self._reserved.clear()
-        if not waiting or not self.pool.has_room(now):
+        if not waiting or not self.pool.has_free_position(now):
             return
-        self._queue.clock(now, self._classes.values())
+        self._queue.advance_clock(now, self._classes.values())
         if len(waiting) > 1:
             self._charge_running(now)
         while waiting:
-            front = min(waiting, key=lambda job_class: finish_tag(job_class, head_key(job_class)))
-            fit = self._fit(front, now)
-            if fit is None:
+            front = min(waiting, key=lambda job_class: finish_tag(job_class, head_cost_key(job_class)))
+            candidate = self._find_candidate(front, now)
+            if candidate is None:
                 waiting.remove(front)
                 continue
-            fit = self._choose(front, fit, waiting, now)
-            self._send(fit.state, fit.placed, now)
+            candidate = self._choose(front, candidate, waiting, now)
+            self._send(candidate.state, candidate.chosen, now)
             waiting = [job_class for job_class in waiting if job_class.queue]
 
-    def _choose(self, front: JobClass, fit: Fit, waiting: list[JobClass], now: float) -> Fit:
-        """Who gets the next position of the worker that is best for the front class's head."""
-        able = {id(front): fit}
+    def _choose(
+        self, front: JobClass, candidate: Candidate, waiting: list[JobClass], now: float
+    ) -> Candidate:
+        """The candidate for the next position of the worker that is best for the front class's head job."""
+        candidates = {id(front): candidate}
         for other in waiting if len(waiting) > 1 else ():
-            there = self._fit(other, now) if other is not front else None
-            if there is not None and there.placed.worker is fit.placed.worker:
-                able[id(other)] = there
-        if len(able) == 1:
-            return fit
-        classes = [job_class for job_class in waiting if id(job_class) in able]
-        return able[id(self._queue.choose(classes, head_key, self.pool.stagger(fit.placed.worker)))]
-
-    def _fit(self, job_class: JobClass, now: float) -> Fit | None:
-        """The class's head job and its worker. Where the head has to wait for the worker of its prefix, the
-        next subject's job may go before it."""
-        for state in job_class.queue.heads(LOOK_AHEAD):
-            if state.arrivals and not self.budget.covered(now):
+            other_candidate = self._find_candidate(other, now) if other is not front else None
+            if other_candidate is not None and other_candidate.chosen.worker is candidate.chosen.worker:
+                candidates[id(other)] = other_candidate
+        if len(candidates) == 1:
+            return candidate
+        classes = [job_class for job_class in waiting if id(job_class) in candidates]
+        return candidates[
+            id(self._queue.choose(classes, head_cost_key, self.pool.stagger(candidate.chosen.worker)))
+        ]
+
+    def _find_candidate(self, job_class: JobClass, now: float) -> Candidate | None:
+        """The head job of a class and its worker.
+
+        If the head waits for a preferred worker, the job of the next subject may be sent before it.
+        """
+        for state in job_class.queue.heads(LOOK_AHEAD_SUBJECTS):
+            if state.delivered_attempts and not self.budget.can_use(now):
                 continue
             excluded = self._reserved.union(state.tried)
-            placed = self.pool.placement.best(state.job, excluded, now)
-            if placed is not None:
-                return Fit(state, placed)
+            chosen = self.pool.placement.choose(state.job, excluded, now)
+            if chosen is not None:
+                return Candidate(state, chosen)
             if self._reserve(state, now):
                 return None
         return None
 
     def _reserve(self, state: JobState, now: float) -> bool:
-        """Leave a worker to drain for a job whose memory no worker has: smaller ones would keep it from ever
-        being served. False where it isn't memory that it lacks."""
+        """Keep a worker free for a job that lacks only memory, else smaller jobs would starve it.
+
+        Returns False if the job lacks something else.
+        """
         if self.upstream.engine is None:
             return False
-        worker_id = self.pool.placement.roomiest(state.job, self._reserved.union(state.tried), now)
+        worker_id = self.pool.placement.with_most_free_memory(
+            state.job, self._reserved.union(state.tried), now
+        )
         if worker_id is not None:
             self._reserved.add(worker_id)
         return worker_id is not None
 
-    def _send(self, state: JobState, placed: Placed, now: float) -> None:
+    def _send(self, state: JobState, chosen: ChosenWorker, now: float) -> None:
         job_class = state.job_class
-        turn_cost = job_class.largest[key_of(state.job)]
-        job_class.queue.take(turn_of(state.job), state, turn_cost)
+        turn_cost = job_class.largest[cost_key(state.job)]
+        job_class.queue.take(fairness_key(state.job), state, turn_cost)
         state.waiting = False
-        if state.arrivals:
+        if state.delivered_attempts:
             self.budget.use(now)
-        state.tried.append(placed.worker.entry.instance_id)
-        charge = self._queue.begin(job_class, key_of(state.job))
-        self.pool.start(state.job, placed)
-        self._out[state.job.job_id] = OutAttempt(state, placed.worker, placed.attempt, charge, turn_cost)
-        self._retry_after.sent(now)
-        urgency = self.pool.urgency(state.job, placed.attempt)
-        self.decisions.append(Send(state.job.job_id, placed.worker.entry.instance_id, urgency))
+        state.tried.append(chosen.worker.entry.instance_id)
+        charge = self._queue.begin_attempt(job_class, cost_key(state.job))
+        self.pool.start(state.job, chosen)
+        self._in_flight[state.job.job_id] = InFlightAttempt(
+            state, chosen.worker, chosen.attempt, charge, turn_cost
+        )
+        self._retry_after.record_sent(now)
+        urgency = self.pool.urgency(state.job, chosen.attempt)
+        self.decisions.append(Send(state.job.job_id, chosen.worker.entry.instance_id, urgency))
 
     def _charge_running(self, now: float) -> None:
-        if self._queue.refresh_due(now):
-            for out in self._out.values():
-                cost = self.pool.cost(out.worker, out.running, now)
-                self._queue.refresh(out.state.job_class, out.charge, cost)
+        if self._queue.charge_due(now):
+            for in_flight in self._in_flight.values():
+                cost = self.pool.cost(in_flight.worker, in_flight.running, now)
+                self._queue.charge_running(in_flight.state.job_class, in_flight.charge, cost)
 
-    # ---- what follows an attempt, and final answers ----
+    # ---- retries and final answers ----
 
-    def _after(self, state: JobState, end: AttemptEnd, now: float) -> None:
-        if state.closed or end.outcome in (Outcome.OK, Outcome.CANCELLED):
+    def _after_attempt(self, state: JobState, end: AttemptEnd, now: float) -> None:
+        if state.client_gone or end.outcome in (Outcome.OK, Outcome.CANCELLED):
             self._close(state)
         elif now >= state.job.deadline:
             self._answer(state, Expire(state.job.job_id, state.may_have_run))
-        elif another_attempt(fate(state), state.job.repeat, state.passed) is Another.NO:
+        elif next_attempt(fate(state), state.job.repeat, state.partly_forwarded) is NextAttempt.NONE:
             self._answer(state, Fail(state.job.job_id, FailReason.MAY_HAVE_RUN))
-        elif state.arrivals >= state.job.max_attempts or unreached(state) >= MOST_UNREACHED:
-            self._end_without(state, RefuseReason.ATTEMPTS, FailReason.ATTEMPTS, now)
-        elif self.pool.usable and not self.pool.placement.possible(state.job, state.tried):
-            self._end_without(state, RefuseReason.NO_WORKER, FailReason.NO_WORKER, now)
-        elif state.arrivals and not self.budget.reserve(now):
-            self._end_without(state, RefuseReason.BUDGET, FailReason.BUDGET, now)
+        elif (
+            state.delivered_attempts >= state.job.max_attempts
+            or failed_connections(state) >= MAX_FAILED_CONNECTIONS
+        ):
+            self._end_without_attempt(state, RefuseReason.ATTEMPTS, FailReason.ATTEMPTS, now)
+        elif self.pool.usable and not self.pool.placement.any_can_run(state.job, state.tried):
+            self._end_without_attempt(state, RefuseReason.NO_WORKER, FailReason.NO_WORKER, now)
+        elif state.delivered_attempts and not self.budget.reserve(now):
+            self._end_without_attempt(state, RefuseReason.BUDGET, FailReason.BUDGET, now)
         else:
             self._requeue(state, now)
 
     def _requeue(self, state: JobState, now: float) -> None:
-        """Back to the head of its queue."""
-        state.hold_until = min(now + HOLD_PART * state.job.latency_target_s, state.job.deadline)
+        """Put a job back at the head of its queue."""
+        state.wait_until = min(now + MAX_WAIT_SHARE * state.job.latency_target_s, state.job.deadline)
         self._enqueue(state, now, head=True)
-        self._hold(state)
+        self._schedule_wait_end(state)
 
-    def _give_up(self, state: JobState, now: float) -> None:
-        """A job has waited as long as it may: its client gets its final answer at once."""
+    def _end_wait(self, state: JobState, now: float) -> None:
+        """End the wait of a job: send it as a last resort, or give it a final answer."""
         if now >= state.job.deadline:
             self._answer(state, Expire(state.job.job_id, state.may_have_run))
-        elif (placed := self._last_resort(state, now)) is not None:
-            self._queue.clock(now, self._classes.values())
-            self._send(state, placed, now)
+        elif (chosen := self._last_resort(state, now)) is not None:
+            self._queue.advance_clock(now, self._classes.values())
+            self._send(state, chosen, now)
         elif self.pool.usable:
-            self._end_without(state, RefuseReason.OVERLOAD, FailReason.NO_WORKER, now)
+            self._end_without_attempt(state, RefuseReason.OVERLOAD, FailReason.NO_WORKER, now)
         else:
-            self._end_without(state, RefuseReason.NO_WORKER, FailReason.NO_WORKER, now)
-
-    def _last_resort(self, state: JobState, now: float) -> Placed | None:
-        """While under half of the positions are taken, a worker that is in doubt is better than a refusal."""
-        if self.pool.taken_share() >= HALF_TAKEN or state.arrivals and not self.budget.covered(now):
+            self._end_without_attempt(state, RefuseReason.NO_WORKER, FailReason.NO_WORKER, now)
+
+    def _last_resort(self, state: JobState, now: float) -> ChosenWorker | None:
+        """An untrusted worker or one in backoff, which is better than a refusal while the load is low."""
+        if (
+            self.pool.load_share() >= LAST_RESORT_MAX_LOAD
+            or state.delivered_attempts
+            and not self.budget.can_use(now)
+        ):
             return None
         excluded = self._reserved.union(state.tried)
-        return self.pool.placement.best(state.job, excluded, now, last_resort=True)
+        return self.pool.placement.choose(state.job, excluded, now, last_resort=True)
 
-    def _end_without(self, state: JobState, reason: RefuseReason, failed: FailReason, now: float) -> None:
-        """No further attempt: refused where that is true, or harmless since the client may repeat it."""
+    def _end_without_attempt(
+        self, state: JobState, reason: RefuseReason, failed: FailReason, now: float
+    ) -> None:
+        """End a job without another attempt: refuse it if it has not run or may be repeated, else fail it."""
         job_id = state.job.job_id
-        promise = final_status(fate(state), state.job.repeat) is FinalStatus.PROMISE
-        if state.passed or not promise:
+        promise = final_status(fate(state), state.job.repeat) is FinalStatus.RETRYABLE
+        if state.partly_forwarded or not promise:
             self._answer(state, Fail(job_id, failed))
         else:
-            after = self._retry_after.refuse(job_id, state.job.deadline - now, now)
+            after = self._retry_after.record_refusal(job_id, state.job.deadline - now, now)
             self._answer(state, Refuse(job_id, after, reason))
 
     def _answer(self, state: JobState, decision: Decision) -> None:
@@ -338,55 +371,55 @@
 
     def _close(self, state: JobState) -> None:
         if state.waiting:
-            state.job_class.queue.remove(turn_of(state.job), state)
+            state.job_class.queue.remove(fairness_key(state.job), state)
             state.waiting = False
-            if state.arrivals:
-                self.budget.give_back()
+            if state.delivered_attempts:
+                self.budget.cancel_reservation()
         self._jobs.pop(state.job.job_id, None)
 
     # ---- queue ----
 
     @property
     def idle(self) -> bool:
-        """Whether no job is known."""
-        return not (self._jobs or self._out)
+        """Whether the service has no jobs."""
+        return not (self._jobs or self._in_flight)
 
-    def unreleased(self) -> Residue:
-        """What is held now."""
-        return Residue(
+    def unreleased(self) -> HeldResources:
+        """The resources that are held now."""
+        return HeldResources(
             waiting=sum(len(job_class.queue) for job_class in self._classes.values()),
-            out=sum(job_class.out for job_class in self._classes.values()),
+            in_flight=sum(job_class.out for job_class in self._classes.values()),
             running=self.pool.running,
             reserved=self.budget.reserved,
         )
 
     def accounts(self) -> list[JobClass]:
-        """The clients of the fair queue."""
+        """The job classes, which are the clients of the fair queue."""
         return list(self._classes.values())
 
-    def knows(self, job_id: int) -> bool:
-        """Whether the job waits or has an attempt out."""
-        return job_id in self._jobs or job_id in self._out
+    def has_job(self, job_id: int) -> bool:
+        """Whether the job is queued or has an attempt in flight."""
+        return job_id in self._jobs or job_id in self._in_flight
 
     def _waiting_count(self) -> int:
-        return len(self._jobs) - len(self._out)
+        return len(self._jobs) - len(self._in_flight)
 
     def _enqueue(self, state: JobState, now: float, head: bool = False) -> None:
         job_class = state.job_class
-        self._queue.clock(now, self._classes.values())
+        self._queue.advance_clock(now, self._classes.values())
         if not job_class.queue and not job_class.out:
-            self._queue.activate(job_class, key_of(state.job), CREDIT_JOBS)
+            self._queue.activate(job_class, cost_key(state.job), IDLE_CREDIT_JOBS)
         state.waiting = True
         if head:
-            job_class.queue.push_head(turn_of(state.job), state)
+            job_class.queue.push_head(fairness_key(state.job), state)
         else:
-            job_class.queue.push(turn_of(state.job), state)
+            job_class.queue.push(fairness_key(state.job), state)
 
-    def _hold(self, state: JobState) -> None:
+    def _schedule_wait_end(self, state: JobState) -> None:
         if state.waiting:
-            heapq.heappush(self._holds, (state.hold_until, state.job.job_id))
+            heapq.heappush(self._wait_ends, (state.wait_until, state.job.job_id))
 
-    def _is_held(self, job_id: int) -> bool:
+    def _is_waiting(self, job_id: int) -> bool:
         state = self._jobs.get(job_id)
         return state is not None and state.waiting
 
@@ -398,28 +431,30 @@
         return self._classes[key]
 
     def _largest_seen(self, job: Job, expected: float) -> float:
-        """L_max starts at the largest cost seen of the route and key."""
-        key = key_of(job)
+        """The initial L_max: the largest cost seen for the route and cost key."""
+        key = cost_key(job)
         route = [self._classes.get((job.route, band)) for band in range(3)]
         return max([known.largest.get(key, 0.0) for known in route if known is not None] + [expected])
 
     def _forget_idle(self) -> None:
-        """Drop the accounts of classes that have no work and no debt."""
-        self._arrivals += 1
-        if self._arrivals % FORGET_EVERY:
+        """Drop idle classes that owe nothing."""
+        self._arrival_count += 1
+        if self._arrival_count % CLEANUP_INTERVAL_ARRIVALS:
             return
-        kept = {key: c for key, c in self._classes.items() if not self._queue.forgettable(c, CREDIT_JOBS)}
+        kept = {key: c for key, c in self._classes.items() if not self._queue.can_forget(c, IDLE_CREDIT_JOBS)}
         self._classes = kept
         routes = {route for route, _ in kept}
         self._bands = {route: bands for route, bands in self._bands.items() if route in routes}
 
 
-def unreached(state: JobState) -> int:
-    """Attempts for which no connection came up: nothing of them has reached a worker, so they count neither
-    against the route's attempts nor against the retry budget."""
-    return len(state.tried) - state.arrivals
+def failed_connections(state: JobState) -> int:
+    """The number of attempts whose connection failed.
+
+    Nothing of them has reached a worker, so they count neither as attempts of the route nor as retries.
+    """
+    return len(state.tried) - state.delivered_attempts
 
 
 def fate(state: JobState) -> Fate:
-    """The fate of all of the job's attempts that have ended without an answer."""
+    """The combined fate of the job's attempts that ended without an answer."""
     return Fate.MAY_HAVE_RUN if state.may_have_run else Fate.NEVER_RAN
--- a/reedspoke/decision/urgency.py
+++ b/reedspoke/decision/urgency.py
@@ -1,25 +1,22 @@
-"""The urgency that a model worker is told for a request: short prompts are read before long ones.
+"""The urgency (Priority header) sent to model workers, so that they prefill short prompts before long ones.
 
-Workers read prompts one behind the other, so a long one holds up all that come behind it. Told to read short
-ones first, a worker makes many requests prompt and a few a little later; a long prompt is late by its own
-reading first of all. Steps are shares of the aim, so they mean the same at any speed of reading.
+Workers prefill prompts one after the other, so a long prompt delays all behind it. With short prompts first,
+many requests get faster and a few slightly slower, as most of the delay of a long prompt is its own prefill.
+The steps are shares of the latency target, so they do not depend on the prefill speed.
 """
 
 from __future__ import annotations
 
 from bisect import bisect
 
-USUAL_URGENCY = 5  # what workers assume of a request that tells none
-FIRST_URGENCY = 3  # of the shortest prompts
-READING_STEPS = (
-    0.05,
-    0.2,
-    0.5,
-)  # shares of the aim that reading the prompt takes; each lowers the urgency by one
+DEFAULT_URGENCY = 5  # What workers assume for a request without urgency.
+SHORTEST_PROMPT_URGENCY = 3  # The urgency of requests with the shortest prefill.
+# Prefill times as shares of the latency target; each step lowers the urgency by one.
+PREFILL_STEPS = (0.05, 0.2, 0.5)
 
 
-def urgency_of(reading_s: float, latency_target_s: float) -> int:
-    """0 is the most urgent, 9 the least. `reading_s`: the time to read what the worker does not keep."""
+def urgency_of(prefill_s: float, latency_target_s: float) -> int:
+    """The urgency, from 0 (highest) to 9 (lowest); `prefill_s` is the prefill time without cached tokens."""
     if latency_target_s <= 0:
-        return USUAL_URGENCY
-    return FIRST_URGENCY + bisect(READING_STEPS, reading_s / latency_target_s)
+        return DEFAULT_URGENCY
+    return SHORTEST_PROMPT_URGENCY + bisect(PREFILL_STEPS, prefill_s / latency_target_s)
--- a/reedspoke/decision/worker_state.py
+++ b/reedspoke/decision/worker_state.py
@@ -1,4 +1,4 @@
-"""What is known of one worker: our own requests there, what others hold, its speed, room and health."""
+"""The state of one worker: our own requests, the load of other schedulers, its speed, capacity and health."""
 
 from __future__ import annotations
 
@@ -6,142 +6,145 @@
 
 from msgspec import Struct, field
 
+from reedspoke.decision.health_score import HealthScore
 from reedspoke.decision.messages import Cause, Engine, Load, Outcome, WorkerEntry
 from reedspoke.decision.prefix_cache import PrefixCache
-from reedspoke.decision.soundness import Soundness
 from reedspoke.decision.suspicion import Suspicion
 
-CAP_CUT = 0.7  # what a late first event or a 'full' answer leaves of a cap
-CAP_GAIN = 0.5  # positions that a prompt first event at a full cap adds
-LATE_PART = 0.5  # of the aim: a first event that comes after it is late
-LATE_FLOOR = 0.125  # share of the positions that late first events leave: long prompts are late, too
-CAP_LEAST = 1.0  # positions: each worker keeps one, however full others keep it
-FULL_REST_S = 0.05  # after 'full': some requests end in that time
-REST_FIRST_S = 0.1  # after a failed connection or silence, doubled with each further one
-REST_MOST_S = 3.0
-LEARN = 0.2  # weight of a new sample in running averages
-TRUST = 0.75  # least soundness for a request that must not be repeated
-TRIAL = 0.5  # least soundness for more than one request at once
-EXCESS_HALF_S = 0.5  # half-life of a first event's delay beyond its expectation
-PACE_LEAST, PACE_MOST = 0.3, 4.0  # bounds of a worker's pace
-PACE_SAMPLE_S = 0.005  # an expectation below it says nothing of the pace
-OUTLIER = 3.0  # a sample counts at most as this multiple of what was expected
-
-
-class Running(Struct, eq=False):
-    """Our attempt at a worker."""
+CAP_DECREASE_FACTOR = 0.7  # Factor on the cap after a late first event or a "full" answer.
+CAP_INCREASE = 0.5  # Positions added by a timely first event while the cap is fully used.
+LATE_SHARE = 0.5  # Share of the latency target after which a first event is late.
+# Share of the positions below which late first events do not lower the cap, as long prompts are late too.
+MIN_LATE_CAP_SHARE = 0.125
+MIN_CAP = 1.0  # Positions. A worker keeps at least one, however much load others place on it.
+FULL_BACKOFF_S = 0.05  # Backoff after a "full" answer; some requests end in that time.
+INITIAL_BACKOFF_S = 0.1  # Backoff after a failed connection or a time-out; doubles with each further one.
+MAX_BACKOFF_S = 3.0
+EWMA_WEIGHT = 0.2  # Weight of a new sample in moving averages.
+MIN_TRUSTED_HEALTH = 0.75  # Minimum health score for requests that must not be repeated.
+MIN_CONCURRENT_HEALTH = 0.5  # Minimum health score for more than one request at a time.
+EXCESS_HALF_LIFE_S = 0.5  # Half-life of the average excess delay.
+MIN_PACE, MAX_PACE = 0.3, 4.0  # Bounds of a worker's pace.
+MIN_PACE_SAMPLE_S = 0.005  # A shorter expected time is no sample of the pace.
+MAX_SAMPLE_RATIO = 3.0  # A sample is clipped to this multiple of the expected time.
+
+
+class RunningAttempt(Struct, eq=False):
+    """One of our attempts on a worker."""
 
     sent: float
-    unread_tokens: int  # prompt tokens that it is expected to read
-    kept_tokens: int  # prompt and output tokens that it keeps in its memory
-    expected_s: float  # to the first event
-    late_s: float  # a first event after this time is late
-    first_event: float = 0.0  # 0: none yet
-    added: tuple[int, ...] = ()  # parts that the worker was not taken to keep before
+    unread_tokens: int  # Prompt tokens that the worker is expected to prefill.
+    kept_tokens: int  # Prompt and output tokens of the attempt in the worker's KV memory.
+    expected_s: float  # The expected time from the send to the first event.
+    late_s: float  # A first event after this time is late.
+    first_event: float = 0.0  # When the first event arrived; 0 if none has.
+    added: tuple[int, ...] = ()  # Parts that were new to the estimate of the prefix cache.
 
 
 class WorkerState(Struct, eq=False):
-    """A worker that is on the fleet's list."""
+    """A worker on the fleet's list."""
 
     entry: WorkerEntry
     cache: PrefixCache
-    cap: float  # positions that our requests may take, learned
-    kv_tokens: int  # 0: no engine
-    running: dict[int, Running] = field(default_factory=dict)  # our attempts, by job
-    pending_tokens: int = 0  # of our attempts without a first event, still to be read
-    kept_tokens: int = 0  # of our attempts
+    cap: float  # Learned limit of positions for our requests.
+    kv_tokens: int  # 0 without an engine.
+    running: dict[int, RunningAttempt] = field(default_factory=dict)  # Our attempts, by job id.
+    pending_tokens: int = 0  # Prefill tokens of our attempts without a first event.
+    kept_tokens: int = 0  # Tokens of our attempts in KV memory.
     others: Load = Load()
-    rest_until: float = 0.0
-    silent: int = 0  # failed connections and silences since the last sign of life
-    sound: Soundness = field(default_factory=Soundness)
-    pace: float = 1.0  # its time to a first event against the usual one's
-    excess_s: float = 0.0  # delay of first events beyond their expectation, at `excess_at`
+    backoff_until: float = 0.0
+    consecutive_failures: int = 0  # Failed connections and time-outs since the last data.
+    health: HealthScore = field(default_factory=HealthScore)
+    pace: float = 1.0  # Its actual relative to the expected time to the first event.
+    excess_s: float = 0.0  # Average delay of first events beyond their expected time, at `excess_at`.
     excess_at: float = 0.0
-    cut_at: float = 0.0  # when the cap was lowered last
-    gone: bool = False  # another one answers at its address
+    cap_lowered_at: float = 0.0  # When the cap was last lowered.
+    replaced: bool = False  # Whether another instance answers at its address.
     suspicion: Suspicion = field(default_factory=Suspicion)
 
     @staticmethod
     def of(entry: WorkerEntry, engine: Engine | None) -> WorkerState:
-        """A worker of which nothing is known but its entry."""
+        """The initial state of a worker."""
         kv_tokens = engine.kv_tokens if engine else 0
         return WorkerState(entry, PrefixCache(kv_tokens), float(max(1, entry.capacity)), kv_tokens)
 
     def set_engine(self, engine: Engine | None) -> None:
-        """The configuration tells of another engine."""
+        """Apply a changed configuration of the engine."""
         self.kv_tokens = engine.kv_tokens if engine else 0
         self.cache.set_limit(self.kv_tokens)
 
     @property
     def usable(self) -> bool:
-        """Whether new requests may go there at all."""
-        return not (self.entry.draining or self.gone)
+        """Whether the worker accepts new requests."""
+        return not (self.entry.draining or self.replaced)
 
     @property
-    def used(self) -> int:
-        """Our requests there."""
+    def own_requests(self) -> int:
+        """The number of our requests on the worker."""
         return len(self.running)
 
     @property
-    def taken(self) -> int:
-        """All requests known there."""
+    def known_requests(self) -> int:
+        """The number of all known requests on the worker."""
         return len(self.running) + self.others.requests
 
-    def rested(self, now: float) -> bool:
-        """Whether no failure keeps us from sending there."""
-        return now >= self.rest_until
+    def is_backoff_over(self, now: float) -> bool:
+        """Whether the worker is not in backoff."""
+        return now >= self.backoff_until
 
-    def room(self) -> int:
-        """Free positions, as far as is known; our own cap and what others hold both bound it."""
-        return min(int(self.cap) - self.used, self.entry.capacity - self.taken)
+    def free_positions(self) -> int:
+        """The known free positions, limited by our cap and by the load of other schedulers."""
+        return min(int(self.cap) - self.own_requests, self.entry.capacity - self.known_requests)
 
     def memory_fits(self, tokens: int) -> bool:
-        """Whether running requests leave so many tokens of its memory; an idle worker takes any."""
-        if not self.kv_tokens or not self.taken:
+        """Whether this many tokens fit into its KV memory; an idle worker accepts any number."""
+        if not self.kv_tokens or not self.known_requests:
             return True
         return self.kept_tokens + self.others.tokens + tokens <= self.kv_tokens
 
-    def taken_share(self) -> float:
-        """The part of its positions, or of its memory where that is more, that is known to be taken."""
-        positions = self.taken / max(1, self.entry.capacity)
+    def load_share(self) -> float:
+        """The occupied share of its positions or of its KV memory, whichever is larger."""
+        positions = self.known_requests / max(1, self.entry.capacity)
         memory = self.memory_share() if self.kv_tokens else 0.0
         return min(1.0, max(positions, memory))
 
     def memory_share(self) -> float:
-        """The part of its memory that running requests are known to keep."""
+        """The share of its KV memory that is known to be used by requests."""
         return (self.kept_tokens + self.others.tokens) / max(1, self.kv_tokens)
 
     def trusted(self, repeatable: bool, now: float) -> bool:
-        """Whether its last answers let a request go there; repeatable ones try it out one at a time."""
-        sound = self.sound.at(now)
-        if sound >= TRUST:
+        """Whether its health score allows a request. At a low score, repeatable ones go one at a time."""
+        health = self.health.value_at(now)
+        if health >= MIN_TRUSTED_HEALTH:
             return True
-        return repeatable and (sound >= TRIAL or not self.running)
+        return repeatable and (health >= MIN_CONCURRENT_HEALTH or not self.running)
 
     def excess(self, now: float) -> float:
-        """Seconds beyond the expectation that a first event is likely to take now."""
-        return self.excess_s * math.exp2(-max(0.0, now - self.excess_at) / EXCESS_HALF_S)
+        """The delay beyond the expected time that a first event is likely to have now."""
+        return self.excess_s * math.exp2(-max(0.0, now - self.excess_at) / EXCESS_HALF_LIFE_S)
 
-    def start(self, job_id: int, attempt: Running) -> None:
-        """A request is sent there."""
+    def start(self, job_id: int, attempt: RunningAttempt) -> None:
+        """Record that a request is sent to the worker."""
         self.running[job_id] = attempt
         self.pending_tokens += attempt.unread_tokens
         self.kept_tokens += attempt.kept_tokens
 
-    def first_event(self, job_id: int, now: float, learn_pace: bool = True) -> Running | None:
-        """Its first event came; None where it is not the first or not ours. While little is known of the
-        service, an expectation says nothing of this worker's pace."""
+    def first_event(self, job_id: int, now: float, learn_pace: bool = True) -> RunningAttempt | None:
+        """Record the first event of a request; None if it is not the first or not ours.
+
+        `learn_pace` is False while the service has too few samples to compare its workers.
+        """
         attempt = self.running.get(job_id)
         if attempt is None or attempt.first_event:
             return None
         attempt.first_event = now
         self.pending_tokens -= attempt.unread_tokens
-        self.heard()
-        self._learn_delay(attempt, now, learn_pace)
+        self.reset_failures()
+        self._record_delay(attempt, now, learn_pace)
         return attempt
 
-    def end(self, job_id: int) -> Running | None:
-        """A request is there no more."""
+    def end(self, job_id: int) -> RunningAttempt | None:
+        """Remove a request that has ended; None if it is unknown."""
         attempt = self.running.pop(job_id, None)
         if attempt is None:
             return None
@@ -150,58 +153,61 @@
             self.pending_tokens -= attempt.unread_tokens
         return attempt
 
-    def heard(self) -> None:
-        """A sign of life."""
-        self.silent = 0
+    def reset_failures(self) -> None:
+        """Reset the failure count, as data arrived from the worker."""
+        self.consecutive_failures = 0
 
-    def judge(self, outcome: Outcome, cause: Cause, sent: float, now: float) -> None:
-        """Learn from the end of an attempt that was sent then."""
-        self.suspicion.judge(outcome, cause, now)
+    def record_attempt_end(self, outcome: Outcome, cause: Cause, sent: float, now: float) -> None:
+        """Update cap, backoff, health and suspicion with the end of an attempt."""
+        self.suspicion.record_attempt_end(outcome, cause, now)
         if cause is Cause.FULL:
-            self._full(sent, now)
+            self._record_full(sent, now)
         elif cause is Cause.WRONG_INSTANCE:
-            self.gone = True
+            self.replaced = True
         elif cause in (Cause.CONNECT_FAILED, Cause.TIMED_OUT):
-            self._let_be(now)
+            self._back_off(now)
         if cause in (Cause.TIMED_OUT, Cause.RESET, Cause.BAD_ANSWER):
-            self._unsound(now)
+            self._record_failure(now)
         elif outcome is Outcome.OK:
-            self.heard()
-            self.sound.whole(now)
-
-    def _unsound(self, now: float) -> None:
-        """Guards requests against a worker that fails them at once: always free, it would draw the most."""
-        self.sound.failed(now)
-        sound = self.sound.at(now)
-        if sound < TRUST:
-            rest = min(REST_MOST_S, REST_FIRST_S / sound)
-            self.rest_until = max(self.rest_until, now + rest)
-
-    def _cut(self, sent: float, now: float, least: float = CAP_LEAST) -> None:
-        """Lower the cap, once for all the requests sent before the last cut."""
-        if sent >= self.cut_at:
-            self.cap = min(self.cap, max(least, min(self.cap, self.used + 1) * CAP_CUT))
-            self.cut_at = now
-
-    def _full(self, sent: float, now: float) -> None:
-        self.heard()
-        self._cut(sent, now)
-        self.rest_until = max(self.rest_until, now + FULL_REST_S)
-
-    def _let_be(self, now: float) -> None:
-        rest = min(REST_MOST_S, REST_FIRST_S * 2**self.silent)
-        self.silent += 1
-        self.rest_until = max(self.rest_until, now + rest)
-
-    def _learn_delay(self, attempt: Running, now: float, learn_pace: bool) -> None:
+            self.reset_failures()
+            self.health.record_success(now)
+
+    def _record_failure(self, now: float) -> None:
+        """Lower the health score, and back off if it is low.
+
+        A worker that fails requests at once always has free positions, so it would attract the most requests.
+        """
+        self.health.record_failure(now)
+        health = self.health.value_at(now)
+        if health < MIN_TRUSTED_HEALTH:
+            backoff_s = min(MAX_BACKOFF_S, INITIAL_BACKOFF_S / health)
+            self.backoff_until = max(self.backoff_until, now + backoff_s)
+
+    def _lower_cap(self, sent: float, now: float, min_cap: float = MIN_CAP) -> None:
+        """Lower the cap, unless the request was sent before the cap was last lowered."""
+        if sent >= self.cap_lowered_at:
+            self.cap = min(self.cap, max(min_cap, min(self.cap, self.own_requests + 1) * CAP_DECREASE_FACTOR))
+            self.cap_lowered_at = now
+
+    def _record_full(self, sent: float, now: float) -> None:
+        self.reset_failures()
+        self._lower_cap(sent, now)
+        self.backoff_until = max(self.backoff_until, now + FULL_BACKOFF_S)
+
+    def _back_off(self, now: float) -> None:
+        backoff_s = min(MAX_BACKOFF_S, INITIAL_BACKOFF_S * 2**self.consecutive_failures)
+        self.consecutive_failures += 1
+        self.backoff_until = max(self.backoff_until, now + backoff_s)
+
+    def _record_delay(self, attempt: RunningAttempt, now: float, learn_pace: bool) -> None:
         delay, expected = now - attempt.sent, attempt.expected_s
         excess = max(0.0, delay - expected)
-        self.excess_s = self.excess(now) * (1 - LEARN) + excess * LEARN
+        self.excess_s = self.excess(now) * (1 - EWMA_WEIGHT) + excess * EWMA_WEIGHT
         self.excess_at = now
         if delay > attempt.late_s:
-            self._cut(attempt.sent, now, max(CAP_LEAST, LATE_FLOOR * self.entry.capacity))
-        elif self.used >= int(self.cap):
-            self.cap = min(self.cap + CAP_GAIN, float(max(1, self.entry.capacity)))
-        if learn_pace and expected >= PACE_SAMPLE_S:
-            sample = min(delay / expected, OUTLIER) * self.pace
-            self.pace += LEARN / 2 * (min(PACE_MOST, max(PACE_LEAST, sample)) - self.pace)
+            self._lower_cap(attempt.sent, now, max(MIN_CAP, MIN_LATE_CAP_SHARE * self.entry.capacity))
+        elif self.own_requests >= int(self.cap):
+            self.cap = min(self.cap + CAP_INCREASE, float(max(1, self.entry.capacity)))
+        if learn_pace and expected >= MIN_PACE_SAMPLE_S:
+            sample = min(delay / expected, MAX_SAMPLE_RATIO) * self.pace
+            self.pace += EWMA_WEIGHT / 2 * (min(MAX_PACE, max(MIN_PACE, sample)) - self.pace)
--- a/tests/decision/engine_model.py
+++ b/tests/decision/engine_model.py
@@ -137,7 +137,7 @@
 
     asked: dict[str, int] = field(default_factory=lambda: defaultdict(int))
     served: dict[str, int] = field(default_factory=lambda: defaultdict(int))
-    first_s: dict[str, list[float]] = field(default_factory=lambda: defaultdict(list))
+    first_event_s: dict[str, list[float]] = field(default_factory=lambda: defaultdict(list))
     subjects_asked: dict[str, int] = field(default_factory=lambda: defaultdict(int))
     subjects_served: dict[str, int] = field(default_factory=lambda: defaultdict(int))
     tenth_asked: int = 0
@@ -153,17 +153,17 @@
 
     def first_at(self, route: str, part: float) -> float:
         """A quantile of the seconds to the first event."""
-        ordered = sorted(self.first_s[route])
+        ordered = sorted(self.first_event_s[route])
         return ordered[int(part * (len(ordered) - 1))]
 
     def mean_first_s(self) -> float:
         """The mean of the seconds to the first event, of all kinds."""
-        every = [first for firsts in self.first_s.values() for first in firsts]
+        every = [first for firsts in self.first_event_s.values() for first in firsts]
         return sum(every) / len(every)
 
     def in_time(self, kind: Kind) -> float:
         """The part of a kind's requests whose first event came within the aim."""
-        prompt = sum(first <= kind.latency_target_s for first in self.first_s[kind.route])
+        prompt = sum(first <= kind.latency_target_s for first in self.first_event_s[kind.route])
         return prompt / max(1, self.asked[kind.route])
 
     @property
@@ -269,7 +269,7 @@
         at = self.now + SLICE_S
         for task in first:
             if task.job.job_id in self.counted:
-                self.result.first_s[task.job.route].append(at - task.job.arrived)
+                self.result.first_event_s[task.job.route].append(at - task.job.arrived)
             self._carry_out(
                 task.scheduler, self.schedulers[task.scheduler].first_event_received(task.job.job_id, at)
             )
--- a/tests/decision/test_attempt_fate.py
+++ b/tests/decision/test_attempt_fate.py
@@ -7,15 +7,15 @@
 import pytest
 
 from reedspoke.decision.attempt_fate import (
-    Another,
     Ending,
     Evidence,
     Fate,
     FinalStatus,
-    another_attempt,
+    NextAttempt,
     cause_of,
     fate_of,
     final_status,
+    next_attempt,
     outcome_of,
 )
 from reedspoke.decision.messages import Cause, Outcome, Repeat
@@ -58,30 +58,30 @@
 
 
 FINAL = {
-    (Fate.NEVER_RAN, Repeat.IDEMPOTENT): FinalStatus.PROMISE,
-    (Fate.NEVER_RAN, Repeat.RESUMABLE): FinalStatus.PROMISE,
-    (Fate.NEVER_RAN, Repeat.NEVER): FinalStatus.PROMISE,
-    (Fate.MAY_HAVE_RUN, Repeat.IDEMPOTENT): FinalStatus.PROMISE,
-    (Fate.MAY_HAVE_RUN, Repeat.RESUMABLE): FinalStatus.PROMISE,
-    (Fate.MAY_HAVE_RUN, Repeat.NEVER): FinalStatus.NO_PROMISE,
-    (Fate.ANSWERED, Repeat.IDEMPOTENT): FinalStatus.PROMISE,
-    (Fate.ANSWERED, Repeat.RESUMABLE): FinalStatus.PROMISE,
-    (Fate.ANSWERED, Repeat.NEVER): FinalStatus.NO_PROMISE,
+    (Fate.NEVER_RAN, Repeat.IDEMPOTENT): FinalStatus.RETRYABLE,
+    (Fate.NEVER_RAN, Repeat.RESUMABLE): FinalStatus.RETRYABLE,
+    (Fate.NEVER_RAN, Repeat.NEVER): FinalStatus.RETRYABLE,
+    (Fate.MAY_HAVE_RUN, Repeat.IDEMPOTENT): FinalStatus.RETRYABLE,
+    (Fate.MAY_HAVE_RUN, Repeat.RESUMABLE): FinalStatus.RETRYABLE,
+    (Fate.MAY_HAVE_RUN, Repeat.NEVER): FinalStatus.NOT_RETRYABLE,
+    (Fate.ANSWERED, Repeat.IDEMPOTENT): FinalStatus.RETRYABLE,
+    (Fate.ANSWERED, Repeat.RESUMABLE): FinalStatus.RETRYABLE,
+    (Fate.ANSWERED, Repeat.NEVER): FinalStatus.NOT_RETRYABLE,
 }
 FURTHER = {
-    (Fate.NEVER_RAN, Repeat.IDEMPOTENT, False): Another.WHOLE,
-    (Fate.NEVER_RAN, Repeat.IDEMPOTENT, True): Another.NO,
-    (Fate.NEVER_RAN, Repeat.RESUMABLE, False): Another.WHOLE,
-    (Fate.NEVER_RAN, Repeat.RESUMABLE, True): Another.RESUMED,
-    (Fate.NEVER_RAN, Repeat.NEVER, False): Another.WHOLE,
-    (Fate.NEVER_RAN, Repeat.NEVER, True): Another.NO,
-    (Fate.MAY_HAVE_RUN, Repeat.IDEMPOTENT, False): Another.WHOLE,
-    (Fate.MAY_HAVE_RUN, Repeat.IDEMPOTENT, True): Another.NO,
-    (Fate.MAY_HAVE_RUN, Repeat.RESUMABLE, False): Another.WHOLE,
-    (Fate.MAY_HAVE_RUN, Repeat.RESUMABLE, True): Another.RESUMED,
-    (Fate.MAY_HAVE_RUN, Repeat.NEVER, False): Another.NO,
-    (Fate.MAY_HAVE_RUN, Repeat.NEVER, True): Another.NO,
-} | {(Fate.ANSWERED, repeat, passed): Another.NO for repeat, passed in product(Repeat, (False, True))}
+    (Fate.NEVER_RAN, Repeat.IDEMPOTENT, False): NextAttempt.FROM_START,
+    (Fate.NEVER_RAN, Repeat.IDEMPOTENT, True): NextAttempt.NONE,
+    (Fate.NEVER_RAN, Repeat.RESUMABLE, False): NextAttempt.FROM_START,
+    (Fate.NEVER_RAN, Repeat.RESUMABLE, True): NextAttempt.RESUMED,
+    (Fate.NEVER_RAN, Repeat.NEVER, False): NextAttempt.FROM_START,
+    (Fate.NEVER_RAN, Repeat.NEVER, True): NextAttempt.NONE,
+    (Fate.MAY_HAVE_RUN, Repeat.IDEMPOTENT, False): NextAttempt.FROM_START,
+    (Fate.MAY_HAVE_RUN, Repeat.IDEMPOTENT, True): NextAttempt.NONE,
+    (Fate.MAY_HAVE_RUN, Repeat.RESUMABLE, False): NextAttempt.FROM_START,
+    (Fate.MAY_HAVE_RUN, Repeat.RESUMABLE, True): NextAttempt.RESUMED,
+    (Fate.MAY_HAVE_RUN, Repeat.NEVER, False): NextAttempt.NONE,
+    (Fate.MAY_HAVE_RUN, Repeat.NEVER, True): NextAttempt.NONE,
+} | {(Fate.ANSWERED, repeat, passed): NextAttempt.NONE for repeat, passed in product(Repeat, (False, True))}
 
 
 def test_the_tables_are_whole() -> None:
@@ -96,7 +96,7 @@
 
 @pytest.mark.parametrize(("fate", "repeat", "passed"), FURTHER, ids=str)
 def test_whether_another_worker_may_have_it(fate: Fate, repeat: Repeat, passed: bool) -> None:
-    assert another_attempt(fate, repeat, passed) is FURTHER[fate, repeat, passed]
+    assert next_attempt(fate, repeat, passed) is FURTHER[fate, repeat, passed]
 
 
 @pytest.mark.parametrize("evidence", ALL, ids=str)
--- a/tests/decision/test_dispatcher.py
+++ b/tests/decision/test_dispatcher.py
@@ -24,7 +24,7 @@
     Upstream,
     WorkerEntry,
 )
-from reedspoke.decision.service import MOST_UNREACHED
+from reedspoke.decision.service import MAX_FAILED_CONNECTIONS
 from tests.decision.facts import FULL, OK, REFUSED, RESET, dispatcher, entry, job, plain
 
 CANCELLED = AttemptEnd(Outcome.CANCELLED)
@@ -375,7 +375,7 @@
 
 
 def test_the_number_that_waits_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(service, "QUEUE_MOST", 10)
+    monkeypatch.setattr(service, "MAX_QUEUED_JOBS", 10)
     scheduler = dispatcher(one_place())
     answers = [scheduler.job_arrived(job(job_id), 0.0) for job_id in range(20)]
     assert sum(len(answer) for answer in answers[11:]) == 9
@@ -408,7 +408,7 @@
 def test_three_workers_that_were_not_reached_are_enough() -> None:
     scheduler = dispatcher([entry(f"w{number}") for number in range(6)])
     decisions = scheduler.job_arrived(job(1, max_attempts=9), 0.0)
-    for _ in range(MOST_UNREACHED):
+    for _ in range(MAX_FAILED_CONNECTIONS):
         assert sends(decisions) == [1]
         decisions = scheduler.attempt_ended(1, REFUSED, 0.01)
     assert isinstance(only(decisions), Refuse)
--- a/tests/decision/test_dispatcher_play.py
+++ b/tests/decision/test_dispatcher_play.py
@@ -15,7 +15,7 @@
     Repeat,
     Send,
 )
-from reedspoke.decision.service import MOST_UNREACHED
+from reedspoke.decision.service import MAX_FAILED_CONNECTIONS
 from tests.decision.facts import FULL, OK, REFUSED, RESET, dispatcher, entry, job
 
 CANCELLED = AttemptEnd(Outcome.CANCELLED)
@@ -44,7 +44,7 @@
                 tried[decision.job_id].append(decision.instance_id)
                 out[decision.job_id] = decision.instance_id
                 assert arrivals[decision.job_id] < open_jobs[decision.job_id].max_attempts
-                assert len(tried[decision.job_id]) - arrivals[decision.job_id] <= MOST_UNREACHED
+                assert len(tried[decision.job_id]) - arrivals[decision.job_id] <= MAX_FAILED_CONNECTIONS
                 assert list(out.values()).count(decision.instance_id) <= capacity[decision.instance_id]
             else:
                 del open_jobs[decision.job_id]
--- a/tests/decision/test_engine_model.py
+++ b/tests/decision/test_engine_model.py
@@ -39,9 +39,9 @@
 def test_prefixes_are_read_less_often_where_they_have_a_home(monkeypatch: pytest.MonkeyPatch) -> None:
     kinds = kinds_of(2.0)
     homes = play(kinds, seconds=9.0, workers=9)
-    monkeypatch.setattr(placement, "TOLD_BY_ORDER", ())
-    monkeypatch.setattr(placement, "REREAD", 0.0)
-    monkeypatch.setattr(placement, "PATIENT_PART", 0.0)
+    monkeypatch.setattr(placement, "ALREADY_READ_PROBABILITY", ())
+    monkeypatch.setattr(placement, "REREAD_PENALTY", 0.0)
+    monkeypatch.setattr(placement, "PREFERRED_WAIT_SHARE", 0.0)
     monkeypatch.setattr(placement, "affinity_key", lambda job: f"job {job.job_id}")
     anywhere = play(kinds, seconds=9.0, workers=9)
     assert homes.read_share < 0.9 * anywhere.read_share
@@ -52,7 +52,7 @@
     monkeypatch: pytest.MonkeyPatch, overloaded: Result
 ) -> None:
     """Of three workers all count as homes, so nothing waits for one unless only the first does."""
-    monkeypatch.setattr(placement, "PATIENT_NEAR", 1)
+    monkeypatch.setattr(placement, "PREFERRED_WORKERS", 1)
     patient = play(kinds_of(OVERLOAD, subjects=15), seconds=18.0)
     assert patient.read_share < overloaded.read_share
 
--- a/tests/decision/test_fair_queue.py
+++ b/tests/decision/test_fair_queue.py
@@ -27,10 +27,10 @@
 
 def queue_at(v: float) -> FairQueue:
     """A queue whose clock shows v."""
-    queue = FairQueue(clock_memory=1.0, refresh=0.01)
+    queue = FairQueue(clock_window=1.0, refresh=0.01)
     worker = Client(out=2)
-    queue.finish(worker, queue.begin(worker, ""), v)
-    assert queue.clock(1.0, [worker]) == pytest.approx(v)
+    queue.finish_attempt(worker, queue.begin_attempt(worker, ""), v)
+    assert queue.advance_clock(1.0, [worker]) == pytest.approx(v)
     return queue
 
 
@@ -73,15 +73,15 @@
 
 def test_the_estimate_is_pessimistic() -> None:
     queue, client = FairQueue(1.0, 0.01), Client(largest={"": 10.0})
-    queue.finish(client, queue.begin(client, ""), 2.0)
+    queue.finish_attempt(client, queue.begin_attempt(client, ""), 2.0)
     assert client.largest[""] == pytest.approx(ALPHA * 10.0)
-    queue.finish(client, queue.begin(client, ""), 30.0)
+    queue.finish_attempt(client, queue.begin_attempt(client, ""), 30.0)
     assert client.largest[""] == 30.0
 
 
 def test_an_attempt_that_did_not_run_to_its_end_teaches_nothing() -> None:
     queue, client = FairQueue(1.0, 0.01), Client(largest={"": 10.0})
-    queue.finish(client, queue.begin(client, ""), 30.0, learn=False)
+    queue.finish_attempt(client, queue.begin_attempt(client, ""), 30.0, learn=False)
     assert client.largest[""] == 10.0
     assert client.start == 30.0
 
@@ -89,37 +89,37 @@
 @pytest.mark.parametrize(("cost", "phi"), [(3.0, 1.0), (0.5, 2.0), (40.0, 0.25)])
 def test_in_the_end_a_client_has_paid_the_true_cost(cost: float, phi: float) -> None:
     queue, client = FairQueue(1.0, 0.01), Client(phi=phi, start=7.0, largest={"": 10.0})
-    charge = queue.begin(client, "")
+    charge = queue.begin_attempt(client, "")
     assert client.start == pytest.approx(7.0 + 10.0 / phi)
-    queue.refresh(client, charge, cost / 2)
-    queue.finish(client, charge, cost)
+    queue.charge_running(client, charge, cost / 2)
+    queue.finish_attempt(client, charge, cost)
     assert client.start == pytest.approx(7.0 + cost / phi)
     assert client.out == 0
 
 
 def test_a_running_job_pays_only_for_what_exceeds_its_estimate() -> None:
     queue, client = FairQueue(1.0, 0.01), Client(largest={"": 10.0})
-    charge = queue.begin(client, "")
-    queue.refresh(client, charge, 4.0)
+    charge = queue.begin_attempt(client, "")
+    queue.charge_running(client, charge, 4.0)
     assert client.start == 10.0
-    queue.refresh(client, charge, 14.0)
+    queue.charge_running(client, charge, 14.0)
     assert client.start == 14.0
 
 
 def test_a_reversal_gives_all_back_whatever_was_paid_under_which_share() -> None:
     queue, client = FairQueue(1.0, 0.01), Client(start=3.0, largest={"": 10.0})
-    charge = queue.begin(client, "")
+    charge = queue.begin_attempt(client, "")
     client.phi = 4.0
-    queue.refresh(client, charge, 25.0)
+    queue.charge_running(client, charge, 25.0)
     client.phi = 0.5
-    queue.reverse(client, charge)
+    queue.reverse_attempt(client, charge)
     assert client.start == pytest.approx(3.0, abs=1e-12)
     assert client.out == 0
 
 
 def test_running_jobs_are_charged_once_in_an_interval() -> None:
     queue = FairQueue(1.0, 0.01)
-    due = [queue.refresh_due(step / 1000) for step in range(100, 130)]
+    due = [queue.charge_due(step / 1000) for step in range(100, 130)]
     assert due.count(True) == 3
 
 
@@ -136,50 +136,50 @@
 
 def test_a_client_with_work_or_debt_is_not_forgotten() -> None:
     queue = queue_at(50.0)
-    assert queue.forgettable(Client(start=49.5))
-    assert queue.forgettable(Client(start=46.5), credit_jobs=3)
-    assert not queue.forgettable(Client(start=49.5), credit_jobs=3)
-    assert not queue.forgettable(Client(start=50.5))
-    assert not queue.forgettable(Client(start=1.0, out=1))
-    assert not queue.forgettable(Client(start=1.0, queue=[1]))
+    assert queue.can_forget(Client(start=49.5))
+    assert queue.can_forget(Client(start=46.5), credit_jobs=3)
+    assert not queue.can_forget(Client(start=49.5), credit_jobs=3)
+    assert not queue.can_forget(Client(start=50.5))
+    assert not queue.can_forget(Client(start=1.0, out=1))
+    assert not queue.can_forget(Client(start=1.0, queue=[1]))
 
 
 def test_the_clock_stands_while_nobody_is_active_and_never_goes_back() -> None:
     queue, client = FairQueue(1.0, 0.01), Client(out=2)
-    queue.finish(client, queue.begin(client, ""), 8.0)
+    queue.finish_attempt(client, queue.begin_attempt(client, ""), 8.0)
     client.out = 0
-    assert queue.clock(0.1, [client]) == 0.0
+    assert queue.advance_clock(0.1, [client]) == 0.0
     client.out = 1
-    values = [queue.clock(at, [client]) for at in (0.2, 0.1, 0.3, 0.4)]
+    values = [queue.advance_clock(at, [client]) for at in (0.2, 0.1, 0.3, 0.4)]
     assert values == sorted(values)
     assert values[0] > 0
 
 
 def test_the_dispatcher_in_service_has_clients_of_this_kind() -> None:
     queue, flow = FairQueue(2_000_000, 10_000), Flow(1.0, largest={"api": 500.0})
-    charge = queue.begin(flow, "api")
-    queue.finish(flow, charge, 700.0)
+    charge = queue.begin_attempt(flow, "api")
+    queue.finish_attempt(flow, charge, 700.0)
     assert (flow.start, flow.largest["api"]) == (700.0, 700.0)
 
 
 @pytest.mark.parametrize("seed", range(5))
 def test_backlogged_clients_get_work_by_their_shares(seed: int) -> None:
     """Large and small jobs on several positions: work done follows the shares, whoever sends more."""
-    random, queue = Random(seed), FairQueue(clock_memory=50.0, refresh=0.01)
+    random, queue = Random(seed), FairQueue(clock_window=50.0, refresh=0.01)
     clients = [Client(phi=phi, largest={"": size}, queue=[1]) for phi, size in ((1, 1), (1, 20), (2, 5))]
     work, positions, now = {id(client): 0.0 for client in clients}, 8, 0.0
     running: list[tuple[float, int, Client, object, float]] = []
     for turn in range(6000):
-        queue.clock(now, clients)
+        queue.advance_clock(now, clients)
         if len(running) < positions:
             client = queue.choose(clients, no_key, len(running) / positions)
             cost = random.uniform(0.3, 1.0) * (1.0, 20.0, 5.0)[clients.index(client)]
-            running.append((now + cost, turn, client, queue.begin(client, ""), cost))
+            running.append((now + cost, turn, client, queue.begin_attempt(client, ""), cost))
             continue
         running.sort(key=lambda job: job[0])
         now, _, client, charge, cost = running.pop(0)
-        queue.clock(now, clients)
-        queue.finish(client, charge, cost)  # type: ignore[arg-type]
+        queue.advance_clock(now, clients)
+        queue.finish_attempt(client, charge, cost)  # type: ignore[arg-type]
         work[id(client)] += cost
     one, two, double = (work[id(client)] for client in clients)
     assert one == pytest.approx(two, rel=0.15)
--- a/tests/decision/test_placement.py
+++ b/tests/decision/test_placement.py
@@ -83,8 +83,8 @@
     assert len(homes) == 3
     assert sent_to(scheduler, job(20, shared=9000, arrived=5.0), 5.0) is None
     assert sent_to(scheduler, job(21, shared=90, subject="short", arrived=5.0), 5.0) is not None
-    assert sends_of(scheduler.timer_fired(5.0 + placement.PATIENT_PART - 0.02)) == []
-    assert sends_of(scheduler.timer_fired(5.0 + placement.PATIENT_PART + 0.001)) == [20]
+    assert sends_of(scheduler.timer_fired(5.0 + placement.PREFERRED_WAIT_SHARE - 0.02)) == []
+    assert sends_of(scheduler.timer_fired(5.0 + placement.PREFERRED_WAIT_SHARE + 0.001)) == [20]
 
 
 def test_a_worker_that_rests_gets_nothing_until_its_rest_is_over() -> None:
--- a/tests/decision/test_prefix_cache.py
+++ b/tests/decision/test_prefix_cache.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from reedspoke.decision.messages import PromptPart
-from reedspoke.decision.prefix_cache import PrefixCache, chain_of, rendezvous, score
+from reedspoke.decision.prefix_cache import PrefixCache, chain_of, rendezvous, rendezvous_score
 
 A, B, C = PromptPart("a", 100), PromptPart("b", 50), PromptPart("c", 30)
 
@@ -131,4 +131,4 @@
 
 
 def test_keys_and_ids_do_not_run_together() -> None:
-    assert score("12", 1.0, "k") != score("2", 1.0, "k1")
+    assert rendezvous_score("12", 1.0, "k") != rendezvous_score("2", 1.0, "k1")
--- a/tests/decision/test_queues.py
+++ b/tests/decision/test_queues.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from reedspoke.decision import subject_queue
-from reedspoke.decision.size_bands import RECENT, Band, SizeBands
+from reedspoke.decision.size_bands import WINDOW_SIZES, Band, SizeBands
 from reedspoke.decision.subject_queue import SubjectQueue
 
 
@@ -125,12 +125,12 @@
 
 
 def test_subjects_without_jobs_are_forgotten(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(subject_queue, "REMEMBERED", 10)
+    monkeypatch.setattr(subject_queue, "MAX_IDLE_SUBJECTS", 10)
     queue: SubjectQueue[Item] = SubjectQueue()
     for index in range(1000):
         queue.push(str(index), Item(str(index)))
         take_head(queue)
-    assert queue.remembered <= 11
+    assert queue.tracked_subjects <= 11
 
 
 @given(
@@ -164,15 +164,15 @@
     for _ in range(500):
         bands.add(random.randrange(10_000))
     found = Counter(bands.add(random.randrange(10_000)) for _ in range(3000))
-    assert found[Band.TENTH] / 3000 == pytest.approx(0.1, abs=0.03)
-    assert found[Band.FIFTH] / 3000 == pytest.approx(0.2, abs=0.04)
+    assert found[Band.LARGEST_TENTH] / 3000 == pytest.approx(0.1, abs=0.03)
+    assert found[Band.NEXT_FIFTH] / 3000 == pytest.approx(0.2, abs=0.04)
 
 
 def test_bands_follow_a_change_of_sizes() -> None:
     bands = SizeBands()
-    for size in [*range(1000, 2000), *range(RECENT)]:
+    for size in [*range(1000, 2000), *range(WINDOW_SIZES)]:
         bands.add(size)
-    assert bands.add(RECENT) is Band.TENTH
+    assert bands.add(WINDOW_SIZES) is Band.LARGEST_TENTH
     assert bands.add(0) is Band.REST
 
 
--- a/tests/decision/test_retry_budget.py
+++ b/tests/decision/test_retry_budget.py
@@ -38,7 +38,7 @@
 def test_requests_grant_half_of_the_ratio() -> None:
     own = budget()
     for index in range(100):
-        own.request(index / 100)
+        own.record_request(index / 100)
     assert spend_all(own, 1.0) == 10
     assert spend_all(own, 5.0) == 0
 
@@ -46,21 +46,21 @@
 def test_grants_end_before_a_window_is_over() -> None:
     own = budget()
     for _ in range(100):
-        own.request(0.0)
-    assert spend_all(own, WINDOW_S * (1 - retry_budget.EDGE)) == 0
+        own.record_request(0.0)
+    assert spend_all(own, WINDOW_S * (1 - retry_budget.MAX_DELIVERY_WINDOWS)) == 0
 
 
 def test_slack_is_parted_and_comes_back_after_a_window() -> None:
     own = budget(slack=50, schedulers=4)
     assert spend_all(own, 0.0) == 10
     assert spend_all(own, WINDOW_S) == 0
-    assert spend_all(own, WINDOW_S * (1 + retry_budget.EDGE) + 0.01) == 10
+    assert spend_all(own, WINDOW_S * (1 + retry_budget.MAX_DELIVERY_WINDOWS) + 0.01) == 10
 
 
 def test_no_slack_in_the_first_window_of_a_process() -> None:
     own = budget(slack=50, started=0.0)
     assert spend_all(own, WINDOW_S) == 0
-    assert spend_all(own, WINDOW_S * retry_budget.FIRST_WINDOWS) > 0
+    assert spend_all(own, WINDOW_S * retry_budget.STARTUP_WINDOWS) > 0
 
 
 def test_no_slack_while_the_number_of_schedulers_is_unknown() -> None:
@@ -76,7 +76,7 @@
     own = budget(slack=50, schedulers=10)
     own.set_fleet_size(1, 0.0)
     assert spend_all(own, 1.0) == 4
-    assert spend_all(own, WINDOW_S * (retry_budget.SIZE_WINDOWS + 2)) == 40
+    assert spend_all(own, WINDOW_S * (retry_budget.FLEET_SIZE_WINDOWS + 2)) == 40
 
 
 def test_a_fleet_that_grows_makes_parts_smaller_at_once() -> None:
@@ -88,20 +88,20 @@
 def test_what_is_reserved_is_not_given_twice() -> None:
     own = budget(slack=5, schedulers=2)
     assert [own.reserve(0.0) for _ in range(3)] == [True, True, False]
-    own.give_back()
+    own.cancel_reservation()
     assert own.reserve(0.0)
     own.use(0.0)
     own.use(0.0)
-    assert not own.covered(0.0)
+    assert not own.can_use(0.0)
 
 
 def test_a_repeat_whose_grant_has_ended_is_not_sent() -> None:
     own = budget()
     for _ in range(10):
-        own.request(0.0)
+        own.record_request(0.0)
     assert own.reserve(0.0)
-    assert own.covered(8.0)
-    assert not own.covered(9.5)
+    assert own.can_use(8.0)
+    assert not own.can_use(9.5)
     with pytest.raises(ValueError, match="spent"):
         own.use(9.5)
 
@@ -110,16 +110,16 @@
     """Repeats in one window that two bursts of 100 requests grant; no window of the rule holds both."""
     own = budget()
     for _ in range(100):
-        own.request(0.0)
+        own.record_request(0.0)
     count = spend_all(own, 0.01)
     for _ in range(100):
-        own.request(0.7 * WINDOW_S)
+        own.record_request(0.7 * WINDOW_S)
     return count + spend_all(own, 0.7 * WINDOW_S)
 
 
 def test_two_bursts_grant_no_more_than_the_larger_one(monkeypatch: pytest.MonkeyPatch) -> None:
     assert two_bursts() <= RATIO * 100
-    monkeypatch.setattr(retry_budget, "RATIO_PART", 0.6)
+    monkeypatch.setattr(retry_budget, "RATIO_SHARE", 0.6)
     assert two_bursts() > RATIO * 100
 
 
@@ -154,7 +154,7 @@
             if life is None:
                 continue
             for _ in range(int(self.random.expovariate(1 / (rate + 1e-9)))):
-                life.budget.request(now)
+                life.budget.record_request(now)
                 self.requests.append(now - self.random.uniform(0, 0.02))
             if self.random.random() < greed:
                 count = spend_all(life.budget, now)
@@ -207,10 +207,10 @@
 @pytest.mark.parametrize(
     ("name", "value"),
     [
-        ("RATIO_PART", 1.5),
-        ("SLACK_PART", 1.6),
-        ("FIRST_WINDOWS", 0.0),
-        ("EDGE", -0.9),
+        ("RATIO_SHARE", 1.5),
+        ("SLACK_SHARE", 1.6),
+        ("STARTUP_WINDOWS", 0.0),
+        ("MAX_DELIVERY_WINDOWS", -0.9),
     ],
 )
 def test_each_guard_is_needed(monkeypatch: pytest.MonkeyPatch, name: str, value: float) -> None:
--- a/tests/decision/test_suspicion.py
+++ b/tests/decision/test_suspicion.py
@@ -9,7 +9,7 @@
 from reedspoke.decision import placement, worker_pool
 from reedspoke.decision.dispatcher import Dispatcher
 from reedspoke.decision.messages import AttemptEnd, Cause, Job, Load, Outcome, Repeat
-from reedspoke.decision.suspicion import KEPT_S, Suspicion
+from reedspoke.decision.suspicion import SUSPICION_TIMEOUT_S, Suspicion
 from reedspoke.telemetry.invariants import Invariant, monitor
 from tests.decision.facts import OK, dispatcher, entry, job, plain
 from tests.decision.test_placement import sent_to
@@ -20,9 +20,9 @@
 
 def suspicion(*, own: bool, others: int) -> Suspicion:
     made = Suspicion()
-    made.tell(others, 0.0)
+    made.set_others(others, 0.0)
     if own:
-        made.judge(Outcome.FAILED, Cause.RESET, 0.0)
+        made.record_attempt_end(Outcome.FAILED, Cause.RESET, 0.0)
     return made
 
 
@@ -31,7 +31,7 @@
     [(False, 0, False), (True, 0, False), (False, 1, False), (True, 1, True), (False, 2, True)],
 )
 def test_two_schedulers_make_a_suspicion_count(own: bool, others: int, shared: bool) -> None:
-    assert suspicion(own=own, others=others).is_shared(0.5) is shared
+    assert suspicion(own=own, others=others).is_confirmed(0.5) is shared
 
 
 @pytest.mark.parametrize(
@@ -41,27 +41,27 @@
 )
 def test_what_raises_a_suspicion(cause: Cause, suspected: bool) -> None:
     made = Suspicion()
-    made.judge(Outcome.FAILED, cause, 1.0)
+    made.record_attempt_end(Outcome.FAILED, cause, 1.0)
     assert made.is_own(1.1) is suspected
 
 
 def test_a_suspicion_ends_with_time_and_with_a_whole_answer() -> None:
     made = suspicion(own=True, others=0)
-    assert made.is_own(KEPT_S - 0.01)
-    assert not made.is_own(KEPT_S)
-    made.judge(Outcome.FAILED, Cause.RESET, 10.0)
-    made.judge(Outcome.OK, Cause.NONE, 10.1)
+    assert made.is_own(SUSPICION_TIMEOUT_S - 0.01)
+    assert not made.is_own(SUSPICION_TIMEOUT_S)
+    made.record_attempt_end(Outcome.FAILED, Cause.RESET, 10.0)
+    made.record_attempt_end(Outcome.OK, Cause.NONE, 10.1)
     assert not made.is_own(10.2)
 
 
 def test_the_word_of_others_fades_where_no_newer_one_comes() -> None:
     """A scheduler that is cut off, or was frozen, must not avoid a worker for as long as that lasts."""
     made = suspicion(own=False, others=5)
-    assert made.is_shared(KEPT_S - 0.01)
-    assert not made.is_shared(KEPT_S)
-    made.tell(5, 10.0)
-    made.tell(0, 10.1)
-    assert not made.is_shared(10.2)
+    assert made.is_confirmed(SUSPICION_TIMEOUT_S - 0.01)
+    assert not made.is_confirmed(SUSPICION_TIMEOUT_S)
+    made.set_others(5, 10.0)
+    made.set_others(0, 10.1)
+    assert not made.is_confirmed(10.2)
 
 
 def failed_at(scheduler: Dispatcher, count: int) -> list[str]:
@@ -86,7 +86,7 @@
     assert scheduler.suspected_workers(0.0) == ()
     failed = failed_at(scheduler, 2)
     assert sorted(scheduler.suspected_workers(0.1)) == sorted(failed)
-    assert scheduler.suspected_workers(KEPT_S + 0.1) == ()
+    assert scheduler.suspected_workers(SUSPICION_TIMEOUT_S + 0.1) == ()
 
 
 def test_who_suspects_most_workers_suspects_itself() -> None:
@@ -126,7 +126,7 @@
 
 
 def test_one_scheduler_s_word_moves_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(placement, "SUSPECTED", 1000.0)
+    monkeypatch.setattr(placement, "SUSPECTED_COST", 1000.0)
     suspected, plain_one = dispatcher(FOUR), dispatcher(FOUR)
     suspected.set_others_suspicions({"w0": 1, "w1": 1}, 0.0)
     for number in range(30):
@@ -150,7 +150,7 @@
 
 
 def test_too_many_avoided_workers_violate_the_invariant(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(worker_pool, "MOST_AVOIDED", 0.0)
+    monkeypatch.setattr(worker_pool, "MAX_AVOIDED_SHARE", 0.0)
     scheduler = dispatcher(FOUR)
     scheduler.set_others_suspicions({"w0": 2}, 0.0)
     assert scheduler.avoided_workers(0.1) == 0
--- a/tests/decision/test_tenant_turns.py
+++ b/tests/decision/test_tenant_turns.py
@@ -5,7 +5,14 @@
 import pytest
 from msgspec import structs
 
-from reedspoke.decision.job_class import URGENCY, JobClass, JobState, Shares, rank_of, turn_of
+from reedspoke.decision.job_class import (
+    SHARE_RATIO_PER_RANK,
+    JobClass,
+    JobState,
+    Shares,
+    fairness_key,
+    priority_rank,
+)
 from reedspoke.decision.messages import Job, PromptPart, Repeat
 from reedspoke.decision.size_bands import Band
 from reedspoke.decision.subject_queue import SubjectQueue
@@ -28,9 +35,9 @@
 
 
 def test_who_takes_turns() -> None:
-    assert turn_of(job()) == "shared"
-    assert turn_of(job(tenant="a")) == turn_of(job(tenant="a", parts=()))
-    assert turn_of(job(tenant="a")) != turn_of(job(tenant="b"))
+    assert fairness_key(job()) == "shared"
+    assert fairness_key(job(tenant="a")) == fairness_key(job(tenant="a", parts=()))
+    assert fairness_key(job(tenant="a")) != fairness_key(job(tenant="b"))
 
 
 @pytest.mark.parametrize(
@@ -49,17 +56,17 @@
 def test_a_tenant_s_urgency_goes_before_that_of_the_route(
     route: int, tenant: int | None, rank: float
 ) -> None:
-    assert rank_of(job(priority=route, tenant="a", tenant_priority=tenant)) == rank
+    assert priority_rank(job(priority=route, tenant="a", tenant_priority=tenant)) == rank
 
 
 def test_a_less_urgent_tenant_s_class_has_the_smaller_share() -> None:
     shares = Shares()
     urgent, other = JobClass("r1", Band.REST), JobClass("r2", Band.REST)
-    shares.offer(urgent, 1.0, rank_of(job(tenant="a", tenant_priority=0)), 0.0)
-    shares.offer(other, 1.0, rank_of(job(tenant="b", tenant_priority=1)), 0.0)
-    shares.offer(urgent, 1.0, rank_of(job(tenant="a", tenant_priority=0)), 0.0)
-    shares.offer(other, 1.0, rank_of(job(tenant="b", tenant_priority=1)), 0.0)
-    assert urgent.offered / other.offered == pytest.approx(URGENCY)
+    shares.record_arrival(urgent, 1.0, priority_rank(job(tenant="a", tenant_priority=0)), 0.0)
+    shares.record_arrival(other, 1.0, priority_rank(job(tenant="b", tenant_priority=1)), 0.0)
+    shares.record_arrival(urgent, 1.0, priority_rank(job(tenant="a", tenant_priority=0)), 0.0)
+    shares.record_arrival(other, 1.0, priority_rank(job(tenant="b", tenant_priority=1)), 0.0)
+    assert urgent.offered_work / other.offered_work == pytest.approx(SHARE_RATIO_PER_RANK)
 
 
 def test_a_tenant_with_one_job_waits_for_one_job_of_the_tenant_with_many() -> None:
@@ -69,10 +76,10 @@
         waiting = job(job_id=number, tenant="many" if number < 19 else "one")
         state = JobState(waiting, JobClass("r", Band.REST), 1.0, 1.0)
         states.append(state)
-        queue.push(turn_of(waiting), state)
+        queue.push(fairness_key(waiting), state)
     served = []
     while queue:
         head = queue.head()
-        queue.take(turn_of(head.job), head, 1.0)
+        queue.take(fairness_key(head.job), head, 1.0)
         served.append(head.job.tenant)
     assert served.index("one") <= 1
--- a/tests/decision/test_worker_state.py
+++ b/tests/decision/test_worker_state.py
@@ -5,9 +5,9 @@
 import pytest
 
 from reedspoke.decision import worker_state
+from reedspoke.decision.health_score import RECOVERY_HALF_LIFE_S
 from reedspoke.decision.messages import Cause, Load, Outcome
-from reedspoke.decision.soundness import RECOVERY_HALF_LIFE_S
-from reedspoke.decision.worker_state import Running, WorkerState
+from reedspoke.decision.worker_state import RunningAttempt, WorkerState
 from tests.decision.facts import ENGINE, entry
 
 
@@ -15,32 +15,32 @@
     return WorkerState.of(entry("w", capacity=capacity), ENGINE)
 
 
-def running(sent: float = 0.0, unread: int = 100, kept: int = 150, late_s: float = 0.5) -> Running:
-    return Running(sent=sent, unread_tokens=unread, kept_tokens=kept, expected_s=0.01, late_s=late_s)
+def running(sent: float = 0.0, unread: int = 100, kept: int = 150, late_s: float = 0.5) -> RunningAttempt:
+    return RunningAttempt(sent=sent, unread_tokens=unread, kept_tokens=kept, expected_s=0.01, late_s=late_s)
 
 
 def test_counts_follow_requests_through_their_life() -> None:
     state = worker()
     state.start(1, running())
     state.start(2, running(unread=40, kept=60))
-    assert (state.used, state.pending_tokens, state.kept_tokens) == (2, 140, 210)
+    assert (state.own_requests, state.pending_tokens, state.kept_tokens) == (2, 140, 210)
     assert state.first_event(1, 0.02) is not None
     assert state.first_event(1, 0.03) is None
     assert (state.pending_tokens, state.kept_tokens) == (40, 210)
     state.end(1)
     state.end(2)
     assert state.end(2) is None
-    assert (state.used, state.pending_tokens, state.kept_tokens) == (0, 0, 0)
+    assert (state.own_requests, state.pending_tokens, state.kept_tokens) == (0, 0, 0)
 
 
 def test_room_is_bounded_by_our_cap_and_by_what_others_hold() -> None:
     state = worker(capacity=6)
     state.others = Load(4, 0)
-    assert state.room() == 2
+    assert state.free_positions() == 2
     state.start(1, running())
-    assert state.room() == 1
+    assert state.free_positions() == 1
     state.cap = 1.9
-    assert state.room() == 0
+    assert state.free_positions() == 0
 
 
 def test_full_cuts_the_cap_once_for_requests_sent_before() -> None:
@@ -48,24 +48,24 @@
     for job_id in range(20):
         state.start(job_id, running(sent=1.0))
     state.end(0)
-    state.judge(Outcome.NOT_EXECUTED, Cause.FULL, 1.0, 2.0)
+    state.record_attempt_end(Outcome.NOT_EXECUTED, Cause.FULL, 1.0, 2.0)
     cut = state.cap
-    assert cut == pytest.approx(20 * worker_state.CAP_CUT)
-    state.judge(Outcome.NOT_EXECUTED, Cause.FULL, 1.0, 2.1)
+    assert cut == pytest.approx(20 * worker_state.CAP_DECREASE_FACTOR)
+    state.record_attempt_end(Outcome.NOT_EXECUTED, Cause.FULL, 1.0, 2.1)
     assert state.cap == cut
-    state.judge(Outcome.NOT_EXECUTED, Cause.FULL, 2.05, 2.1)
+    state.record_attempt_end(Outcome.NOT_EXECUTED, Cause.FULL, 2.05, 2.1)
     assert state.cap < cut
-    assert not state.rested(2.1)
-    assert state.rested(2.1 + worker_state.FULL_REST_S)
-    assert state.sound.at(2.1) == 1.0
+    assert not state.is_backoff_over(2.1)
+    assert state.is_backoff_over(2.1 + worker_state.FULL_BACKOFF_S)
+    assert state.health.value_at(2.1) == 1.0
 
 
 def test_the_cap_never_falls_below_one() -> None:
     state = worker()
     for at in range(1, 30):
-        state.judge(Outcome.NOT_EXECUTED, Cause.FULL, float(at), float(at))
-    assert state.cap == worker_state.CAP_LEAST
-    assert state.room() == 1
+        state.record_attempt_end(Outcome.NOT_EXECUTED, Cause.FULL, float(at), float(at))
+    assert state.cap == worker_state.MIN_CAP
+    assert state.free_positions() == 1
 
 
 def test_a_late_first_event_cuts_the_cap_and_a_prompt_one_at_a_full_cap_raises_it() -> None:
@@ -73,17 +73,17 @@
     for job_id in range(19):
         state.start(job_id, running(sent=0.0))
     state.first_event(1, 0.6)
-    assert state.cap == pytest.approx(20 * worker_state.CAP_CUT)
+    assert state.cap == pytest.approx(20 * worker_state.CAP_DECREASE_FACTOR)
     state.first_event(2, 0.6)
-    assert state.cap == pytest.approx(20 * worker_state.CAP_CUT)
+    assert state.cap == pytest.approx(20 * worker_state.CAP_DECREASE_FACTOR)
     state.start(20, running(sent=0.7))
     state.first_event(20, 0.8)
-    assert state.cap == pytest.approx(20 * worker_state.CAP_CUT + worker_state.CAP_GAIN)
+    assert state.cap == pytest.approx(20 * worker_state.CAP_DECREASE_FACTOR + worker_state.CAP_INCREASE)
     for job_id in range(10):
         state.end(job_id)
     state.start(21, running(sent=0.9))
     state.first_event(21, 1.0)
-    assert state.cap == pytest.approx(20 * worker_state.CAP_CUT + worker_state.CAP_GAIN)
+    assert state.cap == pytest.approx(20 * worker_state.CAP_DECREASE_FACTOR + worker_state.CAP_INCREASE)
 
 
 def test_late_first_events_alone_do_not_cut_below_the_floor() -> None:
@@ -92,9 +92,9 @@
         state.start(turn, running(sent=turn))
         state.first_event(turn, turn + 0.6)
         state.end(turn)
-    assert state.cap == worker_state.LATE_FLOOR * 64
-    state.judge(Outcome.NOT_EXECUTED, Cause.FULL, 20.0, 20.0)
-    assert state.cap < worker_state.LATE_FLOOR * 64
+    assert state.cap == worker_state.MIN_LATE_CAP_SHARE * 64
+    state.record_attempt_end(Outcome.NOT_EXECUTED, Cause.FULL, 20.0, 20.0)
+    assert state.cap < worker_state.MIN_LATE_CAP_SHARE * 64
     low = state.cap
     state.start(20, running(sent=21.0))
     state.first_event(20, 21.6)
@@ -114,30 +114,30 @@
     state = worker()
     rests = []
     for _ in range(8):
-        state.judge(Outcome.NOT_EXECUTED, Cause.CONNECT_FAILED, 0.0, 100.0)
-        rests.append(state.rest_until - 100.0)
-        state.rest_until = 0.0
+        state.record_attempt_end(Outcome.NOT_EXECUTED, Cause.CONNECT_FAILED, 0.0, 100.0)
+        rests.append(state.backoff_until - 100.0)
+        state.backoff_until = 0.0
     assert rests[:3] == pytest.approx([0.1, 0.2, 0.4])
-    assert rests[-1] == worker_state.REST_MOST_S
+    assert rests[-1] == worker_state.MAX_BACKOFF_S
     state.start(1, running())
     state.first_event(1, 1.0)
-    state.judge(Outcome.NOT_EXECUTED, Cause.CONNECT_FAILED, 0.0, 100.0)
-    assert state.rest_until == pytest.approx(100.1)
+    state.record_attempt_end(Outcome.NOT_EXECUTED, Cause.CONNECT_FAILED, 0.0, 100.0)
+    assert state.backoff_until == pytest.approx(100.1)
 
 
 def test_a_worker_that_fails_in_a_row_loses_trust_and_wins_it_back() -> None:
     state = worker()
-    state.judge(Outcome.FAILED, Cause.RESET, 0.0, 1.0)
+    state.record_attempt_end(Outcome.FAILED, Cause.RESET, 0.0, 1.0)
     assert state.trusted(repeatable=False, now=1.0)
     for _ in range(4):
-        state.judge(Outcome.FAILED, Cause.BAD_ANSWER, 0.0, 1.0)
+        state.record_attempt_end(Outcome.FAILED, Cause.BAD_ANSWER, 0.0, 1.0)
     assert not state.trusted(repeatable=False, now=1.0)
     assert state.trusted(repeatable=True, now=1.0)
     state.start(1, running())
     assert not state.trusted(repeatable=True, now=1.0)
-    assert not state.rested(1.0)
+    assert not state.is_backoff_over(1.0)
     for _ in range(10):
-        state.judge(Outcome.OK, Cause.NONE, 0.0, 2.0)
+        state.record_attempt_end(Outcome.OK, Cause.NONE, 0.0, 2.0)
     assert state.trusted(repeatable=False, now=2.0)
 
 
@@ -145,23 +145,23 @@
     """A service whose requests must not be repeated would lose the worker for good."""
     state = worker()
     for _ in range(5):
-        state.judge(Outcome.FAILED, Cause.RESET, 0.0, 1.0)
+        state.record_attempt_end(Outcome.FAILED, Cause.RESET, 0.0, 1.0)
     assert not state.trusted(repeatable=False, now=3.0)
     assert state.trusted(repeatable=False, now=1.0 + 2 * RECOVERY_HALF_LIFE_S)
-    state.judge(Outcome.FAILED, Cause.RESET, 0.0, 1.0 + 2 * RECOVERY_HALF_LIFE_S)
+    state.record_attempt_end(Outcome.FAILED, Cause.RESET, 0.0, 1.0 + 2 * RECOVERY_HALF_LIFE_S)
     assert not state.trusted(repeatable=False, now=1.0 + 2 * RECOVERY_HALF_LIFE_S)
 
 
 def test_its_own_error_answer_costs_trust_though_it_is_whole() -> None:
     state = worker()
     for _ in range(5):
-        state.judge(Outcome.OK, Cause.BAD_ANSWER, 0.0, 1.0)
+        state.record_attempt_end(Outcome.OK, Cause.BAD_ANSWER, 0.0, 1.0)
     assert not state.trusted(repeatable=False, now=1.0)
 
 
 def test_another_instance_at_its_address_ends_its_use() -> None:
     state = worker()
-    state.judge(Outcome.NOT_EXECUTED, Cause.WRONG_INSTANCE, 0.0, 1.0)
+    state.record_attempt_end(Outcome.NOT_EXECUTED, Cause.WRONG_INSTANCE, 0.0, 1.0)
     assert not state.usable
 
 
@@ -173,8 +173,10 @@
     state = worker()
     state.start(1, running(sent=0.0))
     state.first_event(1, 0.41)
-    assert state.excess(0.41) == pytest.approx(0.4 * worker_state.LEARN)
-    assert state.excess(0.41 + worker_state.EXCESS_HALF_S) == pytest.approx(0.2 * worker_state.LEARN)
+    assert state.excess(0.41) == pytest.approx(0.4 * worker_state.EWMA_WEIGHT)
+    assert state.excess(0.41 + worker_state.EXCESS_HALF_LIFE_S) == pytest.approx(
+        0.2 * worker_state.EWMA_WEIGHT
+    )
 
 
 def test_memory_is_bounded_but_an_idle_worker_takes_any() -> None:
