--- a/reedspoke/decision/attempt_fate.py
+++ b/reedspoke/decision/attempt_fate.py
@@ -27,8 +27,8 @@
 
     COMPLETE = auto()  # A complete answer to this attempt was received.
     CONNECT_FAILED = auto()  # The connection was refused, reset or timed out while it was being opened.
-    RESET = auto()  # The worker reset the connection.
-    CLOSED = auto()  # The worker closed the connection before the answer was complete.
+    RESET = auto()  # The connection was reset.
+    CLOSED = auto()  # The connection was closed before the answer was complete.
     SILENCE = auto()  # The attempt timed out without data from the worker.
     MALFORMED = auto()  # The bytes are no valid answer, or belong to another request.
     ABANDONED = auto()  # This scheduler cancelled the attempt.
@@ -91,7 +91,7 @@
 
 
 def next_attempt(fate: Fate, repeat: Repeat, events_forwarded: bool) -> NextAttempt:
-    """Which further attempt cannot do harm.
+    """Which further attempt is safe.
 
     `events_forwarded` tells whether the client already has a part of the answer. The limits of the route and
     of the retry budget are checked elsewhere.
--- a/reedspoke/decision/health_score.py
+++ b/reedspoke/decision/health_score.py
@@ -1,7 +1,7 @@
 """The health score of a worker: a moving average of its complete answers. No I/O and no clock.
 
 The score also recovers with time. Requests that must not be repeated are not sent to a worker with a low
-score. If a service has no other requests, no answer could raise the score again.
+score, so in a service that has no other requests, no answer could raise the score again.
 """
 
 from __future__ import annotations
@@ -18,12 +18,12 @@
     """The score of one worker; times are those of this scheduler's monotonic clock."""
 
     score: float = 1.0  # The score at the time of the last answer.
-    learned_at: float = 0.0
+    updated_at: float = 0.0  # The time of the last answer.
 
     def value_at(self, now: float) -> float:
         """The score at this time, from 0 to 1."""
-        faded = math.exp2(-max(0.0, now - self.learned_at) / RECOVERY_HALF_LIFE_S)
-        return 1 - (1 - self.score) * faded
+        decay = math.exp2(-max(0.0, now - self.updated_at) / RECOVERY_HALF_LIFE_S)
+        return 1 - (1 - self.score) * decay
 
     def record_success(self, now: float) -> None:
         """Record a complete answer."""
@@ -36,4 +36,4 @@
 
     def _set(self, score: float, now: float) -> None:
         self.score = score
-        self.learned_at = now
+        self.updated_at = now
--- a/reedspoke/decision/placement.py
+++ b/reedspoke/decision/placement.py
@@ -20,12 +20,12 @@
 from reedspoke.decision.prefix_cache import chain_of, rendezvous
 from reedspoke.decision.worker_state import LATE_SHARE, RunningAttempt, WorkerState
 
-# The probability that requests of other schedulers have already put a shared prefix into the cache of a
-# worker, by the worker's position in the preference order.
-ALREADY_READ_PROBABILITY = (0.9, 0.5, 0.25)
+# The probability that a worker has cached a shared prefix from requests of other schedulers, by the place of
+# the worker in the preference order.
+CACHED_BY_OTHERS_PROBABILITY = (0.9, 0.5, 0.25)
 # Cost of prefilling a shared prefix again, as a multiple of its prefill time. It is high because all requests
 # at that worker wait for the prefill.
-REREAD_PENALTY = 16.0
+REPEATED_PREFILL_FACTOR = 16.0
 LATE_COST_FROM = 0.85  # Share of the latency target from which an expected first event counts as late.
 LATE_COST_FACTOR = 10.0  # Cost of the expected lateness, as a multiple of it.
 CROSS_ZONE_COST = 0.01  # Cost of a worker in another zone, as a share of the latency target.
@@ -39,7 +39,7 @@
 # being prefilled elsewhere, for this share of the latency target.
 PREFERRED_WORKERS = 3
 PREFERRED_WAIT_SHARE = 0.2
-MIN_REREAD_TO_WAIT_S = 0.02  # Up to this prefill time of the prefix, a request does not wait.
+MIN_PREFILL_TO_WAIT_S = 0.02  # Up to this prefill time of the prefix, a request does not wait.
 CANDIDATE_BATCH = 24  # Workers compared at once; the next ones in the order follow if none can take the job.
 
 
@@ -59,7 +59,7 @@
     excluded: Collection[str]
     now: float
     last_resort: bool  # Whether a worker in backoff, or an untrusted one, is acceptable.
-    late_s: float  # A first event after this time is late.
+    late_after_s: float  # A first event after this time is late.
 
 
 class Placement:
@@ -101,7 +101,7 @@
         """
         chain = chain_of(job.model, job.parts) if self.engine else ()
         shared_tokens = sum(part.tokens for part in job.parts[:-1])
-        query = PlacementQuery(job, chain, shared_tokens, excluded, now, last_resort, self._late_s(job))
+        query = PlacementQuery(job, chain, shared_tokens, excluded, now, last_resort, self._late_after_s(job))
         order = self.order(affinity_key(job))
         for start in range(0, len(order), CANDIDATE_BATCH):
             found = self._best_of(query, order[start : start + CANDIDATE_BATCH], start)
@@ -126,14 +126,14 @@
         may_wait = (
             self.engine and query.now - query.job.arrived < PREFERRED_WAIT_SHARE * query.job.latency_target_s
         )
-        preferred = start  # Available workers so far in the order, including the current one.
+        available = start  # Available workers so far in the order, including the current one.
         missing_tokens, expected_s = 0, 0.0
         for place, worker in enumerate(workers, start):
-            preferred += worker.is_backoff_over(query.now) and not worker.suspicion.is_confirmed(query.now)
+            available += worker.is_backoff_over(query.now) and not worker.suspicion.is_confirmed(query.now)
             if not self._can_accept(query, worker):
                 continue
             cached = worker.cache.cached_tokens(query.chain, query.job.parts) if self.engine else 0
-            if may_wait and preferred > PREFERRED_WORKERS and self._rereads_much(query, cached):
+            if may_wait and available > PREFERRED_WORKERS and self._repeats_long_prefill(query, cached):
                 continue  # Waits briefly rather than prefill a long prefix at many workers.
             missing = max(0, query.job.prompt_tokens - cached)
             if self.engine and not worker.memory_fits(missing + query.job.output_tokens):
@@ -152,16 +152,16 @@
             else None
         )
 
-    def _late_s(self, job: Job) -> float:
+    def _late_after_s(self, job: Job) -> float:
         """The lateness limit. The tightest target of the service sets it, as all its jobs share one queue."""
         if self._latency_targets.get(job.route) != job.latency_target_s:
             self._latency_targets[job.route] = job.latency_target_s
             self._min_latency_target = min(self._latency_targets.values())
         return LATE_SHARE * self._min_latency_target
 
-    def _rereads_much(self, query: PlacementQuery, cached: int) -> bool:
-        """Whether much would be prefilled again that a preferred worker has probably cached."""
-        return (query.shared_tokens - cached) * self._speed.prefill_s_per_token > MIN_REREAD_TO_WAIT_S
+    def _repeats_long_prefill(self, query: PlacementQuery, cached: int) -> bool:
+        """Whether a long prefix would be prefilled again that a preferred worker has probably cached."""
+        return (query.shared_tokens - cached) * self._speed.prefill_s_per_token > MIN_PREFILL_TO_WAIT_S
 
     def _can_accept(self, query: PlacementQuery, worker: WorkerState) -> bool:
         if query.last_resort:
@@ -170,18 +170,20 @@
 
     def _attempt(self, query: PlacementQuery, missing_tokens: int, expected_s: float) -> RunningAttempt:
         return RunningAttempt(
-            sent=query.now,
-            unread_tokens=missing_tokens if self.engine else 0,
-            kept_tokens=missing_tokens + query.job.output_tokens if self.engine else 0,
+            sent_at=query.now,
+            prefill_tokens=missing_tokens if self.engine else 0,
+            memory_tokens=missing_tokens + query.job.output_tokens if self.engine else 0,
             expected_s=expected_s,
-            late_s=query.late_s,
+            late_after_s=query.late_after_s,
         )
 
     def _first_event_s(self, worker: WorkerState, missing_tokens: int, now: float) -> float:
         """The expected time from the send to the first event, from our own requests and the worker's pace."""
         speed = self._speed
         if self.engine:
-            expected = speed.base_s + (worker.pending_tokens + missing_tokens) * speed.prefill_s_per_token
+            expected = (
+                speed.base_s + (worker.pending_prefill_tokens + missing_tokens) * speed.prefill_s_per_token
+            )
         else:
             expected = speed.request_s
         return expected * worker.pace * (COLD_SLOWDOWN if now < worker.entry.cold_until else 1.0)
@@ -194,9 +196,11 @@
         if worker.suspicion.is_confirmed(query.now):
             cost += SUSPECTED_COST * query.job.latency_target_s
         if self.engine and query.shared_tokens > cached:
-            already_read = ALREADY_READ_PROBABILITY[place] if place < len(ALREADY_READ_PROBABILITY) else 0.0
-            reread_s = (query.shared_tokens - cached) * self._speed.prefill_s_per_token
-            cost += reread_s * REREAD_PENALTY * (1 - already_read)
+            cached_by_others = (
+                CACHED_BY_OTHERS_PROBABILITY[place] if place < len(CACHED_BY_OTHERS_PROBABILITY) else 0.0
+            )
+            prefill_s = (query.shared_tokens - cached) * self._speed.prefill_s_per_token
+            cost += prefill_s * REPEATED_PREFILL_FACTOR * (1 - cached_by_others)
         return cost
 
     def _late_cost(self, query: PlacementQuery, worker: WorkerState, first_event_s: float) -> float:
@@ -212,7 +216,7 @@
         if not self.engine:
             return self._speed.request_s * worker.pace * share
         if worker.kv_tokens:
-            kept = worker.kept_tokens + worker.others.tokens + job.prompt_tokens
+            kept = worker.memory_tokens + worker.others.tokens + job.prompt_tokens
             share = max(share, kept / worker.kv_tokens)
         cost = LOAD_COST_S * share
         return cost + BUSY_COST_S * (share - BUSY_FROM_LOAD) if share > BUSY_FROM_LOAD else cost
--- a/reedspoke/decision/service.py
+++ b/reedspoke/decision/service.py
@@ -47,7 +47,7 @@
 # within a quarter of its target.
 MAX_WAIT_SHARE = 0.22
 LAST_RESORT_MAX_LOAD = 0.5  # Below this load share, a job is sent to any worker rather than refused.
-POLL_INTERVAL_S = 0.02  # Timer interval while jobs are queued, as backoffs of workers expire meanwhile.
+POLL_INTERVAL_S = 0.02  # Timer interval while jobs are queued: backoffs and delays end with time.
 MAX_QUEUED_JOBS = 1000  # Maximum queue length; further jobs are refused at once.
 IDLE_CREDIT_JOBS = 4.0  # Jobs of credit that an idle class keeps, as jobs of rare classes arrive at random.
 LOOK_AHEAD_SUBJECTS = 2  # Subjects of a class that are considered while earlier ones wait for a worker.
@@ -158,7 +158,7 @@
         else:
             in_flight.state.may_have_run = True
             in_flight.state.partly_forwarded |= (
-                in_flight.state.job.streaming and in_flight.running.first_event > 0
+                in_flight.state.job.streaming and in_flight.running.first_event_at > 0
             )
             whole = end.outcome is Outcome.OK
             self._queue.finish_attempt(in_flight.state.job_class, in_flight.charge, cost, learn=whole)
--- a/reedspoke/decision/worker_pool.py
+++ b/reedspoke/decision/worker_pool.py
@@ -69,7 +69,7 @@
     def own_load(self) -> dict[str, Load]:
         """The load of our requests on each worker that has any."""
         busy = ((name, worker) for name, worker in self._workers.items() if worker.running)
-        return {name: Load(worker.own_requests, worker.kept_tokens) for name, worker in busy}
+        return {name: Load(worker.own_requests, worker.memory_tokens) for name, worker in busy}
 
     def set_others_suspicions(self, suspects: Mapping[str, int], now: float) -> None:
         """Set how many other schedulers suspect each worker."""
@@ -140,16 +140,16 @@
         report when they start a request, so the start is derived from the first event.
         """
         capacity = max(1, worker.entry.capacity)
-        prefill_s = attempt.unread_tokens * self._speed.prefill_s_per_token
-        if attempt.first_event or self._engine is None:
-            return prefill_s + (now - (attempt.first_event or attempt.sent)) / capacity
-        return prefill_s + max(0.0, now - attempt.sent - attempt.expected_s) / capacity
+        prefill_s = attempt.prefill_tokens * self._speed.prefill_s_per_token
+        if attempt.first_event_at or self._engine is None:
+            return prefill_s + (now - (attempt.first_event_at or attempt.sent_at)) / capacity
+        return prefill_s + max(0.0, now - attempt.sent_at - attempt.expected_s) / capacity
 
     def urgency(self, job: Job, attempt: RunningAttempt) -> int | None:
         """The urgency to send to the worker; None if it has no engine."""
         if self._engine is None:
             return None
-        return urgency_of(attempt.unread_tokens * self._speed.prefill_s_per_token, job.latency_target_s)
+        return urgency_of(attempt.prefill_tokens * self._speed.prefill_s_per_token, job.latency_target_s)
 
     def start(self, job: Job, chosen: ChosenWorker) -> None:
         """Record that a job is sent."""
@@ -160,29 +160,29 @@
 
     def first_event(self, job_id: int, worker: WorkerState, now: float) -> None:
         """Record the first event of a job's attempt."""
-        pending_before = worker.pending_tokens
+        pending_before = worker.pending_prefill_tokens
         attempt = worker.first_event(job_id, now, self._speed.has_enough_samples)
         if attempt is None:
             return
         if self._engine is None:
-            self._speed.record_request_duration(now - attempt.sent)
+            self._speed.record_request_duration(now - attempt.sent_at)
         elif (
-            pending_before == attempt.unread_tokens
+            pending_before == attempt.prefill_tokens
         ):  # Otherwise other prompts delayed it by an unknown time.
-            self._speed.record_first_event(attempt.unread_tokens, now - attempt.sent)
+            self._speed.record_first_event(attempt.prefill_tokens, now - attempt.sent_at)
 
     def end(self, job_id: int, worker: WorkerState, end: AttemptEnd, now: float) -> None:
         """Record the end of a job's attempt."""
         attempt = worker.end(job_id)
         if attempt is None:
             return
-        worker.record_attempt_end(end.outcome, end.cause, attempt.sent, now)
+        worker.record_attempt_end(end.outcome, end.cause, attempt.sent_at, now)
         if end.cause is Cause.WRONG_INSTANCE:
             self._update_usable()
         if end.outcome is Outcome.NOT_EXECUTED:
             worker.cache.drop(attempt.added)
-        if end.outcome is Outcome.OK and attempt.first_event:
-            self._speed.record_output(end.output_tokens, now - attempt.first_event)
+        if end.outcome is Outcome.OK and attempt.first_event_at:
+            self._speed.record_output(end.output_tokens, now - attempt.first_event_at)
 
     def _capacity(self) -> int:
         if self._engine is not None:
--- a/reedspoke/decision/worker_state.py
+++ b/reedspoke/decision/worker_state.py
@@ -32,12 +32,12 @@
 class RunningAttempt(Struct, eq=False):
     """One of our attempts on a worker."""
 
-    sent: float
-    unread_tokens: int  # Prompt tokens that the worker is expected to prefill.
-    kept_tokens: int  # Prompt and output tokens of the attempt in the worker's KV memory.
+    sent_at: float
+    prefill_tokens: int  # Prompt tokens that the worker is expected to prefill.
+    memory_tokens: int  # Prompt and output tokens of the attempt in the worker's KV memory.
     expected_s: float  # The expected time from the send to the first event.
-    late_s: float  # A first event after this time is late.
-    first_event: float = 0.0  # When the first event arrived; 0 if none has.
+    late_after_s: float  # A first event after this time is late.
+    first_event_at: float = 0.0  # When the first event arrived; 0 if none has.
     added: tuple[int, ...] = ()  # Parts that were new to the estimate of the prefix cache.
 
 
@@ -49,8 +49,8 @@
     cap: float  # Learned limit of positions for our requests.
     kv_tokens: int  # 0 without an engine.
     running: dict[int, RunningAttempt] = field(default_factory=dict)  # Our attempts, by job id.
-    pending_tokens: int = 0  # Prefill tokens of our attempts without a first event.
-    kept_tokens: int = 0  # Tokens of our attempts in KV memory.
+    pending_prefill_tokens: int = 0  # Prefill tokens of our attempts without a first event.
+    memory_tokens: int = 0  # Tokens of our attempts in KV memory.
     others: Load = Load()
     backoff_until: float = 0.0
     consecutive_failures: int = 0  # Failed connections and time-outs since the last data.
@@ -75,7 +75,7 @@
 
     @property
     def usable(self) -> bool:
-        """Whether the worker accepts new requests."""
+        """Whether new requests may be sent to the worker at all."""
         return not (self.entry.draining or self.replaced)
 
     @property
@@ -100,7 +100,7 @@
         """Whether this many tokens fit into its KV memory; an idle worker accepts any number."""
         if not self.kv_tokens or not self.known_requests:
             return True
-        return self.kept_tokens + self.others.tokens + tokens <= self.kv_tokens
+        return self.memory_tokens + self.others.tokens + tokens <= self.kv_tokens
 
     def load_share(self) -> float:
         """The occupied share of its positions or of its KV memory, whichever is larger."""
@@ -110,7 +110,7 @@
 
     def memory_share(self) -> float:
         """The share of its KV memory that is known to be used by requests."""
-        return (self.kept_tokens + self.others.tokens) / max(1, self.kv_tokens)
+        return (self.memory_tokens + self.others.tokens) / max(1, self.kv_tokens)
 
     def trusted(self, repeatable: bool, now: float) -> bool:
         """Whether its health score allows a request. At a low score, repeatable ones go one at a time."""
@@ -126,8 +126,8 @@
     def start(self, job_id: int, attempt: RunningAttempt) -> None:
         """Record that a request is sent to the worker."""
         self.running[job_id] = attempt
-        self.pending_tokens += attempt.unread_tokens
-        self.kept_tokens += attempt.kept_tokens
+        self.pending_prefill_tokens += attempt.prefill_tokens
+        self.memory_tokens += attempt.memory_tokens
 
     def first_event(self, job_id: int, now: float, learn_pace: bool = True) -> RunningAttempt | None:
         """Record the first event of a request; None if it is not the first or not ours.
@@ -135,10 +135,10 @@
         `learn_pace` is False while the service has too few samples to compare its workers.
         """
         attempt = self.running.get(job_id)
-        if attempt is None or attempt.first_event:
+        if attempt is None or attempt.first_event_at:
             return None
-        attempt.first_event = now
-        self.pending_tokens -= attempt.unread_tokens
+        attempt.first_event_at = now
+        self.pending_prefill_tokens -= attempt.prefill_tokens
         self.reset_failures()
         self._record_delay(attempt, now, learn_pace)
         return attempt
@@ -148,9 +148,9 @@
         attempt = self.running.pop(job_id, None)
         if attempt is None:
             return None
-        self.kept_tokens -= attempt.kept_tokens
-        if not attempt.first_event:
-            self.pending_tokens -= attempt.unread_tokens
+        self.memory_tokens -= attempt.memory_tokens
+        if not attempt.first_event_at:
+            self.pending_prefill_tokens -= attempt.prefill_tokens
         return attempt
 
     def reset_failures(self) -> None:
@@ -200,12 +200,12 @@
         self.backoff_until = max(self.backoff_until, now + backoff_s)
 
     def _record_delay(self, attempt: RunningAttempt, now: float, learn_pace: bool) -> None:
-        delay, expected = now - attempt.sent, attempt.expected_s
+        delay, expected = now - attempt.sent_at, attempt.expected_s
         excess = max(0.0, delay - expected)
         self.excess_s = self.excess(now) * (1 - EWMA_WEIGHT) + excess * EWMA_WEIGHT
         self.excess_at = now
-        if delay > attempt.late_s:
-            self._lower_cap(attempt.sent, now, max(MIN_CAP, MIN_LATE_CAP_SHARE * self.entry.capacity))
+        if delay > attempt.late_after_s:
+            self._lower_cap(attempt.sent_at, now, max(MIN_CAP, MIN_LATE_CAP_SHARE * self.entry.capacity))
         elif self.own_requests >= int(self.cap):
             self.cap = min(self.cap + CAP_INCREASE, float(max(1, self.entry.capacity)))
         if learn_pace and expected >= MIN_PACE_SAMPLE_S:
--- a/tests/decision/facts.py
+++ b/tests/decision/builders.py
@@ -1,4 +1,4 @@
-"""Workers and jobs for tests."""
+"""Builders of workers, jobs and dispatchers for tests."""
 
 from __future__ import annotations
 
@@ -20,9 +20,9 @@
 ENGINE = Engine(capacity=64, kv_tokens=400_000)
 OK = AttemptEnd(Outcome.OK)
 FULL = AttemptEnd(Outcome.NOT_EXECUTED, Cause.FULL)
-REFUSED = AttemptEnd(Outcome.NOT_EXECUTED, Cause.CONNECT_FAILED)
+CONNECT_FAILED = AttemptEnd(Outcome.NOT_EXECUTED, Cause.CONNECT_FAILED)
 RESET = AttemptEnd(Outcome.FAILED, Cause.RESET)
-STARTED = -1000.0  # of a scheduler, long ago
+STARTED = -1000.0  # The start of a scheduler, long before the tests.
 
 
 def entry(
@@ -35,7 +35,7 @@
     models: tuple[str, ...] = (),
     cold_until: float = 0.0,
 ) -> WorkerEntry:
-    """A worker on the list."""
+    """An entry in the list of workers."""
     return WorkerEntry(
         instance_id=name,
         upstream=upstream,
@@ -66,7 +66,7 @@
     max_attempts: int = 2,
     streaming: bool = True,
 ) -> Job:
-    """A request with a shared part and one of its own."""
+    """A request whose prompt has a shared part and one of its own."""
     return Job(
         job_id=job_id,
         route=route,
@@ -85,7 +85,9 @@
     )
 
 
-def plain(job_id: int, *, arrived: float = 0.0, latency_target_s: float = 0.4, max_attempts: int = 2) -> Job:
+def plain_job(
+    job_id: int, *, arrived: float = 0.0, latency_target_s: float = 0.4, max_attempts: int = 2
+) -> Job:
     """A request to a service without an engine."""
     return Job(
         job_id=job_id,
@@ -101,7 +103,7 @@
 
 
 def dispatcher(entries: Sequence[WorkerEntry], *, zone: str = "north", slack: float = 50.0) -> Dispatcher:
-    """A scheduler that has run for long, with an engine service `llm` and a plain one `svc`."""
+    """A scheduler that started long ago, with an engine service `llm` and a plain service `svc`."""
     made = Dispatcher(zone=zone, budget=RetryBudgetRule(window_s=10, ratio=0.2, slack=slack), started=STARTED)
     made.set_fleet_size(1, STARTED)
     made.configure([Upstream("llm", ENGINE), Upstream("svc")], 0.0)
--- a/tests/decision/engine_model.py
+++ b/tests/decision/engine_model.py
@@ -1,7 +1,8 @@
-"""A fleet of schedulers and batch workers in virtual time, to compare ways of placing requests.
+"""A simulated fleet of schedulers and batch workers, to compare placement strategies.
 
-Workers are modelled in slices of time: a slice goes to reading prompts first, up to a share, then to one
-output token after the other for all that run. A worker keeps prompt parts and drops those unused the longest.
+Workers run in time slices. Each slice is used for prefill first, up to a share, and then for decoding: one
+output token after the other for all running requests. A worker caches prompt parts and evicts the least
+recently used.
 """
 
 from __future__ import annotations
@@ -30,10 +31,10 @@
 )
 
 SLICE_S = 0.005
-READ_SHARE = 0.7  # of a slice, at most
-TOLD_EVERY_S = 0.25  # loads of others; they are one such time old
-SETTLE_S = 4.0  # before the end of a play: what arrives then is not counted
-QUEUE_MOST = 8  # requests that wait at a full worker
+PREFILL_SHARE = 0.7  # Maximum share of a slice for prefill.
+LOAD_REPORT_INTERVAL_S = 0.25  # Interval of load reports, which arrive one interval late.
+SETTLE_S = 4.0  # Requests that arrive in this time before the end are not counted.
+MAX_QUEUED = 8  # Requests that a full worker queues.
 ZONES = ("north", "south", "west")
 
 
@@ -43,8 +44,8 @@
     capacity: int = 64
     kv_tokens: int = 420_000
     step_s: float = 0.0026
-    step_each_s: float = 0.00004  # more, for each that runs
-    read_per_s: float = 48_000.0
+    step_per_request_s: float = 0.00004  # Additional step time per running request.
+    prefill_per_s: float = 48_000.0
 
 
 class Kind(Struct, frozen=True, kw_only=True):
@@ -53,77 +54,78 @@
     route: str
     priority: int
     per_s: float
-    shared: int  # tokens
+    shared: int  # Tokens of the shared prompt part.
     own: int
     output: int
     latency_target_s: float
     deadline_s: float
     subjects: int = 40
-    hot: float = 0.0  # part of the requests that the first subject gets
-    spread: float = 0.5  # sizes differ by this part either way
+    hot: float = 0.0  # Additional share of the requests for the first subject.
+    size_spread: float = 0.5  # Sizes vary by this share in both directions.
 
 
 class Task(Struct, eq=False):
-    """A request at a worker."""
+    """A request on a worker."""
 
     job: Job
     scheduler: int
-    unread: float = 0.0
+    prefill_left: float = 0.0
     written: float = 0.0
     started: bool = False
 
 
-class Batch(Struct, eq=False):
-    """A batch worker."""
+class BatchWorker(Struct, eq=False):
+    """A worker that batches requests."""
 
     name: str
     rules: EngineRules
     running: list[Task] = field(default_factory=list)
     waiting: list[Task] = field(default_factory=list)
-    kept: OrderedDict[tuple[str, ...], int] = field(default_factory=OrderedDict)
-    read_tokens: float = 0.0
+    cached: OrderedDict[tuple[str, ...], int] = field(default_factory=OrderedDict)
+    prefilled_tokens: float = 0.0
 
     def take(self, task: Task) -> bool:
-        """A request arrives; False where the worker is full."""
-        if len(self.running) >= self.rules.capacity and len(self.waiting) >= QUEUE_MOST:
+        """Queue a request; False if the worker is full."""
+        if len(self.running) >= self.rules.capacity and len(self.waiting) >= MAX_QUEUED:
             return False
         self.waiting.append(task)
         return True
 
     def admit(self) -> None:
+        """Start queued requests while there are free positions."""
         while self.waiting and len(self.running) < self.rules.capacity:
             task = self.waiting.pop(0)
-            task.unread = task.job.prompt_tokens - self._reuse(task.job)
-            self.read_tokens += task.unread
+            task.prefill_left = task.job.prompt_tokens - self._reuse_cached(task.job)
+            self.prefilled_tokens += task.prefill_left
             self.running.append(task)
 
-    def _reuse(self, job: Job) -> int:
-        """Tokens kept of its prompt; from now on all of it is kept."""
+    def _reuse_cached(self, job: Job) -> int:
+        """The cached tokens of a prompt, all of which is cached from now on."""
         names = tuple(part.id for part in job.parts)
         found, broken = 0, False
         for length, part in enumerate(job.parts, 1):
-            broken = broken or names[:length] not in self.kept
+            broken = broken or names[:length] not in self.cached
             found += 0 if broken else part.tokens
-            self.kept[names[:length]] = part.tokens
+            self.cached[names[:length]] = part.tokens
         for length in range(len(names), 0, -1):
-            self.kept.move_to_end(names[:length])
-        while sum(self.kept.values()) > self.rules.kv_tokens:
-            self.kept.popitem(last=False)
+            self.cached.move_to_end(names[:length])
+        while sum(self.cached.values()) > self.rules.kv_tokens:
+            self.cached.popitem(last=False)
         return found
 
     def slice(self) -> tuple[list[Task], list[Task]]:
-        """One slice of time: those whose first event came, and those that ended."""
+        """Run one time slice and return the requests with a first event, and those that ended."""
         self.admit()
-        left = SLICE_S * READ_SHARE * self.rules.read_per_s
+        left = SLICE_S * PREFILL_SHARE * self.rules.prefill_per_s
         for task in self.running:
-            step = min(left, task.unread)
-            task.unread -= step
+            step = min(left, task.prefill_left)
+            task.prefill_left -= step
             left -= step
-        reading = SLICE_S * READ_SHARE - left / self.rules.read_per_s
-        step_s = self.rules.step_s + self.rules.step_each_s * len(self.running)
+        prefill_s = SLICE_S * PREFILL_SHARE - left / self.rules.prefill_per_s
+        step_s = self.rules.step_s + self.rules.step_per_request_s * len(self.running)
         for task in self.running:
-            if task.unread <= 0:
-                task.written += (SLICE_S - reading) / step_s
+            if task.prefill_left <= 0:
+                task.written += (SLICE_S - prefill_s) / step_s
         first = [task for task in self.running if task.written > 0 and not task.started]
         for task in first:
             task.started = True
@@ -133,63 +135,63 @@
 
 
 class Result(Struct, eq=False):
-    """What a play measured."""
+    """The measurements of a simulation."""
 
-    asked: dict[str, int] = field(default_factory=lambda: defaultdict(int))
+    requested: dict[str, int] = field(default_factory=lambda: defaultdict(int))
     served: dict[str, int] = field(default_factory=lambda: defaultdict(int))
     first_event_s: dict[str, list[float]] = field(default_factory=lambda: defaultdict(list))
-    subjects_asked: dict[str, int] = field(default_factory=lambda: defaultdict(int))
+    subjects_requested: dict[str, int] = field(default_factory=lambda: defaultdict(int))
     subjects_served: dict[str, int] = field(default_factory=lambda: defaultdict(int))
-    tenth_asked: int = 0
-    tenth_served: int = 0
+    largest_tenth_requested: int = 0
+    largest_tenth_served: int = 0
     sent_tokens: int = 0
-    read_tokens: float = 0.0
-    full: int = 0  # answers 'full' of workers
+    prefilled_tokens: float = 0.0
+    full_answers: int = 0  # Refusals by full workers.
     retries: int = 0
 
-    def rate(self, route: str) -> float:
-        """The part of a route's requests that was served."""
-        return self.served[route] / max(1, self.asked[route])
+    def served_share(self, route: str) -> float:
+        """The share of a route's requests that was served."""
+        return self.served[route] / max(1, self.requested[route])
 
-    def first_at(self, route: str, part: float) -> float:
-        """A quantile of the seconds to the first event."""
+    def first_event_quantile(self, route: str, part: float) -> float:
+        """A quantile of the time to the first event."""
         ordered = sorted(self.first_event_s[route])
         return ordered[int(part * (len(ordered) - 1))]
 
-    def mean_first_s(self) -> float:
-        """The mean of the seconds to the first event, of all kinds."""
+    def mean_first_event_s(self) -> float:
+        """The mean time to the first event of all requests."""
         every = [first for firsts in self.first_event_s.values() for first in firsts]
         return sum(every) / len(every)
 
-    def in_time(self, kind: Kind) -> float:
-        """The part of a kind's requests whose first event came within the aim."""
-        prompt = sum(first <= kind.latency_target_s for first in self.first_event_s[kind.route])
-        return prompt / max(1, self.asked[kind.route])
+    def on_time_share(self, kind: Kind) -> float:
+        """The share of a kind's requests whose first event met the latency target."""
+        on_time = sum(first <= kind.latency_target_s for first in self.first_event_s[kind.route])
+        return on_time / max(1, self.requested[kind.route])
 
     @property
-    def read_share(self) -> float:
-        """The part of all prompt tokens sent that workers had to read."""
-        return self.read_tokens / self.sent_tokens
+    def prefilled_share(self) -> float:
+        """The share of all sent prompt tokens that workers had to prefill."""
+        return self.prefilled_tokens / self.sent_tokens
 
 
 class Fleet:
-    """Schedulers, workers and clients; clients do not come back."""
+    """Schedulers, workers and clients. Clients do not retry."""
 
     def __init__(
         self, kinds: list[Kind], *, schedulers: int, workers: int, seed: int, rules: EngineRules
     ) -> None:
         self.random = Random(seed)
         self.kinds, self.rules, self.now = kinds, rules, 0.0
-        self.workers = {f"w{index}": Batch(f"w{index}", rules) for index in range(workers)}
+        self.workers = {f"w{index}": BatchWorker(f"w{index}", rules) for index in range(workers)}
         self.result = Result()
         self.jobs: dict[int, tuple[Job, int]] = {}
         self.largest: set[int] = set()
-        self.counted: set[int] = set()  # jobs that arrived early enough to end
+        self.counted: set[int] = set()  # Jobs that arrived early enough to end within the simulation.
         self.counted_until = 0.0
         self.arrivals = [(self.random.expovariate(kind.per_s), index) for index, kind in enumerate(kinds)]
         heapq.heapify(self.arrivals)
         self.schedulers = [self._scheduler(index, schedulers) for index in range(schedulers)]
-        self.told: list[dict[str, Load]] = [{} for _ in self.schedulers]
+        self.reported_loads: list[dict[str, Load]] = [{} for _ in self.schedulers]
         self.weights = [1 + self.random.random() for _ in self.schedulers]
 
     def _scheduler(self, index: int, count: int) -> Dispatcher:
@@ -207,20 +209,20 @@
         dispatcher.workers_changed(entries, 0.0)
         return dispatcher
 
-    def play(self, seconds: float) -> Result:
-        """Let this time pass."""
+    def simulate(self, seconds: float) -> Result:
+        """Run the simulation for this time."""
         self.counted_until = seconds - SETTLE_S
-        slices, told_every = round(seconds / SLICE_S), round(TOLD_EVERY_S / SLICE_S)
+        slices, report_every = round(seconds / SLICE_S), round(LOAD_REPORT_INTERVAL_S / SLICE_S)
         for index in range(slices):
             self.now = index * SLICE_S
             self._arrive()
             for worker in self.workers.values():
-                self._work(worker)
+                self._advance_worker(worker)
             for number, dispatcher in enumerate(self.schedulers):
                 self._carry_out(number, dispatcher.timer_fired(self.now))
-            if index % told_every == 0:
-                self._tell()
-        self.result.read_tokens = sum(worker.read_tokens for worker in self.workers.values())
+            if index % report_every == 0:
+                self._report_loads()
+        self.result.prefilled_tokens = sum(worker.prefilled_tokens for worker in self.workers.values())
         return self.result
 
     def _arrive(self) -> None:
@@ -236,10 +238,10 @@
     def _job(self, kind: Kind) -> Job:
         job_id = len(self.jobs) + 1
         subject = 0 if self.random.random() < kind.hot else self.random.randrange(kind.subjects)
-        lot = self.random.random()
-        own = int(kind.own * (1 + kind.spread * (2 * lot - 1)))
+        uniform = self.random.random()
+        own = int(kind.own * (1 + kind.size_spread * (2 * uniform - 1)))
         if self.now < self.counted_until:
-            self._count(kind, job_id, subject, largest=lot >= 0.9)
+            self._count(kind, job_id, subject, largest=uniform >= 0.9)
         return Job(
             job_id=job_id,
             route=kind.route,
@@ -258,13 +260,13 @@
 
     def _count(self, kind: Kind, job_id: int, subject: int, largest: bool) -> None:
         self.counted.add(job_id)
-        self.result.asked[kind.route] += 1
-        self.result.subjects_asked[f"{kind.route}{subject}"] += 1
+        self.result.requested[kind.route] += 1
+        self.result.subjects_requested[f"{kind.route}{subject}"] += 1
         if largest:
             self.largest.add(job_id)
-            self.result.tenth_asked += 1
+            self.result.largest_tenth_requested += 1
 
-    def _work(self, worker: Batch) -> None:
+    def _advance_worker(self, worker: BatchWorker) -> None:
         first, ended = worker.slice()
         at = self.now + SLICE_S
         for task in first:
@@ -274,18 +276,18 @@
                 task.scheduler, self.schedulers[task.scheduler].first_event_received(task.job.job_id, at)
             )
         for task in ended:
-            self._served(task.job)
+            self._record_served(task.job)
             end = AttemptEnd(Outcome.OK, output_tokens=task.job.output_tokens)
             self._carry_out(
                 task.scheduler, self.schedulers[task.scheduler].attempt_ended(task.job.job_id, end, at)
             )
 
-    def _served(self, job: Job) -> None:
+    def _record_served(self, job: Job) -> None:
         if job.job_id not in self.counted:
             return
         self.result.served[job.route] += 1
         self.result.subjects_served[job.subject] += 1
-        self.result.tenth_served += job.job_id in self.largest
+        self.result.largest_tenth_served += job.job_id in self.largest
 
     def _carry_out(self, number: int, decisions: list[Decision]) -> None:
         for decision in decisions:
@@ -295,25 +297,25 @@
             if self.workers[decision.instance_id].take(Task(job, number)):
                 self.result.sent_tokens += job.prompt_tokens
                 continue
-            self.result.full += 1
+            self.result.full_answers += 1
             end = AttemptEnd(Outcome.NOT_EXECUTED, Cause.FULL)
             self._carry_out(number, self.schedulers[number].attempt_ended(job.job_id, end, self.now))
 
-    def _tell(self) -> None:
-        """Each scheduler hears what the others held one interval ago."""
-        held = [dispatcher.own_load() for dispatcher in self.schedulers]
+    def _report_loads(self) -> None:
+        """Give each scheduler the load of the others as of one interval ago."""
+        own_loads = [dispatcher.own_load() for dispatcher in self.schedulers]
         for number, dispatcher in enumerate(self.schedulers):
             others: dict[str, Load] = {}
-            for other, loads in enumerate(self.told):
+            for other, loads in enumerate(self.reported_loads):
                 for name, load in loads.items() if other != number else ():
                     known = others.get(name, Load())
                     others[name] = Load(known.requests + load.requests, known.tokens + load.tokens)
             self._carry_out(number, dispatcher.set_others_load(others, self.now))
-        self.told = held
+        self.reported_loads = own_loads
 
 
-def usual_kinds(scale: float, change: Callable[[Kind], Kind] = lambda kind: kind) -> list[Kind]:
-    """Long, middle and short prompts, with `scale` times as many of each."""
+def default_kinds(scale: float, change: Callable[[Kind], Kind] = lambda kind: kind) -> list[Kind]:
+    """Kinds with long, medium and short prompts at `scale` times their usual rate."""
     kinds = [
         Kind(
             route="review",
--- a/tests/decision/test_answer_action.py
+++ b/tests/decision/test_answer_action.py
@@ -1,4 +1,4 @@
-"""What is done with a whole answer: every case against the rules."""
+"""The action for a complete answer, checked for all cases."""
 
 from __future__ import annotations
 
@@ -14,24 +14,24 @@
 CASES = list(product(STATUSES, (False, True), Repeat, (False, True)))
 
 
-@pytest.mark.parametrize(("status", "told", "repeat", "begun"), CASES)
-def test_no_promise_is_passed_on_and_no_unsafe_request_goes_elsewhere_without_proof(
-    status: int, told: bool, repeat: Repeat, begun: bool
+@pytest.mark.parametrize(("status", "not_executed", "repeat", "stream_started"), CASES)
+def test_without_proof_no_not_executed_status_is_forwarded_and_no_unsafe_request_is_retried(
+    status: int, not_executed: bool, repeat: Repeat, stream_started: bool
 ) -> None:
-    use = action_for_answer(Evidence(Ending.COMPLETE, True, status, told), repeat, begun)
-    proven = status == 421 or (told and status >= 400)
-    if use is AnswerAction.NOT_RUN:
+    action = action_for_answer(Evidence(Ending.COMPLETE, True, status, not_executed), repeat, stream_started)
+    proven = status == 421 or (not_executed and status >= 400)
+    if action is AnswerAction.NOT_RUN:
         assert proven
-    if use is AnswerAction.FORWARD:
+    if action is AnswerAction.FORWARD:
         assert status not in NOT_EXECUTED_STATUSES
-        assert not begun
-    if use is AnswerAction.RETRY:
+        assert not stream_started
+    if action is AnswerAction.RETRY:
         assert repeat is not Repeat.NEVER
-        assert not begun or repeat is Repeat.RESUMABLE
+        assert not stream_started or repeat is Repeat.RESUMABLE
 
 
 @pytest.mark.parametrize(
-    ("status", "told", "repeat", "begun", "use"),
+    ("status", "not_executed", "repeat", "stream_started", "action"),
     [
         (200, False, Repeat.NEVER, False, AnswerAction.FORWARD),
         (200, True, Repeat.NEVER, False, AnswerAction.FORWARD),
@@ -48,5 +48,10 @@
         (504, False, Repeat.IDEMPOTENT, False, AnswerAction.FORWARD),
     ],
 )
-def test_named_cases(status: int, told: bool, repeat: Repeat, begun: bool, use: AnswerAction) -> None:
-    assert action_for_answer(Evidence(Ending.COMPLETE, True, status, told), repeat, begun) is use
+def test_named_cases(
+    status: int, not_executed: bool, repeat: Repeat, stream_started: bool, action: AnswerAction
+) -> None:
+    assert (
+        action_for_answer(Evidence(Ending.COMPLETE, True, status, not_executed), repeat, stream_started)
+        is action
+    )
--- a/tests/decision/test_attempt_fate.py
+++ b/tests/decision/test_attempt_fate.py
@@ -1,4 +1,4 @@
-"""What happened to an attempt, what it proves, and what that allows: every case."""
+"""The fate of an attempt, the retries and the final answers that it allows, for all cases."""
 
 from __future__ import annotations
 
@@ -22,15 +22,17 @@
 
 STATUSES = (0, 200, 421, 429, 500, 503, 504)
 ALL = [
-    Evidence(ending, bytes_sent=sent, status=status, not_executed=told)
-    for ending, sent, status, told in product(Ending, (False, True), STATUSES, (False, True))
+    Evidence(ending, bytes_sent=bytes_sent, status=status, not_executed=not_executed)
+    for ending, bytes_sent, status, not_executed in product(Ending, (False, True), STATUSES, (False, True))
 ]
 
 
 @pytest.mark.parametrize("evidence", ALL, ids=str)
 def test_only_proof_makes_a_fate_better_than_may_have_run(evidence: Evidence) -> None:
-    told = evidence.not_executed and evidence.status >= 400  # a success that says so contradicts itself
-    proof = not evidence.bytes_sent or told or evidence.status == 421
+    not_executed = (
+        evidence.not_executed and evidence.status >= 400
+    )  # On a success status the header contradicts it.
+    proof = not evidence.bytes_sent or not_executed or evidence.status == 421
     whole = evidence.ending is Ending.COMPLETE and evidence.status > 0
     expected = Fate.NEVER_RAN if proof else Fate.ANSWERED if whole else Fate.MAY_HAVE_RUN
     assert fate_of(evidence) is expected
@@ -68,7 +70,7 @@
     (Fate.ANSWERED, Repeat.RESUMABLE): FinalStatus.RETRYABLE,
     (Fate.ANSWERED, Repeat.NEVER): FinalStatus.NOT_RETRYABLE,
 }
-FURTHER = {
+NEXT = {
     (Fate.NEVER_RAN, Repeat.IDEMPOTENT, False): NextAttempt.FROM_START,
     (Fate.NEVER_RAN, Repeat.IDEMPOTENT, True): NextAttempt.NONE,
     (Fate.NEVER_RAN, Repeat.RESUMABLE, False): NextAttempt.FROM_START,
@@ -81,22 +83,25 @@
     (Fate.MAY_HAVE_RUN, Repeat.RESUMABLE, True): NextAttempt.RESUMED,
     (Fate.MAY_HAVE_RUN, Repeat.NEVER, False): NextAttempt.NONE,
     (Fate.MAY_HAVE_RUN, Repeat.NEVER, True): NextAttempt.NONE,
-} | {(Fate.ANSWERED, repeat, passed): NextAttempt.NONE for repeat, passed in product(Repeat, (False, True))}
+} | {
+    (Fate.ANSWERED, repeat, forwarded): NextAttempt.NONE
+    for repeat, forwarded in product(Repeat, (False, True))
+}
 
 
-def test_the_tables_are_whole() -> None:
+def test_the_tables_are_complete() -> None:
     assert set(FINAL) == set(product(Fate, Repeat))
-    assert set(FURTHER) == set(product(Fate, Repeat, (False, True)))
+    assert set(NEXT) == set(product(Fate, Repeat, (False, True)))
 
 
 @pytest.mark.parametrize(("fate", "repeat"), FINAL, ids=str)
-def test_what_a_client_may_be_told(fate: Fate, repeat: Repeat) -> None:
+def test_the_final_status_follows_from_the_fate(fate: Fate, repeat: Repeat) -> None:
     assert final_status(fate, repeat) is FINAL[fate, repeat]
 
 
-@pytest.mark.parametrize(("fate", "repeat", "passed"), FURTHER, ids=str)
-def test_whether_another_worker_may_have_it(fate: Fate, repeat: Repeat, passed: bool) -> None:
-    assert next_attempt(fate, repeat, passed) is FURTHER[fate, repeat, passed]
+@pytest.mark.parametrize(("fate", "repeat", "forwarded"), NEXT, ids=str)
+def test_the_next_attempt_follows_from_the_fate(fate: Fate, repeat: Repeat, forwarded: bool) -> None:
+    assert next_attempt(fate, repeat, forwarded) is NEXT[fate, repeat, forwarded]
 
 
 @pytest.mark.parametrize("evidence", ALL, ids=str)
@@ -125,5 +130,5 @@
         (Evidence(Ending.ABANDONED, bytes_sent=True), Cause.NONE),
     ],
 )
-def test_what_is_learned_of_the_worker(evidence: Evidence, cause: Cause) -> None:
+def test_the_cause_reported_for_the_worker(evidence: Evidence, cause: Cause) -> None:
     assert cause_of(evidence) is cause
--- a/tests/decision/test_deadline_expiry.py
+++ b/tests/decision/test_deadline_expiry.py
@@ -1,4 +1,4 @@
-"""Ends of requests whose deadline is over while an attempt is out."""
+"""Expiry of requests whose deadline passes while an attempt is in flight."""
 
 from __future__ import annotations
 
@@ -27,17 +27,17 @@
     )
 
 
-def test_only_what_is_over_ends() -> None:
+def test_only_requests_past_their_deadline_end() -> None:
     attempts = [attempt(1, 5.0), attempt(2, 5.1), attempt(3, 4.9)]
     assert expired_requests(attempts, 5.0) == [Expire(1, may_have_run=True), Expire(3, may_have_run=True)]
 
 
 @pytest.mark.parametrize("may_have_run", [False, True])
-def test_the_end_promises_only_what_is_certain(may_have_run: bool) -> None:
+def test_the_decision_tells_whether_an_attempt_may_have_run(may_have_run: bool) -> None:
     (end,) = expired_requests([attempt(1, 5.0, may_have_run=may_have_run)], 6.0)
     assert end.may_have_run is may_have_run
 
 
-def test_a_connection_that_comes_up_is_not_a_silent_worker() -> None:
+def test_an_attempt_without_connection_does_not_time_out() -> None:
     attempts = [attempt(1, 99.0, connected=False), attempt(2, 99.0)]
     assert timed_out_attempts(attempts, {}, 5.0) == [2]
--- a/tests/decision/test_dispatcher.py
+++ b/tests/decision/test_dispatcher.py
@@ -1,4 +1,4 @@
-"""Jobs, from their arrival to their final answer."""
+"""The dispatcher: jobs from their arrival to their final answer."""
 
 from __future__ import annotations
 
@@ -25,12 +25,12 @@
     WorkerEntry,
 )
 from reedspoke.decision.service import MAX_FAILED_CONNECTIONS
-from tests.decision.facts import FULL, OK, REFUSED, RESET, dispatcher, entry, job, plain
+from tests.decision.builders import CONNECT_FAILED, FULL, OK, RESET, dispatcher, entry, job, plain_job
 
 CANCELLED = AttemptEnd(Outcome.CANCELLED)
 
 
-def one_place(count: int = 1) -> list[WorkerEntry]:
+def single_position_workers(count: int = 1) -> list[WorkerEntry]:
     return [entry(f"w{index}", capacity=1) for index in range(count)]
 
 
@@ -40,7 +40,7 @@
 
 
 def sent(decision: Decision) -> tuple[int, str]:
-    """The job and the worker of a send."""
+    """The job and the worker of a Send decision."""
     assert isinstance(decision, Send)
     return decision.job_id, decision.instance_id
 
@@ -49,8 +49,8 @@
     return [decision.job_id for decision in decisions if isinstance(decision, Send)]
 
 
-def advance(scheduler: Dispatcher, now: float, until: float) -> list[tuple[float, Decision]]:
-    """Call the timer whenever it is asked for; what was decided when."""
+def run_timers(scheduler: Dispatcher, now: float, until: float) -> list[tuple[float, Decision]]:
+    """Fire the timer whenever it is due, and return the decisions with their times."""
     decided: list[tuple[float, Decision]] = []
     while (at := scheduler.next_timer_at(now)) is not None and at <= until:
         assert at > now
@@ -65,19 +65,19 @@
     assert scheduler.next_timer_at(0.0) is None
 
 
-def test_without_room_it_waits_and_goes_when_a_position_frees() -> None:
-    scheduler = dispatcher(one_place())
+def test_without_a_free_position_it_waits_and_is_sent_when_one_frees() -> None:
+    scheduler = dispatcher(single_position_workers())
     scheduler.job_arrived(job(1), 0.0)
     assert scheduler.job_arrived(job(2), 0.0) == []
     assert sent(only(scheduler.attempt_ended(1, OK, 0.1))) == (2, "w0")
 
 
 @pytest.mark.parametrize("latency_target_s", [0.1, 1.0, 4.0])
-def test_what_waits_is_refused_within_a_quarter_of_its_aim(latency_target_s: float) -> None:
-    scheduler = dispatcher(one_place())
+def test_a_queued_job_is_refused_within_a_quarter_of_its_latency_target(latency_target_s: float) -> None:
+    scheduler = dispatcher(single_position_workers())
     scheduler.job_arrived(job(1), 0.0)
     scheduler.job_arrived(job(2, latency_target_s=latency_target_s), 0.0)
-    ((at, refused),) = advance(scheduler, 0.0, 20.0)
+    ((at, refused),) = run_timers(scheduler, 0.0, 20.0)
     assert isinstance(refused, Refuse)
     assert refused.reason is RefuseReason.OVERLOAD
     assert 0.15 * latency_target_s < at < 0.25 * latency_target_s
@@ -86,21 +86,21 @@
     assert scheduler.attempt_ended(1, OK, 5.0) == []
 
 
-def test_clients_are_told_to_come_back_later_the_worse_the_shortage() -> None:
-    scheduler = dispatcher(one_place())
+def test_retry_after_grows_with_the_overload() -> None:
+    scheduler = dispatcher(single_position_workers())
     scheduler.job_arrived(job(1), 0.0)
     for job_id in range(2, 60):
         scheduler.job_arrived(job(job_id), 0.0)
-    waits = [d.retry_after_s for _, d in advance(scheduler, 0.0, 1.0) if isinstance(d, Refuse)]
+    waits = [d.retry_after_s for _, d in run_timers(scheduler, 0.0, 1.0) if isinstance(d, Refuse)]
     assert len(waits) == 58
     assert sum(waits[-5:]) > 1.2 * sum(waits[:5])
     assert len({round(wait, 3) for wait in waits}) > 50
 
 
-def test_without_workers_it_is_refused_as_such_unless_one_comes() -> None:
+def test_without_workers_it_is_refused_with_that_reason_unless_one_is_added() -> None:
     scheduler = dispatcher([])
     scheduler.job_arrived(job(1), 0.0)
-    ((_, refused),) = advance(scheduler, 0.0, 5.0)
+    ((_, refused),) = run_timers(scheduler, 0.0, 5.0)
     assert isinstance(refused, Refuse)
     assert refused.reason is RefuseReason.NO_WORKER
     scheduler.job_arrived(job(2, arrived=5.0), 5.0)
@@ -112,21 +112,21 @@
     assert isinstance(refused, Refuse)
 
 
-def test_a_request_whose_deadline_is_over_expires() -> None:
+def test_a_request_that_arrives_after_its_deadline_expires() -> None:
     scheduler = dispatcher([entry("w0")])
     assert only(scheduler.job_arrived(job(1, deadline_s=0.0), 0.0)) == Expire(1, may_have_run=False)
     assert scheduler.job_count == 0
 
 
-def test_a_deadline_in_the_queue_ends_it() -> None:
-    scheduler = dispatcher(one_place())
+def test_a_queued_job_expires_at_its_deadline() -> None:
+    scheduler = dispatcher(single_position_workers())
     scheduler.job_arrived(job(1), 0.0)
     scheduler.job_arrived(job(2, deadline_s=0.1), 0.0)
-    assert advance(scheduler, 0.0, 1.0) == [(0.1, Expire(2, may_have_run=False))]
+    assert run_timers(scheduler, 0.0, 1.0) == [(0.1, Expire(2, may_have_run=False))]
 
 
-def test_a_worker_that_drains_gets_nothing_more() -> None:
-    scheduler = dispatcher(one_place())
+def test_a_draining_worker_gets_no_more_requests() -> None:
+    scheduler = dispatcher(single_position_workers())
     scheduler.job_arrived(job(1), 0.0)
     scheduler.job_arrived(job(2), 0.0)
     scheduler.workers_changed([entry("w0", capacity=1, draining=True)], 0.05)
@@ -134,27 +134,27 @@
     assert sent(only(scheduler.workers_changed([entry("w1")], 0.15))) == (2, "w1")
 
 
-def test_a_resting_worker_is_tried_rather_than_refuse_while_places_are_free() -> None:
+def test_a_worker_in_backoff_is_tried_rather_than_refuse_while_the_load_is_low() -> None:
     scheduler = dispatcher([entry("w0")])
     for job_id in range(6):
         now = job_id * 5.0
         assert sends(scheduler.job_arrived(job(job_id, max_attempts=1, arrived=now), now)) == [job_id]
-        scheduler.attempt_ended(job_id, REFUSED, now)
+        scheduler.attempt_ended(job_id, CONNECT_FAILED, now)
     assert scheduler.job_arrived(job(9, arrived=25.1), 25.1) == []
-    ((at, decision),) = advance(scheduler, 25.1, 40.0)
+    ((at, decision),) = run_timers(scheduler, 25.1, 40.0)
     assert sent(decision) == (9, "w0")
     assert at < 25.1 + 0.25
 
 
-def test_a_resting_worker_is_left_alone_while_most_places_are_taken() -> None:
+def test_a_worker_in_backoff_is_not_tried_while_the_load_is_high() -> None:
     scheduler = dispatcher([entry("w0")])
     for job_id in range(6):
         now = job_id * 5.0
         scheduler.job_arrived(job(job_id, max_attempts=1, arrived=now), now)
-        scheduler.attempt_ended(job_id, REFUSED, now)
+        scheduler.attempt_ended(job_id, CONNECT_FAILED, now)
     scheduler.set_others_load({"w0": Load(40, 0)}, 25.05)
     scheduler.job_arrived(job(9, arrived=25.1), 25.1)
-    ((_, decision),) = advance(scheduler, 25.1, 40.0)
+    ((_, decision),) = run_timers(scheduler, 25.1, 40.0)
     assert isinstance(decision, Refuse)
 
 
@@ -162,7 +162,7 @@
 
 
 def test_a_request_that_never_ran_goes_to_another_worker_before_all_others() -> None:
-    scheduler = dispatcher(one_place(2))
+    scheduler = dispatcher(single_position_workers(2))
     first = only(scheduler.job_arrived(job(1), 0.0))
     second = only(scheduler.job_arrived(job(2), 0.0))
     assert isinstance(first, Send)
@@ -173,7 +173,7 @@
     assert sent(scheduler.attempt_ended(2, OK, 0.1)[0]) == (1, second.instance_id)
 
 
-def test_its_charge_is_given_back() -> None:
+def test_the_charge_for_a_request_that_never_ran_is_refunded() -> None:
     scheduler = dispatcher([entry("w0"), entry("w1")])
     scheduler.job_arrived(job(1, max_attempts=1), 0.0)
     (account,) = scheduler.accounts("llm")
@@ -205,14 +205,14 @@
     assert {answer.reason for answer in refused} == {RefuseReason.BUDGET}
 
 
-def test_a_repeat_that_waits_in_vain_gives_its_budget_back() -> None:
-    scheduler = dispatcher(one_place(2), slack=1.3)
+def test_a_retry_that_is_not_sent_releases_its_reservation() -> None:
+    scheduler = dispatcher(single_position_workers(2), slack=1.3)
     for turn in range(3):
         now = 100.0 * turn
         scheduler.job_arrived(job(turn, arrived=now), now)
-        scheduler.job_arrived(job(10 + turn, arrived=now), now)  # the other worker is taken
-        assert scheduler.attempt_ended(turn, FULL, now) == []  # it may not go to the same worker again
-        ((_, refused),) = advance(scheduler, now, now + 5)
+        scheduler.job_arrived(job(10 + turn, arrived=now), now)  # This job occupies the other worker.
+        assert scheduler.attempt_ended(turn, FULL, now) == []  # It must not be sent to the same worker again.
+        ((_, refused),) = run_timers(scheduler, now, now + 5)
         assert isinstance(refused, Refuse)
         scheduler.attempt_ended(10 + turn, OK, now + 5)
     assert scheduler.job_count == 0
@@ -259,7 +259,7 @@
     assert type(only(scheduler.attempt_ended(1, RESET, 0.2))) is expected
 
 
-def test_a_stream_once_passed_on_is_not_refused_by_what_follows() -> None:
+def test_a_partly_forwarded_stream_fails_instead_of_being_refused() -> None:
     scheduler = dispatcher([entry("w0"), entry("w1")])
     scheduler.job_arrived(job(1, repeat=Repeat.RESUMABLE), 0.0)
     scheduler.first_event_received(1, 0.1)
@@ -268,9 +268,9 @@
     assert ended == Fail(1, FailReason.ATTEMPTS)
 
 
-def test_a_plain_repeatable_request_may_start_again_though_bytes_have_come() -> None:
+def test_a_plain_repeatable_request_may_be_repeated_after_the_first_byte() -> None:
     scheduler = dispatcher([entry("p0", upstream="svc", capacity=6), entry("p1", upstream="svc", capacity=6)])
-    scheduler.job_arrived(plain(1), 0.0)
+    scheduler.job_arrived(plain_job(1), 0.0)
     scheduler.first_event_received(1, 0.01)
     assert sends(scheduler.attempt_ended(1, RESET, 0.02)) == [1]
 
@@ -283,15 +283,15 @@
 
 @pytest.mark.parametrize("end", [OK, RESET, FULL, CANCELLED])
 def test_nothing_is_decided_for_a_client_that_has_left(end: AttemptEnd) -> None:
-    scheduler = dispatcher(one_place(2))
+    scheduler = dispatcher(single_position_workers(2))
     scheduler.job_arrived(job(1, repeat=Repeat.IDEMPOTENT), 0.0)
     assert scheduler.client_left(1, 0.1) == []
     assert scheduler.attempt_ended(1, end, 0.2) == []
     assert scheduler.job_count == 0
 
 
-def test_a_client_that_leaves_the_queue_leaves_nothing_behind() -> None:
-    scheduler = dispatcher(one_place())
+def test_a_queued_job_whose_client_leaves_holds_no_resources() -> None:
+    scheduler = dispatcher(single_position_workers())
     scheduler.job_arrived(job(1), 0.0)
     scheduler.job_arrived(job(2), 0.0)
     scheduler.client_left(2, 0.1)
@@ -300,7 +300,7 @@
     assert scheduler.next_timer_at(0.2) is None
 
 
-def test_events_of_unknown_jobs_are_passed_over() -> None:
+def test_events_of_unknown_jobs_are_ignored() -> None:
     scheduler = dispatcher([entry("w0")])
     decisions = [
         scheduler.client_left(5, 0.0),
@@ -310,10 +310,10 @@
     assert decisions == [[], [], []]
 
 
-# ---- configuration, loads, memory ----
+# ---- configuration, load and memory ----
 
 
-def test_a_service_that_is_dropped_keeps_its_jobs_until_they_end() -> None:
+def test_a_removed_service_keeps_its_jobs_until_they_end() -> None:
     scheduler = dispatcher([entry("w0")])
     scheduler.job_arrived(job(1, repeat=Repeat.IDEMPOTENT), 0.0)
     scheduler.configure([Upstream("svc")], 0.1)
@@ -323,7 +323,7 @@
     assert isinstance(refused, Refuse)
 
 
-def test_own_load_is_what_is_out() -> None:
+def test_own_load_counts_attempts_in_flight() -> None:
     scheduler = dispatcher([entry("w0")])
     scheduler.job_arrived(job(1, shared=1000, own=200, output=50), 0.0)
     scheduler.job_arrived(job(2, shared=1000, own=300, output=50), 0.0)
@@ -332,7 +332,7 @@
     assert scheduler.own_load() == {"w0": Load(1, 350)}
 
 
-def test_a_large_prompt_is_not_kept_out_for_ever_by_small_ones() -> None:
+def test_a_large_prompt_is_not_starved_by_small_ones() -> None:
     scheduler = dispatcher([entry("w0")])
     sent_at: dict[int, float] = {}
     ends: list[tuple[float, int]] = []
@@ -374,15 +374,15 @@
     assert large in sent_at
 
 
-def test_the_number_that_waits_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_queue_length_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(service, "MAX_QUEUED_JOBS", 10)
-    scheduler = dispatcher(one_place())
+    scheduler = dispatcher(single_position_workers())
     answers = [scheduler.job_arrived(job(job_id), 0.0) for job_id in range(20)]
     assert sum(len(answer) for answer in answers[11:]) == 9
     assert scheduler.job_count == 11
 
 
-def test_accounts_of_routes_that_are_no_longer_asked_for_are_forgotten() -> None:
+def test_classes_of_routes_without_requests_are_dropped() -> None:
     scheduler = dispatcher([entry("w0")])
     for job_id in range(6000):
         now = job_id * 0.01
@@ -394,27 +394,27 @@
     assert scheduler.job_count == 0
 
 
-# ---- connections that do not come up ----
+# ---- failed connections ----
 
 
-def test_a_worker_that_was_not_reached_counts_neither_as_an_attempt_nor_as_a_repeat() -> None:
+def test_a_failed_connection_counts_neither_as_an_attempt_nor_as_a_retry() -> None:
     scheduler = dispatcher([entry("w0"), entry("w1"), entry("w2")], slack=0.0)
     request = job(1, repeat=Repeat.NEVER, max_attempts=1)
     sent_first = sends(scheduler.job_arrived(request, 0.0))
-    again = sends(scheduler.attempt_ended(1, REFUSED, 0.01))
+    again = sends(scheduler.attempt_ended(1, CONNECT_FAILED, 0.01))
     assert (sent_first, again) == ([1], [1])
 
 
-def test_three_workers_that_were_not_reached_are_enough() -> None:
+def test_a_job_is_refused_after_three_failed_connections() -> None:
     scheduler = dispatcher([entry(f"w{number}") for number in range(6)])
     decisions = scheduler.job_arrived(job(1, max_attempts=9), 0.0)
     for _ in range(MAX_FAILED_CONNECTIONS):
         assert sends(decisions) == [1]
-        decisions = scheduler.attempt_ended(1, REFUSED, 0.01)
+        decisions = scheduler.attempt_ended(1, CONNECT_FAILED, 0.01)
     assert isinstance(only(decisions), Refuse)
 
 
-def test_a_request_that_every_worker_has_been_tried_for_is_refused_at_once() -> None:
+def test_a_request_is_refused_at_once_after_all_workers_were_tried() -> None:
     scheduler = dispatcher([entry("w0")])
     scheduler.job_arrived(job(1, max_attempts=3), 0.0)
-    assert isinstance(only(scheduler.attempt_ended(1, REFUSED, 0.01)), Refuse)
+    assert isinstance(only(scheduler.attempt_ended(1, CONNECT_FAILED, 0.01)), Refuse)
--- a/tests/decision/test_fair_queue.py
+++ b/tests/decision/test_fair_queue.py
@@ -1,4 +1,4 @@
-"""The 2DFQ^E core."""
+"""The core of 2DFQ^E fair queueing."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Client(Struct, eq=False):
-    """The least that the queue asks of a client."""
+    """A minimal client of the queue."""
 
     phi: float = 1.0
     start: float = 0.0
@@ -26,7 +26,7 @@
 
 
 def queue_at(v: float) -> FairQueue:
-    """A queue whose clock shows v."""
+    """A queue whose virtual time is v."""
     queue = FairQueue(clock_window=1.0, refresh=0.01)
     worker = Client(out=2)
     queue.finish_attempt(worker, queue.begin_attempt(worker, ""), v)
@@ -56,8 +56,8 @@
     queue = queue_at(5.0)
     ahead = Client(start=8.0, largest={"": 4.0})
     far = Client(start=4.9, largest={"": 20.0})
-    assert queue.choose([ahead, far], no_key, 0.5) is far  # 8 - 2 is not below 5
-    assert queue.choose([ahead, far], no_key, 0.9) is ahead  # 8 - 3.6 is
+    assert queue.choose([ahead, far], no_key, 0.5) is far  # 8 - 2 is not below 5.
+    assert queue.choose([ahead, far], no_key, 0.9) is ahead  # 8 - 3.6 is below 5.
 
 
 def test_the_smallest_finish_tag_goes_where_none_is_eligible() -> None:
@@ -79,7 +79,7 @@
     assert client.largest[""] == 30.0
 
 
-def test_an_attempt_that_did_not_run_to_its_end_teaches_nothing() -> None:
+def test_an_attempt_that_did_not_run_to_its_end_does_not_update_the_estimate() -> None:
     queue, client = FairQueue(1.0, 0.01), Client(largest={"": 10.0})
     queue.finish_attempt(client, queue.begin_attempt(client, ""), 30.0, learn=False)
     assert client.largest[""] == 10.0
@@ -106,7 +106,7 @@
     assert client.start == 14.0
 
 
-def test_a_reversal_gives_all_back_whatever_was_paid_under_which_share() -> None:
+def test_a_reversal_refunds_all_charges_even_if_the_share_has_changed() -> None:
     queue, client = FairQueue(1.0, 0.01), Client(start=3.0, largest={"": 10.0})
     charge = queue.begin_attempt(client, "")
     client.phi = 4.0
@@ -144,7 +144,7 @@
     assert not queue.can_forget(Client(start=1.0, queue=[1]))
 
 
-def test_the_clock_stands_while_nobody_is_active_and_never_goes_back() -> None:
+def test_the_virtual_time_stops_while_no_client_is_active_and_never_decreases() -> None:
     queue, client = FairQueue(1.0, 0.01), Client(out=2)
     queue.finish_attempt(client, queue.begin_attempt(client, ""), 8.0)
     client.out = 0
@@ -155,7 +155,7 @@
     assert values[0] > 0
 
 
-def test_the_dispatcher_in_service_has_clients_of_this_kind() -> None:
+def test_a_flow_of_the_single_scheduler_is_a_client_of_the_queue() -> None:
     queue, flow = FairQueue(2_000_000, 10_000), Flow(1.0, largest={"api": 500.0})
     charge = queue.begin_attempt(flow, "api")
     queue.finish_attempt(flow, charge, 700.0)
@@ -164,7 +164,7 @@
 
 @pytest.mark.parametrize("seed", range(5))
 def test_backlogged_clients_get_work_by_their_shares(seed: int) -> None:
-    """Large and small jobs on several positions: work done follows the shares, whoever sends more."""
+    """With large and small jobs on several positions, the work done follows the shares."""
     random, queue = Random(seed), FairQueue(clock_window=50.0, refresh=0.01)
     clients = [Client(phi=phi, largest={"": size}, queue=[1]) for phi, size in ((1, 1), (1, 20), (2, 5))]
     work, positions, now = {id(client): 0.0 for client in clients}, 8, 0.0
--- a/tests/decision/test_prefix_cache.py
+++ b/tests/decision/test_prefix_cache.py
@@ -1,4 +1,4 @@
-"""What workers keep by our estimate, and the order that all schedulers agree on."""
+"""The estimate of the workers' prefix caches, and the order of rendezvous hashing."""
 
 from __future__ import annotations
 
@@ -32,13 +32,13 @@
     assert cached(cache, B, A) == 0
 
 
-def test_another_model_keeps_parts_of_its_own() -> None:
+def test_models_do_not_share_parts() -> None:
     cache = PrefixCache(1000)
     record(cache, A, B)
     assert cached(cache, A, B, model="n") == 0
 
 
-def test_the_part_unused_the_longest_gives_way() -> None:
+def test_the_least_recently_used_part_is_evicted() -> None:
     cache = PrefixCache(200)
     record(cache, A)
     record(cache, B)
@@ -47,7 +47,7 @@
     assert (cached(cache, A), cached(cache, B), cache.tokens) == (100, 0, 160)
 
 
-def test_of_one_prompt_the_last_part_gives_way_first() -> None:
+def test_of_one_prompt_the_last_part_is_evicted_first() -> None:
     cache = PrefixCache(180)
     record(cache, A, B)
     record(cache, PromptPart("d", 40))
@@ -62,7 +62,7 @@
     assert cache.tokens == 3
 
 
-def test_what_was_not_read_after_all_is_dropped_and_no_more() -> None:
+def test_only_new_parts_of_a_request_that_did_not_run_are_dropped() -> None:
     cache = PrefixCache(1000)
     record(cache, A)
     cache.drop(record(cache, A, B))
@@ -70,7 +70,7 @@
     assert cache.tokens == 100
 
 
-def test_a_part_whose_first_parts_are_gone_is_of_no_use() -> None:
+def test_a_part_does_not_count_after_an_earlier_part_was_dropped() -> None:
     cache = PrefixCache(1000)
     added = record(cache, A, B)
     record(cache, A, C)
@@ -78,7 +78,7 @@
     assert cached(cache, A, C) == 0
 
 
-def test_less_memory_holds_less() -> None:
+def test_a_lower_limit_evicts_parts() -> None:
     cache = PrefixCache(1000)
     record(cache, A, B)
     cache.set_limit(120)
@@ -116,7 +116,7 @@
     assert rendezvous(WORKERS, "key0") == ORDER_OF_KEY0
 
 
-def test_a_worker_that_goes_moves_only_its_own_keys() -> None:
+def test_removing_a_worker_moves_only_its_own_keys() -> None:
     for key in KEYS[:300]:
         order = rendezvous(WORKERS, key)
         left = [worker for worker in WORKERS if worker[0] != "w3"]
@@ -130,5 +130,5 @@
     assert first["large"] / len(KEYS) == pytest.approx(0.4, abs=0.03)
 
 
-def test_keys_and_ids_do_not_run_together() -> None:
+def test_keys_and_ids_are_delimited_in_the_hash() -> None:
     assert rendezvous_score("12", 1.0, "k") != rendezvous_score("2", 1.0, "k1")
--- a/tests/decision/test_queues.py
+++ b/tests/decision/test_queues.py
@@ -1,4 +1,4 @@
-"""Subjects take turns, and sizes are sorted into bands."""
+"""The subject queue and the size bands."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Item:
-    """A job; told apart by identity."""
+    """A job, compared by identity."""
 
     def __init__(self, subject: str) -> None:
         self.subject = subject
@@ -57,7 +57,7 @@
     assert turns["cheap"] == pytest.approx(40, abs=2)
 
 
-def test_a_job_that_comes_back_goes_first_and_its_charge_is_given_back() -> None:
+def test_a_job_put_back_goes_first_and_its_charge_is_refunded() -> None:
     queue: SubjectQueue[Item] = SubjectQueue()
     first, second = Item("a"), Item("b")
     queue.push("a", first)
@@ -69,7 +69,7 @@
     assert len(queue) == 2
 
 
-def test_of_two_that_come_back_the_latest_goes_first() -> None:
+def test_of_two_jobs_put_back_the_latest_goes_first() -> None:
     queue: SubjectQueue[Item] = SubjectQueue()
     one, two = Item("a"), Item("b")
     queue.push_head("a", one)
@@ -78,7 +78,7 @@
     assert [take_head(queue), take_head(queue)] == [two, one]
 
 
-def test_a_refund_brings_a_subject_s_turn_back() -> None:
+def test_a_refund_restores_the_turn_of_a_subject() -> None:
     queue: SubjectQueue[Item] = SubjectQueue()
     for subject in ("a", "a", "b", "b"):
         queue.push(subject, Item(subject))
@@ -101,7 +101,7 @@
     assert turns["old"] >= 9
 
 
-def test_the_next_subjects_are_told_in_turn() -> None:
+def test_heads_are_the_next_jobs_of_different_subjects_in_order() -> None:
     queue: SubjectQueue[Item] = SubjectQueue()
     items = [Item("a"), Item("a"), Item("b"), Item("c")]
     for item in items:
--- a/tests/decision/test_retry_budget.py
+++ b/tests/decision/test_retry_budget.py
@@ -1,4 +1,4 @@
-"""The sum of all schedulers' repeats keeps to the fleet's budget, whatever happens."""
+"""The retries of all schedulers together stay within the fleet's budget."""
 
 from __future__ import annotations
 
@@ -43,14 +43,14 @@
     assert spend_all(own, 5.0) == 0
 
 
-def test_grants_end_before_a_window_is_over() -> None:
+def test_grants_expire_before_the_end_of_a_window() -> None:
     own = budget()
     for _ in range(100):
         own.record_request(0.0)
     assert spend_all(own, WINDOW_S * (1 - retry_budget.MAX_DELIVERY_WINDOWS)) == 0
 
 
-def test_slack_is_parted_and_comes_back_after_a_window() -> None:
+def test_slack_is_divided_and_returns_after_a_window() -> None:
     own = budget(slack=50, schedulers=4)
     assert spend_all(own, 0.0) == 10
     assert spend_all(own, WINDOW_S) == 0
@@ -72,20 +72,20 @@
     assert spend_all(own, 40.0) == 0
 
 
-def test_a_fleet_that_shrinks_keeps_its_small_parts_for_long() -> None:
+def test_a_fleet_that_shrinks_keeps_its_small_shares_for_some_windows() -> None:
     own = budget(slack=50, schedulers=10)
     own.set_fleet_size(1, 0.0)
     assert spend_all(own, 1.0) == 4
     assert spend_all(own, WINDOW_S * (retry_budget.FLEET_SIZE_WINDOWS + 2)) == 40
 
 
-def test_a_fleet_that_grows_makes_parts_smaller_at_once() -> None:
+def test_a_fleet_that_grows_reduces_the_shares_at_once() -> None:
     own = budget(slack=50, schedulers=2)
     own.set_fleet_size(10, 0.0)
     assert spend_all(own, 0.0) == 4
 
 
-def test_what_is_reserved_is_not_given_twice() -> None:
+def test_a_retry_is_reserved_only_once() -> None:
     own = budget(slack=5, schedulers=2)
     assert [own.reserve(0.0) for _ in range(3)] == [True, True, False]
     own.cancel_reservation()
@@ -95,7 +95,7 @@
     assert not own.can_use(0.0)
 
 
-def test_a_repeat_whose_grant_has_ended_is_not_sent() -> None:
+def test_a_retry_whose_grant_has_expired_is_not_sent() -> None:
     own = budget()
     for _ in range(10):
         own.record_request(0.0)
@@ -107,7 +107,7 @@
 
 
 def two_bursts() -> int:
-    """Repeats in one window that two bursts of 100 requests grant; no window of the rule holds both."""
+    """The retries granted in one window by two bursts of 100 requests; no window contains both bursts."""
     own = budget()
     for _ in range(100):
         own.record_request(0.0)
@@ -123,85 +123,87 @@
     assert two_bursts() > RATIO * 100
 
 
-class Life(Struct, eq=False):
-    """A scheduler, from one start to the next."""
+class Scheduler(Struct, eq=False):
+    """A scheduler process."""
 
     budget: RetryBudget
 
 
 class Fleet(Struct, eq=False):
-    """Schedulers that start, end and spend all they may, at the worst moments."""
+    """Schedulers that start, stop and spend their whole budget at random times."""
 
     random: Random
     slack: float
-    lives: list[Life | None] = field(default_factory=list)
+    schedulers: list[Scheduler | None] = field(default_factory=list)
     requests: list[float] = field(default_factory=list)
-    repeats: list[float] = field(default_factory=list)
+    retries: list[float] = field(default_factory=list)
 
     def begin(self, index: int, now: float) -> None:
         made = RetryBudget(window_s=WINDOW_S, ratio=RATIO, slack=self.slack, started=now)
-        self.lives[index] = Life(made)
+        self.schedulers[index] = Scheduler(made)
 
-    def tell_size(self, now: float) -> None:
-        """Members hear of the number, some later than others; a part may see only a part."""
-        alive = [life for life in self.lives if life]
-        for life in alive:
+    def report_size(self, now: float) -> None:
+        """Report the number of schedulers to most of them; the others learn it later."""
+        alive = [scheduler for scheduler in self.schedulers if scheduler]
+        for scheduler in alive:
             if self.random.random() < 0.9:
-                life.budget.set_fleet_size(len(alive), now)
+                scheduler.budget.set_fleet_size(len(alive), now)
 
-    def step(self, now: float, rate: float, greed: float) -> None:
-        for life in self.lives:
-            if life is None:
+    def step(self, now: float, rate: float, spend_probability: float) -> None:
+        for scheduler in self.schedulers:
+            if scheduler is None:
                 continue
             for _ in range(int(self.random.expovariate(1 / (rate + 1e-9)))):
-                life.budget.record_request(now)
+                scheduler.budget.record_request(now)
                 self.requests.append(now - self.random.uniform(0, 0.02))
-            if self.random.random() < greed:
-                count = spend_all(life.budget, now)
-                self.repeats += [now + self.random.uniform(0, 0.3) for _ in range(count)]
+            if self.random.random() < spend_probability:
+                count = spend_all(scheduler.budget, now)
+                self.retries += [now + self.random.uniform(0, 0.3) for _ in range(count)]
 
-    def worst(self) -> float:
-        """The largest excess of repeats over the budget, of all windows that end at a repeat."""
-        requests, repeats = sorted(self.requests), sorted(self.repeats)
-        return max((self._excess(requests, repeats, end) for end in repeats), default=-1.0)
+    def max_excess(self) -> float:
+        """The largest excess of retries over the budget in any window that ends at a retry."""
+        requests, retries = sorted(self.requests), sorted(self.retries)
+        return max((self._excess(requests, retries, end) for end in retries), default=-1.0)
 
-    def _excess(self, requests: list[float], repeats: list[float], end: float) -> float:
-        count = bisect_right(repeats, end) - bisect_left(repeats, end - WINDOW_S)
+    def _excess(self, requests: list[float], retries: list[float], end: float) -> float:
+        count = bisect_right(retries, end) - bisect_left(retries, end - WINDOW_S)
         ends = (end, end - WINDOW_S / 2, end - WINDOW_S)
         most = max(bisect_right(requests, at) - bisect_left(requests, at - WINDOW_S) for at in ends)
         return count - RATIO * most - self.slack
 
 
-def play(seed: int, quiet: bool = False) -> float:
-    """A random timeline with bursts, quiet, restarts, crowds of restarts and growth; the worst excess.
-    A `quiet` one has no requests, so that only the slack is spent."""
+def simulate(seed: int, quiet: bool = False) -> float:
+    """The largest excess in a random timeline with bursts, idle times, mass restarts and growth.
+
+    With `quiet` there are no requests, so only the slack is spent.
+    """
     random = Random(seed)
-    fleet = Fleet(random, slack=random.choice((0.0, 10.0, 55.0)), lives=[None] * random.randint(1, 12))
-    for index in range(len(fleet.lives)):
+    fleet = Fleet(random, slack=random.choice((0.0, 10.0, 55.0)), schedulers=[None] * random.randint(1, 12))
+    for index in range(len(fleet.schedulers)):
         fleet.begin(index, 0.0)
-    rate, greed, now = 0.5, 0.5, 0.0
+    rate, spend_probability, now = 0.5, 0.5, 0.0
     while now < 120.0:
         now += 0.1
         if random.random() < 0.02:
-            rate, greed = random.choice((0.0, 0.02, 0.5, 3.0)), random.choice((0.0, 0.05, 1.0))
+            rate, spend_probability = random.choice((0.0, 0.02, 0.5, 3.0)), random.choice((0.0, 0.05, 1.0))
         if random.random() < 0.02:
-            for index in range(len(fleet.lives)):
+            for index in range(len(fleet.schedulers)):
                 if random.random() < 0.3:
                     fleet.begin(index, now)
         if random.random() < 0.01:
-            index = random.randrange(len(fleet.lives))
-            fleet.lives[index] = None
+            index = random.randrange(len(fleet.schedulers))
+            fleet.schedulers[index] = None
         if random.random() < 0.01:
-            fleet.begin(random.randrange(len(fleet.lives)), now)
-        fleet.tell_size(now)
-        fleet.step(now, 0.0 if quiet else rate, greed)
-    return fleet.worst()
+            fleet.begin(random.randrange(len(fleet.schedulers)), now)
+        fleet.report_size(now)
+        fleet.step(now, 0.0 if quiet else rate, spend_probability)
+    return fleet.max_excess()
 
 
 @pytest.mark.parametrize("quiet", [False, True])
 @pytest.mark.parametrize("seed", range(12))
 def test_the_fleet_never_exceeds_its_budget(seed: int, quiet: bool) -> None:
-    assert play(seed, quiet) <= 0
+    assert simulate(seed, quiet) <= 0
 
 
 @pytest.mark.parametrize(
@@ -213,7 +215,7 @@
         ("MAX_DELIVERY_WINDOWS", -0.9),
     ],
 )
-def test_each_guard_is_needed(monkeypatch: pytest.MonkeyPatch, name: str, value: float) -> None:
-    """Random play catches a budget without the guard."""
+def test_each_limit_is_needed(monkeypatch: pytest.MonkeyPatch, name: str, value: float) -> None:
+    """The random timelines detect a budget without one of these limits."""
     monkeypatch.setattr(retry_budget, name, value)
-    assert any(play(seed, quiet) > 0 for quiet in (True, False) for seed in range(12))
+    assert any(simulate(seed, quiet) > 0 for quiet in (True, False) for seed in range(12))
--- a/tests/decision/test_suspicion.py
+++ b/tests/decision/test_suspicion.py
@@ -1,4 +1,4 @@
-"""Suspicions of workers: this scheduler's own, those of others, and what they change."""
+"""Suspicions of workers by this and other schedulers, and their effect on placement."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from reedspoke.decision.messages import AttemptEnd, Cause, Job, Load, Outcome, Repeat
 from reedspoke.decision.suspicion import SUSPICION_TIMEOUT_S, Suspicion
 from reedspoke.telemetry.invariants import Invariant, monitor
-from tests.decision.facts import OK, dispatcher, entry, job, plain
+from tests.decision.builders import OK, dispatcher, entry, job, plain_job
 from tests.decision.test_placement import sent_to
 
 FOUR = [entry(f"w{index}") for index in range(4)]
@@ -39,7 +39,7 @@
     [(Cause.RESET, True), (Cause.TIMED_OUT, True), (Cause.CONNECT_FAILED, True), (Cause.WRONG_INSTANCE, True)]
     + [(Cause.FULL, False), (Cause.BAD_ANSWER, False), (Cause.DEADLINE, False), (Cause.NONE, False)],
 )
-def test_what_raises_a_suspicion(cause: Cause, suspected: bool) -> None:
+def test_which_causes_raise_a_suspicion(cause: Cause, suspected: bool) -> None:
     made = Suspicion()
     made.record_attempt_end(Outcome.FAILED, cause, 1.0)
     assert made.is_own(1.1) is suspected
@@ -54,8 +54,8 @@
     assert not made.is_own(10.2)
 
 
-def test_the_word_of_others_fades_where_no_newer_one_comes() -> None:
-    """A scheduler that is cut off, or was frozen, must not avoid a worker for as long as that lasts."""
+def test_suspicions_of_others_expire_without_an_update() -> None:
+    """A scheduler that is partitioned or frozen must not keep avoiding a worker."""
     made = suspicion(own=False, others=5)
     assert made.is_confirmed(SUSPICION_TIMEOUT_S - 0.01)
     assert not made.is_confirmed(SUSPICION_TIMEOUT_S)
@@ -65,7 +65,7 @@
 
 
 def failed_at(scheduler: Dispatcher, count: int) -> list[str]:
-    """Workers that have failed one request each."""
+    """Let this many workers fail one request each, and return their names."""
     failed: list[str] = []
     for number in range(1000):
         where = sent_to(scheduler, job(number, subject=f"s{number}", repeat=Repeat.NEVER), 0.0)
@@ -81,7 +81,7 @@
     return failed
 
 
-def test_own_suspects_are_told_while_they_are_few() -> None:
+def test_own_suspicions_are_reported_while_they_are_few() -> None:
     scheduler = dispatcher(FOUR)
     assert scheduler.suspected_workers(0.0) == ()
     failed = failed_at(scheduler, 2)
@@ -89,13 +89,13 @@
     assert scheduler.suspected_workers(SUSPICION_TIMEOUT_S + 0.1) == ()
 
 
-def test_who_suspects_most_workers_suspects_itself() -> None:
+def test_a_scheduler_that_suspects_most_workers_reports_none() -> None:
     scheduler = dispatcher(FOUR)
     failed_at(scheduler, 3)
     assert scheduler.suspected_workers(0.1) == ()
 
 
-@pytest.mark.parametrize(("make", "upstream"), [(job, "llm"), (plain, "svc")])
+@pytest.mark.parametrize(("make", "upstream"), [(job, "llm"), (plain_job, "svc")])
 def test_a_suspected_worker_is_avoided_while_others_have_room(
     make: Callable[[int], Job], upstream: str
 ) -> None:
@@ -117,7 +117,7 @@
     assert sent_to(scheduler, job(1), 0.1) == "w0"
 
 
-def test_all_suspected_is_as_none_suspected() -> None:
+def test_if_all_are_suspected_none_is_avoided() -> None:
     suspected, plain_one = dispatcher(FOUR), dispatcher(FOUR)
     suspected.set_others_suspicions({worker.instance_id: 5 for worker in FOUR}, 0.0)
     for number in range(30):
@@ -125,7 +125,7 @@
         assert sent_to(suspected, request) == sent_to(plain_one, request)
 
 
-def test_one_scheduler_s_word_moves_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_suspicion_of_one_scheduler_has_no_effect(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(placement, "SUSPECTED_COST", 1000.0)
     suspected, plain_one = dispatcher(FOUR), dispatcher(FOUR)
     suspected.set_others_suspicions({"w0": 1, "w1": 1}, 0.0)
@@ -141,7 +141,7 @@
     assert scheduler.avoided_workers(0.3) == 0
 
 
-def test_a_job_knows_whom_it_avoids() -> None:
+def test_the_workers_that_a_job_avoids() -> None:
     scheduler = dispatcher(FOUR)
     scheduler.set_others_suspicions({"w2": 2}, 0.0)
     assert sent_to(scheduler, job(1), 0.1) is not None
--- a/tests/decision/test_tenant_turns.py
+++ b/tests/decision/test_tenant_turns.py
@@ -1,4 +1,4 @@
-"""Tenants in the queue: a tenant that asks for much does not hold up the others."""
+"""Tenants in the queue: a tenant with many requests does not delay the others."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
     return structs.replace(JOB, **changes)
 
 
-def test_who_takes_turns() -> None:
+def test_the_fairness_key_is_the_tenant_or_else_the_subject() -> None:
     assert fairness_key(job()) == "shared"
     assert fairness_key(job(tenant="a")) == fairness_key(job(tenant="a", parts=()))
     assert fairness_key(job(tenant="a")) != fairness_key(job(tenant="b"))
--- a/tests/decision/test_worker_state.py
+++ b/tests/decision/test_worker_state.py
@@ -1,4 +1,4 @@
-"""What is learned of one worker."""
+"""The state of one worker: capacity, backoff, health and delays."""
 
 from __future__ import annotations
 
@@ -8,29 +8,33 @@
 from reedspoke.decision.health_score import RECOVERY_HALF_LIFE_S
 from reedspoke.decision.messages import Cause, Load, Outcome
 from reedspoke.decision.worker_state import RunningAttempt, WorkerState
-from tests.decision.facts import ENGINE, entry
+from tests.decision.builders import ENGINE, entry
 
 
 def worker(capacity: int = 64) -> WorkerState:
     return WorkerState.of(entry("w", capacity=capacity), ENGINE)
 
 
-def running(sent: float = 0.0, unread: int = 100, kept: int = 150, late_s: float = 0.5) -> RunningAttempt:
-    return RunningAttempt(sent=sent, unread_tokens=unread, kept_tokens=kept, expected_s=0.01, late_s=late_s)
+def running(
+    sent: float = 0.0, unread: int = 100, kept: int = 150, late_after_s: float = 0.5
+) -> RunningAttempt:
+    return RunningAttempt(
+        sent_at=sent, prefill_tokens=unread, memory_tokens=kept, expected_s=0.01, late_after_s=late_after_s
+    )
 
 
-def test_counts_follow_requests_through_their_life() -> None:
+def test_counts_follow_the_requests_of_the_worker() -> None:
     state = worker()
     state.start(1, running())
     state.start(2, running(unread=40, kept=60))
-    assert (state.own_requests, state.pending_tokens, state.kept_tokens) == (2, 140, 210)
+    assert (state.own_requests, state.pending_prefill_tokens, state.memory_tokens) == (2, 140, 210)
     assert state.first_event(1, 0.02) is not None
     assert state.first_event(1, 0.03) is None
-    assert (state.pending_tokens, state.kept_tokens) == (40, 210)
+    assert (state.pending_prefill_tokens, state.memory_tokens) == (40, 210)
     state.end(1)
     state.end(2)
     assert state.end(2) is None
-    assert (state.own_requests, state.pending_tokens, state.kept_tokens) == (0, 0, 0)
+    assert (state.own_requests, state.pending_prefill_tokens, state.memory_tokens) == (0, 0, 0)
 
 
 def test_room_is_bounded_by_our_cap_and_by_what_others_hold() -> None:
@@ -110,7 +114,7 @@
     assert state.cap == 1.0
 
 
-def test_failed_connections_rest_it_ever_longer_until_a_sign_of_life() -> None:
+def test_backoff_grows_with_failed_connections_until_data_arrives() -> None:
     state = worker()
     rests = []
     for _ in range(8):
@@ -125,7 +129,7 @@
     assert state.backoff_until == pytest.approx(100.1)
 
 
-def test_a_worker_that_fails_in_a_row_loses_trust_and_wins_it_back() -> None:
+def test_a_worker_that_fails_repeatedly_loses_trust_and_regains_it() -> None:
     state = worker()
     state.record_attempt_end(Outcome.FAILED, Cause.RESET, 0.0, 1.0)
     assert state.trusted(repeatable=False, now=1.0)
@@ -141,8 +145,8 @@
     assert state.trusted(repeatable=False, now=2.0)
 
 
-def test_trust_comes_back_with_time_where_no_request_can_win_it_back() -> None:
-    """A service whose requests must not be repeated would lose the worker for good."""
+def test_trust_recovers_with_time_where_no_request_can_raise_it() -> None:
+    """Otherwise a service whose requests must not be repeated would lose the worker permanently."""
     state = worker()
     for _ in range(5):
         state.record_attempt_end(Outcome.FAILED, Cause.RESET, 0.0, 1.0)
@@ -152,14 +156,14 @@
     assert not state.trusted(repeatable=False, now=1.0 + 2 * RECOVERY_HALF_LIFE_S)
 
 
-def test_its_own_error_answer_costs_trust_though_it_is_whole() -> None:
+def test_a_complete_server_error_lowers_trust() -> None:
     state = worker()
     for _ in range(5):
         state.record_attempt_end(Outcome.OK, Cause.BAD_ANSWER, 0.0, 1.0)
     assert not state.trusted(repeatable=False, now=1.0)
 
 
-def test_another_instance_at_its_address_ends_its_use() -> None:
+def test_a_worker_whose_address_has_another_instance_is_not_usable() -> None:
     state = worker()
     state.record_attempt_end(Outcome.NOT_EXECUTED, Cause.WRONG_INSTANCE, 0.0, 1.0)
     assert not state.usable
@@ -169,7 +173,7 @@
     assert not WorkerState.of(entry("w", draining=True), ENGINE).usable
 
 
-def test_a_delay_beyond_the_expectation_is_remembered_and_fades() -> None:
+def test_the_excess_delay_is_averaged_and_decays() -> None:
     state = worker()
     state.start(1, running(sent=0.0))
     state.first_event(1, 0.41)
