--- a/reedspoke/decision/dispatcher.py
+++ b/reedspoke/decision/dispatcher.py
@@ -144,7 +144,7 @@
 
     def unreleased(self) -> dict[str, HeldResources]:
         """Resources still held by services without jobs, by service name; empty unless there is a leak."""
-        idle = {name: service.unreleased() for name, service in self._services.items() if service.idle}
+        idle = {name: service.held_resources() for name, service in self._services.items() if service.idle}
         return {name: held for name, held in idle.items() if held != NOTHING_HELD}
 
     @property
--- a/reedspoke/decision/fair_queue.py
+++ b/reedspoke/decision/fair_queue.py
@@ -3,7 +3,7 @@
 It follows "2DFQ: Two-Dimensional Fair Queueing for Multi-Tenant Cloud Services" (SIGCOMM 2016). Symbols: f is
 a client, S_f its start tag, phi_f its share, v the virtual time, L_max^f its largest recent cost for a job
 key, n the number of positions (requests that workers run at once), and i the rank of one of them. Times and
-costs may have any unit if both have the same: `logic.py` uses microseconds, the fleet's dispatcher seconds.
+costs may have any unit if both have the same; the dispatcher uses seconds.
 """
 
 from __future__ import annotations
@@ -152,7 +152,7 @@
         client.start -= charge.start_tag_delta
         charge.paid = charge.start_tag_delta = 0.0
 
-    def can_forget(self, client: FairClient, credit_jobs: float = 0.0) -> bool:
+    def can_drop(self, client: FairClient, credit_jobs: float = 0.0) -> bool:
         """Whether an idle client may be dropped: it has at least the credit that a new client gets."""
         if client.out or client.queue:
             return False
--- a/reedspoke/decision/service.py
+++ b/reedspoke/decision/service.py
@@ -123,7 +123,7 @@
         )
         self._jobs[job.job_id] = state
         self._enqueue(state, now)
-        self._forget_idle()
+        self._drop_idle_classes()
         self.dispatch_waiting(now)
         self._schedule_wait_end(state)
 
@@ -354,13 +354,13 @@
         return self.pool.placement.choose(state.job, excluded, now, last_resort=True)
 
     def _end_without_attempt(
-        self, state: JobState, reason: RefuseReason, failed: FailReason, now: float
+        self, state: JobState, reason: RefuseReason, fail_reason: FailReason, now: float
     ) -> None:
         """End a job without another attempt: refuse it if it has not run or may be repeated, else fail it."""
         job_id = state.job.job_id
-        promise = final_status(fate(state), state.job.repeat) is FinalStatus.RETRYABLE
-        if state.partly_forwarded or not promise:
-            self._answer(state, Fail(job_id, failed))
+        retryable = final_status(fate(state), state.job.repeat) is FinalStatus.RETRYABLE
+        if state.partly_forwarded or not retryable:
+            self._answer(state, Fail(job_id, fail_reason))
         else:
             after = self._retry_after.record_refusal(job_id, state.job.deadline - now, now)
             self._answer(state, Refuse(job_id, after, reason))
@@ -384,7 +384,7 @@
         """Whether the service has no jobs."""
         return not (self._jobs or self._in_flight)
 
-    def unreleased(self) -> HeldResources:
+    def held_resources(self) -> HeldResources:
         """The resources that are held now."""
         return HeldResources(
             waiting=sum(len(job_class.queue) for job_class in self._classes.values()),
@@ -436,19 +436,19 @@
         route = [self._classes.get((job.route, band)) for band in range(3)]
         return max([known.largest.get(key, 0.0) for known in route if known is not None] + [expected])
 
-    def _forget_idle(self) -> None:
+    def _drop_idle_classes(self) -> None:
         """Drop idle classes that owe nothing."""
         self._arrival_count += 1
         if self._arrival_count % CLEANUP_INTERVAL_ARRIVALS:
             return
-        kept = {key: c for key, c in self._classes.items() if not self._queue.can_forget(c, IDLE_CREDIT_JOBS)}
+        kept = {key: c for key, c in self._classes.items() if not self._queue.can_drop(c, IDLE_CREDIT_JOBS)}
         self._classes = kept
         routes = {route for route, _ in kept}
         self._bands = {route: bands for route, bands in self._bands.items() if route in routes}
 
 
 def failed_connections(state: JobState) -> int:
-    """The number of attempts whose connection failed.
+    """The number of attempts whose connection fail_reason.
 
     Nothing of them has reached a worker, so they count neither as attempts of the route nor as retries.
     """
--- a/reedspoke/decision/subject_queue.py
+++ b/reedspoke/decision/subject_queue.py
@@ -15,7 +15,7 @@
 
 JobT = TypeVar("JobT")
 
-MAX_IDLE_SUBJECTS = 1024  # Maximum number of subjects whose finish tag is kept.
+MAX_FINISH_TAGS = 1024  # Maximum number of subjects whose finish tag is kept.
 
 
 class SubjectQueue(Generic[JobT]):
@@ -71,7 +71,7 @@
         """Remove a job to serve it, and charge its subject. Raises ValueError if it is not queued."""
         turn = not self._returned and self.head() is job
         if not self.remove(subject, job):
-            raise ValueError("the job does not wait")
+            raise ValueError("the job is not in the queue")
         if turn:
             self._virtual_time = max(self._virtual_time, self._finish_tags.get(subject, 0.0))
         self._charge(subject, cost)
@@ -101,7 +101,7 @@
     def _first_subject(self) -> str:
         if self._front is None:
             if not self._waiting:
-                raise IndexError("no job waits")
+                raise IndexError("the queue is empty")
             self._front = min(self._waiting, key=self._order_key)
         return self._front
 
@@ -114,7 +114,7 @@
         self._front = None
         while self._finish_tags:
             oldest, tag = next(iter(self._finish_tags.items()))
-            if tag > self._virtual_time and len(self._finish_tags) <= MAX_IDLE_SUBJECTS:
+            if tag > self._virtual_time and len(self._finish_tags) <= MAX_FINISH_TAGS:
                 break
             del self._finish_tags[oldest]
 
--- a/reedspoke/decision/worker_pool.py
+++ b/reedspoke/decision/worker_pool.py
@@ -108,8 +108,8 @@
     def load_share(self) -> float:
         """The share of the usable workers' positions or memory that is known to be occupied."""
         positions = sum(worker.entry.capacity for worker in self._usable)
-        taken = sum(worker.load_share() * worker.entry.capacity for worker in self._usable)
-        return taken / positions if positions else 1.0
+        occupied = sum(worker.load_share() * worker.entry.capacity for worker in self._usable)
+        return occupied / positions if positions else 1.0
 
     def stagger(self, worker: WorkerState) -> float:
         """The stagger i/n of the worker's next position.
--- a/tests/decision/test_deadline_expiry.py
+++ b/tests/decision/test_deadline_expiry.py
@@ -12,6 +12,7 @@
 def attempt(
     job_id: int, deadline: float, *, connected: bool = True, may_have_run: bool = True
 ) -> OpenAttempt:
+    """An attempt in flight with this deadline."""
     return OpenAttempt(
         job_id=job_id,
         instance_id="i-1",
--- a/tests/decision/test_dispatcher.py
+++ b/tests/decision/test_dispatcher.py
@@ -31,10 +31,12 @@
 
 
 def single_position_workers(count: int = 1) -> list[WorkerEntry]:
+    """Workers with one position each."""
     return [entry(f"w{index}", capacity=1) for index in range(count)]
 
 
 def only(decisions: Iterable[Decision]) -> Decision:
+    """The single decision."""
     (decision,) = decisions
     return decision
 
@@ -46,6 +48,7 @@
 
 
 def sends(decisions: Iterable[Decision]) -> list[int]:
+    """The jobs of the Send decisions."""
     return [decision.job_id for decision in decisions if isinstance(decision, Send)]
 
 
--- a/tests/decision/test_dispatcher_random.py
+++ b/tests/decision/test_dispatcher_random.py
@@ -35,6 +35,7 @@
     delivered: dict[int, int] = {}
 
     def apply(decisions: list[Decision]) -> None:
+        """Check the decisions and apply them to the model."""
         for decision in decisions:
             assert decision.job_id in open_jobs, decision
             if isinstance(decision, Send):
--- a/tests/decision/test_engine_model.py
+++ b/tests/decision/test_engine_model.py
@@ -15,16 +15,19 @@
 
 
 def simulate(kinds: list[Kind], seconds: float = 14.0, seed: int = 1, workers: int = 3) -> Result:
+    """Simulate a fleet with three schedulers."""
     fleet = Fleet(kinds, schedulers=3, workers=workers, seed=seed, rules=EngineRules())
     return fleet.simulate(seconds)
 
 
 def kinds_of(scale: float, **changes: float | int) -> list[Kind]:
+    """The default kinds with changed fields."""
     return default_kinds(scale, lambda kind: replace(kind, **changes))
 
 
 @pytest.fixture(scope="module")
 def overloaded() -> Result:
+    """The result of a simulation under overload."""
     return simulate(kinds_of(OVERLOAD, subjects=15), seconds=18.0)
 
 
@@ -86,6 +89,7 @@
 
 
 def heavy_and_rare(change: Callable[[Kind], Kind] = lambda kind: kind) -> list[Kind]:
+    """A kind with many requests and one with few."""
     heavy, rare, _ = kinds_of(OVERLOAD, subjects=10)
     return [change(replace(heavy, per_s=70.0, priority=1)), replace(rare, per_s=6.0, priority=1)]
 
--- a/tests/decision/test_fair_queue.py
+++ b/tests/decision/test_fair_queue.py
@@ -22,6 +22,7 @@
 
 
 def no_key(_: Client) -> str:
+    """The same job key for all clients."""
     return ""
 
 
@@ -136,12 +137,12 @@
 
 def test_a_client_with_work_or_debt_is_not_forgotten() -> None:
     queue = queue_at(50.0)
-    assert queue.can_forget(Client(start=49.5))
-    assert queue.can_forget(Client(start=46.5), credit_jobs=3)
-    assert not queue.can_forget(Client(start=49.5), credit_jobs=3)
-    assert not queue.can_forget(Client(start=50.5))
-    assert not queue.can_forget(Client(start=1.0, out=1))
-    assert not queue.can_forget(Client(start=1.0, queue=[1]))
+    assert queue.can_drop(Client(start=49.5))
+    assert queue.can_drop(Client(start=46.5), credit_jobs=3)
+    assert not queue.can_drop(Client(start=49.5), credit_jobs=3)
+    assert not queue.can_drop(Client(start=50.5))
+    assert not queue.can_drop(Client(start=1.0, out=1))
+    assert not queue.can_drop(Client(start=1.0, queue=[1]))
 
 
 def test_the_virtual_time_stops_while_no_client_is_active_and_never_decreases() -> None:
--- a/tests/decision/test_placement.py
+++ b/tests/decision/test_placement.py
@@ -21,6 +21,7 @@
 
 
 def sends_of(decisions: list[Decision]) -> list[int]:
+    """The jobs of the Send decisions."""
     return [decision.job_id for decision in decisions if isinstance(decision, Send)]
 
 
--- a/tests/decision/test_prefix_cache.py
+++ b/tests/decision/test_prefix_cache.py
@@ -15,10 +15,12 @@
 
 
 def cached(cache: PrefixCache, *parts: PromptPart, model: str = "m") -> int:
+    """The cached tokens of a prompt with these parts."""
     return cache.cached_tokens(chain_of(model, parts), parts)
 
 
 def record(cache: PrefixCache, *parts: PromptPart, model: str = "m") -> tuple[int, ...]:
+    """Record a prompt with these parts."""
     return cache.record(chain_of(model, parts), parts)
 
 
--- a/tests/decision/test_queues.py
+++ b/tests/decision/test_queues.py
@@ -22,6 +22,7 @@
 
 
 def take_head(queue: SubjectQueue[Item], cost: float = 1.0) -> Item:
+    """Take the head job."""
     head = queue.head()
     queue.take(head.subject, head, cost)
     return head
@@ -119,13 +120,13 @@
     assert queue.remove("a", items[0])
     assert not queue.remove("a", items[0])
     assert queue.head() is items[2]
-    with pytest.raises(ValueError, match="wait"):
+    with pytest.raises(ValueError, match="not in the queue"):
         queue.take("a", items[0], 1.0)
     assert len(queue) == 1
 
 
 def test_subjects_without_jobs_are_forgotten(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(subject_queue, "MAX_IDLE_SUBJECTS", 10)
+    monkeypatch.setattr(subject_queue, "MAX_FINISH_TAGS", 10)
     queue: SubjectQueue[Item] = SubjectQueue()
     for index in range(1000):
         queue.push(str(index), Item(str(index)))
--- a/tests/decision/test_retry_budget.py
+++ b/tests/decision/test_retry_budget.py
@@ -16,12 +16,14 @@
 
 
 def budget(slack: float = 0.0, schedulers: int = 1, started: float = -1000.0) -> RetryBudget:
+    """The budget of a scheduler that started long ago."""
     made = RetryBudget(window_s=WINDOW_S, ratio=RATIO, slack=slack, started=started)
     made.set_fleet_size(schedulers, started)
     return made
 
 
 def spend(from_: RetryBudget, now: float) -> bool:
+    """Reserve and use one retry; False if none is left."""
     if not from_.reserve(now):
         return False
     from_.use(now)
@@ -29,6 +31,7 @@
 
 
 def spend_all(from_: RetryBudget, now: float) -> int:
+    """Use all retries that are left, and count them."""
     count = 0
     while spend(from_, now):
         count += 1
@@ -139,6 +142,7 @@
     retries: list[float] = field(default_factory=list)
 
     def begin(self, index: int, now: float) -> None:
+        """Start or restart a scheduler."""
         made = RetryBudget(window_s=WINDOW_S, ratio=RATIO, slack=self.slack, started=now)
         self.schedulers[index] = Scheduler(made)
 
@@ -150,6 +154,7 @@
                 scheduler.budget.set_fleet_size(len(alive), now)
 
     def step(self, now: float, rate: float, spend_probability: float) -> None:
+        """Count random requests, and let some schedulers spend their budget."""
         for scheduler in self.schedulers:
             if scheduler is None:
                 continue
--- a/tests/decision/test_suspicion.py
+++ b/tests/decision/test_suspicion.py
@@ -19,6 +19,7 @@
 
 
 def suspicion(*, own: bool, others: int) -> Suspicion:
+    """A suspicion by this scheduler and by a number of others."""
     made = Suspicion()
     made.set_others(others, 0.0)
     if own:
--- a/tests/decision/test_tenant_turns.py
+++ b/tests/decision/test_tenant_turns.py
@@ -31,6 +31,7 @@
 
 
 def job(**changes: object) -> Job:
+    """The default job with changed fields."""
     return structs.replace(JOB, **changes)
 
 
--- a/tests/decision/test_worker_state.py
+++ b/tests/decision/test_worker_state.py
@@ -12,21 +12,23 @@
 
 
 def worker(capacity: int = 64) -> WorkerState:
+    """A worker with an engine."""
     return WorkerState.of(entry("w", capacity=capacity), ENGINE)
 
 
 def running(
-    sent: float = 0.0, unread: int = 100, kept: int = 150, late_after_s: float = 0.5
+    sent: float = 0.0, prefill: int = 100, memory: int = 150, late_after_s: float = 0.5
 ) -> RunningAttempt:
+    """An attempt to start on the worker."""
     return RunningAttempt(
-        sent_at=sent, prefill_tokens=unread, memory_tokens=kept, expected_s=0.01, late_after_s=late_after_s
+        sent_at=sent, prefill_tokens=prefill, memory_tokens=memory, expected_s=0.01, late_after_s=late_after_s
     )
 
 
 def test_counts_follow_the_requests_of_the_worker() -> None:
     state = worker()
     state.start(1, running())
-    state.start(2, running(unread=40, kept=60))
+    state.start(2, running(prefill=40, memory=60))
     assert (state.own_requests, state.pending_prefill_tokens, state.memory_tokens) == (2, 140, 210)
     assert state.first_event(1, 0.02) is not None
     assert state.first_event(1, 0.03) is None
@@ -116,13 +118,13 @@
 
 def test_backoff_grows_with_failed_connections_until_data_arrives() -> None:
     state = worker()
-    rests = []
+    backoffs = []
     for _ in range(8):
         state.record_attempt_end(Outcome.NOT_EXECUTED, Cause.CONNECT_FAILED, 0.0, 100.0)
-        rests.append(state.backoff_until - 100.0)
+        backoffs.append(state.backoff_until - 100.0)
         state.backoff_until = 0.0
-    assert rests[:3] == pytest.approx([0.1, 0.2, 0.4])
-    assert rests[-1] == worker_state.MAX_BACKOFF_S
+    assert backoffs[:3] == pytest.approx([0.1, 0.2, 0.4])
+    assert backoffs[-1] == worker_state.MAX_BACKOFF_S
     state.start(1, running())
     state.first_event(1, 1.0)
     state.record_attempt_end(Outcome.NOT_EXECUTED, Cause.CONNECT_FAILED, 0.0, 100.0)
@@ -186,7 +188,7 @@
 def test_memory_is_bounded_but_an_idle_worker_takes_any() -> None:
     state = worker()
     assert state.memory_fits(10**9)
-    state.start(1, running(kept=300_000))
+    state.start(1, running(memory=300_000))
     assert state.memory_fits(100_000)
     assert not state.memory_fits(100_001)
     state.others = Load(1, 60_000)
