--- a/tests/decision/test_dispatcher.py
+++ b/tests/decision/test_dispatcher.py
@@ -62,7 +62,7 @@
     return decided
 
 
-def test_a_request_is_sent_at_once_while_there_is_room() -> None:
+def test_a_request_is_sent_at_once_while_a_position_is_free() -> None:
     scheduler = dispatcher([entry("w0")])
     assert sent(only(scheduler.job_arrived(job(1), 0.0))) == (1, "w0")
     assert scheduler.next_timer_at(0.0) is None
--- a/tests/decision/test_fair_queue.py
+++ b/tests/decision/test_fair_queue.py
@@ -135,7 +135,7 @@
     assert ahead.start == 60.0
 
 
-def test_a_client_with_work_or_debt_is_not_forgotten() -> None:
+def test_a_client_with_work_or_without_full_credit_is_not_dropped() -> None:
     queue = queue_at(50.0)
     assert queue.can_drop(Client(start=49.5))
     assert queue.can_drop(Client(start=46.5), credit_jobs=3)
--- a/tests/decision/test_suspicion.py
+++ b/tests/decision/test_suspicion.py
@@ -97,7 +97,7 @@
 
 
 @pytest.mark.parametrize(("make", "upstream"), [(job, "llm"), (plain_job, "svc")])
-def test_a_suspected_worker_is_avoided_while_others_have_room(
+def test_a_suspected_worker_is_avoided_while_others_have_free_positions(
     make: Callable[[int], Job], upstream: str
 ) -> None:
     scheduler = dispatcher([entry(f"w{index}", upstream=upstream) for index in range(4)])
--- a/tests/decision/test_worker_state.py
+++ b/tests/decision/test_worker_state.py
@@ -39,7 +39,7 @@
     assert (state.own_requests, state.pending_prefill_tokens, state.memory_tokens) == (0, 0, 0)
 
 
-def test_room_is_bounded_by_our_cap_and_by_what_others_hold() -> None:
+def test_free_positions_are_bounded_by_our_cap_and_by_the_load_of_others() -> None:
     state = worker(capacity=6)
     state.others = Load(4, 0)
     assert state.free_positions() == 2
@@ -49,7 +49,7 @@
     assert state.free_positions() == 0
 
 
-def test_full_cuts_the_cap_once_for_requests_sent_before() -> None:
+def test_a_full_answer_lowers_the_cap_once_for_requests_sent_before() -> None:
     state = worker()
     for job_id in range(20):
         state.start(job_id, running(sent=1.0))
@@ -74,7 +74,7 @@
     assert state.free_positions() == 1
 
 
-def test_a_late_first_event_cuts_the_cap_and_a_prompt_one_at_a_full_cap_raises_it() -> None:
+def test_a_late_first_event_lowers_the_cap_and_a_timely_one_at_a_full_cap_raises_it() -> None:
     state = worker()
     for job_id in range(19):
         state.start(job_id, running(sent=0.0))
@@ -92,7 +92,7 @@
     assert state.cap == pytest.approx(20 * worker_state.CAP_DECREASE_FACTOR + worker_state.CAP_INCREASE)
 
 
-def test_late_first_events_alone_do_not_cut_below_the_floor() -> None:
+def test_late_first_events_alone_do_not_lower_the_cap_below_the_floor() -> None:
     state = worker()
     for turn in range(1, 9):
         state.start(turn, running(sent=turn))
