--- a/tests/decision/test_queues.py
+++ b/tests/decision/test_queues.py
@@ -1,4 +1,4 @@
-"""Subjects take turns, and sizes are sorted into bands."""
+"""The subject queue and the size bands."""
 
 from __future__ import annotations
 
@@ -10,18 +10,19 @@
 from hypothesis import strategies as st
 
 from reedspoke.decision import subject_queue
-from reedspoke.decision.size_bands import RECENT, Band, SizeBands
+from reedspoke.decision.size_bands import WINDOW_SIZES, Band, SizeBands
 from reedspoke.decision.subject_queue import SubjectQueue
 
 
 class Item:
-    """A job; told apart by identity."""
+    """A job, compared by identity."""
 
     def __init__(self, subject: str) -> None:
         self.subject = subject
 
 
 def take_head(queue: SubjectQueue[Item], cost: float = 1.0) -> Item:
+    """Take the head job."""
     head = queue.head()
     queue.take(head.subject, head, cost)
     return head
@@ -57,7 +58,7 @@
     assert turns["cheap"] == pytest.approx(40, abs=2)
 
 
-def test_a_job_that_comes_back_goes_first_and_its_charge_is_given_back() -> None:
+def test_a_job_put_back_goes_first_and_its_charge_is_refunded() -> None:
     queue: SubjectQueue[Item] = SubjectQueue()
     first, second = Item("a"), Item("b")
     queue.push("a", first)
@@ -69,7 +70,7 @@
     assert len(queue) == 2
 
 
-def test_of_two_that_come_back_the_latest_goes_first() -> None:
+def test_of_two_jobs_put_back_the_latest_goes_first() -> None:
     queue: SubjectQueue[Item] = SubjectQueue()
     one, two = Item("a"), Item("b")
     queue.push_head("a", one)
@@ -78,7 +79,7 @@
     assert [take_head(queue), take_head(queue)] == [two, one]
 
 
-def test_a_refund_brings_a_subject_s_turn_back() -> None:
+def test_a_refund_restores_the_turn_of_a_subject() -> None:
     queue: SubjectQueue[Item] = SubjectQueue()
     for subject in ("a", "a", "b", "b"):
         queue.push(subject, Item(subject))
@@ -101,7 +102,7 @@
     assert turns["old"] >= 9
 
 
-def test_the_next_subjects_are_told_in_turn() -> None:
+def test_heads_are_the_next_jobs_of_different_subjects_in_order() -> None:
     queue: SubjectQueue[Item] = SubjectQueue()
     items = [Item("a"), Item("a"), Item("b"), Item("c")]
     for item in items:
@@ -119,18 +120,18 @@
     assert queue.remove("a", items[0])
     assert not queue.remove("a", items[0])
     assert queue.head() is items[2]
-    with pytest.raises(ValueError, match="wait"):
+    with pytest.raises(ValueError, match="not in the queue"):
         queue.take("a", items[0], 1.0)
     assert len(queue) == 1
 
 
 def test_subjects_without_jobs_are_forgotten(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(subject_queue, "REMEMBERED", 10)
+    monkeypatch.setattr(subject_queue, "MAX_FINISH_TAGS", 10)
     queue: SubjectQueue[Item] = SubjectQueue()
     for index in range(1000):
         queue.push(str(index), Item(str(index)))
         take_head(queue)
-    assert queue.remembered <= 11
+    assert queue.tracked_subjects <= 11
 
 
 @given(
@@ -164,15 +165,15 @@
     for _ in range(500):
         bands.add(random.randrange(10_000))
     found = Counter(bands.add(random.randrange(10_000)) for _ in range(3000))
-    assert found[Band.TENTH] / 3000 == pytest.approx(0.1, abs=0.03)
-    assert found[Band.FIFTH] / 3000 == pytest.approx(0.2, abs=0.04)
+    assert found[Band.LARGEST_TENTH] / 3000 == pytest.approx(0.1, abs=0.03)
+    assert found[Band.NEXT_FIFTH] / 3000 == pytest.approx(0.2, abs=0.04)
 
 
 def test_bands_follow_a_change_of_sizes() -> None:
     bands = SizeBands()
-    for size in [*range(1000, 2000), *range(RECENT)]:
+    for size in [*range(1000, 2000), *range(WINDOW_SIZES)]:
         bands.add(size)
-    assert bands.add(RECENT) is Band.TENTH
+    assert bands.add(WINDOW_SIZES) is Band.LARGEST_TENTH
     assert bands.add(0) is Band.REST
 
 
