--- a/reedspoke/control_plane/evacuation/order_log.py
+++ b/reedspoke/control_plane/evacuation/order_log.py
@@ -1,4 +1,4 @@
-"""Orders on zones as adds to tallies: their names, numbers and meaning. Pure decisions."""
+"""Evacuation orders as adds to tallies: names, numbers and meaning. Pure functions."""
 
 from __future__ import annotations
 
@@ -7,28 +7,28 @@
 from msgspec import structs
 
 from reedspoke.common.messages import WorkerEntry
-from reedspoke.control_plane.tallies.messages import INTERNAL_PREFIX, TallyAdd
+from reedspoke.control_plane.tallies.messages import INTERNAL_TALLY_PREFIX, TallyAdd
 
-ZONE_PREFIX = INTERNAL_PREFIX + "evacuation/"
+ZONE_PREFIX = INTERNAL_TALLY_PREFIX + "evacuation/"
 FIRST_NUMBER = 1
-# Of two orders under one number the smaller amount counts: an evacuation that was ordered is obeyed.
+# Amounts of the adds. Of two orders with one number the smaller amount counts, so an evacuation prevails.
 EVACUATED, WITHDRAWN = 0, 1
 
 
 def tally_of(zone: str) -> str:
-    """The tally that holds the orders on a zone."""
+    """The name of the tally that holds the orders on a zone."""
     return ZONE_PREFIX + zone
 
 
 def is_evacuated(newest: TallyAdd | None) -> bool:
-    """Whether the newest order on a zone is its evacuation."""
+    """Whether the newest order on a zone is an evacuation."""
     return newest is not None and newest.amount == EVACUATED
 
 
 def next_order(zone: str, newest: TallyAdd | None, evacuated: bool) -> TallyAdd | None:
-    """The add that puts an order in force: a new one, or the newest again where it says the same already.
+    """The add for an order: a new one, or the newest one if it already has the same effect.
 
-    None where there is nothing to withdraw.
+    None if there is no evacuation to withdraw.
     """
     if newest is None:
         return TallyAdd(tally_of(zone), FIRST_NUMBER, EVACUATED) if evacuated else None
@@ -43,7 +43,7 @@
 
 
 def drain_zones(entries: tuple[WorkerEntry, ...], zones: frozenset[str]) -> tuple[WorkerEntry, ...]:
-    """The list of workers with those of these zones as draining."""
+    """The list of workers, with the workers of these zones marked as draining."""
     if not zones:
         return entries
     return tuple(structs.replace(entry, draining=True) if entry.zone in zones else entry for entry in entries)
--- a/reedspoke/control_plane/evacuation/service.py
+++ b/reedspoke/control_plane/evacuation/service.py
@@ -1,4 +1,4 @@
-"""Carries out operators' orders on zones, and adjusts the list of workers to them."""
+"""Carries out operators' evacuation orders and marks the workers of evacuated zones as draining."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 )
 from reedspoke.control_plane.tallies.service import TallyService
 
-NUMBER_WITHIN_S = 0.9  # callers go elsewhere after a second
+ORDER_NUMBER_TIMEOUT_S = 0.9  # callers try another node after one second
 
 
 class AdjustedWorkers(Struct, frozen=True):
-    """The last list that was adjusted, as it is asked for again at each tick."""
+    """The cached result of `EvacuationService.adjust_workers`, which is called at each tick."""
 
     entries: tuple[WorkerEntry, ...]
     zones: frozenset[str]
@@ -31,46 +31,46 @@
 
 
 class EvacuationService:
-    """Joins the orders to the tallies. `zones` are those of the deployment; none: any name is taken.
+    """Reads and writes orders in the tallies; owns the last adjusted list of workers.
 
-    It owns the last list that was adjusted.
+    `zones` are the zones of the deployment; if it is empty, any zone name is accepted.
     """
 
     def __init__(self, tallies: TallyService, zones: Collection[str]) -> None:
         self._loop = asyncio.get_running_loop()
         self._tallies = tallies
         self._zones = frozenset(zones)
-        self._logged: frozenset[str] = frozenset()
+        self._logged_zones: frozenset[str] = frozenset()
         self._adjusted: AdjustedWorkers | None = None
 
     async def set_evacuated(self, zone: str, evacuated: bool) -> None:
-        """Evacuate a zone, or withdraw that; done again, it changes nothing.
+        """Evacuate a zone or withdraw its evacuation; idempotent.
 
-        Raises FleetError: UNKNOWN_ZONE; NO_QUORUM where too few nodes are in reach; TALLY_UNCLEAR where the
-        order may be in force.
+        Raises FleetError: UNKNOWN_ZONE; NO_QUORUM if too few nodes are reachable; TALLY_UNCLEAR if the order
+        may or may not be in force.
         """
         if self._zones and zone not in self._zones:
-            raise FleetError(ErrorCode.UNKNOWN_ZONE, f"there is no zone {zone}")
-        deadline = self._loop.time() + NUMBER_WITHIN_S
+            raise FleetError(ErrorCode.UNKNOWN_ZONE, f"unknown zone {zone}")
+        deadline = self._loop.time() + ORDER_NUMBER_TIMEOUT_S
         await self._tallies.synchronize()
         if self._loop.time() > deadline:
-            # A process that was stopped meanwhile: its caller may have gone on with a later order elsewhere.
-            raise FleetError(ErrorCode.NO_QUORUM, "the other nodes did not answer in time")
+            # The process was paused. Its caller may have sent a later order to another node since.
+            raise FleetError(ErrorCode.NO_QUORUM, "too few of the other nodes answered in time")
         order = next_order(zone, self._tallies.newest(tally_of(zone)), evacuated)
         if order is not None:
             await self._tallies.add(order)
 
     def evacuated_zones(self) -> frozenset[str]:
-        """The zones that are evacuated, as far as this node knows."""
-        zones = evacuated_zones(self._tallies.newest_of_all(ZONE_PREFIX))
-        if zones != self._logged:
-            log(INFO, "evacuated zones", zones=sorted(zones))
-            self._logged = zones
+        """The evacuated zones, as known to this node."""
+        zones = evacuated_zones(self._tallies.newest_by_prefix(ZONE_PREFIX))
+        if zones != self._logged_zones:
+            log(INFO, "evacuated zones changed", zones=sorted(zones))
+            self._logged_zones = zones
         return zones
 
     def adjust_workers(self, entries: tuple[WorkerEntry, ...]) -> tuple[WorkerEntry, ...] | None:
-        """The list with the workers of evacuated zones as draining; None while the orders are not known."""
-        if not self._tallies.knows_what_it_acknowledged():
+        """The list, with workers of evacuated zones marked as draining; None while the orders are unknown."""
+        if not self._tallies.has_all_acknowledged():
             return None
         zones = self.evacuated_zones()
         if self._adjusted is None or self._adjusted.zones != zones or self._adjusted.entries is not entries:
--- a/reedspoke/control_plane/peers/link.py
+++ b/reedspoke/control_plane/peers/link.py
@@ -1,4 +1,4 @@
-"""The outgoing connection to one other control plane node, opened again whenever it ends."""
+"""The outgoing connection to one other control plane node, reopened whenever it ends."""
 
 from __future__ import annotations
 
@@ -14,21 +14,23 @@
 from reedspoke.control_plane.peers.messages import PeerHello
 
 RECONNECT_BACKOFF_S = 0.15
-MAX_BACKLOG_BYTES = 8 * 1024 * 1024  # for a peer that does not read them
-MAX_QUEUED_MESSAGES = 64  # for a peer whose connection is not up yet
-QUEUE_TTL_S = 1.0  # older messages are of no use to the peer
+MAX_BACKLOG_BYTES = 8 * 1024 * 1024  # of messages that the peer has not read yet
+MAX_QUEUED_MESSAGES = 64  # while the connection is not open
+QUEUE_TTL_S = 1.0  # older messages are outdated and are not sent
 
 
 class QueuedMessage(Struct):
-    """An encoded message that waits for the connection to come up."""
+    """An encoded message that waits for the connection to be opened."""
 
     payload: bytes
     queued_at: float
 
 
 class PeerLink:
-    """Owns the connection and the queue of messages for one peer. Messages may be lost; they keep their
-    order. `connect_timeouts_s` are the limits of the attempts to connect, in turn.
+    """Owns the connection to one peer and the queue of messages for it.
+
+    Messages may be lost, but keep their order. `connect_timeouts_s` are the time-outs of successive attempts
+    to connect, used in rotation.
     """
 
     def __init__(
@@ -36,27 +38,27 @@
     ) -> None:
         self.address = address
         self._hello = hello
-        self._timeouts_s = cycle(connect_timeouts_s)
+        self._connect_timeouts_s = cycle(connect_timeouts_s)
         self._channel: Channel | None = None
         self._queue: deque[QueuedMessage] = deque(maxlen=MAX_QUEUED_MESSAGES)
         self._loop = asyncio.get_running_loop()
-        self.used_at = self._loop.time()
-        self._task = self._loop.create_task(keep_running("a link to a peer", self._run))
+        self.last_used_at = self._loop.time()
+        self._task = self._loop.create_task(keep_running("the connection to a peer", self._run))
 
     def send(self, payload: bytes) -> None:
-        """Send or queue an encoded message, or drop it where the peer does not read."""
-        self.used_at = self._loop.time()
+        """Send or queue an encoded message, or drop it if the backlog for the peer is full."""
+        self.last_used_at = self._loop.time()
         if self._channel is None:
             self._enqueue(payload)
         elif self._channel.write_backlog_bytes() > MAX_BACKLOG_BYTES:
-            log(INFO, "peer does not read", peer=self.address)
+            log(INFO, "peer backlog full: connection closed", peer=self.address)
             self._channel.close()
             self._channel = None
         else:
             self._channel.send_encoded(payload)
 
     def close(self) -> None:
-        """End the connection for good."""
+        """Close the connection and do not reopen it."""
         self._task.cancel()
         if self._channel is not None:
             self._channel.close()
@@ -70,14 +72,14 @@
     async def _run(self) -> None:
         while True:
             try:
-                channel = await open_channel(self.address, next(self._timeouts_s))
+                channel = await open_channel(self.address, next(self._connect_timeouts_s))
             except CONNECTION_ENDED:
                 self._queue.clear()
                 await asyncio.sleep(RECONNECT_BACKOFF_S)
                 continue
             self._opened(channel)
             try:
-                await channel.receive(PeerHello)  # nothing comes: this returns when the connection ends
+                await channel.receive(PeerHello)  # peers send nothing here: returns when the connection ends
             except CONNECTION_ENDED:
                 pass
             finally:
--- a/reedspoke/control_plane/peers/messages.py
+++ b/reedspoke/control_plane/peers/messages.py
@@ -1,6 +1,7 @@
-"""Messages between control plane nodes, beside those of the replicas.
+"""Messages between control plane nodes, except those between replicas.
 
-Compatibility is as in `reedspoke.common.messages`: tags, order and defaults are fixed, names are not.
+The rules of compatibility are those of `reedspoke.common.messages`: the tags and the order and defaults of
+fields are fixed, the names of classes and fields are not.
 """
 
 from __future__ import annotations
@@ -12,7 +13,7 @@
 
 
 class PeerHello(Struct, tag="hello", array_like=True):
-    """The first message of a connection that a control plane node opens: its address for other nodes."""
+    """The first message on a connection to a peer: the sender's address for other nodes and its zone."""
 
     address: str
     zone: str
@@ -21,8 +22,9 @@
 class SessionEntry(Struct, array_like=True, frozen=True):
     """A data plane node that has a session with the sender.
 
-    `idle_s` is the time since its last message when the table was sent; `running` are the requests and prompt
-    tokens that it has in flight at each worker; `suspects` are workers that have lately failed its requests.
+    `idle_s` is the time since its last message when the table was sent. `running` are the numbers of requests
+    and prompt tokens that it has in flight at each worker. `suspects` are workers that recently failed its
+    requests.
     """
 
     node_name: str
@@ -34,11 +36,11 @@
 
 
 class SessionTable(Struct, tag="sessions", array_like=True):
-    """All sessions of the sender with data plane nodes; also its heartbeat.
+    """All sessions of the sender with data plane nodes. The message is also the sender's heartbeat.
 
-    `workers` is the version of the sender's list of workers, `workers_seen` the highest one that it or one of
-    its data plane nodes knows of. `incarnation` tells the sender's processes apart, and `sequence` rises with
-    each table of one: tables on two connections may overtake each other.
+    `workers` is the version of the sender's list of workers, `workers_seen` the highest version known to the
+    sender or its data plane nodes. `incarnation` identifies the sender's process, and `sequence` increases
+    with each table that a process sends, because tables on two connections may overtake each other.
     """
 
     entries: tuple[SessionEntry, ...]
@@ -49,7 +51,7 @@
 
 
 class DiscoveryLeaseRequest(Struct, tag="lease_request", array_like=True):
-    """Grant me the discovery lease under this term, which is its fencing token."""
+    """A candidate asks a voter for the discovery lease in this term; the term is the fencing token."""
 
     term: int
 
@@ -57,7 +59,8 @@
 class DiscoveryLeaseResponse(Struct, tag="lease_answer", array_like=True):
     """Answer of a voter to a `DiscoveryLeaseRequest`.
 
-    `highest_term` is the highest that it knows; for `retry_after_s` its grant to another holder still runs.
+    `highest_term` is the highest term known to the voter. `retry_after_s` is the remaining time of its grant
+    to another holder.
     """
 
     term: int
@@ -73,14 +76,14 @@
 
 
 class QuotaLoanRequest(Struct, tag="quota_loan_request", array_like=True, frozen=True):
-    """Lend me up to so many units of this tenant's quota."""
+    """The sender asks for a loan of up to `units` of the tenant's quota."""
 
     tenant: str
     units: float
 
 
 class QuotaLoan(Struct, tag="quota_loan", array_like=True, frozen=True):
-    """These units are the receiver's from now on, and not the sender's; answers a `QuotaLoanRequest`."""
+    """Answer to a `QuotaLoanRequest`: the units now belong to the receiver and no longer to the sender."""
 
     tenant: str
     units: float
--- a/reedspoke/control_plane/peers/transport.py
+++ b/reedspoke/control_plane/peers/transport.py
@@ -1,9 +1,13 @@
 """Connections between control plane nodes, and the port to which they and data plane nodes connect.
 
-Each node sends over connections that it opened itself, and reads from those that others opened: one to each
-peer for small messages, one, opened when it is needed, for large ones, so that a document on a slow link does
-not delay heartbeats, and one for tallies, which nodes of an earlier version refuse by its first message and
-lose nothing else. Messages may be lost; on one connection they keep their order.
+Each node sends over connections that it opened itself, and receives on connections that others opened. It
+opens up to three connections to each peer, when they are first needed:
+
+* for small messages;
+* for large messages, so that a document on a slow link does not delay heartbeats;
+* for tallies: nodes of an earlier version reject its first message, and the other connections are unaffected.
+
+Messages may be lost; on one connection they keep their order.
 """
 
 from __future__ import annotations
@@ -23,33 +27,34 @@
 from reedspoke.control_plane.tallies.messages import TallyHello, TallyMessage
 
 MAX_LINKS = 128
-LARGE_BYTES = 64 * 1024  # a message of more goes over the connection for large ones
-# An attempt that a partition has swallowed is given up soon, so that its healing is noticed; slow links have
-# the last one.
+LARGE_MESSAGE_BYTES = 64 * 1024  # longer messages go over the connection for large ones
+# Attempts to connect have short time-outs, so that the end of a partition is noticed soon. The last value
+# allows for slow links.
 TALLY_CONNECT_TIMEOUTS_S = (0.25, 0.25, 0.9)
-MAX_INCOMING = 2048  # connections that others opened
-HANDSHAKE_TIMEOUT_S = 2.0  # for the first message of a connection
-LINK_IDLE_TIMEOUT_S = 30.0  # an outgoing connection that is not used for so long is closed
-PEER_IDLE_TIMEOUT_S = 10.0  # an incoming connection that brings nothing for so long is closed
+MAX_INCOMING_CONNECTIONS = 2048
+HANDSHAKE_TIMEOUT_S = 2.0  # until the first message on an incoming connection
+LINK_IDLE_TIMEOUT_S = 30.0  # for outgoing connections
+PEER_IDLE_TIMEOUT_S = 10.0  # for incoming connections
 
 FirstMessage = PeerHello | TallyHello | WatchRequest | FetchRequest
 
-PeerMessageHandler = Callable[[str, PeerMessage], None]  # with the sender's address
-TallyMessageHandler = Callable[[str, TallyMessage], None]  # as well
+# The first argument is the address of the sender.
+PeerMessageHandler = Callable[[str, PeerMessage], None]
+TallyMessageHandler = Callable[[str, TallyMessage], None]
 
 
 class SessionHandler(Protocol):
-    """Takes the messages of data plane nodes."""
+    """Handles the messages of data plane nodes."""
 
     def message_received(self, channel: Channel, message: EdgeMessage) -> None:
-        """A message on a session."""
+        """Handle a message on a session."""
 
     def connection_closed(self, channel: Channel) -> None:
-        """The connection is over; called for those of control plane nodes too."""
+        """Handle the end of a connection; also called for connections of control plane nodes."""
 
 
 class LinkKind(Enum):
-    """What a connection to a peer is for."""
+    """The messages that a connection to a peer carries."""
 
     SMALL = "small"
     LARGE = "large"
@@ -57,17 +62,17 @@
 
 
 class LinkKey(Struct, frozen=True):
-    """Which of the connections to a peer."""
+    """Identifies one of the connections to a peer."""
 
     address: str
     kind: LinkKind
 
 
 class IncomingConnection(Struct):
-    """A connection that another node opened, and when its last message came."""
+    """A connection that another node opened, and the time of its last message."""
 
     channel: Channel
-    received_at: float
+    last_received_at: float
 
 
 class PeerTransport:
@@ -93,9 +98,9 @@
         self._server: asyncio.Server | None = None
 
     async def listen(self) -> None:
-        """Listen for other nodes. Raises OSError where the port is taken."""
+        """Listen for other nodes. Raises OSError if the port is in use."""
         host, port = split_address(self._own_address)
-        self._server = await asyncio.start_server(self._accept, host, port, backlog=MAX_INCOMING)
+        self._server = await asyncio.start_server(self._accept, host, port, backlog=MAX_INCOMING_CONNECTIONS)
 
     def send(self, address: str, message: Struct) -> None:
         """Send to another control plane node; the message may be lost."""
@@ -103,7 +108,7 @@
 
     def send_encoded(self, address: str, payload: bytes) -> None:
         """Send a message that `encode` has encoded."""
-        kind = LinkKind.LARGE if len(payload) > LARGE_BYTES else LinkKind.SMALL
+        kind = LinkKind.LARGE if len(payload) > LARGE_MESSAGE_BYTES else LinkKind.SMALL
         self._send(LinkKey(address, kind), payload)
 
     def send_tally(self, address: str, message: Struct) -> None:
@@ -124,18 +129,18 @@
         return PeerLink(key.address, self._hello)
 
     def close_idle(self) -> None:
-        """Close outgoing connections that nobody uses, and incoming ones that bring nothing."""
+        """Close the outgoing and incoming connections whose idle time-out has passed."""
         now = self._loop.time()
         for key, link in list(self._links.items()):
-            if link.used_at < now - LINK_IDLE_TIMEOUT_S:
+            if link.last_used_at < now - LINK_IDLE_TIMEOUT_S:
                 link.close()
                 del self._links[key]
         for connection in self._incoming.values():
-            if connection.received_at < now - PEER_IDLE_TIMEOUT_S:
+            if connection.last_received_at < now - PEER_IDLE_TIMEOUT_S:
                 connection.channel.close()
 
     def close(self) -> None:
-        """End all connections."""
+        """Stop listening and close all connections."""
         if self._server is not None:
             self._server.close()
         for link in self._links.values():
@@ -146,7 +151,7 @@
     async def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         channel = Channel(reader, writer)
         task = asyncio.current_task()
-        if task is None or len(self._incoming) >= MAX_INCOMING:
+        if task is None or len(self._incoming) >= MAX_INCOMING_CONNECTIONS:
             channel.close()
             return
         connection = self._incoming[task] = IncomingConnection(channel, self._loop.time())
@@ -155,7 +160,7 @@
         except CONNECTION_ENDED:
             pass
         except asyncio.CancelledError:
-            pass  # the process ends
+            pass  # `close` has cancelled the task
         finally:
             del self._incoming[task]
             channel.close()
@@ -175,16 +180,16 @@
     async def _receive_from_peer(self, connection: IncomingConnection, sender: str) -> None:
         while True:
             self._on_peer_message(sender, await connection.channel.receive(PeerMessage))
-            connection.received_at = self._loop.time()
+            connection.last_received_at = self._loop.time()
 
     async def _receive_tallies(self, connection: IncomingConnection, sender: str) -> None:
         while True:
             self._on_tally_message(sender, await connection.channel.receive(TallyMessage))
-            connection.received_at = self._loop.time()
+            connection.last_received_at = self._loop.time()
 
     async def _receive_session(self, connection: IncomingConnection, first: EdgeMessage) -> None:
         message = first
         while True:
             self._sessions.message_received(connection.channel, message)
             message = await connection.channel.receive(EdgeMessage)
-            connection.received_at = self._loop.time()
+            connection.last_received_at = self._loop.time()
--- a/reedspoke/control_plane/storage/durable_log.py
+++ b/reedspoke/control_plane/storage/durable_log.py
@@ -1,6 +1,6 @@
-"""A log of a data folder with the state that its records yield: opened, replayed and written on a thread.
+"""A log in the data folder and the state restored from it: opened, replayed and written on a thread.
 
-A log that can't be read is put into quarantine, and the folder starts with an empty one.
+A corrupt log is moved to quarantine, and the folder starts with an empty one.
 """
 
 from __future__ import annotations
@@ -22,10 +22,10 @@
 
 
 class DurableLog(Generic[State]):
-    """Owns the open log. Methods whose names begin with `_thread` run on the thread.
+    """Owns the open log. Methods whose names begin with `_thread` run on the storage thread.
 
-    `restore` makes the state of an opened log, on the thread; it raises FleetError STORAGE_CORRUPT where that
-    cannot be done. `on_opened` gets both, on the event loop.
+    `restore` builds the state from an opened log, on the storage thread. It raises FleetError STORAGE_CORRUPT
+    if the records cannot be replayed. `on_opened` receives the log and the state, on the event loop.
     """
 
     def __init__(
@@ -36,7 +36,7 @@
         restore: Callable[[OpenedLog], State],
         on_opened: Callable[[OpenedLog, State], None],
     ) -> None:
-        self.was_corrupt = False  # in this process
+        self.was_corrupt = False  # whether this process has found the log corrupt
         self._directory = directory
         self._name = name
         self._thread = thread
@@ -46,16 +46,16 @@
         self._log: OpenedLog | None = None
 
     def open(self) -> None:
-        """Open the log, again and again until it succeeds."""
+        """Open the log, retrying until it succeeds."""
         self._thread.add(self._thread_open)
 
     def store(
         self, records: Iterable[bytes], replace: bool, on_stored: Callable[[ErrorCode | None], None]
     ) -> None:
-        """Append and sync, or replace the log; stores end in the order in which they were begun."""
+        """Append records and sync, or replace the log. Stores complete in the order of the calls."""
         self._thread.add(lambda: self._thread_store(records, replace, on_stored))
 
-    # ---- on the thread ----
+    # ---- on the storage thread ----
 
     def _thread_open(self) -> None:
         try:
@@ -67,7 +67,7 @@
         self._loop.call_soon_threadsafe(self._opened, opened, state)
 
     def _thread_restore(self, opened: OpenedLog) -> State:
-        """Replay the records; this takes long for a long log."""
+        """Replay the records, which takes long for a long log."""
         try:
             state = self._restore(opened)
         except FleetError:
@@ -103,7 +103,11 @@
 
     def _open_failed(self, error: FleetError) -> None:
         log(
-            ERROR, "data folder cannot be opened", log=self._name, code=int(error.code), message=error.message
+            ERROR,
+            "log in the data folder cannot be opened",
+            log=self._name,
+            code=int(error.code),
+            message=error.message,
         )
         if error.code is ErrorCode.STORAGE_CORRUPT:
             self.was_corrupt = True
--- a/reedspoke/control_plane/storage/job_thread.py
+++ b/reedspoke/control_plane/storage/job_thread.py
@@ -1,4 +1,4 @@
-"""A thread that does one job after another, so that a slow disk or a large document holds up nothing."""
+"""A thread for blocking jobs, so that a slow disk or a large document does not block the event loop."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class JobThread:
-    """Runs jobs in the order in which they were added; results come back on the event loop."""
+    """Runs jobs in the order in which they were added; results are delivered on the event loop."""
 
     def __init__(self, name: str) -> None:
         self._loop = asyncio.get_running_loop()
@@ -26,13 +26,13 @@
         self._jobs.put(job)
 
     def call(self, function: Callable[[], Value]) -> asyncio.Future[Value]:
-        """Queue a function; the future has its result or its exception."""
+        """Queue a function. The future gets its result or its exception."""
         future: asyncio.Future[Value] = self._loop.create_future()
 
         def job() -> None:
             try:
                 value = function()
-            except Exception as error:  # it is raised where the future is awaited
+            except Exception as error:  # raised where the future is awaited
                 self._loop.call_soon_threadsafe(_fail, future, error)
             else:
                 self._loop.call_soon_threadsafe(_resolve, future, value)
--- a/reedspoke/control_plane/storage/log_format.py
+++ b/reedspoke/control_plane/storage/log_format.py
@@ -1,8 +1,9 @@
-"""Format of the log file: a header, then batches, each of which stands twice, one copy right after the other.
+"""Format of the log file: a header, then batches, each stored twice, one copy right after the other.
 
-A copy is length (4 bytes), CRC-32 (4 bytes) and body; a body is records, each after its length. Both copies
-are written by one write before one sync. So a changed byte in a synced batch leaves a good copy, and a batch
-without any good copy at the end of the file was never synced, unless both copies were changed.
+A copy is a length (4 bytes), a CRC-32 (4 bytes) and a body. The body is a sequence of records, each preceded
+by its length. One write holds both copies, and one sync follows it. So a changed byte in a synced batch
+leaves one valid copy, and a batch without a valid copy at the end of the file was never synced, unless both
+copies were damaged later.
 """
 
 from __future__ import annotations
@@ -17,32 +18,33 @@
 from reedspoke.common.errors import ErrorCode, FleetError
 
 HEADER = b"RSCTLOG2"
-SINGLE_COPY_HEADER = b"RSCTLOG1"  # of files made before batches were doubled
+SINGLE_COPY_HEADER = b"RSCTLOG1"  # the older format, with one copy of each batch
 BATCH_COPIES = 2
 MAX_BATCH_BYTES = 64 * 1024 * 1024
 _COPY_PREFIX = struct.Struct(">II")
 _RECORD_PREFIX = struct.Struct(">I")
-# Where a copy may begin: a length above 0 and another, both below MAX_BATCH_BYTES, with a checksum between.
-_LIKELY_COPY = re.compile(rb"(?=(?!\x00{4})[\x00-\x03].{7}[\x00-\x03])", re.DOTALL)
+# Matches where a copy may begin: the batch length (above 0), the checksum, the length of the first record.
+# Both lengths are below MAX_BATCH_BYTES, so their first byte is at most 3.
+_COPY_PREFIX_PATTERN = re.compile(rb"(?=(?!\x00{4})[\x00-\x03].{7}[\x00-\x03])", re.DOTALL)
 
 
 class LogContent(Struct):
-    """What a file holds.
+    """The content of a log file.
 
-    `good_length` is where its good part ends, `last_start` where its last batch begins, 0 where there is no
-    other one. `damaged` tells that the header is bad, or that a batch does not stand twice; with
-    `single_copies` none does.
+    `good_length` is the length of the readable beginning of the file. `last_batch_start` is the offset of the
+    last batch, or 0 if there is only one. `damaged` is set if the header is wrong or a batch lacks one of its
+    copies. `single_copies` is set for a file of the older format, which holds one copy of each batch.
     """
 
     batches: list[list[bytes]]
     good_length: int
     damaged: bool = False
     single_copies: bool = False
-    last_start: int = 0
+    last_batch_start: int = 0
 
 
 class _Copy(Struct):
-    """A good copy of a batch in a file."""
+    """The position of a valid copy of a batch in a file."""
 
     start: int
     end: int
@@ -53,7 +55,7 @@
 
 
 def encode_batch(records: Iterable[bytes]) -> bytes:
-    """Both copies of a batch."""
+    """Encode a batch of records, in two copies."""
     chunks: list[bytes] = []
     checksum = length = 0
     for record in records:
@@ -65,14 +67,14 @@
 
 
 def encoded_size(records: Iterable[bytes]) -> int:
-    """Bytes that a batch of these records takes in the file."""
+    """The number of bytes that a batch of these records takes in the file."""
     return BATCH_COPIES * (_COPY_PREFIX.size + sum(_RECORD_PREFIX.size + len(record) for record in records))
 
 
 def read_content(content: bytes) -> LogContent:
-    """Read a file's content; a batch without any good copy ends it.
+    """Parse the content of a file up to its end or to a batch without a valid copy.
 
-    Raises FleetError STORAGE_CORRUPT where something good follows such a batch: that one had been synced.
+    Raises FleetError STORAGE_CORRUPT if a valid copy follows such a batch: the batch had been synced.
     """
     if content.startswith(SINGLE_COPY_HEADER):
         return _read_single_copies(content)
@@ -86,24 +88,24 @@
         found = first or _second_copy(content, read.good_length)
         if found is None:
             return read
-        read.last_start = read.good_length if read.batches else 0
+        read.last_batch_start = read.good_length if read.batches else 0
         read.batches.append(_records_of(content, found))
-        read.damaged |= found is not first or not _followed_by_equal(content, found)
+        read.damaged |= found is not first or not _is_repeated(content, found)
         end = found.end if first is None else found.end + found.size
         read.good_length = min(end, len(content))
     return read
 
 
 def _second_copy(content: bytes, start: int) -> _Copy | None:
-    """The second copy of the batch at `start`, whose first one is bad; None where neither is good.
+    """The second copy of the batch at `start`, whose first copy is invalid; None if neither copy is valid.
 
-    Raises FleetError STORAGE_CORRUPT where the next good copy belongs to a later batch.
+    Raises FleetError STORAGE_CORRUPT if the next valid copy belongs to a later batch.
     """
     found = _first_copy_after(content, start)
     if found is None:
         return None
-    if found.start - start != found.size or _equal_copies(content, found) % BATCH_COPIES == 0:
-        raise FleetError(ErrorCode.STORAGE_CORRUPT, "A bad batch is followed by good ones.")
+    if found.start - start != found.size or _count_equal_copies(content, found) % BATCH_COPIES == 0:
+        raise FleetError(ErrorCode.STORAGE_CORRUPT, "A corrupt batch is followed by valid ones.")
     return found
 
 
@@ -113,12 +115,12 @@
         read.batches.append(_records_of(content, copy))
         read.good_length = copy.end
     if _first_copy_after(content, read.good_length) is not None:
-        raise FleetError(ErrorCode.STORAGE_CORRUPT, "A bad batch is followed by good ones.")
+        raise FleetError(ErrorCode.STORAGE_CORRUPT, "A corrupt batch is followed by valid ones.")
     return read
 
 
 def _first_copy_after(content: bytes, start: int) -> _Copy | None:
-    for match in _LIKELY_COPY.finditer(content, start + 1):
+    for match in _COPY_PREFIX_PATTERN.finditer(content, start + 1):
         copy = _copy_at(content, match.start())
         if copy is not None:
             return copy
@@ -133,13 +135,13 @@
     copy = _Copy(start, body + length)
     if length == 0 or length > MAX_BATCH_BYTES or copy.end > len(content):
         return None
-    if not _holds_records(content, copy) or zlib.crc32(memoryview(content)[body : copy.end]) != checksum:
+    if not _lengths_add_up(content, copy) or zlib.crc32(memoryview(content)[body : copy.end]) != checksum:
         return None
     return copy
 
 
-def _holds_records(content: bytes, copy: _Copy) -> bool:
-    """Whether the lengths of the records add up; this is cheaper than the checksum."""
+def _lengths_add_up(content: bytes, copy: _Copy) -> bool:
+    """Whether the record lengths add up to the size of the body; cheaper to check than the checksum."""
     position = copy.start + _COPY_PREFIX.size
     while position <= copy.end - _RECORD_PREFIX.size:
         (length,) = _RECORD_PREFIX.unpack_from(content, position)
@@ -147,15 +149,15 @@
     return position == copy.end
 
 
-def _followed_by_equal(content: bytes, copy: _Copy) -> bool:
+def _is_repeated(content: bytes, copy: _Copy) -> bool:
     view = memoryview(content)
     return view[copy.start : copy.end] == view[copy.end : copy.end + copy.size]
 
 
-def _equal_copies(content: bytes, copy: _Copy) -> int:
-    """How many copies of this batch stand here in a row; the same batch may have been appended again."""
+def _count_equal_copies(content: bytes, copy: _Copy) -> int:
+    """How many equal copies follow each other here; the same batch may have been appended repeatedly."""
     count = 1
-    while _followed_by_equal(content, copy):
+    while _is_repeated(content, copy):
         count += 1
         copy = _Copy(copy.end, copy.end + copy.size)
     return count
--- a/reedspoke/control_plane/storage/log_opening.py
+++ b/reedspoke/control_plane/storage/log_opening.py
@@ -1,8 +1,8 @@
-"""Opens the log in the data folder, with the folder's own random id; see `log_format` for its bytes.
+"""Opens a log in the data folder. The log holds a random id of the folder; `log_format` describes the bytes.
 
-What was never synced may be torn or missing after a loss of power; it is cut off. What was synced is either
-read or reported as corrupt, never left out: a replica that has acknowledged an entry and forgets it would
-break the chain's promise to hold it.
+Data that was never synced may be torn or missing after a power loss; it is cut off. Synced data is either
+read or reported as corrupt, and never silently dropped: if a replica lost an entry that it has acknowledged,
+the chain could lose a committed change.
 """
 
 from __future__ import annotations
@@ -38,9 +38,10 @@
 
 
 class OpenedLog(Struct):
-    """What the folder held when it was opened: its id, the records after it, and the writer that goes on.
+    """An opened log: the id of its folder, its records, and the writer that continues it.
 
-    `follows_corrupt_log` is set where an earlier log of this folder is in quarantine.
+    `created` is set if the log did not exist before, `follows_corrupt_log` if the quarantine of the folder
+    holds an earlier log of this name.
     """
 
     folder_id: str
@@ -51,22 +52,23 @@
 
 
 class _Slot(Struct):
-    """A slot whose first batch is good."""
+    """A slot whose first batch is valid."""
 
     path: Path
     content: SlotContent
     good_length: int
-    last_start: int
-    last_batch: bytes  # from `last_start` on
+    last_batch_start: int
+    last_batch: bytes  # from `last_batch_start` to `good_length`
     has_unsynced_end: bool
     damaged: bool
 
 
 def open_log(directory: Path, name: str = CONTROL_LOG_NAME) -> OpenedLog:
-    """Open or make a log of a data folder; all that it returns is synced, and stands twice.
+    """Open or create a log in a data folder. All returned records are synced, in two copies.
 
-    What was never synced is cut back to the last batch. Raises FleetError STORAGE_CORRUPT where a good batch
-    follows a bad one or the header is wrong, and STORAGE_FULL or STORAGE_FAILED where the disk refuses.
+    An incomplete batch at the end, which was never synced, is cut off. Raises FleetError STORAGE_CORRUPT if a
+    valid batch follows an invalid one or the first batch is no valid beginning, and STORAGE_FULL or
+    STORAGE_FAILED if a file operation fails.
     """
     try:
         return _open_or_create(directory, name)
@@ -75,7 +77,7 @@
 
 
 def quarantine_log(directory: Path, name: str = CONTROL_LOG_NAME) -> Path:
-    """Rename a corrupt log so that the folder starts anew; only the newest such file is kept."""
+    """Rename a corrupt log so that the folder starts with a new one. Only the newest corrupt log is kept."""
     corrupt = directory / (name + CORRUPT_SUFFIX)
     for slot in slot_names(name):
         if os.path.exists(directory / slot):
@@ -100,7 +102,7 @@
 
 
 def _old_temporary(directory: Path, name: str) -> list[_Slot]:
-    """A complete rewritten file of the old format whose rename was kept only in part by a loss of power."""
+    """A complete temporary file of the older format, left if a power loss undid part of its rename."""
     slot = _read_slot(directory / (name + OLD_TEMPORARY_SUFFIX))
     return [] if slot is None else [slot]
 
@@ -112,9 +114,9 @@
     try:
         if slot.has_unsynced_end:
             os.ftruncate(descriptor, slot.good_length)
-        # A sync that failed before, here or in an earlier process, may have left these bytes in memory alone:
-        # the next one says nothing of them unless they are written again.
-        write_at(descriptor, slot.last_batch, slot.last_start)
+        # After a failed sync, here or in an earlier process, these bytes may exist only in the page cache. A
+        # later sync covers them only if they are written again.
+        write_at(descriptor, slot.last_batch, slot.last_batch_start)
         os.fsync(descriptor)
         sync_directory(slot.path.parent)
         if slot.damaged:
@@ -126,7 +128,7 @@
 
 
 def _read_slot(path: Path) -> _Slot | None:
-    """A slot; None where there is none, or its first write is incomplete."""
+    """Read a slot; None if the file does not exist or its first batch is incomplete."""
     if not os.path.exists(path):
         return None
     content = read_file(path)
@@ -137,8 +139,8 @@
         path=path,
         content=parse_slot(read),
         good_length=read.good_length,
-        last_start=read.last_start,
-        last_batch=content[read.last_start : read.good_length],
+        last_batch_start=read.last_batch_start,
+        last_batch=content[read.last_batch_start : read.good_length],
         has_unsynced_end=read.good_length < len(content),
         damaged=read.damaged,
     )
@@ -155,7 +157,7 @@
 
 
 def _remove_others(directory: Path, name: str, except_path: Path | None) -> None:
-    """Remove every file of the log but one, for good."""
+    """Remove all files of the log except one, and sync the removal."""
     for file_name in (*slot_names(name), name + OLD_TEMPORARY_SUFFIX):
         path = directory / file_name
         if path != except_path and os.path.exists(path):
--- a/reedspoke/control_plane/storage/log_slots.py
+++ b/reedspoke/control_plane/storage/log_slots.py
@@ -1,4 +1,4 @@
-"""Names and content of the two files, the slots, in which the log may stand."""
+"""Names and content of the two files, the slots, one of which holds the log."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 CONTROL_LOG_NAME = "control.log"
 OTHER_SLOT_SUFFIX = ".2"
-OLD_TEMPORARY_SUFFIX = ".new"  # left by rewrites of files with single copies
+OLD_TEMPORARY_SUFFIX = ".new"  # of the temporary file that a rewrite in the older format made
 CORRUPT_SUFFIX = ".corrupt"
 OTHER_SLOT_NAME = CONTROL_LOG_NAME + OTHER_SLOT_SUFFIX
 SLOT_NAMES = (CONTROL_LOG_NAME, OTHER_SLOT_NAME)
@@ -20,16 +20,16 @@
 CORRUPT_LOG_NAME = CONTROL_LOG_NAME + CORRUPT_SUFFIX
 FOLDER_ID_BYTES = 8
 FIRST_REWRITE_NUMBER = 1
-SINGLE_COPY_REWRITE_NUMBER = 0  # files with single copies have none: any rewrite is newer
+SINGLE_COPY_REWRITE_NUMBER = 0  # files of the older format hold no number and are older than any rewrite
 
 
 def slot_content(folder_id: str, rewrite_number: int, records: Iterable[bytes]) -> bytes:
-    """The bytes of a slot that holds these records."""
+    """Encode a slot that holds these records."""
     return HEADER + encode_batch([folder_id.encode(), str(rewrite_number).encode(), *records])
 
 
 class SlotContent(Struct):
-    """What a slot holds: the id of its folder, the number of the rewrite that wrote it, and the records."""
+    """The folder id, the number of the rewrite that made the slot, and the records."""
 
     folder_id: str
     rewrite_number: int
@@ -37,9 +37,9 @@
 
 
 def parse_slot(read: LogContent) -> SlotContent:
-    """The content of a slot with at least one good batch.
+    """Parse a slot that has at least one valid batch.
 
-    Raises FleetError STORAGE_CORRUPT where the first batch does not begin with folder id and rewrite number.
+    Raises FleetError STORAGE_CORRUPT if the first batch does not begin with a folder id and a rewrite number.
     """
     first, *others = read.batches
     records = [record for batch in others for record in batch]
@@ -53,7 +53,9 @@
         folder_id = first[0].decode("ascii")
         bytes.fromhex(folder_id)
     except (ValueError, IndexError) as error:
-        raise FleetError(ErrorCode.STORAGE_CORRUPT, "The log does not begin with a folder id.") from error
+        raise FleetError(
+            ErrorCode.STORAGE_CORRUPT, "The first batch of the log holds no valid folder id."
+        ) from error
     return folder_id
 
 
@@ -61,16 +63,18 @@
     try:
         return int(first[1])
     except (ValueError, IndexError) as error:
-        raise FleetError(ErrorCode.STORAGE_CORRUPT, "The log does not tell its rewriting.") from error
+        raise FleetError(
+            ErrorCode.STORAGE_CORRUPT, "The first batch of the log holds no valid rewrite number."
+        ) from error
 
 
 def slot_names(log_name: str) -> tuple[str, str]:
-    """The two slots of a log."""
+    """The file names of the two slots of a log."""
     return log_name, log_name + OTHER_SLOT_SUFFIX
 
 
 def other_slot(path: Path) -> Path:
-    """The slot that is not this one."""
+    """The path of the other slot of the same log."""
     name = path.name
     if name.endswith(OTHER_SLOT_SUFFIX):
         return path.with_name(name.removesuffix(OTHER_SLOT_SUFFIX))
--- a/reedspoke/control_plane/storage/log_writer.py
+++ b/reedspoke/control_plane/storage/log_writer.py
@@ -1,10 +1,10 @@
 """Appends to the log and rewrites it.
 
-The log stands in one of two files, its slots. The first batch of a slot holds the folder id, the number of
-the rewrite, and all records that the log then had. A rewrite writes the other slot, syncs it and its name,
-and then removes the slot that was in use; nothing is appended before that removal is synced. So no name ever
-changes its content by a rename, and of two slots with a good first batch the one with the higher number holds
-all that was synced: a crash between the two steps can't bring the older slot back.
+The log is in one of two files, its slots. The first batch of a slot holds the folder id, the number of the
+rewrite, and all records that the log had at that time. A rewrite writes the other slot, syncs its content and
+its name, and then removes the slot that was in use. Nothing is appended before that removal is synced. So no
+file is ever replaced by a rename, and of two slots with a valid first batch the one with the higher number
+holds everything that was synced: after a crash between the two steps, the older slot is not used.
 """
 
 from __future__ import annotations
@@ -19,9 +19,9 @@
 
 
 class LogWriter:
-    """Appends and rewrites; each returns only when the bytes are synced. Used by one thread at a time.
+    """Appends and rewrites; both return only after the data is synced. Used by one thread at a time.
 
-    After an error the next call first removes what the failed one left, and fails where it cannot.
+    After an error, the next call first removes what the failed call left, and fails if it cannot.
     """
 
     def __init__(self, path: Path, folder_id: str, rewrite_number: int, descriptor: int, length: int) -> None:
@@ -35,16 +35,19 @@
 
     @property
     def path(self) -> Path:
-        """The slot in use."""
+        """The path of the slot in use."""
         return self._path
 
     @property
     def length(self) -> int:
-        """Bytes of the file that are known to be good."""
+        """The number of bytes of the file that are known to be valid."""
         return self._length
 
     def append(self, records: Iterable[bytes]) -> None:
-        """Append and sync. Raises FleetError STORAGE_FULL or STORAGE_FAILED; the file then ends as before."""
+        """Append a batch and sync it.
+
+        Raises FleetError STORAGE_FULL or STORAGE_FAILED; the log then holds the same records as before.
+        """
         data = encode_batch(records)
         try:
             self._clean_up()
@@ -58,7 +61,7 @@
         self._length += len(data)
 
     def rewrite(self, records: Iterable[bytes]) -> None:
-        """Replace the log by one that holds these records alone. Raises as `append`; it then is as before."""
+        """Replace the log by one that holds only these records. Raises the same errors as `append`."""
         data = slot_content(self.folder_id, self._rewrite_number + 1, records)
         target = other_slot(self._path)
         try:
@@ -100,4 +103,4 @@
         try:
             self._clean_up()
         except OSError:
-            return  # the next call tries this first, and fails with it
+            return  # the next call retries the clean-up first and fails if it fails again
--- a/reedspoke/control_plane/storage/synced_files.py
+++ b/reedspoke/control_plane/storage/synced_files.py
@@ -1,6 +1,6 @@
-"""File operations of the log that outlast a loss of power, but for `write_at`, which the caller syncs.
+"""File operations whose effect survives a power loss, except `write_at`, after which the caller syncs.
 
-A created or removed name is synced with its folder: a sync of the file alone does not persist its name.
+Creating or removing a file includes a sync of its folder: a sync of the file does not persist its name.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 def create_file(path: Path, data: bytes) -> int:
-    """Create a file and return its descriptor; the content and the name are synced."""
+    """Create a file, sync its content and its name, and return its descriptor."""
     descriptor = os.open(path, os.O_RDWR | os.O_CREAT | os.O_TRUNC, FILE_MODE)
     try:
         write_at(descriptor, data, 0)
@@ -29,7 +29,7 @@
 
 
 def read_file(path: Path) -> bytes:
-    """The whole content of a file."""
+    """Read the whole content of a file."""
     descriptor = os.open(path, os.O_RDONLY)
     try:
         chunks = []
@@ -41,7 +41,7 @@
 
 
 def write_at(descriptor: int, data: bytes, offset: int) -> None:
-    """Write all of the data at this offset; it is not synced yet."""
+    """Write all data at this offset, without a sync."""
     os.lseek(descriptor, offset, os.SEEK_SET)
     remaining = memoryview(data)
     while remaining:
@@ -50,7 +50,7 @@
 
 
 def sync_directory(directory: Path) -> None:
-    """Sync the names in a folder."""
+    """Sync a folder, that is, the names of its files."""
     descriptor = os.open(directory, os.O_RDONLY)
     try:
         os.fsync(descriptor)
@@ -59,14 +59,14 @@
 
 
 def remove_file(path: Path) -> None:
-    """Remove a file, if there is one, for good."""
+    """Remove a file, if it exists, and sync the removal."""
     with contextlib.suppress(FileNotFoundError):
         os.unlink(path)
     sync_directory(path.parent)
 
 
 def storage_error(error: OSError) -> FleetError:
-    """STORAGE_FULL where the disk has no space left, STORAGE_FAILED for any other error."""
+    """Convert an OSError to STORAGE_FULL if the disk or the quota is full, else to STORAGE_FAILED."""
     full = error.errno in (errno.ENOSPC, errno.EDQUOT)
     code = ErrorCode.STORAGE_FULL if full else ErrorCode.STORAGE_FAILED
-    return FleetError(code, f"The disk refuses: {error.strerror or error}.")
+    return FleetError(code, f"A file operation in the data folder failed: {error.strerror or error}.")
--- a/reedspoke/control_plane/tallies/acknowledgements.py
+++ b/reedspoke/control_plane/tallies/acknowledgements.py
@@ -1,22 +1,22 @@
-"""Calls that wait for other nodes: adds for their disks, syncs for their answers."""
+"""Calls that wait for other nodes: adds until they are on enough disks, syncs until a quorum has answered."""
 
 from __future__ import annotations
 
 from msgspec import Struct
 
 from reedspoke.control_plane.tallies.events import CallCompleted
-from reedspoke.control_plane.tallies.messages import INTERNAL_PREFIX, Vector
+from reedspoke.control_plane.tallies.messages import INTERNAL_TALLY_PREFIX, VersionVector
 from reedspoke.control_plane.tallies.peer_contacts import PeerContacts
 from reedspoke.control_plane.tallies.records import TallyState
-from reedspoke.control_plane.tallies.settings import CALL_LIMIT_S
+from reedspoke.control_plane.tallies.settings import CALL_TIMEOUT_S
 from reedspoke.control_plane.tallies.version_vectors import covers
 from reedspoke.telemetry.invariants import Invariant, check
 
 
 class WaitingAdd(Struct, frozen=True):
-    """An add that is synced here and waits for other disks; `required` is what they must have."""
+    """An add that is synced here and waits for other disks, whose vectors must cover `required`."""
 
-    required: Vector
+    required: VersionVector
     call_ids: tuple[int, ...]
     tally: str
     add_id: int
@@ -24,14 +24,14 @@
 
 
 class WaitingSync(Struct, frozen=True):
-    """A call that waits until this node knows what was acknowledged before `since`."""
+    """A call that waits until this node has every order that was acknowledged before `since`."""
 
     call_id: int
     since: float
 
 
 class Acknowledgements:
-    """Owns the calls that wait. Nobody waits for longer than CALL_LIMIT_S: then the caller has gone."""
+    """Owns the waiting calls, which are dropped after CALL_TIMEOUT_S without an answer."""
 
     def __init__(self, copies: int, state: TallyState, contacts: PeerContacts) -> None:
         self._copies = copies
@@ -42,41 +42,41 @@
 
     @property
     def waiting_adds(self) -> int:
-        """How many adds wait."""
+        """The number of waiting adds."""
         return len(self._adds)
 
     def wait_for_disks(self, waiting: WaitingAdd) -> None:
-        """Acknowledge an add once it is on enough disks."""
+        """Register an add, to be acknowledged once it is on enough disks."""
         self._adds.append(waiting)
 
     def wait_for_quorum(self, waiting: WaitingSync) -> None:
-        """Complete a sync once a quorum has answered."""
+        """Register a sync, to be completed once a quorum has answered."""
         self._syncs.append(waiting)
 
     def may_reach_quorum(self, now: float) -> bool:
-        """Whether so many nodes are in reach that a sync may complete."""
+        """Whether enough nodes are reachable for a sync to complete."""
         return self._contacts.copies_needed(self._copies, now) == self._copies
 
     def completed(self, now: float) -> list[CallCompleted]:
-        """The calls that are done now."""
+        """The calls that are complete now; they no longer wait."""
         return self._completed_adds(now) + self._completed_syncs(now)
 
     # ---- adds ----
 
     def _completed_adds(self, now: float) -> list[CallCompleted]:
         needed = self._contacts.copies_needed(self._copies, now)
-        done: list[CallCompleted] = []
-        still: list[WaitingAdd] = []
+        completed: list[CallCompleted] = []
+        remaining: list[WaitingAdd] = []
         for waiting in self._adds:
             copies = 1 + self._contacts.copies_of(waiting.required)
-            # An order that fewer disks have could be missed by the quorum that the next one asks.
-            is_order = waiting.tally.startswith(INTERNAL_PREFIX)
+            # The quorum that is asked for the next order could miss an order that is on fewer disks.
+            is_order = waiting.tally.startswith(INTERNAL_TALLY_PREFIX)
             if copies >= (self._copies if is_order else needed):
-                done += self._acknowledge(waiting, copies, needed)
-            elif now - waiting.since < CALL_LIMIT_S:
-                still.append(waiting)
-        self._adds = still
-        return done
+                completed += self._acknowledge(waiting, copies, needed)
+            elif now - waiting.since < CALL_TIMEOUT_S:
+                remaining.append(waiting)
+        self._adds = remaining
+        return completed
 
     def _acknowledge(self, waiting: WaitingAdd, copies: int, needed: int) -> list[CallCompleted]:
         counted = self._state.counts.contains(waiting.tally, waiting.add_id)
@@ -93,21 +93,24 @@
     # ---- syncs ----
 
     def _completed_syncs(self, now: float) -> list[CallCompleted]:
-        done = [waiting for waiting in self._syncs if self._is_synchronized(waiting)]
+        completed = [waiting for waiting in self._syncs if self._is_synchronized(waiting)]
         self._syncs = [
-            waiting for waiting in self._syncs if waiting not in done and now - waiting.since < CALL_LIMIT_S
+            waiting
+            for waiting in self._syncs
+            if waiting not in completed and now - waiting.since < CALL_TIMEOUT_S
         ]
-        return [CallCompleted(waiting.call_id, None) for waiting in done]
+        return [CallCompleted(waiting.call_id, None) for waiting in completed]
 
     def _is_synchronized(self, waiting: WaitingSync) -> bool:
-        return self._state.recovered and self.has_what_a_quorum_has(waiting.since, own=1)
+        return self._state.recovered and self.covers_quorum(waiting.since, own=1)
 
-    def has_what_a_quorum_has(self, since: float, own: int) -> bool:
-        """Whether this node has what a quorum of recovered nodes had then; `own` is 1 where it is of them.
+    def covers_quorum(self, since: float, own: int) -> bool:
+        """Whether this node has all that a quorum of recovered nodes had at the time `since`.
 
-        One of a quorum has each add that is on as many disks as an order has to be on.
+        `own` is 1 if this node counts as one of them, else 0. At least one node of a quorum has each add that
+        is on as many disks as an order requires.
         """
         vector = self._state.log.vector
-        heard = self._contacts.recovered_since(since)
-        current = sum(covers(vector, peer.vector) for peer in heard)
+        answered = self._contacts.recovered_since(since)
+        current = sum(covers(vector, peer.vector) for peer in answered)
         return own + current >= self._contacts.quorum(self._copies)
--- a/reedspoke/control_plane/tallies/counts.py
+++ b/reedspoke/control_plane/tallies/counts.py
@@ -1,4 +1,4 @@
-"""The state that is replicated: all tallies with their adds. Two states are joined item by item."""
+"""The replicated state: all tallies with their adds. Two states are joined id by id."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class StateSlice(Struct, frozen=True):
-    """A part of the state, and where it ends; `next` is None at the end of the state."""
+    """A part of the state. `next` is the position where it ends, or None at the end of the state."""
 
     items: tuple[TallyItems, ...]
     next: TallyCursor | None
@@ -34,17 +34,17 @@
         self._audits: Iterator[str] = iter(())
 
     def total(self, tally: str) -> int:
-        """The sum of a tally's adds; 0 for one without any."""
+        """The sum of a tally's adds; 0 for an unknown tally."""
         amounts = self._tallies.get(tally)
         return 0 if amounts is None else amounts.total
 
     def contains(self, tally: str, add_id: int) -> bool:
-        """Whether this add has counted."""
+        """Whether this add has been counted."""
         amounts = self._tallies.get(tally)
         return amounts is not None and add_id in amounts
 
     def newest(self, tally: str) -> TallyAdd | None:
-        """The add with the highest id; None where there is none."""
+        """The add with the highest id; None if the tally has no adds."""
         amounts = self._tallies.get(tally)
         highest = None if amounts is None else amounts.highest_id()
         if amounts is None or highest is None:
@@ -52,7 +52,7 @@
         return TallyAdd(tally, highest, amounts.amount_of(highest))
 
     def names(self, prefix: str) -> list[str]:
-        """The tallies whose names begin so."""
+        """The names of the tallies with this prefix, sorted."""
         return sorted(name for name in self._tallies if name.startswith(prefix))
 
     def is_known(self, tally: str) -> bool:
@@ -61,7 +61,7 @@
 
     @property
     def tally_count(self) -> int:
-        """How many tallies there are."""
+        """The number of tallies."""
         return len(self._tallies)
 
     def put(self, add: TallyAdd) -> None:
@@ -70,13 +70,13 @@
         self.id_count += amounts.put(add.add_id, add.amount)
 
     def join(self, items: TallyItems) -> None:
-        """Join a part of another state. Raises ValueError where it is not packed as it should be."""
+        """Join a part of another state. Raises ValueError if the bytes are not packed correctly."""
         ids = unpack_ids(items.ids)
         for add_id, amount in zip(ids, unpack_amounts(items.amounts, len(ids)), strict=True):
             self.put(TallyAdd(items.tally, add_id, amount))
 
     def slice_after(self, cursor: TallyCursor, limit: int) -> StateSlice:
-        """Up to `limit` ids behind a place, in the order of tally and id."""
+        """Up to `limit` ids after a position, ordered by tally and id."""
         parts: list[TallyItems] = []
         taken = 0
         for tally in sorted(name for name in self._tallies if name >= cursor.tally):
@@ -91,7 +91,10 @@
         return StateSlice(tuple(parts), None)
 
     def audit_next(self) -> tuple[str, bool] | None:
-        """Sum one tally anew, each in its turn: its name, and whether its total is right; None: no tally."""
+        """Recompute the total of the next tally, cyclically: its name, and whether its total is right.
+
+        None if there are no tallies.
+        """
         tally = next(self._audits, None)
         if tally is None:
             self._audits = iter(sorted(self._tallies))
@@ -99,4 +102,4 @@
         if tally is None:
             return None
         amounts = self._tallies[tally]
-        return tally, amounts.summed() == amounts.total
+        return tally, amounts.recomputed_total() == amounts.total
--- a/reedspoke/control_plane/tallies/events.py
+++ b/reedspoke/control_plane/tallies/events.py
@@ -1,4 +1,4 @@
-"""What happens to a tally replica, and what it asks to be done."""
+"""Events that a tally replica handles, and effects that it requests."""
 
 from __future__ import annotations
 
@@ -9,34 +9,34 @@
 
 
 class AddSubmitted(Struct, frozen=True):
-    """An application adds to a tally; answered by `CallCompleted` with the same call id."""
+    """A call that adds to a tally; answered by `CallCompleted` with the same call id."""
 
     call_id: int
     add: TallyAdd
 
 
 class SyncSubmitted(Struct, frozen=True):
-    """Learn what was acknowledged anywhere until now; answered by `CallCompleted` with the same call id."""
+    """A call that gets all orders acknowledged so far; answered by `CallCompleted` with the same call id."""
 
     call_id: int
 
 
 class StoreCompleted(Struct, frozen=True):
-    """The end of a `StoreRecords`: the records are synced, or the disk refused."""
+    """The result of a `StoreRecords`: the records are synced, or the store failed with `error`."""
 
     token: int
     error: ErrorCode | None = None
 
 
 class MessageReceived(Struct, frozen=True):
-    """A message of the node with this address."""
+    """A message from the node with this address."""
 
     sender: str
     message: TallyMessage
 
 
 class Tick(Struct, frozen=True):
-    """A little time has passed; `peers` are the addresses of the other control plane nodes."""
+    """The periodic timer event; `peers` are the addresses of the other control plane nodes."""
 
     peers: frozenset[str]
 
@@ -45,14 +45,14 @@
 
 
 class SendMessage(Struct, frozen=True):
-    """Send to another node; the message may be lost."""
+    """Send a message to another node; it may be lost."""
 
     address: str
     message: TallyMessage | TallyHello
 
 
 class StoreRecords(Struct, frozen=True):
-    """Append records to the log and sync; with `replace` the log holds these alone. One runs at a time."""
+    """Append records to the log, or replace its content by them, and sync. Only one runs at a time."""
 
     token: int
     records: tuple[bytes, ...]
@@ -60,7 +60,7 @@
 
 
 class CallCompleted(Struct, frozen=True):
-    """The outcome of a call: an add is acknowledged where `error` is None."""
+    """The result of a call, which succeeded if `error` is None."""
 
     call_id: int
     error: ErrorCode | None
@@ -68,9 +68,9 @@
 
 
 class LogEvent(Struct, frozen=True):
-    """Something for the operator's log."""
+    """An event for the log of the process."""
 
-    level: int  # of the logging module
+    level: int  # as in the logging module
     text: str
     fields: dict[str, object]
 
--- a/reedspoke/control_plane/tallies/messages.py
+++ b/reedspoke/control_plane/tallies/messages.py
@@ -1,25 +1,27 @@
-"""Messages between control plane nodes about tallies; they have a connection of their own.
+"""Messages between control plane nodes about tallies, which use a separate connection.
 
-Compatibility is as in `reedspoke.common.messages`: tags, order and defaults are fixed, names are not.
+The rules of compatibility are those of `reedspoke.common.messages`: the tags and the order and defaults of
+fields are fixed, the names of classes and fields are not.
 """
 
 from __future__ import annotations
 
 from msgspec import Struct
 
-INTERNAL_PREFIX = "/"  # of tallies that the API cannot name: orders of operators
-Vector = dict[str, int]  # by origin: all of its adds up to this number
+# Begins the names of the tallies that hold operators' orders; the API accepts no such names.
+INTERNAL_TALLY_PREFIX = "/"
+VersionVector = dict[str, int]  # for each origin, the number up to which all its adds are included
 
 
 class TallyHello(Struct, tag="tally_hello", array_like=True, frozen=True):
-    """The first message of a connection for tallies: the sender's address for other nodes and its zone."""
+    """The first message on a connection for tallies: the sender's address for other nodes and its zone."""
 
     address: str
     zone: str
 
 
 class TallyAdd(Struct, array_like=True, frozen=True):
-    """One add: `add_id` is the 64-bit number of the id that the application gave it."""
+    """One add. `add_id` is the id that the application gave it, as a 64-bit number."""
 
     tally: str
     add_id: int
@@ -27,7 +29,7 @@
 
 
 class TallyEntries(Struct, tag="tally_entries", array_like=True, frozen=True):
-    """Adds of one origin, numbered from `first`: pushed once synced, or the answer to a `TallyPull`."""
+    """Adds of one origin, numbered from `first`: pushed once synced, or an answer to a `TallyPull`."""
 
     origin: str
     first: int
@@ -35,11 +37,12 @@
 
 
 class TallyDigest(Struct, tag="tally_digest", array_like=True, frozen=True):
-    """What the sender has on its disk; sent at intervals, and at once to who has sent entries.
+    """What the sender has on its disk; sent periodically, and at once to a node whose entries were stored.
 
-    `sequence` rises with each digest of one incarnation to one receiver, `echo` is the highest that the
-    sender has received from the receiver's incarnation `echo_incarnation`. `writable` is whether its disk
-    works, `recovered` whether its folder has what any folder before it on that machine acknowledged.
+    `sequence` increases with each digest from one incarnation to one receiver. `echo` is the highest sequence
+    that the sender has received from the receiver's incarnation `echo_incarnation`. `writable` is whether the
+    sender's disk works, `recovered` whether its folder has everything that earlier folders on its machine
+    acknowledged.
     """
 
     folder_id: str
@@ -49,24 +52,24 @@
     echo: int
     writable: bool
     recovered: bool
-    vector: Vector
+    vector: VersionVector
 
 
 class TallyPull(Struct, tag="tally_pull", array_like=True, frozen=True):
-    """Send me what you have beyond this vector."""
+    """The sender requests all adds that are not included in this vector."""
 
-    vector: Vector
+    vector: VersionVector
 
 
 class TallyCursor(Struct, array_like=True, frozen=True, order=True):
-    """A place in the state, which is ordered by tally and id: everything up to it is done."""
+    """A position in the state, which is ordered by tally and id; everything up to it has been sent."""
 
     tally: str = ""
     add_id: int = -1
 
 
 class TallyItems(Struct, array_like=True, frozen=True):
-    """Ids of a tally with their amounts, packed by `packed_items`."""
+    """Ids of a tally and their amounts, packed by `packed_items`."""
 
     tally: str
     ids: bytes
@@ -74,22 +77,22 @@
 
 
 class TallyStateRequest(Struct, tag="tally_state_request", array_like=True, frozen=True):
-    """Send me the state that stands behind this place."""
+    """The sender requests the part of the state after this position."""
 
     after: TallyCursor
 
 
 class TallyStateChunk(Struct, tag="tally_state", array_like=True, frozen=True):
-    """The state behind `after`, up to `next`; `next` is None in the last chunk.
+    """The part of the state after `after` up to `next`, which is None in the last chunk.
 
-    `vector` is the sender's at that time: the state behind `after` includes everything up to it.
-    `incarnation` is that of the sender's process.
+    `vector` is the sender's at that time: the state after `after` includes everything up to it.
+    `incarnation` identifies the sender's process.
     """
 
     incarnation: int
     after: TallyCursor
     next: TallyCursor | None
-    vector: Vector
+    vector: VersionVector
     items: tuple[TallyItems, ...]
 
 
--- a/reedspoke/control_plane/tallies/packed_items.py
+++ b/reedspoke/control_plane/tallies/packed_items.py
@@ -1,4 +1,4 @@
-"""Ids and amounts as bytes, little endian: 8 bytes an id, and as few bytes an amount as the largest needs."""
+"""Ids and amounts as little-endian bytes: 8 bytes per id, and the smallest width that holds all amounts."""
 
 from __future__ import annotations
 
@@ -6,38 +6,38 @@
 from array import array
 from collections.abc import Sequence
 
-ID_CODE = "Q"
-AMOUNT_CODE = "q"
-AMOUNT_CODES = ("b", "h", "i", AMOUNT_CODE)
-ID_BYTES = array(ID_CODE).itemsize
+ID_TYPE_CODE = "Q"
+AMOUNT_TYPE_CODE = "q"
+AMOUNT_TYPE_CODES = ("b", "h", "i", AMOUNT_TYPE_CODE)
+ID_BYTES = array(ID_TYPE_CODE).itemsize
 
 
 def pack_ids(ids: Sequence[int]) -> bytes:
-    """The bytes of these ids."""
-    return _to_bytes(array(ID_CODE, ids))
+    """Pack ids."""
+    return _to_bytes(array(ID_TYPE_CODE, ids))
 
 
 def unpack_ids(packed: bytes) -> array[int]:
-    """The ids in these bytes. Raises ValueError where they are no whole number of ids."""
-    return _from_bytes(ID_CODE, packed)
+    """Unpack ids. Raises ValueError if the length is not a multiple of the size of an id."""
+    return _from_bytes(ID_TYPE_CODE, packed)
 
 
 def pack_amounts(amounts: Sequence[int]) -> bytes:
-    """The bytes of these amounts, in the smallest width that holds them all."""
-    for code in AMOUNT_CODES[:-1]:
+    """Pack amounts in the smallest width that holds all of them."""
+    for code in AMOUNT_TYPE_CODES[:-1]:
         try:
             return _to_bytes(array(code, amounts))
         except OverflowError:
             continue
-    return _to_bytes(array(AMOUNT_CODE, amounts))
+    return _to_bytes(array(AMOUNT_TYPE_CODE, amounts))
 
 
 def unpack_amounts(packed: bytes, count: int) -> array[int]:
-    """The `count` amounts in these bytes. Raises ValueError where that is no width of amounts."""
-    for code in AMOUNT_CODES:
+    """Unpack `count` amounts. Raises ValueError if the length fits none of the widths."""
+    for code in AMOUNT_TYPE_CODES:
         if array(code).itemsize * count == len(packed):
             return _from_bytes(code, packed)
-    raise ValueError(f"{len(packed)} bytes for {count} amounts")
+    raise ValueError(f"{len(packed)} bytes do not hold {count} amounts of any width")
 
 
 def _to_bytes(values: array[int]) -> bytes:
--- a/reedspoke/control_plane/tallies/replica.py
+++ b/reedspoke/control_plane/tallies/replica.py
@@ -1,4 +1,4 @@
-"""The state machine of one node's tallies: events in, effects out, without I/O, clocks or threads."""
+"""The state machine of one node's tallies: it maps events to effects, without I/O, clocks or threads."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     Tick,
 )
 from reedspoke.control_plane.tallies.messages import (
-    INTERNAL_PREFIX,
+    INTERNAL_TALLY_PREFIX,
     TallyAdd,
     TallyCursor,
     TallyDigest,
@@ -31,7 +31,7 @@
     TallyPull,
     TallyStateChunk,
     TallyStateRequest,
-    Vector,
+    VersionVector,
 )
 from reedspoke.control_plane.tallies.peer_contacts import PeerContacts
 from reedspoke.control_plane.tallies.records import (
@@ -40,8 +40,8 @@
 )
 from reedspoke.control_plane.tallies.settings import (
     DIGEST_INTERVAL_S,
-    ENTRIES_A_PULL,
-    IDS_A_CHUNK,
+    MAX_ENTRIES_PER_PULL,
+    MAX_IDS_PER_CHUNK,
     MAX_QUEUED_ADDS,
     MAX_RETAINED_ENTRIES,
     MAX_TALLIES,
@@ -52,17 +52,17 @@
 )
 from reedspoke.control_plane.tallies.state_exchange import answer_pull, state_chunk
 from reedspoke.control_plane.tallies.store_queue import Batch, ReceivedItems, StoreQueue, batch_records
-from reedspoke.control_plane.tallies.version_vectors import covers, met
+from reedspoke.control_plane.tallies.version_vectors import covers, lower_bound
 from reedspoke.telemetry.invariants import Invariant, check
 
 AUDIT_INTERVAL_S = 2.0
-NOT_CAUGHT_UP = "this node has not caught up with the others yet"
+NOT_CAUGHT_UP = "this node has not caught up with the other nodes yet"
 
 
 class TallyReplica:
-    """Owns the counts, their log, the contacts with peers and what is to be stored.
+    """Owns the counts, their log, the contacts with peers and the queue of records to be stored.
 
-    `records` are those of the folder's log. Raises FleetError STORAGE_CORRUPT where they cannot be read.
+    `records` are those of the folder's log. Raises FleetError STORAGE_CORRUPT if they cannot be read.
     """
 
     def __init__(self, settings: TallySettings, records: Sequence[bytes], now: float) -> None:
@@ -82,7 +82,7 @@
     # ---- events ----
 
     def handle(self, now: float, event: Event) -> list[Effect]:
-        """Handle one event; what follows from it, in order."""
+        """Handle one event and return its effects in order."""
         self._effects = []
         self._detect_process_stop(now)
         match event:
@@ -105,11 +105,11 @@
         add = event.add
         key = (add.tally, add.add_id)
         if not self._catch_up.has_caught_up:
-            # An acknowledged add must be read here at once, and this node may not be read yet.
+            # An acknowledged add must be readable here at once, but this node does not answer reads yet.
             self._effects.append(CallCompleted(event.call_id, ErrorCode.TALLIES_BEHIND, NOT_CAUGHT_UP))
             return
         if self._state.counts.contains(*key):
-            # It has counted, here or at a peer: what this node has now includes it.
+            # The add was counted here or at a peer, so the current vector of this node includes it.
             waiting = WaitingAdd(dict(self._state.log.vector), (event.call_id,), *key, now)
             self._acknowledgements.wait_for_disks(waiting)
             self._complete_calls(now)
@@ -125,28 +125,28 @@
         self._queue.put_own(key, event.call_id, add)
 
     def _rejection(self, now: float, tally: str) -> FleetError | None:
-        """Why an add is rejected before anything is done, if it is."""
+        """The reason to reject an add before it has any effect; None to accept it."""
         counts = self._state.counts
         if not self._queue.disk_works(now):
-            return FleetError(ErrorCode.STORAGE_FAILED, "the disk does not answer")
-        if tally.startswith(INTERNAL_PREFIX):
+            return FleetError(ErrorCode.STORAGE_FAILED, "the disk of this node is failing")
+        if tally.startswith(INTERNAL_TALLY_PREFIX):
             return None
         if self._acknowledgements.waiting_adds + len(self._queue.waiting.own) >= MAX_QUEUED_ADDS:
-            return FleetError(ErrorCode.OVERLOADED, "too many adds are waiting")
+            return FleetError(ErrorCode.OVERLOADED, "too many adds are waiting for the disk or for peers")
         if counts.id_count + len(self._queue.waiting.own) >= self._settings.max_ids:
-            return FleetError(ErrorCode.TALLIES_FULL, "no room for another add")
+            return FleetError(ErrorCode.TALLIES_FULL, "the limit of counted adds is reached")
         if not counts.is_known(tally) and counts.tally_count >= MAX_TALLIES:
-            return FleetError(ErrorCode.TALLIES_FULL, "no room for another tally")
+            return FleetError(ErrorCode.TALLIES_FULL, "the limit of tallies is reached")
         return None
 
     def _complete_calls(self, now: float) -> None:
         self._effects += self._acknowledgements.completed(now)
 
-    # ---- reads that nothing acknowledged before may escape ----
+    # ---- syncs, which get all orders acknowledged before ----
 
     def _submit_sync(self, now: float, call_id: int) -> None:
         if not self._acknowledgements.may_reach_quorum(now):
-            message = "too few nodes are in reach"
+            message = "too few nodes are reachable"
             self._effects.append(CallCompleted(call_id, ErrorCode.NO_QUORUM, message))
             return
         self._acknowledgements.wait_for_quorum(WaitingSync(call_id, now))
@@ -154,11 +154,14 @@
             self._send_digest(now, address)
 
     def _recover(self) -> None:
-        """A folder that was made later counts in a quorum once it has what a quorum has."""
+        """Mark this folder as recovered, and so as part of quorums, once it has all that a quorum has.
+
+        A folder that dates from the first start is recovered from the beginning.
+        """
         if self._state.recovered or self._queue.waiting.recovered:
             return
         is_first = self._settings.created and self._settings.bootstrap
-        if is_first or self._acknowledgements.has_what_a_quorum_has(self._contacts.listening_since, own=0):
+        if is_first or self._acknowledgements.covers_quorum(self._contacts.observed_since, own=0):
             self._queue.waiting.recovered = True
 
     # ---- the disk ----
@@ -180,7 +183,7 @@
         self._effects.append(StoreRecords(self._queue.token, rewritten, replace=True))
 
     def _own_entries(self, batch: Batch) -> TallyEntries:
-        """The adds of a batch with their numbers: they follow the newest that is synced."""
+        """The own adds of a batch, numbered after the newest synced one."""
         number = self._state.log.vector.get(self._settings.folder_id, 0)
         adds = tuple(own.add for own in batch.own.values())
         return TallyEntries(self._settings.folder_id, number + 1, adds)
@@ -206,11 +209,13 @@
     def _store_failed(self, now: float, error: ErrorCode) -> None:
         lost = self._queue.failed(self._state.log.vector, now)
         self._catch_up.transfer = None
-        # The disk may have kept some of what it refused: whether these adds count is not known.
+        # The disk may have kept some of the records, so it is unknown whether these adds count.
         for own in lost.own.values():
             for call_id in own.call_ids:
-                self._effects.append(CallCompleted(call_id, ErrorCode.TALLY_UNCLEAR, "the disk refuses"))
-        self._effects.append(LogEvent(logging.WARNING, "tallies cannot be stored", {"code": int(error)}))
+                self._effects.append(
+                    CallCompleted(call_id, ErrorCode.TALLY_UNCLEAR, "storing the add failed")
+                )
+        self._effects.append(LogEvent(logging.WARNING, "storing tallies failed", {"code": int(error)}))
 
     def _apply_own(self, now: float, batch: Batch) -> None:
         if not batch.own:
@@ -236,7 +241,7 @@
             case TallyEntries():
                 self._catch_up.pull_answered(sender)
                 if not self._queue.put_entries(sender, message):
-                    # What is missing was lost with a connection: the next digest would tell it later.
+                    # Earlier entries were lost with a connection. A digest would show that only later.
                     self._pull(now, self._catch_up.pull_after_gap(sender, now))
             case TallyPull(vector):
                 self._answer_pull(sender, vector)
@@ -249,24 +254,24 @@
         is_new_process = digest.incarnation != self._contacts.peer(sender).incarnation
         if not self._contacts.digest_received(sender, digest, now):
             return
-        # One reply to each process: more would answer each other where messages take long, and never end.
+        # Only one reply to each process: with long delays, digests would answer each other without end.
         if is_new_process:
             self._send_digest(now, sender)
         self._catch_up.check_caught_up(self._contacts, self._state.log.vector, now)
         self._complete_calls(now)
 
-    def _answer_pull(self, sender: str, vector: Vector) -> None:
+    def _answer_pull(self, sender: str, vector: VersionVector) -> None:
         incarnation = self._settings.incarnation
-        for answer in answer_pull(self._state, vector, incarnation, ENTRIES_A_PULL, IDS_A_CHUNK):
+        for answer in answer_pull(self._state, vector, incarnation, MAX_ENTRIES_PER_PULL, MAX_IDS_PER_CHUNK):
             self._effects.append(SendMessage(sender, answer))
 
     def _send_chunk(self, sender: str, after: TallyCursor) -> None:
-        chunk = state_chunk(self._state, after, self._settings.incarnation, IDS_A_CHUNK)
+        chunk = state_chunk(self._state, after, self._settings.incarnation, MAX_IDS_PER_CHUNK)
         self._effects.append(SendMessage(sender, chunk))
 
     def _receive_chunk(self, now: float, sender: str, chunk: TallyStateChunk) -> None:
         self._catch_up.pull_answered(sender)
-        if not self._catch_up.takes_chunk(sender, chunk, now):
+        if not self._catch_up.accepts_chunk(sender, chunk, now):
             return
         transfer = self._catch_up.transfer
         assert transfer is not None
@@ -285,7 +290,7 @@
             self._catch_up.transfer = None
 
     def _request_chunk(self, now: float, transfer: StateTransfer, after: TallyCursor) -> None:
-        # A transfer that was begun again has another vector: chunks of the earlier one do not count for it.
+        # The chunk is of an earlier transfer; the current one has another vector and needs its own chunks.
         if self._catch_up.transfer is not transfer:
             return
         transfer.after = after
@@ -293,12 +298,15 @@
         self._catch_up.pull_sent(transfer.source, now)
         self._effects.append(SendMessage(transfer.source, TallyStateRequest(after)))
 
-    # ---- time ----
+    # ---- timer ----
 
     def _detect_process_stop(self, now: float) -> None:
-        """A process that was stopped finds its peers silent, and any event may come before the first tick."""
+        """Restart the contact time-outs after a pause of the process.
+
+        Called for every event, because any event may be handled before the first tick after the pause.
+        """
         if now - self._ticked_at > PROCESS_STOP_GAP_S:
-            self._contacts.listen_anew(now)
+            self._contacts.restart_contact_timeout(now)
             self._ticked_at = now
 
     def _tick(self, now: float, peers: frozenset[str]) -> None:
@@ -314,7 +322,7 @@
                 self._send_digest(now, address)
         else:
             for address in self._contacts.unreachable_addresses(now):
-                self._send_digest(now, address)  # a link that has healed is to be noticed at once
+                self._send_digest(now, address)  # so that the end of a partition is noticed soon
         if now >= self._audit_at:
             self._audit_at = now + AUDIT_INTERVAL_S
             self._audit()
@@ -330,10 +338,10 @@
         self._effects.append(SendMessage(address, TallyPull(dict(self._queue.expected))))
 
     def _drop_what_all_have(self, peers: frozenset[str]) -> None:
-        """Nobody pulls entries that every peer has; who comes later takes in the whole state."""
+        """Drop the entries that every peer has. A node that joins later receives the whole state."""
         common = self._state.log.vector
         for address in peers:
-            common = met(common, self._contacts.peer(address).vector)
+            common = lower_bound(common, self._contacts.peer(address).vector)
         self._state.log.drop_through(common)
 
     def _send_digest(self, now: float, address: str) -> None:
@@ -359,35 +367,38 @@
     # ---- queries ----
 
     def total(self, tally: str, now: float) -> int:
-        """The sum of a tally's adds. Raises FleetError TALLIES_BEHIND before this node has caught up."""
+        """The sum of a tally's adds. Raises FleetError TALLIES_BEHIND if this node may lack adds."""
         if not self._catch_up.has_caught_up:
             raise FleetError(ErrorCode.TALLIES_BEHIND, NOT_CAUGHT_UP)
         if self._queue.in_flight is not None and not self._queue.disk_works(now):
-            raise FleetError(ErrorCode.TALLIES_BEHIND, "the disk does not answer, so others may have more")
+            raise FleetError(
+                ErrorCode.TALLIES_BEHIND,
+                "the disk of this node is failing, so other nodes may have more adds",
+            )
         return self._state.counts.total(tally)
 
     def newest(self, tally: str) -> TallyAdd | None:
-        """The add of a tally with the highest id; None where there is none."""
+        """The add of a tally with the highest id; None if there is none."""
         return self._state.counts.newest(tally)
 
-    def newest_of_all(self, prefix: str) -> list[TallyAdd]:
-        """The newest adds of the tallies whose names begin so."""
+    def newest_by_prefix(self, prefix: str) -> list[TallyAdd]:
+        """The newest adds of the tallies whose names have this prefix."""
         found = [self._state.counts.newest(name) for name in self._state.counts.names(prefix)]
         return [add for add in found if add is not None]
 
-    def knows_what_it_acknowledged(self) -> bool:
-        """Whether this node has what its machine ever acknowledged: a lost disk has to be filled first."""
+    def has_all_acknowledged(self) -> bool:
+        """Whether this node has everything that its machine ever acknowledged, also before it lost a disk."""
         return self._state.recovered or self._catch_up.has_caught_up
 
     def is_replicated(self, now: float) -> bool:
-        """Whether every peer in contact has on its disk what this node has."""
+        """Whether every peer in contact has on its disk all that this node has."""
         if self._acknowledgements.waiting_adds or self._queue.waiting or self._queue.in_flight is not None:
             return False
         vector = self._state.log.vector
         return all(covers(peer.vector, vector) for peer in self._contacts.in_contact(now))
 
     def metric_values(self, now: float) -> dict[str, float]:
-        """Numbers for the metrics."""
+        """The values for the metrics."""
         return {
             "tallies": self._state.counts.tally_count,
             "ids": self._state.counts.id_count,
--- a/reedspoke/control_plane/tallies/service.py
+++ b/reedspoke/control_plane/tallies/service.py
@@ -1,4 +1,4 @@
-"""Tallies at a control plane node: joins the replica to its file, to peers, to calls and to the clock."""
+"""Tallies at a control plane node: connects the replica with its log, peers, callers and the clock."""
 
 from __future__ import annotations
 
@@ -30,31 +30,32 @@
 
 DRAIN_INTERVAL_S = 0.02
 OPEN_POLL_S = 0.002
-TALLIES_FAILED_EXIT = 4  # exit status
+TALLIES_FAILED_EXIT_STATUS = 4
 
 
 class Storage(Protocol):
-    """Where the log is."""
+    """The log of the tallies."""
 
     def open(self) -> None:
         """Open the log."""
 
     def store(self, effect: StoreRecords) -> None:
-        """Write to the log."""
+        """Append the records to the log, or replace its content by them."""
 
 
-StorageMaker = Callable[[Callable[[TallyReplica], None], Callable[[StoreCompleted], None]], Storage]
+StorageFactory = Callable[[Callable[[TallyReplica], None], Callable[[StoreCompleted], None]], Storage]
 
 
 class TallyService:
-    """Owns the calls that wait, and the replica once its log is open.
+    """Owns the waiting calls, and the replica once its log is open.
 
-    `peers` returns the addresses of the other control plane nodes; `send` sends them a message, or loses it.
+    `peers` returns the addresses of the other control plane nodes. `send` sends a message to one of them; the
+    message may be lost.
     """
 
     def __init__(
         self,
-        make_storage: StorageMaker,
+        make_storage: StorageFactory,
         peers: Callable[[], Collection[str]],
         send: Callable[[str, Struct], None],
     ) -> None:
@@ -68,25 +69,25 @@
         self._calls: dict[int, asyncio.Future[None]] = {}
         self._call_id = 0
 
-    # ---- life ----
+    # ---- life cycle ----
 
     def start(self) -> None:
         """Open the log."""
         self._storage.open()
 
     async def wait_until_open(self, limit_s: float) -> None:
-        """Return once the log is open, or after so long."""
+        """Return once the log is open, or after `limit_s`."""
         deadline = self._loop.time() + limit_s
         while self._replica is None and self._loop.time() < deadline:
             await asyncio.sleep(OPEN_POLL_S)
 
     def tick(self) -> None:
-        """A little time has passed."""
+        """Handle the periodic timer."""
         if self._replica is not None:
             self._handle(Tick(frozenset(self._peers())))
 
     async def drain(self, limit_s: float) -> None:
-        """Wait until the peers in contact have everything, for so long at the most."""
+        """Wait until the peers in contact have all adds of this node, but at most for `limit_s`."""
         deadline = self._loop.time() + limit_s
         while self._loop.time() < deadline and not self._is_replicated():
             await asyncio.sleep(DRAIN_INTERVAL_S)
@@ -97,22 +98,22 @@
     # ---- calls ----
 
     async def add(self, add: TallyAdd) -> None:
-        """Count an add once.
+        """Count an add; repeating it has no further effect.
 
-        Raises FleetError: TALLY_UNCLEAR where it may have counted, any other where nothing was done.
+        Raises FleetError: TALLY_UNCLEAR if it may have been counted, another code if it was not.
         """
         await self._call(lambda call_id: AddSubmitted(call_id, add))
 
     async def synchronize(self) -> None:
-        """Learn every add that was acknowledged before this call.
+        """Wait until this node has every order that was acknowledged before this call.
 
-        Raises FleetError NO_QUORUM where too few nodes are in reach.
+        Raises FleetError NO_QUORUM if too few nodes are reachable.
         """
         await self._call(SyncSubmitted)
 
     async def _call(self, make_event: Callable[[int], Event]) -> None:
         if self._replica is None:
-            raise FleetError(ErrorCode.TALLIES_BEHIND, "the tallies are not open yet")
+            raise FleetError(ErrorCode.TALLIES_BEHIND, "the tallies' log is not open yet")
         self._call_id += 1
         call_id = self._call_id
         future = self._calls[call_id] = self._loop.create_future()
@@ -123,38 +124,38 @@
             del self._calls[call_id]
 
     def newest(self, tally: str) -> TallyAdd | None:
-        """The add of a tally with the highest id, as far as this node knows; None where there is none."""
+        """The add of a tally with the highest id, as known to this node; None if there is none."""
         return None if self._replica is None else self._replica.newest(tally)
 
-    def newest_of_all(self, prefix: str) -> list[TallyAdd]:
-        """The newest adds of the tallies whose names begin so."""
-        return [] if self._replica is None else self._replica.newest_of_all(prefix)
+    def newest_by_prefix(self, prefix: str) -> list[TallyAdd]:
+        """The newest adds of the tallies whose names have this prefix."""
+        return [] if self._replica is None else self._replica.newest_by_prefix(prefix)
 
-    def knows_what_it_acknowledged(self) -> bool:
-        """Whether this node has what its folder ever acknowledged."""
-        return self._replica is not None and self._replica.knows_what_it_acknowledged()
+    def has_all_acknowledged(self) -> bool:
+        """Whether this node has everything that its machine ever acknowledged."""
+        return self._replica is not None and self._replica.has_all_acknowledged()
 
     def total(self, tally: str) -> int:
-        """The sum of a tally's adds. Raises FleetError TALLIES_BEHIND where this node may not be read now."""
+        """The sum of a tally's adds. Raises FleetError TALLIES_BEHIND if this node may lack adds."""
         if self._replica is None:
-            raise FleetError(ErrorCode.TALLIES_BEHIND, "the tallies are not open yet")
+            raise FleetError(ErrorCode.TALLIES_BEHIND, "the tallies' log is not open yet")
         return self._replica.total(tally, self._loop.time())
 
     # ---- peers ----
 
     def message_received(self, sender: str, message: TallyMessage) -> None:
-        """A message of another node."""
+        """Handle a message from another node."""
         if self._replica is not None:
             self._handle(MessageReceived(sender, message))
 
-    # ---- inside ----
+    # ---- events and effects ----
 
     def _opened(self, replica: TallyReplica) -> None:
         self._replica = replica
         self.tick()
 
     def _handle(self, event: Event) -> None:
-        """Handle events one after the other: an effect may lead to the next at once."""
+        """Handle an event, and then those that its effects cause, one after the other."""
         self._events.append(event)
         if self._handling or self._replica is None:
             return
@@ -170,9 +171,9 @@
         try:
             return replica.handle(self._loop.time(), event)
         except Exception as error:
-            # Its state is not known to be right any more: the process starts again from its disk.
-            unhandled_errors.record("the tallies have failed, and their process ends", error)
-            end_process(TALLIES_FAILED_EXIT)
+            # The state may be inconsistent now: the process ends and is restarted from its disk.
+            unhandled_errors.record("handling a tally event failed: the process ends", error)
+            end_process(TALLIES_FAILED_EXIT_STATUS)
             return []
 
     def _carry_out_isolated(self, effect: Effect) -> None:
@@ -180,7 +181,7 @@
             self._carry_out(effect)
         except Exception as error:
             unhandled_errors.record(
-                "an effect of the tallies has failed", error, effect=type(effect).__name__
+                "carrying out an effect of the tallies failed", error, effect=type(effect).__name__
             )
 
     def _carry_out(self, effect: Effect) -> None:
@@ -204,5 +205,5 @@
             future.set_exception(FleetError(completed.error, completed.message))
 
     def metric_values(self) -> dict[str, float]:
-        """Numbers for the metrics; none before the log is open."""
+        """The values for the metrics; none before the log is open."""
         return {} if self._replica is None else self._replica.metric_values(self._loop.time())
--- a/reedspoke/control_plane/tallies/state_exchange.py
+++ b/reedspoke/control_plane/tallies/state_exchange.py
@@ -1,16 +1,16 @@
-"""Answers to peers that lack something: differences where they are retained, else the state in chunks."""
+"""Answers to peers that lack adds: the missing entries if they are retained, else the state in chunks."""
 
 from __future__ import annotations
 
 from reedspoke.control_plane.tallies.counts import START
-from reedspoke.control_plane.tallies.messages import TallyCursor, TallyEntries, TallyStateChunk, Vector
+from reedspoke.control_plane.tallies.messages import TallyCursor, TallyEntries, TallyStateChunk, VersionVector
 from reedspoke.control_plane.tallies.records import TallyState
 
 
 def answer_pull(
-    state: TallyState, vector: Vector, incarnation: int, entry_limit: int, id_limit: int
+    state: TallyState, vector: VersionVector, incarnation: int, entry_limit: int, id_limit: int
 ) -> list[TallyEntries | TallyStateChunk]:
-    """What a peer with this vector lacks, up to `entry_limit` adds; or the first chunk of the state."""
+    """Up to `entry_limit` adds that a peer with this vector lacks, or the first chunk of the state."""
     left = entry_limit
     answers: list[TallyEntries | TallyStateChunk] = []
     for origin, number in state.log.vector.items():
@@ -26,6 +26,6 @@
 
 
 def state_chunk(state: TallyState, after: TallyCursor, incarnation: int, id_limit: int) -> TallyStateChunk:
-    """The state behind a place, up to `id_limit` ids."""
+    """The part of the state after a position, up to `id_limit` ids."""
     part = state.counts.slice_after(after, id_limit)
     return TallyStateChunk(incarnation, after, part.next, dict(state.log.vector), part.items)
--- a/reedspoke/control_plane/tallies/storage.py
+++ b/reedspoke/control_plane/tallies/storage.py
@@ -1,4 +1,4 @@
-"""The tallies' log in the data folder: opened, replayed and written on a thread of its own."""
+"""The tallies' log in the data folder: opened, replayed and written on a separate thread."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class TallyStorage:
-    """Owns the open log. `on_opened` gets the replica, `on_stored` the end of each store."""
+    """Owns the open log. `on_opened` receives the replica, `on_stored` the result of each store."""
 
     def __init__(
         self,
@@ -36,18 +36,18 @@
         self._on_stored = on_stored
         self._loop = asyncio.get_running_loop()
         directory = Path(settings.data_dir or "")
-        # A machine that has a control log has not lost its disk: a version without tallies ran on it before.
+        # A control log without a tallies' log was left by a version without tallies; the disk was not lost.
         self._is_upgrade = any((directory / name).exists() for name in slot_names(CONTROL_LOG_NAME))
         self._log: DurableLog[TallyReplica] = DurableLog(
             directory, TALLY_LOG_NAME, JobThread("tallies"), self._thread_restore, self._opened
         )
 
     def open(self) -> None:
-        """Open the log, again and again until it succeeds."""
+        """Open the log, retrying until it succeeds."""
         self._log.open()
 
     def store(self, effect: StoreRecords) -> None:
-        """Write to the log."""
+        """Append the records to the log, or replace its content by them."""
 
         def stored(error: ErrorCode | None) -> None:
             self._on_stored(StoreCompleted(effect.token, error))
@@ -55,7 +55,7 @@
         self._log.store(effect.records, effect.replace, stored)
 
     def _thread_restore(self, opened: OpenedLog) -> TallyReplica:
-        """Replay the records; called on the storage thread."""
+        """Replay the records. Called on the storage thread."""
         limits = self._settings.limits
         lost_state = opened.follows_corrupt_log or self._log.was_corrupt
         settings = TallySettings(
@@ -69,5 +69,5 @@
         return TallyReplica(settings, opened.records, self._loop.time())
 
     def _opened(self, opened: OpenedLog, replica: TallyReplica) -> None:
-        log(INFO, "tallies open", folder_id=opened.folder_id, created=opened.created)
+        log(INFO, "tallies log opened", folder_id=opened.folder_id, created=opened.created)
         self._on_opened(replica)
--- a/reedspoke/control_plane/tallies/store_queue.py
+++ b/reedspoke/control_plane/tallies/store_queue.py
@@ -1,4 +1,4 @@
-"""What waits to be stored, and what is being stored: one batch at a time, so that adds share a sync."""
+"""The batch that waits to be stored and the one in flight. Adds of one batch share a sync."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
     TallyCursor,
     TallyEntries,
     TallyItems,
-    Vector,
+    VersionVector,
 )
 from reedspoke.control_plane.tallies.records import (
     ItemsRecord,
@@ -25,21 +25,21 @@
 
 
 class OwnAdd(Struct):
-    """An add that was made here, and the calls that wait for it."""
+    """An add that was submitted at this node, and the calls that wait for it."""
 
     add: TallyAdd
     call_ids: list[int]
 
 
 class ReceivedEntries(Struct, frozen=True):
-    """Adds that a peer has sent."""
+    """Adds received from a peer."""
 
     sender: str
     entries: TallyEntries
 
 
 class ReceivedItems(Struct, frozen=True):
-    """A chunk of a peer's state; with `next` None it is the last, and the transfer's vector is adopted."""
+    """A chunk of a peer's state; the last one, whose `next` is None, completes the transfer."""
 
     transfer: StateTransfer
     items: tuple[TallyItems, ...]
@@ -47,24 +47,24 @@
 
 
 class Batch(Struct):
-    """What is stored by one append."""
+    """The content of one store."""
 
     own: dict[AddKey, OwnAdd] = field(default_factory=dict)
     entries: list[ReceivedEntries] = field(default_factory=list)
     items: list[ReceivedItems] = field(default_factory=list)
-    recovered: bool = False  # this folder has recovered
+    recovered: bool = False  # whether to record that this folder has recovered
 
     def __bool__(self) -> bool:
         return bool(self.own or self.entries or self.items or self.recovered)
 
 
 class StoreQueue:
-    """Owns the batch that waits and the one in flight, and whether the disk works.
+    """Owns the waiting batch, the batch in flight, and the state of the disk.
 
-    `expected` is the version vector that this node will have once everything received is stored.
+    `expected` is the version vector that this node will have after both batches are stored.
     """
 
-    def __init__(self, vector: Vector) -> None:
+    def __init__(self, vector: VersionVector) -> None:
         self.waiting = Batch()
         self.in_flight: Batch | None = None
         self.expected = dict(vector)
@@ -72,19 +72,19 @@
         self._started_at = 0.0
         self._failed_at: float | None = None
 
-    # ---- filling ----
+    # ---- queueing ----
 
     def pending_add(self, key: AddKey) -> OwnAdd | None:
-        """An add with this id that was made here and is not synced yet."""
+        """The add with this key that was submitted at this node and is not synced yet, if any."""
         in_flight = None if self.in_flight is None else self.in_flight.own.get(key)
         return in_flight or self.waiting.own.get(key)
 
     def put_own(self, key: AddKey, call_id: int, add: TallyAdd) -> None:
-        """Queue an add of this node."""
+        """Queue an add that was submitted at this node."""
         self.waiting.own[key] = OwnAdd(add, [call_id])
 
     def put_entries(self, sender: str, entries: TallyEntries) -> bool:
-        """Queue what is new of a peer's adds. False where they follow a gap."""
+        """Queue those of a peer's adds that are new. False if they follow a gap."""
         known = self.expected.get(entries.origin, 0)
         if entries.first > known + 1:
             return False
@@ -103,7 +103,7 @@
     # ---- storing ----
 
     def begin(self, now: float) -> Batch:
-        """Take everything that waits as the batch in flight; it may be empty, to try the disk."""
+        """Make the waiting batch the one in flight. It may be empty, to probe a failed disk."""
         batch, self.waiting = self.waiting, Batch()
         self.in_flight = batch
         self.token += 1
@@ -111,14 +111,15 @@
         return batch
 
     def succeeded(self) -> Batch:
-        """The batch in flight is synced."""
+        """Record that the batch in flight is synced, and return it."""
         self._failed_at = None
         return self._end()
 
-    def failed(self, vector: Vector, now: float) -> Batch:
-        """The disk has refused the batch in flight; what waited for the disk is not stored either.
+    def failed(self, vector: VersionVector, now: float) -> Batch:
+        """Record that the batch in flight could not be stored, and drop the waiting batch as well.
 
-        Returns all of it. `vector` is what is on the disk.
+        Returns the batch in flight, with the own adds of both batches. `vector` is the version vector of what
+        is on the disk.
         """
         self._failed_at = now
         lost = self._end()
@@ -134,7 +135,7 @@
         return batch
 
     def is_due(self, now: float) -> bool:
-        """Whether to begin a batch: something waits, or a failed disk is to be tried again."""
+        """Whether to begin a batch: the waiting one is not empty, or it is time to probe a failed disk."""
         if self.in_flight is not None:
             return False
         if self._failed_at is not None:
@@ -144,14 +145,14 @@
     # ---- the disk ----
 
     def disk_works(self, now: float) -> bool:
-        """Whether the last batch was stored, and the one in flight is not overdue."""
+        """Whether the last batch was stored and the one in flight is not overdue."""
         if self._failed_at is not None:
             return False
         return self.in_flight is None or now - self._started_at < DISK_STALL_S
 
 
 def batch_records(batch: Batch, own: TallyEntries) -> list[bytes]:
-    """The records of a batch; `own` are the adds of this node with their numbers."""
+    """The records of a batch. `own` are the adds submitted at this node, with their numbers."""
     records = []
     if own.entries:
         records.append(entries_record(own))
@@ -162,5 +163,5 @@
             records.append(encode_record(VectorRecord(received.transfer.vector)))
     if batch.recovered:
         records.append(encode_record(RecoveredRecord()))
-    # An empty batch tries a disk that has failed.
+    # The record of an empty batch changes nothing; it probes a failed disk.
     return records or [encode_record(VectorRecord({}))]
--- a/tests/control_plane/storage_simulation.py
+++ b/tests/control_plane/storage_simulation.py
@@ -16,7 +16,7 @@
 from msgspec import Struct
 
 from reedspoke.common.errors import ErrorCode, FleetError
-from reedspoke.control_plane.peers.transport import LARGE_BYTES
+from reedspoke.control_plane.peers.transport import LARGE_MESSAGE_BYTES
 from reedspoke.control_plane.replication.effects import StoreRecords
 from reedspoke.control_plane.replication.messages import AppendRequest, InstallSnapshot
 from reedspoke.control_plane.storage.log_format import encoded_size
@@ -147,7 +147,7 @@
     def _time_on_link(self, sender: str, receiver: str, message: Struct) -> float:
         """How long a large message takes behind others; the connection for small ones is another."""
         entry = message.entry if isinstance(message, AppendRequest | InstallSnapshot) else None
-        if entry is None or len(entry.document) <= LARGE_BYTES:
+        if entry is None or len(entry.document) <= LARGE_MESSAGE_BYTES:
             return 0.0
         free = max(self.now, self._large_free.get((sender, receiver), 0.0))
         self._large_free[(sender, receiver)] = free + len(entry.document) / self.link_bytes_per_s
--- a/tests/control_plane/tallies/random_days.py
+++ b/tests/control_plane/tallies/random_days.py
@@ -27,7 +27,7 @@
 MAX_AMOUNT = 20
 
 
-class Day:
+class RandomSchedule:
     """Owns what is planned: which machines are lost until when."""
 
     def __init__(self, seed: int, count: int = 5, tolerated: int = 2) -> None:
@@ -230,7 +230,12 @@
         self.simulation.disturbed()
 
 
-SMALL_SIZES = {"MAX_RETAINED_ENTRIES": 60, "ENTRIES_A_PULL": 25, "IDS_A_CHUNK": 40, "MIN_REWRITE_BYTES": 3000}
+SMALL_SIZES = {
+    "MAX_RETAINED_ENTRIES": 60,
+    "MAX_ENTRIES_PER_PULL": 25,
+    "MAX_IDS_PER_CHUNK": 40,
+    "MIN_REWRITE_BYTES": 3000,
+}
 
 
 @contextmanager
@@ -250,7 +255,7 @@
     """The problems of one day, violated invariants among them."""
     monitor.reset_violations()
     with small_sizes():
-        problems = Day(seed, count, tolerated).play(steps)
+        problems = RandomSchedule(seed, count, tolerated).play(steps)
     return problems + [repr(violation) for violation in monitor.reset_violations()]
 
 
--- a/tests/control_plane/tallies/replica_steps.py
+++ b/tests/control_plane/tallies/replica_steps.py
@@ -13,7 +13,7 @@
     StoreRecords,
     Tick,
 )
-from reedspoke.control_plane.tallies.messages import TallyAdd, TallyDigest, TallyMessage, Vector
+from reedspoke.control_plane.tallies.messages import TallyAdd, TallyDigest, TallyMessage, VersionVector
 from reedspoke.control_plane.tallies.records import RecoveredRecord, encode_record
 from reedspoke.control_plane.tallies.replica import TallyReplica
 from reedspoke.control_plane.tallies.settings import TallySettings
@@ -83,7 +83,7 @@
     def digest(
         self,
         sender: str,
-        vector: Vector,
+        vector: VersionVector,
         *,
         echoes: bool = True,
         writable: bool = True,
@@ -97,7 +97,7 @@
             sender, TallyDigest(f"f-{sender}", incarnation, sequence, 7, echo, writable, recovered, vector)
         )
 
-    def in_touch(self, *addresses: str, vector: Vector | None = None) -> None:
+    def in_contact(self, *addresses: str, vector: VersionVector | None = None) -> None:
         """These peers answer."""
         for address in addresses:
             self.digest(address, dict(vector or {}))
--- a/tests/control_plane/tallies/simulated_tallies.py
+++ b/tests/control_plane/tallies/simulated_tallies.py
@@ -33,7 +33,7 @@
 ZONE = "zone-a"
 MERGE_S = 3.0
 CALLER_TIMEOUT_S = 1.0
-HEARD_S = 0.1
+FIRST_MESSAGE_S = 0.1
 SETTLED_S = 0.5  # in calm times an acknowledged add is read everywhere after this
 DELAY_S = (0.0005, 0.004)
 SLOW_DELAY_S = (0.0005, 0.3)
@@ -51,7 +51,7 @@
     is_stalled: bool = False
 
 
-class Promise(Struct):
+class AddHistory(Struct):
     """One add as its caller knows it."""
 
     add: TallyAdd
@@ -90,7 +90,7 @@
         self.tolerated = tolerated
         self.max_ids = max_ids
         self.problems: list[str] = []
-        self.promises: dict[tuple[str, int], Promise] = {}
+        self.add_histories: dict[tuple[str, int], AddHistory] = {}
         self.cut: set[tuple[str, str]] = set()  # directed
         self.disturbed_at = 0.0
         self.healed_at = 0.0
@@ -176,10 +176,10 @@
         self.kill(node)
         node.disk = self._new_disk()
         node.created = True
-        for promise in self.promises.values():
+        for history in self.add_histories.values():
             # Acknowledged here while links were cut, and not merged since: not owed any more.
-            if node.name in promise.in_partition and self.now < self.healed_at + MERGE_S:
-                promise.owed = False
+            if node.name in history.in_partition and self.now < self.healed_at + MERGE_S:
+                history.owed = False
         self.disturbed()
 
     def freeze(self, node: Node) -> None:
@@ -281,7 +281,7 @@
 
     def add(self, node: Node, add: TallyAdd) -> None:
         """An application's call at one node."""
-        promise = self.promises.setdefault((add.tally, add.add_id), Promise(add))
+        history = self.add_histories.setdefault((add.tally, add.add_id), AddHistory(add))
         if node.replica is None:
             return
         call_id = next(self._call_ids)
@@ -290,11 +290,11 @@
 
         def answered(error: ErrorCode | None) -> None:
             if error is None and self.now - asked_at < CALLER_TIMEOUT_S:
-                promise.acknowledged.setdefault((node.name, life), self.now)
-                promise.owed = True
+                history.acknowledged.setdefault((node.name, life), self.now)
+                history.owed = True
                 # A healing can be known to nobody before a message has passed (day 51109 of a draft).
-                if self.now < self.healed_at + HEARD_S:
-                    promise.in_partition.add(node.name)
+                if self.now < self.healed_at + FIRST_MESSAGE_S:
+                    history.in_partition.add(node.name)
                 action, self.on_acknowledged = self.on_acknowledged, None
                 if action is not None:
                     action(node)
@@ -314,21 +314,21 @@
         except FleetError:
             return None
         self.reads += 1
-        promises = [promise for promise in self.promises.values() if promise.add.tally == tally]
-        self._judge(node, tally, total, promises)
+        histories = [history for history in self.add_histories.values() if history.add.tally == tally]
+        self._judge(node, tally, total, histories)
         return total
 
-    def _judge(self, node: Node, tally: str, total: int, promises: list[Promise]) -> None:
-        if total > sum(promise.add.amount for promise in promises):
+    def _judge(self, node: Node, tally: str, total: int, histories: list[AddHistory]) -> None:
+        if total > sum(history.add.amount for history in histories):
             self._problem(f"TWICE: {tally} at {node.name} is {total}")
-        own = sum(p.add.amount for p in promises if (node.name, node.life) in p.acknowledged)
+        own = sum(h.add.amount for h in histories if (node.name, node.life) in h.acknowledged)
         if total < own:
             self._problem(f"STALE: {tally} at {node.name} is {total}, it acknowledged {own}")
         if self.is_calm_since(self.now - MERGE_S):
             owed = sum(
-                promise.add.amount
-                for promise in promises
-                if promise.owed and min(promise.acknowledged.values()) < self.now - SETTLED_S
+                history.add.amount
+                for history in histories
+                if history.owed and min(history.acknowledged.values()) < self.now - SETTLED_S
             )
             if total < owed:
                 self._problem(f"STALE: {tally} at {node.name} is {total} after a calm time, {owed} are owed")
@@ -393,7 +393,7 @@
             self.start(node)
         self.disturbed()
         self.run(MERGE_S + SETTLED_S)
-        tallies = {tally for tally, _ in self.promises}
+        tallies = {tally for tally, _ in self.add_histories}
         if self.orders:
             self._judge_orders()
         for tally in sorted(tallies):
--- a/tests/control_plane/tallies/test_counts.py
+++ b/tests/control_plane/tallies/test_counts.py
@@ -103,7 +103,7 @@
         last = chunk[-1]
     assert found == sorted(set(ids))
     assert all(add_id in amounts for add_id in ids)
-    assert amounts.summed() == amounts.total == len(set(ids))
+    assert amounts.recomputed_total() == amounts.total == len(set(ids))
 
 
 @given(st.lists(AMOUNTS, max_size=20))
--- a/tests/control_plane/tallies/test_orders.py
+++ b/tests/control_plane/tallies/test_orders.py
@@ -37,7 +37,7 @@
 def recovered_steps() -> Steps:
     """A replica in touch with all its peers, whose folder has everything."""
     made = Steps(records=RECOVERED)
-    made.in_touch(*PEERS)
+    made.in_contact(*PEERS)
     return made
 
 
@@ -110,7 +110,7 @@
     steps.stored()
     assert steps.answers[CALL] is None
     assert is_evacuated(steps.replica.newest(tally_of(ZONE)))
-    assert len(steps.replica.newest_of_all("/evacuation/")) == 1
+    assert len(steps.replica.newest_by_prefix("/evacuation/")) == 1
 
 
 def test_a_lost_disk_is_no_part_of_a_quorum() -> None:
@@ -127,7 +127,7 @@
 
 def test_a_folder_made_later_recovers_by_a_quorum_and_remembers_it() -> None:
     steps = Steps(created=True)
-    steps.in_touch(*PEERS[:3], vector={"f-p1": 1})
+    steps.in_contact(*PEERS[:3], vector={"f-p1": 1})
     steps.tick(0.05)
     assert not steps.replica.metric_values(steps.now)["recovered"]
     steps.receive("p1", TallyEntries("f-p1", 1, (TallyAdd("t", 1, 1),)))
@@ -161,7 +161,7 @@
 
 def test_an_order_is_taken_where_there_is_no_room_for_adds() -> None:
     steps = Steps(records=RECOVERED, max_ids=0)
-    steps.in_touch(*PEERS)
+    steps.in_contact(*PEERS)
     assert steps.answers.get(steps.add(1), WAITING) is ErrorCode.TALLIES_FULL
     steps.add(1, EVACUATED, tally=tally_of(ZONE))
     assert len(steps.stores) == 1
@@ -187,11 +187,11 @@
     def newest(self, tally: str) -> TallyAdd | None:
         return max((add for add in self.adds if add.tally == tally), key=lambda add: add.add_id, default=None)
 
-    def newest_of_all(self, prefix: str) -> list[TallyAdd]:
+    def newest_by_prefix(self, prefix: str) -> list[TallyAdd]:
         found = {add.tally: self.newest(add.tally) for add in self.adds}
         return [add for add in found.values() if add is not None]
 
-    def knows_what_it_acknowledged(self) -> bool:
+    def has_all_acknowledged(self) -> bool:
         return self.known
 
 
@@ -222,7 +222,7 @@
 
 
 def test_an_order_that_waited_too_long_gets_no_number(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(service_module, "NUMBER_WITHIN_S", 0.0)
+    monkeypatch.setattr(service_module, "ORDER_NUMBER_TIMEOUT_S", 0.0)
     tallies = FakeTallies()
     tallies.sync_s = 0.02
     with pytest.raises(FleetError):
--- a/tests/control_plane/tallies/test_origin_log.py
+++ b/tests/control_plane/tallies/test_origin_log.py
@@ -7,7 +7,7 @@
 
 from reedspoke.control_plane.tallies.messages import TallyAdd, TallyEntries
 from reedspoke.control_plane.tallies.origin_log import OriginLog
-from reedspoke.control_plane.tallies.version_vectors import covers, joined, met
+from reedspoke.control_plane.tallies.version_vectors import covers, lower_bound, upper_bound
 
 VECTORS = st.dictionaries(st.sampled_from("abcd"), st.integers(0, 5))
 
@@ -39,7 +39,7 @@
     assert log.entries_after("a", 2, 9) is None
     assert log.entries_after("a", 3, 9) == TallyEntries("a", 4, adds(4, 2))
     assert log.entries_after("b", 1, 9) is None
-    assert (log.retained_count, log.horizon()) == (2, {"a": 3, "b": 2})
+    assert (log.retained_count, log.unretained_vector()) == (2, {"a": 3, "b": 2})
     log.append("b", adds(3, 1))
     assert log.entries_after("b", 2, 9) == TallyEntries("b", 3, adds(3, 1))
 
@@ -76,10 +76,10 @@
 
 @given(VECTORS, VECTORS)
 def test_vectors_are_a_lattice(one: dict[str, int], other: dict[str, int]) -> None:
-    both, common = joined(one, other), met(one, other)
+    both, common = upper_bound(one, other), lower_bound(one, other)
     assert covers(both, one)
     assert covers(both, other)
     assert covers(one, common)
     assert covers(other, common)
-    assert joined(one, other) == joined(other, one)
-    assert covers(one, other) == (joined(one, other) == joined(one, {}) or covers(one, both))
+    assert upper_bound(one, other) == upper_bound(other, one)
+    assert covers(one, other) == (upper_bound(one, other) == upper_bound(one, {}) or covers(one, both))
--- a/tests/control_plane/tallies/test_records.py
+++ b/tests/control_plane/tallies/test_records.py
@@ -44,7 +44,7 @@
     state.log.drop_through({"a": 4990, "b": 3})
     again = restore(list(complete_records(state)))
     assert same(state, again)
-    assert again.log.horizon() == state.log.horizon() == {"a": 4990, "b": 3}
+    assert again.log.unretained_vector() == state.log.unretained_vector() == {"a": 4990, "b": 3}
 
 
 def test_repeated_records_change_nothing() -> None:
@@ -55,7 +55,7 @@
 
 def test_a_vector_goes_before_entries_that_it_includes() -> None:
     state = restore([encode_record(VectorRecord({"a": 2})), entries_record(entries("a", 1, 4))])
-    assert (state.log.vector, state.log.horizon()) == ({"a": 4}, {"a": 2})
+    assert (state.log.vector, state.log.unretained_vector()) == ({"a": 4}, {"a": 2})
 
 
 BAD_RECORDS = {
--- a/tests/control_plane/tallies/test_replica.py
+++ b/tests/control_plane/tallies/test_replica.py
@@ -20,12 +20,12 @@
 from reedspoke.control_plane.tallies.packed_items import pack_amounts, pack_ids
 from reedspoke.control_plane.tallies.records import entries_record
 from reedspoke.control_plane.tallies.settings import (
-    APART_AFTER_S,
-    CALL_LIMIT_S,
+    CALL_TIMEOUT_S,
+    CONTACT_TIMEOUT_S,
     DISK_PROBE_S,
     DISK_STALL_S,
-    FRESH_CONTACT_S,
-    FRESH_FOLDER_WAIT_S,
+    EMPTY_FOLDER_WAIT_S,
+    FRESH_ROUND_TRIP_S,
     PULL_TIMEOUT_S,
     max_ids,
 )
@@ -38,7 +38,7 @@
 def steps() -> Steps:
     """A replica in touch with all its peers."""
     made = Steps()
-    made.in_touch(*PEERS)
+    made.in_contact(*PEERS)
     return made
 
 
@@ -84,7 +84,7 @@
     steps.stored()
     later = steps.add(1, 4)
     assert [answer(steps, call) for call in (first, again, later)] == [WAITING] * 3
-    steps.in_touch("p1", "p2", vector={OWN: 1})
+    steps.in_contact("p1", "p2", vector={OWN: 1})
     assert [answer(steps, call) for call in (first, again, later)] == [None] * 3
     assert steps.replica.total("t", steps.now) == 4
     assert len(steps.stores) == 1
@@ -95,7 +95,7 @@
     steps.stored()
     call = steps.add(1, 4)
     assert answer(steps, call) == WAITING
-    steps.in_touch("p1", "p2", vector={"f-p1": 1})
+    steps.in_contact("p1", "p2", vector={"f-p1": 1})
     assert answer(steps, call) is None
     assert steps.replica.total("t", steps.now) == 4
 
@@ -106,7 +106,7 @@
     call = steps.add(2)
     steps.stored()
     steps.digest("p1", {OWN: 2})
-    for _ in range(int(APART_AFTER_S / 0.2) + 1):
+    for _ in range(int(CONTACT_TIMEOUT_S / 0.2) + 1):
         assert answer(steps, call) == WAITING
         steps.tick(0.2)
         steps.digest("p1", {OWN: 2})
@@ -116,7 +116,7 @@
 def test_a_peer_that_is_heard_but_does_not_hear_is_not_waited_for(steps: Steps) -> None:
     call = steps.add(1)
     steps.stored()
-    for _ in range(int(APART_AFTER_S / 0.2) + 2):
+    for _ in range(int(CONTACT_TIMEOUT_S / 0.2) + 2):
         steps.tick(0.2)
         for peer in PEERS:
             steps.digest(peer, {}, echoes=False)
@@ -126,14 +126,14 @@
 def test_a_peer_whose_disk_refuses_is_waited_for_but_beside_a_partition(steps: Steps) -> None:
     call = steps.add(1)
     steps.stored()
-    for _ in range(int(APART_AFTER_S / 0.2) + 2):
+    for _ in range(int(CONTACT_TIMEOUT_S / 0.2) + 2):
         steps.tick(0.2)
         for peer in PEERS:
             steps.digest(peer, {}, writable=False)
     assert answer(steps, call) == WAITING
     later = steps.add(2)
     steps.stored()
-    for _ in range(int(APART_AFTER_S / 0.2) + 2):
+    for _ in range(int(CONTACT_TIMEOUT_S / 0.2) + 2):
         steps.tick(0.2)
         for peer in PEERS[1:]:
             steps.digest(peer, {}, writable=False)
@@ -150,7 +150,7 @@
 
 
 def test_digests_are_not_answered_by_digests(steps: Steps) -> None:
-    steps.tick(FRESH_CONTACT_S + 0.1)  # nobody has answered for long
+    steps.tick(FRESH_ROUND_TRIP_S + 0.1)  # nobody has answered for long
     before = len(steps.sent)
     for _ in range(50):
         steps.digest("p1", {}, echoes=False)
@@ -161,7 +161,7 @@
     late = steps.last_digest("p1").sequence
     steps.tick(0.9)  # many digests later
     steps.receive("p1", TallyDigest("f-p1", 1, 10**12, 7, late, True, True, {}))
-    assert steps.replica._contacts.peer("p1").contact_as_of == pytest.approx(steps.now - 0.9, abs=0.01)
+    assert steps.replica._contacts.peer("p1").last_round_trip_at == pytest.approx(steps.now - 0.9, abs=0.01)
 
 
 def test_what_a_lost_disk_had_does_not_count(steps: Steps) -> None:
@@ -176,9 +176,9 @@
 def test_nobody_waits_for_longer_than_callers_do(steps: Steps) -> None:
     call = steps.add(1)
     steps.stored()
-    for _ in range(int(CALL_LIMIT_S / 0.2) + 1):
+    for _ in range(int(CALL_TIMEOUT_S / 0.2) + 1):
         steps.tick(0.2)
-        steps.in_touch(*PEERS)
+        steps.in_contact(*PEERS)
     assert steps.replica.metric_values(steps.now)["waiting_adds"] == 0
     assert answer(steps, call) == WAITING
     assert steps.replica.total("t", steps.now) == 1  # it counts all the same
@@ -214,13 +214,13 @@
 
 def test_no_more_ids_than_there_is_room_for() -> None:
     steps = Steps(max_ids=2)
-    steps.in_touch(*PEERS)
+    steps.in_contact(*PEERS)
     steps.add(1)
     steps.add(2)
     steps.stored()
     steps.stored()
     assert answer(steps, steps.add(3)) is ErrorCode.TALLIES_FULL
-    steps.in_touch("p1", "p2", vector={OWN: 2})
+    steps.in_contact("p1", "p2", vector={OWN: 2})
     assert answer(steps, steps.add(1)) is None  # one that is there already
 
 
@@ -244,7 +244,7 @@
 def test_reads_and_adds_wait_until_the_node_has_caught_up() -> None:
     steps = Steps()
     assert answer(steps, steps.add(1)) is ErrorCode.TALLIES_BEHIND
-    steps.in_touch("p1", "p2", "p3")
+    steps.in_contact("p1", "p2", "p3")
     with pytest.raises(FleetError):
         steps.replica.total("t", steps.now)
     steps.digest("p4", {"f-p4": 1})  # has what this node lacks
@@ -258,7 +258,7 @@
 
 def test_a_node_that_reaches_nobody_serves_what_it_has() -> None:
     steps = Steps(records=(entries_record(TallyEntries(OWN, 1, (TallyAdd("t", 1, 4),))),))
-    steps.tick(APART_AFTER_S - 0.2)
+    steps.tick(CONTACT_TIMEOUT_S - 0.2)
     with pytest.raises(FleetError):
         steps.replica.total("t", steps.now)
     steps.tick(0.3)
@@ -267,10 +267,10 @@
 
 def test_an_empty_folder_waits_longer_for_somebody_to_learn_from() -> None:
     steps = Steps(created=True)
-    steps.tick(APART_AFTER_S + 0.3)
+    steps.tick(CONTACT_TIMEOUT_S + 0.3)
     with pytest.raises(FleetError):
         steps.replica.total("t", steps.now)
-    steps.tick(FRESH_FOLDER_WAIT_S)
+    steps.tick(EMPTY_FOLDER_WAIT_S)
     assert steps.replica.total("t", steps.now) == 0
 
 
@@ -317,7 +317,7 @@
 def test_entries_that_all_have_are_dropped_and_the_state_is_sent_instead(steps: Steps) -> None:
     steps.add(1, 4)
     steps.stored()
-    steps.in_touch(*PEERS, vector={OWN: 1})
+    steps.in_contact(*PEERS, vector={OWN: 1})
     steps.tick(0.3)
     assert steps.replica.metric_values(steps.now)["entries_retained"] == 0
     steps.receive("p1", TallyPull({}))
@@ -330,7 +330,7 @@
 def test_entries_stay_while_one_peer_lacks_them(steps: Steps) -> None:
     steps.add(1)
     steps.stored()
-    steps.in_touch("p1", "p2", "p3", vector={OWN: 1})
+    steps.in_contact("p1", "p2", "p3", vector={OWN: 1})
     steps.tick(0.3)
     assert steps.replica.metric_values(steps.now)["entries_retained"] == 1
 
@@ -421,7 +421,7 @@
     steps.receive("p1", TallyEntries("f-p1", 1, (TallyAdd("u", 9, 5),)))
     steps.stored()
     again = Steps(records=tuple(steps.records))
-    again.in_touch(*PEERS)
+    again.in_contact(*PEERS)
     assert (again.replica.total("t", again.now), again.replica.total("u", again.now)) == (4, 5)
     again.add(2)
     again.stored()
@@ -435,7 +435,7 @@
         steps.stored()
     assert any(store.replace for store in steps.stores)
     again = Steps(records=tuple(steps.records))
-    again.in_touch(*PEERS)
+    again.in_contact(*PEERS)
     assert again.replica.total("t", again.now) == 19
 
 
@@ -444,7 +444,7 @@
     steps.add(1)
     assert not steps.replica.is_replicated(steps.now)
     steps.stored()
-    steps.in_touch("p1", "p2", "p3", vector={OWN: 1})
+    steps.in_contact("p1", "p2", "p3", vector={OWN: 1})
     assert not steps.replica.is_replicated(steps.now)
     steps.digest("p4", {OWN: 1})
     assert steps.replica.is_replicated(steps.now)
--- a/tests/control_plane/test_guards_peer_transport.py
+++ b/tests/control_plane/test_guards_peer_transport.py
@@ -20,7 +20,7 @@
 def test_the_queue_for_a_connection_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(peer_link, "MAX_BACKLOG_BYTES", 2 * len(encode(DiscoveryLeaseRelease(1))))
 
-    async def scene(first: TransportNode, second: TransportNode) -> None:
+    async def scenario(first: TransportNode, second: TransportNode) -> None:
         await second.transport.listen()
         for term in range(1, 6):
             first.transport.send(second.address, DiscoveryLeaseRelease(term))
@@ -29,13 +29,13 @@
         await second.until(lambda: LAST_TERM in second.terms)
         assert second.terms == [1, 2, LAST_TERM]
 
-    with_two_nodes(scene)
+    with_two_nodes(scenario)
 
 
 def test_expired_messages_are_not_sent(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(peer_link, "QUEUE_TTL_S", -1.0)
 
-    async def scene(first: TransportNode, second: TransportNode) -> None:
+    async def scenario(first: TransportNode, second: TransportNode) -> None:
         await second.transport.listen()
         first.transport.send(second.address, DiscoveryLeaseRelease(1))
 
@@ -46,14 +46,14 @@
         await second.until(later_one_has_come)
         assert 1 not in second.terms
 
-    with_two_nodes(scene)
+    with_two_nodes(scenario)
 
 
 def test_incoming_connections_beyond_the_limit_are_closed(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(peer_transport, "MAX_INCOMING", 1)
+    monkeypatch.setattr(peer_transport, "MAX_INCOMING_CONNECTIONS", 1)
     monkeypatch.setattr(peer_transport, "HANDSHAKE_TIMEOUT_S", 60.0)
 
-    async def scene(first: TransportNode, second: TransportNode) -> None:
+    async def scenario(first: TransportNode, second: TransportNode) -> None:
         await second.transport.listen()
         first.transport.send(second.address, DiscoveryLeaseRelease(1))
         await second.until(lambda: second.terms == [1])
@@ -63,13 +63,13 @@
                 await one_too_many.receive(PeerHello)
         one_too_many.close()
 
-    with_two_nodes(scene)
+    with_two_nodes(scenario)
 
 
 def test_an_idle_incoming_connection_is_closed(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(peer_transport, "PEER_IDLE_TIMEOUT_S", -1.0)
 
-    async def scene(first: TransportNode, second: TransportNode) -> None:
+    async def scenario(first: TransportNode, second: TransportNode) -> None:
         await second.transport.listen()
         silent = await open_channel(second.address)
         silent.send(PeerHello("127.0.0.9:9", "za"))
@@ -81,13 +81,13 @@
                 await silent.receive(PeerHello)
         silent.close()
 
-    with_two_nodes(scene)
+    with_two_nodes(scenario)
 
 
 def test_a_connection_without_a_handshake_is_closed(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(peer_transport, "HANDSHAKE_TIMEOUT_S", 0.1)
 
-    async def scene(first: TransportNode, second: TransportNode) -> None:
+    async def scenario(first: TransportNode, second: TransportNode) -> None:
         await second.transport.listen()
         silent = await open_channel(second.address)
         with pytest.raises((ConnectionError, asyncio.IncompleteReadError)):
@@ -95,18 +95,18 @@
                 await silent.receive(PeerHello)
         silent.close()
 
-    with_two_nodes(scene)
+    with_two_nodes(scenario)
 
 
 def test_an_idle_outgoing_connection_makes_room_for_another(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(peer_transport, "MAX_LINKS", 1)
     monkeypatch.setattr(peer_transport, "LINK_IDLE_TIMEOUT_S", -1.0)
 
-    async def scene(first: TransportNode, second: TransportNode) -> None:
+    async def scenario(first: TransportNode, second: TransportNode) -> None:
         await second.transport.listen()
         first.transport.send("127.0.0.9:9", DiscoveryLeaseRelease(1))
         first.transport.close_idle()
         first.transport.send(second.address, DiscoveryLeaseRelease(2))
         await second.until(lambda: second.terms == [2])
 
-    with_two_nodes(scene)
+    with_two_nodes(scenario)
--- a/tests/control_plane/test_storage_driver.py
+++ b/tests/control_plane/test_storage_driver.py
@@ -41,7 +41,7 @@
         """Ignored."""
 
 
-class Made:
+class RecordedReplicas:
     """How replicas were made by the driver."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -76,7 +76,7 @@
 def test_a_long_log_is_replayed_on_the_storage_thread(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    made = Made(monkeypatch)
+    made = RecordedReplicas(monkeypatch)
     _run(tmp_path, lambda: bool(made.threads))
     assert made.threads == ["storage"]
     assert made.settings[0].bootstrap
@@ -88,7 +88,7 @@
 ) -> None:
     """The settings still say so; its part of what was agreed is lost all the same."""
     _make_corrupt(tmp_path, damage)
-    made = Made(monkeypatch)
+    made = RecordedReplicas(monkeypatch)
 
     def started_anew() -> bool:
         return bool(made.records) and made.records[-1] == []
--- a/tests/control_plane/test_storage_faults.py
+++ b/tests/control_plane/test_storage_faults.py
@@ -34,7 +34,7 @@
         (opened.writer.rewrite if self.replace else opened.writer.append)(self.records)
 
 
-STORY = (
+STEPS = (
     Step((b"one",)),
     Step((b"two" * 9, b"")),
     Step((b"snapshot" * 5, b"rest"), replace=True),
@@ -45,7 +45,7 @@
 )
 
 
-class Player:
+class StepRunner:
     """Plays the story and knows what the log must hold, and what it may hold."""
 
     def __init__(self, files: SimulatedFiles) -> None:
@@ -54,10 +54,10 @@
         self.held: tuple[bytes, ...] = ()
         self.unclear: tuple[Step, ...] = ()
 
-    def play(self) -> None:
+    def run(self) -> None:
         """All of it, unless power is lost; steps that the disk refuses are left out."""
         try:
-            self._play()
+            self._run_steps()
         except PowerLost:
             return
 
@@ -89,9 +89,9 @@
         allowed = [self.held, *(step.after(self.held) for step in self.unclear)]
         assert tuple(opened.records) in allowed, files
 
-    def _play(self) -> None:
+    def _run_steps(self) -> None:
         opened = self.open()
-        for step in STORY:
+        for step in STEPS:
             self.step(opened, step)
 
 
@@ -100,16 +100,16 @@
 
 def _count_of_calls(monkeypatch: pytest.MonkeyPatch) -> int:
     files = use(monkeypatch, SimulatedFiles())
-    Player(files).play()
+    StepRunner(files).run()
     return files.calls
 
 
-def _check_after_power_loss(monkeypatch: pytest.MonkeyPatch, player: Player) -> list[Files]:
+def _check_after_power_loss(monkeypatch: pytest.MonkeyPatch, runner: StepRunner) -> list[Files]:
     """The folders that power loss may leave, each of which has been opened."""
-    found = list(player.files.after_power_loss())
+    found = list(runner.files.after_power_loss())
     for files in found:
         use(monkeypatch, SimulatedFiles(files))
-        player.check(files)
+        runner.check(files)
     return found
 
 
@@ -122,9 +122,9 @@
     for number in range(1, _count_of_calls(monkeypatch) + 2):
         files = use(monkeypatch, SimulatedFiles())
         files.lose_power_at = number
-        player = Player(files)
-        player.play()
-        checked += len(_check_after_power_loss(monkeypatch, player))
+        runner = StepRunner(files)
+        runner.run()
+        checked += len(_check_after_power_loss(monkeypatch, runner))
     assert checked > 500
 
 
@@ -133,16 +133,16 @@
     for number in range(1, _count_of_calls(monkeypatch) + 2):
         files = use(monkeypatch, SimulatedFiles())
         files.lose_power_at = number
-        player = Player(files)
-        player.play()
+        runner = StepRunner(files)
+        runner.run()
         for left in files.after_power_loss(FEW_TORN_PARTS):
             key = tuple(sorted(left.items()))
             if key not in seen:
                 seen.add(key)
-                _lose_power_while_opening(monkeypatch, player, left)
+                _lose_power_while_opening(monkeypatch, runner, left)
 
 
-def _lose_power_while_opening(monkeypatch: pytest.MonkeyPatch, player: Player, left: Files) -> None:
+def _lose_power_while_opening(monkeypatch: pytest.MonkeyPatch, runner: StepRunner, left: Files) -> None:
     number = 0
     lost = True
     while lost:
@@ -156,7 +156,7 @@
             lost = True
         for again in files.after_power_loss(FEW_TORN_PARTS):
             use(monkeypatch, SimulatedFiles(again))
-            player.check(again)
+            runner.check(again)
 
 
 def test_a_process_is_killed_at_each_call_and_power_is_lost_in_its_next_life(
@@ -166,17 +166,17 @@
     for number in range(1, _count_of_calls(monkeypatch) + 2):
         files = use(monkeypatch, SimulatedFiles())
         files.lose_power_at = number
-        player = Player(files)
-        player.play()
+        runner = StepRunner(files)
+        runner.run()
         files.lose_power_at = 0
         opened = open_log(FOLDER)
-        player.folder_id = opened.folder_id
-        player.held, player.unclear = tuple(opened.records), ()
-        _check_after_power_loss(monkeypatch, player)
+        runner.folder_id = opened.folder_id
+        runner.held, runner.unclear = tuple(opened.records), ()
+        _check_after_power_loss(monkeypatch, runner)
         use(monkeypatch, files)
-        player.step(opened, Step((b"next life",)))
-        assert not player.unclear
-        _check_after_power_loss(monkeypatch, player)
+        runner.step(opened, Step((b"next life",)))
+        assert not runner.unclear
+        _check_after_power_loss(monkeypatch, runner)
 
 
 @pytest.mark.parametrize("length", [1, 2, 5])
@@ -184,16 +184,16 @@
     for number in range(1, _count_of_calls(monkeypatch) + 1):
         files = use(monkeypatch, SimulatedFiles())
         files.refused = range(number, number + length)
-        player = Player(files)
-        opened = player.open()
-        for step in STORY:
+        runner = StepRunner(files)
+        opened = runner.open()
+        for step in STEPS:
             use(monkeypatch, files)
-            player.step(opened, step)
-            _check_after_power_loss(monkeypatch, player)
-        while player.unclear:
+            runner.step(opened, step)
+            _check_after_power_loss(monkeypatch, runner)
+        while runner.unclear:
             use(monkeypatch, files)
-            player.step(opened, Step((b"last",)))
-        _check_after_power_loss(monkeypatch, player)
+            runner.step(opened, Step((b"last",)))
+        _check_after_power_loss(monkeypatch, runner)
 
 
 def test_power_is_lost_at_each_call_after_a_refused_one(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -203,9 +203,9 @@
             files = use(monkeypatch, SimulatedFiles())
             files.refused = range(refused, refused + 1)
             files.lose_power_at = number
-            player = Player(files)
-            player.play()
-            _check_after_power_loss(monkeypatch, player)
+            runner = StepRunner(files)
+            runner.run()
+            _check_after_power_loss(monkeypatch, runner)
 
 
 def test_of_two_slots_the_newer_one_counts(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/control_plane_process/test_peer_connections.py
+++ b/tests/control_plane_process/test_peer_connections.py
@@ -28,7 +28,7 @@
     raise AssertionError(message)
 
 
-class NoEdges:
+class NoSessions:
     """No data plane scheduler comes here."""
 
     def message_received(self, channel: Channel, message: EdgeMessage) -> None:
@@ -39,30 +39,30 @@
 
 
 class Listener:
-    """A transport, and what came by it."""
+    """A transport, and what received_messages by it."""
 
     def __init__(self) -> None:
         self.address = f"{HOST}:{free_port((HOST,))}"
-        self.came: list[tuple[str, int]] = []
-        self.transport = PeerTransport(self.address, "za", self.received, no_tallies, NoEdges())
+        self.received_messages: list[tuple[str, int]] = []
+        self.transport = PeerTransport(self.address, "za", self.received, no_tallies, NoSessions())
 
     def received(self, sender: str, message: PeerMessage) -> None:
         assert isinstance(message, DiscoveryLeaseRelease)
-        self.came.append((sender, message.term))
+        self.received_messages.append((sender, message.term))
 
     async def connect(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
         return await asyncio.open_connection(*split_address(self.address))
 
 
-Scene = Callable[[Listener], Awaitable[None]]
+Scenario = Callable[[Listener], Awaitable[None]]
 
 
-def with_listener(scene: Scene) -> Listener:
+def with_listener(scenario: Scenario) -> Listener:
     async def run() -> Listener:
         listener = Listener()
         await listener.transport.listen()
         async with asyncio.timeout(LIMIT_S):
-            await scene(listener)
+            await scenario(listener)
         listener.transport.close()
         await asyncio.sleep(0)
         return listener
@@ -102,25 +102,25 @@
 def test_frames_may_arrive_in_any_segments() -> None:
     raw = hello() + release(1) + release(2)
 
-    async def scene(listener: Listener) -> None:
+    async def scenario(listener: Listener) -> None:
         for cut in range(1, len(raw)):
-            listener.came.clear()
+            listener.received_messages.clear()
             _, writer = await listener.connect()
             writer.write(raw[:cut])
             await asyncio.sleep(0)
             writer.write(raw[cut:])
-            await until(lambda: len(listener.came) == 2)
-            assert listener.came == [(PEER, 1), (PEER, 2)]
+            await until(lambda: len(listener.received_messages) == 2)
+            assert listener.received_messages == [(PEER, 1), (PEER, 2)]
             writer.close()
 
-    with_listener(scene)
+    with_listener(scenario)
 
 
 def test_a_truncated_frame_is_no_message() -> None:
     whole = hello() + release(1)
     raw = whole + release(2)
 
-    async def scene(listener: Listener) -> None:
+    async def scenario(listener: Listener) -> None:
         for length in range(len(whole), len(raw)):
             reader, writer = await listener.connect()
             writer.write(raw[:length])
@@ -128,8 +128,8 @@
             await is_over(reader)
             writer.close()
 
-    listener = with_listener(scene)
-    assert listener.came == [(PEER, 1)] * (len(raw) - len(whole))
+    listener = with_listener(scenario)
+    assert listener.received_messages == [(PEER, 1)] * (len(raw) - len(whole))
 
 
 MALFORMED = {
@@ -143,23 +143,23 @@
 
 @pytest.mark.parametrize("name", MALFORMED)
 def test_bytes_that_are_no_message_end_only_their_own_connection(name: str) -> None:
-    async def scene(listener: Listener) -> None:
+    async def scenario(listener: Listener) -> None:
         _, other = await listener.connect()
         other.write(hello(OTHER) + release(1))
-        await until(lambda: listener.came == [(OTHER, 1)])
+        await until(lambda: listener.received_messages == [(OTHER, 1)])
         reader, writer = await listener.connect()
         writer.write(hello() + MALFORMED[name] + release(7))
         await is_over(reader)
         other.write(release(2))
-        await until(lambda: len(listener.came) == 2)
+        await until(lambda: len(listener.received_messages) == 2)
         _, again = await listener.connect()
         again.write(hello() + release(8))
-        await until(lambda: len(listener.came) == 3)
-        assert listener.came == [(OTHER, 1), (OTHER, 2), (PEER, 8)]
+        await until(lambda: len(listener.received_messages) == 3)
+        assert listener.received_messages == [(OTHER, 1), (OTHER, 2), (PEER, 8)]
         for item in (other, writer, again):
             item.close()
 
-    with_listener(scene)
+    with_listener(scenario)
 
 
 @settings(max_examples=200, deadline=None, derandomize=True)
@@ -185,45 +185,45 @@
 def test_the_end_of_an_older_connection_leaves_the_newer_one_alone() -> None:
     """A peer that restarts sends on a new one while the old one may still stand."""
 
-    async def scene(listener: Listener) -> None:
+    async def scenario(listener: Listener) -> None:
         _, old = await listener.connect()
         old.write(hello() + release(1))
-        await until(lambda: listener.came == [(PEER, 1)])
+        await until(lambda: listener.received_messages == [(PEER, 1)])
         _, new = await listener.connect()
         new.write(hello() + release(2))
-        await until(lambda: len(listener.came) == 2)
+        await until(lambda: len(listener.received_messages) == 2)
         old.write(release(3)[:-1])  # cut off
         old.close()
         new.write(release(4) + release(5))
-        await until(lambda: len(listener.came) == 4)
-        assert listener.came[2:] == [(PEER, 4), (PEER, 5)]
+        await until(lambda: len(listener.received_messages) == 4)
+        assert listener.received_messages[2:] == [(PEER, 4), (PEER, 5)]
         new.close()
 
-    with_listener(scene)
+    with_listener(scenario)
 
 
 def test_each_connection_keeps_its_order_whatever_the_others_receive() -> None:
-    async def scene(listener: Listener) -> None:
+    async def scenario(listener: Listener) -> None:
         writers = [(await listener.connect())[1] for _ in range(3)]
         for writer in writers:
             writer.write(hello())
         for term in range(50):
             for number, writer in enumerate(writers):
                 writer.write(release(1000 * number + term))
-        await until(lambda: len(listener.came) == 150)
+        await until(lambda: len(listener.received_messages) == 150)
         for number, writer in enumerate(writers):
-            terms = [term for _, term in listener.came if term // 1000 == number]
+            terms = [term for _, term in listener.received_messages if term // 1000 == number]
             assert terms == [1000 * number + term for term in range(50)]
             writer.close()
 
-    with_listener(scene)
+    with_listener(scenario)
 
 
 def test_a_peer_that_answers_on_our_connection_ends_only_that() -> None:
     """Answers come on connections of the other's own; what comes on ours instead is not read as one."""
 
-    async def scene(listener: Listener) -> None:
-        came: list[int] = []
+    async def scenario(listener: Listener) -> None:
+        received_messages: list[int] = []
 
         async def other_side(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             channel = Channel(reader, writer)
@@ -231,18 +231,18 @@
             try:
                 await channel.receive(PeerHello)
                 while True:
-                    came.append((await channel.receive(PeerMessage)).term)
+                    received_messages.append((await channel.receive(PeerMessage)).term)
             except CONNECTION_ENDED:
                 channel.close()
 
         address = f"{HOST}:{free_port((HOST,))}"
         server = await asyncio.start_server(other_side, *split_address(address))
         term = 0
-        while len(came) < 3:
+        while len(received_messages) < 3:
             term += 1
             listener.transport.send(address, DiscoveryLeaseRelease(term))
             await asyncio.sleep(0.02)
-        assert listener.came == []
+        assert listener.received_messages == []
         server.close()
 
-    with_listener(scene)
+    with_listener(scenario)
--- a/tests/control_plane_process/test_peer_transport.py
+++ b/tests/control_plane_process/test_peer_transport.py
@@ -24,7 +24,7 @@
     raise AssertionError(message)
 
 
-class NoEdges:
+class NoSessions:
     """No data plane scheduler comes here."""
 
     def message_received(self, channel: Channel, message: EdgeMessage) -> None:
@@ -40,7 +40,7 @@
     def __init__(self, address: str) -> None:
         self.address = address
         self.terms: list[int] = []
-        self.transport = PeerTransport(address, "za", self.received, no_tallies, NoEdges())
+        self.transport = PeerTransport(address, "za", self.received, no_tallies, NoSessions())
 
     def received(self, sender: str, message: PeerMessage) -> None:
         assert isinstance(message, DiscoveryLeaseRelease)
@@ -52,11 +52,11 @@
                 await asyncio.sleep(0.01)
 
 
-def with_two_nodes(scene: Callable[[TransportNode, TransportNode], Awaitable[None]]) -> None:
+def with_two_nodes(scenario: Callable[[TransportNode, TransportNode], Awaitable[None]]) -> None:
     async def run() -> None:
         first, second = (TransportNode(f"{HOST}:{free_port((HOST,))}") for _ in range(2))
         await first.transport.listen()
-        await scene(first, second)
+        await scenario(first, second)
         for scheduler in (first, second):
             scheduler.transport.close()
         await asyncio.sleep(0)
@@ -65,18 +65,18 @@
 
 
 def test_messages_come_in_order_from_the_very_first() -> None:
-    async def scene(first: TransportNode, second: TransportNode) -> None:
+    async def scenario(first: TransportNode, second: TransportNode) -> None:
         await second.transport.listen()
         for term in range(50):
             first.transport.send(second.address, DiscoveryLeaseRelease(term))
         await second.until(lambda: len(second.terms) == 50)
         assert second.terms == list(range(50))
 
-    with_two_nodes(scene)
+    with_two_nodes(scenario)
 
 
 def test_the_connection_is_opened_again_when_the_peer_is_back() -> None:
-    async def scene(first: TransportNode, second: TransportNode) -> None:
+    async def scenario(first: TransportNode, second: TransportNode) -> None:
         first.transport.send(second.address, DiscoveryLeaseRelease(1))
         await asyncio.sleep(0.1)
         await second.transport.listen()
@@ -97,16 +97,16 @@
         await first.until(sent)
         third.transport.close()
 
-    with_two_nodes(scene)
+    with_two_nodes(scenario)
 
 
 def test_a_message_to_the_own_address_is_dropped() -> None:
-    async def scene(first: TransportNode, second: TransportNode) -> None:
+    async def scenario(first: TransportNode, second: TransportNode) -> None:
         first.transport.send(first.address, DiscoveryLeaseRelease(1))
         await asyncio.sleep(0.05)
         assert first.terms == []
 
-    with_two_nodes(scene)
+    with_two_nodes(scenario)
 
 
 def test_a_peer_that_does_not_read_loses_messages_and_then_its_connection(
@@ -114,7 +114,7 @@
 ) -> None:
     monkeypatch.setattr(peer_link, "MAX_BACKLOG_BYTES", 1_000_000)
 
-    async def scene(first: TransportNode, second: TransportNode) -> None:
+    async def scenario(first: TransportNode, second: TransportNode) -> None:
         arrived: list[asyncio.StreamWriter] = []
 
         async def never_reads(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -133,17 +133,17 @@
             writer.transport.abort()
         server.close()
 
-    with_two_nodes(scene)
+    with_two_nodes(scenario)
 
 
 def test_small_messages_come_while_a_large_one_is_stuck() -> None:
-    async def scene(first: TransportNode, second: TransportNode) -> None:
+    async def scenario(first: TransportNode, second: TransportNode) -> None:
         received: list[bytearray] = []
 
         async def reads_little(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             held = bytearray()
             received.append(held)
-            while len(held) < peer_transport.LARGE_BYTES:
+            while len(held) < peer_transport.LARGE_MESSAGE_BYTES:
                 held += await reader.read(1000)
             await asyncio.Event().wait()
 
@@ -156,13 +156,13 @@
         first.transport.close()
         server.close()
 
-    with_two_nodes(scene)
+    with_two_nodes(scenario)
 
 
 def test_connections_that_are_not_used_are_closed(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(peer_transport, "LINK_IDLE_TIMEOUT_S", 0.0)
 
-    async def scene(first: TransportNode, second: TransportNode) -> None:
+    async def scenario(first: TransportNode, second: TransportNode) -> None:
         await second.transport.listen()
         first.transport.send(second.address, DiscoveryLeaseRelease(1))
         await second.until(lambda: second.terms == [1])
@@ -170,17 +170,17 @@
         first.transport.send(second.address, DiscoveryLeaseRelease(2))
         await second.until(lambda: second.terms == [1, 2])
 
-    with_two_nodes(scene)
+    with_two_nodes(scenario)
 
 
 def test_outgoing_connections_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(peer_transport, "MAX_LINKS", 1)
 
-    async def scene(first: TransportNode, second: TransportNode) -> None:
+    async def scenario(first: TransportNode, second: TransportNode) -> None:
         await second.transport.listen()
         first.transport.send("127.0.0.9:9", DiscoveryLeaseRelease(0))
         first.transport.send(second.address, DiscoveryLeaseRelease(1))
         await asyncio.sleep(0.1)
         assert second.terms == []
 
-    with_two_nodes(scene)
+    with_two_nodes(scenario)
