--- a/reedspoke/control_plane/storage/log_format.py
+++ b/reedspoke/control_plane/storage/log_format.py
@@ -51,6 +51,7 @@
 
     @property
     def size(self) -> int:
+        """The number of bytes of the copy."""
         return self.end - self.start
 
 
--- a/reedspoke/control_plane/tallies/acknowledgements.py
+++ b/reedspoke/control_plane/tallies/acknowledgements.py
@@ -68,7 +68,7 @@
         completed: list[CallCompleted] = []
         remaining: list[WaitingAdd] = []
         for waiting in self._adds:
-            copies = 1 + self._contacts.copies_of(waiting.required)
+            copies = 1 + self._contacts.copies_covering(waiting.required)
             # The quorum that is asked for the next order could miss an order that is on fewer disks.
             is_order = waiting.tally.startswith(INTERNAL_TALLY_PREFIX)
             if copies >= (self._copies if is_order else needed):
--- a/reedspoke/control_plane/tallies/peer_contacts.py
+++ b/reedspoke/control_plane/tallies/peer_contacts.py
@@ -150,7 +150,7 @@
         nodes = 1 + sum(peer.is_member for peer in self._peers.values())
         return max(nodes - copies + 1, copies)
 
-    def copies_of(self, required: Mapping[str, int]) -> int:
+    def copies_covering(self, required: Mapping[str, int]) -> int:
         """The number of disks of peers that have everything up to `required`."""
         holders = {peer.folder_id for peer in self._peers.values() if covers(peer.vector, required)}
         return len(holders - {""})
--- a/reedspoke/control_plane/tallies/replica.py
+++ b/reedspoke/control_plane/tallies/replica.py
@@ -290,7 +290,7 @@
             self._catch_up.transfer = None
 
     def _request_chunk(self, now: float, transfer: StateTransfer, after: TallyCursor) -> None:
-        # The chunk is of an earlier transfer; the current one has another vector and needs its own chunks.
+        # Chunks of an earlier transfer do not count for the current one, which has another vector.
         if self._catch_up.transfer is not transfer:
             return
         transfer.after = after
@@ -317,7 +317,7 @@
         self._complete_calls(now)
         if now >= self._digests_at:
             self._digests_at = now + DIGEST_INTERVAL_S
-            self._drop_what_all_have(peers)
+            self._drop_replicated_entries(peers)
             for address in self._contacts.addresses:
                 self._send_digest(now, address)
         else:
@@ -337,7 +337,7 @@
         self._catch_up.pull_sent(address, now)
         self._effects.append(SendMessage(address, TallyPull(dict(self._queue.expected))))
 
-    def _drop_what_all_have(self, peers: frozenset[str]) -> None:
+    def _drop_replicated_entries(self, peers: frozenset[str]) -> None:
         """Drop the entries that every peer has. A node that joins later receives the whole state."""
         common = self._state.log.vector
         for address in peers:
--- a/tests/control_plane/simulated_files.py
+++ b/tests/control_plane/simulated_files.py
@@ -1,10 +1,10 @@
-"""A file system in memory that stands in for `os` in the modules of the log.
+"""A simulated file system that replaces `os` in the modules of the log.
 
-Its calls are numbered, and power may be lost at each.
+Its calls are numbered, and power may be lost at each of them.
 
-A loss of power keeps what was synced. Of what was written to a file after its last sync each write stays,
-is missing or is torn; each name that was made, renamed or removed since the last sync of the folder is as it
-was before or as it was made, by itself.
+Synced data survives a power loss. Each write to a file after its last sync is kept, lost or torn,
+independently of the others. Each name that was created, renamed or removed after the last sync of the folder
+has either its old or its new state, independently of the others.
 """
 
 from __future__ import annotations
@@ -22,11 +22,11 @@
 from reedspoke.control_plane.storage.log_format import BATCH_COPIES, SINGLE_COPY_HEADER, encode_batch
 
 FOLDER = Path("/data")
-TORN_PARTS = 20  # into which a write may be torn
+TORN_PARTS = 20  # the parts into which a torn write is divided
 
 
 class PowerLost(BaseException):
-    """Power is lost at a numbered call; nothing after it is done."""
+    """Power is lost at a numbered call; later operations do not happen."""
 
 
 @dataclass(frozen=True)
@@ -37,7 +37,7 @@
     data: bytes
 
     def outcomes(self, torn_parts: int) -> list[list[Change]]:
-        """What a loss of power may leave of it, beginning with all and nothing."""
+        """The possible effects of this write after a power loss, the first two being all and nothing."""
         size = len(self.data)
         cuts = range(1, size, max(1, size // torn_parts))
         beginnings: list[list[Change]] = [[self._part(0, cut)] for cut in cuts]
@@ -56,12 +56,12 @@
 
 @dataclass(frozen=True)
 class Truncate:
-    """The file was cut, or extended, to a length."""
+    """A truncation, or an extension, of a file to a length."""
 
     length: int
 
     def outcomes(self, _: int) -> list[list[Change]]:
-        """What a loss of power may leave of it."""
+        """All possible effects after a power loss."""
         return [[self], []]
 
 
@@ -69,42 +69,43 @@
 
 
 class Inode:
-    """A file: its synced content, what was done to it since, and the content that a reader sees."""
+    """A file: its synced content, the changes since, and the content that a reader sees."""
 
     def __init__(self, content: bytes = b"") -> None:
         self.synced = bytearray(content)
         self.content = bytearray(content)
         self.changes: list[Change] = []
-        self.since: list[
-            tuple[Change, bool]
-        ] = []  # from the first change on that a failed sync has forgotten;
-        # those that it forgot (False) are on the disk or not, readers see them, and no later sync writes them
+        # The changes since the first failed sync. Those of a failed sync (False) may be on the disk or not:
+        # readers see them, but no later sync writes them.
+        self.since_failed_sync: list[tuple[Change, bool]] = []
 
     def change(self, change: Change) -> None:
-        """Write or truncate, unsynced."""
+        """Apply a write or a truncation, without a sync."""
         _apply(self.content, change)
         self.changes.append(change)
 
     def sync(self) -> None:
-        """What a reader sees outlasts a loss of power."""
+        """Sync the changes, except those of an earlier failed sync."""
         for change in self.changes:
-            if self.since:
-                self.since.append((change, True))
+            if self.since_failed_sync:
+                self.since_failed_sync.append((change, True))
             else:
                 _apply(self.synced, change)
         self.changes.clear()
 
     def sync_failed(self) -> None:
-        """The system takes what was to be written for written."""
-        self.since += [(change, False) for change in self.changes]
+        """Let a sync fail: the system then treats the unsynced changes as written."""
+        self.since_failed_sync += [(change, False) for change in self.changes]
         self.changes.clear()
 
     def after_power_loss(self, torn_parts: int) -> set[bytes]:
-        """Each content that a loss of power may leave."""
-        since: list[list[list[Change]]] = [
-            [[change]] if synced else [[change], []] for change, synced in self.since
+        """All contents that a power loss may leave."""
+        since_failed_sync: list[list[list[Change]]] = [
+            [[change]] if synced else [[change], []] for change, synced in self.since_failed_sync
         ]
-        kept = itertools.product(*since, *(change.outcomes(torn_parts) for change in self.changes))
+        kept = itertools.product(
+            *since_failed_sync, *(change.outcomes(torn_parts) for change in self.changes)
+        )
         return {self._synced_with(itertools.chain(*choice)) for choice in kept}
 
     def _synced_with(self, changes: Iterable[Change]) -> bytes:
@@ -123,8 +124,10 @@
 
 
 class SimulatedFiles:
-    """One folder. Calls that change or sync something are numbered: those in `refused` are, and at
-    `lose_power_at` power is lost."""
+    """One folder. Calls that change or sync something are numbered.
+
+    The calls with numbers in `failing_calls` fail with `error`. Power is lost at the call `lose_power_at`.
+    """
 
     O_RDWR, O_CREAT, O_TRUNC, O_RDONLY = os.O_RDWR, os.O_CREAT, os.O_TRUNC, os.O_RDONLY
     SEEK_SET = os.SEEK_SET
@@ -134,10 +137,10 @@
         self.synced_names = dict(inodes)
         self.names = inodes
         self.calls = 0
-        self.refused = range(0)
+        self.failing_calls = range(0)
         self.error = errno.EIO
         self.lose_power_at = 0
-        self.most_bytes = 0
+        self.max_bytes = 0
         self.path = self
         self._descriptors: dict[int, Descriptor] = {}
         self._next_descriptor = itertools.count(3)
@@ -145,12 +148,12 @@
     # ---- what the modules of the log use of `os` ----
 
     def makedirs(self, path: Path, exist_ok: bool) -> None:
-        """The folder is always there."""
+        """Do nothing, as the folder always exists."""
         assert path == FOLDER
         assert exist_ok
 
     def exists(self, path: Path) -> bool:
-        """Whether a name is there."""
+        """Whether a file exists."""
         return path.name in self.names
 
     def open(self, path: Path, flags: int, mode: int = 0) -> int:
@@ -170,16 +173,16 @@
         return descriptor
 
     def close(self, descriptor: int) -> None:
-        """Close it."""
+        """Close a descriptor."""
         del self._descriptors[descriptor]
 
     def fstat(self, descriptor: int) -> os.stat_result:
-        """Only the size is right."""
+        """Return a result of which only the size is set."""
         size = len(self._inode(descriptor).content)
         return os.stat_result((0, 0, 0, 0, 0, 0, size, 0, 0, 0))
 
     def read(self, descriptor: int, size: int) -> bytes:
-        """Read on."""
+        """Read from the current position."""
         opened = self._descriptors[descriptor]
         data = self._inode(descriptor).content[opened.position : opened.position + size]
         opened.position += len(data)
@@ -192,7 +195,7 @@
         return offset
 
     def write(self, descriptor: int, data: bytes | memoryview) -> int:
-        """Write all; a refused write may have written a half."""
+        """Write all data; a write that fails writes half of it."""
         opened = self._descriptors[descriptor]
         inode = self._inode(descriptor)
         half = Write(opened.position, bytes(data[: len(data) // 2]))
@@ -200,17 +203,17 @@
         self._count(inode, half, whole)
         inode.change(whole)
         opened.position += len(data)
-        self.most_bytes = max(self.most_bytes, sum(len(other.content) for other in self.names.values()))
+        self.max_bytes = max(self.max_bytes, sum(len(other.content) for other in self.names.values()))
         return len(data)
 
     def ftruncate(self, descriptor: int, length: int) -> None:
-        """Set the length."""
+        """Set the length of a file."""
         inode = self._inode(descriptor)
         self._count(inode, Truncate(length), Truncate(length))
         inode.change(Truncate(length))
 
     def fsync(self, descriptor: int) -> None:
-        """Sync a file or the folder; a refused sync has synced nothing."""
+        """Sync a file or the folder; a sync that fails has no effect."""
         inode = self._descriptors[descriptor].inode
         try:
             self._count()
@@ -231,14 +234,14 @@
         del self.names[path.name]
 
     def replace(self, source: Path, target: Path) -> None:
-        """Rename."""
+        """Rename a file, replacing the target."""
         self._count()
         self.names[target.name] = self.names.pop(source.name)
 
     # ---- what tests use ----
 
     def after_power_loss(self, torn_parts: int = TORN_PARTS) -> Iterator[dict[str, bytes]]:
-        """Each folder that a loss of power may leave."""
+        """All states of the folder that a power loss may leave."""
         names = sorted({*self.names, *self.synced_names})
         choices = [_entries(self.synced_names.get(name), self.names.get(name)) for name in names]
         for entries in itertools.product(*choices):
@@ -248,7 +251,7 @@
                 yield dict(zip(held, content, strict=True))
 
     def after_kill(self) -> dict[str, bytes]:
-        """The folder as it is for the next process."""
+        """The folder as the next process finds it after this one was killed."""
         return {name: bytes(inode.content) for name, inode in self.names.items()}
 
     def _inode(self, descriptor: int) -> Inode:
@@ -259,13 +262,16 @@
     def _count(
         self, inode: Inode | None = None, half: Change | None = None, whole: Change | None = None
     ) -> None:
-        """Count a call that changes or syncs; one that is refused, or cut off by the loss, may be done."""
+        """Number a call that changes or syncs something.
+
+        A call at which power is lost leaves `whole` as an unsynced change; a call that fails leaves `half`.
+        """
         self.calls += 1
         if self.calls == self.lose_power_at:
             if inode is not None and whole is not None:
                 inode.change(whole)
             raise PowerLost
-        if self.calls in self.refused:
+        if self.calls in self.failing_calls:
             if inode is not None and half is not None:
                 inode.change(half)
             raise OSError(self.error, os.strerror(self.error))
@@ -285,13 +291,13 @@
 
 
 def single_copies(*batches: list[bytes]) -> bytes:
-    """A file as it was before batches were doubled."""
+    """The content of a file of the older format, with one copy of each batch."""
     copies = [encode_batch(batch) for batch in batches]
     return SINGLE_COPY_HEADER + b"".join(both[: len(both) // BATCH_COPIES] for both in copies)
 
 
 def use(monkeypatch: pytest.MonkeyPatch, files: SimulatedFiles) -> SimulatedFiles:
-    """Have the modules of the log work on this file system."""
+    """Make the modules of the log use this file system."""
     for module in (log_opening, log_writer, synced_files):
         monkeypatch.setattr(module, "os", files)
     return files
--- a/tests/control_plane/storage_simulation.py
+++ b/tests/control_plane/storage_simulation.py
@@ -1,7 +1,7 @@
-"""The simulated core with the real log on each machine, on a file system in memory.
+"""Simulated control plane nodes with the real log on each machine, in a simulated file system.
 
-A killed process leaves the call that it was in done or not, and a machine without power what was synced and
-any part of the rest.
+After a process is killed, the file operation in which it was is either complete or has no effect. After a
+power loss, a machine has all synced data and any part of the rest.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 from tests.control_plane.simulated_parts import Disk, DiskMode
 from tests.control_plane.simulation import Simulation
 
-CALLS_OF_A_STORE = 8
+CALLS_PER_STORE = 8
 
 MessageFault = Callable[[str, str, Struct], list[float]]
 TORN_PARTS = 4
@@ -34,14 +34,14 @@
 
 @dataclass
 class LogDisk(Disk):
-    """A disk with a log on it."""
+    """A disk that holds a log."""
 
     monkeypatch: pytest.MonkeyPatch = field(default_factory=pytest.MonkeyPatch)
     files: SimulatedFiles = field(default_factory=SimulatedFiles)
     opened: OpenedLog | None = None
 
     def open(self) -> None:
-        """A process starts."""
+        """Open the log at the start of a process."""
         use(self.monkeypatch, self.files)
         self.opened = self._opened()
         self.folder_id = self.opened.folder_id
@@ -57,7 +57,7 @@
             return open_log(FOLDER)
 
     def change_bytes(self, random: Random, count: int) -> None:
-        """Change single bytes of the log of a process that has ended, the newest ones more often."""
+        """Change single bytes of the log of a process that has ended, more often near the end of the log."""
         (name,) = (name for name in SLOT_NAMES if name in self.files.names)
         content = bytearray(self.files.names[name].content)
         for _ in range(count):
@@ -66,15 +66,15 @@
         self.files = SimulatedFiles({name: bytes(content)})
 
     def carry_out(self, store: StoreRecords) -> None:
-        """Append or rewrite."""
+        """Append the records, or rewrite the log with them."""
         assert self.opened is not None
         use(self.monkeypatch, self.files)
         writer = self.opened.writer
         (writer.rewrite if store.replace else writer.append)(store.records)
 
     def stop_in(self, stores: list[StoreRecords], random: Random, power: bool) -> None:
-        """The process ends somewhere in these stores; without power, so does the machine."""
-        self.files.lose_power_at = self.files.calls + random.randint(1, CALLS_OF_A_STORE * (len(stores) + 1))
+        """End the process during one of these stores; with `power`, the machine loses power."""
+        self.files.lose_power_at = self.files.calls + random.randint(1, CALLS_PER_STORE * (len(stores) + 1))
         try:
             for store in stores:
                 self.carry_out(store)
@@ -83,17 +83,17 @@
         left = (
             random.choice(list(self.files.after_power_loss(TORN_PARTS))) if power else self.files.after_kill()
         )
-        most_bytes = self.files.most_bytes
+        max_bytes = self.files.max_bytes
         self.files = SimulatedFiles(left)
-        self.files.most_bytes = most_bytes
+        self.files.max_bytes = max_bytes
         self.opened = None
 
 
 class StorageSimulation(Simulation):
-    """Machines keep their state in logs.
+    """A simulation in which machines keep their state in logs.
 
-    `link_bytes_per_s` is what each link carries, `disk_bytes_per_s` what a disk writes. `message_fault` is
-    asked for each message, and gives the extra delay of each copy that arrives.
+    `link_bytes_per_s` is the bandwidth of each link, `disk_bytes_per_s` the write speed of each disk.
+    `message_fault` is called for each message and returns the extra delay of each copy that arrives.
     """
 
     def __init__(
@@ -105,7 +105,7 @@
         self.link_bytes_per_s = float("inf")
         self.disk_bytes_per_s: dict[str, float] = {}
         self.message_fault: MessageFault | None = None
-        self._large_free: dict[tuple[str, str], float] = {}
+        self._large_link_free_at: dict[tuple[str, str], float] = {}
         super().__init__(seed, machines, tolerated, seeds=min(machines, 3))
 
     def disk(self, address: str) -> LogDisk:
@@ -115,12 +115,12 @@
         return disk
 
     def kill(self, address: str, restart_after: float | None = 0.3) -> None:
-        """The process dies in the middle of a store."""
+        """Kill the process during a store."""
         self._stop_in_stores(address, power=False)
         self._restart_later(address, restart_after)
 
     def lose_power(self, address: str, restart_after: float | None = 0.5) -> None:
-        """Power is lost in the middle of a store."""
+        """Make the machine lose power during a store."""
         self._stop_in_stores(address, power=True)
         self._restart_later(address, restart_after)
 
@@ -141,17 +141,17 @@
         if self.message_fault is not None:
             delays = self.message_fault(sender, receiver, message)
         for delay in delays:
-            large = self._time_on_link(sender, receiver, message)
-            super()._transmit(sender, receiver, message, extra + delay + large)
+            transfer_s = self._time_on_link(sender, receiver, message)
+            super()._transmit(sender, receiver, message, extra + delay + transfer_s)
 
     def _time_on_link(self, sender: str, receiver: str, message: Struct) -> float:
-        """How long a large message takes behind others; the connection for small ones is another."""
+        """The time that a large message takes on its link, after earlier ones; 0 for a small message."""
         entry = message.entry if isinstance(message, AppendRequest | InstallSnapshot) else None
         if entry is None or len(entry.document) <= LARGE_MESSAGE_BYTES:
             return 0.0
-        free = max(self.now, self._large_free.get((sender, receiver), 0.0))
-        self._large_free[(sender, receiver)] = free + len(entry.document) / self.link_bytes_per_s
-        return self._large_free[(sender, receiver)] - self.now
+        free_at = max(self.now, self._large_link_free_at.get((sender, receiver), 0.0))
+        self._large_link_free_at[(sender, receiver)] = free_at + len(entry.document) / self.link_bytes_per_s
+        return self._large_link_free_at[(sender, receiver)] - self.now
 
     def _start_store(self, address: str, store: StoreRecords) -> None:
         duration = encoded_size(store.records) / self.disk_bytes_per_s.get(address, float("inf"))
@@ -169,4 +169,4 @@
         try:
             disk.carry_out(store)
         except FleetError as error:
-            raise AssertionError("no test makes this file system refuse anything") from error
+            raise AssertionError("no test makes operations of this file system fail") from error
--- a/tests/control_plane/tallies/replica_steps.py
+++ b/tests/control_plane/tallies/replica_steps.py
@@ -1,4 +1,4 @@
-"""Drives one replica by hand: what it sends, stores and answers is kept."""
+"""Drives one replica step by step, and records what it sends, stores and answers."""
 
 from __future__ import annotations
 
@@ -23,9 +23,9 @@
 
 
 class Steps:
-    """One replica of five with its file, at a time that the test moves on.
+    """One replica of five with its log, and a clock that the test controls.
 
-    Without `records` it is of a folder that has recovered, or has just been made.
+    Without `records` its folder has recovered, or with `created` was just created.
     """
 
     def __init__(
@@ -44,7 +44,7 @@
         self.tick()
 
     def handle(self, event: Event) -> None:
-        """Give it an event."""
+        """Handle an event and record its effects."""
         for effect in self.replica.handle(self.now, event):
             match effect:
                 case SendMessage():
@@ -55,7 +55,7 @@
                     self.answers[call_id] = error
 
     def tick(self, seconds: float = 0.0) -> None:
-        """Let time pass in steps of a tick."""
+        """Advance the clock by ticks."""
         end = self.now + seconds
         while self.now + 0.05 < end:
             self.now += 0.05
@@ -64,14 +64,14 @@
         self.handle(Tick(frozenset(PEERS)))
 
     def stored(self, error: ErrorCode | None = None) -> None:
-        """The store under way ends."""
+        """Complete the store in flight."""
         store = self.stores[-1]
         if error is None:
             self.records = list(store.records) if store.replace else [*self.records, *store.records]
         self.handle(StoreCompleted(store.token, error))
 
     def receive(self, sender: str, message: TallyMessage) -> None:
-        """A message comes."""
+        """Handle a message from a peer."""
         self.handle(MessageReceived(sender, message))
 
     def last_digest(self, address: str) -> TallyDigest:
@@ -90,7 +90,7 @@
         recovered: bool = True,
         incarnation: int = 1,
     ) -> None:
-        """A peer's digest; it echoes the newest that it was sent, or none."""
+        """Handle a digest from a peer, which echoes the newest digest sent to it, or none."""
         sequence = self._sequences[sender] = self._sequences.get(sender, 0) + 1
         echo = self.last_digest(sender).sequence if echoes else 0
         self.receive(
@@ -98,12 +98,12 @@
         )
 
     def in_contact(self, *addresses: str, vector: VersionVector | None = None) -> None:
-        """These peers answer."""
+        """Handle digests from these peers, so that the replica is in contact with them."""
         for address in addresses:
             self.digest(address, dict(vector or {}))
 
     def add(self, add_id: int, amount: int = 1, tally: str = "t") -> int:
-        """An application's call; its number."""
+        """Submit an add and return its call id."""
         self._calls += 1
         self.handle(AddSubmitted(self._calls, TallyAdd(tally, add_id, amount)))
         return self._calls
--- a/tests/control_plane/tallies/simulated_tallies.py
+++ b/tests/control_plane/tallies/simulated_tallies.py
@@ -1,5 +1,6 @@
-"""Several nodes' tallies in virtual time, with a network, disks and callers that fail as a seed decides, and
-a judge of what callers were promised. Only sockets, threads and the HTTP API are replaced.
+"""Tallies of several nodes in virtual time, with a simulated network, disks and callers.
+
+The simulation checks the answers that callers get. Only sockets, threads and the HTTP API are replaced.
 """
 
 from __future__ import annotations
@@ -31,37 +32,42 @@
 
 TICK_S = 0.05
 ZONE = "zone-a"
-MERGE_S = 3.0
+MERGE_S = 3.0  # without disturbances, all nodes have merged their state after this
 CALLER_TIMEOUT_S = 1.0
-FIRST_MESSAGE_S = 0.1
-SETTLED_S = 0.5  # in calm times an acknowledged add is read everywhere after this
+DETECTION_S = 0.1  # until nodes can know of the end of a partition
+SETTLED_S = 0.5  # without disturbances, an acknowledged add is read everywhere after this
 DELAY_S = (0.0005, 0.004)
 SLOW_DELAY_S = (0.0005, 0.3)
 SYNC_S = (0.001, 0.006)
-ANSWERED_S = 0.3  # in calm times a call is answered within this
+ANSWERED_S = 0.3  # without disturbances, a call is answered within this
 
 
 class Disk(Struct):
-    """A log on disk: synced records, and what a refused write may have left behind them."""
+    """A log on disk: its synced records, and those of a failed write, which may be on the disk or not."""
 
     folder_id: str
     records: list[bytes] = field(default_factory=list)
-    refused: list[bytes] = field(default_factory=list)
+    failed_records: list[bytes] = field(default_factory=list)
     is_failing: bool = False
     is_stalled: bool = False
 
 
 class AddHistory(Struct):
-    """One add as its caller knows it."""
+    """One add, and the outcome of the calls that submitted it.
+
+    `owed` is set while every node has to count the add: it was acknowledged, and was not lost with a disk
+    before the nodes merged their state after a partition.
+    """
 
     add: TallyAdd
-    acknowledged: dict[tuple[str, int], float] = field(default_factory=dict)  # node and life: when
-    in_partition: set[str] = field(default_factory=set)  # nodes that acknowledged it while links were cut
+    # The time of the first acknowledgement, by node and process number.
+    acknowledged: dict[tuple[str, int], float] = field(default_factory=dict)
+    in_partition: set[str] = field(default_factory=set)  # nodes that acknowledged it during a partition
     owed: bool = False
 
 
 class OrderRecord(Struct):
-    """An operator's order on a zone, and what came of it."""
+    """An operator's order on a zone, and its outcome."""
 
     evacuated: bool
     number: int = 0
@@ -69,20 +75,20 @@
 
 
 class Node:
-    """One machine: its disk, and its process while that runs."""
+    """One machine: its disk, and its process while it runs."""
 
     def __init__(self, name: str, disk: Disk) -> None:
         self.name = name
         self.disk = disk
-        self.life = 0
+        self.process_number = 0
         self.replica: TallyReplica | None = None
-        self.frozen_events: list[Event] | None = None  # while it stands still
+        self.frozen_events: list[Event] | None = None  # set while the process is paused
         self.created = True
         self.bootstrap = True
 
 
 class Simulation:
-    """Owns the clock, the nodes, the links that are cut, and what callers were promised."""
+    """Owns the clock, the nodes, the cut links, and the history of all adds and orders."""
 
     def __init__(self, seed: int, count: int = 5, tolerated: int = 2, max_ids: int = 1_000_000) -> None:
         self.random = Random(seed)
@@ -91,14 +97,14 @@
         self.max_ids = max_ids
         self.problems: list[str] = []
         self.add_histories: dict[tuple[str, int], AddHistory] = {}
-        self.cut: set[tuple[str, str]] = set()  # directed
+        self.cut: set[tuple[str, str]] = set()  # directed links
         self.disturbed_at = 0.0
-        self.healed_at = 0.0
+        self.partition_ended_at = 0.0
         self.reads = 0
         self.orders: list[OrderRecord] = []
         self._operator_waits_until = 0.0
         self.delay_s = DELAY_S
-        self.on_acknowledged: Callable[[Node], None] | None = None  # called once, at the next one
+        self.on_acknowledged: Callable[[Node], None] | None = None  # called once, at the next acknowledgement
         self._queue: list[tuple[float, int, Callable[[], None]]] = []
         self._order = itertools.count()
         self._calls: dict[int, Callable[[ErrorCode | None], None]] = {}
@@ -111,11 +117,11 @@
     # ---- time ----
 
     def at(self, delay: float, action: Callable[[], None]) -> None:
-        """Do something after a delay."""
+        """Schedule an action after a delay."""
         heapq.heappush(self._queue, (self.now + delay, next(self._order), action))
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the clock and run the actions that are due."""
         end = self.now + seconds
         while self._queue and self._queue[0][0] <= end:
             self.now, _, action = heapq.heappop(self._queue)
@@ -127,8 +133,8 @@
     def _new_disk(self) -> Disk:
         return Disk(f"f{next(self._folders)}")
 
-    def is_calm_since(self, at: float) -> bool:
-        """Whether nothing has gone wrong since then."""
+    def is_undisturbed_since(self, at: float) -> bool:
+        """Whether there was no disturbance since `at`, and none is present."""
         if self.cut or self.delay_s != DELAY_S or self.disturbed_at > at:
             return False
         if any(node.replica is None for node in self.nodes.values()):
@@ -138,7 +144,7 @@
         return not frozen and not any(disk.is_failing or disk.is_stalled for disk in disks)
 
     def disturbed(self) -> None:
-        """Something went wrong, or was put right, at this moment."""
+        """Record that a disturbance begins or ends now."""
         self.disturbed_at = self.now
 
     def start(self, node: Node) -> None:
@@ -157,43 +163,43 @@
         node.created = node.bootstrap = False
         node.disk.is_failing = node.disk.is_stalled = False
         self.disturbed()
-        self._tick(node, node.life)
+        self._tick(node, node.process_number)
 
     def kill(self, node: Node) -> None:
-        """End a process; what its disk had refused may turn up again."""
+        """End a process. The records of a failed write may be on the disk afterwards."""
         if node.replica is None:
             return
-        if node.disk.refused and self.random.random() < 0.5:
-            node.disk.records += node.disk.refused
-        node.disk.refused = []
+        if node.disk.failed_records and self.random.random() < 0.5:
+            node.disk.records += node.disk.failed_records
+        node.disk.failed_records = []
         node.replica = None
-        node.life += 1
+        node.process_number += 1
         node.frozen_events = None
         self.disturbed()
 
     def lose_disk(self, node: Node) -> None:
-        """End a process and empty its machine's disk."""
+        """End a process and replace its machine's disk by an empty one."""
         self.kill(node)
         node.disk = self._new_disk()
         node.created = True
         for history in self.add_histories.values():
-            # Acknowledged here while links were cut, and not merged since: not owed any more.
-            if node.name in history.in_partition and self.now < self.healed_at + MERGE_S:
+            # The add was acknowledged here during a partition and may not have been merged since.
+            if node.name in history.in_partition and self.now < self.partition_ended_at + MERGE_S:
                 history.owed = False
         self.disturbed()
 
     def freeze(self, node: Node) -> None:
-        """A process stands still; what comes meanwhile waits."""
+        """Pause a process; events wait until it continues."""
         if node.replica is not None and node.frozen_events is None:
             node.frozen_events = []
             self.disturbed()
 
     def thaw(self, node: Node) -> None:
-        """A process goes on."""
+        """Continue a paused process."""
         events, node.frozen_events = node.frozen_events, None
         if node.replica is not None and events is not None:
             self.disturbed()
-            # The timer is due as well as all that has come; either may run first.
+            # The timer and the received messages are all due, and may be handled in any order.
             self.random.shuffle(events)
             for event in events:
                 self.handle(node, event)
@@ -201,15 +207,15 @@
     # ---- links ----
 
     def set_cut(self, links: set[tuple[str, str]]) -> None:
-        """These directed links bring nothing from now on, all others do."""
+        """Cut these directed links, and restore all others."""
         if self.cut and not links:
-            self.healed_at = self.now
+            self.partition_ended_at = self.now
         elif links:
-            self.healed_at = float("inf")
+            self.partition_ended_at = float("inf")
         self.cut = set(links)
         self.disturbed()
 
-    def _send(self, sender: str, life: int, effect: SendMessage) -> None:
+    def _send(self, sender: str, process_number: int, effect: SendMessage) -> None:
         link = (sender, effect.address)
         if link in self.cut or effect.address not in self.nodes:
             return
@@ -218,7 +224,8 @@
         node = self.nodes[effect.address]
 
         def arrive() -> None:
-            lost_power = self.nodes[sender].life != life  # what was on its way is lost with its sender
+            # Messages in flight are lost with their sender.
+            lost_power = self.nodes[sender].process_number != process_number
             if link not in self.cut and not lost_power:
                 self.handle(node, MessageReceived(sender, message))
 
@@ -226,16 +233,16 @@
 
     # ---- processes ----
 
-    def _tick(self, node: Node, life: int) -> None:
-        if node.life != life or node.replica is None:
+    def _tick(self, node: Node, process_number: int) -> None:
+        if node.process_number != process_number or node.replica is None:
             return
         peers = frozenset(self.nodes) - {node.name}
         if node.frozen_events is None:
             self.handle(node, Tick(peers))
-        self.at(TICK_S, lambda: self._tick(node, life))
+        self.at(TICK_S, lambda: self._tick(node, process_number))
 
     def handle(self, node: Node, event: Event) -> None:
-        """Give a process an event, and carry out what follows."""
+        """Let a process handle an event, and carry out the effects."""
         if node.replica is None:
             return
         if node.frozen_events is not None:
@@ -247,19 +254,19 @@
     def _carry_out(self, node: Node, effect: Effect) -> None:
         match effect:
             case SendMessage():
-                self._send(node.name, node.life, effect)
+                self._send(node.name, node.process_number, effect)
             case StoreRecords():
-                self._store(node, node.life, effect)
+                self._store(node, node.process_number, effect)
             case CallCompleted(call_id, error):
                 answer = self._calls.pop(call_id, None)
                 if answer is not None:
                     answer(error)
 
-    def _store(self, node: Node, life: int, effect: StoreRecords) -> None:
+    def _store(self, node: Node, process_number: int, effect: StoreRecords) -> None:
         disk = node.disk
 
         def end() -> None:
-            if node.life != life or node.replica is None or node.disk is not disk:
+            if node.process_number != process_number or node.replica is None or node.disk is not disk:
                 return
             if disk.is_stalled:
                 self.at(0.1, end)
@@ -271,42 +278,42 @@
 
     def _write(self, disk: Disk, effect: StoreRecords) -> ErrorCode | None:
         if disk.is_failing:
-            disk.refused = [] if effect.replace else list(effect.records)
+            disk.failed_records = [] if effect.replace else list(effect.records)
             return ErrorCode.STORAGE_FULL
-        disk.refused = []
+        disk.failed_records = []
         disk.records = list(effect.records) if effect.replace else [*disk.records, *effect.records]
         return None
 
     # ---- callers ----
 
     def add(self, node: Node, add: TallyAdd) -> None:
-        """An application's call at one node."""
+        """Submit an add to a node."""
         history = self.add_histories.setdefault((add.tally, add.add_id), AddHistory(add))
         if node.replica is None:
             return
         call_id = next(self._call_ids)
-        life = node.life
+        process_number = node.process_number
         asked_at = self.now
 
         def answered(error: ErrorCode | None) -> None:
             if error is None and self.now - asked_at < CALLER_TIMEOUT_S:
-                history.acknowledged.setdefault((node.name, life), self.now)
+                history.acknowledged.setdefault((node.name, process_number), self.now)
                 history.owed = True
-                # A healing can be known to nobody before a message has passed (day 51109 of a draft).
-                if self.now < self.healed_at + FIRST_MESSAGE_S:
+                # Nodes cannot know of the end of a partition before a message has passed (seed 51109).
+                if self.now < self.partition_ended_at + DETECTION_S:
                     history.in_partition.add(node.name)
                 action, self.on_acknowledged = self.on_acknowledged, None
                 if action is not None:
                     action(node)
-            was_calm = self.is_calm_since(asked_at - MERGE_S)
-            if was_calm and (error is not None or self.now - asked_at > ANSWERED_S):
+            was_undisturbed = self.is_undisturbed_since(asked_at - MERGE_S)
+            if was_undisturbed and (error is not None or self.now - asked_at > ANSWERED_S):
                 self._problem(f"SLOW: {add} at {node.name}: {error} after {self.now - asked_at:.3f} s")
 
         self._calls[call_id] = answered
         self.handle(node, AddSubmitted(call_id, add))
 
     def read(self, node: Node, tally: str) -> int | None:
-        """What a node reads, judged; None where it rejects the read."""
+        """Read a total at a node and check it; None if the node rejects the read."""
         if node.replica is None or node.frozen_events is not None:
             return None
         try:
@@ -315,31 +322,31 @@
             return None
         self.reads += 1
         histories = [history for history in self.add_histories.values() if history.add.tally == tally]
-        self._judge(node, tally, total, histories)
+        self._check_total(node, tally, total, histories)
         return total
 
-    def _judge(self, node: Node, tally: str, total: int, histories: list[AddHistory]) -> None:
+    def _check_total(self, node: Node, tally: str, total: int, histories: list[AddHistory]) -> None:
         if total > sum(history.add.amount for history in histories):
             self._problem(f"TWICE: {tally} at {node.name} is {total}")
-        own = sum(h.add.amount for h in histories if (node.name, node.life) in h.acknowledged)
+        own = sum(h.add.amount for h in histories if (node.name, node.process_number) in h.acknowledged)
         if total < own:
             self._problem(f"STALE: {tally} at {node.name} is {total}, it acknowledged {own}")
-        if self.is_calm_since(self.now - MERGE_S):
+        if self.is_undisturbed_since(self.now - MERGE_S):
             owed = sum(
                 history.add.amount
                 for history in histories
                 if history.owed and min(history.acknowledged.values()) < self.now - SETTLED_S
             )
             if total < owed:
-                self._problem(f"STALE: {tally} at {node.name} is {total} after a calm time, {owed} are owed")
+                self._problem(f"STALE: {tally} at {node.name} is {total} without disturbances, not {owed}")
 
     def _problem(self, text: str) -> None:
         self.problems.append(f"{self.now:.3f} {text}")
 
-    # ---- an operator, who orders one thing at a time and sends it until it is acknowledged ----
+    # ---- an operator, who sends one order at a time until it is acknowledged ----
 
     def order(self, node: Node, order: OrderRecord) -> None:
-        """Send an order to a node."""
+        """Send an order to a node, unless an earlier call may still be answered."""
         if node.replica is None or self.now < self._operator_waits_until:
             return
         self._operator_waits_until = self.now + CALLER_TIMEOUT_S
@@ -367,7 +374,7 @@
                 self._order_acknowledged(order, add.add_id)
 
         self._calls[call_id] = answered
-        # Not within the event that is being handled.
+        # Events are not handled recursively.
         self.at(0.0, lambda: self.handle(node, AddSubmitted(call_id, add)))
 
     def _order_acknowledged(self, order: OrderRecord, number: int) -> None:
@@ -383,7 +390,7 @@
     # ---- the end ----
 
     def settle(self) -> None:
-        """Put everything right, and judge what is left after MERGE_S."""
+        """End all disturbances, and check the totals and orders of all nodes after MERGE_S."""
         self.set_cut(set())
         self.delay_s = DELAY_S
         self.on_acknowledged = None
@@ -395,14 +402,14 @@
         self.run(MERGE_S + SETTLED_S)
         tallies = {tally for tally, _ in self.add_histories}
         if self.orders:
-            self._judge_orders()
+            self._check_orders()
         for tally in sorted(tallies):
             totals = {name: self.read(node, tally) for name, node in self.nodes.items()}
             if len(set(totals.values())) != 1 or None in totals.values():
                 self._problem(f"LOST: {tally} is read as {totals}")
 
-    def _judge_orders(self) -> None:
-        """All nodes know the last order, or the one that was under way behind it."""
+    def _check_orders(self) -> None:
+        """Check that all nodes have the last acknowledged order, or a later one that was in flight."""
         acknowledged = [order for order in self.orders if order.acknowledged]
         possible = {acknowledged[-1].evacuated} if acknowledged else {False}
         if not self.orders[-1].acknowledged:
--- a/tests/control_plane/tallies/test_counts.py
+++ b/tests/control_plane/tallies/test_counts.py
@@ -1,4 +1,4 @@
-"""The state of the tallies is a join: order, repetition and grouping of what is joined make no difference."""
+"""Joining states is commutative, associative and idempotent."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 def model(adds: list[TallyAdd]) -> dict[tuple[str, int], int]:
-    """What counts: of two amounts for one id, the smaller."""
+    """The expected content: of two amounts for one id, the smaller."""
     found: dict[tuple[str, int], int] = {}
     for add in adds:
         key = (add.tally, add.add_id)
@@ -41,7 +41,7 @@
 
 
 def content(counts: TallyCounts, limit: int = 3) -> dict[tuple[str, int], int]:
-    """Everything in a state, by parts of `limit` ids."""
+    """The content of a state, read in parts of `limit` ids."""
     found: dict[tuple[str, int], int] = {}
     cursor = START
     while True:
@@ -72,7 +72,7 @@
     first: list[TallyAdd], second: list[TallyAdd], size: int
 ) -> None:
     one, other = counted(first), counted(second)
-    for target, source in ((one, other), (other, one), (one, other)):  # and again, which changes nothing
+    for target, source in ((one, other), (other, one), (one, other)):  # the repeated join changes nothing
         cursor = START
         while True:
             part = source.slice_after(cursor, size)
@@ -92,7 +92,7 @@
 
 
 @given(st.lists(IDS, max_size=30), st.integers(1, 6))
-def test_ids_come_in_order_and_once(ids: list[int], limit: int) -> None:
+def test_ids_are_returned_in_order_and_once(ids: list[int], limit: int) -> None:
     amounts = AmountsById()
     for add_id in ids:
         amounts.put(add_id, 1)
@@ -107,7 +107,7 @@
 
 
 @given(st.lists(AMOUNTS, max_size=20))
-def test_packed_amounts_are_read_as_they_were(values: list[int]) -> None:
+def test_packed_amounts_and_ids_are_unpacked_unchanged(values: list[int]) -> None:
     assert list(unpack_amounts(pack_amounts(values), len(values))) == values
     ids = [value & (2**64 - 1) for value in values]
     assert list(unpack_ids(pack_ids(ids))) == ids
@@ -119,8 +119,8 @@
 
 
 @pytest.mark.parametrize("items", [TallyItems("a", b"1234567", b"1"), TallyItems("a", bytes(16), b"123")])
-def test_items_that_are_no_whole_number_of_adds_are_refused(items: TallyItems) -> None:
-    with pytest.raises(ValueError):  # noqa: PT011 - of the library
+def test_items_of_a_wrong_length_are_rejected(items: TallyItems) -> None:
+    with pytest.raises(ValueError):  # noqa: PT011 - raised by the array module
         TallyCounts().join(items)
 
 
@@ -131,12 +131,12 @@
     assert counts.audit_next() == ("a", False)
 
 
-def test_an_audit_of_nothing() -> None:
+def test_an_audit_without_tallies() -> None:
     assert TallyCounts().audit_next() is None
 
 
 def test_an_hour_of_adds_takes_little_memory() -> None:
-    """50 calls a second are 180,000 ids, of 16 bytes each and what the arrays have spare."""
+    """50 calls per second are 180,000 ids of 16 bytes each, plus the spare capacity of the arrays."""
     amounts = AmountsById()
     for number in range(180_000):
         amounts.put(number * 0x9E3779B97F4A7C15 & (2**64 - 1), 1)
--- a/tests/control_plane/tallies/test_orders.py
+++ b/tests/control_plane/tallies/test_orders.py
@@ -1,4 +1,4 @@
-"""Operators' orders on zones: numbers, quorums, and what is published of them."""
+"""Evacuation orders: numbers, quorums, and the list of workers that is published."""
 
 from __future__ import annotations
 
@@ -35,14 +35,14 @@
 
 
 def recovered_steps() -> Steps:
-    """A replica in touch with all its peers, whose folder has everything."""
+    """A recovered replica that is in contact with all its peers."""
     made = Steps(records=RECOVERED)
     made.in_contact(*PEERS)
     return made
 
 
 def synchronize(steps: Steps) -> object:
-    """Begin a sync; its outcome so far."""
+    """Begin a sync and return its outcome so far."""
     steps.handle(SyncSubmitted(CALL))
     return steps.answers.get(CALL, WAITING)
 
@@ -51,7 +51,7 @@
 
 
 @given(st.lists(st.booleans(), max_size=20))
-def test_the_newest_number_says_what_was_ordered_last(orders: list[bool]) -> None:
+def test_the_newest_order_has_the_effect_of_the_last_one(orders: list[bool]) -> None:
     newest: TallyAdd | None = None
     for evacuated in orders:
         order = next_order(ZONE, newest, evacuated)
@@ -61,7 +61,7 @@
         assert is_evacuated(newest) == evacuated
 
 
-def test_an_order_that_is_in_force_is_the_same_order() -> None:
+def test_repeating_the_order_in_force_returns_the_same_order() -> None:
     first = next_order(ZONE, None, evacuated=True)
     assert first == TallyAdd(tally_of(ZONE), 1, EVACUATED)
     assert next_order(ZONE, first, evacuated=True) == first
@@ -69,11 +69,12 @@
     assert next_order(ZONE, None, evacuated=False) is None
 
 
-def test_of_two_orders_under_one_number_the_evacuation_counts() -> None:
+def test_of_two_orders_with_one_number_the_evacuation_prevails() -> None:
     assert EVACUATED < WITHDRAWN
 
 
 def worker(name: str, zone: str) -> WorkerEntry:
+    """An entry of the list of workers."""
     return WorkerEntry(name, "u", "a:1", zone, "v1", 8, False)
 
 
@@ -99,7 +100,7 @@
     assert steps.answers[CALL] is None
 
 
-def test_a_sync_takes_in_what_the_quorum_has() -> None:
+def test_a_sync_waits_until_the_adds_of_the_quorum_are_stored() -> None:
     steps = recovered_steps()
     steps.tick(0.01)
     synchronize(steps)
@@ -113,7 +114,7 @@
     assert len(steps.replica.newest_by_prefix("/evacuation/")) == 1
 
 
-def test_a_lost_disk_is_no_part_of_a_quorum() -> None:
+def test_a_node_that_lost_its_disk_counts_in_no_quorum() -> None:
     steps = recovered_steps()
     steps.tick(0.01)
     synchronize(steps)
@@ -125,7 +126,7 @@
     assert steps.answers[CALL] is None
 
 
-def test_a_folder_made_later_recovers_by_a_quorum_and_remembers_it() -> None:
+def test_a_later_folder_recovers_from_a_quorum_and_stores_that() -> None:
     steps = Steps(created=True)
     steps.in_contact(*PEERS[:3], vector={"f-p1": 1})
     steps.tick(0.05)
@@ -135,11 +136,11 @@
     steps.tick(0.05)
     steps.stored()
     assert steps.replica.metric_values(steps.now)["recovered"]
-    again = Steps(records=tuple(steps.records))
-    assert again.replica.metric_values(again.now)["recovered"]
+    restored = Steps(records=tuple(steps.records))
+    assert restored.replica.metric_values(restored.now)["recovered"]
 
 
-def test_too_few_nodes_in_reach_take_no_order() -> None:
+def test_a_sync_fails_with_too_few_reachable_nodes() -> None:
     steps = Steps(records=RECOVERED)
     for _ in range(10):
         steps.tick(0.2)
@@ -147,7 +148,7 @@
     assert synchronize(steps) is ErrorCode.NO_QUORUM
 
 
-def test_an_order_is_never_on_fewer_disks() -> None:
+def test_an_order_is_never_acknowledged_on_fewer_disks() -> None:
     steps = recovered_steps()
     call = steps.add(1, EVACUATED, tally=tally_of(ZONE))
     steps.stored()
@@ -159,7 +160,7 @@
     assert steps.answers[call] is None
 
 
-def test_an_order_is_taken_where_there_is_no_room_for_adds() -> None:
+def test_an_order_is_accepted_when_the_limit_of_ids_is_reached() -> None:
     steps = Steps(records=RECOVERED, max_ids=0)
     steps.in_contact(*PEERS)
     assert steps.answers.get(steps.add(1), WAITING) is ErrorCode.TALLIES_FULL
@@ -171,7 +172,7 @@
 
 
 class FakeTallies:
-    """Tallies that take time to synchronize."""
+    """Stands in for `TallyService`, with a chosen duration of a sync."""
 
     def __init__(self) -> None:
         self.adds: list[TallyAdd] = []
@@ -179,24 +180,29 @@
         self.known = True
 
     async def synchronize(self) -> None:
+        """Return after `sync_s`."""
         await asyncio.sleep(self.sync_s)
 
     async def add(self, add: TallyAdd) -> None:
+        """Record an add."""
         self.adds.append(add)
 
     def newest(self, tally: str) -> TallyAdd | None:
+        """The recorded add with the highest id."""
         return max((add for add in self.adds if add.tally == tally), key=lambda add: add.add_id, default=None)
 
     def newest_by_prefix(self, prefix: str) -> list[TallyAdd]:
+        """The newest recorded add of each tally."""
         found = {add.tally: self.newest(add.tally) for add in self.adds}
         return [add for add in found.values() if add is not None]
 
     def has_all_acknowledged(self) -> bool:
+        """The value of `known`."""
         return self.known
 
 
-def ordered(tallies: FakeTallies, *orders: tuple[str, bool]) -> EvacuationService:
-    """A service that has carried these out."""
+def service_after(tallies: FakeTallies, *orders: tuple[str, bool]) -> EvacuationService:
+    """A service that has carried out these orders."""
 
     async def run() -> EvacuationService:
         service = EvacuationService(cast(TallyService, tallies), ("za", "zb"))
@@ -209,15 +215,15 @@
 
 def test_orders_and_repeated_orders() -> None:
     tallies = FakeTallies()
-    service = ordered(tallies, ("za", True), ("za", True), ("zb", False))
+    service = service_after(tallies, ("za", True), ("za", True), ("zb", False))
     assert service.evacuated_zones() == {"za"}
     assert {add.add_id for add in tallies.adds} == {1}
-    assert ordered(tallies, ("za", False)).evacuated_zones() == frozenset()
+    assert service_after(tallies, ("za", False)).evacuated_zones() == frozenset()
 
 
-def test_an_unknown_zone_is_refused() -> None:
+def test_an_unknown_zone_is_rejected() -> None:
     with pytest.raises(FleetError) as raised:
-        ordered(FakeTallies(), ("zx", True))
+        service_after(FakeTallies(), ("zx", True))
     assert raised.value.code is ErrorCode.UNKNOWN_ZONE
 
 
@@ -226,13 +232,13 @@
     tallies = FakeTallies()
     tallies.sync_s = 0.02
     with pytest.raises(FleetError):
-        ordered(tallies, ("za", True))
+        service_after(tallies, ("za", True))
     assert tallies.adds == []
 
 
-def test_no_list_is_published_while_the_orders_are_not_known() -> None:
+def test_no_list_is_published_while_the_orders_are_unknown() -> None:
     tallies = FakeTallies()
-    service = ordered(tallies, ("za", True))
+    service = service_after(tallies, ("za", True))
     entries = (worker("1", "za"), worker("2", "zb"))
     marked = service.adjust_workers(entries)
     assert marked is not None
--- a/tests/control_plane/tallies/test_origin_log.py
+++ b/tests/control_plane/tallies/test_origin_log.py
@@ -18,14 +18,14 @@
 
 
 def log_of(**counts: int) -> OriginLog:
-    """A log with so many adds of each origin."""
+    """A log with this number of adds of each origin."""
     log = OriginLog()
     for origin, count in counts.items():
         log.append(origin, adds(1, count))
     return log
 
 
-def test_entries_behind_a_number() -> None:
+def test_entries_after_a_number() -> None:
     log = log_of(a=5)
     assert log.entries_after("a", 2, 2) == TallyEntries("a", 3, adds(3, 2))
     assert log.entries_after("a", 5, 9) == TallyEntries("a", 6, ())
@@ -33,7 +33,7 @@
     assert log.vector == {"a": 5}
 
 
-def test_dropped_entries_are_not_given_any_more() -> None:
+def test_dropped_entries_are_not_returned() -> None:
     log = log_of(a=5, b=2)
     log.drop_through({"a": 3, "b": 9})
     assert log.entries_after("a", 2, 9) is None
@@ -44,7 +44,7 @@
     assert log.entries_after("b", 2, 9) == TallyEntries("b", 3, adds(3, 1))
 
 
-def test_a_vector_that_is_ahead_leaves_no_entries_behind_it() -> None:
+def test_advancing_beyond_the_log_drops_its_entries() -> None:
     log = log_of(a=5)
     log.advance({"a": 4, "b": 7})
     assert log.vector == {"a": 5, "b": 7}
@@ -56,7 +56,7 @@
     assert log.entries_after("a", 9, 9) == TallyEntries("a", 10, adds(10, 1))
 
 
-def test_the_oldest_of_the_longest_log_go_first() -> None:
+def test_the_oldest_entries_of_the_longest_log_are_dropped_first() -> None:
     log = log_of(a=20, b=2)
     log.drop_oldest(10)
     assert log.retained_count <= 10
@@ -75,7 +75,7 @@
 
 
 @given(VECTORS, VECTORS)
-def test_vectors_are_a_lattice(one: dict[str, int], other: dict[str, int]) -> None:
+def test_version_vectors_are_a_lattice(one: dict[str, int], other: dict[str, int]) -> None:
     both, common = upper_bound(one, other), lower_bound(one, other)
     assert covers(both, one)
     assert covers(both, other)
--- a/tests/control_plane/tallies/test_records.py
+++ b/tests/control_plane/tallies/test_records.py
@@ -1,4 +1,4 @@
-"""Records of the tallies' log, and the files in which they stand."""
+"""Records of the tallies' log, and the log file."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
 
 
 def entries(origin: str, first: int, count: int) -> TallyEntries:
-    """Adds of one origin, each with an id of its own."""
+    """Adds of one origin, each with a different id."""
     adds = tuple(TallyAdd(f"t{n % 3}", n * 1000 + ord(origin), n) for n in range(first, first + count))
     return TallyEntries(origin, first, adds)
 
 
 def state_of(*all_entries: TallyEntries) -> TallyState:
-    """The state after these."""
+    """The state after these entries."""
     return restore([entries_record(one) for one in all_entries])
 
 
@@ -39,12 +39,12 @@
     return list(one.log.all_retained(9)) == list(other.log.all_retained(9))
 
 
-def test_a_complete_log_yields_the_same_state() -> None:
+def test_the_complete_records_restore_the_same_state() -> None:
     state = state_of(entries("a", 1, 5000), entries("b", 1, 3), entries("a", 5001, 10))
     state.log.drop_through({"a": 4990, "b": 3})
-    again = restore(list(complete_records(state)))
-    assert same(state, again)
-    assert again.log.unretained_vector() == state.log.unretained_vector() == {"a": 4990, "b": 3}
+    restored = restore(list(complete_records(state)))
+    assert same(state, restored)
+    assert restored.log.unretained_vector() == state.log.unretained_vector() == {"a": 4990, "b": 3}
 
 
 def test_repeated_records_change_nothing() -> None:
@@ -53,27 +53,27 @@
     assert restore(records).log.vector == {"a": 6}
 
 
-def test_a_vector_goes_before_entries_that_it_includes() -> None:
+def test_a_vector_may_include_entries_that_follow_it() -> None:
     state = restore([encode_record(VectorRecord({"a": 2})), entries_record(entries("a", 1, 4))])
     assert (state.log.vector, state.log.unretained_vector()) == ({"a": 4}, {"a": 2})
 
 
 BAD_RECORDS = {
     "empty": b"",
-    "no MessagePack": b"\xc1",
-    "unknown": b"\x93\xa7nothing\x01\x02",
-    "behind a gap": entries_record(entries("a", 2, 1)),
+    "not MessagePack": b"\xc1",
+    "unknown kind": b"\x93\xa7nothing\x01\x02",
+    "after a gap": entries_record(entries("a", 2, 1)),
 }
 
 
 @pytest.mark.parametrize("record", BAD_RECORDS.values(), ids=BAD_RECORDS)
-def test_an_unknown_record_or_a_gap_is_corrupt(record: bytes) -> None:
+def test_an_invalid_record_or_a_gap_is_reported_as_corrupt(record: bytes) -> None:
     with pytest.raises(FleetError) as raised:
         restore([record])
     assert raised.value.code is ErrorCode.STORAGE_CORRUPT
 
 
-def test_the_file_stands_beside_the_control_log(tmp_path: Path) -> None:
+def test_the_tallies_log_and_the_control_log_share_a_folder(tmp_path: Path) -> None:
     control = open_log(tmp_path)
     control.writer.append([b"control"])
     tallies = open_log(tmp_path, TALLY_LOG_NAME)
@@ -87,10 +87,10 @@
     assert control.folder_id != tallies.folder_id
 
 
-def test_a_corrupt_file_goes_aside_and_leaves_the_other(tmp_path: Path) -> None:
+def test_quarantine_of_the_tallies_log_leaves_the_control_log_unchanged(tmp_path: Path) -> None:
     open_log(tmp_path).writer.append([b"control"])
     open_log(tmp_path, TALLY_LOG_NAME).writer.append([b"one"])
     quarantine_log(tmp_path, TALLY_LOG_NAME)
-    again = open_log(tmp_path, TALLY_LOG_NAME)
-    assert (again.records, again.created, again.follows_corrupt_log) == ([], True, True)
+    restored = open_log(tmp_path, TALLY_LOG_NAME)
+    assert (restored.records, restored.created, restored.follows_corrupt_log) == ([], True, True)
     assert open_log(tmp_path).records == [b"control"]
--- a/tests/control_plane/tallies/test_replica.py
+++ b/tests/control_plane/tallies/test_replica.py
@@ -1,4 +1,4 @@
-"""One replica of the tallies, step by step: when it acknowledges, what it refuses, what it pulls."""
+"""One replica of the tallies, step by step: acknowledgements, rejections, pulls and transfers."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 @pytest.fixture
 def steps() -> Steps:
-    """A replica in touch with all its peers."""
+    """A replica in contact with all its peers."""
     made = Steps()
     made.in_contact(*PEERS)
     return made
@@ -52,13 +52,13 @@
 
 def test_an_add_is_acknowledged_once_it_is_on_three_disks(steps: Steps) -> None:
     call = steps.add(1, 4)
-    assert not steps.sent_to("p1", TallyEntries)  # nothing leaves before it is synced here
+    assert not steps.sent_to("p1", TallyEntries)  # not sent before it is synced here
     steps.stored()
     assert steps.sent_to("p1", TallyEntries) == [TallyEntries(OWN, 1, (TallyAdd("t", 1, 4),))]
     assert answer(steps, call) == WAITING
     steps.digest("p1", {OWN: 1})
     assert answer(steps, call) == WAITING
-    steps.digest("p1", {OWN: 1})  # the same disk once more
+    steps.digest("p1", {OWN: 1})  # the same disk again
     assert answer(steps, call) == WAITING
     steps.digest("p2", {OWN: 1})
     assert answer(steps, call) is None
@@ -78,14 +78,14 @@
     )
 
 
-def test_a_repeated_id_waits_for_the_disks_as_the_first_does(steps: Steps) -> None:
+def test_a_repeated_id_waits_for_the_same_disks_as_the_first_add(steps: Steps) -> None:
     first = steps.add(1, 4)
-    again = steps.add(1, 4)
+    repeated = steps.add(1, 4)
     steps.stored()
     later = steps.add(1, 4)
-    assert [answer(steps, call) for call in (first, again, later)] == [WAITING] * 3
+    assert [answer(steps, call) for call in (first, repeated, later)] == [WAITING] * 3
     steps.in_contact("p1", "p2", vector={OWN: 1})
-    assert [answer(steps, call) for call in (first, again, later)] == [None] * 3
+    assert [answer(steps, call) for call in (first, repeated, later)] == [None] * 3
     assert steps.replica.total("t", steps.now) == 4
     assert len(steps.stores) == 1
 
@@ -100,7 +100,7 @@
     assert steps.replica.total("t", steps.now) == 4
 
 
-def test_the_smaller_side_of_a_partition_goes_on_with_the_disks_it_has(steps: Steps) -> None:
+def test_the_smaller_side_of_a_partition_acknowledges_with_fewer_disks(steps: Steps) -> None:
     steps.add(1)
     steps.stored()
     call = steps.add(2)
@@ -113,7 +113,7 @@
     assert answer(steps, call) is None
 
 
-def test_a_peer_that_is_heard_but_does_not_hear_is_not_waited_for(steps: Steps) -> None:
+def test_adds_do_not_wait_for_a_peer_that_sends_digests_without_echoes(steps: Steps) -> None:
     call = steps.add(1)
     steps.stored()
     for _ in range(int(CONTACT_TIMEOUT_S / 0.2) + 2):
@@ -123,7 +123,7 @@
     assert answer(steps, call) is None
 
 
-def test_a_peer_whose_disk_refuses_is_waited_for_but_beside_a_partition(steps: Steps) -> None:
+def test_adds_wait_for_a_peer_with_a_failed_disk_except_during_a_partition(steps: Steps) -> None:
     call = steps.add(1)
     steps.stored()
     for _ in range(int(CONTACT_TIMEOUT_S / 0.2) + 2):
@@ -140,7 +140,7 @@
     assert answer(steps, later) is None
 
 
-def test_a_process_that_was_stopped_waits_for_its_peers(steps: Steps) -> None:
+def test_adds_wait_for_peers_after_a_pause_of_the_process(steps: Steps) -> None:
     call = steps.add(1)
     steps.now += 60.0
     steps.stored()  # before the first tick
@@ -150,21 +150,21 @@
 
 
 def test_digests_are_not_answered_by_digests(steps: Steps) -> None:
-    steps.tick(FRESH_ROUND_TRIP_S + 0.1)  # nobody has answered for long
+    steps.tick(FRESH_ROUND_TRIP_S + 0.1)  # no recent round trip
     before = len(steps.sent)
     for _ in range(50):
         steps.digest("p1", {}, echoes=False)
     assert len(steps.sent) == before
 
 
-def test_a_late_echo_is_a_round_trip_all_the_same(steps: Steps) -> None:
+def test_a_late_echo_dates_the_round_trip_to_the_echoed_digest(steps: Steps) -> None:
     late = steps.last_digest("p1").sequence
     steps.tick(0.9)  # many digests later
     steps.receive("p1", TallyDigest("f-p1", 1, 10**12, 7, late, True, True, {}))
     assert steps.replica._contacts.peer("p1").last_round_trip_at == pytest.approx(steps.now - 0.9, abs=0.01)
 
 
-def test_what_a_lost_disk_had_does_not_count(steps: Steps) -> None:
+def test_copies_on_a_lost_disk_do_not_count(steps: Steps) -> None:
     call = steps.add(1)
     steps.stored()
     steps.digest("p1", {OWN: 1})
@@ -173,7 +173,7 @@
     assert answer(steps, call) == WAITING
 
 
-def test_nobody_waits_for_longer_than_callers_do(steps: Steps) -> None:
+def test_adds_wait_no_longer_than_callers(steps: Steps) -> None:
     call = steps.add(1)
     steps.stored()
     for _ in range(int(CALL_TIMEOUT_S / 0.2) + 1):
@@ -181,13 +181,13 @@
         steps.in_contact(*PEERS)
     assert steps.replica.metric_values(steps.now)["waiting_adds"] == 0
     assert answer(steps, call) == WAITING
-    assert steps.replica.total("t", steps.now) == 1  # it counts all the same
+    assert steps.replica.total("t", steps.now) == 1  # it is counted nevertheless
 
 
-# ---- what is refused ----
+# ---- rejected adds and reads ----
 
 
-def test_an_add_that_the_disk_refused_is_unclear_and_its_number_is_used_again(steps: Steps) -> None:
+def test_an_add_whose_store_failed_is_unclear_and_its_number_is_reused(steps: Steps) -> None:
     call = steps.add(1)
     waiting = steps.add(2)
     steps.stored(ErrorCode.STORAGE_FULL)
@@ -202,7 +202,7 @@
     assert steps.sent_to("p1", TallyEntries) == [TallyEntries(OWN, 1, (TallyAdd("t", 4, 1),))]
 
 
-def test_a_disk_that_does_not_answer_refuses_adds_and_reads(steps: Steps) -> None:
+def test_adds_and_reads_are_rejected_while_the_disk_stalls(steps: Steps) -> None:
     steps.add(1)
     steps.tick(DISK_STALL_S + 0.1)
     assert answer(steps, steps.add(2)) is ErrorCode.STORAGE_FAILED
@@ -212,7 +212,7 @@
     assert raised.value.code is ErrorCode.TALLIES_BEHIND
 
 
-def test_no_more_ids_than_there_is_room_for() -> None:
+def test_adds_beyond_the_limit_of_ids_are_rejected() -> None:
     steps = Steps(max_ids=2)
     steps.in_contact(*PEERS)
     steps.add(1)
@@ -221,10 +221,10 @@
     steps.stored()
     assert answer(steps, steps.add(3)) is ErrorCode.TALLIES_FULL
     steps.in_contact("p1", "p2", vector={OWN: 2})
-    assert answer(steps, steps.add(1)) is None  # one that is there already
+    assert answer(steps, steps.add(1)) is None  # a known id
 
 
-def test_no_more_tallies_than_there_is_room_for(steps: Steps, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_adds_beyond_the_limit_of_tallies_are_rejected(steps: Steps, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(replica_module, "MAX_TALLIES", 1)
     steps.add(1)
     steps.stored()
@@ -232,7 +232,7 @@
     assert answer(steps, steps.add(2)) == WAITING
 
 
-def test_capacity_follows_memory_and_disk() -> None:
+def test_the_limit_of_ids_depends_on_memory_and_disk() -> None:
     assert max_ids(256, 128) < max_ids(256, 1024) == max_ids(256, 0)
     assert max_ids(256, 128) > 1_000_000
     assert max_ids(0, 0) > 0
@@ -247,7 +247,7 @@
     steps.in_contact("p1", "p2", "p3")
     with pytest.raises(FleetError):
         steps.replica.total("t", steps.now)
-    steps.digest("p4", {"f-p4": 1})  # has what this node lacks
+    steps.digest("p4", {"f-p4": 1})  # has an add that this node lacks
     with pytest.raises(FleetError):
         steps.replica.total("t", steps.now)
     steps.receive("p4", TallyEntries("f-p4", 1, (TallyAdd("t", 1, 4),)))
@@ -256,7 +256,7 @@
     assert steps.replica.total("t", steps.now) == 4
 
 
-def test_a_node_that_reaches_nobody_serves_what_it_has() -> None:
+def test_a_node_without_reachable_peers_answers_reads_after_the_contact_timeout() -> None:
     steps = Steps(records=(entries_record(TallyEntries(OWN, 1, (TallyAdd("t", 1, 4),))),))
     steps.tick(CONTACT_TIMEOUT_S - 0.2)
     with pytest.raises(FleetError):
@@ -265,7 +265,7 @@
     assert steps.replica.total("t", steps.now) == 4
 
 
-def test_an_empty_folder_waits_longer_for_somebody_to_learn_from() -> None:
+def test_a_node_with_an_empty_folder_waits_longer_for_a_peer() -> None:
     steps = Steps(created=True)
     steps.tick(CONTACT_TIMEOUT_S + 0.3)
     with pytest.raises(FleetError):
@@ -274,12 +274,12 @@
     assert steps.replica.total("t", steps.now) == 0
 
 
-# ---- differences ----
+# ---- exchange of entries ----
 
 
-def test_what_a_digest_shows_to_be_missing_is_pulled(steps: Steps) -> None:
+def test_adds_that_a_digest_shows_to_be_missing_are_pulled(steps: Steps) -> None:
     steps.digest("p1", {"f-p1": 2})
-    assert not steps.sent_to("p1", TallyPull)  # it is usually on its way
+    assert not steps.sent_to("p1", TallyPull)  # the adds are usually already in flight
     steps.tick(0.2)
     assert steps.sent_to("p1", TallyPull) == [TallyPull({})]
     steps.tick(0.2)
@@ -297,13 +297,13 @@
     assert steps.sent_to("p2", TallyPull)
 
 
-def test_a_gap_is_pulled_at_once(steps: Steps) -> None:
+def test_a_gap_is_pulled_immediately(steps: Steps) -> None:
     steps.receive("p1", TallyEntries("f-p1", 3, (TallyAdd("t", 3, 1),)))
     assert steps.sent_to("p1", TallyPull) == [TallyPull({})]
     assert not steps.stores
 
 
-def test_a_pull_is_answered_with_what_is_missing(steps: Steps) -> None:
+def test_a_pull_is_answered_with_the_missing_entries(steps: Steps) -> None:
     for number in (1, 2, 3):
         steps.add(number)
         steps.stored()
@@ -314,7 +314,7 @@
     ]
 
 
-def test_entries_that_all_have_are_dropped_and_the_state_is_sent_instead(steps: Steps) -> None:
+def test_entries_that_all_peers_have_are_dropped_and_the_state_is_sent_instead(steps: Steps) -> None:
     steps.add(1, 4)
     steps.stored()
     steps.in_contact(*PEERS, vector={OWN: 1})
@@ -327,7 +327,7 @@
     )
 
 
-def test_entries_stay_while_one_peer_lacks_them(steps: Steps) -> None:
+def test_entries_are_retained_while_one_peer_lacks_them(steps: Steps) -> None:
     steps.add(1)
     steps.stored()
     steps.in_contact("p1", "p2", "p3", vector={OWN: 1})
@@ -341,14 +341,14 @@
 
 
 def chunk(
-    after: TallyCursor, ids: list[int], to: TallyCursor | None, number: int, life: int = 1
+    after: TallyCursor, ids: list[int], to: TallyCursor | None, number: int, incarnation: int = 1
 ) -> TallyStateChunk:
     """A chunk of p1's state, as of its add `number`."""
     items = TallyItems("t", pack_ids(ids), pack_amounts([1] * len(ids)))
-    return TallyStateChunk(life, after, to, {"f-p1": number}, (items,))
+    return TallyStateChunk(incarnation, after, to, {"f-p1": number}, (items,))
 
 
-def test_a_state_counts_as_whole_with_its_last_chunk_as_of_its_first(steps: Steps) -> None:
+def test_the_vector_of_the_first_chunk_is_adopted_with_the_last_chunk(steps: Steps) -> None:
     steps.receive("p1", chunk(START, [1], NEXT, 2))
     steps.stored()
     assert steps.sent_to("p1", TallyStateRequest) == [TallyStateRequest(NEXT)]
@@ -362,7 +362,7 @@
     assert steps.replica.total("t", steps.now) == 2
 
 
-def test_pushes_do_not_begin_a_transfer_again(steps: Steps) -> None:
+def test_pushed_entries_do_not_restart_a_transfer(steps: Steps) -> None:
     steps.digest("p1", {"f-p1": 9})
     steps.tick(0.2)
     steps.receive("p1", chunk(START, [1], NEXT, 2))
@@ -378,7 +378,7 @@
     assert steps.replica.total("t", steps.now) == 2
 
 
-def test_a_transfer_that_stands_still_is_begun_again(steps: Steps) -> None:
+def test_a_stalled_transfer_is_restarted(steps: Steps) -> None:
     steps.receive("p1", chunk(START, [1], NEXT, 2))
     steps.stored()
     steps.tick(PULL_TIMEOUT_S + 0.1)
@@ -388,58 +388,58 @@
     assert steps.last_digest("p1").vector == {"f-p1": 2}
 
 
-def test_chunks_of_a_source_that_has_started_again_are_not_taken(steps: Steps) -> None:
+def test_chunks_of_a_restarted_source_are_rejected(steps: Steps) -> None:
     steps.receive("p1", chunk(START, [1], NEXT, 2))
     steps.stored()
-    steps.receive("p1", chunk(NEXT, [], None, 0, life=2))
+    steps.receive("p1", chunk(NEXT, [], None, 0, incarnation=2))
     assert len(steps.stores) == 1
 
 
-def test_an_earlier_transfer_does_not_move_a_later_one_on(steps: Steps) -> None:
+def test_a_chunk_of_an_earlier_transfer_does_not_advance_a_later_one(steps: Steps) -> None:
     far = TallyCursor("t", 50)
     steps.receive("p1", chunk(START, [1, 50], far, 2))
     steps.tick(PULL_TIMEOUT_S + 0.1)
-    steps.receive("p1", chunk(START, [1, 30], TallyCursor("t", 30), 3))  # 30 has come since
+    steps.receive("p1", chunk(START, [1, 30], TallyCursor("t", 30), 3))  # id 30 was added since
     steps.stored()
     steps.stored()
     assert steps.sent_to("p1", TallyStateRequest) == [TallyStateRequest(TallyCursor("t", 30))]
 
 
-def test_a_chunk_that_the_disk_refused_ends_the_transfer(steps: Steps) -> None:
+def test_a_chunk_that_could_not_be_stored_ends_the_transfer(steps: Steps) -> None:
     steps.receive("p1", chunk(START, [1], NEXT, 2))
     steps.stored(ErrorCode.STORAGE_FULL)
     steps.receive("p1", chunk(NEXT, [2], None, 2))
     assert len(steps.stores) == 1
 
 
-# ---- the file ----
+# ---- the log and the end of the process ----
 
 
-def test_everything_is_there_after_a_restart(steps: Steps) -> None:
+def test_all_adds_are_present_after_a_restart(steps: Steps) -> None:
     steps.add(1, 4)
     steps.stored()
     steps.receive("p1", TallyEntries("f-p1", 1, (TallyAdd("u", 9, 5),)))
     steps.stored()
-    again = Steps(records=tuple(steps.records))
-    again.in_contact(*PEERS)
-    assert (again.replica.total("t", again.now), again.replica.total("u", again.now)) == (4, 5)
-    again.add(2)
-    again.stored()
-    assert again.sent_to("p1", TallyEntries) == [TallyEntries(OWN, 2, (TallyAdd("t", 2, 1),))]
+    restored = Steps(records=tuple(steps.records))
+    restored.in_contact(*PEERS)
+    assert (restored.replica.total("t", restored.now), restored.replica.total("u", restored.now)) == (4, 5)
+    restored.add(2)
+    restored.stored()
+    assert restored.sent_to("p1", TallyEntries) == [TallyEntries(OWN, 2, (TallyAdd("t", 2, 1),))]
 
 
-def test_a_long_file_is_rewritten(steps: Steps, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_long_log_is_rewritten(steps: Steps, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(replica_module, "MIN_REWRITE_BYTES", 300)
     for number in range(1, 20):
         steps.add(number)
         steps.stored()
     assert any(store.replace for store in steps.stores)
-    again = Steps(records=tuple(steps.records))
-    again.in_contact(*PEERS)
-    assert again.replica.total("t", again.now) == 19
+    restored = Steps(records=tuple(steps.records))
+    restored.in_contact(*PEERS)
+    assert restored.replica.total("t", restored.now) == 19
 
 
-def test_all_that_waits_is_replicated_before_the_node_leaves(steps: Steps) -> None:
+def test_is_replicated_only_after_all_peers_have_all_adds(steps: Steps) -> None:
     assert steps.replica.is_replicated(steps.now)
     steps.add(1)
     assert not steps.replica.is_replicated(steps.now)
@@ -450,7 +450,7 @@
     assert steps.replica.is_replicated(steps.now)
 
 
-def test_a_late_digest_of_the_process_before_is_ignored(steps: Steps) -> None:
+def test_a_late_digest_of_the_previous_process_is_ignored(steps: Steps) -> None:
     steps.digest("p1", {OWN: 5}, incarnation=2)
     late = TallyDigest("f-old", 1, 99, 7, 0, True, True, {OWN: 9})
     steps.receive("p1", late)
--- a/tests/control_plane/tallies/test_storage.py
+++ b/tests/control_plane/tallies/test_storage.py
@@ -1,4 +1,4 @@
-"""Which folders count as having lost nothing: of a first start, or of a version without tallies."""
+"""Which data folders have lost nothing: those of a first start, or of a version without tallies."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def opened(folder: Path, bootstrap: bool) -> TallyReplica:
-    """The replica of a folder."""
+    """Open the log of a folder and return the replica."""
 
     async def run() -> TallyReplica:
         future: asyncio.Future[TallyReplica] = asyncio.get_running_loop().create_future()
@@ -26,15 +26,15 @@
 
 
 def lost_nothing(replica: TallyReplica) -> bool:
-    """Whether a replica takes its empty folder for all that there was."""
+    """Whether a replica treats its empty folder as one that has lost nothing."""
     return not replica._catch_up._waits_for_peer
 
 
-def test_a_first_start(tmp_path: Path) -> None:
+def test_a_folder_of_a_first_start(tmp_path: Path) -> None:
     assert lost_nothing(opened(tmp_path, bootstrap=True))
 
 
-def test_a_lost_disk(tmp_path: Path) -> None:
+def test_a_folder_on_a_replaced_disk(tmp_path: Path) -> None:
     assert not lost_nothing(opened(tmp_path, bootstrap=False))
 
 
--- a/tests/control_plane/tallies/test_store_queue.py
+++ b/tests/control_plane/tallies/test_store_queue.py
@@ -1,4 +1,4 @@
-"""What waits for the disk, and what a refused batch leaves behind."""
+"""The queue of records to be stored, and its state after a failed store."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     return TallyEntries("a", first, tuple(TallyAdd("t", n, 1) for n in range(first, first + count)))
 
 
-def test_only_what_is_new_is_stored() -> None:
+def test_only_new_entries_are_queued() -> None:
     queue = StoreQueue({"a": 2})
     assert queue.put_entries("p", entries(1, 4))
     assert [received.entries for received in queue.waiting.entries] == [entries(3, 2)]
@@ -25,7 +25,7 @@
     assert queue.expected == {"a": 4}
 
 
-def test_a_refused_batch_is_expected_no_more() -> None:
+def test_a_failed_batch_is_no_longer_expected() -> None:
     queue = StoreQueue({"a": 2})
     queue.put_entries("p", entries(3, 1))
     queue.begin(NOW)
@@ -38,7 +38,7 @@
     assert queue.put_entries("p", entries(3, 2))
 
 
-def test_a_failed_disk_is_tried_again_with_nothing_to_store() -> None:
+def test_a_failed_disk_is_probed_with_an_empty_batch() -> None:
     queue = StoreQueue({})
     queue.put_own(("t", 9), 1, TallyAdd("t", 9, 1))
     assert queue.is_due(NOW)
@@ -53,7 +53,7 @@
     assert queue.disk_works(LATER)
 
 
-def test_a_store_that_takes_too_long_is_a_disk_that_does_not_work() -> None:
+def test_a_store_that_takes_too_long_means_a_failing_disk() -> None:
     queue = StoreQueue({})
     queue.begin(NOW)
     assert queue.disk_works(NOW + DISK_STALL_S / 2)
--- a/tests/control_plane/test_guards_log_file.py
+++ b/tests/control_plane/test_guards_log_file.py
@@ -1,4 +1,4 @@
-"""Guards of the log file, one at a time: what is synced when, and which damage is told."""
+"""Single guards of the log file: the order of syncs, and which damage is reported."""
 
 from __future__ import annotations
 
@@ -19,34 +19,34 @@
 
 @pytest.fixture
 def steps(monkeypatch: pytest.MonkeyPatch) -> list[str]:
-    """What the module asks of the disk, in order."""
+    """The syncs, renames and removals that the log requests, in order."""
     taken: list[str] = []
     fsync: Callable[[int], None] = os.fsync
     replace = os.replace
     unlink = os.unlink
 
-    def noted_fsync(descriptor: int) -> None:
+    def recorded_fsync(descriptor: int) -> None:
         taken.append(DIRECTORY if stat.S_ISDIR(os.fstat(descriptor).st_mode) else FILE)
         fsync(descriptor)
 
-    def noted_replace(source: Path, target: Path) -> None:
+    def recorded_replace(source: Path, target: Path) -> None:
         taken.append(REPLACED)
         replace(source, target)
 
-    def noted_unlink(path: Path) -> None:
+    def recorded_unlink(path: Path) -> None:
         taken.append(REMOVED)
         unlink(path)
 
-    monkeypatch.setattr(os, "fsync", noted_fsync)
-    monkeypatch.setattr(os, "unlink", noted_unlink)
-    monkeypatch.setattr(os, "replace", noted_replace)
+    monkeypatch.setattr(os, "fsync", recorded_fsync)
+    monkeypatch.setattr(os, "unlink", recorded_unlink)
+    monkeypatch.setattr(os, "replace", recorded_replace)
     return taken
 
 
 def _in_order(steps: list[str], *expected: str) -> bool:
-    """Whether these steps were taken in this order, whatever stands between them."""
-    left = iter(steps)
-    return all(step in left for step in expected)
+    """Whether these steps were taken in this order, possibly with others in between."""
+    remaining = iter(steps)
+    return all(step in remaining for step in expected)
 
 
 def test_a_new_log_is_synced_and_then_its_name(tmp_path: Path, steps: list[str]) -> None:
@@ -54,14 +54,14 @@
     assert _in_order(steps, FILE, DIRECTORY)
 
 
-def test_a_log_is_synced_before_it_is_built_upon(tmp_path: Path, steps: list[str]) -> None:
+def test_opening_a_log_syncs_it(tmp_path: Path, steps: list[str]) -> None:
     open_log(tmp_path).writer.close()
     steps.clear()
     open_log(tmp_path).writer.close()
     assert _in_order(steps, FILE)
 
 
-def test_a_rewritten_log_and_its_name_are_synced_before_the_old_one_is_removed_for_good(
+def test_a_rewritten_log_and_its_name_are_synced_before_the_old_slot_is_removed(
     tmp_path: Path, steps: list[str]
 ) -> None:
     opened = open_log(tmp_path)
@@ -79,14 +79,14 @@
     assert _in_order(steps, FILE)
 
 
-def test_the_name_of_a_log_that_was_set_aside_is_synced(tmp_path: Path, steps: list[str]) -> None:
+def test_the_name_of_a_quarantined_log_is_synced(tmp_path: Path, steps: list[str]) -> None:
     open_log(tmp_path).writer.close()
     steps.clear()
     quarantine_log(tmp_path)
     assert _in_order(steps, REPLACED, DIRECTORY)
 
 
-def test_damage_to_the_header_and_the_first_record_is_told(tmp_path: Path) -> None:
+def test_damage_to_the_header_and_the_first_record_is_reported(tmp_path: Path) -> None:
     opened = open_log(tmp_path)
     opened.writer.append([b"one"])
     opened.writer.close()
@@ -108,7 +108,7 @@
     return doubled[: len(doubled) // 2]
 
 
-def test_a_bad_batch_before_good_ones_is_told_in_a_file_with_single_copies_too() -> None:
+def test_a_corrupt_batch_before_valid_ones_is_reported_in_a_file_with_single_copies_too() -> None:
     batches = [_single_copy(record) for record in (b"first", b"second", b"third")]
     content = SINGLE_COPY_HEADER + b"".join(batches)
     assert read_content(content).batches == [[b"first"], [b"second"], [b"third"]]
@@ -117,13 +117,13 @@
     assert raised.value.code is ErrorCode.STORAGE_CORRUPT
 
 
-def test_of_two_slots_the_one_that_was_written_later_counts(tmp_path: Path) -> None:
+def test_of_two_slots_the_one_written_later_is_used(tmp_path: Path) -> None:
     opened = open_log(tmp_path)
     opened.writer.append([b"old"])
     old = (tmp_path / CONTROL_LOG_NAME).read_bytes()
     opened.writer.rewrite([b"new"])
     opened.writer.close()
     (tmp_path / CONTROL_LOG_NAME).write_bytes(old)
-    again = open_log(tmp_path)
-    again.writer.close()
-    assert again.records == [b"new"]
+    reopened = open_log(tmp_path)
+    reopened.writer.close()
+    assert reopened.records == [b"new"]
--- a/tests/control_plane/test_guards_peer_transport.py
+++ b/tests/control_plane/test_guards_peer_transport.py
@@ -1,4 +1,4 @@
-"""Guards of the connections between control schedulers, one at a time."""
+"""Single guards of the connections between control plane nodes."""
 
 from __future__ import annotations
 
@@ -39,11 +39,11 @@
         await second.transport.listen()
         first.transport.send(second.address, DiscoveryLeaseRelease(1))
 
-        def later_one_has_come() -> bool:
+        def has_received_last() -> bool:
             first.transport.send(second.address, DiscoveryLeaseRelease(LAST_TERM))
             return LAST_TERM in second.terms
 
-        await second.until(later_one_has_come)
+        await second.until(has_received_last)
         assert 1 not in second.terms
 
     with_two_nodes(scenario)
@@ -57,11 +57,11 @@
         await second.transport.listen()
         first.transport.send(second.address, DiscoveryLeaseRelease(1))
         await second.until(lambda: second.terms == [1])
-        one_too_many = await open_channel(second.address)
+        excess = await open_channel(second.address)
         async with asyncio.timeout(WAIT_S):
             with pytest.raises(CONNECTION_ENDED):
-                await one_too_many.receive(PeerHello)
-        one_too_many.close()
+                await excess.receive(PeerHello)
+        excess.close()
 
     with_two_nodes(scenario)
 
@@ -71,15 +71,15 @@
 
     async def scenario(first: TransportNode, second: TransportNode) -> None:
         await second.transport.listen()
-        silent = await open_channel(second.address)
-        silent.send(PeerHello("127.0.0.9:9", "za"))
-        silent.send(DiscoveryLeaseRelease(1))
+        idle = await open_channel(second.address)
+        idle.send(PeerHello("127.0.0.9:9", "za"))
+        idle.send(DiscoveryLeaseRelease(1))
         await second.until(lambda: second.terms == [1])
         second.transport.close_idle()
         async with asyncio.timeout(WAIT_S):
             with pytest.raises(CONNECTION_ENDED):
-                await silent.receive(PeerHello)
-        silent.close()
+                await idle.receive(PeerHello)
+        idle.close()
 
     with_two_nodes(scenario)
 
@@ -89,16 +89,16 @@
 
     async def scenario(first: TransportNode, second: TransportNode) -> None:
         await second.transport.listen()
-        silent = await open_channel(second.address)
+        idle = await open_channel(second.address)
         with pytest.raises((ConnectionError, asyncio.IncompleteReadError)):
             async with asyncio.timeout(WAIT_S):
-                await silent.receive(PeerHello)
-        silent.close()
+                await idle.receive(PeerHello)
+        idle.close()
 
     with_two_nodes(scenario)
 
 
-def test_an_idle_outgoing_connection_makes_room_for_another(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_closing_an_idle_outgoing_connection_allows_another(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(peer_transport, "MAX_LINKS", 1)
     monkeypatch.setattr(peer_transport, "LINK_IDLE_TIMEOUT_S", -1.0)
 
--- a/tests/control_plane/test_log_file.py
+++ b/tests/control_plane/test_log_file.py
@@ -1,4 +1,4 @@
-"""The log file: torn ends, bad records, full disks and rewriting, on a real directory."""
+"""The log file on a real directory: torn ends, corrupt batches, full disks and rewrites."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 def _copies(content: bytes | bytearray, record: bytes) -> tuple[int, int]:
-    """Where the two copies of a record begin."""
+    """The offsets of the two copies of a record."""
     first = content.index(record)
     return first, content.index(record, first + len(record))
 
@@ -58,7 +58,7 @@
     assert open_log(tmp_path / "a").folder_id != open_log(tmp_path / "b").folder_id
 
 
-def test_a_file_torn_at_any_byte_keeps_the_whole_batches(tmp_path: Path) -> None:
+def test_a_file_torn_at_any_byte_keeps_the_complete_batches(tmp_path: Path) -> None:
     content = _written(tmp_path)
     path = tmp_path / CONTROL_LOG_NAME
     whole = [b"one", b"two", b"three", b"x" * 60]
@@ -66,19 +66,19 @@
         path.write_bytes(content[:length])
         records = _reopened(tmp_path)
         assert records == whole[: len(records)]
-        assert len(records) != 2, "a batch is whole or absent"
+        assert len(records) != 2, "a batch must be read completely or not at all"
         assert _reopened(tmp_path) == records
 
 
 @pytest.mark.parametrize("filler", [b"\0", b"\xff", b"garbage"])
-def test_an_end_that_holds_anything_else_is_cut_back(tmp_path: Path, filler: bytes) -> None:
+def test_trailing_garbage_is_cut_off(tmp_path: Path, filler: bytes) -> None:
     content = _written(tmp_path)
     (tmp_path / CONTROL_LOG_NAME).write_bytes(content + filler * 100)
     assert _reopened(tmp_path) == [b"one", b"two", b"three", b"x" * 60]
     assert (tmp_path / CONTROL_LOG_NAME).read_bytes() == content
 
 
-def test_a_last_batch_with_a_hole_in_both_copies_is_cut_back(tmp_path: Path) -> None:
+def test_a_last_batch_with_a_hole_in_both_copies_is_cut_off(tmp_path: Path) -> None:
     content = bytearray(_written(tmp_path))
     for copy in _copies(content, b"x" * 60):
         content[copy + 10 : copy + 20] = bytes(10)
@@ -86,7 +86,7 @@
     assert _reopened(tmp_path) == [b"one", b"two", b"three"]
 
 
-def test_appending_goes_on_after_a_cut(tmp_path: Path) -> None:
+def test_appending_continues_after_a_torn_end_was_cut_off(tmp_path: Path) -> None:
     content = _written(tmp_path)
     first_copy, _ = _copies(content, b"x" * 60)
     (tmp_path / CONTROL_LOG_NAME).write_bytes(content[: first_copy + 59])
@@ -96,7 +96,7 @@
     assert _reopened(tmp_path) == [b"one", b"two", b"three", b"after"]
 
 
-def test_a_bad_record_before_good_ones_is_an_error(tmp_path: Path) -> None:
+def test_a_corrupt_batch_before_valid_ones_is_an_error(tmp_path: Path) -> None:
     content = bytearray(_written(tmp_path))
     for copy in _copies(content, b"two"):
         content[copy] ^= 1
@@ -106,7 +106,7 @@
     assert raised.value.code is ErrorCode.STORAGE_CORRUPT
 
 
-def test_a_bad_header_before_good_records_is_mended(tmp_path: Path) -> None:
+def test_a_damaged_header_before_valid_batches_is_repaired(tmp_path: Path) -> None:
     content = bytearray(_written(tmp_path))
     content[0] ^= 1
     (tmp_path / CONTROL_LOG_NAME).write_bytes(content)
@@ -116,7 +116,7 @@
     assert opened.writer.path.read_bytes().startswith(HEADER)
 
 
-def test_a_bad_header_of_a_file_with_single_copies_is_an_error(tmp_path: Path) -> None:
+def test_a_damaged_header_of_a_file_with_single_copies_is_an_error(tmp_path: Path) -> None:
     content = bytearray(single_copies([b"0011223344556677"], *BATCHES))
     content[0] ^= 1
     (tmp_path / CONTROL_LOG_NAME).write_bytes(content)
@@ -125,33 +125,33 @@
     assert raised.value.code is ErrorCode.STORAGE_CORRUPT
 
 
-def test_a_corrupt_folder_is_set_aside_and_starts_anew(tmp_path: Path) -> None:
+def test_after_quarantine_of_a_log_a_new_one_is_created(tmp_path: Path) -> None:
     _written(tmp_path)
     old = open_log(tmp_path)
     old.writer.close()
-    aside = quarantine_log(tmp_path)
+    quarantined = quarantine_log(tmp_path)
     new = open_log(tmp_path)
-    assert aside.exists()
+    assert quarantined.exists()
     assert new.created
     assert new.folder_id != old.folder_id
 
 
-def test_a_file_that_was_torn_while_it_was_made_is_made_again(tmp_path: Path) -> None:
-    made = open_log(tmp_path)
-    made.writer.close()
+def test_a_file_torn_during_its_creation_is_created_again(tmp_path: Path) -> None:
+    created = open_log(tmp_path)
+    created.writer.close()
     content = (tmp_path / CONTROL_LOG_NAME).read_bytes()
     first_copy_end = (len(HEADER) + len(content)) // 2
     for length in range(len(content)):
-        (tmp_path / made.writer.path.name).write_bytes(content[:length])
+        (tmp_path / created.writer.path.name).write_bytes(content[:length])
         opened = open_log(tmp_path)
         opened.writer.close()
         assert opened.created == (length < first_copy_end)
-        assert opened.created or opened.folder_id == made.folder_id
+        assert opened.created or opened.folder_id == created.folder_id
         assert opened.records == []
         opened.writer.path.unlink()
 
 
-def test_rewriting_keeps_the_folder_id_and_goes_on(tmp_path: Path) -> None:
+def test_a_rewrite_keeps_the_folder_id_and_appending_continues(tmp_path: Path) -> None:
     opened = open_log(tmp_path)
     opened.writer.append([b"old"])
     opened.writer.rewrite([b"new", b"newer"])
@@ -159,12 +159,12 @@
     assert opened.writer.length == opened.writer.path.stat().st_size
     assert [path.name for path in tmp_path.iterdir()] == [opened.writer.path.name]
     opened.writer.close()
-    again = open_log(tmp_path)
-    assert again.folder_id == opened.folder_id
-    assert again.records == [b"new", b"newer", b"newest"]
+    reopened = open_log(tmp_path)
+    assert reopened.folder_id == opened.folder_id
+    assert reopened.records == [b"new", b"newer", b"newest"]
 
 
-def test_a_leftover_of_a_rewriting_is_removed(tmp_path: Path) -> None:
+def test_files_left_by_an_incomplete_rewrite_are_removed(tmp_path: Path) -> None:
     _written(tmp_path)
     for name in (OLD_TEMPORARY_NAME, OTHER_SLOT_NAME):
         (tmp_path / name).write_bytes(b"half")
@@ -173,17 +173,17 @@
 
 
 class FailingDisk:
-    """Refuses some calls; a refused write may write half."""
+    """Makes some system calls fail. A failing write writes half of its data first."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        self.refused: set[str] = set()
+        self.failing_calls: set[str] = set()
         self.code = errno.ENOSPC
         for name in ("write", "fsync", "ftruncate", "unlink"):
             monkeypatch.setattr(os, name, self._wrapped(name, getattr(os, name)))
 
     def _wrapped(self, name: str, original: Callable[..., Any]) -> Callable[..., Any]:
         def call(*arguments: Any) -> Any:
-            if name in self.refused:
+            if name in self.failing_calls:
                 if name == "write":
                     descriptor, data = arguments
                     original(descriptor, bytes(data)[: len(data) // 2])
@@ -197,78 +197,78 @@
     opened = open_log(tmp_path)
     opened.writer.append([b"kept"])
     disk = FailingDisk(monkeypatch)
-    disk.refused = {"write"}
+    disk.failing_calls = {"write"}
     for change in (opened.writer.append, opened.writer.rewrite):
         with pytest.raises(FleetError) as raised:
             change([b"refused" * 100])
         assert raised.value.code is ErrorCode.STORAGE_FULL
-    disk.refused = set()
+    disk.failing_calls = set()
     opened.writer.append([b"after"])
     opened.writer.close()
     assert _reopened(tmp_path) == [b"kept", b"after"]
 
 
-def test_a_write_whose_sync_failed_is_gone(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_append_whose_sync_failed_is_removed(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     opened = open_log(tmp_path)
     disk = FailingDisk(monkeypatch)
     disk.code = errno.EIO
-    disk.refused = {"fsync"}
+    disk.failing_calls = {"fsync"}
     with pytest.raises(FleetError) as raised:
         opened.writer.append([b"refused"])
     assert raised.value.code is ErrorCode.STORAGE_FAILED
-    disk.refused = set()
+    disk.failing_calls = set()
     opened.writer.append([b"after"])
     opened.writer.close()
     assert _reopened(tmp_path) == [b"after"]
 
 
-def test_nothing_is_written_while_the_end_cannot_be_cut(
+def test_appends_fail_while_the_end_cannot_be_cut_off(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     opened = open_log(tmp_path)
     disk = FailingDisk(monkeypatch)
-    disk.refused = {"write", "ftruncate"}
+    disk.failing_calls = {"write", "ftruncate"}
     with pytest.raises(FleetError):
         opened.writer.append([b"refused"])
-    disk.refused = {"ftruncate"}
+    disk.failing_calls = {"ftruncate"}
     with pytest.raises(FleetError):
         opened.writer.append([b"refused too"])
-    disk.refused = set()
+    disk.failing_calls = set()
     opened.writer.append([b"after"])
     opened.writer.close()
     assert _reopened(tmp_path) == [b"after"]
 
 
-def test_nothing_is_appended_while_a_failed_rewriting_cannot_be_removed(
+def test_appends_fail_while_a_failed_rewrite_cannot_be_removed(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     opened = open_log(tmp_path)
     opened.writer.append([b"kept"])
     disk = FailingDisk(monkeypatch)
-    disk.refused = {"unlink", "fsync"}
+    disk.failing_calls = {"unlink", "fsync"}
     with pytest.raises(FleetError):
         opened.writer.rewrite([b"refused"])
-    disk.refused = {"unlink"}
+    disk.failing_calls = {"unlink"}
     with pytest.raises(FleetError):
         opened.writer.append([b"refused too"])
     with pytest.raises(FleetError):
         opened.writer.rewrite([b"refused too"])
-    disk.refused = set()
+    disk.failing_calls = set()
     opened.writer.append([b"after"])
     opened.writer.close()
     assert _reopened(tmp_path) == [b"kept", b"after"]
 
 
-def test_a_rewriting_whose_name_cannot_be_synced_changes_nothing(
+def test_a_rewrite_whose_name_cannot_be_synced_changes_nothing(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     opened = open_log(tmp_path)
-    refuse = [True]
+    failing = [True]
     original = synced_files.sync_directory
 
     def sync_directory(directory: Path) -> None:
-        if refuse[0]:
-            raise OSError(errno.EIO, "no")
+        if failing[0]:
+            raise OSError(errno.EIO, "input/output error")
         original(directory)
 
     monkeypatch.setattr(synced_files, "sync_directory", sync_directory)
@@ -276,7 +276,7 @@
         opened.writer.rewrite([b"new"])
     with pytest.raises(FleetError):
         opened.writer.append([b"too early"])
-    refuse[0] = False
+    failing[0] = False
     opened.writer.append([b"after"])
     opened.writer.close()
     assert _reopened(tmp_path) == [b"after"]
--- a/tests/control_plane/test_storage_changes.py
+++ b/tests/control_plane/test_storage_changes.py
@@ -1,6 +1,6 @@
-"""Hundreds of changes on real logs: members that return catch up, and nobody acts by old state meanwhile.
+"""Hundreds of changes on real logs: returning members catch up, and no member acts on outdated state.
 
-More of them, by another random order:
+To run more changes, in another random order:
 `STORAGE_CHANGES=3000 STORAGE_SEED=72 .venv/bin/python -m pytest tests/control_plane/test_storage_changes.py`.
 """
 
@@ -27,14 +27,14 @@
 CHANGES = int(os.environ.get("STORAGE_CHANGES", "400"))
 SEED = int(os.environ.get("STORAGE_SEED", "71"))
 CATCH_UP_S = 4.0
-SMALL_LIMIT = 6_000  # bytes of the log that may be out of date, so that it is rewritten often
+SMALL_REWRITE_BYTES = 6_000  # small, so that the log is rewritten often
 CHANGES_PER_FAULT = 12
 POSITIONS = {"head": 0, "middle": 1, "tail": 2}
 STEP_S = 0.02
 
 
 class Fleet:
-    """A core that is whole, with an operator who counts."""
+    """A complete fleet of control plane nodes, with an operator that numbers its changes."""
 
     def __init__(self, simulation: StorageSimulation) -> None:
         self.simulation = simulation
@@ -43,7 +43,7 @@
         simulation.run(1.0)
 
     def change(self, address: str, document: bytes = b"") -> None:
-        """One change, sent until it is acknowledged."""
+        """Send one change until it is acknowledged."""
         document = document or b"document %d " % (self.generation + 1) * 6
         for _ in range(40):
             error = self.simulation.put_and_wait(address, self.generation, self.generation + 1, document)
@@ -52,10 +52,10 @@
                 return
             assert error in (ErrorCode.NO_QUORUM, ErrorCode.WRITE_UNCLEAR), error
             self.simulation.run(0.1)
-        raise AssertionError(f"change {self.generation + 1} is not taken")
+        raise AssertionError(f"change {self.generation + 1} is not accepted")
 
     def changes(self, count: int, address: str) -> None:
-        """Several changes."""
+        """Send several changes."""
         for _ in range(count):
             self.change(address)
 
@@ -63,21 +63,23 @@
         """The address at a position of the chain."""
         return self.simulation.chain()[POSITIONS[position]]
 
-    def catches_up(self, address: str) -> bool:
-        """Whether a member is complete in time; nobody acts by old state meanwhile."""
-        return self.simulation.run_until(lambda: self.checked(address), CATCH_UP_S, STEP_S)
+    def has_caught_up_in_time(self, address: str) -> bool:
+        """Whether a member catches up within CATCH_UP_S, while no member acts on outdated state."""
+        return self.simulation.run_until(lambda: self.has_newest_change(address), CATCH_UP_S, STEP_S)
 
     def check_end(self) -> None:
-        """All machines hold the same, also after all have lost power."""
+        """Check that all machines have the newest change, also after all have lost power."""
         for _ in range(2):
             self.simulation.settle()
-            assert self.simulation.run_until(self._agree, CATCH_UP_S), "not all hold the newest change"
+            assert self.simulation.run_until(self._agree, CATCH_UP_S), (
+                "not all machines have the newest change"
+            )
             for address in self.simulation.machines:
                 self.simulation.lose_power(address)
             self.simulation.run(0.6)
 
-    def checked(self, address: str) -> bool:
-        """Whether a member is back and holds the newest change."""
+    def has_newest_change(self, address: str) -> bool:
+        """Whether a member is back in the chain and has the newest change."""
         self._check_ends_of_chain()
         machine = self.simulation.machines[address]
         if machine.replica is None or machine.frozen:
@@ -85,14 +87,14 @@
         return self.simulation.whole() and self._held(address) == self.generation
 
     def _check_ends_of_chain(self) -> None:
-        """Who heads the newest chain, or would answer as its tail, holds the newest acknowledged change."""
+        """Check that the head and the tail of the newest chain have the newest acknowledged change."""
         view = self.simulation.newest_view()
         assert view is not None
         for link in (view.chain[0], view.chain[-1]):
             replica = self.simulation.machines[link.member.address].replica
             if replica is not None and replica.view == view and replica.in_chain:
                 newest = self.simulation.judge.newest_acknowledged
-                assert replica._register.generation >= newest, f"{link.member.address} has old state"
+                assert replica._register.generation >= newest, f"{link.member.address} has outdated state"
 
     def _held(self, address: str) -> int:
         replica = self.simulation.machines[address].replica
@@ -104,13 +106,13 @@
 
 @pytest.fixture
 def fleet(monkeypatch: pytest.MonkeyPatch) -> Fleet:
-    """Three machines whose logs are rewritten often."""
-    monkeypatch.setattr(replica_outbox, "REWRITE_BYTES", SMALL_LIMIT)
+    """A fleet of three machines whose logs are rewritten often."""
+    monkeypatch.setattr(replica_outbox, "REWRITE_BYTES", SMALL_REWRITE_BYTES)
     return Fleet(StorageSimulation(monkeypatch, seed=SEED))
 
 
 def _stop(fleet: Fleet, fault: str, address: str) -> Callable[[], None]:
-    """Stop a member by a fault; the returned call brings it back."""
+    """Stop a member by a fault; the returned function ends the fault."""
     simulation = fleet.simulation
     match fault:
         case "killed":
@@ -131,28 +133,28 @@
 
 @pytest.mark.parametrize("position", POSITIONS)
 @pytest.mark.parametrize("fault", ["killed", "without power", "frozen", "isolated", "disk stalls"])
-@pytest.mark.parametrize(("away", "missed"), [(0.1, 0), (0.4, 1), (1.0, 0), (1.0, 1), (2.5, 2), (6.0, 150)])
+@pytest.mark.parametrize(("down_s", "missed"), [(0.1, 0), (0.4, 1), (1.0, 0), (1.0, 1), (2.5, 2), (6.0, 150)])
 def test_a_member_catches_up_in_time(
-    fleet: Fleet, fault: str, position: str, away: float, missed: int
+    fleet: Fleet, fault: str, position: str, down_s: float, missed: int
 ) -> None:
     simulation = fleet.simulation
     fleet.changes(30, "m1")
     address = fleet.at(position)
     other = next(name for name in simulation.machines if name != address)
-    simulation.put(other, fleet.generation, fleet.generation + 1, b"under way at the fault")
+    simulation.put(other, fleet.generation, fleet.generation + 1, b"in flight at the fault")
     simulation.run(simulation.random.uniform(0.0, 0.02))
     stopped_at = simulation.now
-    come_back = _stop(fleet, fault, address)
-    fleet.change(other, b"under way at the fault")
+    end_fault = _stop(fleet, fault, address)
+    fleet.change(other, b"in flight at the fault")
     fleet.changes(missed, other)
-    simulation.run(max(0.0, stopped_at + away - simulation.now))
-    come_back()
-    assert fleet.catches_up(address)
+    simulation.run(max(0.0, stopped_at + down_s - simulation.now))
+    end_fault()
+    assert fleet.has_caught_up_in_time(address)
     fleet.change(address)
     fleet.check_end()
 
 
-def test_many_changes_with_faults_in_the_middle_of_stores(fleet: Fleet) -> None:
+def test_many_changes_with_faults_during_stores(fleet: Fleet) -> None:
     simulation = fleet.simulation
     addresses = list(simulation.machines)
     faults = [simulation.kill, simulation.lose_power]
@@ -161,33 +163,33 @@
         victim = simulation.random.choice(addresses)
         wanted = simulation.store_count + simulation.random.randint(1, 3)
 
-        def strike(count: int, victim: str = victim, wanted: int = wanted) -> None:
+        def inject_fault(count: int, victim: str = victim, wanted: int = wanted) -> None:
             if count == wanted:
                 fault = simulation.random.choice(faults)
                 simulation.at(simulation.now, lambda: fault(victim, simulation.random.uniform(0.1, 1.5)))
 
-        simulation.on_store = strike
+        simulation.on_store = inject_fault
         fleet.change(addresses[(round_number + 1) % 3])
         simulation.run(0.1)
-        assert fleet.catches_up(victim)
+        assert fleet.has_caught_up_in_time(victim)
     simulation.on_store = None
     fleet.check_end()
 
 
-# ---- a snapshot on its way, and being taken over ----
+# ---- sending and installing a snapshot ----
 
 
-def _away(fleet: Fleet, address: str, changes: int = 3) -> Callable[[], None]:
-    """Stop a member until it is left out of the chain and has missed changes."""
-    come_back = _stop(fleet, "killed", address)
+def _stop_until_left_out(fleet: Fleet, address: str, changes: int = 3) -> Callable[[], None]:
+    """Stop a member until it is removed from the chain and has missed changes."""
+    end_fault = _stop(fleet, "killed", address)
     other = next(name for name in fleet.simulation.machines if name != address)
     fleet.simulation.run(1.0)
     fleet.changes(changes, other)
-    return come_back
+    return end_fault
 
 
 class ChainFault:
-    """Loses, doubles or delays the n-th message of one kind to one member."""
+    """Loses, duplicates or delays the n-th message of one kind to one member."""
 
     def __init__(self, kind: type[Struct], receiver: str | None, number: int, delays: list[float]) -> None:
         self._kind = kind
@@ -205,57 +207,57 @@
 
 
 LOST: list[float] = []
-DOUBLED = [0.0, 0.3]
+DUPLICATED = [0.0, 0.3]
 LATE = [0.8]
 
 
 @pytest.mark.parametrize("position", POSITIONS)
 @pytest.mark.parametrize("kind", [InstallSnapshot, AppendRequest, SuccessorStatus, CommitNotification])
-@pytest.mark.parametrize("delays", [LOST, DOUBLED, LATE], ids=["lost", "doubled", "late"])
-def test_a_message_of_catching_up_is_lost_doubled_or_late(
+@pytest.mark.parametrize("delays", [LOST, DUPLICATED, LATE], ids=["lost", "duplicated", "late"])
+def test_a_message_of_catching_up_is_lost_duplicated_or_late(
     fleet: Fleet, kind: type[Struct], delays: list[float], position: str
 ) -> None:
     simulation = fleet.simulation
     fleet.changes(5, "m1")
     address = fleet.at(position)
-    come_back = _away(fleet, address)
+    end_fault = _stop_until_left_out(fleet, address)
     other = next(name for name in simulation.machines if name != address)
     receiver = None if kind in (SuccessorStatus, CommitNotification) else address
     for number in (1, 2):
         fault = simulation.message_fault = ChainFault(kind, receiver, number, delays)
-        come_back()
+        end_fault()
         for _ in range(4):
             simulation.run(0.3)
             fleet.change(other)
-        assert fleet.catches_up(address)
+        assert fleet.has_caught_up_in_time(address)
         assert fault.count >= 1
         simulation.message_fault = None
-        come_back = _away(fleet, address)
-    come_back()
-    assert fleet.catches_up(address)
+        end_fault = _stop_until_left_out(fleet, address)
+    end_fault()
+    assert fleet.has_caught_up_in_time(address)
     fleet.check_end()
 
 
 @pytest.mark.parametrize("power", [False, True], ids=["killed", "without power"])
 @pytest.mark.parametrize("number", range(1, 7))
-def test_a_member_is_stopped_in_each_store_of_its_return(fleet: Fleet, number: int, power: bool) -> None:
+def test_a_returning_member_is_stopped_in_each_store(fleet: Fleet, number: int, power: bool) -> None:
     simulation = fleet.simulation
     fleet.changes(5, "m1")
     address = fleet.at("middle")
-    come_back = _away(fleet, address)
-    _strike_in_store(simulation, address, number, power)
-    come_back()
+    end_fault = _stop_until_left_out(fleet, address)
+    _stop_in_store(simulation, address, number, power)
+    end_fault()
     simulation.run(0.3)
     fleet.changes(3, next(name for name in simulation.machines if name != address))
-    assert fleet.catches_up(address)
+    assert fleet.has_caught_up_in_time(address)
     fleet.check_end()
 
 
-def _strike_in_store(simulation: StorageSimulation, address: str, number: int, power: bool) -> None:
-    """Stop a member at the n-th store from now on that is its own."""
+def _stop_in_store(simulation: StorageSimulation, address: str, number: int, power: bool) -> None:
+    """Stop a member at its n-th store from now on."""
     seen: set[int] = set()
 
-    def strike(_: int) -> None:
+    def inject_fault(_: int) -> None:
         waiting: list[StoreRecords] = simulation.machines[address].disk.waiting
         seen.update(store.token for store in waiting)
         if len(seen) == number:
@@ -263,15 +265,15 @@
             stop = simulation.lose_power if power else simulation.kill
             simulation.at(simulation.now, lambda: stop(address, 0.2))
 
-    simulation.on_store = strike
+    simulation.on_store = inject_fault
 
 
-def test_a_change_is_committed_while_a_snapshot_is_taken_over(fleet: Fleet) -> None:
+def test_a_change_is_committed_while_a_snapshot_is_installed(fleet: Fleet) -> None:
     simulation = fleet.simulation
     fleet.changes(5, "m1")
     address = fleet.at("tail")
-    come_back = _away(fleet, address)
-    come_back()
+    end_fault = _stop_until_left_out(fleet, address)
+    end_fault()
     assert simulation.run_until(
         lambda: simulation.replica(address)._register.installing_snapshot, CATCH_UP_S, 0.001
     )
@@ -281,82 +283,84 @@
     simulation.run(0.3)
     simulation.set_disk(address, DiskMode.WORKS)
     fleet.change(other, b"meanwhile")
-    assert fleet.catches_up(address)
+    assert fleet.has_caught_up_in_time(address)
     fleet.check_end()
 
 
 @pytest.mark.parametrize("mode", [DiskMode.STALLS, DiskMode.FULL, DiskMode.FAILS])
 @pytest.mark.parametrize("number", range(1, 6))
-def test_the_disk_is_in_trouble_at_each_store_of_a_return(fleet: Fleet, number: int, mode: DiskMode) -> None:
+def test_the_disk_fails_at_each_store_of_a_returning_member(
+    fleet: Fleet, number: int, mode: DiskMode
+) -> None:
     simulation = fleet.simulation
     fleet.changes(5, "m1")
     address = fleet.at("head")
-    come_back = _away(fleet, address)
+    end_fault = _stop_until_left_out(fleet, address)
     seen: set[int] = set()
 
-    def strike(_: int) -> None:
+    def inject_fault(_: int) -> None:
         seen.update(store.token for store in simulation.machines[address].disk.waiting)
         if len(seen) >= number:
             simulation.machines[address].disk.mode = mode
 
-    simulation.on_store = strike
-    come_back()
+    simulation.on_store = inject_fault
+    end_fault()
     simulation.run(1.5)
     fleet.changes(3, next(name for name in simulation.machines if name != address))
     simulation.on_store = None
     simulation.set_disk(address, DiskMode.WORKS)
-    assert fleet.catches_up(address)
+    assert fleet.has_caught_up_in_time(address)
     fleet.check_end()
 
 
 @pytest.mark.parametrize("position", POSITIONS)
 @pytest.mark.parametrize(("bytes_per_s", "limit"), [(20e6, 1.5), (3e6, 2.5), (1e6, 6.0)])
-def test_a_large_snapshot_passes_a_slow_link(
+def test_a_large_snapshot_is_sent_over_a_slow_link(
     fleet: Fleet, position: str, bytes_per_s: float, limit: float
 ) -> None:
-    """Also where the document takes longer than a member may be silent; no view is wasted on it."""
+    """Also if the document takes longer than the failure time-out, no further change of view happens."""
     simulation = fleet.simulation
     fleet.change("m1", b"x" * 4_000_000)
     address = fleet.at(position)
-    come_back = _away(fleet, address, changes=0)
+    end_fault = _stop_until_left_out(fleet, address, changes=0)
     fleet.change(fleet.at("head"), b"y" * 4_000_000)
     view = simulation.newest_view()
     simulation.link_bytes_per_s = bytes_per_s
-    come_back()
-    assert simulation.run_until(lambda: fleet.checked(address), limit)
+    end_fault()
+    assert simulation.run_until(lambda: fleet.has_newest_change(address), limit)
     newest = simulation.newest_view()
     assert view is not None
     assert newest is not None
     assert newest.number == view.number + 1
 
 
-def test_a_slow_link_is_not_filled_with_copies(fleet: Fleet) -> None:
+def test_a_snapshot_is_not_sent_repeatedly_over_a_slow_link(fleet: Fleet) -> None:
     simulation = fleet.simulation
     fleet.change("m1", b"x" * 4_000_000)
     address = fleet.at("tail")
-    come_back = _away(fleet, address, changes=0)
+    end_fault = _stop_until_left_out(fleet, address, changes=0)
     simulation.link_bytes_per_s = 0.2e6
     count = simulation.message_fault = ChainFault(InstallSnapshot, address, 0, [])
-    come_back()
-    assert simulation.run_until(lambda: fleet.checked(address), 25.0)
+    end_fault()
+    assert simulation.run_until(lambda: fleet.has_newest_change(address), 25.0)
     assert count.count <= 5
 
 
 @pytest.mark.parametrize("position", POSITIONS)
 @pytest.mark.parametrize(("bytes_per_s", "limit"), [(40e6, 1.5), (12e6, 2.0), (8e6, 2.5)])
-def test_a_large_snapshot_is_taken_over_on_a_slow_disk(
+def test_a_large_snapshot_is_installed_on_a_slow_disk(
     fleet: Fleet, position: str, bytes_per_s: float, limit: float
 ) -> None:
-    """A disk that works on it is not taken for one that hangs; no view is wasted on it."""
+    """A disk that is writing is not taken for a stalled one, and no further change of view happens."""
     simulation = fleet.simulation
     fleet.change("m1", b"x" * 4_000_000)
     address = fleet.at(position)
-    come_back = _away(fleet, address, changes=0)
+    end_fault = _stop_until_left_out(fleet, address, changes=0)
     fleet.change(fleet.at("head"), b"y" * 4_000_000)
     view = simulation.newest_view()
     simulation.disk_bytes_per_s = {address: bytes_per_s}
-    come_back()
-    assert simulation.run_until(lambda: fleet.checked(address), limit)
+    end_fault()
+    assert simulation.run_until(lambda: fleet.has_newest_change(address), limit)
     newest = simulation.newest_view()
     assert view is not None
     assert newest is not None
--- a/tests/control_plane/test_storage_damage.py
+++ b/tests/control_plane/test_storage_damage.py
@@ -1,4 +1,4 @@
-"""Changed bytes in a synced file: the same records come back, or the file is told to be corrupt."""
+"""Changed bytes in a synced file: the same records are read, or the file is reported as corrupt."""
 
 from __future__ import annotations
 
@@ -30,8 +30,8 @@
     return content
 
 
-def _is_pristine(content: bytes, monkeypatch: pytest.MonkeyPatch) -> bool:
-    """Whether opening such a file changes nothing."""
+def _is_undamaged(content: bytes, monkeypatch: pytest.MonkeyPatch) -> bool:
+    """Whether opening a file with this content changes nothing."""
     files = use(monkeypatch, SimulatedFiles({CONTROL_LOG_NAME: content}))
     open_log(FOLDER)
     return files.after_kill() == {CONTROL_LOG_NAME: content}
@@ -43,12 +43,12 @@
     except FleetError as error:
         return error.code.name
     assert opened.records == RECORDS
-    return "mended"
+    return "repaired"
 
 
 @pytest.mark.parametrize("rewritten", [False, True])
 @pytest.mark.parametrize("mask", MASKS)
-def test_one_changed_byte_anywhere_is_mended(
+def test_one_changed_byte_anywhere_is_repaired(
     monkeypatch: pytest.MonkeyPatch, mask: int, rewritten: bool
 ) -> None:
     content = _content(monkeypatch, rewritten)
@@ -59,8 +59,10 @@
         opened = open_log(FOLDER)
         assert opened.records == RECORDS, position
         (left,) = files.after_kill().values()
-        assert list(files.after_power_loss()) == [{opened.writer.path.name: left}], "it is synced"
-        assert _is_pristine(left, monkeypatch)
+        assert list(files.after_power_loss()) == [{opened.writer.path.name: left}], (
+            "the repair must be synced"
+        )
+        assert _is_undamaged(left, monkeypatch)
 
 
 def test_a_run_of_changed_bytes_never_loses_a_batch_that_is_followed_by_another(
@@ -68,7 +70,7 @@
 ) -> None:
     content = _content(monkeypatch)
     newest = len(content) - len(encode_batch(BATCHES[-1]))
-    outcomes = {"mended": 0, ErrorCode.STORAGE_CORRUPT.name: 0}
+    outcomes = {"repaired": 0, ErrorCode.STORAGE_CORRUPT.name: 0}
     for length in (2, 8, 30, 100):
         for position in range(newest - length):
             damaged = bytearray(content)
@@ -79,7 +81,7 @@
 
 
 @pytest.mark.parametrize("copy", [0, 1])
-def test_the_newest_batch_outlasts_the_loss_of_one_whole_copy(
+def test_the_newest_batch_survives_the_loss_of_one_whole_copy(
     monkeypatch: pytest.MonkeyPatch, copy: int
 ) -> None:
     content = bytearray(_content(monkeypatch))
@@ -90,7 +92,7 @@
     assert open_log(FOLDER).records == RECORDS
 
 
-def test_a_newest_batch_without_any_good_copy_cannot_be_told_from_one_that_was_never_synced(
+def test_a_newest_batch_without_a_valid_copy_cannot_be_distinguished_from_one_that_was_never_synced(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     content = bytearray(_content(monkeypatch))
@@ -102,7 +104,7 @@
 
 
 @pytest.mark.parametrize("batch", range(len(BATCHES) - 1))
-def test_an_older_batch_without_any_good_copy_is_told(monkeypatch: pytest.MonkeyPatch, batch: int) -> None:
+def test_an_older_batch_without_a_valid_copy_is_reported(monkeypatch: pytest.MonkeyPatch, batch: int) -> None:
     content = bytearray(_content(monkeypatch))
     both = encode_batch(BATCHES[batch])
     start = content.index(both)
@@ -114,10 +116,10 @@
     assert raised.value.code is ErrorCode.STORAGE_CORRUPT
 
 
-def test_a_batch_that_is_half_as_long_as_the_next_one_is_not_taken_for_its_copy(
+def test_the_copies_of_the_next_batch_are_not_taken_for_those_of_a_batch_half_as_long(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The next good copy then begins just where a second copy of its own size would."""
+    """The next valid copy begins where a second copy of the same size as it would begin."""
     files = use(monkeypatch, SimulatedFiles())
     opened = open_log(FOLDER)
     opened.writer.append([b"x" * 8])
@@ -134,7 +136,7 @@
     assert raised.value.code is ErrorCode.STORAGE_CORRUPT
 
 
-def test_a_damaged_file_outlasts_a_loss_of_power_while_it_is_mended(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_damaged_file_survives_a_power_loss_during_its_repair(monkeypatch: pytest.MonkeyPatch) -> None:
     content = bytearray(_content(monkeypatch))
     content[-1] ^= 1
     calls = 0
@@ -151,19 +153,19 @@
     assert calls >= 5
 
 
-# ---- files with single copies, and folders that were set aside ----
+# ---- files with single copies, and quarantine ----
 
 
-def test_a_file_with_single_copies_is_read_and_doubled(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_file_with_single_copies_is_read_and_rewritten_with_two(monkeypatch: pytest.MonkeyPatch) -> None:
     old = single_copies([FOLDER_ID], *BATCHES)
     files = use(monkeypatch, SimulatedFiles({CONTROL_LOG_NAME: old, OLD_TEMPORARY_NAME: old[:40]}))
     opened = open_log(FOLDER)
     assert (opened.folder_id, opened.records) == (FOLDER_ID.decode(), RECORDS)
     (left,) = files.after_kill().values()
-    assert _is_pristine(left, monkeypatch)
+    assert _is_undamaged(left, monkeypatch)
 
 
-def test_a_whole_rewritten_file_with_single_copies_is_taken_over_where_the_log_is_gone(
+def test_a_complete_temporary_file_of_the_older_format_replaces_a_missing_log(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     old = single_copies([FOLDER_ID], *BATCHES)
@@ -173,8 +175,8 @@
     assert OLD_TEMPORARY_NAME not in files.after_kill()
 
 
-def test_a_folder_that_was_set_aside_is_known_to_be_no_new_one(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Its settings may still say that the whole fleet starts for the first time."""
+def test_a_folder_with_a_quarantined_log_is_not_treated_as_new(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Its settings may still have `bootstrap` set, as at the first start of the whole fleet."""
     files = use(monkeypatch, SimulatedFiles({CONTROL_LOG_NAME: _content(monkeypatch)}))
     use(monkeypatch, files)
     before = open_log(FOLDER)
@@ -188,8 +190,8 @@
     assert not before.follows_corrupt_log
 
 
-def test_power_is_lost_at_each_call_while_a_folder_is_set_aside(monkeypatch: pytest.MonkeyPatch) -> None:
-    """What is found then is the corrupt log again, or a new folder; never the old one with fewer records."""
+def test_power_is_lost_at_each_call_of_a_quarantine(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The next opening finds the corrupt log or a new log, but never the old log with fewer records."""
     content = bytearray(_content(monkeypatch))
     both = encode_batch(BATCHES[1])
     start = content.index(both)
--- a/tests/control_plane/test_storage_driver.py
+++ b/tests/control_plane/test_storage_driver.py
@@ -1,4 +1,4 @@
-"""The driver's side of the data folder: what it does on which thread, and what it makes of a corrupt log."""
+"""How the driver uses the data folder: what runs on which thread, and the handling of a corrupt log."""
 
 from __future__ import annotations
 
@@ -26,23 +26,23 @@
 
 
 class Surroundings:
-    """Nothing is around."""
+    """Ignores all that the driver requests."""
 
     def send(self, effect: SendMessage) -> None:
-        """Lost."""
+        """Drop the message."""
 
     def deliver(self, committed: CommittedConfiguration) -> None:
-        """Ignored."""
+        """Ignore it."""
 
     def view_changed(self, view: View) -> None:
-        """Ignored."""
+        """Ignore it."""
 
     def ticked(self) -> None:
-        """Ignored."""
+        """Ignore it."""
 
 
 class RecordedReplicas:
-    """How replicas were made by the driver."""
+    """Records how the driver creates replicas."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.threads: list[str] = []
@@ -68,7 +68,7 @@
             while not until() or driver._replica is None:
                 await asyncio.sleep(0.005)
             for _ in range(2):
-                await driver._storage_thread.call(lambda: None)  # its stores have ended
+                await driver._storage_thread.call(lambda: None)  # waits until the stores have ended
 
     asyncio.run(run())
 
@@ -76,29 +76,29 @@
 def test_a_long_log_is_replayed_on_the_storage_thread(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    made = RecordedReplicas(monkeypatch)
-    _run(tmp_path, lambda: bool(made.threads))
-    assert made.threads == ["storage"]
-    assert made.settings[0].bootstrap
+    replicas = RecordedReplicas(monkeypatch)
+    _run(tmp_path, lambda: bool(replicas.threads))
+    assert replicas.threads == ["storage"]
+    assert replicas.settings[0].bootstrap
 
 
 @pytest.mark.parametrize("damage", ["bytes", "record"])
-def test_a_folder_that_was_corrupt_does_not_bootstrap_in_this_life_or_the_next(
+def test_a_folder_with_a_corrupt_log_does_not_bootstrap_in_this_process_or_the_next(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, damage: str
 ) -> None:
-    """The settings still say so; its part of what was agreed is lost all the same."""
+    """`bootstrap` is still set in the settings, but the part of the agreed state in the log is lost."""
     _make_corrupt(tmp_path, damage)
-    made = RecordedReplicas(monkeypatch)
+    replicas = RecordedReplicas(monkeypatch)
 
-    def started_anew() -> bool:
-        return bool(made.records) and made.records[-1] == []
+    def has_restarted_empty() -> bool:
+        return bool(replicas.records) and replicas.records[-1] == []
 
-    _run(tmp_path, started_anew)
+    _run(tmp_path, has_restarted_empty)
     assert (tmp_path / CORRUPT_LOG_NAME).exists()
-    assert not made.settings[-1].bootstrap
-    made.settings.clear()
-    _run(tmp_path, lambda: bool(made.settings))
-    assert not made.settings[-1].bootstrap
+    assert not replicas.settings[-1].bootstrap
+    replicas.settings.clear()
+    _run(tmp_path, lambda: bool(replicas.settings))
+    assert not replicas.settings[-1].bootstrap
 
 
 def _make_corrupt(folder: Path, damage: str) -> None:
--- a/tests/control_plane/test_storage_faults.py
+++ b/tests/control_plane/test_storage_faults.py
@@ -1,5 +1,7 @@
-"""The log on a disk that refuses, or loses power at, each numbered call, with every subset kept of what was
-not synced."""
+"""The log on a disk that fails, or loses power, at each numbered call.
+
+After a power loss, each possible state of the unsynced data is checked.
+"""
 
 from __future__ import annotations
 
@@ -15,7 +17,7 @@
 
 Files = dict[str, bytes]
 
-FEW_TORN_PARTS = 5
+REDUCED_TORN_PARTS = 5
 
 
 @dataclass(frozen=True)
@@ -26,11 +28,11 @@
     replace: bool = False
 
     def after(self, held: tuple[bytes, ...]) -> tuple[bytes, ...]:
-        """What the log holds once this is done."""
+        """The records of the log after this step."""
         return self.records if self.replace else held + self.records
 
     def run(self, opened: OpenedLog) -> None:
-        """Carry it out."""
+        """Carry out the step."""
         (opened.writer.rewrite if self.replace else opened.writer.append)(self.records)
 
 
@@ -46,7 +48,7 @@
 
 
 class StepRunner:
-    """Plays the story and knows what the log must hold, and what it may hold."""
+    """Runs the steps, and keeps the records that the log must have and those that it may have."""
 
     def __init__(self, files: SimulatedFiles) -> None:
         self.files = files
@@ -55,14 +57,14 @@
         self.unclear: tuple[Step, ...] = ()
 
     def run(self) -> None:
-        """All of it, unless power is lost; steps that the disk refuses are left out."""
+        """Run all steps, unless power is lost. A step that fails is skipped."""
         try:
             self._run_steps()
         except PowerLost:
             return
 
     def open(self) -> OpenedLog:
-        """Open the log, again where the disk refuses."""
+        """Open the log, retrying while the disk fails."""
         while True:
             try:
                 opened = open_log(FOLDER)
@@ -72,7 +74,7 @@
             return opened
 
     def step(self, opened: OpenedLog, step: Step) -> None:
-        """One step, whose outcome is unclear until it or a later one has succeeded."""
+        """Run one step. Its outcome is unclear until it or a later step has succeeded."""
         self.unclear += (step,)
         try:
             step.run(opened)
@@ -82,7 +84,7 @@
         self.unclear = ()
 
     def check(self, files: Files) -> None:
-        """What another process finds in such a folder."""
+        """Check the log that another process finds in this folder."""
         opened = open_log(FOLDER)
         if self.folder_id is not None:
             assert opened.folder_id == self.folder_id, files
@@ -105,7 +107,7 @@
 
 
 def _check_after_power_loss(monkeypatch: pytest.MonkeyPatch, runner: StepRunner) -> list[Files]:
-    """The folders that power loss may leave, each of which has been opened."""
+    """Open and check all folders that a power loss may leave, and return them."""
     found = list(runner.files.after_power_loss())
     for files in found:
         use(monkeypatch, SimulatedFiles(files))
@@ -113,7 +115,7 @@
     return found
 
 
-def test_the_story_has_numbered_points(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_steps_make_enough_numbered_calls(monkeypatch: pytest.MonkeyPatch) -> None:
     assert 25 < _count_of_calls(monkeypatch) < 60
 
 
@@ -135,7 +137,7 @@
         files.lose_power_at = number
         runner = StepRunner(files)
         runner.run()
-        for left in files.after_power_loss(FEW_TORN_PARTS):
+        for left in files.after_power_loss(REDUCED_TORN_PARTS):
             key = tuple(sorted(left.items()))
             if key not in seen:
                 seen.add(key)
@@ -154,15 +156,15 @@
             open_log(FOLDER)
         except PowerLost:
             lost = True
-        for again in files.after_power_loss(FEW_TORN_PARTS):
-            use(monkeypatch, SimulatedFiles(again))
-            runner.check(again)
+        for contents in files.after_power_loss(REDUCED_TORN_PARTS):
+            use(monkeypatch, SimulatedFiles(contents))
+            runner.check(contents)
 
 
-def test_a_process_is_killed_at_each_call_and_power_is_lost_in_its_next_life(
+def test_a_process_is_killed_at_each_call_and_power_is_lost_during_the_next_process(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """What the next life has read, or stored, has to outlast a loss of power."""
+    """All that the next process reads or stores must survive a power loss."""
     for number in range(1, _count_of_calls(monkeypatch) + 2):
         files = use(monkeypatch, SimulatedFiles())
         files.lose_power_at = number
@@ -174,16 +176,18 @@
         runner.held, runner.unclear = tuple(opened.records), ()
         _check_after_power_loss(monkeypatch, runner)
         use(monkeypatch, files)
-        runner.step(opened, Step((b"next life",)))
+        runner.step(opened, Step((b"next process",)))
         assert not runner.unclear
         _check_after_power_loss(monkeypatch, runner)
 
 
 @pytest.mark.parametrize("length", [1, 2, 5])
-def test_the_disk_refuses_from_each_call_on_for_a_while(monkeypatch: pytest.MonkeyPatch, length: int) -> None:
+def test_the_disk_fails_for_some_calls_from_each_call_on(
+    monkeypatch: pytest.MonkeyPatch, length: int
+) -> None:
     for number in range(1, _count_of_calls(monkeypatch) + 1):
         files = use(monkeypatch, SimulatedFiles())
-        files.refused = range(number, number + length)
+        files.failing_calls = range(number, number + length)
         runner = StepRunner(files)
         opened = runner.open()
         for step in STEPS:
@@ -196,19 +200,19 @@
         _check_after_power_loss(monkeypatch, runner)
 
 
-def test_power_is_lost_at_each_call_after_a_refused_one(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_power_is_lost_at_each_call_after_a_failed_one(monkeypatch: pytest.MonkeyPatch) -> None:
     count = _count_of_calls(monkeypatch)
-    for refused in range(1, count + 1):
-        for number in range(refused + 1, min(refused + 8, count + 2)):
+    for failed_call in range(1, count + 1):
+        for number in range(failed_call + 1, min(failed_call + 8, count + 2)):
             files = use(monkeypatch, SimulatedFiles())
-            files.refused = range(refused, refused + 1)
+            files.failing_calls = range(failed_call, failed_call + 1)
             files.lose_power_at = number
             runner = StepRunner(files)
             runner.run()
             _check_after_power_loss(monkeypatch, runner)
 
 
-def test_of_two_slots_the_newer_one_counts(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_of_two_slots_the_newer_one_is_used(monkeypatch: pytest.MonkeyPatch) -> None:
     files = use(monkeypatch, SimulatedFiles())
     opened = open_log(FOLDER)
     opened.writer.append([b"old"])
--- a/tests/control_plane/test_storage_lost_state.py
+++ b/tests/control_plane/test_storage_lost_state.py
@@ -1,4 +1,4 @@
-"""A member whose newest synced batch is gone, both copies of it, learns so from others and starts over."""
+"""A member that lost both copies of its newest synced batch detects it by messages of others and rejoins."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 CHANGES = 3
 
 
-def _core(monkeypatch: pytest.MonkeyPatch, seed: int) -> StorageSimulation:
+def _fleet(monkeypatch: pytest.MonkeyPatch, seed: int) -> StorageSimulation:
     simulation = StorageSimulation(monkeypatch, seed)
     simulation.settle()
     simulation.run(1.0)
@@ -34,7 +34,7 @@
 
 
 def _lose_newest_entry(simulation: StorageSimulation, address: str) -> None:
-    """The process is killed, and both copies of its newest batch are changed."""
+    """Kill the process, and overwrite both copies of its newest batch."""
     entry = simulation.replica(address)._register.entry
     assert entry is not None
     batch = encode_batch([encode_record(EntryRecord(entry))])
@@ -47,10 +47,10 @@
 
 @pytest.mark.parametrize("position", POSITIONS)
 @pytest.mark.parametrize("seed", range(3))
-def test_a_member_that_lost_its_newest_entry_starts_over(
+def test_a_member_that_lost_its_newest_entry_rejoins(
     monkeypatch: pytest.MonkeyPatch, seed: int, position: str
 ) -> None:
-    simulation = _core(monkeypatch, seed)
+    simulation = _fleet(monkeypatch, seed)
     address = simulation.chain()[POSITIONS[position]]
     view = simulation.newest_view()
     assert view is not None
@@ -72,9 +72,11 @@
     assert error is None
 
 
-@pytest.mark.parametrize("told_by", ["successor", "tail", "ping"])
-def test_a_member_is_told_what_it_must_have_synced(monkeypatch: pytest.MonkeyPatch, told_by: str) -> None:
-    simulation = _core(monkeypatch, 1)
+@pytest.mark.parametrize("source", ["successor", "tail", "ping"])
+def test_a_member_that_learns_of_a_lost_entry_leaves_the_chain(
+    monkeypatch: pytest.MonkeyPatch, source: str
+) -> None:
+    simulation = _fleet(monkeypatch, 1)
     head, middle, _ = simulation.chain()
     view = simulation.newest_view()
     assert view is not None
@@ -85,17 +87,17 @@
         "ping": Heartbeat(link.member, view.number, (), True, 0, CHANGES + 1),
     }
     assert simulation.replica(head).in_chain
-    simulation.inject(head, MessageReceived(middle, messages[told_by]))
+    simulation.inject(head, MessageReceived(middle, messages[source]))
     assert not simulation.replica(head).in_chain
     assert simulation.run_until(lambda: simulation.chain()[0] == middle, CATCH_UP_S)
     simulation.settle()
 
 
-def test_a_head_takes_nothing_before_its_successor_has_told_its_state(
+def test_a_head_accepts_no_change_before_its_successor_has_sent_its_state(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Otherwise it might put another entry in the place of one that it has lost."""
-    simulation = _core(monkeypatch, 1)
+    """Otherwise it might replace an entry that it has lost by another one."""
+    simulation = _fleet(monkeypatch, 1)
     head = simulation.chain()[0]
     appended: list[AppendRequest] = []
 
--- a/tests/control_plane/test_storage_random.py
+++ b/tests/control_plane/test_storage_random.py
@@ -1,6 +1,6 @@
 """Random schedules of faults and calls on real logs, and bytes that change while a process is down.
 
-Other schedules:
+To run other schedules:
 `STORAGE_SEEDS=1000:1400 .venv/bin/python -m pytest tests/control_plane/test_storage_random.py`.
 """
 
@@ -17,7 +17,7 @@
 
 FIRST_SEED, END_SEED = map(int, os.environ.get("STORAGE_SEEDS", "0:40").split(":"))
 STEPS = 20
-REWRITE_BYTES = 3_000  # so that rewritings are among the steps
+REWRITE_BYTES = 3_000  # small, so that the steps include rewrites
 ROUNDS = 8
 
 
@@ -32,7 +32,7 @@
 def test_bytes_change_on_the_disk_of_a_member_that_is_down(
     monkeypatch: pytest.MonkeyPatch, seed: int, changed: int
 ) -> None:
-    """One member at a time; it comes back with all that it had, or as a new one."""
+    """One member at a time: it returns with all its records, or with a new folder."""
     monkeypatch.setattr(replica_outbox, "REWRITE_BYTES", REWRITE_BYTES)
     simulation = StorageSimulation(monkeypatch, seed)
     simulation.settle()
@@ -54,7 +54,7 @@
 
 
 def _put(simulation: StorageSimulation, address: str, generation: int, document: bytes) -> bool:
-    """Send a change until it is taken; it must never be refused for what another copy has lost."""
+    """Send a change until it is accepted; it must never be rejected because another copy was lost."""
     for _ in range(10):
         error = simulation.put_and_wait(address, generation, generation + 1, document)
         if error not in (ErrorCode.NO_QUORUM, ErrorCode.WRITE_UNCLEAR):
--- a/tests/control_plane/test_storage_size.py
+++ b/tests/control_plane/test_storage_size.py
@@ -1,6 +1,7 @@
-"""The bytes that the log takes at any instant, with large documents and with many small ones, and restarts.
+"""The maximum size of the log, with large documents, with many small ones, and with restarts.
 
-More of them: `STORAGE_LARGE_CHANGES=200 .venv/bin/python -m pytest tests/control_plane/test_storage_size.py`.
+To run more changes:
+`STORAGE_LARGE_CHANGES=200 .venv/bin/python -m pytest tests/control_plane/test_storage_size.py`.
 """
 
 from __future__ import annotations
@@ -19,56 +20,56 @@
 
 MEGABYTE = 1 << 20
 LARGE_CHANGES = int(os.environ.get("STORAGE_LARGE_CHANGES", "24"))
-CHANGES_PER_LIFE = 3
+CHANGES_PER_PROCESS = 3
 SMALL_CHANGES = 300
 SMALL_DOCUMENT = 500
 
 
-def _most_bytes(simulation: StorageSimulation, documents: list[bytes]) -> int:
-    """The most that the log of a single machine took while it stored these, with restarts in between."""
+def _max_log_bytes(simulation: StorageSimulation, documents: list[bytes]) -> int:
+    """The maximum size of a single machine's log while it stores these documents, with restarts."""
     for generation, document in enumerate(documents):
-        if generation % CHANGES_PER_LIFE == CHANGES_PER_LIFE - 1:
+        if generation % CHANGES_PER_PROCESS == CHANGES_PER_PROCESS - 1:
             simulation.kill("m1", restart_after=0.1)
             simulation.run(0.2)
             simulation.settle()
             simulation.run(1.0)
         assert simulation.put_and_wait("m1", generation, generation + 1, document) is None
-    return simulation.disk("m1").files.most_bytes
+    return simulation.disk("m1").files.max_bytes
 
 
-def _alone(monkeypatch: pytest.MonkeyPatch) -> StorageSimulation:
+def _single_machine(monkeypatch: pytest.MonkeyPatch) -> StorageSimulation:
     simulation = StorageSimulation(monkeypatch, seed=5, machines=1, tolerated=0)
     simulation.settle()
     simulation.run(1.0)
     return simulation
 
 
-def test_large_documents_take_a_bounded_part_of_a_small_disk(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A log with REWRITE_BYTES out of date, one live document, one more, and the log that is written."""
+def test_the_log_is_bounded_with_large_documents(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The bound: REWRITE_BYTES of outdated records, the current document, a new one and the rewritten log."""
     largest = 4 * MEGABYTE
     sizes = [largest, MEGABYTE, largest, 2 * MEGABYTE]
     documents = [b"%06d" % number + b"x" * sizes[number % 4] for number in range(LARGE_CHANGES)]
-    most = _most_bytes(_alone(monkeypatch), documents)
-    assert most < REWRITE_BYTES + 4 * BATCH_COPIES * largest + MEGABYTE
-    assert most < 64 * MEGABYTE
+    log_bytes = _max_log_bytes(_single_machine(monkeypatch), documents)
+    assert log_bytes < REWRITE_BYTES + 4 * BATCH_COPIES * largest + MEGABYTE
+    assert log_bytes < 64 * MEGABYTE
 
 
-def test_many_small_documents_take_a_bounded_part(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_log_is_bounded_with_many_small_documents(monkeypatch: pytest.MonkeyPatch) -> None:
     limit = 20_000
     monkeypatch.setattr(replica_outbox, "REWRITE_BYTES", limit)
     documents = [b"%06d" % number + b"x" * SMALL_DOCUMENT for number in range(SMALL_CHANGES)]
-    most = _most_bytes(_alone(monkeypatch), documents)
+    log_bytes = _max_log_bytes(_single_machine(monkeypatch), documents)
     history = 2 * BATCH_COPIES * SMALL_CHANGES * 45
-    assert most < limit + 8 * BATCH_COPIES * SMALL_DOCUMENT + history
+    assert log_bytes < limit + 8 * BATCH_COPIES * SMALL_DOCUMENT + history
 
 
-def test_the_size_is_counted_as_it_is_on_disk() -> None:
+def test_encoded_size_is_the_size_on_disk() -> None:
     records = [b"one", b"", b"x" * 100]
     assert encoded_size(records) == len(encode_batch(records))
 
 
-def test_a_log_that_was_long_at_the_start_is_rewritten_by_the_first_store() -> None:
-    """What of it is out of date is not known then; by its whole length it might grow with each restart."""
+def test_a_log_that_is_long_at_the_start_is_rewritten_after_the_first_store() -> None:
+    """The outdated part of a restored log is unknown; without the rewrite it could grow at each restart."""
     outbox = Outbox("at-own", 10.0, REWRITE_BYTES // BATCH_COPIES + 1)
     outbox.snapshot_records = lambda: (b"state",)
     assert _replaces_after_one_store(outbox)
--- a/tests/control_plane_process/test_evacuation.py
+++ b/tests/control_plane_process/test_evacuation.py
@@ -1,4 +1,4 @@
-"""Operators evacuate a zone and take it back, on three real control schedulers."""
+"""Operators evacuate a zone and withdraw the evacuation, on three real control plane nodes."""
 
 from __future__ import annotations
 
@@ -8,20 +8,20 @@
 from tests.control_plane_process.fleet import Fleet, Node
 from tests.control_plane_process.stand_ins import EdgeClient, call, first_workers, until
 
-TAKEN_S = 6.0
+ACKNOWLEDGED_S = 6.0
 PUBLISHED_S = 3.0
 PATH = "/reedspoke/evacuation/za"
 
 
 def order(node: Node, method: str) -> bool:
-    """Whether an order is acknowledged."""
+    """Send an order to a node and return whether it is acknowledged."""
     reply = call(node.control, method, PATH)
     assert reply is None or reply.status in (200, 503, 504), reply
     return reply is not None and reply.status == 200
 
 
-def drains(fleet: Fleet, expected: bool) -> bool:
-    """Whether every node knows, and a data plane scheduler is told, that the zone's workers drain."""
+def zone_drains(fleet: Fleet, expected: bool) -> bool:
+    """Whether the status of each node and the list sent to data plane nodes show `expected` for the zone."""
     for node in fleet.nodes:
         if (node.status().get("evacuated") == ["za"]) != expected:
             return False
@@ -33,17 +33,23 @@
     return all(worker.draining == expected for worker in workers)
 
 
-def test_an_evacuation_is_in_force_until_it_is_withdrawn_whatever_is_killed(fleet: Fleet) -> None:
+def test_an_evacuation_stays_in_force_until_it_is_withdrawn_also_after_all_nodes_were_killed(
+    fleet: Fleet,
+) -> None:
     first, second, third = fleet.nodes
-    until(partial(order, first, "POST"), TAKEN_S, "the evacuation is acknowledged")
-    assert order(second, "POST")  # again, elsewhere
-    until(partial(drains, fleet, True), PUBLISHED_S, "the zone's workers drain")
+    until(partial(order, first, "POST"), ACKNOWLEDGED_S, "the evacuation is acknowledged")
+    assert order(second, "POST")  # repeated at another node
+    until(partial(zone_drains, fleet, True), PUBLISHED_S, "the zone's workers drain")
     for node in fleet.nodes:
         node.kill()
     for node in fleet.nodes:
         node.start()
-    until(partial(drains, fleet, True), 2 * TAKEN_S, "it is in force after all were killed")
-    until(partial(order, third, "DELETE"), TAKEN_S, "the withdrawal is acknowledged")
-    until(partial(drains, fleet, False), PUBLISHED_S, "the zone's workers are used again")
+    until(
+        partial(zone_drains, fleet, True),
+        2 * ACKNOWLEDGED_S,
+        "the evacuation is in force after all nodes were killed",
+    )
+    until(partial(order, third, "DELETE"), ACKNOWLEDGED_S, "the withdrawal is acknowledged")
+    until(partial(zone_drains, fleet, False), PUBLISHED_S, "the zone's workers are used again")
     calls = [json.loads(line) for line in third.log_file.read_text().splitlines() if PATH in line]
     assert calls[-1]["method"] == "DELETE"
--- a/tests/control_plane_process/test_peer_connections.py
+++ b/tests/control_plane_process/test_peer_connections.py
@@ -1,4 +1,4 @@
-"""Connections between control schedulers: cut frames, restarts, several connections of one peer."""
+"""Connections between control plane nodes: truncated frames, restarts, several connections of a peer."""
 
 from __future__ import annotations
 
@@ -25,21 +25,23 @@
 
 
 def no_tallies(sender: str, message: TallyMessage) -> None:
+    """Fail, because no tally messages are expected."""
     raise AssertionError(message)
 
 
 class NoSessions:
-    """No data plane scheduler comes here."""
+    """Handles connections without sessions: data plane nodes do not connect in these tests."""
 
     def message_received(self, channel: Channel, message: EdgeMessage) -> None:
+        """Fail, because no sessions are expected."""
         raise AssertionError(message)
 
     def connection_closed(self, channel: Channel) -> None:
-        """Called for every connection."""
+        """Do nothing; called for every connection."""
 
 
 class Listener:
-    """A transport, and what received_messages by it."""
+    """A transport, and the messages that it has received."""
 
     def __init__(self) -> None:
         self.address = f"{HOST}:{free_port((HOST,))}"
@@ -47,10 +49,12 @@
         self.transport = PeerTransport(self.address, "za", self.received, no_tallies, NoSessions())
 
     def received(self, sender: str, message: PeerMessage) -> None:
+        """Record a message."""
         assert isinstance(message, DiscoveryLeaseRelease)
         self.received_messages.append((sender, message.term))
 
     async def connect(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
+        """Open a connection to the transport."""
         return await asyncio.open_connection(*split_address(self.address))
 
 
@@ -58,6 +62,8 @@
 
 
 def with_listener(scenario: Scenario) -> Listener:
+    """Run a scenario with a listening transport."""
+
     async def run() -> Listener:
         listener = Listener()
         await listener.transport.listen()
@@ -71,30 +77,34 @@
 
 
 def frame(payload: bytes) -> bytes:
+    """A frame with this payload."""
     return LENGTH.pack(len(payload)) + payload
 
 
 def hello(address: str = PEER) -> bytes:
+    """The frame of a `PeerHello`."""
     return frame(encode(PeerHello(address, "za")))
 
 
 def release(term: int) -> bytes:
+    """The frame of a `DiscoveryLeaseRelease`."""
     return frame(encode(DiscoveryLeaseRelease(term)))
 
 
 async def until(condition: Callable[[], bool]) -> None:
+    """Wait until the condition holds."""
     while not condition():
         await asyncio.sleep(0.002)
 
 
 async def receive_all(channel: Channel) -> None:
-    """Until there is an error."""
+    """Receive until there is an error."""
     while True:
         await channel.receive(PeerMessage)
 
 
-async def is_over(reader: asyncio.StreamReader) -> None:
-    """Returns when the other side has ended the connection."""
+async def wait_for_end(reader: asyncio.StreamReader) -> None:
+    """Return when the other side has closed the connection."""
     with suppress(ConnectionError):
         assert await reader.read() == b""
 
@@ -116,47 +126,47 @@
     with_listener(scenario)
 
 
-def test_a_truncated_frame_is_no_message() -> None:
-    whole = hello() + release(1)
-    raw = whole + release(2)
+def test_a_truncated_frame_is_dropped() -> None:
+    complete = hello() + release(1)
+    raw = complete + release(2)
 
     async def scenario(listener: Listener) -> None:
-        for length in range(len(whole), len(raw)):
+        for length in range(len(complete), len(raw)):
             reader, writer = await listener.connect()
             writer.write(raw[:length])
             writer.write_eof()
-            await is_over(reader)
+            await wait_for_end(reader)
             writer.close()
 
     listener = with_listener(scenario)
-    assert listener.received_messages == [(PEER, 1)] * (len(raw) - len(whole))
+    assert listener.received_messages == [(PEER, 1)] * (len(raw) - len(complete))
 
 
 MALFORMED = {
-    "no message": frame(b"\xc1"),
-    "an empty frame": frame(b""),
-    "another type": frame(encode(PeerHello(PEER, "za"))),
-    "an endless one": LENGTH.pack(MAX_FRAME_BYTES + 1),
-    "deep": frame(b"\x91" * 100_000),
+    "not MessagePack": frame(b"\xc1"),
+    "empty frame": frame(b""),
+    "another message type": frame(encode(PeerHello(PEER, "za"))),
+    "frame too long": LENGTH.pack(MAX_FRAME_BYTES + 1),
+    "deeply nested": frame(b"\x91" * 100_000),
 }
 
 
 @pytest.mark.parametrize("name", MALFORMED)
-def test_bytes_that_are_no_message_end_only_their_own_connection(name: str) -> None:
+def test_malformed_bytes_end_only_their_own_connection(name: str) -> None:
     async def scenario(listener: Listener) -> None:
         _, other = await listener.connect()
         other.write(hello(OTHER) + release(1))
         await until(lambda: listener.received_messages == [(OTHER, 1)])
         reader, writer = await listener.connect()
         writer.write(hello() + MALFORMED[name] + release(7))
-        await is_over(reader)
+        await wait_for_end(reader)
         other.write(release(2))
         await until(lambda: len(listener.received_messages) == 2)
-        _, again = await listener.connect()
-        again.write(hello() + release(8))
+        _, reconnected = await listener.connect()
+        reconnected.write(hello() + release(8))
         await until(lambda: len(listener.received_messages) == 3)
         assert listener.received_messages == [(OTHER, 1), (OTHER, 2), (PEER, 8)]
-        for item in (other, writer, again):
+        for item in (other, writer, reconnected):
             item.close()
 
     with_listener(scenario)
@@ -164,8 +174,8 @@
 
 @settings(max_examples=200, deadline=None, derandomize=True)
 @given(st.binary(max_size=60), st.integers(0, 60), st.integers(0, 255))
-def test_any_bytes_are_messages_or_a_framing_error(data: bytes, at: int, byte: int) -> None:
-    """No other error leaves a channel: it would end the task that keeps the connection to a peer."""
+def test_arbitrary_bytes_are_messages_or_a_framing_error(data: bytes, at: int, byte: int) -> None:
+    """A channel raises no other errors, which would end the task that owns the connection to a peer."""
     changed = bytearray(release(5))
     changed[at % len(changed)] = byte
 
@@ -182,8 +192,8 @@
         asyncio.run(read(raw))
 
 
-def test_the_end_of_an_older_connection_leaves_the_newer_one_alone() -> None:
-    """A peer that restarts sends on a new one while the old one may still stand."""
+def test_the_end_of_an_older_connection_does_not_affect_a_newer_one() -> None:
+    """A restarted peer sends on a new connection while the old one may still be open."""
 
     async def scenario(listener: Listener) -> None:
         _, old = await listener.connect()
@@ -192,7 +202,7 @@
         _, new = await listener.connect()
         new.write(hello() + release(2))
         await until(lambda: len(listener.received_messages) == 2)
-        old.write(release(3)[:-1])  # cut off
+        old.write(release(3)[:-1])  # a truncated frame
         old.close()
         new.write(release(4) + release(5))
         await until(lambda: len(listener.received_messages) == 4)
@@ -219,8 +229,8 @@
     with_listener(scenario)
 
 
-def test_a_peer_that_answers_on_our_connection_ends_only_that() -> None:
-    """Answers come on connections of the other's own; what comes on ours instead is not read as one."""
+def test_messages_received_on_an_outgoing_connection_end_only_that_connection() -> None:
+    """Peers send only on connections that they opened themselves; other messages are not accepted."""
 
     async def scenario(listener: Listener) -> None:
         received_messages: list[int] = []
--- a/tests/control_plane_process/test_peer_transport.py
+++ b/tests/control_plane_process/test_peer_transport.py
@@ -1,4 +1,4 @@
-"""Connections between control schedulers: opened again, bounded, in order."""
+"""Connections between control plane nodes: reopening, bounds and order."""
 
 from __future__ import annotations
 
@@ -21,21 +21,23 @@
 
 
 def no_tallies(sender: str, message: TallyMessage) -> None:
+    """Fail, because no tally messages are expected."""
     raise AssertionError(message)
 
 
 class NoSessions:
-    """No data plane scheduler comes here."""
+    """Handles connections without sessions: data plane nodes do not connect in these tests."""
 
     def message_received(self, channel: Channel, message: EdgeMessage) -> None:
+        """Fail, because no sessions are expected."""
         raise AssertionError(message)
 
     def connection_closed(self, channel: Channel) -> None:
-        """Called for every connection."""
+        """Do nothing; called for every connection."""
 
 
 class TransportNode:
-    """A transport, and what came by it."""
+    """A transport, and the terms of the messages that it has received."""
 
     def __init__(self, address: str) -> None:
         self.address = address
@@ -43,28 +45,32 @@
         self.transport = PeerTransport(address, "za", self.received, no_tallies, NoSessions())
 
     def received(self, sender: str, message: PeerMessage) -> None:
+        """Record a message."""
         assert isinstance(message, DiscoveryLeaseRelease)
         self.terms.append(message.term)
 
     async def until(self, condition: Callable[[], bool]) -> None:
+        """Wait until the condition holds, for at most 5 seconds."""
         async with asyncio.timeout(5):
             while not condition():
                 await asyncio.sleep(0.01)
 
 
 def with_two_nodes(scenario: Callable[[TransportNode, TransportNode], Awaitable[None]]) -> None:
+    """Run a scenario with two nodes, of which only the first is listening."""
+
     async def run() -> None:
         first, second = (TransportNode(f"{HOST}:{free_port((HOST,))}") for _ in range(2))
         await first.transport.listen()
         await scenario(first, second)
-        for scheduler in (first, second):
-            scheduler.transport.close()
+        for node in (first, second):
+            node.transport.close()
         await asyncio.sleep(0)
 
     asyncio.run(run())
 
 
-def test_messages_come_in_order_from_the_very_first() -> None:
+def test_messages_arrive_in_order_from_the_first_on() -> None:
     async def scenario(first: TransportNode, second: TransportNode) -> None:
         await second.transport.listen()
         for term in range(50):
@@ -75,7 +81,7 @@
     with_two_nodes(scenario)
 
 
-def test_the_connection_is_opened_again_when_the_peer_is_back() -> None:
+def test_the_connection_is_reopened_when_the_peer_is_back() -> None:
     async def scenario(first: TransportNode, second: TransportNode) -> None:
         first.transport.send(second.address, DiscoveryLeaseRelease(1))
         await asyncio.sleep(0.1)
@@ -128,7 +134,7 @@
             await asyncio.sleep(0.001)
             if len(arrived) > 1:
                 break
-        assert len(arrived) > 1, "the first connection was given up"
+        assert len(arrived) > 1, "the first connection must be closed"
         for writer in arrived:
             writer.transport.abort()
         server.close()
@@ -136,7 +142,7 @@
     with_two_nodes(scenario)
 
 
-def test_small_messages_come_while_a_large_one_is_stuck() -> None:
+def test_small_messages_arrive_while_a_large_one_is_blocked() -> None:
     async def scenario(first: TransportNode, second: TransportNode) -> None:
         received: list[bytearray] = []
 
@@ -159,7 +165,7 @@
     with_two_nodes(scenario)
 
 
-def test_connections_that_are_not_used_are_closed(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_idle_outgoing_connections_are_closed(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(peer_transport, "LINK_IDLE_TIMEOUT_S", 0.0)
 
     async def scenario(first: TransportNode, second: TransportNode) -> None:
