--- a/tests/control_plane/tallies/test_replica.py
+++ b/tests/control_plane/tallies/test_replica.py
@@ -65,7 +65,7 @@
     assert steps.replica.total("t", steps.now) == 4
 
 
-def test_adds_that_come_during_a_sync_share_the_next_one(steps: Steps) -> None:
+def test_adds_that_arrive_during_a_sync_share_the_next_one(steps: Steps) -> None:
     steps.add(1)
     steps.add(2)
     steps.add(3)
--- a/tests/control_plane/test_storage_driver.py
+++ b/tests/control_plane/test_storage_driver.py
@@ -32,13 +32,13 @@
         """Drop the message."""
 
     def deliver(self, committed: CommittedConfiguration) -> None:
-        """Ignore it."""
+        """Do nothing."""
 
     def view_changed(self, view: View) -> None:
-        """Ignore it."""
+        """Do nothing."""
 
     def ticked(self) -> None:
-        """Ignore it."""
+        """Do nothing."""
 
 
 class RecordedReplicas:
--- a/tests/control_plane/test_storage_faults.py
+++ b/tests/control_plane/test_storage_faults.py
@@ -27,9 +27,9 @@
     records: tuple[bytes, ...]
     replace: bool = False
 
-    def after(self, held: tuple[bytes, ...]) -> tuple[bytes, ...]:
+    def after(self, expected_records: tuple[bytes, ...]) -> tuple[bytes, ...]:
         """The records of the log after this step."""
-        return self.records if self.replace else held + self.records
+        return self.records if self.replace else expected_records + self.records
 
     def run(self, opened: OpenedLog) -> None:
         """Carry out the step."""
@@ -53,7 +53,7 @@
     def __init__(self, files: SimulatedFiles) -> None:
         self.files = files
         self.folder_id: str | None = None
-        self.held: tuple[bytes, ...] = ()
+        self.expected_records: tuple[bytes, ...] = ()
         self.unclear: tuple[Step, ...] = ()
 
     def run(self) -> None:
@@ -80,7 +80,7 @@
             step.run(opened)
         except FleetError:
             return
-        self.held = step.after(self.held)
+        self.expected_records = step.after(self.expected_records)
         self.unclear = ()
 
     def check(self, files: Files) -> None:
@@ -88,7 +88,7 @@
         opened = open_log(FOLDER)
         if self.folder_id is not None:
             assert opened.folder_id == self.folder_id, files
-        allowed = [self.held, *(step.after(self.held) for step in self.unclear)]
+        allowed = [self.expected_records, *(step.after(self.expected_records) for step in self.unclear)]
         assert tuple(opened.records) in allowed, files
 
     def _run_steps(self) -> None:
@@ -100,7 +100,7 @@
 Prepare = Callable[[SimulatedFiles], None]
 
 
-def _count_of_calls(monkeypatch: pytest.MonkeyPatch) -> int:
+def _call_count(monkeypatch: pytest.MonkeyPatch) -> int:
     files = use(monkeypatch, SimulatedFiles())
     StepRunner(files).run()
     return files.calls
@@ -116,12 +116,12 @@
 
 
 def test_the_steps_make_enough_numbered_calls(monkeypatch: pytest.MonkeyPatch) -> None:
-    assert 25 < _count_of_calls(monkeypatch) < 60
+    assert 25 < _call_count(monkeypatch) < 60
 
 
 def test_power_is_lost_at_each_call(monkeypatch: pytest.MonkeyPatch) -> None:
     checked = 0
-    for number in range(1, _count_of_calls(monkeypatch) + 2):
+    for number in range(1, _call_count(monkeypatch) + 2):
         files = use(monkeypatch, SimulatedFiles())
         files.lose_power_at = number
         runner = StepRunner(files)
@@ -132,7 +132,7 @@
 
 def test_power_is_lost_again_at_each_call_of_the_next_opening(monkeypatch: pytest.MonkeyPatch) -> None:
     seen: set[tuple[tuple[str, bytes], ...]] = set()
-    for number in range(1, _count_of_calls(monkeypatch) + 2):
+    for number in range(1, _call_count(monkeypatch) + 2):
         files = use(monkeypatch, SimulatedFiles())
         files.lose_power_at = number
         runner = StepRunner(files)
@@ -165,7 +165,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """All that the next process reads or stores must survive a power loss."""
-    for number in range(1, _count_of_calls(monkeypatch) + 2):
+    for number in range(1, _call_count(monkeypatch) + 2):
         files = use(monkeypatch, SimulatedFiles())
         files.lose_power_at = number
         runner = StepRunner(files)
@@ -173,7 +173,7 @@
         files.lose_power_at = 0
         opened = open_log(FOLDER)
         runner.folder_id = opened.folder_id
-        runner.held, runner.unclear = tuple(opened.records), ()
+        runner.expected_records, runner.unclear = tuple(opened.records), ()
         _check_after_power_loss(monkeypatch, runner)
         use(monkeypatch, files)
         runner.step(opened, Step((b"next process",)))
@@ -185,7 +185,7 @@
 def test_the_disk_fails_for_some_calls_from_each_call_on(
     monkeypatch: pytest.MonkeyPatch, length: int
 ) -> None:
-    for number in range(1, _count_of_calls(monkeypatch) + 1):
+    for number in range(1, _call_count(monkeypatch) + 1):
         files = use(monkeypatch, SimulatedFiles())
         files.failing_calls = range(number, number + length)
         runner = StepRunner(files)
@@ -201,7 +201,7 @@
 
 
 def test_power_is_lost_at_each_call_after_a_failed_one(monkeypatch: pytest.MonkeyPatch) -> None:
-    count = _count_of_calls(monkeypatch)
+    count = _call_count(monkeypatch)
     for failed_call in range(1, count + 1):
         for number in range(failed_call + 1, min(failed_call + 8, count + 2)):
             files = use(monkeypatch, SimulatedFiles())
