--- a/reedspoke/control_plane/storage/log_opening.py
+++ b/reedspoke/control_plane/storage/log_opening.py
@@ -67,8 +67,8 @@
     """Open or create a log in a data folder. All returned records are synced, in two copies.
 
     An incomplete batch at the end, which was never synced, is cut off. Raises FleetError STORAGE_CORRUPT if a
-    valid batch follows an invalid one or the first batch is no valid beginning, and STORAGE_FULL or
-    STORAGE_FAILED if a file operation fails.
+    valid batch follows an invalid one or the first batch lacks the folder id or the rewrite number, and
+    STORAGE_FULL or STORAGE_FAILED if a file operation fails.
     """
     try:
         return _open_or_create(directory, name)
--- a/reedspoke/control_plane/tallies/catch_up.py
+++ b/reedspoke/control_plane/tallies/catch_up.py
@@ -111,7 +111,7 @@
         if chunk.after == START:
             if transfer is not None and now - transfer.active_at < PULL_TIMEOUT_S:
                 return False
-            # The vector of the first chunk is included in all chunks; those of later chunks may not be.
+            # The chunks include everything up to the first one's vector, but not up to those of later ones.
             self.transfer = StateTransfer(sender, chunk.incarnation, chunk.vector, now)
             return True
         if transfer is None or (transfer.source, transfer.after) != (sender, chunk.after):
--- a/reedspoke/control_plane/tallies/store_queue.py
+++ b/reedspoke/control_plane/tallies/store_queue.py
@@ -61,7 +61,7 @@
 class StoreQueue:
     """Owns the waiting batch, the batch in flight, and the state of the disk.
 
-    `expected` is the version vector that this node will have after both batches are stored.
+    `expected` is the version vector that this node will have after the entries received so far are stored.
     """
 
     def __init__(self, vector: VersionVector) -> None:
