--- a/tests/control_plane/tallies/test_origin_log.py
+++ b/tests/control_plane/tallies/test_origin_log.py
@@ -7,7 +7,7 @@
 
 from reedspoke.control_plane.tallies.messages import TallyAdd, TallyEntries
 from reedspoke.control_plane.tallies.origin_log import OriginLog
-from reedspoke.control_plane.tallies.version_vectors import covers, joined, met
+from reedspoke.control_plane.tallies.version_vectors import covers, lower_bound, upper_bound
 
 VECTORS = st.dictionaries(st.sampled_from("abcd"), st.integers(0, 5))
 
@@ -18,14 +18,14 @@
 
 
 def log_of(**counts: int) -> OriginLog:
-    """A log with so many adds of each origin."""
+    """A log with this number of adds of each origin."""
     log = OriginLog()
     for origin, count in counts.items():
         log.append(origin, adds(1, count))
     return log
 
 
-def test_entries_behind_a_number() -> None:
+def test_entries_after_a_number() -> None:
     log = log_of(a=5)
     assert log.entries_after("a", 2, 2) == TallyEntries("a", 3, adds(3, 2))
     assert log.entries_after("a", 5, 9) == TallyEntries("a", 6, ())
@@ -33,18 +33,18 @@
     assert log.vector == {"a": 5}
 
 
-def test_dropped_entries_are_not_given_any_more() -> None:
+def test_dropped_entries_are_not_returned() -> None:
     log = log_of(a=5, b=2)
     log.drop_through({"a": 3, "b": 9})
     assert log.entries_after("a", 2, 9) is None
     assert log.entries_after("a", 3, 9) == TallyEntries("a", 4, adds(4, 2))
     assert log.entries_after("b", 1, 9) is None
-    assert (log.retained_count, log.horizon()) == (2, {"a": 3, "b": 2})
+    assert (log.retained_count, log.unretained_vector()) == (2, {"a": 3, "b": 2})
     log.append("b", adds(3, 1))
     assert log.entries_after("b", 2, 9) == TallyEntries("b", 3, adds(3, 1))
 
 
-def test_a_vector_that_is_ahead_leaves_no_entries_behind_it() -> None:
+def test_advancing_beyond_the_log_drops_its_entries() -> None:
     log = log_of(a=5)
     log.advance({"a": 4, "b": 7})
     assert log.vector == {"a": 5, "b": 7}
@@ -56,7 +56,7 @@
     assert log.entries_after("a", 9, 9) == TallyEntries("a", 10, adds(10, 1))
 
 
-def test_the_oldest_of_the_longest_log_go_first() -> None:
+def test_the_oldest_entries_of_the_longest_log_are_dropped_first() -> None:
     log = log_of(a=20, b=2)
     log.drop_oldest(10)
     assert log.retained_count <= 10
@@ -75,11 +75,11 @@
 
 
 @given(VECTORS, VECTORS)
-def test_vectors_are_a_lattice(one: dict[str, int], other: dict[str, int]) -> None:
-    both, common = joined(one, other), met(one, other)
+def test_version_vectors_are_a_lattice(one: dict[str, int], other: dict[str, int]) -> None:
+    both, common = upper_bound(one, other), lower_bound(one, other)
     assert covers(both, one)
     assert covers(both, other)
     assert covers(one, common)
     assert covers(other, common)
-    assert joined(one, other) == joined(other, one)
-    assert covers(one, other) == (joined(one, other) == joined(one, {}) or covers(one, both))
+    assert upper_bound(one, other) == upper_bound(other, one)
+    assert covers(one, other) == (upper_bound(one, other) == upper_bound(one, {}) or covers(one, both))
--- a/tests/control_plane/test_storage_faults.py
+++ b/tests/control_plane/test_storage_faults.py
@@ -1,5 +1,7 @@
-"""The log on a disk that refuses, or loses power at, each numbered call, with every subset kept of what was
-not synced."""
+"""The log on a disk that fails, or loses power, at each numbered call.
+
+After a power loss, each possible state of the unsynced data is checked.
+"""
 
 from __future__ import annotations
 
@@ -15,7 +17,7 @@
 
 Files = dict[str, bytes]
 
-FEW_TORN_PARTS = 5
+REDUCED_TORN_PARTS = 5
 
 
 @dataclass(frozen=True)
@@ -25,16 +27,16 @@
     records: tuple[bytes, ...]
     replace: bool = False
 
-    def after(self, held: tuple[bytes, ...]) -> tuple[bytes, ...]:
-        """What the log holds once this is done."""
-        return self.records if self.replace else held + self.records
+    def after(self, expected_records: tuple[bytes, ...]) -> tuple[bytes, ...]:
+        """The records of the log after this step."""
+        return self.records if self.replace else expected_records + self.records
 
     def run(self, opened: OpenedLog) -> None:
-        """Carry it out."""
+        """Carry out the step."""
         (opened.writer.rewrite if self.replace else opened.writer.append)(self.records)
 
 
-STORY = (
+STEPS = (
     Step((b"one",)),
     Step((b"two" * 9, b"")),
     Step((b"snapshot" * 5, b"rest"), replace=True),
@@ -45,24 +47,24 @@
 )
 
 
-class Player:
-    """Plays the story and knows what the log must hold, and what it may hold."""
+class StepRunner:
+    """Runs the steps, and keeps the records that the log must have and those that it may have."""
 
     def __init__(self, files: SimulatedFiles) -> None:
         self.files = files
         self.folder_id: str | None = None
-        self.held: tuple[bytes, ...] = ()
+        self.expected_records: tuple[bytes, ...] = ()
         self.unclear: tuple[Step, ...] = ()
 
-    def play(self) -> None:
-        """All of it, unless power is lost; steps that the disk refuses are left out."""
+    def run(self) -> None:
+        """Run all steps, unless power is lost. A step that fails is skipped."""
         try:
-            self._play()
+            self._run_steps()
         except PowerLost:
             return
 
     def open(self) -> OpenedLog:
-        """Open the log, again where the disk refuses."""
+        """Open the log, retrying while the disk fails."""
         while True:
             try:
                 opened = open_log(FOLDER)
@@ -72,77 +74,77 @@
             return opened
 
     def step(self, opened: OpenedLog, step: Step) -> None:
-        """One step, whose outcome is unclear until it or a later one has succeeded."""
+        """Run one step. Its outcome is unclear until it or a later step has succeeded."""
         self.unclear += (step,)
         try:
             step.run(opened)
         except FleetError:
             return
-        self.held = step.after(self.held)
+        self.expected_records = step.after(self.expected_records)
         self.unclear = ()
 
     def check(self, files: Files) -> None:
-        """What another process finds in such a folder."""
+        """Check the log that another process finds in this folder."""
         opened = open_log(FOLDER)
         if self.folder_id is not None:
             assert opened.folder_id == self.folder_id, files
-        allowed = [self.held, *(step.after(self.held) for step in self.unclear)]
+        allowed = [self.expected_records, *(step.after(self.expected_records) for step in self.unclear)]
         assert tuple(opened.records) in allowed, files
 
-    def _play(self) -> None:
+    def _run_steps(self) -> None:
         opened = self.open()
-        for step in STORY:
+        for step in STEPS:
             self.step(opened, step)
 
 
 Prepare = Callable[[SimulatedFiles], None]
 
 
-def _count_of_calls(monkeypatch: pytest.MonkeyPatch) -> int:
+def _call_count(monkeypatch: pytest.MonkeyPatch) -> int:
     files = use(monkeypatch, SimulatedFiles())
-    Player(files).play()
+    StepRunner(files).run()
     return files.calls
 
 
-def _check_after_power_loss(monkeypatch: pytest.MonkeyPatch, player: Player) -> list[Files]:
-    """The folders that power loss may leave, each of which has been opened."""
-    found = list(player.files.after_power_loss())
+def _check_after_power_loss(monkeypatch: pytest.MonkeyPatch, runner: StepRunner) -> list[Files]:
+    """Open and check all folders that a power loss may leave, and return them."""
+    found = list(runner.files.after_power_loss())
     for files in found:
         use(monkeypatch, SimulatedFiles(files))
-        player.check(files)
+        runner.check(files)
     return found
 
 
-def test_the_story_has_numbered_points(monkeypatch: pytest.MonkeyPatch) -> None:
-    assert 25 < _count_of_calls(monkeypatch) < 60
+def test_the_steps_make_enough_numbered_calls(monkeypatch: pytest.MonkeyPatch) -> None:
+    assert 25 < _call_count(monkeypatch) < 60
 
 
 def test_power_is_lost_at_each_call(monkeypatch: pytest.MonkeyPatch) -> None:
     checked = 0
-    for number in range(1, _count_of_calls(monkeypatch) + 2):
+    for number in range(1, _call_count(monkeypatch) + 2):
         files = use(monkeypatch, SimulatedFiles())
         files.lose_power_at = number
-        player = Player(files)
-        player.play()
-        checked += len(_check_after_power_loss(monkeypatch, player))
+        runner = StepRunner(files)
+        runner.run()
+        checked += len(_check_after_power_loss(monkeypatch, runner))
     assert checked > 500
 
 
 def test_power_is_lost_again_at_each_call_of_the_next_opening(monkeypatch: pytest.MonkeyPatch) -> None:
     seen: set[tuple[tuple[str, bytes], ...]] = set()
-    for number in range(1, _count_of_calls(monkeypatch) + 2):
+    for number in range(1, _call_count(monkeypatch) + 2):
         files = use(monkeypatch, SimulatedFiles())
         files.lose_power_at = number
-        player = Player(files)
-        player.play()
-        for left in files.after_power_loss(FEW_TORN_PARTS):
+        runner = StepRunner(files)
+        runner.run()
+        for left in files.after_power_loss(REDUCED_TORN_PARTS):
             key = tuple(sorted(left.items()))
             if key not in seen:
                 seen.add(key)
-                _lose_power_while_opening(monkeypatch, player, left)
+                _lose_power_while_opening(monkeypatch, runner, left)
 
 
-def _lose_power_while_opening(monkeypatch: pytest.MonkeyPatch, player: Player, left: Files) -> None:
+def _lose_power_while_opening(monkeypatch: pytest.MonkeyPatch, runner: StepRunner, left: Files) -> None:
     number = 0
     lost = True
     while lost:
@@ -154,61 +156,63 @@
             open_log(FOLDER)
         except PowerLost:
             lost = True
-        for again in files.after_power_loss(FEW_TORN_PARTS):
-            use(monkeypatch, SimulatedFiles(again))
-            player.check(again)
+        for contents in files.after_power_loss(REDUCED_TORN_PARTS):
+            use(monkeypatch, SimulatedFiles(contents))
+            runner.check(contents)
 
 
-def test_a_process_is_killed_at_each_call_and_power_is_lost_in_its_next_life(
+def test_a_process_is_killed_at_each_call_and_power_is_lost_during_the_next_process(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """What the next life has read, or stored, has to outlast a loss of power."""
-    for number in range(1, _count_of_calls(monkeypatch) + 2):
+    """All that the next process reads or stores must survive a power loss."""
+    for number in range(1, _call_count(monkeypatch) + 2):
         files = use(monkeypatch, SimulatedFiles())
         files.lose_power_at = number
-        player = Player(files)
-        player.play()
+        runner = StepRunner(files)
+        runner.run()
         files.lose_power_at = 0
         opened = open_log(FOLDER)
-        player.folder_id = opened.folder_id
-        player.held, player.unclear = tuple(opened.records), ()
-        _check_after_power_loss(monkeypatch, player)
+        runner.folder_id = opened.folder_id
+        runner.expected_records, runner.unclear = tuple(opened.records), ()
+        _check_after_power_loss(monkeypatch, runner)
         use(monkeypatch, files)
-        player.step(opened, Step((b"next life",)))
-        assert not player.unclear
-        _check_after_power_loss(monkeypatch, player)
+        runner.step(opened, Step((b"next process",)))
+        assert not runner.unclear
+        _check_after_power_loss(monkeypatch, runner)
 
 
 @pytest.mark.parametrize("length", [1, 2, 5])
-def test_the_disk_refuses_from_each_call_on_for_a_while(monkeypatch: pytest.MonkeyPatch, length: int) -> None:
-    for number in range(1, _count_of_calls(monkeypatch) + 1):
+def test_the_disk_fails_for_some_calls_from_each_call_on(
+    monkeypatch: pytest.MonkeyPatch, length: int
+) -> None:
+    for number in range(1, _call_count(monkeypatch) + 1):
         files = use(monkeypatch, SimulatedFiles())
-        files.refused = range(number, number + length)
-        player = Player(files)
-        opened = player.open()
-        for step in STORY:
+        files.failing_calls = range(number, number + length)
+        runner = StepRunner(files)
+        opened = runner.open()
+        for step in STEPS:
             use(monkeypatch, files)
-            player.step(opened, step)
-            _check_after_power_loss(monkeypatch, player)
-        while player.unclear:
+            runner.step(opened, step)
+            _check_after_power_loss(monkeypatch, runner)
+        while runner.unclear:
             use(monkeypatch, files)
-            player.step(opened, Step((b"last",)))
-        _check_after_power_loss(monkeypatch, player)
+            runner.step(opened, Step((b"last",)))
+        _check_after_power_loss(monkeypatch, runner)
 
 
-def test_power_is_lost_at_each_call_after_a_refused_one(monkeypatch: pytest.MonkeyPatch) -> None:
-    count = _count_of_calls(monkeypatch)
-    for refused in range(1, count + 1):
-        for number in range(refused + 1, min(refused + 8, count + 2)):
+def test_power_is_lost_at_each_call_after_a_failed_one(monkeypatch: pytest.MonkeyPatch) -> None:
+    count = _call_count(monkeypatch)
+    for failed_call in range(1, count + 1):
+        for number in range(failed_call + 1, min(failed_call + 8, count + 2)):
             files = use(monkeypatch, SimulatedFiles())
-            files.refused = range(refused, refused + 1)
+            files.failing_calls = range(failed_call, failed_call + 1)
             files.lose_power_at = number
-            player = Player(files)
-            player.play()
-            _check_after_power_loss(monkeypatch, player)
+            runner = StepRunner(files)
+            runner.run()
+            _check_after_power_loss(monkeypatch, runner)
 
 
-def test_of_two_slots_the_newer_one_counts(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_of_two_slots_the_newer_one_is_used(monkeypatch: pytest.MonkeyPatch) -> None:
     files = use(monkeypatch, SimulatedFiles())
     opened = open_log(FOLDER)
     opened.writer.append([b"old"])
