--- a/reedspoke/control_plane/api/error_responses.py
+++ b/reedspoke/control_plane/api/error_responses.py
@@ -37,14 +37,14 @@
 }
 
 
-def status_of(code: ErrorCode) -> int:
+def http_status_of(code: ErrorCode) -> int:
     """The HTTP status for an error: 503 unless another node, or a later attempt, would fail as well."""
     return STATUS_BY_CODE.get(code, UNAVAILABLE)
 
 
 def error_response(error: FleetError) -> Response:
     """The response for an error; one that promises that nothing was done has Retry-After."""
-    status = status_of(error.code)
+    status = http_status_of(error.code)
     response = Response(status, _error_body(error.code, error.message))
     if status in (UNAVAILABLE, TOO_MANY):
         response.headers["Retry-After"] = RETRY_AFTER_S
--- a/tests/control_plane/fleet_fault_injection.py
+++ b/tests/control_plane/fleet_fault_injection.py
@@ -24,17 +24,17 @@
 
     def worker_comes(self, rng: Random) -> None:
         """A worker is new."""
-        self._fleet.platform.come()
+        self._fleet.platform.add_worker()
 
     def worker_drains(self, rng: Random) -> None:
         """A worker is about to end."""
-        self._fleet.platform.drain(rng)
+        self._fleet.platform.drain_worker(rng)
 
     def platform_out(self, rng: Random) -> None:
         """The platform answers no call."""
         self._log("platform out of reach")
-        self._fleet.platform.set_out_of_reach(True)
-        self._later(rng.uniform(*PLATFORM_OUT_S), partial(self._fleet.platform.set_out_of_reach, False))
+        self._fleet.platform.set_unreachable(True)
+        self._later(rng.uniform(*PLATFORM_OUT_S), partial(self._fleet.platform.set_unreachable, False))
 
     def node_kill(self, rng: Random) -> None:
         """A data plane scheduler dies and starts again."""
@@ -58,8 +58,8 @@
         seconds = rng.uniform(*NODE_CUT_S)
         chosen = rng.sample(machines, max(1, count))
         self._log(f"cut {name} off from {', '.join(chosen)} for {seconds:.1f} s, {there=} {back=}")
-        self._fleet.data_plane.cut(name, chosen, there, back)
-        self._later(seconds, self._fleet.data_plane.join)
+        self._fleet.data_plane.partition(name, chosen, there, back)
+        self._later(seconds, self._fleet.data_plane.heal_partitions)
 
     def _node(self, rng: Random) -> str:
         return rng.choice(list(self._fleet.data_plane.nodes))
--- a/tests/control_plane/processor_quota.py
+++ b/tests/control_plane/processor_quota.py
@@ -39,9 +39,9 @@
         self._later(self._runs_s, partial(self._stop_control, address))
 
     def _stop_edge(self, name: str) -> None:
-        self._world.fleet.data_plane.stand_still(name)
+        self._world.fleet.data_plane.suspend(name)
         self._later(self._stands_s, partial(self._run_edge, name))
 
     def _run_edge(self, name: str) -> None:
-        self._world.fleet.data_plane.go_on(name)
+        self._world.fleet.data_plane.resume(name)
         self._later(self._runs_s, partial(self._stop_edge, name))
--- a/tests/control_plane/random_schedule.py
+++ b/tests/control_plane/random_schedule.py
@@ -88,7 +88,7 @@
         self.fleet = SimulatedFleet(self.simulation)
         self.fleet_faults = FleetFaultInjector(self.simulation, self.fleet, self.log)
         self.faults.on_cut = self._cut_outside
-        self.faults.on_join = self.fleet.data_plane.join
+        self.faults.on_join = self.fleet.data_plane.heal_partitions
 
     def log(self, text: str) -> None:
         """Note what happens."""
@@ -127,7 +127,7 @@
         zones = {self.simulation.machines[address].zone for address in victims}
         for node in self.fleet.data_plane.nodes.values():
             if shape == "all" or (shape == "near" and node.zone not in zones):
-                self.fleet.data_plane.cut(node.name, victims)
+                self.fleet.data_plane.partition(node.name, victims)
 
     def _order(self, kind: str, rng: Random) -> None:
         operators = self.operators
--- a/tests/control_plane/simulated_control.py
+++ b/tests/control_plane/simulated_control.py
@@ -198,7 +198,7 @@
     def peer_message(self, sender: str, message: Struct) -> None:
         """A message of another control scheduler, other than those between replicas."""
         self._exchange.handle(sender, message)  # type: ignore[arg-type]
-        self._judge.holds(self._address, self._workers.current)
+        self._judge.check_held(self._address, self._workers.current)
 
     def heard_peer(self, sender: str) -> None:
         """Any message of another control scheduler is a sign of life."""
@@ -222,8 +222,8 @@
         self._sessions.message_received(channel, decode(payload, EdgeMessage))  # type: ignore[arg-type]
 
     def _publish_workers(self, workers: WorkerList) -> None:
-        self._judge.published(self._address, self._machine.incarnation, workers)
-        self._judge.holds(self._address, self._workers.current)
+        self._judge.check_published(self._address, self._machine.incarnation, workers)
+        self._judge.check_held(self._address, self._workers.current)
         self._exchange.publish_workers(workers)
 
 
@@ -240,7 +240,7 @@
 
     def started(self, machine: Machine) -> None:
         """A process has started."""
-        self._judge.started(machine.address)
+        self._judge.process_started(machine.address)
         loop = ProcessLoop(self._simulation, machine.clock_skew, machine.clock_rate)
         settings = NodeSettings(
             node_name=machine.address,
--- a/tests/control_plane/simulated_data_plane.py
+++ b/tests/control_plane/simulated_data_plane.py
@@ -25,7 +25,9 @@
 
 APPLY_S = 2.0
 CONNECT_TIMEOUT_S = 0.7
-DARK_SHARE = 0.3  # of the connections to an address where no process runs: they get no answer at all
+UNANSWERED_CONNECT_SHARE = (
+    0.3  # of the connections to an address where no process runs: they get no answer at all
+)
 
 
 @dataclass
@@ -88,7 +90,7 @@
 
     def _listed(self, workers: WorkerList) -> None:
         self.workers = workers
-        self._world.list_judge.holds(self._node.name, workers)
+        self._world.list_judge.check_held(self._node.name, workers)
 
     def _members_told(self, members: MemberList) -> None:
         """Whom else there is does not matter here."""
@@ -133,7 +135,7 @@
         node.incarnation += 1
         node.frozen = False
         self._note(name)
-        self.list_judge.started(name)
+        self.list_judge.process_started(name)
         loop = ProcessLoop(self._simulation, node.clock_skew, node.clock_rate)
 
         def build() -> None:
@@ -155,29 +157,29 @@
     def freeze(self, name: str) -> None:
         """The process is stopped."""
         self._note(name)
-        self.stand_still(name)
+        self.suspend(name)
 
     def thaw(self, name: str) -> None:
         """The process goes on."""
         if self.nodes[name].frozen:
             self._note(name)
-            self.go_on(name)
+            self.resume(name)
 
-    def stand_still(self, name: str) -> None:
+    def suspend(self, name: str) -> None:
         """The process gets no processor time for now, which is no trouble of its machine."""
         node = self.nodes[name]
         if node.scheduler is not None:
             node.frozen = True
             node.scheduler.loop.freeze()
 
-    def go_on(self, name: str) -> None:
+    def resume(self, name: str) -> None:
         """The process gets processor time again."""
         node = self.nodes[name]
         if node.frozen and node.scheduler is not None:
             node.frozen = False
             node.scheduler.loop.thaw()
 
-    def cut(self, name: str, addresses: list[str], there: bool = True, back: bool = True) -> None:
+    def partition(self, name: str, addresses: list[str], there: bool = True, back: bool = True) -> None:
         """A node is cut off from control schedulers, one way or both ways."""
         for address in addresses:
             if there:
@@ -185,7 +187,7 @@
             if back:
                 self._simulation.network.cut_outside.add((address, name))
 
-    def join(self) -> None:
+    def heal_partitions(self) -> None:
         """All links of nodes carry again."""
         self._simulation.network.cut_outside.clear()
 
@@ -216,7 +218,7 @@
         target = self._control.running.get(address)
         network = self._simulation.network
         reached = network.carries(node.name, address) and network.carries(address, node.name)
-        if not reached or (target is None and self._random.random() < DARK_SHARE):
+        if not reached or (target is None and self._random.random() < UNANSWERED_CONNECT_SHARE):
             await asyncio.sleep(CONNECT_TIMEOUT_S)
             raise TimeoutError
         if target is None:
--- a/tests/control_plane/simulated_fleet.py
+++ b/tests/control_plane/simulated_fleet.py
@@ -24,8 +24,8 @@
 
     def heal(self) -> None:
         """All troubles outside the core end."""
-        self.data_plane.join()
-        self.platform.set_out_of_reach(False)
+        self.data_plane.heal_partitions()
+        self.platform.set_unreachable(False)
         for name in self.data_plane.nodes:
             self.data_plane.thaw(name)
 
--- a/tests/control_plane/simulated_platform.py
+++ b/tests/control_plane/simulated_platform.py
@@ -15,10 +15,10 @@
 from tests.control_plane.simulated_parts import VirtualTime
 
 LAG_S = 0.8
-ANSWER_S = (0.004, 0.03)
+RESPONSE_TIME_S = (0.004, 0.03)
 DRAIN_S = 3.0
-FIRST_WORKERS = 4
-NEVER = float("-inf")
+INITIAL_WORKERS = 4
+BEFORE_START = float("-inf")
 
 
 @dataclass(frozen=True)
@@ -33,22 +33,22 @@
     """Keeps every state of the list, oldest first."""
 
     def __init__(self, virtual_time: VirtualTime) -> None:
-        self.out_of_reach = False
-        self.reachable_since = NEVER
+        self.is_unreachable = False
+        self.reachable_since = BEFORE_START
         self._virtual_time = virtual_time
         self._names = itertools.count(1)
-        self._states = [ListState(NEVER, {})]
-        for _ in range(FIRST_WORKERS):
-            self.come()
+        self._states = [ListState(BEFORE_START, {})]
+        for _ in range(INITIAL_WORKERS):
+            self.add_worker()
 
     # ---- what happens to workers ----
 
-    def come(self) -> None:
+    def add_worker(self) -> None:
         """A new worker."""
         name = f"i-{next(self._names)}"
         self._change(name, PlatformInstance(name, "service", "10.0.0.1:1", "zone-m1"))
 
-    def drain(self, rng: Random, lasts: float = DRAIN_S) -> None:
+    def drain_worker(self, rng: Random, lasts: float = DRAIN_S) -> None:
         """A worker is about to end, and is gone after a while."""
         up = [name for name, worker in self._newest.items() if worker.state != STATE_DRAINING]
         if up:
@@ -56,22 +56,22 @@
             self._change(name, structs.replace(self._newest[name], state=STATE_DRAINING))
             self._virtual_time.at(self._virtual_time.now + lasts, lambda: self._change(name, None))
 
-    def set_out_of_reach(self, out_of_reach: bool) -> None:
+    def set_unreachable(self, out_of_reach: bool) -> None:
         """No call is answered any more, or calls are answered again."""
-        self.out_of_reach = out_of_reach
+        self.is_unreachable = out_of_reach
         if not out_of_reach:
             self.reachable_since = self._virtual_time.now
 
     # ---- what is asked ----
 
-    def shown(self, at: float) -> tuple[int, dict[str, PlatformInstance]]:
+    def list_at(self, at: float) -> tuple[int, dict[str, PlatformInstance]]:
         """What the list shows at a time, with the number of that state."""
         number = bisect_right(self._states, at - LAG_S, key=lambda state: state.since) - 1
         return number, self._states[number].workers
 
-    def number_of(self, workers: dict[str, bool], at: float) -> int:
+    def state_number_of(self, workers: dict[str, bool], at: float) -> int:
         """The newest state that the list has shown until `at` with these workers (true: draining)."""
-        newest, _ = self.shown(at)
+        newest, _ = self.list_at(at)
         for number in range(newest, -1, -1):
             if _draining(self._states[number].workers) == workers:
                 return number
@@ -104,9 +104,9 @@
         self._random = random
 
     async def _call(self, token: str | None) -> PlatformPage:
-        await asyncio.sleep(self._random.uniform(*ANSWER_S))
-        if self._platform.out_of_reach:
+        await asyncio.sleep(self._random.uniform(*RESPONSE_TIME_S))
+        if self._platform.is_unreachable:
             raise PlatformError("the platform is out of reach")
-        _, workers = self._platform.shown(self._virtual_time.now)
-        await asyncio.sleep(self._random.uniform(*ANSWER_S))
+        _, workers = self._platform.list_at(self._virtual_time.now)
+        await asyncio.sleep(self._random.uniform(*RESPONSE_TIME_S))
         return PlatformPage(tuple(workers.values()))
--- a/tests/control_plane/test_guards_configuration_publisher.py
+++ b/tests/control_plane/test_guards_configuration_publisher.py
@@ -10,7 +10,7 @@
 from reedspoke.control_plane.delivery.configuration_publisher import ConfigurationPublisher
 from reedspoke.control_plane.replication.entry import CommittedConfiguration
 from reedspoke.control_plane.storage.job_thread import JobThread
-from tests.control_plane_process.stand_ins import configuration
+from tests.control_plane_process.stand_ins import configuration_document
 
 FAR_AHEAD_S = 1000.0
 
@@ -63,7 +63,7 @@
 
     def commit(self, sequence: int) -> None:
         """The replica knows this change to be committed."""
-        committed = CommittedConfiguration(sequence, sequence, configuration(sequence), 1)
+        committed = CommittedConfiguration(sequence, sequence, configuration_document(sequence), 1)
         self.publisher.publish(committed)
 
     def confirmed_as_of(self) -> float | None:
--- a/tests/control_plane/test_puts_invalid.py
+++ b/tests/control_plane/test_puts_invalid.py
@@ -12,7 +12,7 @@
 from reedspoke.common.configuration_parsing import parse_configuration
 from reedspoke.common.errors import ErrorCode
 from reedspoke.control_plane.api.call_log import CompletedCall
-from reedspoke.control_plane.api.error_responses import status_of
+from reedspoke.control_plane.api.error_responses import http_status_of
 from reedspoke.control_plane.api.http_messages import Request
 from reedspoke.control_plane.api.operator_api import CONFIGURATION_PATH, OPERATIONS, OperatorApi
 from reedspoke.control_plane.api.schemas import StatusAnswer
@@ -20,7 +20,7 @@
 from reedspoke.control_plane.replication.log_records import EntryRecord, decode_record
 from reedspoke.control_plane.tallies.messages import TallyAdd
 from tests.control_plane.direct_core import DirectCore
-from tests.control_plane_process.stand_ins import configuration
+from tests.control_plane_process.stand_ins import configuration_document
 
 FINAL = {  # the errors that end an order; whatever got another one may be in force
     ErrorCode.CONFIGURATION_UNREADABLE,
@@ -92,57 +92,57 @@
 
 
 def _route(**fields: Any) -> dict[str, Any]:
-    route: dict[str, Any] = json.loads(configuration(1))["routes"][0]
+    route: dict[str, Any] = json.loads(configuration_document(1))["routes"][0]
     return route | fields
 
 
 def _with(**changes: Any) -> bytes:
-    document: dict[str, Any] = json.loads(configuration(2))
+    document: dict[str, Any] = json.loads(configuration_document(2))
     return json.dumps(document | changes).encode()
 
 
 INVALID = {
-    "not whole": configuration(2)[:-1],
+    "not whole": configuration_document(2)[:-1],
     "nothing": b"",
     "not an object": b"[]",
-    "two": configuration(2) + configuration(2),
+    "two": configuration_document(2) + configuration_document(2),
     "unknown service": _with(routes=[_route(upstream="u9")]),
     "same host and prefix": _with(routes=[_route(), _route(name="r1")]),
     "weights of 0": _with(routes=[_route(upstream=None, traffic_split=[{"upstream": "u1", "weight": 0}])]),
     "no time": _with(routes=[_route(timeout_ms=0)]),
-    "no generation": configuration(2).replace(b'"generation": 2', b'"generatio": 2'),
-    "generation 0": configuration(0),
-    "a negative generation": configuration(-2),
-    "a generation too large": configuration(2**63),
-    "the current generation": configuration(1, routes=1),
+    "no generation": configuration_document(2).replace(b'"generation": 2', b'"generatio": 2'),
+    "generation 0": configuration_document(0),
+    "a negative generation": configuration_document(-2),
+    "a generation too large": configuration_document(2**63),
+    "the current generation": configuration_document(1, routes=1),
 }
 
 
 @pytest.mark.parametrize("name", INVALID)
 def test_an_invalid_document_is_refused_and_on_no_disk(name: str) -> None:
     core = DirectCore()
-    assert _status(core, "0", configuration(1)) == 200
+    assert _status(core, "0", configuration_document(1)) == 200
     for _ in range(2):
         assert _status(core, "1", INVALID[name]) == 400
         core.restart()
-    assert _stored(core) == {configuration(1)}
-    assert _status(core, "1", configuration(2)) == 200
+    assert _stored(core) == {configuration_document(1)}
+    assert _status(core, "1", configuration_document(2)) == 200
 
 
 def test_a_stale_document_is_refused_and_on_no_disk() -> None:
     core = DirectCore()
-    assert _status(core, "0", configuration(1)) == 200
-    assert _status(core, "1", configuration(2)) == 200
+    assert _status(core, "0", configuration_document(1)) == 200
+    assert _status(core, "1", configuration_document(2)) == 200
     for match in ("0", "1"):
-        assert _status(core, match, configuration(3)) == 412
-    assert _status(core, "0", configuration(2, routes=3)) == 412
+        assert _status(core, match, configuration_document(3)) == 412
+    assert _status(core, "0", configuration_document(2, routes=3)) == 412
     core.restart()
-    assert _stored(core) == {configuration(1), configuration(2)}
-    assert _status(core, "7", configuration(8)) == 503
-    assert _status(core, "0", configuration(1)) == 200
+    assert _stored(core) == {configuration_document(1), configuration_document(2)}
+    assert _status(core, "7", configuration_document(8)) == 503
+    assert _status(core, "0", configuration_document(1)) == 200
 
 
 @pytest.mark.parametrize("code", ErrorCode)
 def test_only_what_is_final_looks_final_to_an_operator(code: ErrorCode) -> None:
     if code in OPERATIONS[CONFIGURATION_PATH]["PUT"].errors:
-        assert (status_of(code) == 503) == (code not in FINAL)
+        assert (http_status_of(code) == 503) == (code not in FINAL)
--- a/tests/control_plane/test_worst_days_restart.py
+++ b/tests/control_plane/test_worst_days_restart.py
@@ -17,11 +17,11 @@
     world = fleet_in_service(seed)
     world.fleet.control.prepare_s = PARSING_S
     simulation = world.simulation
-    world.fleet.data_plane.cut("e1", list(simulation.machines))
+    world.fleet.data_plane.partition("e1", list(simulation.machines))
     run_with_orders(world, 3.0)
     for address in simulation.machines:
         simulation.kill(address, restart_after=0.3)
-    world.fleet.data_plane.join()
+    world.fleet.data_plane.heal_partitions()
     simulation.run(4.0)
     world.end()
 
@@ -40,11 +40,11 @@
     world.fleet.control.prepare_s = PARSING_S
     simulation.run(5.0)
     simulation.cut_off([address])
-    world.fleet.data_plane.cut("e1", others)
+    world.fleet.data_plane.partition("e1", others)
     run_with_orders(world, 6.0)
     simulation.join()
     simulation.run(4.0)
-    world.fleet.data_plane.join()
+    world.fleet.data_plane.heal_partitions()
     world.end()
 
 
@@ -54,11 +54,11 @@
     simulation = world.simulation
     machines = list(simulation.machines)
     for name in world.fleet.data_plane.nodes:
-        world.fleet.data_plane.cut(name, machines)
+        world.fleet.data_plane.partition(name, machines)
     for address in machines:
         simulation.kill(address, restart_after=0.3)
     simulation.run(3.0)
-    world.fleet.platform.come()
+    world.fleet.platform.add_worker()
     simulation.run(2.0)
-    world.fleet.data_plane.join()
+    world.fleet.data_plane.heal_partitions()
     world.end()
--- a/tests/control_plane/worker_list_judge.py
+++ b/tests/control_plane/worker_list_judge.py
@@ -10,7 +10,7 @@
 from tests.control_plane.simulated_parts import VirtualTime
 from tests.control_plane.simulated_platform import SimulatedPlatform
 
-KNOWN_S = 3.0  # a worker shown as draining is known as such after that
+PROPAGATION_LIMIT_S = 3.0  # a worker shown as draining is known as such after that
 
 Holder = tuple[str, int]
 
@@ -34,11 +34,11 @@
     _states: dict[Version, int] = field(default_factory=dict)
     _held: dict[str, KnownList] = field(default_factory=dict)
 
-    def started(self, name: str) -> None:
+    def process_started(self, name: str) -> None:
         """A new process has no list."""
         self._held.pop(name, None)
 
-    def published(self, address: str, incarnation: int, workers: WorkerList) -> None:
+    def check_published(self, address: str, incarnation: int, workers: WorkerList) -> None:
         """A control scheduler publishes a list."""
         self.publications += 1
         term = workers.version[0]
@@ -49,7 +49,7 @@
         state = self._state_of(workers)
         assert self._states.setdefault(workers.version, state) == state, f"two lists {workers.version}"
 
-    def holds(self, name: str, workers: WorkerList | None) -> None:
+    def check_held(self, name: str, workers: WorkerList | None) -> None:
         """The list that a process has now."""
         before = self._held.get(name, KnownList())
         if workers is None or workers.version == before.version:
@@ -65,10 +65,10 @@
     def check_known(self, name: str, workers: tuple[WorkerEntry, ...] | None) -> None:
         """A process in touch knows what the platform has shown for KNOWN_S."""
         now = self.virtual_time.now
-        if self.platform.out_of_reach or now - self.platform.reachable_since < KNOWN_S:
+        if self.platform.is_unreachable or now - self.platform.reachable_since < PROPAGATION_LIMIT_S:
             return
         assert workers is not None, f"{name} has no list of workers"
-        _, shown = self.platform.shown(now - KNOWN_S)
+        _, shown = self.platform.list_at(now - PROPAGATION_LIMIT_S)
         for worker in workers:
             listed = shown.get(worker.instance_id)
             gone = listed is None and not self._is_new(worker.instance_id, now)
@@ -76,8 +76,8 @@
             assert worker.draining or not leaving, f"{name} takes {worker.instance_id} to be up"
 
     def _is_new(self, instance_id: str, now: float) -> bool:
-        return instance_id in self.platform.shown(now)[1]
+        return instance_id in self.platform.list_at(now)[1]
 
     def _state_of(self, workers: WorkerList) -> int:
         draining = {worker.instance_id: worker.draining for worker in workers.workers}
-        return self.platform.number_of(draining, self.virtual_time.now)
+        return self.platform.state_number_of(draining, self.virtual_time.now)
--- a/tests/control_plane_process/conftest.py
+++ b/tests/control_plane_process/conftest.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from tests.control_plane_process.fleet import UP_S, Fleet
-from tests.control_plane_process.stand_ins import until
+from tests.control_plane_process.fleet import STARTUP_TIMEOUT_S, Fleet
+from tests.control_plane_process.stand_ins import wait_until
 
 
 @pytest.fixture
@@ -16,7 +16,11 @@
     made = Fleet(tmp_path)
     made.start()
     try:
-        until(lambda: all(node.votes_among(len(made.nodes)) for node in made.nodes), UP_S, "all are voters")
+        wait_until(
+            lambda: all(node.is_voter_among(len(made.nodes)) for node in made.nodes),
+            STARTUP_TIMEOUT_S,
+            "all are voters",
+        )
         yield made
     finally:
         made.close()
--- a/tests/control_plane_process/fleet.py
+++ b/tests/control_plane_process/fleet.py
@@ -14,17 +14,23 @@
 from reedspoke.common.metrics_endpoint import VIOLATION_EVENT
 from reedspoke.common.unhandled_errors import UNHANDLED_EVENT
 from reedspoke.lab.fleet_soak.findings import event_of
-from tests.control_plane_process.stand_ins import Platform, Reply, call, configuration, until
+from tests.control_plane_process.stand_ins import (
+    FakePlatform,
+    Reply,
+    configuration_document,
+    send_request,
+    wait_until,
+)
 from tests.ports import free_port
 
 ROOT = Path(__file__).resolve().parents[2]
 HOSTS = ("127.0.1.1", "127.0.1.2", "127.0.1.3")
-UP_S = 6.0
+STARTUP_TIMEOUT_S = 6.0
 HEARTBEAT_MS = 1200
 DEFECT_EVENTS = (VIOLATION_EVENT, UNHANDLED_EVENT)
 
 
-def defects_in(log_file: Path) -> list[str]:
+def logged_defects(log_file: Path) -> list[str]:
     """Log lines of violated invariants and unhandled errors."""
     if not log_file.exists():
         return []
@@ -38,8 +44,8 @@
         self.fleet = fleet
         self.name = f"core-{number}"
         self.host = host
-        self.control = f"{host}:{fleet.control_port}"
-        self.internal = f"{host}:{fleet.internal_port}"
+        self.operator_address = f"{host}:{fleet.control_port}"
+        self.peer_address = f"{host}:{fleet.internal_port}"
         self.folder = fleet.folder / self.name
         self.settings_file = fleet.folder / f"{self.name}.json"
         self.log_file = fleet.folder / f"{self.name}.log"
@@ -51,7 +57,7 @@
             "node_name": self.name,
             "ip_address": self.host,
             "zone": f"zone-{self.name}",
-            "bind": {"control_plane": self.control},
+            "bind": {"control_plane": self.operator_address},
             "internal_ports": [self.fleet.internal_port, self.fleet.internal_port],
             "seed_nodes": [f"{host}:{self.fleet.control_port}" for host in HOSTS],
             "bootstrap": bootstrap,
@@ -65,9 +71,9 @@
 
     def start(self, *, bootstrap: bool = False) -> None:
         self.folder.mkdir(exist_ok=True)
-        self.start_with(json.dumps(self.settings(bootstrap=bootstrap)))
+        self.start_with_settings(json.dumps(self.settings(bootstrap=bootstrap)))
 
-    def start_with(self, settings: str) -> None:
+    def start_with_settings(self, settings: str) -> None:
         self.settings_file.write_text(settings)
         environment = os.environ | {
             "REEDSPOKE_NODE_FILE": str(self.settings_file),
@@ -89,21 +95,23 @@
         self.process.send_signal(number)
 
     def status(self) -> dict[str, Any]:
-        reply = call(self.control, "GET", "/reedspoke/status")
+        reply = send_request(self.operator_address, "GET", "/reedspoke/status")
         if reply is None or reply.status != 200:
             return {}
         found: dict[str, Any] = json.loads(reply.body)
         return found
 
-    def votes_among(self, voters: int) -> bool:
+    def is_voter_among(self, voters: int) -> bool:
         """Whether it is up, in a view of so many voters: on a busy machine one of them may come late."""
         return len(self.status().get("voters", ())) == voters
 
     def put(self, document: bytes, match: str | None, *, in_chunks: bool = False) -> Reply | None:
-        return call(self.control, "PUT", "/reedspoke/configuration", document, match, in_chunks=in_chunks)
+        return send_request(
+            self.operator_address, "PUT", "/reedspoke/configuration", document, match, in_chunks=in_chunks
+        )
 
     def get(self) -> Reply | None:
-        return call(self.control, "GET", "/reedspoke/configuration")
+        return send_request(self.operator_address, "GET", "/reedspoke/configuration")
 
 
 class Fleet:
@@ -114,7 +122,7 @@
         self.internal_port = free_port(HOSTS)
         self.control_port = free_port(HOSTS)
         self.metrics_port = free_port(HOSTS)
-        self.platform = Platform("127.0.0.1")
+        self.platform = FakePlatform("127.0.0.1")
         self.nodes = [Node(self, number, host) for number, host in enumerate(HOSTS)]
 
     def start(self) -> None:
@@ -126,9 +134,9 @@
             if node.process is not None and node.process.poll() is None:
                 node.kill()
         self.platform.close()
-        assert [line for node in self.nodes for line in defects_in(node.log_file)] == []
+        assert [line for node in self.nodes for line in logged_defects(node.log_file)] == []
 
-    def put_until_taken(self, document: bytes, match: int, within: float) -> float:
+    def put_until_accepted(self, document: bytes, match: int, within: float) -> float:
         """As an operator does: the same call again, at the next scheduler, until it is taken."""
         began = time.monotonic()
         tried = 0
@@ -141,14 +149,14 @@
             assert reply is None or reply.status in (200, 503), reply
             return reply is not None and reply.status == 200
 
-        until(taken, within, "the configuration is taken")
+        wait_until(taken, within, "the configuration is taken")
         return time.monotonic() - began
 
     def first_configuration(self) -> bytes:
-        document = configuration(3)
-        self.put_until_taken(document, 0, UP_S)
+        document = configuration_document(3)
+        self.put_until_accepted(document, 0, STARTUP_TIMEOUT_S)
         return document
 
-    def duty_holder(self) -> Node | None:
+    def lease_holder(self) -> Node | None:
         holders = [node for node in self.nodes if node.status().get("holds_list_duty")]
         return holders[0] if len(holders) == 1 else None
--- a/tests/control_plane_process/stand_ins.py
+++ b/tests/control_plane_process/stand_ins.py
@@ -33,14 +33,14 @@
 
 POLL_S = 0.02
 CHUNK = 50_000
-WORKERS_S = 6.0
+WORKERS_TIMEOUT_S = 6.0
 Answer = (
     WatchResponse | UnconfirmedResponse | WorkerList | ConfigurationSnapshot | ConfigurationDelta | MemberList
 )
 Found = TypeVar("Found")
 
 
-def until(condition: Callable[[], Found | None], within: float, what: str) -> Found:
+def wait_until(condition: Callable[[], Found | None], within: float, what: str) -> Found:
     """The first true value of the condition; fails after `within` seconds."""
     deadline = time.monotonic() + within
     while True:
@@ -51,7 +51,7 @@
         time.sleep(POLL_S)
 
 
-def instance(instance_id: str, **fields: Any) -> dict[str, Any]:
+def platform_instance(instance_id: str, **fields: Any) -> dict[str, Any]:
     """An entry of the platform's list."""
     entry = {
         "instance_id": instance_id,
@@ -67,18 +67,22 @@
     return entry | fields
 
 
-class QuietServer(ThreadingHTTPServer):
+class QuietHttpServer(ThreadingHTTPServer):
     """Says nothing of clients that close their connection early."""
 
     def handle_error(self, request: Any, client_address: Any) -> None:
         """Nothing is told."""
 
 
-class Platform:
+class FakePlatform:
     """The platform's list of workers, in pages."""
 
     def __init__(self, host: str) -> None:
-        self.instances: list[dict[str, Any]] = [instance("i-1"), instance("i-2"), instance("i-3")]
+        self.instances: list[dict[str, Any]] = [
+            platform_instance("i-1"),
+            platform_instance("i-2"),
+            platform_instance("i-3"),
+        ]
         self.page_size = 2
         self.status = 200
         self.calls = 0
@@ -99,7 +103,7 @@
             def log_message(self, *arguments: object) -> None:
                 """No log."""
 
-        self._server = QuietServer((host, 0), Handler)
+        self._server = QuietHttpServer((host, 0), Handler)
         self._server.daemon_threads = True
         self.address = f"{host}:{self._server.server_port}"
         threading.Thread(target=self._server.serve_forever, daemon=True).start()
@@ -167,7 +171,7 @@
         self._send(FetchRequest(source, have))
         return self.receive()
 
-    def catch_up(self) -> dict[str, Answer]:
+    def fetch_updates(self) -> dict[str, Answer]:
         """Watch once, and fetch whatever is new."""
         found: dict[str, Answer] = {}
         for source, version in self.watch().versions.items():
@@ -212,7 +216,7 @@
         return code
 
 
-def call(
+def send_request(
     address: str,
     method: str,
     path: str,
@@ -239,7 +243,7 @@
         connection.close()
 
 
-def configuration(generation: int, routes: int = 2, **changes: Any) -> bytes:
+def configuration_document(generation: int, routes: int = 2, **changes: Any) -> bytes:
     """A valid configuration."""
     document = {
         "generation": generation,
@@ -260,21 +264,21 @@
     return json.dumps(document | changes).encode()
 
 
-def workers_of(edge: EdgeClient) -> WorkerList | None:
+def fetch_new_workers(edge: EdgeClient) -> WorkerList | None:
     """The list of workers where it is new to the data plane scheduler."""
-    answer = edge.catch_up().get("workers")
+    answer = edge.fetch_updates().get("workers")
     assert answer is None or isinstance(answer, WorkerList)
     return answer
 
 
-def first_workers(edge: EdgeClient) -> WorkerList:
+def wait_for_leased_workers(edge: EdgeClient) -> WorkerList:
     """The first list of a holder of the lease."""
     found: list[WorkerList] = []
 
     def published() -> bool:
-        workers = workers_of(edge)
+        workers = fetch_new_workers(edge)
         found.extend([workers] if workers is not None else [])
         return bool(found) and found[-1].version[0] > UNLEASED_TERM
 
-    until(published, WORKERS_S, "a list of workers")
+    wait_until(published, WORKERS_TIMEOUT_S, "a list of workers")
     return found[-1]
--- a/tests/control_plane_process/test_configuration_cache.py
+++ b/tests/control_plane_process/test_configuration_cache.py
@@ -16,7 +16,7 @@
 from reedspoke.control_plane.delivery import configuration_cache
 from reedspoke.control_plane.delivery.configuration_cache import MAX_CACHED, ConfigurationCache
 from reedspoke.control_plane.replication.entry import CommittedConfiguration
-from tests.control_plane_process.stand_ins import configuration
+from tests.control_plane_process.stand_ins import configuration_document
 
 VIEW = 3
 
@@ -52,33 +52,33 @@
 
 def test_there_is_no_update_for_the_newest_version() -> None:
     cache = ConfigurationCache()
-    assert commit(cache, 4, configuration(8))
+    assert commit(cache, 4, configuration_document(8))
     assert cache.encoded_update((VIEW, 4)) is None
     assert cache.encoded_update((VIEW, 9)) is None
 
 
 def test_an_older_one_is_not_installed() -> None:
     cache = ConfigurationCache()
-    commit(cache, 4, configuration(8))
-    assert not commit(cache, 4, configuration(8))
-    assert not commit(cache, 3, configuration(6))
+    commit(cache, 4, configuration_document(8))
+    assert not commit(cache, 4, configuration_document(8))
+    assert not commit(cache, 3, configuration_document(6))
     assert cache.version == (VIEW, 4)
 
 
 def test_one_of_a_later_view_is_newer_whatever_its_sequence() -> None:
     cache = ConfigurationCache()
-    commit(cache, 4, configuration(8))
-    assert commit(cache, 4, configuration(10), view=VIEW + 1)
+    commit(cache, 4, configuration_document(8))
+    assert commit(cache, 4, configuration_document(10), view=VIEW + 1)
     assert cache.version == (VIEW + 1, 4)
-    assert not commit(cache, 9, configuration(18))
+    assert not commit(cache, 9, configuration_document(18))
     assert isinstance(received(cache, (VIEW, 4)), ConfigurationSnapshot | ConfigurationDelta)
 
 
 def test_a_small_change_is_sent_as_a_delta_and_encoded_once() -> None:
     cache = ConfigurationCache()
-    commit(cache, 1, configuration(2, routes=100))
-    changed = json.loads(configuration(4, routes=100))
-    changed["routes"] = json.loads(configuration(2, routes=99))["routes"]
+    commit(cache, 1, configuration_document(2, routes=100))
+    changed = json.loads(configuration_document(4, routes=100))
+    changed["routes"] = json.loads(configuration_document(2, routes=99))["routes"]
     commit(cache, 2, json.dumps(changed).encode())
     answer = received(cache, (VIEW, 1))
     assert isinstance(answer, ConfigurationDelta)
@@ -91,7 +91,7 @@
     cache = ConfigurationCache()
     held = []
     for number, size in enumerate(sizes, 1):
-        document = configuration(number * 2, routes=size)
+        document = configuration_document(number * 2, routes=size)
         commit(cache, number, document)
         held.append(parse_configuration(document))
     for number, old in enumerate(held[:-1], 1):
@@ -101,20 +101,20 @@
 
 def test_two_that_are_prepared_before_either_is_installed() -> None:
     cache = ConfigurationCache()
-    commit(cache, 1, configuration(2))
-    second = cache.prepare(CommittedConfiguration(2, 4, configuration(4), VIEW))
-    third = cache.prepare(CommittedConfiguration(3, 6, configuration(6), VIEW))
+    commit(cache, 1, configuration_document(2))
+    second = cache.prepare(CommittedConfiguration(2, 4, configuration_document(4), VIEW))
+    third = cache.prepare(CommittedConfiguration(3, 6, configuration_document(6), VIEW))
     assert cache.install(second)
     assert cache.install(third)
     for have in (1, 2):
-        old = parse_configuration(configuration(have * 2))
-        assert brought_up_to_date(cache, old, (VIEW, have)) == parse_configuration(configuration(6))
+        old = parse_configuration(configuration_document(have * 2))
+        assert brought_up_to_date(cache, old, (VIEW, have)) == parse_configuration(configuration_document(6))
 
 
 def test_large_documents_are_evicted(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(configuration_cache, "MAX_CACHED_BYTES", 1)
     cache = ConfigurationCache()
-    commit(cache, 1, configuration(2))
-    commit(cache, 2, configuration(4))
-    commit(cache, 3, configuration(6))
+    commit(cache, 1, configuration_document(2))
+    commit(cache, 2, configuration_document(4))
+    commit(cache, 3, configuration_document(6))
     assert isinstance(received(cache, (VIEW, 1)), ConfigurationSnapshot)
--- a/tests/control_plane_process/test_edge_sessions.py
+++ b/tests/control_plane_process/test_edge_sessions.py
@@ -32,7 +32,7 @@
 from reedspoke.control_plane.replication.view import Member
 from reedspoke.control_plane.tallies.messages import TallyMessage
 from reedspoke.control_plane.workers.worker_list import WorkerListState
-from tests.control_plane_process.stand_ins import Answer, configuration
+from tests.control_plane_process.stand_ins import Answer, configuration_document
 from tests.ports import free_port
 
 HOST = "127.0.0.1"
@@ -151,27 +151,27 @@
         edge.known_versions = (await edge.watch_response()).versions
         edge.watch()
         await asyncio.sleep(0.02)
-        side.commit(3, configuration(6))
+        side.commit(3, configuration_document(6))
         took, answer = await timed(edge.versions())
         assert took < HEARTBEAT_S / 2
         assert answer.versions["configuration"] == (VIEW, 3)
         snapshot = await edge.fetch("configuration")
         assert isinstance(snapshot, ConfigurationSnapshot)
-        assert snapshot.document == configuration(6)
+        assert snapshot.document == configuration_document(6)
 
     play(scene)
 
 
 def test_an_outdated_node_is_notified_at_once_but_only_once_of_the_same_versions() -> None:
     async def scene(side: ControlSide, edge: Edge) -> None:
-        side.commit(3, configuration(6))
+        side.commit(3, configuration_document(6))
         took, first = await timed(edge.watch_response())
         assert took < HEARTBEAT_S / 2
         took, again = await timed(edge.watch_response())
         assert took >= HEARTBEAT_S * 0.9, "two sides that tell each other the same would never rest"
         assert again.versions == first.versions
         edge.watch()
-        side.commit(4, configuration(8))
+        side.commit(4, configuration_document(8))
         took, _ = await timed(edge.versions())
         assert took < HEARTBEAT_S / 2
 
@@ -180,7 +180,7 @@
 
 def test_a_node_with_newer_versions_is_sent_nothing_older() -> None:
     async def scene(side: ControlSide, edge: Edge) -> None:
-        side.commit(3, configuration(6))
+        side.commit(3, configuration_document(6))
         side.publish(WorkerList((2, 2), (WORKER,)))
         edge.known_versions = {"configuration": (VIEW, 9), "workers": (8, 1)}
         await edge.watch_response()
@@ -246,7 +246,7 @@
     monkeypatch.setattr(edge_sessions, "MAX_BACKLOG_BYTES", 1_000_000)
 
     async def scene(side: ControlSide, edge: Edge) -> None:
-        side.commit(3, configuration(6, routes=20_000))
+        side.commit(3, configuration_document(6, routes=20_000))
         for _ in range(200):
             edge.channel.send(FetchRequest("configuration", (0, 0)))
             await asyncio.sleep(0.001)
@@ -269,7 +269,7 @@
 
 def test_without_a_majority_a_watch_and_a_fetch_are_answered_as_unconfirmed() -> None:
     async def scene(side: ControlSide, edge: Edge) -> None:
-        side.commit(3, configuration(6))
+        side.commit(3, configuration_document(6))
         side.publish(WorkerList((2, 2), (WORKER,)))
         side.confirmed = False
         edge.watch()
@@ -284,7 +284,7 @@
 
 def test_a_fetch_that_allows_unconfirmed_state_gets_it() -> None:
     async def scene(side: ControlSide, edge: Edge) -> None:
-        side.commit(3, configuration(6))
+        side.commit(3, configuration_document(6))
         side.confirmed = False
         edge.channel.send(FetchRequest("configuration", allow_unconfirmed=True))
         assert isinstance(await edge.channel.receive(Answer), ConfigurationSnapshot)
@@ -334,7 +334,7 @@
         edge.watch()
         await asyncio.sleep(0.02)
         side.confirmed = False
-        side.commit(3, configuration(6))
+        side.commit(3, configuration_document(6))
         answer = await edge.channel.receive(Answer)
         assert isinstance(answer, UnconfirmedResponse)
 
--- a/tests/control_plane_process/test_evacuation.py
+++ b/tests/control_plane_process/test_evacuation.py
@@ -6,7 +6,12 @@
 from functools import partial
 
 from tests.control_plane_process.fleet import Fleet, Node
-from tests.control_plane_process.stand_ins import EdgeClient, call, first_workers, until
+from tests.control_plane_process.stand_ins import (
+    EdgeClient,
+    send_request,
+    wait_for_leased_workers,
+    wait_until,
+)
 
 TAKEN_S = 6.0
 PUBLISHED_S = 3.0
@@ -15,7 +20,7 @@
 
 def order(node: Node, method: str) -> bool:
     """Whether an order is acknowledged."""
-    reply = call(node.control, method, PATH)
+    reply = send_request(node.operator_address, method, PATH)
     assert reply is None or reply.status in (200, 503, 504), reply
     return reply is not None and reply.status == 200
 
@@ -25,9 +30,9 @@
     for node in fleet.nodes:
         if (node.status().get("evacuated") == ["za"]) != expected:
             return False
-    client = EdgeClient(fleet.nodes[0].internal)
+    client = EdgeClient(fleet.nodes[0].peer_address)
     try:
-        workers = first_workers(client).workers
+        workers = wait_for_leased_workers(client).workers
     finally:
         client.close()
     return all(worker.draining == expected for worker in workers)
@@ -35,15 +40,15 @@
 
 def test_an_evacuation_is_in_force_until_it_is_withdrawn_whatever_is_killed(fleet: Fleet) -> None:
     first, second, third = fleet.nodes
-    until(partial(order, first, "POST"), TAKEN_S, "the evacuation is acknowledged")
+    wait_until(partial(order, first, "POST"), TAKEN_S, "the evacuation is acknowledged")
     assert order(second, "POST")  # again, elsewhere
-    until(partial(drains, fleet, True), PUBLISHED_S, "the zone's workers drain")
+    wait_until(partial(drains, fleet, True), PUBLISHED_S, "the zone's workers drain")
     for node in fleet.nodes:
         node.kill()
     for node in fleet.nodes:
         node.start()
-    until(partial(drains, fleet, True), 2 * TAKEN_S, "it is in force after all were killed")
-    until(partial(order, third, "DELETE"), TAKEN_S, "the withdrawal is acknowledged")
-    until(partial(drains, fleet, False), PUBLISHED_S, "the zone's workers are used again")
+    wait_until(partial(drains, fleet, True), 2 * TAKEN_S, "it is in force after all were killed")
+    wait_until(partial(order, third, "DELETE"), TAKEN_S, "the withdrawal is acknowledged")
+    wait_until(partial(drains, fleet, False), PUBLISHED_S, "the zone's workers are used again")
     calls = [json.loads(line) for line in third.log_file.read_text().splitlines() if PATH in line]
     assert calls[-1]["method"] == "DELETE"
--- a/tests/control_plane_process/test_metrics.py
+++ b/tests/control_plane_process/test_metrics.py
@@ -7,7 +7,7 @@
 
 from reedspoke.control_plane.api.call_log import CALL_EVENT
 from tests.control_plane_process.fleet import Fleet
-from tests.control_plane_process.stand_ins import call, configuration
+from tests.control_plane_process.stand_ins import configuration_document, send_request
 
 TAKEN_S = 6.0
 
@@ -19,9 +19,9 @@
 
 
 def test_a_change_and_its_rejection_are_logged(fleet: Fleet) -> None:
-    document = configuration(3)
-    fleet.put_until_taken(document, 0, TAKEN_S)
-    reply = fleet.nodes[0].put(configuration(9), "2")
+    document = configuration_document(3)
+    fleet.put_until_accepted(document, 0, TAKEN_S)
+    reply = fleet.nodes[0].put(configuration_document(9), "2")
     assert reply is not None
     assert reply.status == 412
     calls = operator_calls(fleet)
@@ -35,10 +35,10 @@
 
 
 def test_the_metrics_of_a_node_have_its_state(fleet: Fleet) -> None:
-    fleet.put_until_taken(configuration(3), 0, TAKEN_S)
+    fleet.put_until_accepted(configuration_document(3), 0, TAKEN_S)
     node = fleet.nodes[0]
     node.get()
-    reply = call(f"{node.host}:{fleet.metrics_port}", "GET", "/metrics")
+    reply = send_request(f"{node.host}:{fleet.metrics_port}", "GET", "/metrics")
     assert reply is not None
     text = reply.body.decode()
     assert 'reedspoke_control_state{what="voters"} 3' in text
@@ -53,12 +53,12 @@
 
 def test_a_call_that_nothing_serves_is_logged_and_counted(fleet: Fleet) -> None:
     node = fleet.nodes[0]
-    reply = call(node.control, "POST", "/reedspoke/nothing/here", b"{}")
+    reply = send_request(node.operator_address, "POST", "/reedspoke/nothing/here", b"{}")
     assert reply is not None
     assert reply.status == 404
     (line,) = [line for line in operator_calls(fleet) if line["status"] == 404]
     assert (line["level"], line["path"], line["code"]) == ("warning", "/reedspoke/nothing/here", 501)
-    metrics = call(f"{node.host}:{fleet.metrics_port}", "GET", "/metrics")
+    metrics = send_request(f"{node.host}:{fleet.metrics_port}", "GET", "/metrics")
     assert metrics is not None
     counted = 'reedspoke_operator_calls_total{method="POST",path="unknown",status="404",code="501"} 1'
     assert counted in metrics.body.decode()
--- a/tests/control_plane_process/test_openapi.py
+++ b/tests/control_plane_process/test_openapi.py
@@ -12,7 +12,7 @@
 
 from reedspoke.common.configuration import Document
 from reedspoke.common.errors import ErrorCode
-from reedspoke.control_plane.api.error_responses import error_response, malformed_request_body, status_of
+from reedspoke.control_plane.api.error_responses import error_response, http_status_of, malformed_request_body
 from reedspoke.control_plane.api.http_messages import Request
 from reedspoke.control_plane.api.operator_api import OPERATIONS
 from reedspoke.control_plane.api.schemas import (
@@ -24,7 +24,7 @@
 )
 from reedspoke.control_plane.workers.platform_client import LIST_PATH, PAGE_PARAMETER
 from reedspoke.control_plane.workers.platform_messages import PlatformPage, parse_page
-from tests.control_plane_process.stand_ins import configuration, instance
+from tests.control_plane_process.stand_ins import configuration_document, platform_instance
 
 FOLDER = Path(__file__).resolve().parents[2] / "openapi"
 OPERATOR = json.loads((FOLDER / "operator.json").read_text())
@@ -51,7 +51,7 @@
 def test_the_operator_file_has_the_statuses_and_error_codes_of_the_code(path: str, method: str) -> None:
     expected: dict[str, set[int]] = {"200": set()}
     for code in OPERATIONS[path][method].errors:
-        expected.setdefault(str(status_of(code)), set()).add(int(code))
+        expected.setdefault(str(http_status_of(code)), set()).add(int(code))
     responses = OPERATOR["paths"][path][method.lower()]["responses"]
     assert {status: set(told.get("x-error-codes", ())) for status, told in responses.items()} == expected
 
@@ -70,7 +70,7 @@
 
 
 def test_a_valid_configuration_is_a_described_one() -> None:
-    validate(OPERATOR, "Document", json.loads(configuration(3)))
+    validate(OPERATOR, "Document", json.loads(configuration_document(3)))
 
 
 def test_the_put_wants_if_match() -> None:
@@ -92,7 +92,7 @@
 
 
 def test_a_page_of_the_platform_is_a_described_one() -> None:
-    page = {"instances": [instance("i-1")], "next_token": None}
+    page = {"instances": [platform_instance("i-1")], "next_token": None}
     validate(WORKER, "PlatformPage", page)
     assert parse_page(json.dumps(page).encode()).instances[0].instance_id == "i-1"
 
--- a/tests/control_plane_process/test_operator_api.py
+++ b/tests/control_plane_process/test_operator_api.py
@@ -13,7 +13,7 @@
 from reedspoke.common.errors import ErrorCode, FleetError
 from reedspoke.control_plane.api import operator_api
 from reedspoke.control_plane.api.call_log import CLIENT_GONE, UNKNOWN_PATH, CompletedCall
-from reedspoke.control_plane.api.error_responses import status_of
+from reedspoke.control_plane.api.error_responses import http_status_of
 from reedspoke.control_plane.api.http_messages import Request, Response
 from reedspoke.control_plane.api.operator_api import EVACUATION_PATH, OPERATIONS, OperatorApi
 from reedspoke.control_plane.api.schemas import StatusAnswer
@@ -21,7 +21,7 @@
 from reedspoke.control_plane.replication.effects import GetCompleted, PutCompleted
 from reedspoke.control_plane.replication.entry import CommittedConfiguration
 from reedspoke.control_plane.tallies.messages import TallyAdd
-from tests.control_plane_process.stand_ins import configuration
+from tests.control_plane_process.stand_ins import configuration_document
 
 PATH = "/reedspoke/configuration"
 
@@ -31,7 +31,9 @@
 
     def __init__(self) -> None:
         self.put_answer: PutCompleted | None = PutCompleted(1, None)
-        self.get_answer: GetCompleted | None = GetCompleted(1, CommittedConfiguration(1, 3, configuration(3)))
+        self.get_answer: GetCompleted | None = GetCompleted(
+            1, CommittedConfiguration(1, 3, configuration_document(3))
+        )
         self.raises: FleetError | None = None
         self.majority = True
         self.loses_majority = False  # while a call waits
@@ -105,7 +107,7 @@
 
 def test_a_configuration_is_accepted() -> None:
     backend = FakeBackend()
-    response = answered(backend, "PUT", body=configuration(3), match=' "2" ')
+    response = answered(backend, "PUT", body=configuration_document(3), match=' "2" ')
     assert (response.status, json.loads(response.body)) == (200, {"generation": 3})
     assert backend.puts == [(2, 3)]
 
@@ -113,14 +115,14 @@
 @pytest.mark.parametrize("match", [None, "", "x", "-1", "1.5", "٣", "9" * 19, '"', "1,2"])
 def test_a_match_that_is_missing_or_no_number(match: str | None) -> None:
     backend = FakeBackend()
-    response = answered(backend, "PUT", body=configuration(3), match=match)
+    response = answered(backend, "PUT", body=configuration_document(3), match=match)
     assert (response.status, error_code(response)) == (400, ErrorCode.CONFIGURATION_MATCH_MISSING)
     assert backend.puts == []
 
 
 @pytest.mark.parametrize("generation", [0, -5, 2**63])
 def test_a_generation_that_is_out_of_range(generation: int) -> None:
-    response = answered(FakeBackend(), "PUT", body=configuration(generation))
+    response = answered(FakeBackend(), "PUT", body=configuration_document(generation))
     assert (response.status, error_code(response)) == (400, ErrorCode.CONFIGURATION_FIELD)
 
 
@@ -128,8 +130,8 @@
 def test_each_error_of_a_put_has_its_status(code: ErrorCode) -> None:
     backend = FakeBackend()
     backend.put_answer = PutCompleted(1, code, "text")
-    response = answered(backend, "PUT", body=configuration(3))
-    assert (response.status, error_code(response)) == (status_of(code), code)
+    response = answered(backend, "PUT", body=configuration_document(3))
+    assert (response.status, error_code(response)) == (http_status_of(code), code)
     assert ("Retry-After" in response.headers) == (response.status == 503)
 
 
@@ -138,7 +140,7 @@
     backend = FakeBackend()
     backend.get_answer = GetCompleted(1, None, code, "text")
     response = answered(backend, "GET")
-    assert (response.status, error_code(response)) == (status_of(code), code)
+    assert (response.status, error_code(response)) == (http_status_of(code), code)
 
 
 @pytest.mark.parametrize("loses", [False, True], ids=["before", "while it waits"])
@@ -147,7 +149,7 @@
     backend = FakeBackend()
     backend.majority, backend.loses_majority = loses, loses
     backend.put_answer = PutCompleted(1, code, "text")
-    assert answered(backend, "PUT", body=configuration(3)).status == 503
+    assert answered(backend, "PUT", body=configuration_document(3)).status == 503
 
 
 @pytest.mark.parametrize("loses", [False, True], ids=["before", "while it waits"])
@@ -160,7 +162,7 @@
     assert answered(backend, "GET").status == 503
 
 
-@pytest.mark.parametrize("body", [b"", b"{", configuration(0)])
+@pytest.mark.parametrize("body", [b"", b"{", configuration_document(0)])
 def test_not_even_an_invalid_document_is_rejected_without_a_majority(body: bytes) -> None:
     backend = FakeBackend()
     backend.majority = False
@@ -176,15 +178,15 @@
 
 
 def test_statuses_that_the_rules_name() -> None:
-    assert status_of(ErrorCode.CONFIGURATION_STALE_MATCH) == 412
-    assert status_of(ErrorCode.CONFIGURATION_OLD_GENERATION) == 400
+    assert http_status_of(ErrorCode.CONFIGURATION_STALE_MATCH) == 412
+    assert http_status_of(ErrorCode.CONFIGURATION_OLD_GENERATION) == 400
     for code in (
         ErrorCode.NO_QUORUM,
         ErrorCode.WRITE_UNCLEAR,
         ErrorCode.SHUTTING_DOWN,
         ErrorCode.STORAGE_FULL,
     ):
-        assert status_of(code) == 503
+        assert http_status_of(code) == 503
 
 
 def test_a_call_without_an_answer_ends_within_a_second(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -193,7 +195,7 @@
     backend = FakeBackend()
     backend.put_answer = backend.get_answer = None
     began = time.monotonic()
-    put = answered(backend, "PUT", body=configuration(3))
+    put = answered(backend, "PUT", body=configuration_document(3))
     get = answered(backend, "GET")
     assert time.monotonic() - began < 0.9
     assert (put.status, error_code(put)) == (503, ErrorCode.WRITE_UNCLEAR)
@@ -204,13 +206,17 @@
     backend = FakeBackend()
     backend.raises = FleetError(ErrorCode.SHUTTING_DOWN, "text")
     for method in ("PUT", "GET"):
-        response = answered(backend, method, body=configuration(3))
+        response = answered(backend, method, body=configuration_document(3))
         assert (response.status, error_code(response)) == (503, ErrorCode.SHUTTING_DOWN)
 
 
 def test_the_newest_configuration_is_given_byte_for_byte() -> None:
     response = answered(FakeBackend(), "GET")
-    assert (response.status, response.body, response.headers["ETag"]) == (200, configuration(3), '"3"')
+    assert (response.status, response.body, response.headers["ETag"]) == (
+        200,
+        configuration_document(3),
+        '"3"',
+    )
 
 
 def test_no_configuration_is_an_answer_of_its_own() -> None:
@@ -325,7 +331,7 @@
         backend = FakeBackend()
         backend.raises = FleetError(code, "text")
         response = answered(backend, method, TALLY, ADD)
-        assert (response.status, error_code(response)) == (status_of(code), code)
+        assert (response.status, error_code(response)) == (http_status_of(code), code)
         assert ("Retry-After" in response.headers) == (response.status in (429, 503))
 
 
@@ -361,7 +367,7 @@
         backend = FakeBackend()
         backend.raises = FleetError(code, "text")
         response = answered(backend, method, ZONE)
-        assert (response.status, error_code(response)) == (status_of(code), code)
+        assert (response.status, error_code(response)) == (http_status_of(code), code)
 
 
 def test_no_evacuation_is_acknowledged_without_a_majority() -> None:
--- a/tests/control_plane_process/test_process.py
+++ b/tests/control_plane_process/test_process.py
@@ -12,15 +12,15 @@
 from reedspoke.common.configuration_parsing import parse_configuration
 from reedspoke.common.messages import ConfigurationDelta
 from reedspoke.control_plane.storage.log_format import COPIES, encode_batch
-from tests.control_plane_process.fleet import HEARTBEAT_MS, HOSTS, UP_S, Fleet
+from tests.control_plane_process.fleet import HEARTBEAT_MS, HOSTS, STARTUP_TIMEOUT_S, Fleet
 from tests.control_plane_process.stand_ins import (
     Answer,
     EdgeClient,
     Reply,
-    call,
-    configuration,
-    first_workers,
-    until,
+    configuration_document,
+    send_request,
+    wait_for_leased_workers,
+    wait_until,
 )
 
 ACK_S = 4.0
@@ -35,7 +35,7 @@
         reply = fleet.nodes[1].get()
         return reply is not None and reply.status == 404 and reply.error_code() == 304
 
-    until(answered, UP_S, "an answer that there is none")
+    wait_until(answered, STARTUP_TIMEOUT_S, "an answer that there is none")
 
 
 def test_a_configuration_is_accepted_and_returned_byte_for_byte_everywhere(fleet: Fleet) -> None:
@@ -49,7 +49,7 @@
 def test_the_responses_that_an_operator_may_get(fleet: Fleet) -> None:
     document = fleet.first_configuration()
     node = fleet.nodes[2]
-    second = configuration(9, routes=3)
+    second = configuration_document(9, routes=3)
 
     def refused(body: bytes, match: str | None) -> tuple[int, int]:
         reply = node.put(body, match)
@@ -61,12 +61,12 @@
     assert refused(second, "9" * 5000) == (400, 209)
     assert refused(b"{", "3") == (400, 201)
     assert refused(json.dumps(json.loads(second) | {"routes": [{"name": "r"}]}).encode(), "3") == (400, 202)
-    assert refused(configuration(2), "3") == (400, 207)
+    assert refused(configuration_document(2), "3") == (400, 207)
     assert refused(second, "2") == (412, 208)
     reply = node.put(second, "3")
     assert reply is not None
     assert (reply.status, json.loads(reply.body)) == (200, {"generation": 9})
-    assert refused(configuration(12), "3") == (412, 208)
+    assert refused(configuration_document(12), "3") == (412, 208)
     for other in fleet.nodes:
         for again, match in ((second, "3"), (document, "0")):
             reply = other.put(again, match)
@@ -79,20 +79,20 @@
 
 def test_unknown_paths_and_methods(fleet: Fleet) -> None:
     fleet.first_configuration()
-    address = fleet.nodes[0].control
+    address = fleet.nodes[0].operator_address
     for method, path, status in (("GET", "/", 404), ("POST", "/reedspoke/configuration", 405)):
-        reply = call(address, method, path)
+        reply = send_request(address, method, path)
         assert reply is not None
         assert reply.status == status
 
 
 def test_a_configuration_of_four_megabytes_is_accepted_in_chunks_and_replicated(fleet: Fleet) -> None:
     fleet.first_configuration()
-    large = configuration(9, routes=30000)
+    large = configuration_document(9, routes=30000)
     assert len(large) > 4_000_000
-    edge = EdgeClient(fleet.nodes[1].internal)
-    edge.catch_up()
-    until(lambda: _taken(fleet.nodes[0].put(large, "3", in_chunks=True)), ACK_S, "it is taken")
+    edge = EdgeClient(fleet.nodes[1].peer_address)
+    edge.fetch_updates()
+    wait_until(lambda: _taken(fleet.nodes[0].put(large, "3", in_chunks=True)), ACK_S, "it is taken")
     for node in fleet.nodes:
         reply = node.get()
         assert reply is not None
@@ -100,12 +100,12 @@
     held: list[Answer] = []
 
     def passed_on() -> bool:
-        held.extend(answer for source, answer in edge.catch_up().items() if source == "configuration")
+        held.extend(answer for source, answer in edge.fetch_updates().items() if source == "configuration")
         return bool(held)
 
-    until(passed_on, 2.0, "the data plane holds it")
+    wait_until(passed_on, 2.0, "the data plane holds it")
     assert isinstance(held[0], ConfigurationDelta)
-    first = parse_configuration(configuration(3))
+    first = parse_configuration(configuration_document(3))
     assert apply_delta(first, held[0]) == parse_configuration(large)
 
 
@@ -121,25 +121,25 @@
 def test_a_change_is_acknowledged_after_one_is_killed(fleet: Fleet, lost: int) -> None:
     fleet.first_configuration()
     fleet.nodes[lost].kill()
-    fleet.put_until_taken(configuration(5), 3, ACK_S)
+    fleet.put_until_accepted(configuration_document(5), 3, ACK_S)
     for node in fleet.nodes:
         if node is not fleet.nodes[lost]:
             reply = node.get()
             assert reply is not None
-            assert reply.body == configuration(5)
+            assert reply.body == configuration_document(5)
     fleet.nodes[lost].start()
 
     def has_it() -> bool:
         reply = fleet.nodes[lost].get()
-        return reply is not None and reply.body == configuration(5)
+        return reply is not None and reply.body == configuration_document(5)
 
-    until(has_it, UP_S, "the one that was killed has it too")
+    wait_until(has_it, STARTUP_TIMEOUT_S, "the one that was killed has it too")
 
 
 def test_everything_is_there_after_all_were_killed_at_once(fleet: Fleet) -> None:
     document = fleet.first_configuration()
-    edge = EdgeClient(fleet.nodes[0].internal)
-    held = first_workers(edge).version
+    edge = EdgeClient(fleet.nodes[0].peer_address)
+    held = wait_for_leased_workers(edge).version
     for node in fleet.nodes:
         node.kill()
     for node in fleet.nodes:
@@ -149,10 +149,12 @@
         replies = [node.get() for node in fleet.nodes]
         return all(reply is not None and reply.body == document for reply in replies)
 
-    until(read_back, UP_S, "the configuration is read back")
-    again = EdgeClient(fleet.nodes[1].internal)
+    wait_until(read_back, STARTUP_TIMEOUT_S, "the configuration is read back")
+    again = EdgeClient(fleet.nodes[1].peer_address)
     again.versions = {"workers": held}
-    assert first_workers(again).version > held, "a list that is newer than what the data plane holds"
+    assert wait_for_leased_workers(again).version > held, (
+        "a list that is newer than what the data plane holds"
+    )
 
 
 def test_a_corrupt_log_is_set_aside_and_the_member_comes_back(fleet: Fleet) -> None:
@@ -169,11 +171,11 @@
 
     def has_it() -> bool:
         reply = node.get()
-        return reply is not None and reply.body == configuration(3)
+        return reply is not None and reply.body == configuration_document(3)
 
-    until(has_it, UP_S, "the member is back")
+    wait_until(has_it, STARTUP_TIMEOUT_S, "the member is back")
     assert b'"code":401' in node.log_file.read_bytes()
-    fleet.put_until_taken(configuration(5), 3, ACK_S)
+    fleet.put_until_accepted(configuration_document(5), 3, ACK_S)
 
 
 # ---- ends and settings ----
@@ -183,8 +185,8 @@
 def test_a_node_shuts_down_gracefully_and_the_others_go_on(fleet: Fleet, leaver: int) -> None:
     fleet.first_configuration()
     node = fleet.nodes[leaver]
-    edge = EdgeClient(node.internal)
-    edge.catch_up()
+    edge = EdgeClient(node.peer_address)
+    edge.fetch_updates()
     began = time.monotonic()
     node.signal(signal.SIGTERM)
     assert node.process is not None
@@ -192,7 +194,7 @@
     assert time.monotonic() - began < 1.5
     with pytest.raises(ConnectionError):
         edge.watch()
-    fleet.put_until_taken(configuration(5), 3, ACK_S)
+    fleet.put_until_accepted(configuration_document(5), 3, ACK_S)
 
 
 def test_bad_settings_end_the_process_with_a_numbered_error(fleet: Fleet) -> None:
@@ -201,7 +203,7 @@
     settings = node.settings(bootstrap=False)
     for change, code, key in (({"data_dir": None}, 102, "data_dir"), ({"ip_address": 5}, 102, "ip_address")):
         node.log_file.unlink()
-        node.start_with(json.dumps(settings | change))
+        node.start_with_settings(json.dumps(settings | change))
         assert node.process is not None
         assert node.process.wait(5) == 2
         (line,) = node.log_file.read_text().splitlines()
@@ -215,8 +217,8 @@
     node = fleet.nodes[0]
     node.settings_file.write_text("{")
     node.signal(signal.SIGHUP)
-    until(lambda: b'"settings rejected"' in node.log_file.read_bytes(), 2.0, "the bad file is told")
+    wait_until(lambda: b'"settings rejected"' in node.log_file.read_bytes(), 2.0, "the bad file is told")
     changed = node.settings(bootstrap=False) | {"seed_nodes": [f"{HOSTS[0]}:{fleet.control_port}"]}
     node.settings_file.write_text(json.dumps(changed))
-    until(lambda: b'"seeds changed"' in node.log_file.read_bytes(), 4.0, "new seeds without a signal")
-    fleet.put_until_taken(configuration(5), 3, ACK_S)
+    wait_until(lambda: b'"seeds changed"' in node.log_file.read_bytes(), 4.0, "new seeds without a signal")
+    fleet.put_until_accepted(configuration_document(5), 3, ACK_S)
--- a/tests/control_plane_process/test_process_data_plane.py
+++ b/tests/control_plane_process/test_process_data_plane.py
@@ -7,16 +7,16 @@
 import time
 
 from reedspoke.common.messages import ConfigurationDelta, ConfigurationSnapshot, MemberList, WorkerList
-from tests.control_plane_process.fleet import HEARTBEAT_MS, UP_S, Fleet
+from tests.control_plane_process.fleet import HEARTBEAT_MS, STARTUP_TIMEOUT_S, Fleet
 from tests.control_plane_process.stand_ins import (
-    WORKERS_S,
+    WORKERS_TIMEOUT_S,
     Answer,
     EdgeClient,
-    configuration,
-    first_workers,
-    instance,
-    until,
-    workers_of,
+    configuration_document,
+    fetch_new_workers,
+    platform_instance,
+    wait_for_leased_workers,
+    wait_until,
 )
 
 ACK_S = 4.0
@@ -30,40 +30,44 @@
 
 def test_a_session_delivers_configuration_workers_and_members(fleet: Fleet) -> None:
     document = fleet.first_configuration()
-    edge = EdgeClient(fleet.nodes[0].internal)
+    edge = EdgeClient(fleet.nodes[0].peer_address)
     held: dict[str, Answer] = {}
 
     def whole() -> bool:
-        held.update(edge.catch_up())
+        held.update(edge.fetch_updates())
         members = held.get("members")
         known = isinstance(members, MemberList) and len(members.control) == 3 and len(members.edges) == 1
         return len(held) == 3 and known
 
-    until(whole, WORKERS_S, "everything has come")
+    wait_until(whole, WORKERS_TIMEOUT_S, "everything has come")
     snapshot, workers, members = held["configuration"], held["workers"], held["members"]
     assert isinstance(snapshot, ConfigurationSnapshot)
     assert snapshot.document == document
     assert isinstance(workers, WorkerList)
     assert [worker.instance_id for worker in workers.workers] == ["i-1", "i-2", "i-3"]
     assert isinstance(members, MemberList)
-    assert [member.address for member in members.control] == [node.internal for node in fleet.nodes]
+    assert [member.address for member in members.control] == [node.peer_address for node in fleet.nodes]
     assert [member.node_name for member in members.edges] == ["edge-1"]
 
 
 def test_a_session_is_notified_of_a_change_at_once_and_gets_the_delta(fleet: Fleet) -> None:
     fleet.first_configuration()
-    edge = EdgeClient(fleet.nodes[2].internal)
-    until(lambda: edge.versions.keys() >= NEEDED or edge.catch_up() is None, WORKERS_S, "everything has come")
+    edge = EdgeClient(fleet.nodes[2].peer_address)
+    wait_until(
+        lambda: edge.versions.keys() >= NEEDED or edge.fetch_updates() is None,
+        WORKERS_TIMEOUT_S,
+        "everything has come",
+    )
     before = edge.versions["configuration"]
-    fleet.put_until_taken(configuration(4, routes=50), 3, ACK_S)
+    fleet.put_until_accepted(configuration_document(4, routes=50), 3, ACK_S)
     began = time.monotonic()
     deltas: list[Answer] = []
 
     def told() -> bool:
-        deltas.extend(answer for source, answer in edge.catch_up().items() if source == "configuration")
+        deltas.extend(answer for source, answer in edge.fetch_updates().items() if source == "configuration")
         return bool(deltas)
 
-    until(told, 1.0, "the change is told")
+    wait_until(told, 1.0, "the change is told")
     assert time.monotonic() - began < 0.5
     (delta,) = deltas
     assert isinstance(delta, ConfigurationSnapshot | ConfigurationDelta)
@@ -71,21 +75,21 @@
 
 
 def test_a_small_change_of_a_large_configuration_is_delivered_as_a_delta(fleet: Fleet) -> None:
-    fleet.put_until_taken(configuration(3, routes=500), 0, UP_S)
-    edge = EdgeClient(fleet.nodes[1].internal)
-    until(lambda: "configuration" in edge.catch_up(), 3.0, "the first configuration has come")
+    fleet.put_until_accepted(configuration_document(3, routes=500), 0, STARTUP_TIMEOUT_S)
+    edge = EdgeClient(fleet.nodes[1].peer_address)
+    wait_until(lambda: "configuration" in edge.fetch_updates(), 3.0, "the first configuration has come")
     base = edge.versions["configuration"]
-    changed = json.loads(configuration(3, routes=500)) | {"generation": 8}
+    changed = json.loads(configuration_document(3, routes=500)) | {"generation": 8}
     changed["routes"][7]["timeout_ms"] = 77
     del changed["routes"][9]
-    fleet.put_until_taken(json.dumps(changed).encode(), 3, ACK_S)
+    fleet.put_until_accepted(json.dumps(changed).encode(), 3, ACK_S)
     found: list[Answer] = []
 
     def told() -> bool:
-        found.extend(answer for source, answer in edge.catch_up().items() if source == "configuration")
+        found.extend(answer for source, answer in edge.fetch_updates().items() if source == "configuration")
         return bool(found)
 
-    until(told, 2.0, "the change has come")
+    wait_until(told, 2.0, "the change has come")
     (delta,) = found
     assert isinstance(delta, ConfigurationDelta)
     assert (delta.base, delta.generation, delta.removed_routes) == (base, 8, ("r9",))
@@ -94,12 +98,12 @@
 
 def test_a_watch_is_answered_within_the_heartbeat_when_nothing_is_new(fleet: Fleet) -> None:
     fleet.first_configuration()
-    edge = EdgeClient(fleet.nodes[0].internal)
+    edge = EdgeClient(fleet.nodes[0].peer_address)
 
     def quiet() -> bool:
-        return not edge.catch_up() and len(edge.versions) == 3
+        return not edge.fetch_updates() and len(edge.versions) == 3
 
-    until(quiet, WORKERS_S, "nothing is new")
+    wait_until(quiet, WORKERS_TIMEOUT_S, "nothing is new")
     began = time.monotonic()
     edge.watch()
     assert time.monotonic() - began < HEARTBEAT_S
@@ -107,29 +111,29 @@
 
 def test_data_plane_schedulers_are_members_everywhere_with_their_load(fleet: Fleet) -> None:
     fleet.first_configuration()
-    first = EdgeClient(fleet.nodes[0].internal, "edge-1")
-    second = EdgeClient(fleet.nodes[1].internal, "edge-2")
+    first = EdgeClient(fleet.nodes[0].peer_address, "edge-1")
+    second = EdgeClient(fleet.nodes[1].peer_address, "edge-2")
 
     def load_of_the_other() -> bool:
         first.watch(running={"i-1": (2, 300)})
         return second.watch(running={"i-1": (1, 50)}).running == {"i-1": (2, 300)}
 
-    until(load_of_the_other, 4.0, "the load of the other is told")
+    wait_until(load_of_the_other, 4.0, "the load of the other is told")
 
     def suspects_of_the_other() -> bool:
         first.watch(suspects=("i-7",))
         return second.watch(suspects=("i-8",)).suspects == {"i-7": 1}
 
-    until(suspects_of_the_other, 4.0, "what the other suspects is told")
+    wait_until(suspects_of_the_other, 4.0, "what the other suspects is told")
 
     def members() -> list[str]:
-        answer = EdgeClient(fleet.nodes[2].internal, "edge-3").fetch("members")
+        answer = EdgeClient(fleet.nodes[2].peer_address, "edge-3").fetch("members")
         assert isinstance(answer, MemberList)
         return [edge.node_name for edge in answer.edges]
 
     first.watch()
     second.watch()
-    until(lambda: members() == ["edge-1", "edge-2"], 2.0, "both are members at the third")
+    wait_until(lambda: members() == ["edge-1", "edge-2"], 2.0, "both are members at the third")
     first.watch(draining=True)
     first.close()
 
@@ -137,17 +141,17 @@
         second.watch()
         return members() == ["edge-2"]
 
-    until(only_the_second, 1.0, "the one that left is gone at once")
+    wait_until(only_the_second, 1.0, "the one that left is gone at once")
 
 
 # ---- the list of workers ----
 
 
 def test_a_draining_worker_is_published_soon_and_one_node_alone_calls_the_platform(fleet: Fleet) -> None:
-    edge = EdgeClient(fleet.nodes[0].internal)
-    first = first_workers(edge)
-    fleet.platform.instances[0] = instance("i-1", state="draining")
-    changed = until(lambda: workers_of(edge), 2.0, "the drain is told")
+    edge = EdgeClient(fleet.nodes[0].peer_address)
+    first = wait_for_leased_workers(edge)
+    fleet.platform.instances[0] = platform_instance("i-1", state="draining")
+    changed = wait_until(lambda: fetch_new_workers(edge), 2.0, "the drain is told")
     assert [worker.draining for worker in changed.workers] == [True, False, False]
     assert changed.version == (first.version[0], first.version[1] + 1)
     before = fleet.platform.calls
@@ -157,48 +161,50 @@
 
 
 def test_another_node_takes_over_discovery_when_the_lease_holder_is_killed(fleet: Fleet) -> None:
-    holder = until(fleet.duty_holder, WORKERS_S, "one holds the duty")
+    holder = wait_until(fleet.lease_holder, WORKERS_TIMEOUT_S, "one holds the duty")
     others = [node for node in fleet.nodes if node is not holder]
-    edge = EdgeClient(others[0].internal)
-    first = first_workers(edge)
+    edge = EdgeClient(others[0].peer_address)
+    first = wait_for_leased_workers(edge)
     holder.kill()
-    fleet.platform.instances.append(instance("i-4"))
-    changed = until(lambda: workers_of(edge), 4.0, "the list has a new holder")
+    fleet.platform.instances.append(platform_instance("i-4"))
+    changed = wait_until(lambda: fetch_new_workers(edge), 4.0, "the list has a new holder")
     assert changed.version > first.version
     assert len(changed.workers) == 4
 
 
 def test_a_frozen_lease_holder_does_not_go_on_when_it_resumes(fleet: Fleet) -> None:
-    holder = until(fleet.duty_holder, WORKERS_S, "one holds the duty")
+    holder = wait_until(fleet.lease_holder, WORKERS_TIMEOUT_S, "one holds the duty")
     others = [node for node in fleet.nodes if node is not holder]
-    first_workers(EdgeClient(others[0].internal))
+    wait_for_leased_workers(EdgeClient(others[0].peer_address))
     holder.signal(signal.SIGSTOP)
-    until(lambda: any(node.status().get("holds_list_duty") for node in others), 4.0, "another holds the duty")
+    wait_until(
+        lambda: any(node.status().get("holds_list_duty") for node in others), 4.0, "another holds the duty"
+    )
     holder.signal(signal.SIGCONT)
-    until(lambda: holder.status(), 2.0, "the first one has woken")
+    wait_until(lambda: holder.status(), 2.0, "the first one has woken")
     assert not holder.status()["holds_list_duty"]
 
 
 def test_the_last_list_stays_while_the_platform_is_down(fleet: Fleet) -> None:
-    edge = EdgeClient(fleet.nodes[0].internal)
-    first = first_workers(edge)
+    edge = EdgeClient(fleet.nodes[0].peer_address)
+    first = wait_for_leased_workers(edge)
     fleet.platform.status = 503
     began = time.monotonic()
     while time.monotonic() - began < 3.0:
-        assert workers_of(edge) is None
+        assert fetch_new_workers(edge) is None
     answer = edge.fetch("workers")
     assert isinstance(answer, WorkerList)
     assert answer.workers == first.workers
     fleet.platform.status = 200
-    fleet.platform.instances.append(instance("i-4"))
-    changed = until(lambda: workers_of(edge), 4.0, "the list goes on")
+    fleet.platform.instances.append(platform_instance("i-4"))
+    changed = wait_until(lambda: fetch_new_workers(edge), 4.0, "the list goes on")
     assert len(changed.workers) == 4
 
 
 def test_a_list_that_a_data_plane_node_has_from_before_is_superseded(fleet: Fleet) -> None:
-    edge = EdgeClient(fleet.nodes[0].internal)
-    first_workers(edge)
+    edge = EdgeClient(fleet.nodes[0].peer_address)
+    wait_for_leased_workers(edge)
     edge.versions["workers"] = (50, 3)
-    newer = until(lambda: workers_of(edge), 2.0, "a newer list")
+    newer = wait_until(lambda: fetch_new_workers(edge), 2.0, "a newer list")
     assert newer.version > (50, 3)
     assert [worker.instance_id for worker in newer.workers] == ["i-1", "i-2", "i-3"]
--- a/tests/control_plane_process/test_process_leave.py
+++ b/tests/control_plane_process/test_process_leave.py
@@ -9,8 +9,8 @@
 
 import pytest
 
-from tests.control_plane_process.fleet import UP_S, Fleet
-from tests.control_plane_process.stand_ins import until
+from tests.control_plane_process.fleet import STARTUP_TIMEOUT_S, Fleet
+from tests.control_plane_process.stand_ins import wait_until
 
 NEEDED_FOR_S = 2.0
 SUCCESSOR_S = 4.0
@@ -19,7 +19,11 @@
 
 
 def _wait_until_chain_has(fleet: Fleet, asked: int, length: int) -> None:
-    until(lambda: len(fleet.nodes[asked].status().get("chain", ())) == length, UP_S, "the chain is repaired")
+    wait_until(
+        lambda: len(fleet.nodes[asked].status().get("chain", ())) == length,
+        STARTUP_TIMEOUT_S,
+        "the chain is repaired",
+    )
 
 
 @pytest.mark.parametrize(("lost", "leaver", "stays"), [(0, 2, 1), (2, 1, 0), (1, 0, 2)])
@@ -42,7 +46,7 @@
         reply = fleet.nodes[lost].get()
         return reply is not None and (reply.status, reply.body) == (200, document)
 
-    until(read_back, UP_S, "the configuration is read at the successor")
+    wait_until(read_back, STARTUP_TIMEOUT_S, "the configuration is read at the successor")
 
 
 def test_a_node_without_a_successor_ends_within_its_grace_period(fleet: Fleet) -> None:
--- a/tests/control_plane_process/test_worker_discovery.py
+++ b/tests/control_plane_process/test_worker_discovery.py
@@ -15,14 +15,14 @@
 from reedspoke.control_plane.workers.discovery_lease import DiscoveryLease, OutgoingMessage
 from reedspoke.control_plane.workers.platform_client import PlatformClient, PlatformError, PlatformRateError
 from reedspoke.control_plane.workers.worker_list import WorkerListState
-from tests.control_plane_process.stand_ins import Platform, instance
+from tests.control_plane_process.stand_ins import FakePlatform, platform_instance
 
 OWN = "own"
 
 
 @pytest.fixture
-def platform() -> Iterator[Platform]:
-    made = Platform("127.0.0.1")
+def platform() -> Iterator[FakePlatform]:
+    made = FakePlatform("127.0.0.1")
     yield made
     made.close()
 
@@ -38,7 +38,7 @@
 class DiscoveryHarness:
     """Worker discovery whose lease has one voter, this process."""
 
-    def __init__(self, platform: Platform, rate_per_s: float = 10_000.0) -> None:
+    def __init__(self, platform: FakePlatform, rate_per_s: float = 10_000.0) -> None:
         self.loop = asyncio.get_running_loop()
         self.lease = DiscoveryLease(OWN, self.loop.time(), fresh_fleet=True)
         self.worker_list = WorkerListState()
@@ -77,7 +77,9 @@
 
 
 def run_scenario(
-    platform: Platform, scenario: Callable[[DiscoveryHarness], Awaitable[None]], rate_per_s: float = 10_000.0
+    platform: FakePlatform,
+    scenario: Callable[[DiscoveryHarness], Awaitable[None]],
+    rate_per_s: float = 10_000.0,
 ) -> None:
     async def run() -> None:
         harness = DiscoveryHarness(platform, rate_per_s)
@@ -89,7 +91,7 @@
     asyncio.run(run())
 
 
-def test_who_does_not_hold_the_lease_does_not_call(platform: Platform) -> None:
+def test_who_does_not_hold_the_lease_does_not_call(platform: FakePlatform) -> None:
     async def scenario(harness: DiscoveryHarness) -> None:
         await harness.run_for(0.2)
         assert platform.calls == 0
@@ -97,14 +99,14 @@
     run_scenario(platform, scenario)
 
 
-def test_the_holder_publishes_all_pages_and_every_change(platform: Platform) -> None:
+def test_the_holder_publishes_all_pages_and_every_change(platform: FakePlatform) -> None:
     async def scenario(harness: DiscoveryHarness) -> None:
         harness.acquire_lease()
         await harness.until(lambda: harness.published)
         assert [worker.instance_id for worker in harness.published[0].workers] == ["i-1", "i-2", "i-3"]
         await harness.run_for(0.2)
         assert len(harness.published) == 1
-        platform.instances[2] = instance("i-3", state="draining")
+        platform.instances[2] = platform_instance("i-3", state="draining")
         await harness.until(lambda: len(harness.published) == 2)
         assert [worker.draining for worker in harness.published[1].workers] == [False, False, True]
 
@@ -112,7 +114,7 @@
 
 
 @pytest.mark.parametrize("status", [500, 503, 404])
-def test_a_holder_whose_calls_fail_gives_the_lease_up(platform: Platform, status: int) -> None:
+def test_a_holder_whose_calls_fail_gives_the_lease_up(platform: FakePlatform, status: int) -> None:
     async def scenario(harness: DiscoveryHarness) -> None:
         harness.acquire_lease()
         await harness.until(lambda: harness.published)
@@ -123,7 +125,7 @@
     run_scenario(platform, scenario)
 
 
-def test_a_holder_that_is_called_too_often_keeps_the_lease(platform: Platform) -> None:
+def test_a_holder_that_is_called_too_often_keeps_the_lease(platform: FakePlatform) -> None:
     async def scenario(harness: DiscoveryHarness) -> None:
         harness.acquire_lease()
         await harness.until(lambda: harness.published)
@@ -134,7 +136,7 @@
     run_scenario(platform, scenario)
 
 
-def test_a_platform_that_is_silent_is_one_that_fails(platform: Platform) -> None:
+def test_a_platform_that_is_silent_is_one_that_fails(platform: FakePlatform) -> None:
     async def scenario(harness: DiscoveryHarness) -> None:
         harness.acquire_lease()
         server = await asyncio.start_server(lambda reader, writer: None, "127.0.0.1", 0)
@@ -148,7 +150,7 @@
     run_scenario(platform, scenario)
 
 
-def test_the_rate_of_the_platform_is_kept(platform: Platform) -> None:
+def test_the_rate_of_the_platform_is_kept(platform: FakePlatform) -> None:
     async def scenario(harness: DiscoveryHarness) -> None:
         harness.acquire_lease()
         await harness.run_for(1.0)
@@ -158,7 +160,7 @@
 
 
 def test_a_newer_list_elsewhere_is_overtaken_at_once(
-    platform: Platform, monkeypatch: pytest.MonkeyPatch
+    platform: FakePlatform, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(discovery, "POLL_INTERVAL_S", 60.0)
 
@@ -175,7 +177,7 @@
     run_scenario(platform, scenario)
 
 
-def test_a_list_from_before_the_lease_was_lost_is_not_published_again(platform: Platform) -> None:
+def test_a_list_from_before_the_lease_was_lost_is_not_published_again(platform: FakePlatform) -> None:
     async def scenario(harness: DiscoveryHarness) -> None:
         harness.acquire_lease()
         await harness.until(lambda: harness.published)
@@ -189,7 +191,7 @@
     run_scenario(platform, scenario)
 
 
-def test_a_holder_that_is_fenced_between_two_pages_does_not_call_again(platform: Platform) -> None:
+def test_a_holder_that_is_fenced_between_two_pages_does_not_call_again(platform: FakePlatform) -> None:
     """Some other one has published under a higher term: the rest of the list is not asked for."""
 
     async def scenario(harness: DiscoveryHarness) -> None:
@@ -205,7 +207,7 @@
     run_scenario(platform, scenario, rate_per_s=10.0)
 
 
-def test_a_call_goes_over_one_connection_until_it_ends(platform: Platform) -> None:
+def test_a_call_goes_over_one_connection_until_it_ends(platform: FakePlatform) -> None:
     async def run() -> None:
         client = PlatformClient(platform.address)
         pages = [await client.fetch_page(None)]
@@ -252,7 +254,7 @@
     asyncio.run(run())
 
 
-def test_a_platform_that_closes_idle_connections_is_called_again(platform: Platform) -> None:
+def test_a_platform_that_closes_idle_connections_is_called_again(platform: FakePlatform) -> None:
     page = b'{"instances":[],"next_token":null}'
     head = b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: %d\r\n\r\n" % len(page)
 
@@ -273,7 +275,7 @@
 
 
 def test_a_process_without_a_list_reads_one_before_the_lease_and_the_holder_replaces_it(
-    platform: Platform,
+    platform: FakePlatform,
 ) -> None:
     async def scenario(harness: DiscoveryHarness) -> None:
         await harness.discovery.discover_without_lease()
@@ -286,7 +288,7 @@
     run_scenario(platform, scenario)
 
 
-def test_a_first_list_is_asked_for_until_the_platform_answers(platform: Platform) -> None:
+def test_a_first_list_is_asked_for_until_the_platform_answers(platform: FakePlatform) -> None:
     platform.status = 503
 
     async def scenario(harness: DiscoveryHarness) -> None:
@@ -300,7 +302,7 @@
     run_scenario(platform, scenario)
 
 
-def test_a_new_mark_is_published_without_the_platform(platform: Platform) -> None:
+def test_a_new_mark_is_published_without_the_platform(platform: FakePlatform) -> None:
     async def scenario(harness: DiscoveryHarness) -> None:
         harness.acquire_lease()
         await harness.until(lambda: harness.published)
@@ -314,7 +316,7 @@
     run_scenario(platform, scenario)
 
 
-def test_nothing_is_published_while_the_marks_are_not_known(platform: Platform) -> None:
+def test_nothing_is_published_while_the_marks_are_not_known(platform: FakePlatform) -> None:
     async def scenario(harness: DiscoveryHarness) -> None:
         harness.known = False
         task = asyncio.create_task(harness.discovery.discover_without_lease())
--- a/tests/data_plane/stage.py
+++ b/tests/data_plane/stage.py
@@ -9,8 +9,8 @@
 
 from msgspec import Struct
 
-from tests.control_plane_process.fleet import defects_in
-from tests.control_plane_process.stand_ins import until
+from tests.control_plane_process.fleet import logged_defects
+from tests.control_plane_process.stand_ins import wait_until
 from tests.data_plane.stand_ins import UP_S, Background, ControlStandIn, EdgeProcess, WorkerStandIn, call
 from tests.ports import free_port
 
@@ -50,7 +50,7 @@
         return call(self.edge.frontend, "GET", path, HOST, attempt_id)
 
     def until_status(self, path: str, status: int) -> None:
-        until(lambda: self.ask(path)[0] == status, UP_S, f"{path} gives {status}")
+        wait_until(lambda: self.ask(path)[0] == status, UP_S, f"{path} gives {status}")
 
     def start(self) -> None:
         """With one control scheduler that knows a route to /one/."""
@@ -78,4 +78,4 @@
         for control in controls:
             control.stop()
         background.close()
-    assert defects_in(edge.log_file) == []
+    assert logged_defects(edge.log_file) == []
--- a/tests/data_plane/stand_ins.py
+++ b/tests/data_plane/stand_ins.py
@@ -32,7 +32,7 @@
 )
 from reedspoke.common.node_settings import split_address
 from reedspoke.common.transport import CONNECTION_ENDED, Channel
-from tests.control_plane_process.stand_ins import until
+from tests.control_plane_process.stand_ins import wait_until
 from tests.data_plane.wire import SeenRequest, chunked, event, read_requests
 
 ROOT = Path(__file__).resolve().parents[2]
@@ -269,7 +269,7 @@
             return 0
 
     def until_ready(self) -> None:
-        until(lambda: self.is_ready() == 200, UP_S, f"ready; its log: {self.log_file.read_text()}")
+        wait_until(lambda: self.is_ready() == 200, UP_S, f"ready; its log: {self.log_file.read_text()}")
 
 
 def call(address: str, method: str, path: str, host: str, attempt_id: str) -> tuple[int, bytes]:
--- a/tests/data_plane/test_attempts_process.py
+++ b/tests/data_plane/test_attempts_process.py
@@ -15,7 +15,7 @@
 from msgspec import Struct
 
 from reedspoke.common.messages import WorkerEntry
-from tests.control_plane_process.stand_ins import until
+from tests.control_plane_process.stand_ins import wait_until
 from tests.data_plane.stand_ins import (
     CALL_S,
     SEAL,
@@ -121,7 +121,7 @@
 
     def ask_and_wait_for_arrival(self, *actions: str) -> dict[str, Call]:
         asked = {action: self.ask(action) for action in actions}
-        until(lambda: all(self.workers.count(action) for action in actions), UP_S, "all are at workers")
+        wait_until(lambda: all(self.workers.count(action) for action in actions), UP_S, "all are at workers")
         return asked
 
     def go_on(self) -> None:
@@ -149,7 +149,7 @@
     stage.start(stage.worker("i-1").entry(), stage.worker("i-2").entry())
     asked = stage.ask_and_wait_for_arrival("answer", "reset", "refuse", "silence")
     stage.edge.signal(signal.SIGTERM)
-    until(lambda: stage.edge.is_ready() == 503, UP_S, "it is leaving")
+    wait_until(lambda: stage.edge.is_ready() == 503, UP_S, "it is leaving")
     stage.go_on()
     assert asked["answer"].result(CALL_S) == (200, b"ok")
     assert asked["reset"].result(CALL_S)[0] == 502
@@ -188,7 +188,7 @@
     if during is not None:
         stage.edge.signal(during)
     if during is signal.SIGTERM:  # a connection that is idle at that moment is closed unread
-        until(lambda: stage.edge.is_ready() == 503, UP_S, "it is leaving")
+        wait_until(lambda: stage.edge.is_ready() == 503, UP_S, "it is leaving")
     assert stage.ask("later").result(CALL_S) == (200, b"ok")
     refused = [attempt for name, attempt in stage.workers.arrived if name == "i-2"]
     served = [attempt for name, attempt in stage.workers.arrived if name == "i-3"]
@@ -197,7 +197,7 @@
     assert set(refused) < set(served)
     if during is not signal.SIGTERM:
         stage.control.tell(5, document(), (new.entry(),))
-        until(
+        wait_until(
             lambda: stage.ask("new").result(CALL_S) == (200, b"ok") and "i-2" in last(stage),
             UP_S,
             "i-2 serves",
--- a/tests/data_plane/test_process.py
+++ b/tests/data_plane/test_process.py
@@ -10,7 +10,7 @@
 
 from reedspoke.common.messages import CONFIGURATION
 from reedspoke.common.node_settings import split_address
-from tests.control_plane_process.stand_ins import until
+from tests.control_plane_process.stand_ins import wait_until
 from tests.data_plane.stage import HOST, HOSTS, Stage
 from tests.data_plane.stand_ins import (
     CALL_S,
@@ -25,7 +25,7 @@
 def test_it_becomes_ready_serves_and_follows_its_control_scheduler(stage: Stage) -> None:
     stage.edge.write_settings([HOSTS[0]])
     stage.edge.start()
-    until(lambda: stage.edge.is_ready() == 503, UP_S, "it listens, and is not ready")
+    wait_until(lambda: stage.edge.is_ready() == 503, UP_S, "it listens, and is not ready")
     stage.controls[0].start()
     stage.tell(3, "/one/")
     stage.edge.until_ready()
@@ -60,7 +60,7 @@
     stage.controls[0].stop()
     old = stage.controls[1]
     seen = len(old.watches)
-    until(lambda: len(old.watches) > seen + 2, UP_S, "the old one has told its versions again")
+    wait_until(lambda: len(old.watches) > seen + 2, UP_S, "the old one has told its versions again")
     assert old.watches[-1].versions[CONFIGURATION] == (5, 0)
     assert stage.ask("/new/")[0] == 200
     assert stage.ask("/old/")[0] == 404
@@ -75,7 +75,7 @@
     response = stream.getresponse()
     assert response.read(len(event(1))) == event(1)
     stage.edge.signal(signal.SIGTERM)
-    until(lambda: stage.edge.is_ready() == 503, UP_S, "it is not ready any more")
+    wait_until(lambda: stage.edge.is_ready() == 503, UP_S, "it is not ready any more")
     assert idle.sock.recv(1) == b""
     assert stage.ask("/one/") == (200, b"i-1 ran /one/")
     stage.worker.go_on()
@@ -92,7 +92,7 @@
     stage.edge.signal(signal.SIGSTOP)
     try:
         waiting = [connecting(stage.edge.frontend) for _ in range(MANY)]
-        until(lambda: all(came_up(client) for client in waiting), CONNECT_S, "all connections are up")
+        wait_until(lambda: all(came_up(client) for client in waiting), CONNECT_S, "all connections are up")
     finally:
         stage.edge.signal(signal.SIGCONT)
     for client in waiting:
--- a/tests/data_plane/test_process_doubt.py
+++ b/tests/data_plane/test_process_doubt.py
@@ -10,7 +10,7 @@
 from reedspoke.common.messages import CONFIGURATION
 from reedspoke.common.node_settings import split_address
 from reedspoke.data_plane.subscription import UNCONFIRMED_AFTER_S
-from tests.control_plane_process.stand_ins import until
+from tests.control_plane_process.stand_ins import wait_until
 from tests.data_plane.stage import HOST, HOSTS, Stage
 from tests.data_plane.stand_ins import CALL_S, UP_S
 
@@ -18,11 +18,13 @@
 
 
 def until_doubt(stage: Stage) -> None:
-    until(lambda: stage.ask("/nowhere/")[0] == 503, DOUBT_S, "a request without route is refused for now")
+    wait_until(
+        lambda: stage.ask("/nowhere/")[0] == 503, DOUBT_S, "a request without route is refused for now"
+    )
 
 
 def until_certain(stage: Stage, path: str = "/nowhere/") -> None:
-    until(lambda: stage.ask(path)[0] == 404, DOUBT_S, f"{path} is refused for good")
+    wait_until(lambda: stage.ask(path)[0] == 404, DOUBT_S, f"{path} is refused for good")
 
 
 def test_not_found_is_told_only_while_a_majority_confirms(stage: Stage) -> None:
@@ -72,15 +74,15 @@
     control.lose_majority()
     stage.edge.write_settings([HOSTS[0]])
     stage.edge.start()
-    until(lambda: bool(control.watches), UP_S, "its session stands")
+    wait_until(lambda: bool(control.watches), UP_S, "its session stands")
     first = time.monotonic()
-    until(lambda: stage.edge.is_ready() == 200, UNCONFIRMED_AFTER_S + UP_S, "it is ready in the end")
+    wait_until(lambda: stage.edge.is_ready() == 200, UNCONFIRMED_AFTER_S + UP_S, "it is ready in the end")
     assert time.monotonic() - first > UNCONFIRMED_AFTER_S - 1  # its start was before its first `WatchRequest`
     assert stage.ask("/one/")[0] == 200
     assert stage.ask("/nowhere/")[0] == 503
     control.regain_majority()
     until_certain(stage)
-    until(lambda: control.watches[-1].versions[CONFIGURATION] == (3, 0), UP_S, "it holds the same")
+    wait_until(lambda: control.watches[-1].versions[CONFIGURATION] == (3, 0), UP_S, "it holds the same")
 
 
 def test_a_start_takes_the_confirmed_one_at_once(stage: Stage) -> None:
@@ -107,7 +109,7 @@
     stage.controls[0].stop()
     stopped_at = time.monotonic()
     waiting.request("GET", "/three/", headers={"Host": HOST, "Reedspoke-Attempt-Id": "a1"})
-    until(lambda: time.monotonic() - stopped_at > 2, CALL_S, "the time for a change is over")
+    wait_until(lambda: time.monotonic() - stopped_at > 2, CALL_S, "the time for a change is over")
     stage.edge.signal(signal.SIGCONT)
     assert waiting.getresponse().status == 503
     waiting.close()
--- a/tests/golden/mixed_versions.py
+++ b/tests/golden/mixed_versions.py
@@ -18,7 +18,13 @@
 
 from reedspoke.common.messages import ConfigurationDelta, ConfigurationSnapshot
 from tests.control_plane_process.fleet import HEARTBEAT_MS, ROOT, Fleet
-from tests.control_plane_process.stand_ins import EdgeClient, call, configuration, first_workers, until
+from tests.control_plane_process.stand_ins import (
+    EdgeClient,
+    configuration_document,
+    send_request,
+    wait_for_leased_workers,
+    wait_until,
+)
 from tests.ports import free_port
 
 EDGE_HOST = "127.0.1.9"
@@ -38,7 +44,7 @@
             "zone": "za",
             "bind": {"frontend": f"{EDGE_HOST}:{free_port((EDGE_HOST,))}", "readiness": self.readiness},
             "internal_ports": [fleet.internal_port, fleet.internal_port],
-            "seed_nodes": [node.control for node in fleet.nodes],
+            "seed_nodes": [node.operator_address for node in fleet.nodes],
             "heartbeat_ms": HEARTBEAT_MS,
             "metrics": "",
         }
@@ -53,7 +59,7 @@
 
     def is_ready(self) -> bool:
         """Whether it has a configuration and workers."""
-        reply = call(self.readiness, "GET", "/ready")
+        reply = send_request(self.readiness, "GET", "/ready")
         return reply is not None and reply.status == 200
 
     def has_in_force(self, generation: int) -> bool:
@@ -81,10 +87,10 @@
         node.root = root
     try:
         fleet.start()
-        until(lambda: all(node.votes_among(NODES) for node in fleet.nodes), UP_S, "all are voters")
+        wait_until(lambda: all(node.is_voter_among(NODES) for node in fleet.nodes), UP_S, "all are voters")
         fleet.first_configuration()
         with EdgeProcess(fleet, edge_root) as edge:
-            until(edge.is_ready, UP_S, "the data plane scheduler is ready")
+            wait_until(edge.is_ready, UP_S, "the data plane scheduler is ready")
             play_changes(fleet, edge)
             play_restarts(fleet, edge, {*roots, edge_root})
     finally:
@@ -94,14 +100,14 @@
 def play_changes(fleet: Fleet, edge: EdgeProcess) -> None:
     """Each scheduler takes a change, and each one's sessions bring it."""
     for generation, node in enumerate(fleet.nodes, start=4):
-        document = configuration(generation, routes=5)
+        document = configuration_document(generation, routes=5)
         reply = node.put(document, str(generation - 1))
         assert reply is not None
         assert reply.status == 200, reply
         check_served(fleet, edge, document, generation)
     for node in fleet.nodes:
-        client = EdgeClient(node.internal, node_name=f"edge-at-{node.name}")
-        names = [worker.instance_id for worker in first_workers(client).workers]
+        client = EdgeClient(node.peer_address, node_name=f"edge-at-{node.name}")
+        names = [worker.instance_id for worker in wait_for_leased_workers(client).workers]
         assert names == ["i-1", "i-2", "i-3"]
         client.close()
 
@@ -112,10 +118,10 @@
         node.kill()
         node.root = next(iter(roots - {node.root}), node.root)
         node.start()
-        until(lambda node=node: node.votes_among(NODES), UP_S, f"{node.name} votes again")  # type: ignore[misc]
-        document = configuration(generation, routes=7)
+        wait_until(lambda node=node: node.is_voter_among(NODES), UP_S, f"{node.name} votes again")  # type: ignore[misc]
+        document = configuration_document(generation, routes=7)
         matched = 6 if generation == 10 else generation - 1
-        fleet.put_until_taken(document, matched, CHANGE_S)
+        fleet.put_until_accepted(document, matched, CHANGE_S)
         check_served(fleet, edge, document, generation)
 
 
@@ -123,15 +129,17 @@
     """All schedulers give back this document, and a session of each brings it."""
     for node in fleet.nodes:
 
-        def serves(address: str = node.control) -> bool:
-            reply = call(address, "GET", "/reedspoke/configuration")
+        def serves(address: str = node.operator_address) -> bool:
+            reply = send_request(address, "GET", "/reedspoke/configuration")
             return reply is not None and (reply.status, reply.body) == (200, document)
 
-        until(serves, CHANGE_S, f"{node.name} gives back generation {generation}")
-    until(lambda: edge.has_in_force(generation), CHANGE_S, "the data plane scheduler has it in force")
-    client = EdgeClient(fleet.nodes[generation % NODES].internal)
-    until(
-        lambda: "configuration" in client.versions or not client.catch_up(), CHANGE_S, "a session brings it"
+        wait_until(serves, CHANGE_S, f"{node.name} gives back generation {generation}")
+    wait_until(lambda: edge.has_in_force(generation), CHANGE_S, "the data plane scheduler has it in force")
+    client = EdgeClient(fleet.nodes[generation % NODES].peer_address)
+    wait_until(
+        lambda: "configuration" in client.versions or not client.fetch_updates(),
+        CHANGE_S,
+        "a session brings it",
     )
     fetched = client.fetch("configuration")
     assert isinstance(fetched, ConfigurationSnapshot | ConfigurationDelta)
