--- a/reedspoke/control_plane/api/call_log.py
+++ b/reedspoke/control_plane/api/call_log.py
@@ -17,7 +17,7 @@
 CONNECTION_REFUSED_EVENT = "operator connection refused"
 MALFORMED_EVENT = "operator request malformed"
 UNKNOWN_PATH = "unknown"  # label of a path that nothing serves: callers must not be able to add labels
-CLIENT_GONE = 499  # status of a call whose caller has closed the connection before its response
+CLIENT_CLOSED_REQUEST = 499  # status of a call whose caller has closed the connection before its response
 DURATION_BUCKETS_S = (0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0)
 SUCCESS = 200
 
--- a/reedspoke/control_plane/api/error_responses.py
+++ b/reedspoke/control_plane/api/error_responses.py
@@ -8,9 +8,9 @@
 from reedspoke.control_plane.api.http_messages import Response
 from reedspoke.control_plane.api.schemas import ErrorAnswer, ErrorDetail
 
-UNAVAILABLE = 503
-UNCLEAR = 504  # the call may have taken effect, or may yet
-TOO_MANY = 429  # nothing was done, and nothing will be until there is room
+SERVICE_UNAVAILABLE = 503
+GATEWAY_TIMEOUT = 504  # the call may have taken effect, or may yet
+TOO_MANY_REQUESTS = 429  # nothing was done, and nothing will be until there is room
 RETRY_AFTER_S = "0.1"
 UNKNOWN_METHOD = "unknown method for this path"
 
@@ -32,21 +32,21 @@
     ErrorCode.MALFORMED_REQUEST: 400,
     ErrorCode.TALLY_MALFORMED: 400,
     ErrorCode.UNKNOWN_ZONE: 400,
-    ErrorCode.TALLY_UNCLEAR: UNCLEAR,
-    ErrorCode.TALLIES_FULL: TOO_MANY,
+    ErrorCode.TALLY_UNCLEAR: GATEWAY_TIMEOUT,
+    ErrorCode.TALLIES_FULL: TOO_MANY_REQUESTS,
 }
 
 
 def http_status_of(code: ErrorCode) -> int:
     """The HTTP status for an error: 503 unless another node, or a later attempt, would fail as well."""
-    return STATUS_BY_CODE.get(code, UNAVAILABLE)
+    return STATUS_BY_CODE.get(code, SERVICE_UNAVAILABLE)
 
 
 def error_response(error: FleetError) -> Response:
     """The response for an error; one that promises that nothing was done has Retry-After."""
     status = http_status_of(error.code)
     response = Response(status, _error_body(error.code, error.message))
-    if status in (UNAVAILABLE, TOO_MANY):
+    if status in (SERVICE_UNAVAILABLE, TOO_MANY_REQUESTS):
         response.headers["Retry-After"] = RETRY_AFTER_S
     return response
 
--- a/reedspoke/control_plane/api/http_connection.py
+++ b/reedspoke/control_plane/api/http_connection.py
@@ -13,14 +13,14 @@
 
 from reedspoke.common.json_log import ERROR, log
 from reedspoke.common.lingering_close import LingeringClose
-from reedspoke.control_plane.api.http_messages import Request, Response, encode_response, request_of
+from reedspoke.control_plane.api.http_messages import Request, Response, build_request, encode_response
 from reedspoke.net.http import Buffer, Head, MalformedError, Requests
 
 MAX_BODY_BYTES = 8 * 1024 * 1024
 MAX_ALLOCATION_BYTES = 256 * 1024  # made ready at once for a body that may never come
 IDLE_TIMEOUT_S = 30.0
 REQUEST_TIMEOUT_S = 10.0  # from the first byte of a request to its last
-LINGER_S = 2.0  # what a client still sends after its last response is discarded for so long,
+LINGER_TIMEOUT_S = 2.0  # what a client still sends after its last response is discarded for so long,
 MAX_DISCARDED_BYTES = 2 * MAX_BODY_BYTES  # and so much of it: a reset at once could destroy that response
 
 Handler = Callable[[Request], Awaitable[Response]]
@@ -110,7 +110,7 @@
 
     def _timeout_s(self) -> float:
         if self._lingering is not None:
-            return LINGER_S
+            return LINGER_TIMEOUT_S
         incomplete = self._head is not None or len(self._buffer) > 0
         return REQUEST_TIMEOUT_S if incomplete else IDLE_TIMEOUT_S
 
@@ -139,7 +139,7 @@
             self._requests.expect(self._head.length() or 0)
             self._send_continue(self._head)
         body = self._requests.body()
-        return None if body is None else request_of(self._head, bytes(body))
+        return None if body is None else build_request(self._head, bytes(body))
 
     def _send_continue(self, head: Head) -> None:
         if self._transport is not None and b"100-continue" in head.tokens(b"expect"):
--- a/reedspoke/control_plane/api/http_messages.py
+++ b/reedspoke/control_plane/api/http_messages.py
@@ -6,7 +6,7 @@
 
 from reedspoke.net.http import Head
 
-REASONS = {
+REASON_PHRASES = {
     200: "OK",
     400: "Bad Request",
     404: "Not Found",
@@ -40,7 +40,7 @@
     headers: dict[str, str] = field(default_factory=lambda: {"Content-Type": "application/json"})
 
 
-def request_of(head: Head, body: bytes) -> Request:
+def build_request(head: Head, body: bytes) -> Request:
     """The request with this head and body; `head` has been checked to be ASCII but for field values."""
     path, _, _ = bytes(head.target).decode("ascii").partition("?")
     headers = {name.decode("ascii"): bytes(value).decode("latin-1") for name, value in head.fields}
@@ -49,7 +49,7 @@
 
 def encode_response(response: Response, keep_alive: bool) -> bytes:
     """Head and body of a response."""
-    lines = [f"HTTP/1.1 {response.status} {REASONS.get(response.status, 'Status')}"]
+    lines = [f"HTTP/1.1 {response.status} {REASON_PHRASES.get(response.status, 'Status')}"]
     lines += [f"{name}: {value}" for name, value in response.headers.items()]
     lines.append(f"Content-Length: {len(response.body)}")
     if not keep_alive:
--- a/reedspoke/control_plane/api/operator_api.py
+++ b/reedspoke/control_plane/api/operator_api.py
@@ -13,16 +13,16 @@
 
 from reedspoke.common.errors import ErrorCode, FleetError
 from reedspoke.control_plane.api.backend import OperatorBackend
-from reedspoke.control_plane.api.call_log import CLIENT_GONE, UNKNOWN_PATH, CompletedCall
+from reedspoke.control_plane.api.call_log import CLIENT_CLOSED_REQUEST, UNKNOWN_PATH, CompletedCall
 from reedspoke.control_plane.api.error_responses import (
-    UNAVAILABLE,
+    SERVICE_UNAVAILABLE,
     UNKNOWN_METHOD,
     error_response,
     method_not_allowed,
 )
 from reedspoke.control_plane.api.http_messages import Request, Response
 from reedspoke.control_plane.api.schemas import Accepted, TallyTotal
-from reedspoke.control_plane.api.tally_calls import TALLY_PATH, TALLY_PREFIX, add_of, tally_name
+from reedspoke.control_plane.api.tally_calls import TALLY_PATH, TALLY_PREFIX, parse_tally_add, tally_name
 
 CONFIGURATION_PATH = "/reedspoke/configuration"
 STATUS_PATH = "/reedspoke/status"
@@ -43,13 +43,13 @@
     needs_majority: bool = True  # at the instant at which the response is given
 
 
-TEMPLATES = {TALLY_PREFIX: TALLY_PATH, EVACUATION_PREFIX: EVACUATION_PATH}
+PATH_TEMPLATES = {TALLY_PREFIX: TALLY_PATH, EVACUATION_PREFIX: EVACUATION_PATH}
 
 
 def served_path(path: str) -> str:
     """The path of OPERATIONS under which a request's path is served; itself where there is none."""
     prefix, _, name = path.rpartition("/")
-    return TEMPLATES.get(prefix + "/", path) if name else path
+    return PATH_TEMPLATES.get(prefix + "/", path) if name else path
 
 
 class OperatorApi:
@@ -99,10 +99,12 @@
             response = error_response(error)
         except asyncio.CancelledError:
             duration_s = clock.time() - started_at
-            self._backend.call_completed(CompletedCall(request, path, CLIENT_GONE, None, duration_s))
+            self._backend.call_completed(
+                CompletedCall(request, path, CLIENT_CLOSED_REQUEST, None, duration_s)
+            )
             raise
         # The majority may have been lost while the call was pending: then no definite answer may leave.
-        definite = response.status != UNAVAILABLE
+        definite = response.status != SERVICE_UNAVAILABLE
         if operation.needs_majority and definite and not self._backend.holds_majority():
             error = FleetError(ErrorCode.NO_QUORUM, "no majority stands behind this machine")
             response = error_response(error)
@@ -144,7 +146,7 @@
 
         Raises FleetError: TALLY_UNCLEAR where it may have counted, any other where nothing was done.
         """
-        add = add_of(request)
+        add = parse_tally_add(request)
         try:
             async with asyncio.timeout(RESPONSE_TIMEOUT_S):
                 await self._backend.add_to_tally(add)
--- a/reedspoke/control_plane/api/tally_calls.py
+++ b/reedspoke/control_plane/api/tally_calls.py
@@ -17,7 +17,7 @@
 MAX_NAME_LENGTH = 128
 MAX_AMOUNT = 2**53  # beyond it, JSON numbers are not exact everywhere
 ID_BYTES = 8
-PLAIN_ID = re.compile("[0-9a-f]{16}")  # such an id is its own number, without a hash
+HEX_ID = re.compile("[0-9a-f]{16}")  # such an id is its own number, without a hash
 
 
 def tally_name(path: str) -> str:
@@ -30,7 +30,7 @@
     return name
 
 
-def add_of(request: Request) -> TallyAdd:
+def parse_tally_add(request: Request) -> TallyAdd:
     """The add that a request asks for. Raises FleetError where its body is not one."""
     name = tally_name(request.path)
     try:
@@ -46,6 +46,6 @@
 
 def id_number(instance_id: str) -> int:
     """The 64-bit number of an id: that which 16 hexadecimal digits write, else a BLAKE2b hash."""
-    if PLAIN_ID.fullmatch(instance_id):
+    if HEX_ID.fullmatch(instance_id):
         return int(instance_id, 16)
     return int.from_bytes(blake2b(instance_id.encode(), digest_size=ID_BYTES).digest(), "big")
--- a/reedspoke/control_plane/delivery/configuration_cache.py
+++ b/reedspoke/control_plane/delivery/configuration_cache.py
@@ -12,7 +12,7 @@
 from reedspoke.common.messages import NO_VERSION, ConfigurationSnapshot, Version, encode
 from reedspoke.control_plane.replication.entry import CommittedConfiguration
 
-MAX_CACHED = 8  # parsed configurations
+MAX_CACHED_CONFIGURATIONS = 8  # parsed configurations
 MAX_CACHED_BYTES = 8 * 1024 * 1024  # of documents; the newest one is cached whatever its size
 
 
@@ -112,7 +112,9 @@
 
     def _evict_oldest(self) -> None:
         size = sum(cached.size for cached in self._cached.values())
-        while len(self._cached) > 1 and (len(self._cached) > MAX_CACHED or size > MAX_CACHED_BYTES):
+        while len(self._cached) > 1 and (
+            len(self._cached) > MAX_CACHED_CONFIGURATIONS or size > MAX_CACHED_BYTES
+        ):
             _, evicted = self._cached.popitem(last=False)
             size -= evicted.size
 
--- a/reedspoke/control_plane/delivery/load_totals.py
+++ b/reedspoke/control_plane/delivery/load_totals.py
@@ -7,21 +7,21 @@
 
 from reedspoke.control_plane.peers.messages import SessionEntry
 
-Running = dict[str, tuple[int, int]]  # requests and prompt tokens in flight, by the worker's instance id
+WorkerLoads = dict[str, tuple[int, int]]  # requests and prompt tokens in flight, by the worker's instance id
 
 
 class LoadTotals:
     """Owns the sums over the newest entry of each data plane node, as of the last `update`."""
 
     def __init__(self) -> None:
-        self._running: Running = {}
-        self._running_of: dict[str, Running] = {}
+        self._running: WorkerLoads = {}
+        self._running_of: dict[str, WorkerLoads] = {}
         self._suspects: Counter[str] = Counter()
         self._suspects_of: dict[str, tuple[str, ...]] = {}
 
     def update(self, entries: Mapping[str, SessionEntry]) -> None:
         """Sum up anew; `entries` has the newest entry of each data plane node by its name."""
-        total: Running = {}
+        total: WorkerLoads = {}
         for entry in entries.values():
             for instance, (requests, tokens) in entry.running.items():
                 all_requests, all_tokens = total.get(instance, (0, 0))
@@ -31,7 +31,7 @@
         self._suspects = Counter(worker for entry in entries.values() for worker in entry.suspects)
         self._suspects_of = {name: entry.suspects for name, entry in entries.items() if entry.suspects}
 
-    def running_except(self, node_name: str) -> Running:
+    def running_except(self, node_name: str) -> WorkerLoads:
         """Requests and prompt tokens in flight at each worker, of all data plane nodes but this one."""
         own = self._running_of.get(node_name)
         if not own:
--- a/reedspoke/control_plane/delivery/membership.py
+++ b/reedspoke/control_plane/delivery/membership.py
@@ -18,11 +18,11 @@
     Version,
     WatchRequest,
 )
-from reedspoke.control_plane.delivery.load_totals import LoadTotals, Running
+from reedspoke.control_plane.delivery.load_totals import LoadTotals, WorkerLoads
 from reedspoke.control_plane.peers.messages import SessionEntry, SessionTable
 from reedspoke.control_plane.replication.view import Member
 
-TABLE_TTL_S = 2.0  # the table of a peer that sends no newer one expires after this
+SESSION_TABLE_TTL_S = 2.0  # the table of a peer that sends no newer one expires after this
 MAX_EDGES = 1024
 MAX_PEERS = 64
 
@@ -34,7 +34,7 @@
     incarnation: str
     zone: str
     received_at: float
-    running: Running
+    running: WorkerLoads
     suspects: tuple[str, ...]
 
     def entry(self, now: float) -> SessionEntry:
@@ -111,7 +111,7 @@
 
     def live_peers(self, now: float) -> tuple[str, ...]:
         """Addresses of the control plane nodes that were heard from of late."""
-        return tuple(address for address, at in self._peer_seen_at.items() if now - at <= TABLE_TTL_S)
+        return tuple(address for address, at in self._peer_seen_at.items() if now - at <= SESSION_TABLE_TTL_S)
 
     # ---- updates ----
 
@@ -179,10 +179,10 @@
             if now - edge.received_at > self._edge_ttl_s:
                 del self._edges[name]
         for address, received in list(self._tables.items()):
-            if now - received.received_at > TABLE_TTL_S:
+            if now - received.received_at > SESSION_TABLE_TTL_S:
                 del self._tables[address]
         for address, seen_at in list(self._peer_seen_at.items()):
-            if now - seen_at > TABLE_TTL_S:
+            if now - seen_at > SESSION_TABLE_TTL_S:
                 del self._peer_seen_at[address]
 
     def _newest_entries(self, now: float) -> dict[str, SessionEntry]:
@@ -193,7 +193,7 @@
             table_age_s = now - received.received_at
             for entry in received.table.entries:
                 idle_s = entry.idle_s + table_age_s
-                expired = idle_s > self._edge_ttl_s + TABLE_TTL_S
+                expired = idle_s > self._edge_ttl_s + SESSION_TABLE_TTL_S
                 if not expired and idle_s < idle.get(entry.node_name, float("inf")):
                     newest[entry.node_name] = entry
                     idle[entry.node_name] = idle_s
--- a/reedspoke/control_plane/graceful_shutdown.py
+++ b/reedspoke/control_plane/graceful_shutdown.py
@@ -10,10 +10,10 @@
 from collections.abc import Callable
 from typing import Protocol
 
-PENDING_CALLS_S = 1.0  # pending calls of operators are awaited for so long
+PENDING_CALLS_TIMEOUT_S = 1.0  # pending calls of operators are awaited for so long
 GRACE_MARGIN_S = 1.0  # the process ends so long before the platform would kill it
 CHECK_INTERVAL_S = 0.05
-MIN_STAY_S = 0.3  # for the others to go on without this replica
+MIN_SHUTDOWN_S = 0.3  # for the others to go on without this replica
 VIEW_PROPAGATION_S = 0.2  # once this replica knows that it is out of the chain, the others know it after this
 
 
@@ -50,10 +50,10 @@
                 last_in_chain_at = clock.time()
 
     def _may_end(self, waited_s: float, out_of_chain_s: float) -> bool:
-        if waited_s < MIN_STAY_S:
+        if waited_s < MIN_SHUTDOWN_S:
             return False
         out_of_chain = out_of_chain_s >= VIEW_PROPAGATION_S
-        if waited_s < PENDING_CALLS_S:
+        if waited_s < PENDING_CALLS_TIMEOUT_S:
             return out_of_chain and not self._replica.pending_calls
         time_is_up = waited_s >= self._grace_s() - GRACE_MARGIN_S
         return time_is_up or out_of_chain or not self._replica.has_staying_peer
--- a/reedspoke/control_plane/peer_exchange.py
+++ b/reedspoke/control_plane/peer_exchange.py
@@ -31,8 +31,8 @@
 from reedspoke.control_plane.workers.worker_list import UNLEASED_TERM
 from reedspoke.telemetry.invariants import Invariant, check
 
-TABLE_INTERVAL_S = 0.4  # between two session tables
-CHANGE_DELAY_S = 0.1  # data plane nodes that come or go within this time are sent in one table
+SESSION_TABLE_INTERVAL_S = 0.4  # between two session tables
+MEMBERSHIP_CHANGE_DELAY_S = 0.1  # data plane nodes that come or go within this time are sent in one table
 
 
 class PeerExchange:
@@ -149,13 +149,13 @@
     def send_table_soon(self) -> None:
         """Send the next table early: a data plane node has come or gone."""
         self._lease.observe_term(self._workers.highest_seen[0])
-        self._next_table_at = min(self._next_table_at, self._loop.time() + CHANGE_DELAY_S)
+        self._next_table_at = min(self._next_table_at, self._loop.time() + MEMBERSHIP_CHANGE_DELAY_S)
 
     def send_table_when_due(self, now: float) -> None:
-        """Send the session table to all peers, every TABLE_INTERVAL_S."""
+        """Send the session table to all peers, every SESSION_TABLE_INTERVAL_S."""
         if now < self._next_table_at:
             return
-        self._next_table_at = now + TABLE_INTERVAL_S
+        self._next_table_at = now + SESSION_TABLE_INTERVAL_S
         self._membership.update_load(now)
         self._refresh_members(now)
         table = self._membership.next_table(now, self._workers.version, self._workers.highest_seen)
--- a/reedspoke/control_plane/process.py
+++ b/reedspoke/control_plane/process.py
@@ -51,8 +51,8 @@
 
 MAINTENANCE_INTERVAL_S = 5.0
 EDGE_TTL_HEARTBEATS = 3.0
-TALLY_OPEN_S = 0.5  # the control log is not held up for longer
-TALLY_DRAIN_S = 1.0  # a node that shuts down waits for so long for others to have its tallies
+TALLY_OPEN_TIMEOUT_S = 0.5  # the control log is not held up for longer
+TALLY_DRAIN_TIMEOUT_S = 1.0  # a node that shuts down waits for so long for others to have its tallies
 DISCOVERY_FAILED_EXIT_STATUS = 1
 
 
@@ -188,7 +188,7 @@
             await self._api.listen(settings.bind.control_plane)
         self._tallies.start()
         # The control log is made after that of the tallies: one without the other is of an earlier version.
-        await self._tallies.wait_until_open(TALLY_OPEN_S)
+        await self._tallies.wait_until_open(TALLY_OPEN_TIMEOUT_S)
         self._driver.start()
         discovery = self._loop.create_task(self._discovery.run())
         discovery.add_done_callback(self._discovery_ended)
@@ -211,7 +211,7 @@
         log(INFO, "shutting down")
         self._exchange.release_lease()
         self._driver.start_shutdown()
-        await self._tallies.drain(TALLY_DRAIN_S)
+        await self._tallies.drain(TALLY_DRAIN_TIMEOUT_S)
         await GracefulShutdown(self._driver, self._exchange.is_in_chain, self._grace_s).wait()
         self._sessions.close()
         self._api.close()
--- a/reedspoke/control_plane/quota/allocator.py
+++ b/reedspoke/control_plane/quota/allocator.py
@@ -23,8 +23,8 @@
 
 LOAN_TIMEOUT_S = 0.02  # requests wait for loans no longer than this
 BORROWING_BACKOFF_S = 0.1  # until a tenant's units are borrowed again, where the loans brought too little
-START_UP_S = 1.5  # after its start a bucket is empty for want of time, not of quota
-SCARCITY_S = 0.2  # for so long after a refusal a tenant's units count as scarce here
+STARTUP_PERIOD_S = 1.5  # after its start a bucket is empty for want of time, not of quota
+SCARCITY_PERIOD_S = 0.2  # for so long after a refusal a tenant's units count as scarce here
 REFRESH_INTERVAL_S = 0.5  # a share that has changed is known to all buckets after this
 MAX_PENDING_REQUESTS = 64  # of a tenant, that wait for loans
 LOAN_REQUEST_FACTOR = 3.0  # what is requested in all, against what is lacking: not all lend
@@ -73,7 +73,7 @@
 
     def is_scarce(self, now: float) -> bool:
         """Whether units were lacking here of late."""
-        return now - self.refused_at < SCARCITY_S
+        return now - self.refused_at < SCARCITY_PERIOD_S
 
 
 class QuotaAllocator:
@@ -246,7 +246,7 @@
         quota.refused_at = now
         wait_s = quota.bucket.wait_s(pending.request.units)
         retry_after_s = min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, wait_s))
-        is_starting = now - self._started_at < START_UP_S
+        is_starting = now - self._started_at < STARTUP_PERIOD_S
         outcome = QuotaOutcome.UNAVAILABLE if is_starting else QuotaOutcome.SPENT
         response = QuotaResponse(pending.request.request_id, outcome, retry_after_s)
         return SendResponse(pending.requester, response)
--- a/reedspoke/control_plane/quota/share.py
+++ b/reedspoke/control_plane/quota/share.py
@@ -40,7 +40,7 @@
             return cached
         if len(self.owners) >= MAX_CACHED_TENANTS:
             self.owners.clear()
-        owners = self.owners[tenant] = owners_of(tenant, self.addresses)
+        owners = self.owners[tenant] = tenant_owners(tenant, self.addresses)
         return owners
 
 
@@ -88,7 +88,7 @@
             self._voter_sets.popleft()
 
 
-def owners_of(tenant: str, voters: frozenset[str]) -> frozenset[str]:
+def tenant_owners(tenant: str, voters: frozenset[str]) -> frozenset[str]:
     """Those of the voters that share this tenant's quota."""
     ranked = sorted(voters, key=lambda address: blake2b(f"{tenant}/{address}".encode()).digest())
     return frozenset(ranked[:OWNERS_PER_TENANT])
--- a/reedspoke/control_plane/settings_watcher.py
+++ b/reedspoke/control_plane/settings_watcher.py
@@ -31,7 +31,7 @@
         self.settings = settings
         self._path = path
         self._on_reload = on_reload
-        self._stamp = stamp_of(path)
+        self._stamp = read_file_stamp(path)
         self._next_check_at = 0.0
 
     def check(self, now: float) -> None:
@@ -39,12 +39,12 @@
         if now < self._next_check_at:
             return
         self._next_check_at = now + CHECK_INTERVAL_S
-        if self._stamp != stamp_of(self._path):
+        if self._stamp != read_file_stamp(self._path):
             self.reload()
 
     def reload(self) -> None:
         """Reload the file; settings that cannot be used are logged, and the previous ones stay in force."""
-        self._stamp = stamp_of(self._path)
+        self._stamp = read_file_stamp(self._path)
         try:
             settings = load_settings(self._path)
         except FleetError as error:
@@ -54,7 +54,7 @@
         self._on_reload(previous, settings)
 
 
-def stamp_of(path: Path) -> FileStamp | None:
+def read_file_stamp(path: Path) -> FileStamp | None:
     """The stamp of a file; None where there is none."""
     try:
         status = path.stat()
--- a/reedspoke/control_plane/workers/discovery.py
+++ b/reedspoke/control_plane/workers/discovery.py
@@ -20,7 +20,7 @@
 
 POLL_INTERVAL_S = 0.8  # between polls of the full list; each call has a price
 RETRY_BACKOFF_S = 0.25  # after a call that failed
-MAX_FAILING_S = 1.0  # a holder whose calls fail for longer gives the lease to another
+MAX_FAILURE_PERIOD_S = 1.0  # a holder whose calls fail for longer gives the lease to another
 RATE_SHARE = 0.8  # of the platform's rate, as the holder before may have called just now
 MIN_RATE_PER_S = 0.1
 MAX_PAGES = 200
@@ -178,7 +178,7 @@
         if self._failing_since is None:
             log(WARNING, "platform listing failed", reason=reason)
             self._failing_since = now
-        elif now - self._failing_since > MAX_FAILING_S and self._lease.is_held(now):
+        elif now - self._failing_since > MAX_FAILURE_PERIOD_S and self._lease.is_held(now):
             log(WARNING, "discovery lease released", term=self._lease.term)
             self._send(self._lease.step_down(now))
             self.check_lease()
--- a/tests/control_plane_process/test_configuration_cache.py
+++ b/tests/control_plane_process/test_configuration_cache.py
@@ -14,7 +14,7 @@
 from reedspoke.common.errors import FleetError
 from reedspoke.common.messages import ConfigurationDelta, ConfigurationSnapshot, Version, decode
 from reedspoke.control_plane.delivery import configuration_cache
-from reedspoke.control_plane.delivery.configuration_cache import MAX_CACHED, ConfigurationCache
+from reedspoke.control_plane.delivery.configuration_cache import MAX_CACHED_CONFIGURATIONS, ConfigurationCache
 from reedspoke.control_plane.replication.entry import CommittedConfiguration
 from tests.control_plane_process.stand_ins import configuration_document
 
@@ -86,7 +86,7 @@
     assert cache.encoded_update((VIEW, 1)) is cache.encoded_update((VIEW, 1))
 
 
-@given(st.lists(st.integers(1, 40), min_size=2, max_size=MAX_CACHED + 4))
+@given(st.lists(st.integers(1, 40), min_size=2, max_size=MAX_CACHED_CONFIGURATIONS + 4))
 def test_an_update_for_any_version_leads_to_the_newest(sizes: list[int]) -> None:
     cache = ConfigurationCache()
     held = []
--- a/tests/control_plane_process/test_http_server_edges.py
+++ b/tests/control_plane_process/test_http_server_edges.py
@@ -147,7 +147,7 @@
 
 def test_a_client_that_does_not_close_its_side_is_aborted(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(http_server, "SWEEP_INTERVAL_S", 0.02)
-    monkeypatch.setattr(http_connection, "LINGER_S", 0.1)
+    monkeypatch.setattr(http_connection, "LINGER_TIMEOUT_S", 0.1)
 
     async def scene(operators: Operators, address: tuple[str, int]) -> None:
         reader, writer = await asyncio.open_connection(*address)
--- a/tests/control_plane_process/test_membership.py
+++ b/tests/control_plane_process/test_membership.py
@@ -6,8 +6,8 @@
 from hypothesis import strategies as st
 
 from reedspoke.common.messages import ControlMember, EdgeMember, WatchRequest
-from reedspoke.control_plane.delivery.load_totals import Running
-from reedspoke.control_plane.delivery.membership import TABLE_TTL_S, Membership
+from reedspoke.control_plane.delivery.load_totals import WorkerLoads
+from reedspoke.control_plane.delivery.membership import SESSION_TABLE_TTL_S, Membership
 from reedspoke.control_plane.peers.messages import SessionEntry, SessionTable
 from reedspoke.control_plane.replication.view import Member
 
@@ -18,7 +18,7 @@
 
 
 def watch(
-    name: str, incarnation: str = "1", running: Running | None = None, suspects: tuple[str, ...] = ()
+    name: str, incarnation: str = "1", running: WorkerLoads | None = None, suspects: tuple[str, ...] = ()
 ) -> WatchRequest:
     return WatchRequest(1, name, incarnation, "zx", {}, running or {}, suspects=suspects)
 
@@ -28,7 +28,7 @@
 
 
 def entry(
-    name: str, idle_s: float = 0.0, running: Running | None = None, incarnation: str = "1"
+    name: str, idle_s: float = 0.0, running: WorkerLoads | None = None, incarnation: str = "1"
 ) -> SessionEntry:
     return SessionEntry(name, incarnation, "zx", idle_s, running or {})
 
@@ -84,8 +84,8 @@
     members.refresh(0.0)
     assert names(members) == ["e1", "e2"]
     assert members.workers_version_at("10.0.0.2:1") == (1, 2)
-    members.update_edge(watch("e1"), TABLE_TTL_S)
-    members.refresh(TABLE_TTL_S + 0.1)
+    members.update_edge(watch("e1"), SESSION_TABLE_TTL_S)
+    members.refresh(SESSION_TABLE_TTL_S + 0.1)
     assert names(members) == ["e1"]
     assert members.workers_version_at("10.0.0.2:1") == NONE
 
@@ -146,7 +146,7 @@
     members.peer_seen("stranger", 0.0)
     members.refresh(0.0)
     assert list(members.members.control) == [OWN, ControlMember("p2", "zb")]
-    members.refresh(TABLE_TTL_S + 0.1)
+    members.refresh(SESSION_TABLE_TTL_S + 0.1)
     assert list(members.members.control) == [OWN]
 
 
@@ -156,7 +156,7 @@
 
 
 @given(st.lists(RUNNING, max_size=4), st.lists(RUNNING, max_size=4))
-def test_the_sum_for_an_edge_is_that_of_all_others(here: list[Running], there: list[Running]) -> None:
+def test_the_sum_for_an_edge_is_that_of_all_others(here: list[WorkerLoads], there: list[WorkerLoads]) -> None:
     members = membership()
     for number, running in enumerate(here):
         members.update_edge(watch(f"h{number}", running=running), 0.0)
@@ -166,7 +166,7 @@
     everybody = {f"h{number}": running for number, running in enumerate(here)}
     everybody |= {f"t{number}": running for number, running in enumerate(there)}
     for asker in everybody:
-        expected: Running = {}
+        expected: WorkerLoads = {}
         for name, running in everybody.items():
             if name != asker:
                 for instance, (requests, tokens) in running.items():
@@ -176,7 +176,7 @@
         assert _without_zeros(got) == _without_zeros(expected)
 
 
-def _without_zeros(running: Running) -> Running:
+def _without_zeros(running: WorkerLoads) -> WorkerLoads:
     return {instance: load for instance, load in running.items() if load != (0, 0)}
 
 
--- a/tests/control_plane_process/test_operator_api.py
+++ b/tests/control_plane_process/test_operator_api.py
@@ -12,7 +12,7 @@
 from reedspoke.common.configuration_parsing import parse_configuration
 from reedspoke.common.errors import ErrorCode, FleetError
 from reedspoke.control_plane.api import operator_api
-from reedspoke.control_plane.api.call_log import CLIENT_GONE, UNKNOWN_PATH, CompletedCall
+from reedspoke.control_plane.api.call_log import CLIENT_CLOSED_REQUEST, UNKNOWN_PATH, CompletedCall
 from reedspoke.control_plane.api.error_responses import http_status_of
 from reedspoke.control_plane.api.http_messages import Request, Response
 from reedspoke.control_plane.api.operator_api import EVACUATION_PATH, OPERATIONS, OperatorApi
@@ -274,7 +274,7 @@
         await asyncio.gather(call, return_exceptions=True)
 
     asyncio.run(leave())
-    assert [call.status for call in backend.completed] == [CLIENT_GONE]
+    assert [call.status for call in backend.completed] == [CLIENT_CLOSED_REQUEST]
 
 
 TALLY = "/reedspoke/tallies/t3"
--- a/tests/control_plane_process/test_quota_allocator.py
+++ b/tests/control_plane_process/test_quota_allocator.py
@@ -14,7 +14,7 @@
     MAX_PENDING_REQUESTS,
     MAX_RETRY_AFTER_S,
     MIN_RETRY_AFTER_S,
-    START_UP_S,
+    STARTUP_PERIOD_S,
     QuotaAllocator,
     QuotaEffect,
     SendResponse,
@@ -71,8 +71,8 @@
     harness.allocator = QuotaAllocator(RULE, harness.allocator._share, lambda: START, lambda: (), START)
     harness.configure()
     assert outcomes(harness.request(1.0)) == [QuotaOutcome.UNAVAILABLE]
-    harness.now = harness.majority_as_of = START + START_UP_S
-    harness.allocator._majority_as_of = lambda: START + START_UP_S
+    harness.now = harness.majority_as_of = START + STARTUP_PERIOD_S
+    harness.allocator._majority_as_of = lambda: START + STARTUP_PERIOD_S
     assert outcomes(harness.request(1e9)) == [QuotaOutcome.SPENT]
 
 
--- a/tests/control_plane_process/test_quota_share.py
+++ b/tests/control_plane_process/test_quota_share.py
@@ -9,7 +9,7 @@
     SHARE_LEASE_MARGIN_S,
     SHARE_LEASE_TTL_S,
     QuotaShare,
-    owners_of,
+    tenant_owners,
 )
 
 TENANT = "t"
@@ -81,19 +81,19 @@
         sorted(shares.values())
         == [0.0] * (len(MANY) - OWNERS_PER_TENANT) + [1 / OWNERS_PER_TENANT] * OWNERS_PER_TENANT
     )
-    assert {own for own, owned in shares.items() if owned} == owners_of(TENANT, MANY)
+    assert {own for own, owned in shares.items() if owned} == tenant_owners(TENANT, MANY)
 
 
 def test_other_tenants_have_other_owners() -> None:
-    owned = [owners_of(f"t{number}", MANY) for number in range(200)]
+    owned = [tenant_owners(f"t{number}", MANY) for number in range(200)]
     counts = [sum(own in owners for owners in owned) for own in MANY]
     assert min(counts) > 0.5 * max(counts)
 
 
 def test_a_new_owner_waits_until_the_one_before_it_has_stopped() -> None:
-    gone = min(owners_of(TENANT, MANY))
+    gone = min(tenant_owners(TENANT, MANY))
     left = MANY - {gone}
-    (new,) = owners_of(TENANT, left) - owners_of(TENANT, MANY)
+    (new,) = tenant_owners(TENANT, left) - tenant_owners(TENANT, MANY)
     share = quota_share(new, MANY)
     share.set_voters(left, 100.0)
     assert share.share(TENANT, 100.0 + SHARE_LEASE_TTL_S - 0.1, 102.0) == 0.0
@@ -101,7 +101,7 @@
 
 
 def test_who_owns_nothing_knows_who_does() -> None:
-    owners = owners_of(TENANT, MANY)
+    owners = tenant_owners(TENANT, MANY)
     (other,) = sorted(MANY - owners)[:1]
     assert set(quota_share(other, MANY).other_owners(TENANT)) == owners
     first = min(owners)
--- a/tests/control_plane_process/test_worker_discovery.py
+++ b/tests/control_plane_process/test_worker_discovery.py
@@ -31,7 +31,7 @@
 def _short_times(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(discovery, "POLL_INTERVAL_S", 0.05)
     monkeypatch.setattr(discovery, "RETRY_BACKOFF_S", 0.02)
-    monkeypatch.setattr(discovery, "MAX_FAILING_S", 0.2)
+    monkeypatch.setattr(discovery, "MAX_FAILURE_PERIOD_S", 0.2)
     monkeypatch.setattr(platform_client, "CALL_TIMEOUT_S", 0.3)
 
 
