--- a/reedspoke/control_plane/__main__.py
+++ b/reedspoke/control_plane/__main__.py
@@ -1,4 +1,4 @@
-"""`python3 -m reedspoke.control_plane`: run a control scheduler by the settings file."""
+"""`python3 -m reedspoke.control_plane`: run a control plane node with the settings file."""
 
 from __future__ import annotations
 
@@ -8,7 +8,11 @@
 
 
 def run() -> int:
-    """Exit status, as `program.main` has it. The program is imported once signals are remembered."""
+    """Run the program and return its exit status.
+
+    The program is imported after the signal handlers are installed, so that a signal during the import is
+    not lost.
+    """
     remember_signals()
     from reedspoke.control_plane.program import main
 
--- a/reedspoke/control_plane/api/backend.py
+++ b/reedspoke/control_plane/api/backend.py
@@ -1,4 +1,4 @@
-"""What the operator API needs of the process that serves it."""
+"""The interface between the operator API and the process that serves it."""
 
 from __future__ import annotations
 
@@ -13,40 +13,44 @@
 
 
 class OperatorBackend(Protocol):
-    """Carries out the operators' calls."""
+    """Executes the operators' calls."""
 
     def validate(self, document: bytes) -> Awaitable[Configuration]:
-        """Parse a configuration. Raises FleetError, when awaited, where it is invalid."""
+        """Parse a configuration. The awaitable raises FleetError if it is invalid."""
 
     def put(self, match: int, generation: int, document: bytes) -> Awaitable[PutCompleted]:
         """Replicate the configuration if the newest generation is `match`.
 
-        Raises FleetError where that cannot be tried.
+        Raises FleetError if the replication cannot be attempted.
         """
 
     def get(self) -> Awaitable[GetCompleted]:
-        """Read the newest configuration. Raises FleetError where that cannot be tried."""
+        """Read the newest configuration. Raises FleetError if the read cannot be attempted."""
 
     def add_to_tally(self, add: TallyAdd) -> Awaitable[None]:
-        """Count an add once, at this node and those it can reach.
+        """Apply an addition to a tally exactly once, at this node and the nodes that it can reach.
 
-        Raises FleetError: TALLY_UNCLEAR where it may have counted, any other where nothing was done.
+        Raises FleetError: with TALLY_UNCLEAR the addition may have been applied, with any other code it was
+        not.
         """
 
     def tally_total(self, tally: str) -> int:
-        """The sum of a tally's adds, as far as this node knows them. Raises FleetError while it is behind."""
+        """Return the sum of a tally's additions that this node knows.
+
+        Raises FleetError while this node is still catching up.
+        """
 
     def order_evacuation(self, zone: str, evacuated: bool) -> Awaitable[None]:
-        """Evacuate a zone, or withdraw that; done again, it changes nothing.
+        """Order the evacuation of a zone, or withdraw the order. The operation is idempotent.
 
-        Raises FleetError: TALLY_UNCLEAR where the order may be in force, any other where nothing was done.
+        Raises FleetError: with TALLY_UNCLEAR the order may be in force, with any other code it is not.
         """
 
     def holds_majority(self) -> bool:
-        """Whether a majority of voters stands behind this node at this instant."""
+        """Return whether this node currently has contact with a majority of voters."""
 
     def status(self) -> StatusAnswer:
-        """The state of this node."""
+        """Return the state of this node."""
 
     def call_completed(self, call: CompletedCall) -> None:
-        """Take note of a call that has its response."""
+        """Record a call whose response is determined."""
--- a/reedspoke/control_plane/api/call_log.py
+++ b/reedspoke/control_plane/api/call_log.py
@@ -1,4 +1,4 @@
-"""Completed calls of operators: their metrics and log lines."""
+"""Metrics and log lines of the operators' completed calls."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
 CALL_EVENT = "operator call"
 CONNECTION_REFUSED_EVENT = "operator connection refused"
 MALFORMED_EVENT = "operator request malformed"
-UNKNOWN_PATH = "unknown"  # label of a path that nothing serves: callers must not be able to add labels
-CLIENT_CLOSED_REQUEST = 499  # status of a call whose caller has closed the connection before its response
+UNKNOWN_PATH = "unknown"  # One label for all unserved paths: callers must not be able to create labels.
+CLIENT_CLOSED_REQUEST = 499  # status of a call whose client closed the connection before the response
 DURATION_BUCKETS_S = (0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0)
 SUCCESS = 200
 
 
 class CompletedCall(Struct, frozen=True):
-    """A call of an operator with its response; `error` is None for a success.
+    """An operator's call and its result. `error` is None for a success.
 
-    `path` is the served path as the API describes it, or UNKNOWN_PATH.
+    `path` is the path template under which the API serves the request, or UNKNOWN_PATH.
     """
 
     request: Request
@@ -36,12 +36,12 @@
 
     @property
     def code(self) -> ErrorCode | None:
-        """The code of the error, if there was one."""
+        """The code of the error, or None for a success."""
         return None if self.error is None else self.error.code
 
 
 class OperatorCallLog:
-    """Counts the operators' calls, and logs each change and each read that failed."""
+    """Counts the operators' calls. Logs every change, and reads and tally calls that failed."""
 
     def __init__(self, registry: Registry, rate_limiter: LogRateLimiter) -> None:
         self._rate_limiter = rate_limiter
@@ -61,7 +61,7 @@
         )
 
     def call_completed(self, call: CompletedCall) -> None:
-        """Count a call, and log it where it was a change or failed."""
+        """Count a call, and log it if it was a change or failed."""
         request = call.request
         code = "" if call.code is None else str(int(call.code))
         self._calls.add(request.method, call.path, str(call.status), code)
@@ -71,13 +71,13 @@
             self._log(call)
 
     def connection_refused(self, open_connections: int) -> None:
-        """Count and log a connection that was closed unread, as too many are open."""
+        """Count and log a connection that was closed unread because too many connections are open."""
         self._refused.add()
         if self._rate_limiter.allows():
             log(WARNING, CONNECTION_REFUSED_EVENT, open=open_connections)
 
     def request_malformed(self, status: int, message: str) -> None:
-        """Count and log a request that could not be read, with the status that it was answered."""
+        """Count and log a malformed request with the status of its response."""
         self._malformed.add(str(status))
         if self._rate_limiter.allows():
             log(WARNING, MALFORMED_EVENT, status=status, message=message)
@@ -90,7 +90,10 @@
 
 
 def _log_fields(call: CompletedCall) -> dict[str, object]:
-    """The fields of a call's line; the body is identified by its size and CRC-32, as it may hold keys."""
+    """Return the fields of a call's log line.
+
+    The body may contain API keys, so only its size and CRC-32 are logged.
+    """
     request = call.request
     fields: dict[str, object] = {"method": request.method, "path": request.path, "status": call.status}
     if call.error is not None:
--- a/reedspoke/control_plane/api/error_responses.py
+++ b/reedspoke/control_plane/api/error_responses.py
@@ -1,4 +1,4 @@
-"""Errors of the operator API as HTTP responses."""
+"""Maps errors of the operator API to HTTP responses."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 from reedspoke.control_plane.api.schemas import ErrorAnswer, ErrorDetail
 
 SERVICE_UNAVAILABLE = 503
-GATEWAY_TIMEOUT = 504  # the call may have taken effect, or may yet
-TOO_MANY_REQUESTS = 429  # nothing was done, and nothing will be until there is room
+GATEWAY_TIMEOUT = 504  # The call may have taken effect, or may still take effect.
+TOO_MANY_REQUESTS = 429  # The call had no effect, and a retry fails until there is capacity.
 RETRY_AFTER_S = "0.1"
-UNKNOWN_METHOD = "unknown method for this path"
+UNKNOWN_METHOD = "method not allowed for this path"
 
 STATUS_BY_CODE = {
     ErrorCode.CONFIGURATION_UNREADABLE: 400,
@@ -38,12 +38,18 @@
 
 
 def http_status_of(code: ErrorCode) -> int:
-    """The HTTP status for an error: 503 unless another node, or a later attempt, would fail as well."""
+    """Return the HTTP status for an error.
+
+    Errors that may not occur at another node or on a later attempt have status 503.
+    """
     return STATUS_BY_CODE.get(code, SERVICE_UNAVAILABLE)
 
 
 def error_response(error: FleetError) -> Response:
-    """The response for an error; one that promises that nothing was done has Retry-After."""
+    """Return the response for an error.
+
+    It has Retry-After if its status is 429 or 503, which tell the client to retry.
+    """
     status = http_status_of(error.code)
     response = Response(status, _error_body(error.code, error.message))
     if status in (SERVICE_UNAVAILABLE, TOO_MANY_REQUESTS):
@@ -52,14 +58,14 @@
 
 
 def malformed_request_body(status: int, message: str) -> bytes:
-    """The body of the response to a request that could not be read, by the HTTP status and its cause."""
+    """Return the response body for a malformed request, from the HTTP status and the parser's message."""
     too_large = status == STATUS_BY_CODE[ErrorCode.CONFIGURATION_TOO_LARGE]
     code = ErrorCode.CONFIGURATION_TOO_LARGE if too_large else ErrorCode.MALFORMED_REQUEST
     return _error_body(code, message)
 
 
 def method_not_allowed(allowed: list[str]) -> Response:
-    """The response to a method that the path does not have."""
+    """Return the response to a request whose method the path does not support."""
     response = Response(405, _error_body(ErrorCode.MALFORMED_REQUEST, UNKNOWN_METHOD))
     response.headers["Allow"] = ", ".join(allowed)
     return response
--- a/reedspoke/control_plane/api/http_connection.py
+++ b/reedspoke/control_plane/api/http_connection.py
@@ -1,8 +1,8 @@
-"""One connection of an HTTP client: keep-alive, bodies by length or in chunks, one request at a time.
+"""One HTTP server connection with keep-alive, Content-Length and chunked bodies, and one request at a time.
 
-A connection reads a request, pauses reading while the handler runs, writes the response and goes on with what
-has come meanwhile. After its last response it lingers: the write side is closed, and what still comes is
-discarded.
+A connection reads a request, pauses reading while the handler runs, writes the response, and continues with
+the bytes received meanwhile. After the last response it uses a lingering close: the write side is shut down,
+and received bytes are discarded.
 """
 
 from __future__ import annotations
@@ -17,61 +17,63 @@
 from reedspoke.net.http import Buffer, Head, MalformedError, Requests
 
 MAX_BODY_BYTES = 8 * 1024 * 1024
-MAX_ALLOCATION_BYTES = 256 * 1024  # made ready at once for a body that may never come
+MAX_ALLOCATION_BYTES = 256 * 1024  # the most buffer space allocated ahead for a body that may never arrive
 IDLE_TIMEOUT_S = 30.0
 REQUEST_TIMEOUT_S = 10.0  # from the first byte of a request to its last
-LINGER_TIMEOUT_S = 2.0  # what a client still sends after its last response is discarded for so long,
-MAX_DISCARDED_BYTES = 2 * MAX_BODY_BYTES  # and so much of it: a reset at once could destroy that response
+# After the last response, data of the client is discarded up to these limits. An immediate reset could
+# destroy the response before the client has read it.
+LINGER_TIMEOUT_S = 2.0
+MAX_DISCARDED_BYTES = 2 * MAX_BODY_BYTES
 
 Handler = Callable[[Request], Awaitable[Response]]
-ErrorBody = Callable[[int, str], bytes]  # by status and message of a request that is no proper HTTP
+ErrorBody = Callable[[int, str], bytes]  # builds a response body from a status and an error message
 
 
 class ConnectionOwner(Protocol):
-    """What a connection needs of its server."""
+    """The interface of the server that a connection belongs to."""
 
     handler: Handler
     error_body: ErrorBody
     closing: bool
 
     def connection_opened(self, connection: HttpConnection) -> bool:
-        """Register a connection; False where there are too many."""
+        """Register a connection. Returns False if too many are open."""
 
     def request_malformed(self, status: int, message: str) -> None:
-        """Take note of a request that is no proper HTTP, and of its status."""
+        """Record a malformed HTTP request and the status of its response."""
 
     def connection_closed(self, connection: HttpConnection) -> None:
-        """Remove a connection that is over."""
+        """Remove a closed connection."""
 
 
 class HttpConnection(asyncio.BufferedProtocol):
-    """The protocol of one connection; asyncio calls its first methods."""
+    """The asyncio protocol of one connection."""
 
     def __init__(self, server: ConnectionOwner) -> None:
         self._server = server
         self._buffer = Buffer()
         self._requests = Requests(self._buffer, MAX_BODY_BYTES)
-        self._head: Head | None = None  # of the request whose body is coming in
+        self._head: Head | None = None  # of the request whose body is being received
         self._transport: asyncio.Transport | None = None
-        self._task: asyncio.Task[None] | None = None  # the handler's
+        self._task: asyncio.Task[None] | None = None  # runs the handler
         self._loop = asyncio.get_running_loop()
-        self._lingering: LingeringClose | None = None  # the last response is written
-        self._active_at = self._loop.time()  # the first byte of a request, or the last response
+        self._lingering: LingeringClose | None = None  # set once the last response is written
+        self._active_at = self._loop.time()  # time of a request's first byte or of the last response
 
     # ---- called by asyncio ----
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Register with the server."""
+        """Register with the server, or abort if it has too many connections."""
         self._transport = cast(asyncio.Transport, transport)
         if not self._server.connection_opened(self):
             self._transport.abort()
 
     def get_buffer(self, sizehint: int) -> memoryview:
-        """Room for the next bytes."""
+        """Return buffer space for the next bytes."""
         return self._buffer.room(min(self._requests.wanted(), MAX_ALLOCATION_BYTES))
 
     def buffer_updated(self, nbytes: int) -> None:
-        """Read on with `nbytes` more bytes in the buffer."""
+        """Process `nbytes` more bytes in the buffer."""
         if self._lingering is not None:
             self._lingering.discard(nbytes)
             return
@@ -81,12 +83,13 @@
         self._advance()
 
     def eof_received(self) -> bool:
-        """Close the connection."""
+        """Close the connection when the client shuts down its write side."""
         return False
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Cancel the handler: nobody waits for its response, nor for those of requests that are in the
-        buffer.
+        """Cancel the handler, because no client waits for its response any more.
+
+        Pipelined requests in the buffer are not run for the same reason.
         """
         self._server.connection_closed(self)
         self._transport = None
@@ -96,17 +99,17 @@
     # ---- called by the server ----
 
     def is_overdue(self, now: float) -> bool:
-        """Whether the connection has been idle, or a request incomplete, for too long."""
+        """Return whether the connection has been idle, or a request incomplete, for too long."""
         if self._task is not None:
             return False
         return now - self._active_at > self._timeout_s()
 
     def abort(self) -> None:
-        """End the connection at once."""
+        """Abort the connection without sending buffered data."""
         if self._transport is not None:
             self._transport.abort()
 
-    # ---- inside ----
+    # ---- internal ----
 
     def _timeout_s(self) -> float:
         if self._lingering is not None:
@@ -115,7 +118,7 @@
         return REQUEST_TIMEOUT_S if incomplete else IDLE_TIMEOUT_S
 
     def _advance(self) -> None:
-        """Start the handler if the bytes in the buffer complete a request."""
+        """Start the handler if the buffer contains a complete request."""
         if self._task is not None or self._transport is None:
             return
         try:
@@ -148,7 +151,7 @@
     async def _handle(self, request: Request, keep_alive: bool) -> None:
         try:
             response = await self._server.handler(request)
-        except Exception as error:  # one request must not end the process
+        except Exception as error:  # An unexpected error in one request must not end the process.
             log(ERROR, "operator call failed", error=repr(error), path=request.path)
             response = Response(500, self._server.error_body(500, "internal error"))
         self._task = None
@@ -169,7 +172,7 @@
             self._loop.call_soon(self._advance)
 
     def _linger(self, transport: asyncio.Transport) -> None:
-        """Leave the end of the connection to the client, which has read its response by then."""
+        """Wait for the client to close the connection, which it does after it has read the response."""
         self._lingering = LingeringClose(transport, MAX_DISCARDED_BYTES)
         self._lingering.begin()
 
--- a/reedspoke/control_plane/api/http_messages.py
+++ b/reedspoke/control_plane/api/http_messages.py
@@ -1,4 +1,4 @@
-"""Requests and responses of the HTTP server, and their bytes."""
+"""Requests and responses of the HTTP server, and their encoding."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class Request(Struct):
-    """A complete request; header names are in lower case, and the path is without its query."""
+    """A complete request. Header names are in lower case, and the path excludes the query string."""
 
     method: str
     path: str
@@ -33,7 +33,7 @@
 
 
 class Response(Struct):
-    """A response; Content-Length is added when it is sent."""
+    """A response. Content-Length is added when the response is encoded."""
 
     status: int
     body: bytes
@@ -41,14 +41,14 @@
 
 
 def build_request(head: Head, body: bytes) -> Request:
-    """The request with this head and body; `head` has been checked to be ASCII but for field values."""
+    """Build a request. The parser has checked that `head` is ASCII except for its field values."""
     path, _, _ = bytes(head.target).decode("ascii").partition("?")
     headers = {name.decode("ascii"): bytes(value).decode("latin-1") for name, value in head.fields}
     return Request(head.method.decode("ascii"), path, headers, body)
 
 
 def encode_response(response: Response, keep_alive: bool) -> bytes:
-    """Head and body of a response."""
+    """Return the bytes of a response, head and body."""
     lines = [f"HTTP/1.1 {response.status} {REASON_PHRASES.get(response.status, 'Status')}"]
     lines += [f"{name}: {value}" for name, value in response.headers.items()]
     lines.append(f"Content-Length: {len(response.body)}")
--- a/reedspoke/control_plane/api/http_server.py
+++ b/reedspoke/control_plane/api/http_server.py
@@ -1,4 +1,4 @@
-"""A small HTTP/1.1 server on asyncio. It owns the listening socket and the set of open connections."""
+"""A small asyncio HTTP/1.1 server. It owns the listening socket and the set of open connections."""
 
 from __future__ import annotations
 
@@ -9,23 +9,23 @@
 from reedspoke.control_plane.api.http_connection import ErrorBody, Handler, HttpConnection
 
 MAX_CONNECTIONS = 256
-SWEEP_INTERVAL_S = 2.0  # between two searches for connections that are overdue
+SWEEP_INTERVAL_S = 2.0  # interval between checks for connections that have timed out
 
 
 class RefusalObserver(Protocol):
-    """Is told of what ends before it reaches the handler."""
+    """Observes connections and requests that are refused before they reach the handler."""
 
     def connection_refused(self, open_connections: int) -> None:
-        """A connection beyond the limit was closed unread."""
+        """Record that a connection beyond the limit was closed unread."""
 
     def request_malformed(self, status: int, message: str) -> None:
-        """A request that is no proper HTTP was answered with this status."""
+        """Record that a malformed HTTP request was answered with this status."""
 
 
 class HttpServer:
-    """Listens, and passes complete requests to the handler.
+    """Listens for connections and passes complete requests to the handler.
 
-    `error_body` makes the body of the response to a request that is no proper HTTP.
+    `error_body` builds the response body for a malformed HTTP request.
     """
 
     def __init__(
@@ -34,14 +34,14 @@
         self.handler = handler
         self.error_body = error_body
         self.observer = observer
-        self.closing = False  # every response ends its connection
+        self.closing = False  # while set, each connection is closed after its next response
         self._connections: set[HttpConnection] = set()
         self._server: asyncio.Server | None = None
         self._loop = asyncio.get_running_loop()
         self._next_sweep: asyncio.TimerHandle | None = None
 
     async def listen(self, address: str) -> None:
-        """Listen at `ip:port`. Raises OSError where that port is taken."""
+        """Listen at `ip:port`. Raises OSError if the port is already in use."""
         host, port = split_address(address)
         self._server = await self._loop.create_server(lambda: HttpConnection(self), host, port)
         self._sweep()
@@ -56,7 +56,7 @@
             connection.abort()
 
     def connection_opened(self, connection: HttpConnection) -> bool:
-        """Register a connection; False where there are too many."""
+        """Register a connection. Returns False if too many are open."""
         if len(self._connections) >= MAX_CONNECTIONS:
             if self.observer is not None:
                 self.observer.connection_refused(len(self._connections))
@@ -65,12 +65,12 @@
         return True
 
     def request_malformed(self, status: int, message: str) -> None:
-        """Pass on that a request is no proper HTTP."""
+        """Report a malformed HTTP request to the observer."""
         if self.observer is not None:
             self.observer.request_malformed(status, message)
 
     def connection_closed(self, connection: HttpConnection) -> None:
-        """Remove a connection that is over."""
+        """Remove a closed connection."""
         self._connections.discard(connection)
 
     def _sweep(self) -> None:
--- a/reedspoke/control_plane/api/operator_api.py
+++ b/reedspoke/control_plane/api/operator_api.py
@@ -1,5 +1,6 @@
-"""The calls of operators and applications: configuration, status, tallies. `openapi/operator.json` describes
-them.
+"""The operations of the HTTP API: configuration, status, tallies and evacuation of zones.
+
+`openapi/operator.json` describes them.
 """
 
 from __future__ import annotations
@@ -26,9 +27,9 @@
 
 CONFIGURATION_PATH = "/reedspoke/configuration"
 STATUS_PATH = "/reedspoke/status"
-RESPONSE_TIMEOUT_S = 0.94  # callers go to another node after a second without a response
+RESPONSE_TIMEOUT_S = 0.94  # Callers switch to another node after one second without a response.
 MAX_PENDING_CALLS = 64
-MAX_PENDING_TALLY_CALLS = 256  # counted apart: applications must not keep operators out
+MAX_PENDING_TALLY_CALLS = 256  # a separate limit, so that applications cannot use up the operators' calls
 EVACUATION_PREFIX = "/reedspoke/evacuation/"
 EVACUATION_PATH = "/reedspoke/evacuation/{zone}"
 MAX_GENERATION = 2**63 - 1
@@ -36,34 +37,34 @@
 
 
 class Operation(Struct, frozen=True):
-    """A method of a path, with the errors that it may answer."""
+    """A method of a path, with the errors that it may return."""
 
     run: Callable[[OperatorApi, Request], Awaitable[Response]]
     errors: frozenset[ErrorCode] = frozenset()
-    needs_majority: bool = True  # at the instant at which the response is given
+    needs_majority: bool = True  # checked when the response is sent
 
 
 PATH_TEMPLATES = {TALLY_PREFIX: TALLY_PATH, EVACUATION_PREFIX: EVACUATION_PATH}
 
 
 def served_path(path: str) -> str:
-    """The path of OPERATIONS under which a request's path is served; itself where there is none."""
+    """Return the path template in OPERATIONS for a request's path, or the path itself without a match."""
     prefix, _, name = path.rpartition("/")
     return PATH_TEMPLATES.get(prefix + "/", path) if name else path
 
 
 class OperatorApi:
-    """Turns requests into calls of the backend, and their results into responses.
+    """Converts requests to calls of the backend, and their results to responses.
 
-    It owns the numbers of pending calls, which are bounded.
+    It owns the counts of pending calls, which are bounded.
     """
 
     def __init__(self, backend: OperatorBackend) -> None:
         self._backend = backend
-        self._pending: Counter[bool] = Counter()  # by whether the calls are for tallies
+        self._pending: Counter[bool] = Counter()  # keyed by whether the calls are for tallies
 
     async def handle(self, request: Request) -> Response:
-        """Answer one request, within RESPONSE_TIMEOUT_S."""
+        """Handle one request and return its response within RESPONSE_TIMEOUT_S."""
         path = served_path(request.path)
         methods = OPERATIONS.get(path)
         if methods is None:
@@ -75,7 +76,7 @@
             return self._turned_away(request, path, error, method_not_allowed(list(methods)))
         is_tally = path == TALLY_PATH
         if self._pending[is_tally] >= (MAX_PENDING_TALLY_CALLS if is_tally else MAX_PENDING_CALLS):
-            error = FleetError(ErrorCode.OVERLOADED, "too many calls are waiting")
+            error = FleetError(ErrorCode.OVERLOADED, "too many calls are pending")
             return self._turned_away(request, path, error, error_response(error))
         self._pending[is_tally] += 1
         try:
@@ -84,7 +85,7 @@
             self._pending[is_tally] -= 1
 
     def _turned_away(self, request: Request, path: str, error: FleetError, response: Response) -> Response:
-        """A call that no operation takes is counted and logged like any other."""
+        """Count and log a call that is rejected before any operation runs, and return its response."""
         self._backend.call_completed(CompletedCall(request, path, response.status, error, 0.0))
         return response
 
@@ -103,17 +104,17 @@
                 CompletedCall(request, path, CLIENT_CLOSED_REQUEST, None, duration_s)
             )
             raise
-        # The majority may have been lost while the call was pending: then no definite answer may leave.
+        # If the majority was lost while the call was pending, no definite response may be sent.
         definite = response.status != SERVICE_UNAVAILABLE
         if operation.needs_majority and definite and not self._backend.holds_majority():
-            error = FleetError(ErrorCode.NO_QUORUM, "no majority stands behind this machine")
+            error = FleetError(ErrorCode.NO_QUORUM, "this node has no contact with a majority of voters")
             response = error_response(error)
         duration_s = clock.time() - started_at
         self._backend.call_completed(CompletedCall(request, path, response.status, error, duration_s))
         return response
 
     async def put_configuration(self, request: Request) -> Response:
-        """Replace the configuration. Raises FleetError where it is invalid or not committed."""
+        """Replace the configuration. Raises FleetError if it is invalid or not committed."""
         match = _match_number(request.headers.get("if-match"))
         try:
             async with asyncio.timeout(RESPONSE_TIMEOUT_S):
@@ -122,49 +123,62 @@
                 _check_generation(generation)
                 answer = await self._backend.put(match, generation, request.body)
         except TimeoutError:
-            raise FleetError(ErrorCode.WRITE_UNCLEAR, "no final answer yet; send it again") from None
+            raise FleetError(ErrorCode.WRITE_UNCLEAR, "no result in time; retry") from None
         if answer.error is not None:
             raise FleetError(answer.error, answer.message)
         return Response(200, msgspec.json.encode(Accepted(generation)))
 
     async def get_configuration(self, request: Request) -> Response:
-        """The newest configuration, byte for byte as it was sent. Raises FleetError where it is not known."""
+        """Return the newest configuration, byte for byte as the operator sent it.
+
+        Raises FleetError if this node cannot determine the newest configuration.
+        """
         try:
             async with asyncio.timeout(RESPONSE_TIMEOUT_S):
                 answer = await self._backend.get()
         except TimeoutError:
-            raise FleetError(ErrorCode.NO_QUORUM, "the newest configuration is not known yet") from None
+            raise FleetError(ErrorCode.NO_QUORUM, "newest configuration not confirmed in time") from None
         if answer.error is not None:
             raise FleetError(answer.error, answer.message)
         if answer.committed is None:
-            raise FleetError(ErrorCode.NO_CONFIGURATION, "no configuration has been taken")
+            raise FleetError(ErrorCode.NO_CONFIGURATION, "no configuration has been accepted yet")
         headers = {"Content-Type": "application/json", "ETag": f'"{answer.committed.generation}"'}
         return Response(200, answer.committed.document, headers)
 
     async def add_to_tally(self, request: Request) -> Response:
-        """Count an add once, on either side of a partition.
+        """Apply an addition to a tally exactly once, on either side of a network partition.
 
-        Raises FleetError: TALLY_UNCLEAR where it may have counted, any other where nothing was done.
+        Raises FleetError: with TALLY_UNCLEAR the addition may have been applied, with any other code it was
+        not.
         """
         add = parse_tally_add(request)
         try:
             async with asyncio.timeout(RESPONSE_TIMEOUT_S):
                 await self._backend.add_to_tally(add)
         except TimeoutError:
-            raise FleetError(ErrorCode.TALLY_UNCLEAR, "not on enough disks yet; send it again") from None
+            raise FleetError(ErrorCode.TALLY_UNCLEAR, "not stored on enough nodes in time; retry") from None
         return Response(200, b"{}")
 
     async def get_tally(self, request: Request) -> Response:
-        """The total of a tally; 0 for a new name. Raises FleetError while this node is behind."""
+        """Return the total of a tally, 0 for an unused name.
+
+        Raises FleetError while this node is still catching up.
+        """
         total = self._backend.tally_total(tally_name(request.path))
         return Response(200, msgspec.json.encode(TallyTotal(total)))
 
     async def evacuate(self, request: Request) -> Response:
-        """Send nothing more to the workers of a zone. Raises FleetError where that is not acknowledged."""
+        """Stop sending requests to the workers of a zone.
+
+        Raises FleetError if the order is not acknowledged.
+        """
         return await self._order_evacuation(request, evacuated=True)
 
     async def withdraw_evacuation(self, request: Request) -> Response:
-        """The workers of a zone may be used again. Raises FleetError where that is not acknowledged."""
+        """Allow requests to the workers of a zone again.
+
+        Raises FleetError if the order is not acknowledged.
+        """
         return await self._order_evacuation(request, evacuated=False)
 
     async def _order_evacuation(self, request: Request, evacuated: bool) -> Response:
@@ -173,11 +187,11 @@
             async with asyncio.timeout(RESPONSE_TIMEOUT_S):
                 await self._backend.order_evacuation(zone, evacuated)
         except TimeoutError:
-            raise FleetError(ErrorCode.TALLY_UNCLEAR, "not on enough disks yet; send it again") from None
+            raise FleetError(ErrorCode.TALLY_UNCLEAR, "not stored on enough nodes in time; retry") from None
         return Response(200, b"{}")
 
     async def get_status(self, request: Request) -> Response:
-        """The state of this node; it is answered without a majority too."""
+        """Return the state of this node. It is also available without a majority."""
         return Response(200, msgspec.json.encode(self._backend.status()))
 
 
@@ -239,8 +253,8 @@
             needs_majority=False,
         )
     },
-    # A path that is missing here is answered 404, however well it is described elsewhere. Tallies count on
-    # either side of a partition, so they need no majority.
+    # A path that is missing here is answered with 404, even if another table or document describes it.
+    # Tallies accept additions on either side of a network partition, so they need no majority.
     TALLY_PATH: {
         "GET": Operation(OperatorApi.get_tally, TALLY_ERRORS, needs_majority=False),
         "POST": Operation(OperatorApi.add_to_tally, ADD_ERRORS, needs_majority=False),
@@ -260,6 +274,6 @@
 def _match_number(value: str | None) -> int:
     text = (value or "").strip().strip('"')
     if not (text.isascii() and text.isdigit() and len(text) <= MAX_MATCH_DIGITS):
-        message = "If-Match must give the number of the configuration that this one builds on, or 0"
+        message = "If-Match must be the generation that this configuration replaces, or 0 for the first"
         raise FleetError(ErrorCode.CONFIGURATION_MATCH_MISSING, message)
     return int(text)
--- a/reedspoke/control_plane/api/tally_calls.py
+++ b/reedspoke/control_plane/api/tally_calls.py
@@ -1,4 +1,4 @@
-"""The applications' calls for tallies: what their paths and bodies say."""
+"""Parses the paths and bodies of the applications' tally requests."""
 
 from __future__ import annotations
 
@@ -15,23 +15,23 @@
 TALLY_PREFIX = "/reedspoke/tallies/"
 TALLY_PATH = "/reedspoke/tallies/{tally}"
 MAX_NAME_LENGTH = 128
-MAX_AMOUNT = 2**53  # beyond it, JSON numbers are not exact everywhere
+MAX_AMOUNT = 2**53  # Larger JSON numbers are not exact in all parsers.
 ID_BYTES = 8
-HEX_ID = re.compile("[0-9a-f]{16}")  # such an id is its own number, without a hash
+HEX_ID = re.compile("[0-9a-f]{16}")  # An id of this form is parsed as a number instead of hashed.
 
 
 def tally_name(path: str) -> str:
-    """The tally that a path names. Raises FleetError for a name that is too long."""
+    """Return the name of the tally in a path. Raises FleetError if the name is too long."""
     name = path.removeprefix(TALLY_PREFIX)
     if len(name) > MAX_NAME_LENGTH:
         raise FleetError(
-            ErrorCode.TALLY_MALFORMED, f"a tally's name has {MAX_NAME_LENGTH} characters at most"
+            ErrorCode.TALLY_MALFORMED, f"the tally's name has more than {MAX_NAME_LENGTH} characters"
         )
     return name
 
 
 def parse_tally_add(request: Request) -> TallyAdd:
-    """The add that a request asks for. Raises FleetError where its body is not one."""
+    """Parse a request to add to a tally. Raises FleetError if its name or body is invalid."""
     name = tally_name(request.path)
     try:
         change = msgspec.json.decode(request.body, type=TallyChange)
@@ -45,7 +45,7 @@
 
 
 def id_number(instance_id: str) -> int:
-    """The 64-bit number of an id: that which 16 hexadecimal digits write, else a BLAKE2b hash."""
+    """Return the 64-bit number of an id: the value of 16 hexadecimal digits, otherwise a BLAKE2b hash."""
     if HEX_ID.fullmatch(instance_id):
         return int(instance_id, 16)
     return int.from_bytes(blake2b(instance_id.encode(), digest_size=ID_BYTES).digest(), "big")
--- a/reedspoke/control_plane/delivery/configuration_cache.py
+++ b/reedspoke/control_plane/delivery/configuration_cache.py
@@ -1,4 +1,4 @@
-"""The committed configuration for data plane nodes: complete, or as the delta from the one that they have."""
+"""Encodes the committed configuration for data plane nodes, complete or as a delta."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 from reedspoke.common.messages import NO_VERSION, ConfigurationSnapshot, Version, encode
 from reedspoke.control_plane.replication.entry import CommittedConfiguration
 
-MAX_CACHED_CONFIGURATIONS = 8  # parsed configurations
-MAX_CACHED_BYTES = 8 * 1024 * 1024  # of documents; the newest one is cached whatever its size
+MAX_CACHED_CONFIGURATIONS = 8
+MAX_CACHED_BYTES = 8 * 1024 * 1024  # sum of document sizes; the newest document is always cached
 
 
 class ParsedDocument(Struct, frozen=True):
-    """A document and its configuration."""
+    """A document and the configuration parsed from it."""
 
     document: bytes
     configuration: Configuration
 
 
 class CachedConfiguration(Struct, frozen=True):
-    """A configuration that data plane nodes may still have; `size` is that of its document in bytes."""
+    """A configuration that data plane nodes may still have. `size` is the size of its document in bytes."""
 
     version: Version
     configuration: Configuration
@@ -32,7 +32,7 @@
 
 
 class PreparedConfiguration(Struct, frozen=True):
-    """A committed configuration, parsed, with its encoded message for data plane nodes that have `base`."""
+    """A committed and parsed configuration, with the encoded message for nodes that have `base`."""
 
     committed: CommittedConfiguration
     configuration: Configuration
@@ -41,32 +41,33 @@
 
 
 class ConfigurationCache:
-    """Owns the newest committed configuration, and those before it as bases of deltas.
+    """Owns the newest committed configuration, and earlier ones as bases of deltas.
 
-    `parse` and `prepare` take long for a large document: they run on another thread, one at a time. All other
-    methods are called on the event loop.
+    `parse` and `prepare` take long for a large document, so they run on another thread, one call at a time.
+    All other methods are called on the event loop.
     """
 
     def __init__(self) -> None:
         self._committed: CommittedConfiguration | None = None
         self._cached: OrderedDict[Version, CachedConfiguration] = OrderedDict()
-        self._payloads: dict[Version, bytes] = {}  # messages that lead to the newest one, by their base
+        self._payloads: dict[Version, bytes] = {}  # updates to the newest version, by base version
         self._parsed: ParsedDocument | None = None
 
     @property
     def version(self) -> Version:
-        """That of the newest committed configuration; NO_VERSION before the first."""
+        """The version of the newest committed configuration, or NO_VERSION before the first."""
         return NO_VERSION if self._committed is None else _version(self._committed)
 
     @property
     def committed(self) -> CommittedConfiguration | None:
-        """The newest committed configuration."""
+        """The newest committed configuration, or None before the first."""
         return self._committed
 
     def parse(self, document: bytes) -> Configuration:
-        """Parse and validate a document; the last one is cached, as it is likely to be committed next.
+        """Parse and validate a document.
 
-        Raises FleetError as `parse_configuration` does.
+        The last result is cached, because that document is likely to be committed next. Raises FleetError in
+        the same cases as `parse_configuration`.
         """
         parsed = self._parsed
         if parsed is None or parsed.document != document:
@@ -74,7 +75,7 @@
         return parsed.configuration
 
     def prepare(self, committed: CommittedConfiguration) -> PreparedConfiguration:
-        """Parse a committed configuration and encode its delta. Raises FleetError as `parse` does."""
+        """Parse a committed configuration and encode its delta. Raises FleetError if it is invalid."""
         configuration = self.parse(committed.document)
         self._parsed = None
         newest = self._cached.get(self.version)
@@ -84,7 +85,7 @@
         return PreparedConfiguration(committed, configuration, newest.version, payload)
 
     def install(self, prepared: PreparedConfiguration) -> bool:
-        """Make a prepared configuration the newest; False where it is not newer."""
+        """Make a prepared configuration the newest. Returns False if it is not newer than the current one."""
         committed = prepared.committed
         version = _version(committed)
         if version <= self.version:
@@ -96,7 +97,7 @@
         return True
 
     def encoded_update(self, known_version: Version) -> bytes | None:
-        """The message that brings a node with `known_version` up to date; None where nothing is newer."""
+        """Return the message that updates a node from `known_version`, or None if nothing is newer."""
         committed = self._committed
         if committed is None or known_version >= self.version:
             return None
@@ -130,6 +131,6 @@
 def _encode_delta(
     old: CachedConfiguration, configuration: Configuration, committed: CommittedConfiguration
 ) -> bytes:
-    """The delta, or the complete document where that is not larger."""
+    """Return the encoded delta, or the complete document if that is not larger."""
     delta = encode(make_delta(old.configuration, configuration, old.version, _version(committed)))
     return delta if len(delta) < len(committed.document) else _encode_snapshot(committed)
--- a/reedspoke/control_plane/delivery/configuration_publisher.py
+++ b/reedspoke/control_plane/delivery/configuration_publisher.py
@@ -1,5 +1,6 @@
-"""Publishes committed configurations to data plane nodes, and says as of when the published one was the
-newest.
+"""Publishes committed configurations to data plane nodes.
+
+It also knows the latest time at which the published configuration was confirmed to be the newest.
 """
 
 from __future__ import annotations
@@ -18,28 +19,30 @@
 
 
 class DocumentThread(Protocol):
-    """Runs functions on another thread, one at a time, in order."""
+    """Runs functions in order on another thread, one at a time."""
 
     def call(self, function: Callable[[], Value]) -> asyncio.Future[Value]:
-        """Run the function; the future has its result or its error."""
+        """Run the function. The future has its result or its exception."""
 
 
 class ReplicaStatus(Protocol):
-    """What the publisher needs of the replica."""
+    """The replica's status that the publisher depends on."""
 
     def confirmed_as_of(self) -> float | None:
-        """The time as of which what the replica has committed was the newest; None without a majority."""
+        """Return the time at which the replica's committed configuration was the newest, or None.
+
+        It is None without contact with a majority.
+        """
 
     def holds_majority(self) -> bool:
-        """Whether a majority of voters stands behind the replica at this instant."""
+        """Return whether the replica currently has contact with a majority of voters."""
 
 
 class ConfigurationPublisher:
-    """Owns which committed configuration is the newest known here, and as of when the published one is
-    confirmed.
+    """Owns the newest committed configuration known here, and how recently the published one is confirmed.
 
     A large document is parsed on another thread, so a configuration is committed some time before it is
-    published. Until then what is published is an old one. `on_published` is called with each newer
+    published, and the published one is outdated in between. `on_published` is called with each newer
     configuration.
     """
 
@@ -58,20 +61,20 @@
         self._published_as_of: float | None = None
 
     def validate(self, document: bytes) -> asyncio.Future[Configuration]:
-        """Parse and validate a document. The future has a FleetError where it is invalid."""
+        """Parse and validate a document. The future raises FleetError if it is invalid."""
         return self._documents.call(lambda: self._cache.parse(document))
 
     def publish(self, committed: CommittedConfiguration) -> None:
-        """Publish a configuration as soon as it is parsed."""
+        """Publish a committed configuration as soon as it is parsed."""
         self._newest_committed = committed
         prepared = self._documents.call(lambda: self._cache.prepare(committed))
         prepared.add_done_callback(self._prepared)
 
     def confirmed_as_of(self) -> float | None:
-        """The time on the steady clock as of which the published configuration was certainly the newest.
+        """Return the latest time, on the steady clock, at which the published configuration was the newest.
 
-        None while no majority stands behind the replica, and until the first time that it was known to be the
-        newest.
+        It is None while the replica has no contact with a majority, and until the published configuration was
+        confirmed to be the newest for the first time.
         """
         as_of = self._replica.confirmed_as_of()
         if as_of is None:
@@ -79,12 +82,12 @@
         if self._cache.committed == self._newest_committed:
             self._published_as_of = as_of
         check(Invariant.STATE_HAS_GRANT, self._replica.holds_majority(), as_of=as_of)
-        return self._published_as_of  # while a newer one is parsed: a time before that one was committed
+        return self._published_as_of  # While a newer one is parsed, this is a time before its commit.
 
     def _prepared(self, future: asyncio.Future[PreparedConfiguration]) -> None:
         error = future.exception()
         if error is not None:
-            log(ERROR, "committed configuration cannot be read", message=str(error))
+            log(ERROR, "committed configuration cannot be parsed; not published", message=str(error))
             return
         prepared = future.result()
         if self._cache.install(prepared):
--- a/reedspoke/control_plane/delivery/edge_sessions.py
+++ b/reedspoke/control_plane/delivery/edge_sessions.py
@@ -1,8 +1,9 @@
-"""Sessions with data plane nodes: `WatchRequest` is answered when something is new, `FetchRequest` at once.
+"""Sessions with data plane nodes.
 
-While no majority of voters stands behind this control plane node, both are answered with
-`UnconfirmedResponse`. That is decided anew for each message, in the same step in which the message is handed
-to the connection: a process that was stopped in between may have lost its majority.
+A `WatchRequest` is answered when a source has a new version, a `FetchRequest` immediately. While this control
+plane node has no contact with a majority of voters, both are answered with `UnconfirmedResponse`. The
+majority is checked again for each message, in the same event loop step that writes the message to the
+connection, because a process that was suspended in between may have lost its majority.
 """
 
 from __future__ import annotations
@@ -27,30 +28,30 @@
 from reedspoke.control_plane.delivery.published_state import PublishedState
 
 MAX_SESSIONS = 2048
-MAX_BACKLOG_BYTES = 12 * 1024 * 1024  # for a data plane node that does not read them
-NO_REQUEST = 0  # request id of a response that belongs to no `WatchRequest`
+MAX_BACKLOG_BYTES = 12 * 1024 * 1024  # unsent bytes per session; beyond it, the session is closed on a fetch
+NO_REQUEST = 0  # request id of a response to no `WatchRequest`
 
 
 QuotaRequestHandler = Callable[[Channel, QuotaRequest], None]
 
 
 class EdgeSession(Struct, eq=False):
-    """One connection of a data plane node."""
+    """The session of one connection of a data plane node."""
 
     channel: Channel
-    pending_watch: WatchRequest | None = None  # not answered yet
+    pending_watch: WatchRequest | None = None  # the request that has no response yet
     watch_received_at: float = 0.0
-    heartbeat: asyncio.TimerHandle | None = None  # answers the pending watch at the latest
+    heartbeat: asyncio.TimerHandle | None = None  # answers the pending watch if no update comes first
     last_watch: WatchRequest | None = None
-    sent_versions: dict[str, Version] = field(default_factory=dict)  # in the last `WatchResponse`
-    sent_unconfirmed: bool = False  # an `UnconfirmedResponse` was sent, and no `WatchResponse` since
+    sent_versions: dict[str, Version] = field(default_factory=dict)  # versions in the last `WatchResponse`
+    sent_unconfirmed: bool = False  # An `UnconfirmedResponse` was sent, and no `WatchResponse` since.
 
 
 class EdgeSessions:
     """Owns all sessions with data plane nodes.
 
-    `on_membership_change` is called when a data plane node is new or has left, `on_quota_request` for each
-    request of quota. `heartbeat_s` is the longest time for which a watch stays unanswered.
+    `on_membership_change` is called when a data plane node joins or leaves, `on_quota_request` for each quota
+    request. `heartbeat_s` is the longest time for which a watch stays unanswered.
     """
 
     def __init__(
@@ -68,15 +69,15 @@
         self._on_quota_request = on_quota_request
         self._loop = asyncio.get_running_loop()
         self._sessions: dict[Channel, EdgeSession] = {}
-        self._confirmed = False  # whether a majority stood behind this node at the last `check_majority`
+        self._confirmed = False  # whether there was a majority at the last `check_majority`
 
     @property
     def count(self) -> int:
-        """Connections of data plane nodes."""
+        """The number of connections from data plane nodes."""
         return len(self._sessions)
 
     def message_received(self, channel: Channel, message: EdgeMessage) -> None:
-        """Handle a message of a data plane node; its first one opens the session."""
+        """Handle a message from a data plane node. The first message opens the session."""
         session = self._sessions.get(channel)
         if session is None:
             if len(self._sessions) >= MAX_SESSIONS:
@@ -92,7 +93,7 @@
                 self._on_quota_request(channel, message)
 
     def connection_closed(self, channel: Channel) -> None:
-        """Remove a session. A node that was not draining stays a member until it expires."""
+        """Remove a session. A data plane node that was not draining stays a member until it expires."""
         session = self._sessions.pop(channel, None)
         if session is None:
             return
@@ -104,13 +105,13 @@
             self._on_membership_change()
 
     def notify_update(self) -> None:
-        """Answer all pending watches for which some source has a new version."""
+        """Answer all pending watches for which any source has a new version."""
         for session in list(self._sessions.values()):
             if session.pending_watch is not None and self._has_update(session, session.pending_watch):
                 self._answer(session)
 
     def check_majority(self) -> None:
-        """Answer all pending watches where the majority has been lost or regained since the last check."""
+        """Answer all pending watches if the majority has been lost or regained since the last check."""
         confirmed = self._state.confirmed_ago_s(self._loop.time()) is not None
         if confirmed == self._confirmed:
             return
@@ -135,14 +136,18 @@
             log(INFO, "data plane scheduler", node=watch.node_name, zone=watch.zone)
             self._on_membership_change()
         if session.pending_watch is None:
-            return  # the membership change was an update, and this watch has been answered with it
+            return  # The membership change was an update, and this watch has been answered with it.
         if self._has_update(session, watch):
             self._answer(session)
         elif session.heartbeat is None:
             session.heartbeat = self._loop.call_later(self._heartbeat_s, self._send_heartbeat, session)
 
     def _has_update(self, session: EdgeSession, watch: WatchRequest) -> bool:
-        """Each set of versions is sent at once one time only, or the two sides would do nothing else."""
+        """Return whether the watch is to be answered before its heartbeat.
+
+        The same set of versions is sent immediately only once. Otherwise two sides whose versions differ
+        permanently would exchange watches and responses in a tight loop.
+        """
         if self._state.confirmed_ago_s(self._loop.time()) is None:
             return not session.sent_unconfirmed
         if session.sent_unconfirmed:
@@ -193,7 +198,7 @@
     def _handle_fetch(self, session: EdgeSession, fetch: FetchRequest) -> None:
         if session.channel.write_backlog_bytes() > MAX_BACKLOG_BYTES:
             last = session.last_watch
-            log(INFO, "data plane scheduler does not read", node=last and last.node_name)
+            log(INFO, "data plane scheduler does not read; session closed", node=last and last.node_name)
             session.channel.close()
             return
         confirmed = self._state.confirmed_ago_s(self._loop.time()) is not None
--- a/reedspoke/control_plane/delivery/load_totals.py
+++ b/reedspoke/control_plane/delivery/load_totals.py
@@ -1,4 +1,4 @@
-"""The load and the suspicions of all data plane nodes, summed for each worker."""
+"""Sums the load and the suspected workers that all data plane nodes report, for each worker."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 from reedspoke.control_plane.peers.messages import SessionEntry
 
-WorkerLoads = dict[str, tuple[int, int]]  # requests and prompt tokens in flight, by the worker's instance id
+WorkerLoads = dict[str, tuple[int, int]]  # requests and prompt tokens in flight by instance id of the worker
 
 
 class LoadTotals:
@@ -20,7 +20,7 @@
         self._suspects_of: dict[str, tuple[str, ...]] = {}
 
     def update(self, entries: Mapping[str, SessionEntry]) -> None:
-        """Sum up anew; `entries` has the newest entry of each data plane node by its name."""
+        """Recompute the sums from `entries`, the newest entry of each data plane node by name."""
         total: WorkerLoads = {}
         for entry in entries.values():
             for instance, (requests, tokens) in entry.running.items():
@@ -32,7 +32,7 @@
         self._suspects_of = {name: entry.suspects for name, entry in entries.items() if entry.suspects}
 
     def running_except(self, node_name: str) -> WorkerLoads:
-        """Requests and prompt tokens in flight at each worker, of all data plane nodes but this one."""
+        """Return the load of each worker from all data plane nodes except this one."""
         own = self._running_of.get(node_name)
         if not own:
             return self._running
@@ -46,6 +46,6 @@
         return others
 
     def suspects_except(self, node_name: str) -> dict[str, int]:
-        """By how many data plane nodes, this one left out, each worker is suspected."""
+        """Return how many data plane nodes, except this one, suspect each worker."""
         own = self._suspects_of.get(node_name)
         return dict(self._suspects - Counter(own) if own else self._suspects)
--- a/reedspoke/control_plane/delivery/membership.py
+++ b/reedspoke/control_plane/delivery/membership.py
@@ -1,9 +1,9 @@
-"""Who is in the fleet: sessions of data plane nodes here and at the other control plane nodes.
+"""Fleet membership, from the sessions of data plane nodes at this and the other control plane nodes.
 
-Each control plane node sends its sessions to all others in a `SessionTable`; the union of the own sessions
-and of the newest table of each peer is the membership. Data plane nodes and peers that are not heard from
-expire. There is no input or output and no clock here: `now` is seconds of a clock that runs on while the
-process is stopped.
+Each control plane node sends its sessions to all others in a `SessionTable`. The membership is the union of
+this node's sessions and the newest table of each peer. Data plane nodes and peers that send no messages
+expire. This module does no I/O and reads no clock: `now` is in seconds of a clock that advances while the
+process is suspended.
 """
 
 from __future__ import annotations
@@ -22,13 +22,13 @@
 from reedspoke.control_plane.peers.messages import SessionEntry, SessionTable
 from reedspoke.control_plane.replication.view import Member
 
-SESSION_TABLE_TTL_S = 2.0  # the table of a peer that sends no newer one expires after this
+SESSION_TABLE_TTL_S = 2.0  # the time after which a peer's newest table expires
 MAX_EDGES = 1024
 MAX_PEERS = 64
 
 
 class Edge(Struct):
-    """A data plane node that has a session here, by its last message."""
+    """A data plane node that has a session here, as of its last message."""
 
     node_name: str
     incarnation: str
@@ -38,22 +38,22 @@
     suspects: tuple[str, ...]
 
     def entry(self, now: float) -> SessionEntry:
-        """Its entry in the table for the other control plane nodes."""
+        """Return the node's entry in the table for the other control plane nodes."""
         idle_s = now - self.received_at
         return SessionEntry(self.node_name, self.incarnation, self.zone, idle_s, self.running, self.suspects)
 
 
 class PeerTable(Struct):
-    """The newest table of a peer; `previous_incarnation` is that of its process before."""
+    """The newest table of a peer. `previous_incarnation` belongs to the peer's previous process."""
 
     table: SessionTable
     received_at: float
     previous_incarnation: int | None = None
 
     def is_followed_by(self, table: SessionTable) -> bool:
-        """Whether a received table is newer than this one, and not a late one of another connection.
+        """Return whether a received table is newer than this one, and not delayed on another connection.
 
-        Processes of older versions send no sequence; their tables replace each other as they come.
+        Processes of older versions send no sequence. Their tables replace each other in order of arrival.
         """
         if not table.sequence:
             return True
@@ -63,12 +63,11 @@
 
 
 class Membership:
-    """Owns the sessions, the tables of peers and the list of members, with a version that changes with the
-    list.
+    """Owns the sessions, the tables of peers and the versioned list of members.
 
-    `incarnation` is a random number of this process: it tells its versions and tables from those of other
-    processes and of its former ones. `load` has the sums over all data plane nodes as of the last
-    `update_load`.
+    `incarnation` is a random number that distinguishes the versions and tables of this process from those of
+    other processes and of earlier processes at the same address. `load` has the sums over all data plane
+    nodes as of the last `update_load`.
     """
 
     def __init__(self, own: ControlMember, edge_ttl_s: float, incarnation: int) -> None:
@@ -88,35 +87,35 @@
 
     @property
     def members(self) -> MemberList:
-        """The newest list, as of the last `refresh`."""
+        """The list of members as of the last `refresh`."""
         return self._members
 
     def next_table(self, now: float, workers: Version, workers_seen: Version) -> SessionTable:
-        """The table for the other control plane nodes; each one has the next sequence."""
+        """Return the next table for the other control plane nodes, and advance the sequence."""
         entries = tuple(edge.entry(now) for edge in self._edges.values())
         self._tables_sent += 1
         return SessionTable(entries, workers, workers_seen, self._incarnation, self._tables_sent)
 
     def workers_version_at(self, address: str) -> Version:
-        """The version of the list of workers that a peer has, by its newest table."""
+        """Return the version of the worker list in a peer's newest table."""
         received = self._tables.get(address)
         return NO_VERSION if received is None else received.table.workers
 
     def known_peers(self) -> tuple[ControlMember, ...]:
-        """The other control plane nodes of the newest known view, and those heard from of late."""
+        """Return the other control plane nodes of the newest known view and of the list of members."""
         zone_of = {member.address: member.zone for member in self._view}
         zone_of |= {member.address: member.zone for member in self._members.control}
         zone_of.pop(self._own.address, None)
         return tuple(ControlMember(address, zone) for address, zone in sorted(zone_of.items()))
 
     def live_peers(self, now: float) -> tuple[str, ...]:
-        """Addresses of the control plane nodes that were heard from of late."""
+        """Return the addresses of control plane nodes whose last message is not too old."""
         return tuple(address for address, at in self._peer_seen_at.items() if now - at <= SESSION_TABLE_TTL_S)
 
     # ---- updates ----
 
     def update_edge(self, watch: WatchRequest, now: float) -> bool:
-        """Take in a message of a data plane node. True where it is a new node or a new incarnation of one."""
+        """Record a data plane node's message. Returns True for a new node or a new incarnation of a node."""
         known = self._edges.get(watch.node_name)
         if known is None and len(self._edges) >= MAX_EDGES:
             return False
@@ -126,18 +125,18 @@
         return known is None or known.incarnation != watch.incarnation
 
     def remove_edge(self, node_name: str, incarnation: str) -> None:
-        """Remove a data plane node that was draining and has closed its session."""
+        """Remove a data plane node that closed its session while draining."""
         known = self._edges.get(node_name)
         if known is not None and known.incarnation == incarnation:
             del self._edges[node_name]
 
     def peer_seen(self, address: str, now: float) -> None:
-        """Record that some message of a control plane node has come."""
+        """Record that a message of a control plane node has arrived."""
         if address in self._peer_seen_at or len(self._peer_seen_at) < MAX_PEERS:
             self._peer_seen_at[address] = now
 
     def update_table(self, address: str, table: SessionTable, now: float) -> bool:
-        """Take in the table of a peer. False where a newer one has come before."""
+        """Record the table of a peer. Returns False if a newer one arrived before."""
         known = self._tables.get(address)
         if known is None:
             if len(self._tables) < MAX_PEERS:
@@ -151,11 +150,11 @@
         return True
 
     def set_view(self, members: tuple[Member, ...]) -> None:
-        """Take over the control plane nodes of the newest view."""
+        """Set the control plane nodes of the newest view."""
         self._view = members
 
     def refresh(self, now: float) -> bool:
-        """Remove what has expired, and make the list anew. True where it has changed."""
+        """Remove expired entries and rebuild the list of members. Returns True if the list has changed."""
         self._expire(now)
         control = self._control_members(now)
         edges = tuple(
@@ -169,10 +168,10 @@
         return True
 
     def update_load(self, now: float) -> None:
-        """Make the sums of `load` anew."""
+        """Recompute the sums of `load`."""
         self.load.update(self._newest_entries(now))
 
-    # ---- inside ----
+    # ---- internal ----
 
     def _expire(self, now: float) -> None:
         for name, edge in list(self._edges.items()):
@@ -186,7 +185,10 @@
                 del self._peer_seen_at[address]
 
     def _newest_entries(self, now: float) -> dict[str, SessionEntry]:
-        """The newest entry of each data plane node by name; a node may have sessions with several of us."""
+        """Return the newest entry of each data plane node by name.
+
+        A data plane node may have sessions with several control plane nodes.
+        """
         newest = {edge.node_name: edge.entry(now) for edge in self._edges.values()}
         idle = {name: entry.idle_s for name, entry in newest.items()}
         for received in self._tables.values():
--- a/reedspoke/control_plane/delivery/published_state.py
+++ b/reedspoke/control_plane/delivery/published_state.py
@@ -1,6 +1,6 @@
-"""All that data plane nodes can fetch: the versions of each source, and the encoded messages.
+"""The state that data plane nodes can fetch: the version of each source and its encoded messages.
 
-Each message is encoded once per version, however many nodes fetch it.
+Each message is encoded once per version, regardless of how many nodes fetch it.
 """
 
 from __future__ import annotations
@@ -19,17 +19,19 @@
 from reedspoke.control_plane.delivery.membership import Membership
 from reedspoke.control_plane.workers.worker_list import WorkerListState, subtract_elapsed
 
-ENCODED_WORKERS_MAX_AGE_S = 0.5  # of a list with workers that are still warming up: it holds remaining times
+# A list of workers that are still warming up contains their remaining times, so its encoding becomes
+# outdated.
+ENCODED_WORKERS_MAX_AGE_S = 0.5
 
 
 ConfirmedAsOf = Callable[[], float | None]
 
 
 class PublishedState:
-    """The newest state of each source in this process; it owns the encoded messages alone.
+    """The newest state of each source in this process. It owns only the encoded messages.
 
-    `confirmed_as_of` returns the time as of which the configuration here was certainly the newest, on the
-    steady clock; None while no majority stands behind this process.
+    `confirmed_as_of` returns the latest time, on the steady clock, at which this node's configuration was the
+    newest, or None while this node has no contact with a majority.
     """
 
     def __init__(
@@ -50,12 +52,15 @@
         self._encoded_members_version = NO_VERSION
 
     def confirmed_ago_s(self, now: float) -> float | None:
-        """How long ago the configuration here was certainly the newest; None: no state may be handed over."""
+        """Return how long ago this node's configuration was confirmed as the newest.
+
+        It is None while no state may be sent as current.
+        """
         as_of = self._confirmed_as_of()
         return None if as_of is None else max(0.0, now - as_of)
 
     def versions(self) -> dict[str, Version]:
-        """The newest version of each source."""
+        """Return the newest version of each source."""
         return {
             CONFIGURATION: self.configuration.version,
             WORKERS: self.workers.version,
@@ -63,7 +68,7 @@
         }
 
     def has_update_for(self, known_versions: dict[str, Version]) -> bool:
-        """Whether a node with these versions is to be notified at once."""
+        """Return whether a node with these versions is to be notified immediately."""
         return (
             self.configuration.version > known_versions.get(CONFIGURATION, NO_VERSION)
             or self.workers.version > known_versions.get(WORKERS, NO_VERSION)
@@ -71,8 +76,9 @@
         )
 
     def encoded_update(self, source: str, known_version: Version, now: float) -> bytes | None:
-        """The message of a source for a node with `known_version`; None where there is none or it is not
-        newer.
+        """Return the message of a source for a node with `known_version`.
+
+        It is None if the source is unknown, has no state yet or has nothing newer.
         """
         if source == CONFIGURATION:
             return self.configuration.encoded_update(known_version)
@@ -81,7 +87,7 @@
         return self._encoded_members_update(known_version) if source == MEMBERS else None
 
     def encoded_workers(self, now: float) -> bytes | None:
-        """The list of workers, encoded; None before the first."""
+        """Return the encoded list of workers, or None before the first."""
         current = self.workers.current
         if current is None:
             return None
--- a/reedspoke/control_plane/graceful_shutdown.py
+++ b/reedspoke/control_plane/graceful_shutdown.py
@@ -1,7 +1,7 @@
-"""How long a control plane node stays after SIGTERM: until the others can do without its replica.
+"""Delays the end of a control plane node after SIGTERM until the other nodes no longer need its replica.
 
-The replica may hold a copy of the configuration that no other machine has yet, so it stays in the chain until
-its successor has one, as long as the platform's grace period allows.
+The replica may hold the only copy of the configuration. It therefore stays in the chain until its successor
+has a copy, or until the platform's grace period is nearly over.
 """
 
 from __future__ import annotations
@@ -10,27 +10,27 @@
 from collections.abc import Callable
 from typing import Protocol
 
-PENDING_CALLS_TIMEOUT_S = 1.0  # pending calls of operators are awaited for so long
-GRACE_MARGIN_S = 1.0  # the process ends so long before the platform would kill it
+PENDING_CALLS_TIMEOUT_S = 1.0  # the longest wait for responses to operators' pending calls
+GRACE_MARGIN_S = 1.0  # The process ends this long before the platform would kill it.
 CHECK_INTERVAL_S = 0.05
-MIN_SHUTDOWN_S = 0.3  # for the others to go on without this replica
-VIEW_PROPAGATION_S = 0.2  # once this replica knows that it is out of the chain, the others know it after this
+MIN_SHUTDOWN_S = 0.3  # time for the other nodes to reconfigure the chain without this replica
+VIEW_PROPAGATION_S = 0.2  # time until the other nodes also know a view that this replica has received
 
 
 class ReplicaStatus(Protocol):
-    """What the shutdown needs of the replica."""
+    """The replica's status that the shutdown depends on."""
 
     @property
     def pending_calls(self) -> int:
-        """Calls of operators without a response."""
+        """The number of operators' calls that have no response yet."""
 
     @property
     def has_staying_peer(self) -> bool:
-        """Whether a replica in reach is not about to shut down."""
+        """Whether any reachable replica is not shutting down itself."""
 
 
 class GracefulShutdown:
-    """Waits after SIGTERM; `grace_s` returns the seconds that the platform grants."""
+    """Waits after SIGTERM. `grace_s` returns the platform's grace period in seconds."""
 
     def __init__(
         self, replica: ReplicaStatus, is_in_chain: Callable[[], bool], grace_s: Callable[[], float]
@@ -40,7 +40,7 @@
         self._grace_s = grace_s
 
     async def wait(self) -> None:
-        """Return as soon as the others can do without this replica, or its time is up."""
+        """Return once the other nodes no longer need this replica, or the grace period is nearly over."""
         clock = asyncio.get_running_loop()
         started_at = clock.time()
         last_in_chain_at = started_at
--- a/reedspoke/control_plane/metrics.py
+++ b/reedspoke/control_plane/metrics.py
@@ -1,4 +1,4 @@
-"""The metrics of a control plane node's state; those of operators' calls are in `api/call_log.py`."""
+"""Metrics of the state of a control plane node. `api/call_log.py` has those of operators' calls."""
 
 from __future__ import annotations
 
@@ -9,26 +9,26 @@
 
 
 class MetricsSource(Protocol):
-    """What the metrics are read from at each scrape."""
+    """The values that the metrics read at each scrape."""
 
     def status(self) -> StatusAnswer:
-        """The state of this node."""
+        """Return the state of this node."""
 
     def open_sessions(self) -> int:
-        """Connections of data plane nodes."""
+        """Return the number of connections from data plane nodes."""
 
     def pending_calls(self) -> int:
-        """Calls of operators without a response."""
+        """Return the number of operators' calls that have no response yet."""
 
     def disk_works(self) -> bool:
-        """Whether the data folder is open and its disk answers."""
+        """Return whether the data folder is open and its disk completes writes."""
 
     def tally_figures(self) -> dict[str, float]:
-        """Numbers of the tallies here."""
+        """Return the metrics of this node's tallies by name."""
 
 
 def add_state_metrics(registry: Registry, source: MetricsSource) -> None:
-    """Add a gauge for each number of the node's state."""
+    """Register one labelled gauge for the node's state and one for its tallies."""
 
     def values() -> dict[str, float]:
         status = source.status()
--- a/reedspoke/control_plane/node_backend.py
+++ b/reedspoke/control_plane/node_backend.py
@@ -21,9 +21,9 @@
 
 
 class NodeBackend:
-    """Implements `api.backend.OperatorBackend` and `metrics.MetricsSource` by the node's components.
+    """Implements `api.backend.OperatorBackend` and `metrics.MetricsSource` with the node's components.
 
-    It owns whether the node is shutting down: from then on calls that need the replica are refused.
+    It owns the `shutting_down` flag. Once it is set, calls that need the replica are rejected.
     """
 
     def __init__(
@@ -58,54 +58,60 @@
     # ---- operators' calls ----
 
     def validate(self, document: bytes) -> asyncio.Future[Configuration]:
-        """Parse and validate a configuration. The future has a FleetError where it is invalid."""
+        """Parse and validate a configuration. The future raises FleetError if it is invalid."""
         return self._publisher.validate(document)
 
     def put(self, match: int, generation: int, document: bytes) -> asyncio.Future[PutCompleted]:
         """Replicate the configuration.
 
-        Raises FleetError while shutting down, and before the data folder is open.
+        Raises FleetError while the node shuts down, and before the data folder is open.
         """
         self._check_not_shutting_down()
         return self._driver.put(match, generation, document)
 
     def get(self) -> asyncio.Future[GetCompleted]:
-        """Read the newest configuration. Raises FleetError as `put` does."""
+        """Read the newest configuration. Raises FleetError in the same cases as `put`."""
         self._check_not_shutting_down()
         return self._driver.get()
 
     async def add_to_tally(self, add: TallyAdd) -> None:
-        """Count an add once. Raises FleetError: with TALLY_UNCLEAR it may have counted."""
+        """Apply an addition to a tally exactly once.
+
+        Raises FleetError. With TALLY_UNCLEAR the addition may have been applied.
+        """
         self._check_not_shutting_down()
         await self._tallies.add(add)
 
     def tally_total(self, tally: str) -> int:
-        """The sum of a tally's adds. Raises FleetError while this node is behind."""
+        """Return the sum of a tally's additions. Raises FleetError while this node is still catching up."""
         return self._tallies.total(tally)
 
     async def order_evacuation(self, zone: str, evacuated: bool) -> None:
-        """Evacuate a zone, or withdraw that. Raises FleetError: with TALLY_UNCLEAR it may be in force."""
+        """Order the evacuation of a zone, or withdraw the order.
+
+        Raises FleetError. With TALLY_UNCLEAR the order may be in force.
+        """
         self._check_not_shutting_down()
         if not self.holds_majority():
-            raise FleetError(ErrorCode.NO_QUORUM, "no majority stands behind this machine")
+            raise FleetError(ErrorCode.NO_QUORUM, "this node has no contact with a majority of voters")
         await self._evacuations.order(zone, evacuated)
 
     def holds_majority(self) -> bool:
-        """Whether a majority of voters stands behind this node at this instant."""
+        """Return whether this node currently has contact with a majority of voters."""
         return self._driver.holds_majority()
 
     def call_completed(self, call: CompletedCall) -> None:
-        """Count and log a call of an operator."""
+        """Count and log an operator's completed call."""
         self._call_log.call_completed(call)
 
     def _check_not_shutting_down(self) -> None:
         if self.shutting_down:
-            raise FleetError(ErrorCode.SHUTTING_DOWN, "this scheduler is about to end")
+            raise FleetError(ErrorCode.SHUTTING_DOWN, "this control plane node is shutting down")
 
     # ---- state ----
 
     def status(self) -> StatusAnswer:
-        """The state of this node."""
+        """Return the state of this node."""
         view = self._exchange.view
         committed = self._published.configuration.committed
         workers = self._published.workers
@@ -129,17 +135,17 @@
         )
 
     def open_sessions(self) -> int:
-        """Connections of data plane nodes."""
+        """Return the number of connections from data plane nodes."""
         return self._sessions.count
 
     def pending_calls(self) -> int:
-        """Calls of operators without a response."""
+        """Return the number of operators' calls that have no response yet."""
         return self._driver.pending_calls
 
     def disk_works(self) -> bool:
-        """Whether the data folder is open and its disk answers."""
+        """Return whether the data folder is open and its disk completes writes."""
         return self._driver.disk_works
 
     def tally_figures(self) -> dict[str, float]:
-        """Numbers of the tallies here."""
+        """Return the metrics of this node's tallies by name."""
         return self._tallies.figures()
--- a/reedspoke/control_plane/peer_exchange.py
+++ b/reedspoke/control_plane/peer_exchange.py
@@ -1,8 +1,8 @@
-"""What a control plane node exchanges with its peers, beside the messages of its replica.
+"""Messages between a control plane node and its peers, other than those of its replica.
 
-Session tables make the membership and serve as heartbeats; the list of workers is sent to all by the holder
-of the discovery lease, and to a peer that lacks it by others; leases and quota loans are passed to their
-components.
+Session tables build the fleet membership and serve as heartbeats. The holder of the discovery lease sends the
+list of workers to all peers, and any other node sends it to a peer that lacks it. Messages about leases and
+quota loans are passed to their components.
 """
 
 from __future__ import annotations
@@ -31,12 +31,12 @@
 from reedspoke.control_plane.workers.worker_list import UNLEASED_TERM
 from reedspoke.telemetry.invariants import Invariant, check
 
-SESSION_TABLE_INTERVAL_S = 0.4  # between two session tables
-MEMBERSHIP_CHANGE_DELAY_S = 0.1  # data plane nodes that come or go within this time are sent in one table
+SESSION_TABLE_INTERVAL_S = 0.4
+MEMBERSHIP_CHANGE_DELAY_S = 0.1  # Data plane nodes that join or leave within this time share one table.
 
 
 class PeerExchange:
-    """Owns the newest known view, and when the next session table is due.
+    """Owns the newest known view and the time at which the next session table is due.
 
     `on_lease_update` is called after each message or tick that may have changed the discovery lease.
     """
@@ -68,7 +68,7 @@
         self._next_table_at = 0.0
 
     def set_view(self, view: View) -> None:
-        """Take over a newer view."""
+        """Adopt a newer view and pass its members to the components that depend on them."""
         self.view = view
         chain = {link.member.address: link.member for link in view.chain}
         members = chain | {voter.address: voter for voter in view.voters}
@@ -79,14 +79,14 @@
         self._quota.set_voters(frozenset(voters))
 
     def is_in_chain(self) -> bool:
-        """Whether this node is a member of the chain, as far as it knows."""
+        """Return whether this node is a member of the chain in the newest view that it knows."""
         chain = () if self.view is None else self.view.chain
         return self._own_address in [link.member.address for link in chain]
 
-    # ---- from peers ----
+    # ---- messages from peers ----
 
     def handle(self, sender: str, message: PeerMessage) -> None:
-        """Handle a message of another control plane node; any message shows that it is alive."""
+        """Handle a message from another control plane node. Every message also counts as its heartbeat."""
         now = self._loop.time()
         self._membership.peer_seen(sender, now)
         match message:
@@ -117,15 +117,15 @@
                 self._transport.send_encoded(sender, payload)
         self._refresh_members(now)
 
-    # ---- to peers ----
+    # ---- messages to peers ----
 
     def renew_lease(self, now: float) -> None:
-        """Request or renew the discovery lease where that is due."""
+        """Request or renew the discovery lease if that is due."""
         self.send_all(self._lease.tick(now))
         self._on_lease_update()
 
     def release_lease(self) -> None:
-        """Give the discovery lease up for good: this process shuts down."""
+        """Release the discovery lease permanently because this process shuts down."""
         self.send_all(self._lease.shut_down())
         self._on_lease_update()
 
@@ -135,24 +135,24 @@
             self._transport.send(outgoing.address, outgoing.message)
 
     def publish_workers(self, workers: WorkerList) -> None:
-        """Send a list of workers that was discovered here to all peers and sessions."""
+        """Send a list of workers that this node has discovered to all peers and sessions."""
         now = self._loop.time()
         term = workers.version[0]
         leased = self._lease.is_held(now) and self._lease.term == term
         check(Invariant.DUTY_HAS_LEASE, leased or term == UNLEASED_TERM, term=term, held=self._lease.term)
         payload = self._published.encoded_workers(now)
-        log(INFO, "workers", version=workers.version, count=len(workers.workers))
+        log(INFO, "worker list published", version=workers.version, count=len(workers.workers))
         if payload is not None:
             self._broadcast(payload)
         self._sessions.notify_update()
 
     def send_table_soon(self) -> None:
-        """Send the next table early: a data plane node has come or gone."""
+        """Send the next session table early, because a data plane node has joined or left."""
         self._lease.observe_term(self._workers.highest_seen[0])
         self._next_table_at = min(self._next_table_at, self._loop.time() + MEMBERSHIP_CHANGE_DELAY_S)
 
     def send_table_when_due(self, now: float) -> None:
-        """Send the session table to all peers, every SESSION_TABLE_INTERVAL_S."""
+        """Send the session table to all peers every SESSION_TABLE_INTERVAL_S."""
         if now < self._next_table_at:
             return
         self._next_table_at = now + SESSION_TABLE_INTERVAL_S
@@ -162,7 +162,7 @@
         self._broadcast(encode(table))
 
     def peers(self) -> frozenset[str]:
-        """The members of the view, and other nodes that were heard from of late."""
+        """Return the other members of the view, and other nodes that have recently sent a message."""
         return frozenset((*self._peers, *self._membership.live_peers(self._loop.time())))
 
     def _broadcast(self, payload: bytes) -> None:
--- a/reedspoke/control_plane/process.py
+++ b/reedspoke/control_plane/process.py
@@ -1,7 +1,7 @@
 """The process of a control plane node: builds its components, runs them, and shuts them down in order.
 
-`ControlProcess` is the environment of the replica's driver: it passes what is committed, agreed and sent to
-the components. It owns the components; all other state is theirs.
+`ControlProcess` is the environment of the replica's driver. It passes committed configurations, new views and
+outgoing messages to the components. It owns the components, and they own all other state.
 """
 
 from __future__ import annotations
@@ -50,14 +50,14 @@
 from reedspoke.telemetry.metrics import Registry
 
 MAINTENANCE_INTERVAL_S = 5.0
-EDGE_TTL_HEARTBEATS = 3.0
-TALLY_OPEN_TIMEOUT_S = 0.5  # the control log is not held up for longer
-TALLY_DRAIN_TIMEOUT_S = 1.0  # a node that shuts down waits for so long for others to have its tallies
+EDGE_TTL_HEARTBEATS = 3.0  # A data plane node without a message for this many heartbeats expires.
+TALLY_OPEN_TIMEOUT_S = 0.5  # the longest delay of the control log's opening by the tally storage
+TALLY_DRAIN_TIMEOUT_S = 1.0  # On shutdown, the longest wait until other nodes have this node's tallies.
 DISCOVERY_FAILED_EXIT_STATUS = 1
 
 
 class ControlProcess:
-    """One control plane node. The `_make` methods are replaced in simulations."""
+    """One control plane node. Simulations override the `_make` methods."""
 
     def __init__(self, settings: NodeSettings, path: Path) -> None:
         self._loop = asyncio.get_running_loop()
@@ -142,7 +142,7 @@
         return f"{settings.ip_address}:{settings.internal_ports[0]}"
 
     def _make_incarnation(self) -> int:
-        """A random number of 31 bits."""
+        """Return a random number of 31 bits that identifies this process."""
         return int.from_bytes(os.urandom(4), "big") >> 1
 
     def _make_driver(self, settings: NodeSettings) -> ReplicaDriver:
@@ -180,30 +180,31 @@
     # ---- run ----
 
     async def run(self) -> None:
-        """Serve until SIGTERM. Raises OSError where a port is taken."""
+        """Serve until SIGTERM. Raises OSError if a port is already in use."""
         settings = self._settings.settings
         handle_signals(self._loop, on_end=self._sigterm_received.set, on_reload=self._settings.reload)
         await self._transport.listen()
         if settings.bind.control_plane:
             await self._api.listen(settings.bind.control_plane)
         self._tallies.start()
-        # The control log is made after that of the tallies: one without the other is of an earlier version.
+        # The control log is created after the tally log: a control log alone was written by an earlier
+        # version.
         await self._tallies.wait_until_open(TALLY_OPEN_TIMEOUT_S)
         self._driver.start()
         discovery = self._loop.create_task(self._discovery.run())
         discovery.add_done_callback(self._discovery_ended)
         first_list = self._loop.create_task(
-            keep_running("the first list", self._discovery.discover_without_lease)
+            keep_running("worker discovery without the lease", self._discovery.discover_without_lease)
         )
         metrics_server = await serve_metrics(settings, self._registry)
-        log(INFO, "control plane up", node=settings.node_name, address=self._address)
+        log(INFO, "control plane started", node=settings.node_name, address=self._address)
         await self._sigterm_received.wait()
         await self._shut_down()
         discovery.cancel()
         first_list.cancel()
         if metrics_server is not None:
             metrics_server.close()
-        log(INFO, "control plane ends")
+        log(INFO, "control plane stopped")
 
     async def _shut_down(self) -> None:
         self._backend.shutting_down = True
@@ -239,7 +240,7 @@
     # ---- environment of the replica's driver ----
 
     def send(self, effect: SendMessage) -> None:
-        """Send to another replica."""
+        """Send a message to another replica."""
         self._transport.send(effect.address, effect.message)
 
     def deliver(self, committed: CommittedConfiguration) -> None:
@@ -247,11 +248,11 @@
         self._publisher.publish(committed)
 
     def view_changed(self, view: View) -> None:
-        """Take over a newer view."""
+        """Adopt a newer view."""
         self._exchange.set_view(view)
 
     def ticked(self) -> None:
-        """Do what is due; called at each tick of the replica."""
+        """Run the periodic work of all components; called at each tick of the replica."""
         now = self._loop.time()
         self._exchange.renew_lease(now)
         self._sessions.check_majority()
--- a/reedspoke/control_plane/program.py
+++ b/reedspoke/control_plane/program.py
@@ -1,4 +1,4 @@
-"""What a program of the control plane needs before it serves, and its exit status."""
+"""The control plane's program: checks its settings, serves, and returns the exit status."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 
 def check_settings(settings: NodeSettings) -> None:
-    """Raises FleetError where the file lacks what this role needs."""
+    """Check that the settings have all that a control plane node needs. Raises FleetError if not."""
     if not settings.data_dir:
-        raise FleetError(ErrorCode.SETTINGS_INVALID, "data_dir: a control scheduler needs a folder on a disk")
+        raise FleetError(ErrorCode.SETTINGS_INVALID, "data_dir: missing; a control plane node needs one")
 
 
 def main() -> int:
-    """Exit status: 0 after SIGTERM, 2 where the settings cannot be used."""
+    """Serve, and return the exit status: 0 after SIGTERM, 2 for invalid settings."""
     return run_program(serve, check_settings)
--- a/reedspoke/control_plane/quota/allocator.py
+++ b/reedspoke/control_plane/quota/allocator.py
@@ -1,9 +1,10 @@
-"""Answers data plane nodes' requests for quota, out of this control plane node's share. Pure; no clock.
+"""Answers quota requests of data plane nodes out of this control plane node's share.
 
-Where the share of a tenant's quota does not hold what a request costs, the other owners are asked for loans
-at once, and the request waits. A loan leaves the lender's bucket before it reaches the borrower's, so that no
-unit counts twice; one that is lost on its way is lost for the quota. After loans that brought too little,
-further requests of the tenant are refused for a moment without borrowing again.
+If the share of a tenant's quota has fewer units than a request costs, the allocator immediately requests
+loans from the other owners, and the request waits. A loan is taken out of the lender's bucket before it is
+added to the borrower's, so no unit counts twice; a loan lost in transit is lost for the quota. After loans
+with too few units, further requests of the tenant are refused for a backoff period without borrowing again.
+The module does no I/O and reads no clock.
 """
 
 from __future__ import annotations
@@ -21,30 +22,30 @@
 from reedspoke.control_plane.quota.token_bucket import TokenBucket
 from reedspoke.telemetry.invariants import Invariant, check
 
-LOAN_TIMEOUT_S = 0.02  # requests wait for loans no longer than this
-BORROWING_BACKOFF_S = 0.1  # until a tenant's units are borrowed again, where the loans brought too little
-STARTUP_PERIOD_S = 1.5  # after its start a bucket is empty for want of time, not of quota
-SCARCITY_PERIOD_S = 0.2  # for so long after a refusal a tenant's units count as scarce here
-REFRESH_INTERVAL_S = 0.5  # a share that has changed is known to all buckets after this
-MAX_PENDING_REQUESTS = 64  # of a tenant, that wait for loans
-LOAN_REQUEST_FACTOR = 3.0  # what is requested in all, against what is lacking: not all lend
+LOAN_TIMEOUT_S = 0.02  # the longest time for which a request waits for loans
+BORROWING_BACKOFF_S = 0.1  # delay before the next loan requests for a tenant after loans with too few units
+STARTUP_PERIOD_S = 1.5  # An empty bucket within this time after the start does not mean a spent quota.
+SCARCITY_PERIOD_S = 0.2  # A tenant's units count as scarce at this node for this long after a refusal.
+REFRESH_INTERVAL_S = 0.5  # the longest time until all buckets use a changed share
+MAX_PENDING_REQUESTS = 64  # per tenant, waiting for loans
+LOAN_REQUEST_FACTOR = 3.0  # requested units in total per missing unit, as some owners lend none
 MIN_RETRY_AFTER_S = 0.05
 MAX_RETRY_AFTER_S = 2.0
 
-Requester = Any  # whoever the response goes to; handed back as it came
+Requester = Any  # an opaque reference to the recipient of the response, returned unchanged
 MajorityAsOf = Callable[[], float | None]
-ReachablePeers = Callable[[], Collection[str]]  # addresses of control plane nodes that were heard of late
+ReachablePeers = Callable[[], Collection[str]]  # addresses of control plane nodes with recent messages
 
 
 class SendResponse(Struct, frozen=True):
-    """Send this response to the data plane node that requested it."""
+    """An effect: send this response to the requesting data plane node."""
 
     requester: Requester
     response: QuotaResponse
 
 
 class SendToPeer(Struct, frozen=True):
-    """Send this to another control plane node."""
+    """An effect: send this message to another control plane node."""
 
     address: str
     message: QuotaLoanRequest | QuotaLoan
@@ -54,16 +55,16 @@
 
 
 class PendingQuotaRequest(Struct, frozen=True):
-    """A request that waits for loans."""
+    """A quota request that waits for loans."""
 
     requester: Requester
     request: QuotaRequest
 
 
 class TenantQuota(Struct, eq=False):
-    """One tenant's bucket here, and the loans that are awaited for it."""
+    """One tenant's bucket at this node, and the state of its outstanding loans."""
 
-    limit: float  # units within any window, over the whole fleet
+    limit: float  # units within any window for the whole fleet
     bucket: TokenBucket
     pending: list[PendingQuotaRequest] = field(default_factory=list)
     loans_due_at: float = 0.0
@@ -72,12 +73,12 @@
     refused_at: float = float("-inf")
 
     def is_scarce(self, now: float) -> bool:
-        """Whether units were lacking here of late."""
+        """Return whether a request was recently refused because units were missing."""
         return now - self.refused_at < SCARCITY_PERIOD_S
 
 
 class QuotaAllocator:
-    """All tenants' quotas at one control plane node. Owns their buckets and pending requests."""
+    """Grants all tenants' quotas at one control plane node. Owns their buckets and pending requests."""
 
     def __init__(
         self,
@@ -93,14 +94,14 @@
         self._majority_as_of = majority_as_of
         self._reachable_peers = reachable_peers
         self._known_tenants: frozenset[str] = frozenset()
-        self._quotas: dict[str, TenantQuota] = {}  # of tenants with a limit
+        self._quotas: dict[str, TenantQuota] = {}  # tenants with a limit
         self._refresh_at = float("-inf")
-        self._borrowing: dict[str, TenantQuota] = {}  # whose loans are awaited
+        self._borrowing: dict[str, TenantQuota] = {}  # tenants with outstanding loans
 
     # ---- configuration and time ----
 
     def configure(self, tenants: Mapping[str, Tenant], now: float) -> None:
-        """The newest committed configuration has these tenants."""
+        """Set the tenants of the newest committed configuration."""
         self._known_tenants = frozenset(tenants)
         limited = {name: tenant for name, tenant in tenants.items() if tenant.get("rate_per_s")}
         self._quotas = {
@@ -110,7 +111,7 @@
         self._borrowing = {name: quota for name, quota in self._borrowing.items() if name in self._quotas}
 
     def refresh(self, now: float) -> None:
-        """Time has passed: all buckets follow this control plane node's share."""
+        """Adjust all buckets to this control plane node's current share; called periodically."""
         if now >= self._refresh_at:
             self._refresh_at = now + REFRESH_INTERVAL_S
             for tenant, quota in self._quotas.items():
@@ -118,7 +119,7 @@
                 self._check_invariant(quota, tenant)
 
     def expire_loans(self, now: float) -> list[QuotaEffect]:
-        """Requests whose loans have not come in time are refused."""
+        """Refuse the requests whose loans have timed out."""
         effects: list[QuotaEffect] = []
         for tenant, quota in list(self._borrowing.items()):
             if now >= quota.loans_due_at:
@@ -126,13 +127,16 @@
         return effects
 
     def next_expiry(self) -> float | None:
-        """When `expire_loans` is to be called; None: no loans are awaited."""
+        """Return the time at which to call `expire_loans`, or None without outstanding loans."""
         return min((quota.loans_due_at for quota in self._borrowing.values()), default=None)
 
     # ---- requests ----
 
     def handle_request(self, requester: Requester, request: QuotaRequest, now: float) -> list[QuotaEffect]:
-        """A data plane node's request; it is answered now, or once loans have come."""
+        """Handle a data plane node's request.
+
+        It is answered now, or after loans have arrived or timed out.
+        """
         quota = self._quotas.get(request.tenant)
         if quota is None or not self._is_lease_held(now):
             is_unlimited = quota is None and request.tenant in self._known_tenants
@@ -144,7 +148,7 @@
         return self._borrow_for(PendingQuotaRequest(requester, request), quota, now)
 
     def _borrow_for(self, pending: PendingQuotaRequest, quota: TenantQuota, now: float) -> list[QuotaEffect]:
-        """Have the request wait for loans; refuse it where that would be of no use."""
+        """Queue the request until loans arrive, or refuse it if borrowing is not possible now."""
         tenant = pending.request.tenant
         lenders = self._lenders(tenant)
         if len(quota.pending) >= MAX_PENDING_REQUESTS or now < quota.next_borrowing_at or not lenders:
@@ -155,7 +159,7 @@
     # ---- loans ----
 
     def handle_loan_request(self, sender: str, request: QuotaLoanRequest, now: float) -> list[QuotaEffect]:
-        """Another control plane node lacks units of a tenant's quota."""
+        """Handle another control plane node's request for a loan of a tenant's units."""
         quota = self._quotas.get(request.tenant)
         units = 0.0
         if quota is not None and self._is_lease_held(now) and not quota.pending:
@@ -165,7 +169,7 @@
         return [SendToPeer(sender, QuotaLoan(request.tenant, units))]
 
     def handle_loan(self, loan: QuotaLoan, now: float) -> list[QuotaEffect]:
-        """A loan, of no units where the lender has none."""
+        """Handle the answer to a loan request. A lender without available units lends 0."""
         quota = self._quotas.get(loan.tenant)
         if quota is None or not self._is_lease_held(now):
             return []
@@ -194,7 +198,7 @@
         return [SendToPeer(address, request) for address in lenders]
 
     def _grant_pending(self, quota: TenantQuota, now: float) -> list[QuotaEffect]:
-        """In their order, as far as the bucket holds it."""
+        """Grant pending requests in order until the bucket has too few units for the next one."""
         effects: list[QuotaEffect] = []
         while quota.pending and self._grant(quota, quota.pending[0].request, now):
             first = quota.pending.pop(0)
@@ -212,7 +216,7 @@
         return effects + self._return_overflow(tenant, quota)
 
     def _return_overflow(self, tenant: str, quota: TenantQuota) -> list[QuotaEffect]:
-        """What was borrowed and not used goes to an owner."""
+        """Return units above the bucket's capacity, borrowed and unused, to another owner."""
         lenders = self._lenders(tenant)
         overflow = quota.bucket.remove_overflow()
         if not lenders or not overflow:
--- a/reedspoke/control_plane/quota/service.py
+++ b/reedspoke/control_plane/quota/service.py
@@ -1,4 +1,4 @@
-"""Quotas of tenants at a control plane node: joins the allocator to sessions, peers and the clock."""
+"""Tenant quotas at a control plane node: connects the allocator to sessions, peers and the clock."""
 
 from __future__ import annotations
 
@@ -19,7 +19,10 @@
 
 
 class QuotaService:
-    """All quotas here. Owns the timer for loans; the callables are as in `QuotaAllocator`."""
+    """Runs the allocator. Owns the timer for outstanding loans.
+
+    `majority_as_of` and `reachable_peers` are passed to `QuotaAllocator`; `send` sends a message to a peer.
+    """
 
     def __init__(
         self,
@@ -39,27 +42,27 @@
         self._loan_timer: StallTolerantTimer | None = None
 
     def configure(self, tenants: Mapping[str, Tenant]) -> None:
-        """The newest committed configuration has these tenants."""
+        """Set the tenants of the newest committed configuration."""
         self._allocator.configure(tenants, self._loop.time())
 
     def set_voters(self, voters: frozenset[str]) -> None:
-        """The voters of the newest view."""
+        """Set the voters of the newest view."""
         self._share.set_voters(voters, self._loop.time())
 
     def tick(self) -> None:
-        """A little time has passed."""
+        """Run periodic work; called at each tick of the replica."""
         self._allocator.refresh(self._loop.time())
 
     def handle_request(self, channel: Channel, request: QuotaRequest) -> None:
-        """A data plane node's request; the response goes to its channel, at once or after loans."""
+        """Handle a data plane node's request. The response is sent on its channel now or after loans."""
         self._carry_out(self._allocator.handle_request(channel, request, self._loop.time()))
 
     def handle_loan_request(self, sender: str, request: QuotaLoanRequest) -> None:
-        """Another control plane node lacks units."""
+        """Handle another control plane node's request for a loan."""
         self._carry_out(self._allocator.handle_loan_request(sender, request, self._loop.time()))
 
     def handle_loan(self, loan: QuotaLoan) -> None:
-        """Another control plane node lends units, or has none."""
+        """Handle another control plane node's answer to a loan request."""
         self._carry_out(self._allocator.handle_loan(loan, self._loop.time()))
 
     def _carry_out(self, effects: list[QuotaEffect]) -> None:
@@ -79,6 +82,6 @@
 
 
 def quota_rule(settings: NodeSettings) -> QuotaRule:
-    """The deployment's limit on quotas."""
+    """Return the deployment's parameters for quotas, from its settings."""
     bounds = settings.bounds
     return QuotaRule(bounds.quota_window_s, bounds.quota_excess, bounds.quota_slack)
--- a/reedspoke/control_plane/quota/share.py
+++ b/reedspoke/control_plane/quota/share.py
@@ -1,16 +1,17 @@
-"""Which share of a tenant's quota this control plane node may grant. Pure; no clock.
+"""The share of a tenant's quota that this control plane node may grant. No I/O and no clock.
 
-A tenant's quota is shared evenly by a few of the voters of the agreed view, its owners; rendezvous hashing by
-the tenant's name (Thaler and Ravishankar, 1998) names them, so that nobody is asked and no quota rests while
-the view is repaired. Shared by all voters, the share of a small tenant would be less than one request. Who
-owns nothing of a quota borrows.
+A tenant's quota is divided evenly among its owners, a few voters of the agreed view. Rendezvous hashing of
+the tenant's name (Thaler and Ravishankar, 1998) selects them, which needs no messages and leaves no quota
+unused while the view is repaired. If all voters shared each quota, the share of a small tenant would be less
+than one request. A node that is not an owner borrows.
 
-A share is leased by contact with a majority. Whoever has had none for `SHARE_LEASE_TTL_S` grants nothing;
-only after that do new owners begin, as an owner counts only who is one by every view known for so long. So
-the shares of all that grant never add up to more than 1.
+A share is held under a lease that contact with a majority renews. A node without contact for
+`SHARE_LEASE_TTL_S` grants nothing. New owners begin to grant only after that time, because a node counts as
+an owner only if it is one by every view in force within the last `SHARE_LEASE_TTL_S`. The shares of all
+granting nodes therefore never add up to more than 1.
 
-A process that starts anew does not know the views before, by which others may own still. It counts as one of
-more owners, for as long.
+A process that has just started does not know the previous views, whose owners may still grant. For the same
+time it divides the quota by a larger number of owners.
 """
 
 from __future__ import annotations
@@ -20,21 +21,21 @@
 
 from msgspec import Struct
 
-SHARE_LEASE_TTL_S = 2.5  # a share may be granted from for so long after the last contact with a majority,
-SHARE_LEASE_MARGIN_S = 0.3  # less this, by the holder's own clock
+SHARE_LEASE_TTL_S = 2.5  # duration of a share's lease after the last contact with a majority
+SHARE_LEASE_MARGIN_S = 0.3  # The holder treats its lease, by its own clock, as shorter by this.
 OWNERS_PER_TENANT = 4
-MAX_CACHED_TENANTS = 4096  # whose owners are remembered
+MAX_CACHED_TENANTS = 4096  # size of each voter set's cache of owners
 
 
 class VoterSet(Struct, eq=False):
-    """The voters of a view, from this time on, and the owners by them of tenants that were asked for."""
+    """The voters of a view, the time since when they vote, and a cache of the owners of tenants."""
 
     addresses: frozenset[str]
     since: float
     owners: dict[str, frozenset[str]]
 
     def owners_of(self, tenant: str) -> frozenset[str]:
-        """The voters that share this tenant's quota."""
+        """Return the voters that share this tenant's quota."""
         cached = self.owners.get(tenant)
         if cached is not None:
             return cached
@@ -45,9 +46,9 @@
 
 
 class QuotaShare:
-    """The shares of the process at the address `own`; `tolerated` machines may be lost at once.
+    """The shares of the process at the address `own`; the fleet tolerates the loss of `tolerated` machines.
 
-    Owns the sets of voters that were in force within the last `SHARE_LEASE_TTL_S`, the newest last.
+    It owns the sets of voters that were in force within the last `SHARE_LEASE_TTL_S`, the newest last.
     """
 
     def __init__(self, own: str, tolerated: int, started_at: float) -> None:
@@ -57,22 +58,25 @@
         self._voter_sets: deque[VoterSet] = deque()
 
     def set_voters(self, addresses: frozenset[str], now: float) -> None:
-        """These vote from now on, by the newest view known here."""
+        """Set the voters of the newest known view, which are in force from now on."""
         if not self._voter_sets or self._voter_sets[-1].addresses != addresses:
             self._voter_sets.append(VoterSet(addresses, now, {}))
 
     def other_owners(self, tenant: str) -> tuple[str, ...]:
-        """Who else shares this tenant's quota by the newest view."""
+        """Return the other owners of this tenant's quota in the newest view."""
         if not self._voter_sets:
             return ()
         return tuple(sorted(self._voter_sets[-1].owners_of(tenant) - {self._own}))
 
     def is_lease_held(self, now: float, majority_as_of: float | None) -> bool:
-        """Whether the lease runs. `majority_as_of`: when the view was certainly the newest; None: never."""
+        """Return whether the lease is valid.
+
+        `majority_as_of` is the latest time at which the view was confirmed as the newest, or None.
+        """
         return majority_as_of is not None and now - majority_as_of < SHARE_LEASE_TTL_S - SHARE_LEASE_MARGIN_S
 
     def share(self, tenant: str, now: float, majority_as_of: float | None) -> float:
-        """From 0 to 1, of this tenant's quota."""
+        """Return the share of this tenant's quota that may be granted here, from 0 to 1."""
         if not self._voter_sets or not self.is_lease_held(now, majority_as_of):
             return 0.0
         self._drop_expired(now)
@@ -83,12 +87,12 @@
         return 1 / (max(map(len, owners)) + unknown_owners)
 
     def _drop_expired(self, now: float) -> None:
-        """Forget sets of voters that were replaced so long ago that leases of their owners have expired."""
+        """Remove sets of voters that were replaced longer ago than the duration of a lease."""
         while len(self._voter_sets) > 1 and self._voter_sets[1].since <= now - SHARE_LEASE_TTL_S:
             self._voter_sets.popleft()
 
 
 def tenant_owners(tenant: str, voters: frozenset[str]) -> frozenset[str]:
-    """Those of the voters that share this tenant's quota."""
+    """Return the voters that share this tenant's quota, by rendezvous hashing."""
     ranked = sorted(voters, key=lambda address: blake2b(f"{tenant}/{address}".encode()).digest())
     return frozenset(ranked[:OWNERS_PER_TENANT])
--- a/reedspoke/control_plane/settings_watcher.py
+++ b/reedspoke/control_plane/settings_watcher.py
@@ -1,4 +1,4 @@
-"""Reloads the settings file when it changes, or on SIGHUP."""
+"""Reloads the settings file when it changes and on SIGHUP."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class FileStamp(Struct, frozen=True):
-    """What tells that a file has changed."""
+    """File metadata whose change indicates that the file has been modified."""
 
     modified_ns: int
     size: int
@@ -23,7 +23,7 @@
 
 
 class SettingsWatcher:
-    """Owns the settings in force. `on_reload` is called with the previous ones and the new ones."""
+    """Owns the settings in force. `on_reload` is called with the previous settings and the new ones."""
 
     def __init__(
         self, path: Path, settings: NodeSettings, on_reload: Callable[[NodeSettings, NodeSettings], None]
@@ -35,7 +35,7 @@
         self._next_check_at = 0.0
 
     def check(self, now: float) -> None:
-        """Reload the file if it has changed; it is looked at every CHECK_INTERVAL_S."""
+        """Reload the file if it has changed since the last check; checks every CHECK_INTERVAL_S."""
         if now < self._next_check_at:
             return
         self._next_check_at = now + CHECK_INTERVAL_S
@@ -43,7 +43,7 @@
             self.reload()
 
     def reload(self) -> None:
-        """Reload the file; settings that cannot be used are logged, and the previous ones stay in force."""
+        """Reload the file. Invalid settings are logged, and the previous ones stay in force."""
         self._stamp = read_file_stamp(self._path)
         try:
             settings = load_settings(self._path)
@@ -55,7 +55,7 @@
 
 
 def read_file_stamp(path: Path) -> FileStamp | None:
-    """The stamp of a file; None where there is none."""
+    """Return the metadata of a file, or None if it does not exist."""
     try:
         status = path.stat()
     except OSError:
--- a/reedspoke/control_plane/workers/discovery.py
+++ b/reedspoke/control_plane/workers/discovery.py
@@ -1,8 +1,8 @@
-"""The holder of the discovery lease polls the platform's list of workers, and publishes what has changed.
+"""The holder of the discovery lease polls the platform's list of workers and publishes changes.
 
-A process that has just started and knows no list polls once without the lease: after a loss of all control
-schedulers the lease cannot be granted before its longest term has passed, and a read harms nobody. What it
-reads has a version below that of any holder.
+A process that has just started and has no list polls once without the lease. After a loss of all control
+plane nodes the lease cannot be granted until its full duration has passed, and an additional read does no
+harm. The list that it reads has a lower version than that of any lease holder.
 """
 
 from __future__ import annotations
@@ -18,26 +18,26 @@
 from reedspoke.control_plane.workers.platform_messages import PlatformPage, merge_pages
 from reedspoke.control_plane.workers.worker_list import UNLEASED_TERM, WorkerListState
 
-POLL_INTERVAL_S = 0.8  # between polls of the full list; each call has a price
-RETRY_BACKOFF_S = 0.25  # after a call that failed
-MAX_FAILURE_PERIOD_S = 1.0  # a holder whose calls fail for longer gives the lease to another
-RATE_SHARE = 0.8  # of the platform's rate, as the holder before may have called just now
+POLL_INTERVAL_S = 0.8  # interval between polls of the full list; the platform charges for each call
+RETRY_BACKOFF_S = 0.25  # delay after a failed call
+MAX_FAILURE_PERIOD_S = 1.0  # A holder whose calls fail for longer releases the lease to another node.
+RATE_SHARE = 0.8  # used share of the platform's rate limit, as the previous holder may have just called
 MIN_RATE_PER_S = 0.1
 MAX_PAGES = 200
 UNLEASED_VERSION: Version = (UNLEASED_TERM, 1)
 
 Publish = Callable[[WorkerList], None]
-# What is published of the platform's answer; None: that is not known yet.
+# Converts the platform's entries to the published ones; returns None while it lacks the information.
 AdjustWorkers = Callable[[tuple[WorkerEntry, ...]], tuple[WorkerEntry, ...] | None]
 Send = Callable[[list[OutgoingMessage]], None]
 
 
 class WorkerDiscovery:
-    """Polls while the lease is held; a task of the process runs it from start to end.
+    """Polls while the lease is held. A task runs it for the lifetime of the process.
 
-    Owns the connection to the platform and the newest answer under the present lease. `worker_list` is the
-    state that the process shares with the delivery to data plane nodes. `adjust_workers` turns the platform's
-    answer into what is published.
+    It owns the connection to the platform and the newest response under the current lease. `worker_list` is
+    the state that the process shares with the delivery to data plane nodes. `adjust_workers` converts the
+    platform's entries to the published ones.
     """
 
     def __init__(
@@ -57,23 +57,23 @@
         self._loop = asyncio.get_running_loop()
         self._failing_since: float | None = None
         self._lease_held = asyncio.Event()
-        self._latest: tuple[WorkerEntry, ...] | None = None  # from the platform, under this lease
-        self._adjusted: tuple[WorkerEntry, ...] | None = None  # what is published of it
+        self._latest: tuple[WorkerEntry, ...] | None = None  # the platform's entries, read under this lease
+        self._adjusted: tuple[WorkerEntry, ...] | None = None  # the published entries
         self._cloud_api = cloud_api
         self._client = PlatformClient(cloud_api.address)
 
     def update_settings(self, cloud_api: CloudApi) -> None:
-        """The platform's API may have another address or rate."""
+        """Apply settings that may have changed the address or rate limit of the platform's API."""
         if cloud_api.address != self._cloud_api.address:
             self._client.close()
             self._client = PlatformClient(cloud_api.address)
         self._cloud_api = cloud_api
 
     def check_lease(self) -> None:
-        """Time has passed, or the lease has a new state: begin, end or go on accordingly.
+        """Start or stop polling with the state of the lease; called periodically and when the lease changes.
 
-        Where another process is known to hold a newer list, or workers are adjusted otherwise now, what the
-        platform answered last is published anew, without waiting for the next poll.
+        If another process has a newer list, or the adjustment of workers has changed, the platform's last
+        response is published again without waiting for the next poll.
         """
         if not self._lease.is_held(self._loop.time()):
             self._lease_held.clear()
@@ -86,7 +86,7 @@
             self._take_answer(self._latest)
 
     async def run(self) -> None:
-        """Poll, publish, wait; until cancelled."""
+        """Poll and publish in a loop until cancelled."""
         while True:
             if not self._lease_held.is_set():
                 self._client.close()
@@ -98,7 +98,7 @@
             await asyncio.sleep(max(0.0, began + interval_s - self._loop.time()))
 
     async def discover_without_lease(self) -> None:
-        """Read the list once without the lease, unless a list comes from elsewhere before."""
+        """Read the list once without the lease, unless a list arrives from another node first."""
         client = PlatformClient(self._cloud_api.address)
         while self._worker_list.current is None:
             try:
@@ -117,7 +117,7 @@
         client.close()
 
     async def _poll(self) -> float:
-        """Read the full list once; the time from the start of this poll to the next one, in seconds."""
+        """Read the full list once, and return the time in seconds from the start of this poll to the next."""
         try:
             pages = await self._fetch_pages(self._client, self._lease.term)
         except PlatformRateError:
@@ -134,14 +134,14 @@
         return max(POLL_INTERVAL_S, len(pages) * self._call_interval_s())
 
     async def _fetch_pages(self, client: PlatformClient, term: int | None) -> list[PlatformPage] | None:
-        """All pages, called under this term of the lease; None: without the lease.
+        """Fetch all pages under this term of the lease, or without the lease if `term` is None.
 
-        The result is None where the lease has ended between two of them: a fenced holder calls no more.
+        Returns None if the lease ended between two pages, because a fenced holder must make no further calls.
         """
         pages = [await client.fetch_page(None)]
         while pages[-1].next_token is not None:
             if len(pages) >= MAX_PAGES:
-                raise PlatformError("the list has too many pages")
+                raise PlatformError("the platform's list has too many pages")
             await asyncio.sleep(self._call_interval_s())
             if term is not None and not self._is_held_under(term):
                 return None
@@ -152,11 +152,11 @@
         return self._lease.is_held(self._loop.time()) and self._lease.term == term
 
     def _call_interval_s(self) -> float:
-        """Between two calls that keep the platform's rate."""
+        """Return the interval between calls that stays below the platform's rate limit."""
         return 1.0 / max(MIN_RATE_PER_S, self._cloud_api.rate_per_s * RATE_SHARE)
 
     def _take_answer(self, entries: tuple[WorkerEntry, ...]) -> None:
-        """Publish what has changed, if the lease is still held; where needed get a higher term first."""
+        """Publish changes if the lease is still held. If the term is too low, first request a higher one."""
         now = self._loop.time()
         if not self._lease.is_held(now):
             return
@@ -173,7 +173,7 @@
             self._publish(published)
 
     def _handle_failure(self, reason: str) -> None:
-        """A call has failed; a holder that fails for too long gives the lease to another."""
+        """Handle a failed call. A holder whose calls have failed for too long releases the lease."""
         now = self._loop.time()
         if self._failing_since is None:
             log(WARNING, "platform listing failed", reason=reason)
--- a/reedspoke/control_plane/workers/discovery_lease.py
+++ b/reedspoke/control_plane/workers/discovery_lease.py
@@ -1,23 +1,23 @@
-"""The discovery lease: which control plane node polls the platform's list of workers.
+"""The discovery lease, which determines the control plane node that polls the platform's list of workers.
 
-A lease as of Gray and Cheriton ("Leases", 1989), granted by a majority of the voters of the present view, as
-in Chubby (Burrows, 2006). What makes two holders at one time unlikely enough:
+It is a lease as described by Gray and Cheriton ("Leases", 1989), granted by a majority of the voters of the
+current view, as in Chubby (Burrows, 2006). Three rules make two simultaneous holders sufficiently unlikely:
 
-- A voter grants to one holder at a time, for `LEASE_TTL_S`; one that starts anew waits that long before it
-  grants, as it has forgotten what it granted (`lease_voter`).
-- A holder counts from before it sent its request, and stops `LEASE_MARGIN_S` early.
-- Sets of voters differ by one member from view to view, so their majorities meet.
+- A voter grants the lease to one holder at a time, for `LEASE_TTL_S`. After a restart it waits that long
+  before it grants, because its earlier grants are not stored (`lease_voter`).
+- A holder measures the lease from before it sent its request, and stops `LEASE_MARGIN_S` early.
+- The sets of voters of consecutive views differ by one member, so their majorities intersect.
 
-The term of a grant is the fencing token: it goes with each list of workers. Terms only rise, also past those
-that other processes know of; a list published under a higher term replaces one under a lower term, and a
-holder that learns of a higher term ends at once, whatever its lease says.
+The term of a grant is the fencing token and is part of the version of each list of workers. Terms only rise,
+also above those that other processes know. A list published under a higher term replaces one under a lower
+term, and a holder that observes a higher term stops immediately, even if its lease has not expired.
 
-Voters want the lease in the order in which they stand in the view: the first requests it at once, each
-further one `RANK_DELAY_S` later, and withdraws a request of its own for one of a voter before it. So rivals
-do not split the votes again and again.
+Voters request the lease in the order in which the view lists them: the first one immediately, each further
+one `RANK_DELAY_S` later. A voter withdraws its own request when a voter before it in the view sends one. This
+prevents repeated split votes.
 
-`DiscoveryLease` owns this process's lease, its request that is out, and what it has granted as a voter. No
-I/O and no clock here: `now` is seconds of a clock that goes on while the process is stopped.
+`DiscoveryLease` owns this process's lease, its pending request, and its grants as a voter. It does no I/O and
+reads no clock: `now` is in seconds of a clock that advances while the process is suspended.
 """
 
 from __future__ import annotations
@@ -32,13 +32,13 @@
 )
 from reedspoke.control_plane.workers.lease_voter import LEASE_TTL_S, DiscoveryLeaseVoter
 
-LEASE_MARGIN_S = 0.1  # the holder counts its lease as shorter by this
+LEASE_MARGIN_S = 0.1  # The holder treats its lease as shorter by this.
 RENEW_INTERVAL_S = 0.4
-REQUEST_TIMEOUT_S = 0.35  # a request that a majority has not granted by then has failed
-RANK_DELAY_S = 0.12  # a voter waits that much longer for each voter before it in the view
-REQUEST_BACKOFF_S = 0.3  # after a request that failed
-TERM_STRIDE = 2**31  # terms of one process differ by multiples of this
-STEP_DOWN_BACKOFF_S = 2.0  # no request for so long after the lease was given to others
+REQUEST_TIMEOUT_S = 0.35  # A request without grants of a majority fails after this time.
+RANK_DELAY_S = 0.12  # additional delay of a voter's request for each voter before it in the view
+REQUEST_BACKOFF_S = 0.3  # delay after a failed request
+TERM_STRIDE = 2**31  # The terms of one process differ by multiples of this.
+STEP_DOWN_BACKOFF_S = 2.0  # delay before the next request after this process has released the lease
 
 
 class OutgoingMessage(Struct, frozen=True):
@@ -49,7 +49,7 @@
 
 
 class PendingRequest(Struct):
-    """A request that is out, and the addresses of the voters that have responded."""
+    """A pending request, and the addresses of the voters that have responded."""
 
     term: int
     sent_at: float
@@ -60,9 +60,10 @@
 class DiscoveryLease:
     """One process as a voter and as a candidate for the lease.
 
-    `identity`, below `TERM_STRIDE`, is to differ from process to process: it is the remainder of each of its
-    terms. So none is used twice, also after a loss of all processes, when terms begin anew while lists of
-    earlier ones may still be held elsewhere. `fresh_fleet`: no process can have granted anything before.
+    `identity` must be below `TERM_STRIDE` and differ between processes. Each term of this process has it as
+    its remainder modulo `TERM_STRIDE`, so no two processes use the same term. This also holds after a loss of
+    all processes, when terms start again while data plane nodes may still hold lists of earlier terms.
+    `fresh_fleet` means that no process can have granted the lease before.
     """
 
     def __init__(
@@ -72,7 +73,7 @@
         self._voter = DiscoveryLeaseVoter(now if fresh_fleet else now + LEASE_TTL_S)
         self._voters: tuple[str, ...] = ()
         self._pending: PendingRequest | None = None
-        self._request_at: float | None = None  # None: no voters are known yet
+        self._request_at: float | None = None  # None until the voters are known
         self._backoff_until = now
         self._min_term = 1
         self._identity = identity
@@ -83,7 +84,10 @@
     # ---- state ----
 
     def is_held(self, now: float) -> bool:
-        """Whether the lease is held; check before each act, as the process may have been stopped."""
+        """Return whether the lease is held.
+
+        It must be checked before each action of the holder, because the process may have been suspended.
+        """
         return self._term > 0 and now < self._expires_at
 
     @property
@@ -94,30 +98,30 @@
     # ---- events ----
 
     def set_voters(self, voters: tuple[str, ...]) -> None:
-        """The voters of the newest view, in the order of preference."""
+        """Set the voters of the newest view, in the order in which they request the lease."""
         if voters != self._voters:
             self._voters = voters
-            self._pending = None  # grants of the voters of two views are not added up
+            self._pending = None  # Grants from voters of two views must not be added up.
 
     def observe_term(self, term: int) -> None:
-        """Somebody knows of a list of workers under this term.
+        """Record that another process knows a list of workers of this term.
 
-        A holder under a lower one ends at once, and may hold the lease again under a higher one only.
+        A holder with a lower term stops immediately, and can hold the lease again only under a higher term.
         """
-        if term != self._term:  # another process's, or that of an earlier incarnation: never used again
+        if term != self._term:  # A term of another process or an earlier incarnation must not be reused.
             self._min_term = max(self._min_term, term + 1)
         if term > self._term and self._expires_at:
             self._expires_at = 0.0
             self._request_at = self._backoff_until
 
     def require_term_above(self, term: int, now: float) -> None:
-        """Lists under the present term are not the newest: renew at once, under a term above this one."""
+        """Renew the lease immediately under a term above this one, as current lists are outdated."""
         self._min_term = max(self._min_term, term + 1)
         if self._min_term > self._term and self.is_held(now):
             self._request_at = now
 
     def tick(self, now: float) -> list[OutgoingMessage]:
-        """Time has passed: request, renew, or give up a request."""
+        """Request or renew the lease if that is due, or time out a pending request; called periodically."""
         if self._pending is not None and now - self._pending.sent_at > REQUEST_TIMEOUT_S:
             return self._request_failed(now, REQUEST_BACKOFF_S)
         if self._pending is None and not self._is_shut_down and self._address in self._voters:
@@ -127,7 +131,7 @@
     def handle_message(
         self, sender: str, message: DiscoveryLeaseMessage, now: float
     ) -> list[OutgoingMessage]:
-        """A message of another voter; what is to be sent for it."""
+        """Handle a message of another voter, and return the messages to send."""
         match message:
             case DiscoveryLeaseRequest(term):
                 withdrawn = self._withdraw_for(sender, now)
@@ -140,13 +144,13 @@
                 return self._handle_response(sender, message, now)
 
     def step_down(self, now: float) -> list[OutgoingMessage]:
-        """Release the lease, and leave it to others for a while."""
+        """Release the lease, and do not request it again for `STEP_DOWN_BACKOFF_S`."""
         messages = self._release_all()
         self._backoff_until = now + STEP_DOWN_BACKOFF_S
         return messages
 
     def shut_down(self) -> list[OutgoingMessage]:
-        """Release the lease for good."""
+        """Release the lease and never request it again."""
         self._is_shut_down = True
         return self._release_all()
 
@@ -160,7 +164,7 @@
         is_renewal = self.is_held(now)
         if not is_renewal:
             free_at = self._voter.refuses_until(self._address)
-            if now < free_at:  # others would refuse too: whoever holds the lease has our own vote
+            if now < free_at:  # Other voters would probably refuse too, as this voter has granted the lease.
                 self._request_at = free_at + self._rank_delay()
                 return []
         return self._send_request(self._next_term(is_renewal), now)
@@ -202,7 +206,8 @@
         self, pending: PendingRequest, sender: str, response: DiscoveryLeaseResponse, now: float
     ) -> list[OutgoingMessage]:
         if response.retry_after_s <= 0:
-            # Only the term was too low. Request again at once: rivals that wait here overtake each other.
+            # Only the term was too low. Request again immediately: with a delay, two candidates could raise
+            # each other's required term repeatedly.
             self._request_at = now
             return self._request_when_due(now)
         pending.refused_by.add(sender)
@@ -211,7 +216,7 @@
         return []
 
     def _acquire(self, granted: PendingRequest) -> None:
-        """A majority has granted: count from before the request was sent."""
+        """Acquire the lease after a majority has granted it, measured from before the request was sent."""
         self._pending = None
         self._term = granted.term
         self._expires_at = granted.sent_at + LEASE_TTL_S - LEASE_MARGIN_S
@@ -227,7 +232,7 @@
         return [] if failed is None else self._release_term(failed.term)
 
     def _withdraw_for(self, rival: str, now: float) -> list[OutgoingMessage]:
-        """Give up a request that is out for one of a voter that ranks before this one, or both might fail."""
+        """Withdraw a pending request in favor of a voter with a higher rank, as otherwise both could fail."""
         pending = self._pending
         if pending is None or self.is_held(now) or not self._ranks_before(rival):
             return []
@@ -236,7 +241,7 @@
         return self._release_term(pending.term)
 
     def _ranks_before(self, rival: str) -> bool:
-        """Whether that voter stands before this one in the view."""
+        """Return whether that voter comes before this one in the view."""
         if self._address not in self._voters:
             return False
         return rival in self._voters[: self._voters.index(self._address)]
@@ -244,7 +249,7 @@
     # ---- releases ----
 
     def _release_all(self) -> list[OutgoingMessage]:
-        """Release the lease and the request that is out."""
+        """Release the lease and the pending request."""
         terms = {self._term}
         if self._pending is not None:
             terms.add(self._pending.term)
--- a/reedspoke/control_plane/workers/lease_voter.py
+++ b/reedspoke/control_plane/workers/lease_voter.py
@@ -1,17 +1,17 @@
-"""The voters' side of the discovery lease: what one control plane node has granted. Pure; no clock."""
+"""The voter's side of the discovery lease: the grants of one control plane node. No I/O and no clock."""
 
 from __future__ import annotations
 
 from reedspoke.control_plane.peers.messages import DiscoveryLeaseResponse
 
-LEASE_TTL_S = 1.2  # how long a grant lasts
+LEASE_TTL_S = 1.2  # duration of a grant
 
 
 class DiscoveryLeaseVoter:
-    """Grants the lease to one holder at a time, under terms that only rise.
+    """Grants the lease to one holder at a time, under rising terms.
 
-    `no_grants_before` is the time, in seconds of the steady clock, until which another process on this
-    machine may have granted the lease to somebody that this one knows nothing of.
+    `no_grants_before` is the time, in seconds of the steady clock, until which a grant of an earlier process
+    on this machine, unknown to this one, may still be valid.
     """
 
     def __init__(self, no_grants_before: float) -> None:
@@ -22,7 +22,7 @@
         self._expires_at = 0.0
 
     def request(self, holder: str, term: int, now: float) -> DiscoveryLeaseResponse:
-        """Grant or refuse. The present holder may renew, also under a higher term."""
+        """Grant or refuse the lease. The current holder may renew it, also under a higher term."""
         if now < self._no_grants_before:
             return DiscoveryLeaseResponse(term, False, self.highest_term, self._no_grants_before - now)
         if self._holder not in ("", holder) and now < self._expires_at:
@@ -34,13 +34,13 @@
         return DiscoveryLeaseResponse(term, True, term)
 
     def release(self, holder: str, term: int) -> bool:
-        """End a grant before it expires. False where this is not the grant that is out."""
+        """End a grant before it expires. Returns False if it is not the current grant."""
         if (holder, term) != (self._holder, self._term):
             return False
         self._expires_at = 0.0
         return True
 
     def refuses_until(self, requester: str) -> float:
-        """Until when this voter would refuse `requester` whatever its term."""
+        """Return the time until which this voter refuses `requester` regardless of its term."""
         granted_until = 0.0 if self._holder == requester else self._expires_at
         return max(self._no_grants_before, granted_until)
--- a/reedspoke/control_plane/workers/platform_client.py
+++ b/reedspoke/control_plane/workers/platform_client.py
@@ -1,4 +1,4 @@
-"""HTTP client of the platform's list of workers, over one persistent connection."""
+"""HTTP client for the platform's list of workers, over one persistent connection."""
 
 from __future__ import annotations
 
@@ -21,21 +21,24 @@
 
 
 class PlatformError(FleetError):
-    """The platform gave no page of its list."""
+    """A page of the platform's list could not be fetched."""
 
     def __init__(self, message: str, code: ErrorCode = ErrorCode.PLATFORM_FAILED) -> None:
         super().__init__(code, message)
 
 
 class PlatformRateError(PlatformError):
-    """The platform has been called too often by all schedulers together."""
+    """The platform rejected a call because its rate limit for all callers is exceeded."""
 
     def __init__(self, message: str) -> None:
         super().__init__(message, ErrorCode.PLATFORM_RATE)
 
 
 class PlatformClient:
-    """Fetches one page at a time. Owns the connection, which is opened by the first call after a `close`."""
+    """Fetches one page at a time.
+
+    Owns the connection, which the first call and each call after `close` opens.
+    """
 
     def __init__(self, address: str) -> None:
         self._address = address
@@ -43,10 +46,10 @@
         self._writer: asyncio.StreamWriter | None = None
 
     async def fetch_page(self, token: str | None) -> PlatformPage:
-        """The page behind `token`, or the first one.
+        """Fetch the page for `token`, or the first page if it is None.
 
-        Raises PlatformRateError where the platform's rate is used up, and PlatformError for any other
-        failure, a call that takes longer than `CALL_TIMEOUT_S` included.
+        Raises PlatformRateError if the platform's rate limit is exceeded, and PlatformError for any other
+        failure, including a call that takes longer than `CALL_TIMEOUT_S`.
         """
         try:
             async with asyncio.timeout(CALL_TIMEOUT_S):
@@ -57,11 +60,11 @@
         except PlatformError:
             raise
         except BaseException:
-            self.close()  # the rest of the response would be taken for the next one
+            self.close()  # The rest of this response would be read as the next one.
             raise
 
     def close(self) -> None:
-        """End the connection."""
+        """Abort the connection."""
         if self._writer is not None:
             self._writer.transport.abort()
         self._reader = self._writer = None
@@ -75,13 +78,13 @@
         self._writer.write(f"{head}Accept: application/json\r\n\r\n".encode("ascii"))
         status, body = await self._read_response()
         if status == HTTPStatus.TOO_MANY_REQUESTS:
-            raise PlatformRateError("too many calls")
+            raise PlatformRateError("the platform's rate limit is exceeded")
         if status != HTTPStatus.OK:
-            raise PlatformError(f"status {status}")
+            raise PlatformError(f"the platform answered with status {status}")
         return parse_page(body)
 
     async def _read_response(self) -> tuple[int, bytes]:
-        """Status and body."""
+        """Read one response, and return its status and body."""
         buffer = Buffer()
         parser = Answers(buffer)
         status = 0
@@ -98,7 +101,7 @@
                     case memoryview():
                         body += event
             if len(body) > MAX_RESPONSE_BYTES:
-                raise PlatformError("the response is too large")
+                raise PlatformError("the platform's response is too large")
             await self._read_into(buffer)
 
     async def _read_into(self, buffer: Buffer) -> None:
--- a/reedspoke/control_plane/workers/platform_messages.py
+++ b/reedspoke/control_plane/workers/platform_messages.py
@@ -1,4 +1,7 @@
-"""The platform's list of workers as its API answers, and its conversion into the fleet's own form."""
+"""The platform's list of workers as its API returns it, and its conversion to the fleet's message types.
+
+Names, fields and docstrings of the `Platform` classes are published in `openapi/worker.json`.
+"""
 
 from __future__ import annotations
 
@@ -41,12 +44,12 @@
 
 
 def parse_page(body: bytes) -> PlatformPage:
-    """A page of the list from its JSON. Raises msgspec.DecodeError for anything else."""
+    """Parse a page of the list from JSON. Raises msgspec.DecodeError if the body is not a valid page."""
     return _PAGE_DECODER.decode(body)
 
 
 def worker_entry(instance: PlatformInstance) -> WorkerEntry:
-    """The worker as the fleet passes it on."""
+    """Convert a worker to the entry that the fleet's messages carry."""
     return WorkerEntry(
         instance_id=instance.instance_id,
         upstream=instance.upstream,
@@ -61,6 +64,9 @@
 
 
 def merge_pages(pages: list[PlatformPage]) -> tuple[WorkerEntry, ...]:
-    """The workers of all pages in the order of their ids; where two pages have one, the later counts."""
+    """Return the workers of all pages, sorted by id.
+
+    A later page overrides an earlier one for the same id.
+    """
     newest = {instance.instance_id: instance for page in pages for instance in page.instances}
     return tuple(worker_entry(newest[instance_id]) for instance_id in sorted(newest))
