--- a/reedspoke/control_plane/api/operator_api.py
+++ b/reedspoke/control_plane/api/operator_api.py
@@ -69,22 +69,22 @@
         methods = OPERATIONS.get(path)
         if methods is None:
             error = FleetError(ErrorCode.NO_ROUTE, f"unknown path {request.path}")
-            return self._turned_away(request, UNKNOWN_PATH, error, error_response(error))
+            return self._reject_call(request, UNKNOWN_PATH, error, error_response(error))
         operation = methods.get(request.method)
         if operation is None:
             error = FleetError(ErrorCode.MALFORMED_REQUEST, UNKNOWN_METHOD)
-            return self._turned_away(request, path, error, method_not_allowed(list(methods)))
+            return self._reject_call(request, path, error, method_not_allowed(list(methods)))
         is_tally = path == TALLY_PATH
         if self._pending[is_tally] >= (MAX_PENDING_TALLY_CALLS if is_tally else MAX_PENDING_CALLS):
             error = FleetError(ErrorCode.OVERLOADED, "too many calls are pending")
-            return self._turned_away(request, path, error, error_response(error))
+            return self._reject_call(request, path, error, error_response(error))
         self._pending[is_tally] += 1
         try:
             return await self._run(operation, request, path)
         finally:
             self._pending[is_tally] -= 1
 
-    def _turned_away(self, request: Request, path: str, error: FleetError, response: Response) -> Response:
+    def _reject_call(self, request: Request, path: str, error: FleetError, response: Response) -> Response:
         """Count and log a call that is rejected before any operation runs, and return its response."""
         self._backend.call_completed(CompletedCall(request, path, response.status, error, 0.0))
         return response
--- a/reedspoke/control_plane/delivery/configuration_publisher.py
+++ b/reedspoke/control_plane/delivery/configuration_publisher.py
@@ -68,7 +68,7 @@
         """Publish a committed configuration as soon as it is parsed."""
         self._newest_committed = committed
         prepared = self._documents.call(lambda: self._cache.prepare(committed))
-        prepared.add_done_callback(self._prepared)
+        prepared.add_done_callback(self._preparation_done)
 
     def confirmed_as_of(self) -> float | None:
         """Return the latest time, on the steady clock, at which the published configuration was the newest.
@@ -84,7 +84,7 @@
         check(Invariant.STATE_HAS_GRANT, self._replica.holds_majority(), as_of=as_of)
         return self._published_as_of  # While a newer one is parsed, this is a time before its commit.
 
-    def _prepared(self, future: asyncio.Future[PreparedConfiguration]) -> None:
+    def _preparation_done(self, future: asyncio.Future[PreparedConfiguration]) -> None:
         error = future.exception()
         if error is not None:
             log(ERROR, "committed configuration cannot be parsed; not published", message=str(error))
--- a/reedspoke/control_plane/quota/service.py
+++ b/reedspoke/control_plane/quota/service.py
@@ -55,17 +55,17 @@
 
     def handle_request(self, channel: Channel, request: QuotaRequest) -> None:
         """Handle a data plane node's request. The response is sent on its channel now or after loans."""
-        self._carry_out(self._allocator.handle_request(channel, request, self._loop.time()))
+        self._execute(self._allocator.handle_request(channel, request, self._loop.time()))
 
     def handle_loan_request(self, sender: str, request: QuotaLoanRequest) -> None:
         """Handle another control plane node's request for a loan."""
-        self._carry_out(self._allocator.handle_loan_request(sender, request, self._loop.time()))
+        self._execute(self._allocator.handle_loan_request(sender, request, self._loop.time()))
 
     def handle_loan(self, loan: QuotaLoan) -> None:
         """Handle another control plane node's answer to a loan request."""
-        self._carry_out(self._allocator.handle_loan(loan, self._loop.time()))
+        self._execute(self._allocator.handle_loan(loan, self._loop.time()))
 
-    def _carry_out(self, effects: list[QuotaEffect]) -> None:
+    def _execute(self, effects: list[QuotaEffect]) -> None:
         for effect in effects:
             match effect:
                 case SendResponse(requester=channel, response=response):
@@ -78,7 +78,7 @@
 
     def _expire_loans(self) -> None:
         self._loan_timer = None
-        self._carry_out(self._allocator.expire_loans(self._loop.time()))
+        self._execute(self._allocator.expire_loans(self._loop.time()))
 
 
 def quota_rule(settings: NodeSettings) -> QuotaRule:
--- a/reedspoke/control_plane/workers/discovery.py
+++ b/reedspoke/control_plane/workers/discovery.py
@@ -83,7 +83,7 @@
         if self._latest is None:
             return
         if self._worker_list.is_behind() or self._adjust_workers(self._latest) != self._adjusted:
-            self._take_answer(self._latest)
+            self._publish_answer(self._latest)
 
     async def run(self) -> None:
         """Poll and publish in a loop until cancelled."""
@@ -130,7 +130,7 @@
         if self._failing_since is not None:
             log(INFO, "platform listing recovered")
             self._failing_since = None
-        self._take_answer(merge_pages(pages))
+        self._publish_answer(merge_pages(pages))
         return max(POLL_INTERVAL_S, len(pages) * self._call_interval_s())
 
     async def _fetch_pages(self, client: PlatformClient, term: int | None) -> list[PlatformPage] | None:
@@ -155,7 +155,7 @@
         """Return the interval between calls that stays below the platform's rate limit."""
         return 1.0 / max(MIN_RATE_PER_S, self._cloud_api.rate_per_s * RATE_SHARE)
 
-    def _take_answer(self, entries: tuple[WorkerEntry, ...]) -> None:
+    def _publish_answer(self, entries: tuple[WorkerEntry, ...]) -> None:
         """Publish changes if the lease is still held. If the term is too low, first request a higher one."""
         now = self._loop.time()
         if not self._lease.is_held(now):
--- a/tests/control_plane/test_guards_configuration_publisher.py
+++ b/tests/control_plane/test_guards_configuration_publisher.py
@@ -91,7 +91,7 @@
     play(scene)
 
 
-def test_nothing_is_confirmed_that_the_replica_does_not_confirm() -> None:
+def test_nothing_is_confirmed_without_confirmation_by_the_replica() -> None:
     async def scene(world: PublisherWorld) -> None:
         assert world.confirmed_as_of() is not None
         world.replica.as_of = None
@@ -113,7 +113,7 @@
     play(scene)
 
 
-def test_after_a_gap_nothing_is_confirmed_before_the_newest_is_published() -> None:
+def test_nothing_is_confirmed_before_the_newest_configuration_is_published() -> None:
     async def scene(world: PublisherWorld) -> None:
         world.commit(3)
         assert world.confirmed_as_of() is None
--- a/tests/control_plane/test_guards_discovery_lease.py
+++ b/tests/control_plane/test_guards_discovery_lease.py
@@ -17,7 +17,7 @@
     return DiscoveryLeaseVoter(no_grants_before=START)
 
 
-def test_a_voter_that_has_just_started_grants_nothing() -> None:
+def test_a_voter_grants_nothing_just_after_its_start() -> None:
     voter = DiscoveryLeaseVoter(no_grants_before=START + LEASE_TTL_S)
     answer = voter.request(OTHER, 1, START)
     assert not answer.granted
@@ -39,7 +39,7 @@
     assert not voter.request(THIRD, 5, START + LEASE_TTL_S).granted
 
 
-def test_a_late_release_does_not_end_a_newer_grant() -> None:
+def test_a_delayed_release_does_not_end_a_newer_grant() -> None:
     voter = _voter()
     voter.request(OTHER, 5, START)
     voter.request(OTHER, 6, START)
@@ -77,13 +77,13 @@
     assert requester.lease.is_held(START)
 
 
-def test_a_grant_of_who_does_not_vote_does_not_count() -> None:
+def test_a_grant_of_a_non_voter_does_not_count() -> None:
     requester = Requester()
     requester.grant(STRANGER)
     assert not requester.lease.is_held(START)
 
 
-def test_half_of_the_voters_grant_nothing() -> None:
+def test_grants_of_half_of_the_voters_are_not_a_majority() -> None:
     requester = Requester((*VOTERS, FOURTH))
     requester.grant(OTHER)
     assert not requester.lease.is_held(START)
@@ -91,7 +91,7 @@
     assert requester.lease.is_held(START)
 
 
-def test_a_holder_counts_from_its_request_and_stops_before_its_voters() -> None:
+def test_a_lease_is_measured_from_its_request_and_ends_before_the_grants() -> None:
     requester = Requester()
     requester.grant(OTHER, now=START + LEASE_MARGIN_S)
     assert requester.lease.is_held(START + LEASE_TTL_S - LEASE_MARGIN_S - 0.001)
@@ -106,7 +106,7 @@
     assert not requester.lease.is_held(START)
 
 
-def test_a_holder_that_gave_up_holds_nothing() -> None:
+def test_a_holder_that_stepped_down_does_not_hold_the_lease() -> None:
     requester = Requester()
     requester.grant(OTHER)
     requester.lease.step_down(START)
--- a/tests/control_plane/test_guards_worker_discovery.py
+++ b/tests/control_plane/test_guards_worker_discovery.py
@@ -31,7 +31,7 @@
     assert state.adopt(_workers(1, 2), 0.0)
 
 
-def test_the_highest_version_that_was_seen_is_remembered() -> None:
+def test_the_highest_observed_version_is_kept() -> None:
     state = WorkerListState()
     state.observe_version((5, 1))
     state.observe_version((3, 9))
@@ -39,7 +39,7 @@
     assert state.term_to_exceed(4) == 5
 
 
-def test_sessions_beyond_the_most_are_no_members(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_sessions_beyond_the_limit_are_not_members(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(membership, "MAX_EDGES", 1)
     members = Membership(ControlMember("10.0.0.1:1", "za"), EDGE_TTL_S, 77)
     for name in ("e1", "e2"):
@@ -76,7 +76,9 @@
         """Nothing is open."""
 
 
-def test_what_is_answered_after_the_lease_is_not_published(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_response_received_after_the_lease_has_expired_is_not_published(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     async def scenario() -> list[WorkerList]:
         lease = ExpiringLease()
         platform = Platform(lease)
--- a/tests/control_plane/test_processor_quota.py
+++ b/tests/control_plane/test_processor_quota.py
@@ -55,7 +55,7 @@
 
 @pytest.mark.parametrize(("machines", "tolerated"), [(3, 1), (5, 2)])
 @pytest.mark.parametrize("seed", [71, 72, 73])
-def test_standing_still_is_taken_for_no_loss(seed: int, machines: int, tolerated: int) -> None:
+def test_suspended_processes_are_not_taken_for_lost(seed: int, machines: int, tolerated: int) -> None:
     """No view changes, no duty changes hands, no session is opened anew, no configuration grows old."""
     world = fleet_in_service(seed, machines, tolerated)
     simulation = world.simulation
--- a/tests/control_plane_process/test_configuration_cache.py
+++ b/tests/control_plane_process/test_configuration_cache.py
@@ -42,7 +42,7 @@
     return apply_delta(held, answer)
 
 
-def test_there_is_no_update_before_the_first_configuration() -> None:
+def test_no_update_before_the_first_configuration() -> None:
     cache = ConfigurationCache()
     assert cache.version == (0, 0)
     assert cache.encoded_update((0, 0)) is None
@@ -50,14 +50,14 @@
         cache.parse(b"{")
 
 
-def test_there_is_no_update_for_the_newest_version() -> None:
+def test_no_update_for_the_newest_version() -> None:
     cache = ConfigurationCache()
     assert commit(cache, 4, configuration_document(8))
     assert cache.encoded_update((VIEW, 4)) is None
     assert cache.encoded_update((VIEW, 9)) is None
 
 
-def test_an_older_one_is_not_installed() -> None:
+def test_an_older_configuration_is_not_installed() -> None:
     cache = ConfigurationCache()
     commit(cache, 4, configuration_document(8))
     assert not commit(cache, 4, configuration_document(8))
@@ -65,7 +65,7 @@
     assert cache.version == (VIEW, 4)
 
 
-def test_one_of_a_later_view_is_newer_whatever_its_sequence() -> None:
+def test_a_configuration_of_a_later_view_is_newer_regardless_of_its_sequence() -> None:
     cache = ConfigurationCache()
     commit(cache, 4, configuration_document(8))
     assert commit(cache, 4, configuration_document(10), view=VIEW + 1)
@@ -99,7 +99,7 @@
     assert brought_up_to_date(cache, None, (0, 0)) == held[-1]
 
 
-def test_two_that_are_prepared_before_either_is_installed() -> None:
+def test_two_configurations_prepared_before_either_is_installed() -> None:
     cache = ConfigurationCache()
     commit(cache, 1, configuration_document(2))
     second = cache.prepare(CommittedConfiguration(2, 4, configuration_document(4), VIEW))
--- a/tests/control_plane_process/test_discovery_lease.py
+++ b/tests/control_plane_process/test_discovery_lease.py
@@ -95,7 +95,7 @@
         return self.now - began
 
 
-def test_the_first_voter_holds_it_at_once_in_a_fresh_fleet_and_keeps_it() -> None:
+def test_the_first_voter_acquires_the_lease_in_a_fresh_fleet_and_keeps_it() -> None:
     network = Network()
     assert network.until_held() <= 0.2
     assert network.holders() == ["a"]
@@ -106,18 +106,18 @@
     assert network.leases["a"].term == term
 
 
-def test_voters_that_start_anew_grant_nothing_for_the_length_of_a_lease() -> None:
+def test_restarted_voters_grant_nothing_for_the_duration_of_a_lease() -> None:
     network = Network(fresh_fleet=False)
     assert LEASE_TTL_S <= network.until_held() <= LEASE_TTL_S + 3 * STEP_S
 
 
-def test_a_single_voter_holds_it() -> None:
+def test_a_single_voter_acquires_the_lease() -> None:
     network = Network(("a",))
     assert network.until_held() <= 0.1
 
 
 @pytest.mark.parametrize("steps", range(30))
-def test_another_takes_over_from_a_holder_that_is_killed_at_any_moment(steps: int) -> None:
+def test_another_voter_takes_over_from_a_holder_killed_at_any_time(steps: int) -> None:
     network = Network()
     network.until_held()
     for _ in range(steps):
@@ -129,7 +129,7 @@
 
 
 @pytest.mark.parametrize("steps", range(0, 30, 3))
-def test_a_holder_that_is_frozen_and_wakes_does_not_hold_it(steps: int) -> None:
+def test_a_suspended_holder_does_not_hold_the_lease_when_it_resumes(steps: int) -> None:
     network = Network()
     network.until_held()
     for _ in range(steps):
@@ -143,7 +143,7 @@
 
 
 @pytest.mark.parametrize("steps", range(0, 30, 3))
-def test_a_holder_that_is_cut_off_ends_before_another_begins(steps: int) -> None:
+def test_a_partitioned_holder_stops_before_another_begins(steps: int) -> None:
     network = Network()
     network.until_held()
     for _ in range(steps):
@@ -172,7 +172,7 @@
     assert len(network.holders()) == 1
 
 
-def test_nobody_holds_it_without_a_majority() -> None:
+def test_no_lease_without_a_majority() -> None:
     network = Network()
     network.until_held()
     network.cut |= {"b", "c"}
@@ -180,7 +180,7 @@
     assert network.holders() == []
 
 
-def test_who_gives_it_up_leaves_it_to_another_and_may_have_it_again_later() -> None:
+def test_a_holder_that_steps_down_can_acquire_the_lease_again_later() -> None:
     network = Network()
     network.until_held()
     network.send("a", network.leases["a"].step_down(network.now))
@@ -194,7 +194,7 @@
     assert network.holders() == ["a"]
 
 
-def test_who_stops_never_asks_again() -> None:
+def test_a_process_that_shuts_down_never_requests_the_lease_again() -> None:
     network = Network()
     network.until_held()
     network.send("a", network.leases["a"].shut_down())
@@ -204,7 +204,7 @@
     assert network.holders() == ["c"]
 
 
-def test_a_term_that_others_know_of_is_exceeded() -> None:
+def test_the_term_exceeds_terms_known_to_other_processes() -> None:
     network = Network()
     for lease in network.leases.values():
         lease.observe_term(7)
@@ -216,7 +216,7 @@
     assert network.leases["a"].term > 40
 
 
-def test_a_holder_that_learns_of_a_higher_term_ends_at_once() -> None:
+def test_a_holder_that_observes_a_higher_term_stops_immediately() -> None:
     network = Network()
     network.until_held()
     network.run(1.0)
@@ -227,7 +227,7 @@
     assert network.leases["a"].term > fenced + 40
 
 
-def test_its_own_term_and_lower_ones_do_not_end_a_lease() -> None:
+def test_the_own_term_and_lower_ones_do_not_end_a_lease() -> None:
     network = Network()
     network.until_held()
     term = network.leases["a"].term
@@ -237,7 +237,7 @@
 
 
 @pytest.mark.parametrize("how", ["stopped", "cut"])
-def test_who_comes_back_and_learns_of_a_later_holder_never_uses_its_old_term(how: str) -> None:
+def test_a_former_holder_that_observes_a_later_term_never_reuses_its_own(how: str) -> None:
     """A holder that was paused or cut off while another one took the lease."""
     network = Network()
     network.until_held()
@@ -284,13 +284,13 @@
     assert network.holders() == ["d"]
 
 
-def test_who_is_no_voter_never_asks() -> None:
+def test_a_process_that_is_not_a_voter_never_requests_the_lease() -> None:
     lease = DiscoveryLease("x", 0.0, fresh_fleet=True)
     lease.set_voters(NAMES)
     assert lease.tick(1.0) == []
 
 
-def test_answers_after_the_end_of_a_request_count_for_nothing() -> None:
+def test_responses_after_a_request_has_timed_out_are_ignored() -> None:
     lease = DiscoveryLease("a", 0.0, fresh_fleet=True)
     lease.set_voters(NAMES)
     requests = lease.tick(0.0)
--- a/tests/control_plane_process/test_discovery_lease_rivals.py
+++ b/tests/control_plane_process/test_discovery_lease_rivals.py
@@ -18,7 +18,9 @@
 
 @pytest.mark.parametrize("first", ["b", "c"])
 @pytest.mark.parametrize("steps", range(60))
-def test_restarts_one_after_the_other_are_over_once_the_voters_grant(first: str, steps: int) -> None:
+def test_successive_restarts_delay_the_lease_only_until_the_voters_grant_again(
+    first: str, steps: int
+) -> None:
     network = Network()
     network.until_held()
     network.cut.add("a")
@@ -30,7 +32,7 @@
     assert network.until_held() <= FREE_AGAIN_S
 
 
-def test_a_term_that_is_too_low_is_raised_at_once() -> None:
+def test_a_term_that_is_too_low_is_raised_immediately() -> None:
     network = Network(fresh_fleet=False)
     network.cut.add("a")
     network.leases["c"].observe_term(7)
@@ -40,7 +42,7 @@
 
 
 @pytest.mark.parametrize("incarnations", range(1, 6))
-def test_processes_that_know_nothing_of_each_other_use_no_term_twice(incarnations: int) -> None:
+def test_processes_without_shared_state_use_different_terms(incarnations: int) -> None:
     """As after a loss of all processes, when terms begin anew."""
     terms = []
     for identity in (7, 8):
--- a/tests/control_plane_process/test_edge_sessions.py
+++ b/tests/control_plane_process/test_edge_sessions.py
@@ -162,7 +162,7 @@
     play(scene)
 
 
-def test_an_outdated_node_is_notified_at_once_but_only_once_of_the_same_versions() -> None:
+def test_an_outdated_node_is_notified_immediately_but_only_once_of_the_same_versions() -> None:
     async def scene(side: ControlSide, edge: Edge) -> None:
         side.commit(3, configuration_document(6))
         took, first = await timed(edge.watch_response())
@@ -204,7 +204,7 @@
     play(scene)
 
 
-def test_a_draining_node_is_no_member_once_its_session_is_closed() -> None:
+def test_a_draining_node_is_not_a_member_after_its_session_is_closed() -> None:
     async def scene(side: ControlSide, edge: Edge) -> None:
         await edge.watch_response()
         assert [member.node_name for member in side.membership.members.edges] == ["edge-1"]
@@ -256,7 +256,7 @@
     play(scene)
 
 
-def test_a_response_has_its_waiting_time_and_the_age_of_its_confirmation() -> None:
+def test_a_response_contains_its_waiting_time_and_the_age_of_its_confirmation() -> None:
     async def scene(side: ControlSide, edge: Edge) -> None:
         edge.known_versions = (await edge.watch_response()).versions
         side.confirmed_ago_s = 0.25
@@ -326,7 +326,7 @@
     play(scene)
 
 
-def test_a_process_that_was_stopped_before_its_response_sends_no_state_as_current() -> None:
+def test_a_process_suspended_before_its_response_sends_no_state_as_current() -> None:
     """The grant runs out while the process stands still between the arrival of a watch and its answer."""
 
     async def scene(side: ControlSide, edge: Edge) -> None:
@@ -354,7 +354,7 @@
 
 
 @pytest.mark.parametrize("payload", [b"", b"x", b"\xc1", b"\x91\xa5watch", b"\x92\xa5other\x01"])
-def test_a_malformed_message_ends_only_its_own_connection(payload: bytes) -> None:
+def test_a_malformed_message_closes_only_its_own_connection(payload: bytes) -> None:
     async def scene(side: ControlSide, edge: Edge) -> None:
         bad = await open_channel(side.address)
         bad.send_encoded(payload)
--- a/tests/control_plane_process/test_http_server.py
+++ b/tests/control_plane_process/test_http_server.py
@@ -49,7 +49,7 @@
     return int(head.split()[1]), head, await reader.readexactly(length)
 
 
-def test_requests_one_after_another_on_one_connection() -> None:
+def test_sequential_requests_on_one_connection() -> None:
     async def conversation(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         for number in range(3):
             writer.write(f"GET /{number} HTTP/1.1\r\nHost: h\r\n\r\n".encode())
@@ -58,7 +58,7 @@
     talk(conversation)
 
 
-def test_requests_that_are_sent_without_waiting_are_answered_in_order() -> None:
+def test_pipelined_requests_are_answered_in_order() -> None:
     async def conversation(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         writer.write(
             b"PUT /a HTTP/1.1\r\nContent-Length: 3\r\n\r\nxyzGET /b HTTP/1.1\r\n\r\nGET /c HTTP/1.1\r\n\r\n"
@@ -80,7 +80,7 @@
 
 
 @pytest.mark.parametrize("kind", BODIES)
-def test_a_request_may_arrive_in_any_segments(kind: str) -> None:
+def test_a_request_may_be_split_at_any_byte(kind: str) -> None:
     data = BODIES[kind]
 
     async def conversation(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -128,7 +128,7 @@
     talk(conversation)
 
 
-def test_an_error_in_a_handler_is_answered() -> None:
+def test_an_error_in_a_handler_is_answered_with_500() -> None:
     async def conversation(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         writer.write(b"GET /fails HTTP/1.1\r\n\r\nGET /b HTTP/1.1\r\n\r\n")
         assert (await answer(reader))[0] == 500
@@ -137,7 +137,7 @@
     talk(conversation)
 
 
-def test_the_end_of_the_connection_is_as_the_client_wants_it() -> None:
+def test_the_connection_is_closed_if_the_client_requests_it() -> None:
     async def conversation(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         writer.write(b"GET /a HTTP/1.1\r\nConnection: close\r\n\r\n")
         assert (await answer(reader))[0] == 200
@@ -146,7 +146,7 @@
     talk(conversation)
 
 
-def test_a_client_that_expects_100_continue_gets_it() -> None:
+def test_a_client_that_expects_100_continue_receives_it() -> None:
     async def conversation(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         writer.write(b"PUT /a HTTP/1.1\r\nContent-Length: 2\r\nExpect: 100-continue\r\n\r\n")
         assert await reader.readuntil(b"\r\n\r\n") == b"HTTP/1.1 100 Continue\r\n\r\n"
@@ -156,7 +156,7 @@
     talk(conversation)
 
 
-def test_a_request_that_does_not_end_ends_the_connection(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_incomplete_request_times_out(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(http_server, "SWEEP_INTERVAL_S", 0.02)
     monkeypatch.setattr(http_connection, "REQUEST_TIMEOUT_S", 0.1)
 
--- a/tests/control_plane_process/test_http_server_edges.py
+++ b/tests/control_plane_process/test_http_server_edges.py
@@ -126,7 +126,7 @@
     assert with_server(scene).paths == []
 
 
-def test_the_last_response_arrives_though_more_was_sent_after_its_request() -> None:
+def test_the_last_response_arrives_although_the_client_sent_more_data() -> None:
     async def scene(operators: Operators, address: tuple[str, int]) -> None:
         last = b"GET /last HTTP/1.1\r\nConnection: close\r\n\r\n"
         found = await asyncio.to_thread(exchange, address, last + LARGE)
@@ -159,7 +159,7 @@
     with_server(scene)
 
 
-def test_pipelined_requests_are_not_run_once_the_client_has_gone() -> None:
+def test_pipelined_requests_are_not_run_after_the_client_has_disconnected() -> None:
     async def scene(operators: Operators, address: tuple[str, int]) -> None:
         operators.go_on.clear()
         both = b"GET /first HTTP/1.1\r\n\r\nPUT /second HTTP/1.1\r\nContent-Length: 0\r\n\r\n"
@@ -174,7 +174,7 @@
     assert with_server(scene).paths == ["/first", "/later"]
 
 
-def test_two_calls_at_once_on_two_connections_get_their_own_answers() -> None:
+def test_concurrent_calls_on_several_connections_get_their_own_answers() -> None:
     async def scene(operators: Operators, address: tuple[str, int]) -> None:
         operators.go_on.clear()
         calls = [
@@ -203,7 +203,7 @@
     with_server(scene)
 
 
-def test_a_client_that_has_gone_before_its_last_response_is_no_error() -> None:
+def test_a_client_that_disconnects_before_its_last_response_causes_no_error() -> None:
     errors: list[dict[str, object]] = []
 
     async def scene(operators: Operators, address: tuple[str, int]) -> None:
@@ -243,7 +243,7 @@
     assert with_server(scene).paths == []
 
 
-def test_a_field_that_is_not_ascii_is_no_error() -> None:
+def test_a_header_value_that_is_not_ascii_is_accepted() -> None:
     async def scene(operators: Operators, address: tuple[str, int]) -> None:
         raw = b"GET /a HTTP/1.1\r\nHost: h\r\nX-Name: \xe9\xff\r\nConnection: close\r\n\r\n"
         answer = await asyncio.to_thread(exchange, address, raw)
@@ -267,7 +267,7 @@
         self.malformed.append(status)
 
 
-def test_what_never_reaches_the_handler_is_passed_on(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_refused_connections_and_malformed_requests_are_reported(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(http_server, "MAX_CONNECTIONS", 1)
     refusals = Refusals()
 
--- a/tests/control_plane_process/test_membership.py
+++ b/tests/control_plane_process/test_membership.py
@@ -66,7 +66,7 @@
     assert members.members.version != version
 
 
-def test_a_removed_edge_is_gone_at_once_and_its_next_incarnation_is_not() -> None:
+def test_removing_an_edge_does_not_remove_its_next_incarnation() -> None:
     members = membership()
     members.update_edge(watch("e1", "2"), 0.0)
     members.remove_edge("e1", "1")
@@ -103,7 +103,7 @@
     assert members.load.running_except("other") == {"i": (2, 20)}
 
 
-def test_suspicions_are_counted_over_all_edges_but_the_receiver() -> None:
+def test_suspicions_are_counted_over_all_edges_except_the_receiver() -> None:
     members = membership()
     members.update_edge(watch("e1", suspects=("i", "j")), 0.0)
     members.update_edge(watch("e2", suspects=("i",)), 0.0)
@@ -156,7 +156,9 @@
 
 
 @given(st.lists(RUNNING, max_size=4), st.lists(RUNNING, max_size=4))
-def test_the_sum_for_an_edge_is_that_of_all_others(here: list[WorkerLoads], there: list[WorkerLoads]) -> None:
+def test_the_load_sent_to_an_edge_is_the_sum_of_all_others(
+    here: list[WorkerLoads], there: list[WorkerLoads]
+) -> None:
     members = membership()
     for number, running in enumerate(here):
         members.update_edge(watch(f"h{number}", running=running), 0.0)
@@ -198,7 +200,7 @@
     return [edge.node_name for edge in members.members.edges]
 
 
-def test_a_late_table_of_an_older_connection_replaces_no_newer_one() -> None:
+def test_a_delayed_table_of_an_older_connection_does_not_replace_a_newer_one() -> None:
     members = membership()
     assert members.update_table("p", numbered("new", 7, 2), 0.0)
     assert not members.update_table("p", numbered("old", 7, 1), 0.0)
@@ -208,7 +210,7 @@
     assert edges_known(members) == ["newer"]
 
 
-def test_a_table_of_the_previous_incarnation_replaces_none_of_the_present_one() -> None:
+def test_a_table_of_the_previous_incarnation_does_not_replace_the_current_one() -> None:
     members = membership()
     members.update_table("p", numbered("former", 7, 90), 0.0)
     assert members.update_table("p", numbered("present", 8, 1), 0.0)
--- a/tests/control_plane_process/test_metrics.py
+++ b/tests/control_plane_process/test_metrics.py
@@ -34,7 +34,7 @@
     assert refused["checksum"] != taken["checksum"]
 
 
-def test_the_metrics_of_a_node_have_its_state(fleet: Fleet) -> None:
+def test_the_metrics_of_a_node_contain_its_state(fleet: Fleet) -> None:
     fleet.put_until_accepted(configuration_document(3), 0, TAKEN_S)
     node = fleet.nodes[0]
     node.get()
@@ -51,7 +51,7 @@
     assert "reedspoke_unhandled_errors_total 0" in text
 
 
-def test_a_call_that_nothing_serves_is_logged_and_counted(fleet: Fleet) -> None:
+def test_a_call_of_an_unserved_path_is_logged_and_counted(fleet: Fleet) -> None:
     node = fleet.nodes[0]
     reply = send_request(node.operator_address, "POST", "/reedspoke/nothing/here", b"{}")
     assert reply is not None
--- a/tests/control_plane_process/test_openapi.py
+++ b/tests/control_plane_process/test_openapi.py
@@ -69,11 +69,11 @@
         validate(OPERATOR, "ErrorAnswer", json.loads(malformed_request_body(status, "text")))
 
 
-def test_a_valid_configuration_is_a_described_one() -> None:
+def test_a_valid_configuration_matches_its_description() -> None:
     validate(OPERATOR, "Document", json.loads(configuration_document(3)))
 
 
-def test_the_put_wants_if_match() -> None:
+def test_the_put_requires_if_match() -> None:
     (parameter,) = OPERATOR["paths"]["/reedspoke/configuration"]["put"]["parameters"]
     assert (parameter["name"], parameter["in"], parameter["required"]) == ("If-Match", "header", True)
 
@@ -91,14 +91,14 @@
     assert {name: described.get(name) for name in used} == used
 
 
-def test_a_page_of_the_platform_is_a_described_one() -> None:
+def test_a_page_of_the_platform_matches_its_description() -> None:
     page = {"instances": [platform_instance("i-1")], "next_token": None}
     validate(WORKER, "PlatformPage", page)
     assert parse_page(json.dumps(page).encode()).instances[0].instance_id == "i-1"
 
 
 @pytest.mark.parametrize("file", [OPERATOR, WORKER])
-def test_each_operation_is_named_and_each_reference_leads_somewhere(file: dict[str, Any]) -> None:
+def test_each_operation_has_an_id_and_each_reference_resolves(file: dict[str, Any]) -> None:
     assert file["openapi"].startswith("3.1.")
     operations = [operation for methods in file["paths"].values() for operation in methods.values()]
     names = [operation["operationId"] for operation in operations]
@@ -122,5 +122,5 @@
     return FleetError(code, "text")
 
 
-def test_a_request_is_what_the_handlers_take() -> None:
+def test_a_request_has_the_fields_that_handlers_use() -> None:
     assert {field.name for field in msgspec.structs.fields(Request)} == {"method", "path", "headers", "body"}
--- a/tests/control_plane_process/test_operator_api.py
+++ b/tests/control_plane_process/test_operator_api.py
@@ -113,7 +113,7 @@
 
 
 @pytest.mark.parametrize("match", [None, "", "x", "-1", "1.5", "٣", "9" * 19, '"', "1,2"])
-def test_a_match_that_is_missing_or_no_number(match: str | None) -> None:
+def test_a_match_that_is_missing_or_not_a_number_is_rejected(match: str | None) -> None:
     backend = FakeBackend()
     response = answered(backend, "PUT", body=configuration_document(3), match=match)
     assert (response.status, error_code(response)) == (400, ErrorCode.CONFIGURATION_MATCH_MISSING)
@@ -121,7 +121,7 @@
 
 
 @pytest.mark.parametrize("generation", [0, -5, 2**63])
-def test_a_generation_that_is_out_of_range(generation: int) -> None:
+def test_a_generation_that_is_out_of_range_is_rejected(generation: int) -> None:
     response = answered(FakeBackend(), "PUT", body=configuration_document(generation))
     assert (response.status, error_code(response)) == (400, ErrorCode.CONFIGURATION_FIELD)
 
@@ -177,7 +177,7 @@
     assert answered(backend, "GET", "/reedspoke/status").status == 200
 
 
-def test_statuses_that_the_rules_name() -> None:
+def test_statuses_that_the_specification_requires() -> None:
     assert http_status_of(ErrorCode.CONFIGURATION_STALE_MATCH) == 412
     assert http_status_of(ErrorCode.CONFIGURATION_OLD_GENERATION) == 400
     for code in (
@@ -189,7 +189,7 @@
         assert http_status_of(code) == 503
 
 
-def test_a_call_without_an_answer_ends_within_a_second(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_call_without_a_result_is_answered_within_a_second(monkeypatch: pytest.MonkeyPatch) -> None:
     assert operator_api.RESPONSE_TIMEOUT_S < 1.0
     monkeypatch.setattr(operator_api, "RESPONSE_TIMEOUT_S", 0.05)
     backend = FakeBackend()
@@ -202,7 +202,7 @@
     assert (get.status, error_code(get)) == (503, ErrorCode.NO_QUORUM)
 
 
-def test_a_process_that_is_not_ready_says_so() -> None:
+def test_a_process_that_shuts_down_rejects_calls() -> None:
     backend = FakeBackend()
     backend.raises = FleetError(ErrorCode.SHUTTING_DOWN, "text")
     for method in ("PUT", "GET"):
@@ -210,7 +210,7 @@
         assert (response.status, error_code(response)) == (503, ErrorCode.SHUTTING_DOWN)
 
 
-def test_the_newest_configuration_is_given_byte_for_byte() -> None:
+def test_the_newest_configuration_is_returned_byte_for_byte() -> None:
     response = answered(FakeBackend(), "GET")
     assert (response.status, response.body, response.headers["ETag"]) == (
         200,
@@ -219,7 +219,7 @@
     )
 
 
-def test_no_configuration_is_an_answer_of_its_own() -> None:
+def test_a_missing_configuration_has_its_own_error() -> None:
     backend = FakeBackend()
     backend.get_answer = GetCompleted(1, None)
     response = answered(backend, "GET")
@@ -247,7 +247,7 @@
         ("PATCH", PATH, PATH, 405, ErrorCode.MALFORMED_REQUEST),
     ],
 )
-def test_a_call_that_nothing_serves_is_noted(
+def test_a_call_without_an_operation_is_recorded(
     method: str, path: str, label: str, status: int, code: ErrorCode
 ) -> None:
     backend = FakeBackend()
@@ -256,14 +256,14 @@
     assert (call.request.path, call.path, call.status, call.code) == (path, label, status, code)
 
 
-def test_a_call_beyond_the_limit_is_noted(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_call_beyond_the_limit_is_recorded(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(operator_api, "MAX_PENDING_CALLS", 0)
     backend = FakeBackend()
     assert answered(backend, "GET").status == 503
     assert [(call.status, call.code) for call in backend.completed] == [(503, ErrorCode.OVERLOADED)]
 
 
-def test_a_call_whose_caller_leaves_is_noted() -> None:
+def test_a_call_whose_client_disconnects_is_recorded() -> None:
     backend = FakeBackend()
     backend.get_answer = None
 
@@ -281,7 +281,7 @@
 ADD = b'{"instance_id":"5c0e7a21d94b36f8","held_by":4}'
 
 
-def test_an_add_and_a_read_of_a_tally() -> None:
+def test_a_tally_is_added_to_and_read() -> None:
     backend = FakeBackend()
     backend.majority = False  # either side of a partition counts
     assert answered(backend, "POST", TALLY, ADD).status == 200
@@ -291,7 +291,7 @@
     assert json.loads(answered(backend, "GET", TALLY + "x").body) == {"total": 0}
 
 
-def test_ids_of_any_form_are_told_apart() -> None:
+def test_different_ids_have_different_numbers() -> None:
     backend = FakeBackend()
     ids = ["5c0e7a21d94b36f8", "5C0E7A21D94B36F8", "a", "b", "\u00fc", "0" * 17]
     for one in ids:
@@ -313,7 +313,7 @@
         b'{"instance_id":"a","held_by":9007199254740993}',
     ],
 )
-def test_a_body_that_is_no_add(body: bytes) -> None:
+def test_an_invalid_tally_body_is_rejected(body: bytes) -> None:
     backend = FakeBackend()
     response = answered(backend, "POST", TALLY, body)
     assert (response.status, error_code(response)) == (400, ErrorCode.TALLY_MALFORMED)
@@ -321,7 +321,7 @@
 
 
 @pytest.mark.parametrize("path", ["/reedspoke/tallies/", "/reedspoke/tallies/a/b", "/reedspoke/tallies"])
-def test_a_path_that_names_no_tally(path: str) -> None:
+def test_a_path_without_a_tally_name_is_not_found(path: str) -> None:
     assert answered(FakeBackend(), "GET", path).status == 404
 
 
@@ -335,7 +335,9 @@
         assert ("Retry-After" in response.headers) == (response.status in (429, 503))
 
 
-def test_an_add_without_an_answer_in_time_is_not_said_to_be_undone(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_tally_addition_without_a_result_in_time_is_reported_as_unclear(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(operator_api, "RESPONSE_TIMEOUT_S", 0.05)
     backend = FakeBackend()
     backend.get_answer = None
@@ -344,7 +346,7 @@
     assert backend.adds
 
 
-def test_calls_for_tallies_leave_operators_their_places(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_tally_calls_do_not_use_up_the_limit_of_operator_calls(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(operator_api, "MAX_PENDING_TALLY_CALLS", 0)
     assert answered(FakeBackend(), "POST", TALLY, ADD).status == 503
     assert answered(FakeBackend(), "GET").status == 200
@@ -353,7 +355,7 @@
 ZONE = "/reedspoke/evacuation/zone-a"
 
 
-def test_a_zone_is_evacuated_and_that_is_withdrawn() -> None:
+def test_an_evacuation_is_ordered_and_withdrawn() -> None:
     backend = FakeBackend()
     assert answered(backend, "POST", ZONE).status == 200
     assert answered(backend, "DELETE", ZONE).status == 200
@@ -376,7 +378,9 @@
     assert answered(backend, "POST", ZONE).status == 503
 
 
-def test_an_evacuation_without_an_answer_in_time_is_unclear(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_evacuation_without_a_result_in_time_is_reported_as_unclear(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(operator_api, "RESPONSE_TIMEOUT_S", 0.05)
     backend = FakeBackend()
     backend.get_answer = None
--- a/tests/control_plane_process/test_process.py
+++ b/tests/control_plane_process/test_process.py
@@ -30,7 +30,7 @@
 # ---- the operator ----
 
 
-def test_there_is_no_configuration_before_the_first(fleet: Fleet) -> None:
+def test_a_read_before_the_first_configuration_is_not_found(fleet: Fleet) -> None:
     def answered() -> bool:
         reply = fleet.nodes[1].get()
         return reply is not None and reply.status == 404 and reply.error_code() == 304
@@ -46,7 +46,7 @@
         assert (reply.status, reply.body) == (200, document)
 
 
-def test_the_responses_that_an_operator_may_get(fleet: Fleet) -> None:
+def test_the_responses_to_an_operator(fleet: Fleet) -> None:
     document = fleet.first_configuration()
     node = fleet.nodes[2]
     second = configuration_document(9, routes=3)
@@ -118,7 +118,7 @@
 
 
 @pytest.mark.parametrize("lost", range(3))
-def test_a_change_is_acknowledged_after_one_is_killed(fleet: Fleet, lost: int) -> None:
+def test_a_change_is_acknowledged_after_one_node_is_killed(fleet: Fleet, lost: int) -> None:
     fleet.first_configuration()
     fleet.nodes[lost].kill()
     fleet.put_until_accepted(configuration_document(5), 3, ACK_S)
@@ -136,7 +136,7 @@
     wait_until(has_it, STARTUP_TIMEOUT_S, "the one that was killed has it too")
 
 
-def test_everything_is_there_after_all_were_killed_at_once(fleet: Fleet) -> None:
+def test_the_state_survives_a_simultaneous_kill_of_all_nodes(fleet: Fleet) -> None:
     document = fleet.first_configuration()
     edge = EdgeClient(fleet.nodes[0].peer_address)
     held = wait_for_leased_workers(edge).version
@@ -157,7 +157,7 @@
     )
 
 
-def test_a_corrupt_log_is_set_aside_and_the_member_comes_back(fleet: Fleet) -> None:
+def test_a_node_with_a_corrupt_log_recovers_without_it(fleet: Fleet) -> None:
     fleet.first_configuration()
     node = fleet.nodes[1]
     node.kill()
@@ -182,7 +182,7 @@
 
 
 @pytest.mark.parametrize("leaver", range(3))
-def test_a_node_shuts_down_gracefully_and_the_others_go_on(fleet: Fleet, leaver: int) -> None:
+def test_a_node_shuts_down_gracefully_and_the_others_keep_serving(fleet: Fleet, leaver: int) -> None:
     fleet.first_configuration()
     node = fleet.nodes[leaver]
     edge = EdgeClient(node.peer_address)
@@ -197,7 +197,7 @@
     fleet.put_until_accepted(configuration_document(5), 3, ACK_S)
 
 
-def test_bad_settings_end_the_process_with_a_numbered_error(fleet: Fleet) -> None:
+def test_invalid_settings_end_the_process_with_a_numbered_error(fleet: Fleet) -> None:
     node = fleet.nodes[0]
     node.kill()
     settings = node.settings(bootstrap=False)
--- a/tests/control_plane_process/test_process_data_plane.py
+++ b/tests/control_plane_process/test_process_data_plane.py
@@ -50,7 +50,7 @@
     assert [member.node_name for member in members.edges] == ["edge-1"]
 
 
-def test_a_session_is_notified_of_a_change_at_once_and_gets_the_delta(fleet: Fleet) -> None:
+def test_a_session_is_notified_of_a_change_immediately_and_receives_the_delta(fleet: Fleet) -> None:
     fleet.first_configuration()
     edge = EdgeClient(fleet.nodes[2].peer_address)
     wait_until(
@@ -109,7 +109,7 @@
     assert time.monotonic() - began < HEARTBEAT_S
 
 
-def test_data_plane_schedulers_are_members_everywhere_with_their_load(fleet: Fleet) -> None:
+def test_data_plane_nodes_are_members_at_all_nodes_with_their_load(fleet: Fleet) -> None:
     fleet.first_configuration()
     first = EdgeClient(fleet.nodes[0].peer_address, "edge-1")
     second = EdgeClient(fleet.nodes[1].peer_address, "edge-2")
@@ -147,7 +147,7 @@
 # ---- the list of workers ----
 
 
-def test_a_draining_worker_is_published_soon_and_one_node_alone_calls_the_platform(fleet: Fleet) -> None:
+def test_a_draining_worker_is_published_and_only_one_node_calls_the_platform(fleet: Fleet) -> None:
     edge = EdgeClient(fleet.nodes[0].peer_address)
     first = wait_for_leased_workers(edge)
     fleet.platform.instances[0] = platform_instance("i-1", state="draining")
@@ -172,7 +172,7 @@
     assert len(changed.workers) == 4
 
 
-def test_a_frozen_lease_holder_does_not_go_on_when_it_resumes(fleet: Fleet) -> None:
+def test_a_suspended_lease_holder_does_not_hold_the_lease_when_it_resumes(fleet: Fleet) -> None:
     holder = wait_until(fleet.lease_holder, WORKERS_TIMEOUT_S, "one holds the duty")
     others = [node for node in fleet.nodes if node is not holder]
     wait_for_leased_workers(EdgeClient(others[0].peer_address))
@@ -185,7 +185,7 @@
     assert not holder.status()["holds_list_duty"]
 
 
-def test_the_last_list_stays_while_the_platform_is_down(fleet: Fleet) -> None:
+def test_the_last_list_stays_available_while_the_platform_fails(fleet: Fleet) -> None:
     edge = EdgeClient(fleet.nodes[0].peer_address)
     first = wait_for_leased_workers(edge)
     fleet.platform.status = 503
--- a/tests/control_plane_process/test_quota_allocator.py
+++ b/tests/control_plane_process/test_quota_allocator.py
@@ -62,11 +62,11 @@
     return [effect.response.outcome for effect in effects if isinstance(effect, SendResponse)]
 
 
-def test_what_the_bucket_holds_is_granted_at_once(harness: AllocatorHarness) -> None:
+def test_units_in_the_bucket_are_granted_immediately(harness: AllocatorHarness) -> None:
     assert harness.request(FULL) == [SendResponse("edge", QuotaResponse(1, QuotaOutcome.GRANTED))]
 
 
-def test_a_fresh_control_scheduler_does_not_call_a_quota_spent() -> None:
+def test_a_newly_started_node_does_not_report_a_quota_as_spent() -> None:
     harness = AllocatorHarness()
     harness.allocator = QuotaAllocator(RULE, harness.allocator._share, lambda: START, lambda: (), START)
     harness.configure()
@@ -76,11 +76,11 @@
     assert outcomes(harness.request(1e9)) == [QuotaOutcome.SPENT]
 
 
-def test_a_tenant_without_limit_is_granted_all(harness: AllocatorHarness) -> None:
+def test_a_tenant_without_a_limit_is_granted_any_request(harness: AllocatorHarness) -> None:
     assert outcomes(harness.request(1e9, "free")) == [QuotaOutcome.GRANTED]
 
 
-def test_a_tenant_that_is_not_known_here_is_sent_elsewhere(harness: AllocatorHarness) -> None:
+def test_a_request_of_an_unknown_tenant_is_unavailable(harness: AllocatorHarness) -> None:
     assert outcomes(harness.request(1.0, "unknown")) == [QuotaOutcome.UNAVAILABLE]
 
 
@@ -95,7 +95,7 @@
     assert harness.allocator.handle_loan(QuotaLoan("limited", 1.0), START) == []
 
 
-def test_what_is_lacking_is_asked_of_all_others(harness: AllocatorHarness) -> None:
+def test_missing_units_are_requested_from_all_other_owners(harness: AllocatorHarness) -> None:
     effects = harness.request(FULL + 10)
     assert [effect.address for effect in effects if isinstance(effect, SendToPeer)] == ["b", "c"]
     assert outcomes(effects) == []
@@ -104,18 +104,18 @@
     ]
 
 
-def test_who_is_not_heard_is_not_asked(harness: AllocatorHarness) -> None:
+def test_an_unreachable_owner_is_not_asked_for_a_loan(harness: AllocatorHarness) -> None:
     harness.reachable = {"c"}
     effects = harness.request(FULL + 10)
     assert [effect.address for effect in effects if isinstance(effect, SendToPeer)] == ["c"]
 
 
-def test_where_nobody_is_heard_it_is_refused_at_once(harness: AllocatorHarness) -> None:
+def test_a_request_is_refused_immediately_if_no_owner_is_reachable(harness: AllocatorHarness) -> None:
     harness.reachable = set()
     assert outcomes(harness.request(FULL + 10)) == [QuotaOutcome.SPENT]
 
 
-def test_loans_without_success_end_in_a_refusal_and_a_backoff(harness: AllocatorHarness) -> None:
+def test_insufficient_loans_end_in_a_refusal_and_a_backoff(harness: AllocatorHarness) -> None:
     harness.request(FULL + 10)
     harness.allocator.handle_loan(QuotaLoan("limited", 0.0), START)
     (refusal,) = harness.allocator.handle_loan(QuotaLoan("limited", 0.0), START)
@@ -142,13 +142,13 @@
     assert answered == [1, 2]
 
 
-def test_not_all_requests_may_wait(harness: AllocatorHarness) -> None:
+def test_the_number_of_pending_requests_is_bounded(harness: AllocatorHarness) -> None:
     for number in range(MAX_PENDING_REQUESTS):
         harness.request(FULL + 10, number=number)
     assert outcomes(harness.request(FULL + 10)) == [QuotaOutcome.SPENT]
 
 
-def test_what_was_borrowed_and_not_used_goes_back(harness: AllocatorHarness) -> None:
+def test_unused_borrowed_units_are_returned(harness: AllocatorHarness) -> None:
     harness.request(FULL + 10)
     effects = harness.allocator.handle_loan(QuotaLoan("limited", FULL + 30), START)
     returned = [effect for effect in effects if isinstance(effect, SendToPeer)]
@@ -157,20 +157,20 @@
     assert returned[0].message.units == pytest.approx(10)  # the capacity has grown to the largest request
 
 
-def test_a_tenant_that_is_dropped_while_loans_are_awaited_is_forgotten(harness: AllocatorHarness) -> None:
+def test_a_tenant_removed_while_loans_are_outstanding_is_dropped(harness: AllocatorHarness) -> None:
     harness.request(FULL + 10)
     harness.allocator.configure({}, START)
     assert harness.allocator.expire_loans(START + 1.0) == []
     assert harness.allocator.next_expiry() is None
 
 
-def test_who_waits_for_loans_lends_nothing(harness: AllocatorHarness) -> None:
+def test_a_node_with_pending_requests_lends_nothing(harness: AllocatorHarness) -> None:
     harness.request(FULL + 10)
     lent = harness.allocator.handle_loan_request("b", QuotaLoanRequest("limited", 50.0), START)
     assert lent == [SendToPeer("b", QuotaLoan("limited", 0.0))]
 
 
-def test_a_loan_leaves_the_lender(harness: AllocatorHarness) -> None:
+def test_a_loan_is_removed_from_the_lenders_bucket(harness: AllocatorHarness) -> None:
     (loan,) = harness.allocator.handle_loan_request("b", QuotaLoanRequest("limited", 1e9), START)
     assert isinstance(loan, SendToPeer)
     assert isinstance(loan.message, QuotaLoan)
@@ -178,24 +178,24 @@
     assert outcomes(harness.request(FULL * 0.6)) == []  # it has to borrow
 
 
-def test_a_lower_limit_counts_at_once(harness: AllocatorHarness) -> None:
+def test_a_lower_limit_applies_immediately(harness: AllocatorHarness) -> None:
     harness.configure(RATE / 10)
     assert outcomes(harness.request(FULL)) == []
 
 
-def test_a_changed_configuration_fills_no_bucket(harness: AllocatorHarness) -> None:
+def test_a_changed_configuration_does_not_fill_a_bucket(harness: AllocatorHarness) -> None:
     harness.request(FULL)
     harness.configure(RATE * 2)
     assert outcomes(harness.request(FULL / 2)) == []
 
 
 @pytest.mark.parametrize("seed", range(40))
-def test_no_window_is_over_the_bound(seed: int) -> None:
+def test_no_window_exceeds_the_limit(seed: int) -> None:
     parameters, used = play(seed)
     assert used <= 1, parameters
 
 
-def test_the_simulation_notices_grants_without_a_share(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_simulation_detects_grants_without_a_share(monkeypatch: pytest.MonkeyPatch) -> None:
     """The judge is of use: with a whole quota at each control plane node it finds the rule broken."""
     monkeypatch.setattr(QuotaShare, "share", lambda self, tenant, now, majority_as_of: 1.0)
     seeds = [seed for seed in range(40) if has_large_surge(seed)]
@@ -209,7 +209,7 @@
     return parameters.surge > 5 and parameters.controls > 3
 
 
-def test_below_the_limit_nearly_all_is_granted() -> None:
+def test_nearly_all_demand_below_the_limit_is_granted() -> None:
     from tests.control_plane_process.quota_simulation import SimulationParameters
 
     asked = granted = 0.0
--- a/tests/control_plane_process/test_quota_share.py
+++ b/tests/control_plane_process/test_quota_share.py
@@ -23,11 +23,11 @@
     return share
 
 
-def test_voters_share_evenly() -> None:
+def test_voters_share_a_quota_evenly() -> None:
     assert quota_share().share(TENANT, 100.0, 100.0) == 0.25
 
 
-def test_a_fresh_process_counts_voters_that_it_may_not_know() -> None:
+def test_a_newly_started_process_allows_for_unknown_owners() -> None:
     assert quota_share().share(TENANT, 1.0, 1.0) == 0.2
     assert quota_share().share(TENANT, SHARE_LEASE_TTL_S, SHARE_LEASE_TTL_S) == 0.25
 
@@ -35,36 +35,36 @@
 @pytest.mark.parametrize(
     ("age_s", "share"), [(0.0, 0.25), (LEAST_S - 0.01, 0.25), (LEAST_S + 0.01, 0.0), (99.0, 0.0)]
 )
-def test_without_a_majority_the_lease_ends(age_s: float, share: float) -> None:
+def test_the_lease_expires_without_a_majority(age_s: float, share: float) -> None:
     assert quota_share().share(TENANT, 200.0, 200.0 - age_s) == share
 
 
-def test_without_any_contact_or_view_there_is_none() -> None:
+def test_no_share_without_contact_or_a_view() -> None:
     assert quota_share().share(TENANT, 200.0, None) == 0.0
     assert QuotaShare("a", 1, 0.0).share(TENANT, 200.0, 200.0) == 0.0
 
 
-def test_the_share_of_one_that_left_is_taken_over_after_its_lease() -> None:
+def test_the_share_of_a_removed_voter_is_taken_over_after_its_lease() -> None:
     share = quota_share()
     share.set_voters(frozenset("abc"), 100.0)
     assert share.share(TENANT, 100.0 + SHARE_LEASE_TTL_S - 0.1, 105.0) == 0.25
     assert share.share(TENANT, 100.0 + SHARE_LEASE_TTL_S, 106.0) == pytest.approx(1 / 3)
 
 
-def test_a_new_voter_waits_until_all_others_know_of_it() -> None:
+def test_a_new_voter_waits_until_all_others_know_its_view() -> None:
     share = quota_share("d", frozenset("abc"))
     share.set_voters(ALL, 100.0)
     assert share.share(TENANT, 100.0 + SHARE_LEASE_TTL_S - 0.1, 105.0) == 0.0
     assert share.share(TENANT, 100.0 + SHARE_LEASE_TTL_S, 106.0) == 0.25
 
 
-def test_one_that_left_has_none() -> None:
+def test_a_removed_voter_has_no_share() -> None:
     share = quota_share()
     share.set_voters(frozenset("bcd"), 100.0)
     assert share.share(TENANT, 100.1, 100.1) == 0.0
 
 
-def test_a_larger_view_counts_at_once() -> None:
+def test_a_larger_view_applies_immediately() -> None:
     share = quota_share("a", frozenset("abc"))
     share.set_voters(ALL, 100.0)
     assert share.share(TENANT, 100.0, 100.0) == 0.25
@@ -73,7 +73,7 @@
 MANY = frozenset(f"c{number}" for number in range(9))
 
 
-def test_of_many_voters_a_few_own_a_tenant_s_quota() -> None:
+def test_only_a_few_of_many_voters_own_a_quota() -> None:
     shares = {}
     for own in MANY:
         shares[own] = quota_share(own, MANY).share(TENANT, 100.0, 100.0)
@@ -84,13 +84,13 @@
     assert {own for own, owned in shares.items() if owned} == tenant_owners(TENANT, MANY)
 
 
-def test_other_tenants_have_other_owners() -> None:
+def test_owners_are_distributed_over_the_tenants() -> None:
     owned = [tenant_owners(f"t{number}", MANY) for number in range(200)]
     counts = [sum(own in owners for owners in owned) for own in MANY]
     assert min(counts) > 0.5 * max(counts)
 
 
-def test_a_new_owner_waits_until_the_one_before_it_has_stopped() -> None:
+def test_a_new_owner_waits_for_the_lease_of_the_previous_one() -> None:
     gone = min(tenant_owners(TENANT, MANY))
     left = MANY - {gone}
     (new,) = tenant_owners(TENANT, left) - tenant_owners(TENANT, MANY)
@@ -100,7 +100,7 @@
     assert share.share(TENANT, 100.0 + SHARE_LEASE_TTL_S, 102.0) == 1 / OWNERS_PER_TENANT
 
 
-def test_who_owns_nothing_knows_who_does() -> None:
+def test_every_node_knows_the_other_owners() -> None:
     owners = tenant_owners(TENANT, MANY)
     (other,) = sorted(MANY - owners)[:1]
     assert set(quota_share(other, MANY).other_owners(TENANT)) == owners
--- a/tests/control_plane_process/test_quota_token_bucket.py
+++ b/tests/control_plane_process/test_quota_token_bucket.py
@@ -30,7 +30,7 @@
     return tokens
 
 
-def test_it_starts_empty_and_fills_by_its_share() -> None:
+def test_a_bucket_starts_empty_and_fills_by_its_share() -> None:
     tokens = bucket()
     assert not tokens.grant(1, is_scarce=False)
     tokens.refill(10.5)
@@ -39,13 +39,13 @@
     assert tokens.level == pytest.approx(LEAST)
 
 
-def test_time_that_goes_back_refills_nothing() -> None:
+def test_a_time_in_the_past_refills_nothing() -> None:
     tokens = bucket(50)
     tokens.refill(5.0)
     assert tokens.level == 50
 
 
-def test_the_capacity_follows_the_largest_request_and_never_shrinks_for_it() -> None:
+def test_the_capacity_follows_the_largest_request_and_never_shrinks_with_smaller_ones() -> None:
     tokens = bucket()
     for units, capacity in ((50.0, LEAST), (200.0, 200.0), (5000.0, MOST), (1.0, MOST)):
         tokens.grant(units, is_scarce=False)
@@ -53,13 +53,13 @@
         assert tokens.capacity == pytest.approx(capacity)
 
 
-def test_a_smaller_share_drops_what_exceeds_it() -> None:
+def test_a_smaller_share_drops_excess_units() -> None:
     tokens = bucket(90)
     tokens.set_share(SHARE / 10, RULE, 10.0)
     assert tokens.level == pytest.approx(LEAST / 10)
 
 
-def test_large_requests_find_as_much_as_small_ones_while_units_are_scarce() -> None:
+def test_large_requests_need_the_same_level_as_small_ones_while_units_are_scarce() -> None:
     tokens = bucket(50)
     tokens.grant(80, is_scarce=True)
     assert not tokens.grant(10, is_scarce=True)  # the next large one would find less still
@@ -68,7 +68,7 @@
     assert tokens.grant(80, is_scarce=True)
 
 
-def test_the_reserve_decays_as_large_requests_stay_away() -> None:
+def test_the_reserve_decays_without_large_requests() -> None:
     tokens = bucket(60)
     assert not tokens.grant(80, is_scarce=True)
     granted = [tokens.grant(1, is_scarce=True) for _ in range(40)]
@@ -80,14 +80,14 @@
     ("level", "requested", "is_scarce", "lent"),
     [(100, 95, False, 90), (100, 20, False, 20), (0, 20, False, 0), (100, 95, True, 50), (40, 20, True, 0)],
 )
-def test_what_it_lends(level: float, requested: float, is_scarce: bool, lent: float) -> None:
+def test_the_units_lent(level: float, requested: float, is_scarce: bool, lent: float) -> None:
     tokens = bucket(level)
     tokens.largest_recent_request = 50
     assert tokens.lend(requested, is_scarce=is_scarce) == pytest.approx(lent)
     assert tokens.level == pytest.approx(level - lent)
 
 
-def test_loans_beyond_the_capacity_are_dropped_once_borrowing_is_over() -> None:
+def test_units_above_the_capacity_are_dropped_after_borrowing() -> None:
     tokens = bucket(90)
     tokens.receive_loan(200)
     assert tokens.level == 290
@@ -95,7 +95,7 @@
     assert tokens.level == pytest.approx(LEAST)
 
 
-def test_how_long_a_request_has_to_wait() -> None:
+def test_the_waiting_time_of_a_request() -> None:
     tokens = bucket(50)
     assert tokens.wait_s(50 + tokens.refill_per_s) == pytest.approx(1.0)
     assert TokenBucket(0.0).wait_s(1) == float("inf")
@@ -105,7 +105,7 @@
     st.lists(st.tuples(st.sampled_from(["grant", "lend", "receive", "wait", "overflow"]), st.floats(0, 400)))
 )
 @settings(max_examples=200, deadline=None)
-def test_it_never_gives_more_than_it_received(steps: list[tuple[str, float]]) -> None:
+def test_a_bucket_never_gives_out_more_than_it_received(steps: list[tuple[str, float]]) -> None:
     tokens, now = bucket(), 10.0
     for step, amount in steps:
         match step:
@@ -126,12 +126,12 @@
 
 @given(st.floats(0.1, 1e7), st.floats(0, 1e6), st.floats(1, 30))
 @settings(max_examples=200, deadline=None)
-def test_the_allowance_keeps_to_the_share(units: float, largest: float, window: float) -> None:
+def test_the_allowance_stays_within_the_share(units: float, largest: float, window: float) -> None:
     share = allowance(units, largest, QuotaRule(window, 0.1, 0.0))
     assert share.refill_per_s * (window + LAG_S) + share.capacity <= units
     assert share.refill_per_s > 0
     assert MIN_CAPACITY_SHARE * GRANTED_SHARE * units <= share.capacity * (1 + 1e-9)
 
 
-def test_the_bound_is_the_deployment_s() -> None:
+def test_the_limit_follows_from_the_deployments_parameters() -> None:
     assert window_limit(100.0, 50.0, QuotaRule(8.0, 0.1, 7.0)) == pytest.approx(850 * 1.1 + 7)
--- a/tests/control_plane_process/test_worker_discovery.py
+++ b/tests/control_plane_process/test_worker_discovery.py
@@ -91,7 +91,7 @@
     asyncio.run(run())
 
 
-def test_who_does_not_hold_the_lease_does_not_call(platform: FakePlatform) -> None:
+def test_the_platform_is_not_called_without_the_lease(platform: FakePlatform) -> None:
     async def scenario(harness: DiscoveryHarness) -> None:
         await harness.run_for(0.2)
         assert platform.calls == 0
@@ -114,7 +114,7 @@
 
 
 @pytest.mark.parametrize("status", [500, 503, 404])
-def test_a_holder_whose_calls_fail_gives_the_lease_up(platform: FakePlatform, status: int) -> None:
+def test_a_holder_whose_calls_fail_releases_the_lease(platform: FakePlatform, status: int) -> None:
     async def scenario(harness: DiscoveryHarness) -> None:
         harness.acquire_lease()
         await harness.until(lambda: harness.published)
@@ -125,7 +125,7 @@
     run_scenario(platform, scenario)
 
 
-def test_a_holder_that_is_called_too_often_keeps_the_lease(platform: FakePlatform) -> None:
+def test_a_rate_limited_holder_keeps_the_lease(platform: FakePlatform) -> None:
     async def scenario(harness: DiscoveryHarness) -> None:
         harness.acquire_lease()
         await harness.until(lambda: harness.published)
@@ -136,7 +136,7 @@
     run_scenario(platform, scenario)
 
 
-def test_a_platform_that_is_silent_is_one_that_fails(platform: FakePlatform) -> None:
+def test_a_platform_that_does_not_respond_counts_as_failing(platform: FakePlatform) -> None:
     async def scenario(harness: DiscoveryHarness) -> None:
         harness.acquire_lease()
         server = await asyncio.start_server(lambda reader, writer: None, "127.0.0.1", 0)
@@ -150,7 +150,7 @@
     run_scenario(platform, scenario)
 
 
-def test_the_rate_of_the_platform_is_kept(platform: FakePlatform) -> None:
+def test_calls_stay_below_the_platforms_rate_limit(platform: FakePlatform) -> None:
     async def scenario(harness: DiscoveryHarness) -> None:
         harness.acquire_lease()
         await harness.run_for(1.0)
@@ -159,7 +159,7 @@
     run_scenario(platform, scenario, rate_per_s=10.0)
 
 
-def test_a_newer_list_elsewhere_is_overtaken_at_once(
+def test_a_newer_list_of_another_process_is_superseded_immediately(
     platform: FakePlatform, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(discovery, "POLL_INTERVAL_S", 60.0)
@@ -177,7 +177,7 @@
     run_scenario(platform, scenario)
 
 
-def test_a_list_from_before_the_lease_was_lost_is_not_published_again(platform: FakePlatform) -> None:
+def test_a_list_read_before_the_lease_was_lost_is_not_published_again(platform: FakePlatform) -> None:
     async def scenario(harness: DiscoveryHarness) -> None:
         harness.acquire_lease()
         await harness.until(lambda: harness.published)
@@ -191,7 +191,7 @@
     run_scenario(platform, scenario)
 
 
-def test_a_holder_that_is_fenced_between_two_pages_does_not_call_again(platform: FakePlatform) -> None:
+def test_a_holder_fenced_between_two_pages_does_not_call_again(platform: FakePlatform) -> None:
     """Some other one has published under a higher term: the rest of the list is not asked for."""
 
     async def scenario(harness: DiscoveryHarness) -> None:
@@ -207,7 +207,7 @@
     run_scenario(platform, scenario, rate_per_s=10.0)
 
 
-def test_a_call_goes_over_one_connection_until_it_ends(platform: FakePlatform) -> None:
+def test_calls_share_one_connection_until_it_is_closed(platform: FakePlatform) -> None:
     async def run() -> None:
         client = PlatformClient(platform.address)
         pages = [await client.fetch_page(None)]
@@ -239,7 +239,7 @@
         b'HTTP/1.1 200 OK\r\nContent-Length: 16\r\n\r\n{"instances":[',
     ],
 )
-def test_an_answer_that_is_none_is_an_error(answer: bytes) -> None:
+def test_a_malformed_response_is_an_error(answer: bytes) -> None:
     async def run() -> None:
         def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             writer.write(answer)
@@ -254,7 +254,7 @@
     asyncio.run(run())
 
 
-def test_a_platform_that_closes_idle_connections_is_called_again(platform: FakePlatform) -> None:
+def test_a_platform_that_closes_its_connections_is_called_on_new_ones(platform: FakePlatform) -> None:
     page = b'{"instances":[],"next_token":null}'
     head = b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: %d\r\n\r\n" % len(page)
 
@@ -274,7 +274,7 @@
     asyncio.run(run())
 
 
-def test_a_process_without_a_list_reads_one_before_the_lease_and_the_holder_replaces_it(
+def test_a_list_read_without_the_lease_is_replaced_by_the_lease_holder(
     platform: FakePlatform,
 ) -> None:
     async def scenario(harness: DiscoveryHarness) -> None:
@@ -288,7 +288,7 @@
     run_scenario(platform, scenario)
 
 
-def test_a_first_list_is_asked_for_until_the_platform_answers(platform: FakePlatform) -> None:
+def test_the_first_list_is_requested_until_the_platform_responds(platform: FakePlatform) -> None:
     platform.status = 503
 
     async def scenario(harness: DiscoveryHarness) -> None:
@@ -302,7 +302,7 @@
     run_scenario(platform, scenario)
 
 
-def test_a_new_mark_is_published_without_the_platform(platform: FakePlatform) -> None:
+def test_a_changed_adjustment_is_published_without_the_platform(platform: FakePlatform) -> None:
     async def scenario(harness: DiscoveryHarness) -> None:
         harness.acquire_lease()
         await harness.until(lambda: harness.published)
@@ -316,7 +316,7 @@
     run_scenario(platform, scenario)
 
 
-def test_nothing_is_published_while_the_marks_are_not_known(platform: FakePlatform) -> None:
+def test_nothing_is_published_while_the_adjustment_is_unknown(platform: FakePlatform) -> None:
     async def scenario(harness: DiscoveryHarness) -> None:
         harness.known = False
         task = asyncio.create_task(harness.discovery.discover_without_lease())
--- a/tests/control_plane_process/test_worker_list.py
+++ b/tests/control_plane_process/test_worker_list.py
@@ -28,7 +28,7 @@
     return WorkerEntry(name, "u1", "10.0.0.9:8080", "z", "v1", 4, draining, cold)
 
 
-def test_a_page_is_read_with_fields_that_are_not_used_left_out() -> None:
+def test_unused_fields_of_a_page_are_ignored() -> None:
     page = parse_page(PAGE)
     assert page.next_token == "p-50"
     entry = worker_entry(page.instances[0])
@@ -36,12 +36,12 @@
 
 
 @pytest.mark.parametrize("body", [b"", b"[]", b"{}", b'{"instances":[{}],"next_token":null}', PAGE[:-1]])
-def test_what_is_no_page_is_an_error(body: bytes) -> None:
+def test_an_invalid_page_is_an_error(body: bytes) -> None:
     with pytest.raises(msgspec.DecodeError):
         parse_page(body)
 
 
-def test_pages_are_joined_in_the_order_of_ids_and_without_doubles() -> None:
+def test_pages_are_merged_in_the_order_of_ids_without_duplicates() -> None:
     first = parse_page(PAGE)
     up = msgspec.structs.replace(first.instances[0], state="up")
     other = msgspec.structs.replace(up, instance_id="i-0")
@@ -64,7 +64,7 @@
     assert state.update_from_platform(1, (), 0.0) == WorkerList((1, 1), ())
 
 
-def test_a_new_holder_goes_on_from_the_list_it_has() -> None:
+def test_a_new_holder_continues_from_the_list_it_has() -> None:
     state = WorkerListState()
     assert state.adopt(WorkerList((3, 5), (worker("a"),)), 0.0)
     assert state.update_from_platform(4, (worker("a"),), 0.0) is None
@@ -91,7 +91,7 @@
     assert state.adopt(WorkerList((4, 1), (worker("b"),)), 0.0)
 
 
-def test_a_newer_list_elsewhere_forces_a_new_version_though_nothing_has_changed() -> None:
+def test_a_newer_list_of_another_process_forces_a_new_version_without_changes() -> None:
     state = WorkerListState()
     state.adopt(WorkerList((3, 5), (worker("a"),)), 0.0)
     state.observe_version((3, 6))
@@ -113,7 +113,7 @@
     assert (state.update_from_platform(term, (worker("a"),), 0.0) is None) == (above is not None)
 
 
-def test_versions_of_one_holder_rise_whatever_comes_between() -> None:
+def test_versions_of_one_holder_rise_with_each_list() -> None:
     state = WorkerListState()
     versions = []
     for number in range(5):
@@ -123,7 +123,7 @@
     assert versions == [(2, count) for count in range(1, 6)]
 
 
-def test_time_is_taken_off_what_is_left_until_a_worker_is_warm() -> None:
+def test_elapsed_time_is_subtracted_from_warm_up_times() -> None:
     entries = (worker("a", 500), worker("b", 100), worker("c"))
     assert [entry.cold_left_ms for entry in subtract_elapsed(WorkerList((1, 1), entries), 200).workers] == [
         300,
@@ -132,7 +132,7 @@
     ]
 
 
-def test_the_holder_sends_its_list_at_once_and_others_when_it_has_not_arrived_for_a_while() -> None:
+def test_the_holder_sends_its_list_immediately_and_others_after_a_delay() -> None:
     state = WorkerListState()
     state.adopt(WorkerList((3, 2), (worker("i-1"),)), now=50.0)
     assert state.should_send_to((3, 1), holds_lease=True, now=50.0)
@@ -141,11 +141,11 @@
 
 
 @pytest.mark.parametrize("version", [(3, 2), (3, 3), (4, 1)])
-def test_nobody_is_sent_a_list_that_is_not_newer_than_its_own(version: tuple[int, int]) -> None:
+def test_a_list_is_only_sent_to_processes_with_an_older_one(version: tuple[int, int]) -> None:
     state = WorkerListState()
     state.adopt(WorkerList((3, 2), (worker("i-1"),)), now=50.0)
     assert not state.should_send_to(version, holds_lease=True, now=60.0)
 
 
-def test_without_a_list_nothing_is_sent() -> None:
+def test_nothing_is_sent_without_a_list() -> None:
     assert not WorkerListState().should_send_to((0, 0), holds_lease=True, now=60.0)
