--- a/tests/control_plane/processor_quota.py
+++ b/tests/control_plane/processor_quota.py
@@ -1,4 +1,4 @@
-"""Processors shared by quota: a process runs until its part of a period is spent, then stands still."""
+"""Simulates CPU quotas: each process runs for a part of each period and is suspended for the rest."""
 
 from __future__ import annotations
 
@@ -7,16 +7,16 @@
 from tests.control_plane.random_schedule import World
 
 PERIOD_S = 0.1
-RUNS_S = 0.01  # of each period; the rest of it the process stands still
+RUNS_S = 0.01  # running time in each period
 
 
 class ProcessorQuota:
-    """All processes of a world, each with a phase of its own."""
+    """Applies the quota to all processes of a world, each with its own phase."""
 
     def __init__(self, world: World, runs_s: float = RUNS_S) -> None:
         self._world = world
         self._simulation = world.simulation
-        self._stands_s = PERIOD_S - runs_s
+        self._suspended_s = PERIOD_S - runs_s
         self._runs_s = runs_s
         for address in self._simulation.machines:
             self._begin(partial(self._stop_control, address))
@@ -32,7 +32,7 @@
 
     def _stop_control(self, address: str) -> None:
         self._simulation.stand_still(address)
-        self._later(self._stands_s, partial(self._run_control, address))
+        self._later(self._suspended_s, partial(self._run_control, address))
 
     def _run_control(self, address: str) -> None:
         self._simulation.go_on(address)
@@ -40,7 +40,7 @@
 
     def _stop_edge(self, name: str) -> None:
         self._world.fleet.data_plane.suspend(name)
-        self._later(self._stands_s, partial(self._run_edge, name))
+        self._later(self._suspended_s, partial(self._run_edge, name))
 
     def _run_edge(self, name: str) -> None:
         self._world.fleet.data_plane.resume(name)
--- a/tests/control_plane/simulated_data_plane.py
+++ b/tests/control_plane/simulated_data_plane.py
@@ -1,6 +1,6 @@
-"""Data plane schedulers of the simulation, as far as they hear of configurations and workers.
+"""Simulated data plane nodes, reduced to receiving configurations and lists of workers.
 
-The program's own sessions run on a loop in virtual time; only their connections are replaced.
+They run the real session code on an event loop in virtual time. Only the connections are simulated.
 """
 
 from __future__ import annotations
@@ -25,14 +25,12 @@
 
 APPLY_S = 2.0
 CONNECT_TIMEOUT_S = 0.7
-UNANSWERED_CONNECT_SHARE = (
-    0.3  # of the connections to an address where no process runs: they get no answer at all
-)
+UNANSWERED_CONNECT_SHARE = 0.3  # share of the connections to an address without a process that get no answer
 
 
 @dataclass
 class Node:
-    """One machine of the data plane; `incarnation` counts its processes."""
+    """One machine of the data plane. `incarnation` counts its processes."""
 
     name: str
     zone: str
@@ -44,7 +42,7 @@
 
 
 class SimulatedSessions(ControlSessions):
-    """The program's sessions over simulated connections."""
+    """The real sessions over simulated connections."""
 
     world: DataPlane
     node: Node
@@ -54,7 +52,7 @@
 
 
 class DataPlaneScheduler:
-    """One life of a data plane scheduler's process."""
+    """One process of a data plane node."""
 
     def __init__(self, world: DataPlane, node: Node, loop: ProcessLoop, seeds: tuple[str, ...]) -> None:
         self.loop = loop
@@ -66,7 +64,11 @@
         self._world = world
         self._node = node
         listener = Listener(
-            self._configured, self._listed, self._members_told, self._running_told, self._suspects_told
+            self._configuration_received,
+            self._workers_received,
+            self._members_received,
+            self._load_received,
+            self._suspects_received,
         )
         subscription = Subscription(listener, self.confirmation)
         sessions = SimulatedSessions(
@@ -77,33 +79,33 @@
         loop.create_task(sessions.run())
 
     def in_doubt(self) -> bool:
-        """Whether a request without a route gets 503 instead of 404 now."""
+        """Return whether a request without a route currently gets status 503 instead of 404."""
         return self.confirmation.in_doubt(self.loop.time())
 
     def _own_state(self) -> OwnState:
         return OwnState(self._node.name, str(self._node.incarnation), self._node.zone, False, {})
 
-    def _configured(self, configuration: Configuration, version: Version) -> None:
+    def _configuration_received(self, configuration: Configuration, version: Version) -> None:
         before = self.generation or 0
         assert configuration.generation > before, f"{self._node.name} goes back from {before}"
         self.generation = configuration.generation
 
-    def _listed(self, workers: WorkerList) -> None:
+    def _workers_received(self, workers: WorkerList) -> None:
         self.workers = workers
         self._world.list_judge.check_held(self._node.name, workers)
 
-    def _members_told(self, members: MemberList) -> None:
-        """Whom else there is does not matter here."""
+    def _members_received(self, members: MemberList) -> None:
+        """Ignore the members, which the simulation does not use."""
 
-    def _running_told(self, running: dict[str, tuple[int, int]]) -> None:
-        """Nor what others run."""
+    def _load_received(self, running: dict[str, tuple[int, int]]) -> None:
+        """Ignore the load of other data plane nodes."""
 
-    def _suspects_told(self, suspects: dict[str, int]) -> None:
-        """Nor what they suspect."""
+    def _suspects_received(self, suspects: dict[str, int]) -> None:
+        """Ignore the suspicions of other data plane nodes."""
 
 
 class DataPlane:
-    """All data plane schedulers, named `e1`, `e2`, …"""
+    """All data plane nodes, named `e1`, `e2`, …"""
 
     def __init__(
         self, simulation: Simulation, control: ControlSchedulers, list_judge: WorkerListJudge, count: int
@@ -125,16 +127,16 @@
             self.nodes[node.name] = node
             simulation.at(simulation.now + random.uniform(0.0, 0.3), partial(self.start, node.name))
 
-    # ---- what happens to nodes ----
+    # ---- events of nodes ----
 
     def start(self, name: str) -> None:
-        """Start the process of a node."""
+        """Start the process of a node if it does not run."""
         node = self.nodes[name]
         if node.scheduler is not None:
             return
         node.incarnation += 1
         node.frozen = False
-        self._note(name)
+        self._record_event(name)
         self.list_judge.process_started(name)
         loop = ProcessLoop(self._simulation, node.clock_skew, node.clock_rate)
 
@@ -144,10 +146,10 @@
         loop.run(build)
 
     def kill(self, name: str, restart_after: float) -> None:
-        """The process dies and starts again."""
+        """Kill the process, and restart it after `restart_after` seconds."""
         node = self.nodes[name]
         scheduler, node.scheduler = node.scheduler, None
-        self._note(name)
+        self._record_event(name)
         if scheduler is not None:
             for channel in scheduler.channels:
                 channel.close()
@@ -155,32 +157,32 @@
         self._simulation.at(self._simulation.now + restart_after, lambda: self.start(name))
 
     def freeze(self, name: str) -> None:
-        """The process is stopped."""
-        self._note(name)
+        """Suspend the process as an injected fault."""
+        self._record_event(name)
         self.suspend(name)
 
     def thaw(self, name: str) -> None:
-        """The process goes on."""
+        """Resume the process after an injected fault."""
         if self.nodes[name].frozen:
-            self._note(name)
+            self._record_event(name)
             self.resume(name)
 
     def suspend(self, name: str) -> None:
-        """The process gets no processor time for now, which is no trouble of its machine."""
+        """Suspend the process without counting it as a fault of its machine."""
         node = self.nodes[name]
         if node.scheduler is not None:
             node.frozen = True
             node.scheduler.loop.freeze()
 
     def resume(self, name: str) -> None:
-        """The process gets processor time again."""
+        """Resume a suspended process."""
         node = self.nodes[name]
         if node.frozen and node.scheduler is not None:
             node.frozen = False
             node.scheduler.loop.thaw()
 
     def partition(self, name: str, addresses: list[str], there: bool = True, back: bool = True) -> None:
-        """A node is cut off from control schedulers, one way or both ways."""
+        """Partition a node from control plane nodes in one or both directions."""
         for address in addresses:
             if there:
                 self._simulation.network.cut_outside.add((name, address))
@@ -188,30 +190,30 @@
                 self._simulation.network.cut_outside.add((address, name))
 
     def heal_partitions(self) -> None:
-        """All links of nodes carry again."""
+        """Heal all partitions of data plane nodes."""
         self._simulation.network.cut_outside.clear()
 
     def seeds_changed(self) -> None:
-        """The settings of all nodes name other seeds."""
+        """Apply the changed seeds of the simulation to the settings of all nodes."""
         for scheduler in self.schedulers().values():
             scheduler.seeds = self._simulation.seeds
 
     def schedulers(self) -> dict[str, DataPlaneScheduler]:
-        """Those that run and are not frozen."""
+        """Return the processes that run and are not suspended, by name."""
         return {
             node.name: node.scheduler
             for node in self.nodes.values()
             if node.scheduler is not None and not node.frozen
         }
 
-    def _note(self, name: str) -> None:
-        """Something happened to a node, which leaves the core settled."""
+    def _record_event(self, name: str) -> None:
+        """Record an event of a data plane node. It does not affect whether the control plane is stable."""
         self._simulation.calm.disk_changed(self._simulation.now, name)
 
     # ---- connections ----
 
     async def connect(self, node: Node, address: str) -> SimulatedChannel:
-        """As `open_channel`."""
+        """Open a simulated connection, in place of `open_channel`."""
         scheduler = node.scheduler
         assert scheduler is not None
         await asyncio.sleep(self._random.uniform(*DELAY_S))
--- a/tests/control_plane/simulated_platform.py
+++ b/tests/control_plane/simulated_platform.py
@@ -1,4 +1,4 @@
-"""The platform's list of workers: they come, drain and go; it runs behind and may be out of reach."""
+"""A simulated platform whose list of workers lags behind their changes and may be unreachable."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from reedspoke.control_plane.workers.platform_messages import STATE_DRAINING, PlatformInstance, PlatformPage
 from tests.control_plane.simulated_parts import VirtualTime
 
-LAG_S = 0.8
+LAG_S = 0.8  # delay until the list shows a change
 RESPONSE_TIME_S = (0.004, 0.03)
 DRAIN_S = 3.0
 INITIAL_WORKERS = 4
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True)
 class ListState:
-    """The list from a time on."""
+    """The content of the list since a time."""
 
     since: float
     workers: dict[str, PlatformInstance]
@@ -41,41 +41,41 @@
         for _ in range(INITIAL_WORKERS):
             self.add_worker()
 
-    # ---- what happens to workers ----
+    # ---- changes ----
 
     def add_worker(self) -> None:
-        """A new worker."""
+        """Add a worker to the list."""
         name = f"i-{next(self._names)}"
         self._change(name, PlatformInstance(name, "service", "10.0.0.1:1", "zone-m1"))
 
     def drain_worker(self, rng: Random, lasts: float = DRAIN_S) -> None:
-        """A worker is about to end, and is gone after a while."""
+        """Drain a random worker, and remove it after `lasts` seconds."""
         up = [name for name, worker in self._newest.items() if worker.state != STATE_DRAINING]
         if up:
             name = rng.choice(up)
             self._change(name, structs.replace(self._newest[name], state=STATE_DRAINING))
             self._virtual_time.at(self._virtual_time.now + lasts, lambda: self._change(name, None))
 
-    def set_unreachable(self, out_of_reach: bool) -> None:
-        """No call is answered any more, or calls are answered again."""
-        self.is_unreachable = out_of_reach
-        if not out_of_reach:
+    def set_unreachable(self, is_unreachable: bool) -> None:
+        """Make all calls fail from now on, or succeed again."""
+        self.is_unreachable = is_unreachable
+        if not is_unreachable:
             self.reachable_since = self._virtual_time.now
 
-    # ---- what is asked ----
+    # ---- queries ----
 
     def list_at(self, at: float) -> tuple[int, dict[str, PlatformInstance]]:
-        """What the list shows at a time, with the number of that state."""
+        """Return the number of the state that the list shows at a time, and its workers."""
         number = bisect_right(self._states, at - LAG_S, key=lambda state: state.since) - 1
         return number, self._states[number].workers
 
     def state_number_of(self, workers: dict[str, bool], at: float) -> int:
-        """The newest state that the list has shown until `at` with these workers (true: draining)."""
+        """Return the newest state shown until `at` that has these workers; values tell whether they drain."""
         newest, _ = self.list_at(at)
         for number in range(newest, -1, -1):
             if _draining(self._states[number].workers) == workers:
                 return number
-        raise AssertionError("a list that the platform has never shown")
+        raise AssertionError("the platform has never shown this list")
 
     @property
     def _newest(self) -> dict[str, PlatformInstance]:
@@ -95,7 +95,7 @@
 
 
 class SimulatedPlatformClient(PlatformClient):
-    """Calls of one control scheduler; the whole list fits on one page."""
+    """The platform client of one control plane node. The whole list is one page."""
 
     def __init__(self, platform: SimulatedPlatform, virtual_time: VirtualTime, random: Random) -> None:
         super().__init__("platform:1")
@@ -106,7 +106,7 @@
     async def _call(self, token: str | None) -> PlatformPage:
         await asyncio.sleep(self._random.uniform(*RESPONSE_TIME_S))
         if self._platform.is_unreachable:
-            raise PlatformError("the platform is out of reach")
+            raise PlatformError("the platform is unreachable")
         _, workers = self._platform.list_at(self._virtual_time.now)
         await asyncio.sleep(self._random.uniform(*RESPONSE_TIME_S))
         return PlatformPage(tuple(workers.values()))
--- a/tests/control_plane/test_guards_configuration_publisher.py
+++ b/tests/control_plane/test_guards_configuration_publisher.py
@@ -1,4 +1,4 @@
-"""Guards of the publisher: as of when the configuration that it has published was certainly the newest."""
+"""Tests of the checks in the configuration publisher: when its published configuration is confirmed."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Documents:
-    """In place of the thread that parses documents: each is ready when the test says so."""
+    """Replaces the thread that parses documents. Each document completes when the test says so."""
 
     def __init__(self) -> None:
         self._waiting: list[
@@ -24,35 +24,35 @@
         ] = []
 
     def call(self, function: Callable[[], PreparedConfiguration]) -> asyncio.Future[PreparedConfiguration]:
-        """As `JobThread.call`."""
+        """Queue a function, in place of `JobThread.call`."""
         future: asyncio.Future[PreparedConfiguration] = asyncio.get_running_loop().create_future()
         self._waiting.append((function, future))
         return future
 
     async def end_first(self) -> None:
-        """The document that came first is ready."""
+        """Complete the first queued function."""
         function, future = self._waiting.pop(0)
         future.set_result(function())
         await asyncio.sleep(0)
 
 
 class Replica:
-    """In place of the replica's driver."""
+    """Replaces the replica's driver."""
 
     def __init__(self) -> None:
         self.as_of: float | None = asyncio.get_running_loop().time() + FAR_AHEAD_S
 
     def confirmed_as_of(self) -> float | None:
-        """As `ReplicaDriver.confirmed_as_of`."""
+        """Return the time set by the test."""
         return self.as_of
 
     def holds_majority(self) -> bool:
-        """As `ReplicaDriver.holds_majority`."""
+        """Return whether the test has set a time."""
         return self.as_of is not None
 
 
 class PublisherWorld:
-    """A publisher with a replica and a document thread that the test drives."""
+    """A publisher with a replica and a document thread controlled by the test."""
 
     def __init__(self) -> None:
         self.documents = Documents()
@@ -62,16 +62,18 @@
         )
 
     def commit(self, sequence: int) -> None:
-        """The replica knows this change to be committed."""
+        """Pass a committed configuration to the publisher."""
         committed = CommittedConfiguration(sequence, sequence, configuration_document(sequence), 1)
         self.publisher.publish(committed)
 
     def confirmed_as_of(self) -> float | None:
-        """The time that data plane nodes are told."""
+        """Return the time that is reported to data plane nodes."""
         return self.publisher.confirmed_as_of()
 
 
 def play(scene: Callable[[PublisherWorld], Awaitable[None]]) -> None:
+    """Run the scene with a new publisher."""
+
     async def run() -> None:
         await scene(PublisherWorld())
 
@@ -84,7 +86,7 @@
         assert world.confirmed_as_of() == 5.0
         world.commit(1)
         world.replica.as_of = 9.0
-        assert world.confirmed_as_of() == 5.0, "what is published was the newest before the change came"
+        assert world.confirmed_as_of() == 5.0, "the published configuration was the newest before the change"
         await world.documents.end_first()
         assert world.confirmed_as_of() == 9.0
 
@@ -103,7 +105,7 @@
 
 
 def test_a_configuration_that_was_never_the_newest_known_is_not_confirmed() -> None:
-    """As after a start: a change may have been committed long before this process hears of it."""
+    """After a start, a change may have been committed long before this process receives it."""
 
     async def scene(world: PublisherWorld) -> None:
         world.commit(1)
--- a/tests/control_plane/test_guards_discovery_lease.py
+++ b/tests/control_plane/test_guards_discovery_lease.py
@@ -1,4 +1,4 @@
-"""Guards of the discovery lease, one at a time, at a voter and at one that requests it."""
+"""Tests of single checks in the discovery lease, at a voter and at a requester."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from reedspoke.control_plane.workers.discovery_lease import LEASE_MARGIN_S, DiscoveryLease, OutgoingMessage
 from reedspoke.control_plane.workers.lease_voter import LEASE_TTL_S, DiscoveryLeaseVoter
 
-OWN, OTHER, THIRD, FOURTH, STRANGER = "at-a", "at-b", "at-c", "at-d", "at-z"
+OWN, OTHER, THIRD, FOURTH, NON_VOTER = "at-a", "at-b", "at-c", "at-d", "at-z"
 VOTERS = (OWN, OTHER, THIRD)
 START = 100.0
 
@@ -50,7 +50,7 @@
 
 
 class Requester:
-    """One that requests the lease; its own grant has come, those of the others are the test's."""
+    """A process that requests the lease. It has its own grant, and the test gives those of the others."""
 
     def __init__(self, voters: tuple[str, ...] = VOTERS) -> None:
         self.lease = DiscoveryLease(OWN, START, fresh_fleet=True)
@@ -58,13 +58,13 @@
         (self.term,) = {message.message.term for message in self.request(START)}
 
     def request(self, now: float) -> list[OutgoingMessage]:
-        """Its requests to the other voters."""
+        """Return its requests to the other voters."""
         requests = self.lease.tick(now)
         assert all(isinstance(message.message, DiscoveryLeaseRequest) for message in requests)
         return requests
 
     def grant(self, sender: str, term: int | None = None, now: float = START) -> None:
-        """A grant of another voter."""
+        """Deliver a grant of another voter."""
         granted = self.term if term is None else term
         self.lease.handle_message(sender, DiscoveryLeaseResponse(granted, True, granted), now)
 
@@ -79,7 +79,7 @@
 
 def test_a_grant_of_a_non_voter_does_not_count() -> None:
     requester = Requester()
-    requester.grant(STRANGER)
+    requester.grant(NON_VOTER)
     assert not requester.lease.is_held(START)
 
 
@@ -101,7 +101,7 @@
 def test_grants_of_two_views_are_not_added_up() -> None:
     requester = Requester((*VOTERS, FOURTH))
     requester.grant(OTHER)
-    requester.lease.set_voters((*VOTERS, STRANGER))
+    requester.lease.set_voters((*VOTERS, NON_VOTER))
     requester.grant(THIRD)
     assert not requester.lease.is_held(START)
 
--- a/tests/control_plane/test_guards_worker_discovery.py
+++ b/tests/control_plane/test_guards_worker_discovery.py
@@ -1,4 +1,4 @@
-"""Guards of the list of workers, its worker_discovery and the membership, one at a time."""
+"""Tests of single checks in the list of workers, worker discovery and the membership."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
 
 
 class ExpiringLease:
-    """A lease that expires while the platform answers."""
+    """A lease that expires while the platform handles a call."""
 
     term = 1
 
@@ -57,23 +57,25 @@
         self.held = True
 
     def is_held(self, now: float) -> bool:
+        """Return whether the lease is still held."""
         return self.held
 
 
 class Platform:
-    """Answers with one worker, once the lease has run out."""
+    """Returns one worker after the lease has expired."""
 
     def __init__(self, lease: ExpiringLease) -> None:
         self._lease = lease
         self.answered = asyncio.Event()
 
     async def fetch_page(self, token: str | None) -> PlatformPage:
+        """End the lease, and return one page."""
         self._lease.held = False
         self.answered.set()
         return PlatformPage((PlatformInstance("i-1", "u1", "a:1"),))
 
     def close(self) -> None:
-        """Nothing is open."""
+        """Do nothing, as no connection is open."""
 
 
 def test_a_response_received_after_the_lease_has_expired_is_not_published(
@@ -94,7 +96,7 @@
         worker_discovery.check_lease()
         running = asyncio.create_task(worker_discovery.run())
         await platform.answered.wait()
-        await asyncio.sleep(0)  # the call that was under way ends
+        await asyncio.sleep(0)  # lets the pending call complete
         running.cancel()
         return published
 
--- a/tests/control_plane/test_processor_quota.py
+++ b/tests/control_plane/test_processor_quota.py
@@ -1,4 +1,4 @@
-"""All processes stand still for 90 ms of each 100: nothing of that is taken for a loss."""
+"""Test that processes suspended for 90 ms of each 100 ms are not taken for lost."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 from tests.control_plane.random_schedule import World
 from tests.control_plane.worst_day import acknowledged, fleet_in_service, run_with_orders
 
-PLAYED_S = 20.0
-LOOK_S = 0.007  # no multiple of the period
+RUN_S = 20.0
+CHECK_INTERVAL_S = 0.007  # not a divisor of the period
 ACKNOWLEDGED_S = 2.0  # half of the shortest `ack_ms`
 
 
@@ -27,7 +27,7 @@
 
 
 def _channels(world: World) -> dict[str, int]:
-    """How many sessions each data plane scheduler has opened."""
+    """Return how many sessions each data plane node has opened."""
     return {
         name: len(node.scheduler.channels)
         for name, node in world.fleet.data_plane.nodes.items()
@@ -35,20 +35,20 @@
     }
 
 
-class DoubtWatch:
-    """Looks every LOOK_S whether a data plane scheduler has not heard of the newest version for too long."""
+class ConfirmationWatch:
+    """Checks every CHECK_INTERVAL_S whether a data plane node's last confirmation is too old."""
 
     def __init__(self, world: World) -> None:
         self._world = world
-        self.looks = 0
+        self.checks = 0
         self.found: list[tuple[float, str]] = []
-        self._look()
+        self._check()
 
-    def _look(self) -> None:
+    def _check(self) -> None:
         now = self._world.simulation.now
-        self._world.simulation.at(now + LOOK_S, self._look)
+        self._world.simulation.at(now + CHECK_INTERVAL_S, self._check)
         for name, scheduler in self._world.fleet.data_plane.schedulers().items():
-            self.looks += 1
+            self.checks += 1
             if scheduler.confirmation.is_old(scheduler.loop.time()):
                 self.found.append((now, name))
 
@@ -56,20 +56,20 @@
 @pytest.mark.parametrize(("machines", "tolerated"), [(3, 1), (5, 2)])
 @pytest.mark.parametrize("seed", [71, 72, 73])
 def test_suspended_processes_are_not_taken_for_lost(seed: int, machines: int, tolerated: int) -> None:
-    """No view changes, no duty changes hands, no session is opened anew, no configuration grows old."""
+    """No view changes, the discovery lease keeps its term, and sessions and confirmations stay current."""
     world = fleet_in_service(seed, machines, tolerated)
     simulation = world.simulation
     simulation.run(3.0)
     views, terms = _views(world), _terms(world)
     assert len(terms) == 1
     channels = _channels(world)
-    doubts = DoubtWatch(world)
+    watch = ConfirmationWatch(world)
     ProcessorQuota(world)
-    orders = run_with_orders(world, PLAYED_S)
+    orders = run_with_orders(world, RUN_S)
     simulation.run(ACKNOWLEDGED_S)
     assert acknowledged(world, orders) == orders
     assert _views(world) == views
     assert _terms(world) == terms
-    assert doubts.looks > 20 * PLAYED_S  # of processes that run at that moment
-    assert doubts.found == []
+    assert watch.checks > 20 * RUN_S  # checks of processes that run at that time
+    assert watch.found == []
     assert _channels(world) == channels
--- a/tests/control_plane/worker_list_judge.py
+++ b/tests/control_plane/worker_list_judge.py
@@ -1,4 +1,4 @@
-"""The rules of the list of workers, as an outside observer of the simulation holds them."""
+"""Checks of the list of workers by an observer outside of the simulated processes."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 from tests.control_plane.simulated_parts import VirtualTime
 from tests.control_plane.simulated_platform import SimulatedPlatform
 
-PROPAGATION_LIMIT_S = 3.0  # a worker shown as draining is known as such after that
+PROPAGATION_LIMIT_S = 3.0  # the longest time until all processes know that a listed worker is draining
 
 Holder = tuple[str, int]
 
 
 @dataclass
 class KnownList:
-    """The list that a process has."""
+    """The version of a process's list, and the number of the platform's state that it shows."""
 
     version: Version = NO_VERSION
     state: int = 0
@@ -25,7 +25,7 @@
 
 @dataclass
 class WorkerListJudge:
-    """Checks each list when it is published or taken."""
+    """Checks each list when it is published or received."""
 
     virtual_time: VirtualTime
     platform: SimulatedPlatform
@@ -35,11 +35,11 @@
     _held: dict[str, KnownList] = field(default_factory=dict)
 
     def process_started(self, name: str) -> None:
-        """A new process has no list."""
+        """Record that a new process has started, which has no list."""
         self._held.pop(name, None)
 
     def check_published(self, address: str, incarnation: int, workers: WorkerList) -> None:
-        """A control scheduler publishes a list."""
+        """Check a list that a control plane node publishes: one holder per term, one state per version."""
         self.publications += 1
         term = workers.version[0]
         if term == UNLEASED_TERM:
@@ -50,7 +50,7 @@
         assert self._states.setdefault(workers.version, state) == state, f"two lists {workers.version}"
 
     def check_held(self, name: str, workers: WorkerList | None) -> None:
-        """The list that a process has now."""
+        """Check that the list of a process is not older than the one that it had."""
         before = self._held.get(name, KnownList())
         if workers is None or workers.version == before.version:
             return
@@ -63,14 +63,14 @@
         self._held[name] = KnownList(workers.version, state)
 
     def check_known(self, name: str, workers: tuple[WorkerEntry, ...] | None) -> None:
-        """A process in touch knows what the platform has shown for KNOWN_S."""
+        """Check that a connected process knows what the platform has shown for `PROPAGATION_LIMIT_S`."""
         now = self.virtual_time.now
         if self.platform.is_unreachable or now - self.platform.reachable_since < PROPAGATION_LIMIT_S:
             return
         assert workers is not None, f"{name} has no list of workers"
-        _, shown = self.platform.list_at(now - PROPAGATION_LIMIT_S)
+        _, listed_before = self.platform.list_at(now - PROPAGATION_LIMIT_S)
         for worker in workers:
-            listed = shown.get(worker.instance_id)
+            listed = listed_before.get(worker.instance_id)
             gone = listed is None and not self._is_new(worker.instance_id, now)
             leaving = gone or (listed is not None and listed.state == STATE_DRAINING)
             assert worker.draining or not leaving, f"{name} takes {worker.instance_id} to be up"
--- a/tests/control_plane_process/conftest.py
+++ b/tests/control_plane_process/conftest.py
@@ -1,4 +1,4 @@
-"""A running fleet of control schedulers."""
+"""Fixture with a running fleet of control plane nodes."""
 
 from __future__ import annotations
 
@@ -13,14 +13,15 @@
 
 @pytest.fixture
 def fleet(tmp_path: Path) -> Iterator[Fleet]:
-    made = Fleet(tmp_path)
-    made.start()
+    """Provide a fleet of three control plane nodes that are all voters."""
+    running = Fleet(tmp_path)
+    running.start()
     try:
         wait_until(
-            lambda: all(node.is_voter_among(len(made.nodes)) for node in made.nodes),
+            lambda: all(node.is_voter_among(len(running.nodes)) for node in running.nodes),
             STARTUP_TIMEOUT_S,
             "all are voters",
         )
-        yield made
+        yield running
     finally:
-        made.close()
+        running.close()
--- a/tests/control_plane_process/quota_simulation.py
+++ b/tests/control_plane_process/quota_simulation.py
@@ -1,8 +1,8 @@
-"""Plays quotas of one tenant over many schedulers, and judges every sliding window.
+"""Simulates the quota of one tenant over many nodes, and checks every sliding window against the limit.
 
-Real `QuotaAllocator` and `QuotaShare` of each control plane node; data plane nodes are reduced to their
-requests. Control schedulers are killed and start anew, are cut off from each other, leave the view and come
-back; messages take time and are lost at partitions. Run it for long with
+Each control plane node has a real `QuotaAllocator` and `QuotaShare`. Data plane nodes are reduced to their
+requests. Control plane nodes are killed and restarted, partitioned from each other, and leave and rejoin the
+view. Messages take time and are lost at partitions. A long run is started with
 
     python -m tests.control_plane_process.quota_simulation --runs 10000
 """
@@ -29,16 +29,16 @@
 
 TENANT = "t"
 TICK_S = 0.05
-REPAIR_S = 1.2  # until the view goes on without one that is lost
-VIEW_LAG_S = 0.05  # until a member of a new view has learnt of it
-CONTACT_S = 0.05  # how old the newest contact with a majority is
+REPAIR_S = 1.2  # time until the view excludes a lost node
+VIEW_LAG_S = 0.05  # the longest time until a member receives a new view
+CONTACT_S = 0.05  # age of the latest contact with a majority
 WARM_UP_S = 8.0
-OUTAGES = 0.5  # share of the runs in which all control plane nodes are lost at once
-MOST_LOST = 2  # control plane nodes at once
+OUTAGE_SHARE = 0.5  # share of the runs in which all control plane nodes are lost at once
+MAX_LOST = 2  # the most control plane nodes lost at once, otherwise
 
 
 class SimulationParameters(Struct, frozen=True):
-    """What one run plays."""
+    """The parameters of one run."""
 
     controls: int
     edges: int
@@ -46,19 +46,19 @@
     burst: float
     slack: float
     mean_units: float
-    demand: float  # in multiples of the rate, outside of the surge
+    demand: float  # as a multiple of the rate, outside of the surge
     surge: float
-    skew: float  # 0: all edges send alike; towards 1: a few send nearly all
+    skew: float  # 0: all edges send equal load; close to 1: a few send nearly all
     faults: int
     seconds: float = 30.0
 
     def rule(self) -> QuotaRule:
-        """As deployments have it."""
+        """Return the quota rule with the parameters of a deployment."""
         return QuotaRule(8.0, 0.1, self.slack)
 
 
 def draw_parameters(random: Random) -> SimulationParameters:
-    """A deployment with faults."""
+    """Draw the parameters of a deployment with faults."""
     rate = random.choice((20.0, 300.0, 30_000.0, 280_000.0))
     return SimulationParameters(
         controls=random.choice((3, 5, 8)),
@@ -86,22 +86,22 @@
 
 
 class Arrival(Struct, frozen=True):
-    """A granted request at its worker."""
+    """The arrival of a granted request at its worker."""
 
     at: float
     units: float
 
 
 class SimulationResult(Struct):
-    """What was seen in one run."""
+    """The results of one run."""
 
     bound: float
     arrivals: list[Arrival] = field(default_factory=list)
-    asked: float = 0.0  # units, after the warm-up
+    requested: float = 0.0  # units, after the warm-up
     granted: float = 0.0
 
-    def worst_window(self, window_s: float) -> float:
-        """The most units that arrived within any window."""
+    def max_window(self, window_s: float) -> float:
+        """Return the most units that arrived within any window."""
         inside: deque[Arrival] = deque()
         total = worst = 0.0
         for arrival in sorted(self.arrivals, key=lambda item: item.at):
@@ -114,7 +114,7 @@
 
 
 class Simulation:
-    """One run, by its seed."""
+    """One run, determined by its seed."""
 
     def __init__(self, parameters: SimulationParameters, seed: int) -> None:
         self.parameters = parameters
@@ -128,7 +128,7 @@
         self._requests: dict[int, tuple[float, list[str]]] = {}
         for control in self._controls.values():
             control.share.set_voters(frozenset(self._view), 0.0)
-        self._edge_of: dict[int, tuple[int, bool]] = {}  # and whether its quota was said to be spent
+        self._edge_of: dict[int, tuple[int, bool]] = {}  # with whether the quota was reported as spent
         self._outages = [OutageAllowance(parameters.rule().window_s) for _ in range(parameters.edges)]
         self._weights = [(1 - parameters.skew) ** number + 0.02 for number in range(parameters.edges)]
         self._sessions = [
@@ -136,10 +136,10 @@
         ]
 
     def run(self) -> SimulationResult:
-        """Play it to its end."""
+        """Run the simulation to its end and return its results."""
         self._tick()
         self._next_request()
-        if self.random.random() < OUTAGES:
+        if self.random.random() < OUTAGE_SHARE:
             self._at(self.random.uniform(WARM_UP_S, self.parameters.seconds - 3), self._lose_all)
         for _ in range(self.parameters.faults):
             at = self.random.uniform(WARM_UP_S, self.parameters.seconds)
@@ -220,7 +220,7 @@
         self._requests[number] = (units, list(self._sessions[edge]))
         self._edge_of[number] = (edge, False)
         if self.now >= WARM_UP_S:
-            self.result.asked += units
+            self.result.requested += units
         self._request_quota(number)
 
     def _request_quota(self, number: int) -> None:
@@ -229,14 +229,14 @@
             self._use_outage_allowance(number)
             return
         control = self._controls[sessions.pop(0)]
-        ask = QuotaRequest(number, TENANT, units)
+        request = QuotaRequest(number, TENANT, units)
         if control.is_up:
-            self._later(lambda: self._handle_request(control, ask))
+            self._later(lambda: self._handle_request(control, request))
         else:
             self._request_quota(number)
 
     def _use_outage_allowance(self, number: int) -> None:
-        """Nobody has granted it: it goes all the same, or is refused."""
+        """Use the edge's outage allowance for a request that no node has granted; otherwise refuse it."""
         units, _ = self._requests.pop(number)
         edge, was_spent = self._edge_of.pop(number)
         if not was_spent and self._outages[edge].go_on(TENANT, units, self.now):
@@ -247,9 +247,9 @@
         if self.now >= WARM_UP_S:
             self.result.granted += units
 
-    def _handle_request(self, control: Control, ask: QuotaRequest) -> None:
+    def _handle_request(self, control: Control, request: QuotaRequest) -> None:
         if control.is_up:
-            self._carry_out(control, control.allocator.handle_request(None, ask, self.now))
+            self._carry_out(control, control.allocator.handle_request(None, request, self.now))
 
     def _handle_response(self, number: int, outcome: QuotaOutcome) -> None:
         if number not in self._requests:
@@ -269,7 +269,7 @@
     # ---- faults ----
 
     def _new_control(self, address: str) -> Control:
-        share = QuotaShare(address, MOST_LOST, self.now)
+        share = QuotaShare(address, MAX_LOST, self.now)
         made: list[Control] = []
         allocator = QuotaAllocator(
             self.parameters.rule(), share, lambda: made[0].majority_as_of, self._reachable, self.now
@@ -286,29 +286,29 @@
         return sum(not item.is_up or item.is_partitioned for item in self._controls.values())
 
     def _inject_fault(self) -> None:
-        if self._lost() >= min(MOST_LOST, (self.parameters.controls - 1) // 2):
+        if self._lost() >= min(MAX_LOST, (self.parameters.controls - 1) // 2):
             return
         address = self.random.choice([name for name, item in self._controls.items() if item.is_up])
-        for_s = self.random.uniform(0.2, 9.0)
+        duration_s = self.random.uniform(0.2, 9.0)
         if self.random.random() < 0.5:
             self._controls[address].is_up = False
-            self._at(self.now + for_s, lambda: self._start_again(address))
+            self._at(self.now + duration_s, lambda: self._restart(address))
         else:
             self._controls[address].is_partitioned = True
-            self._at(self.now + for_s, lambda: self._heal(address))
+            self._at(self.now + duration_s, lambda: self._reconnect(address))
         self._at(self.now + REPAIR_S, lambda: self._leave_view(address))
 
     def _lose_all(self) -> None:
-        """All control plane nodes are killed at one moment and come back one after the other."""
+        """Kill all control plane nodes at once and restart each one after a random delay."""
         for address, control in self._controls.items():
             control.is_up = False
-            self._at(self.now + self.random.uniform(0.5, 1.6), lambda name=address: self._start_again(name))  # type: ignore[misc]
+            self._at(self.now + self.random.uniform(0.5, 1.6), lambda name=address: self._restart(name))  # type: ignore[misc]
 
-    def _start_again(self, address: str) -> None:
+    def _restart(self, address: str) -> None:
         self._controls[address] = self._new_control(address)
         self._join(address)
 
-    def _heal(self, address: str) -> None:
+    def _reconnect(self, address: str) -> None:
         self._controls[address].is_partitioned = False
         self._join(address)
 
@@ -327,35 +327,35 @@
         voters = frozenset(self._view)
         for address in self._controls:
             delay = self.random.uniform(0, VIEW_LAG_S)
-            self._at(self.now + delay, lambda name=address: self._learn(name, voters))  # type: ignore[misc]
+            self._at(self.now + delay, lambda name=address: self._receive_view(name, voters))  # type: ignore[misc]
 
-    def _learn(self, address: str, voters: frozenset[str]) -> None:
+    def _receive_view(self, address: str, voters: frozenset[str]) -> None:
         control = self._controls[address]
         if control.is_up and not control.is_partitioned and voters == frozenset(self._view):
             control.share.set_voters(voters, self.now)
 
 
-def play(seed: int) -> tuple[SimulationParameters, float]:
-    """The run of a seed, and its worst window against the bound: above 1 the rule is broken."""
+def run_seed(seed: int) -> tuple[SimulationParameters, float]:
+    """Run a seed, and return its parameters and the ratio of its worst window to the limit."""
     parameters = draw_parameters(Random(seed))
     result = Simulation(parameters, seed).run()
-    return parameters, result.worst_window(parameters.rule().window_s) / result.bound
+    return parameters, result.max_window(parameters.rule().window_s) / result.bound
 
 
 def main() -> int:
-    """Play many runs and tell which broke the rule; exit status 1 if any did."""
-    parser = argparse.ArgumentParser(description="Plays quotas and judges every sliding window.")
+    """Run many seeds and print those that exceed the limit; the exit status is 1 if any does."""
+    parser = argparse.ArgumentParser(description="Simulates quotas and checks every sliding window.")
     parser.add_argument("--runs", type=int, default=1000)
     parser.add_argument("--seed", type=int, default=1)
     options = parser.parse_args()
     worst, failed = 0.0, 0
     for seed in range(options.seed, options.seed + options.runs):
-        parameters, used = play(seed)
+        parameters, used = run_seed(seed)
         worst = max(worst, used)
         if used > 1:
             failed += 1
-            print(f"seed {seed}: {used:.3f} of the bound, {parameters}")
-    print(f"{options.runs} runs, {failed} over the bound, worst window {worst:.3f} of the bound")
+            print(f"seed {seed}: {used:.3f} of the limit, {parameters}")
+    print(f"{options.runs} runs, {failed} over the limit, worst window {worst:.3f} of the limit")
     return 1 if failed else 0
 
 
--- a/tests/control_plane_process/stand_ins.py
+++ b/tests/control_plane_process/stand_ins.py
@@ -1,4 +1,4 @@
-"""Stand-ins for what surrounds a control scheduler: the platform, a data plane scheduler, an operator."""
+"""Test doubles for the environment of a control plane node: platform, data plane node and operator."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 
 def wait_until(condition: Callable[[], Found | None], within: float, what: str) -> Found:
-    """The first true value of the condition; fails after `within` seconds."""
+    """Return the first true value of the condition. Fails after `within` seconds."""
     deadline = time.monotonic() + within
     while True:
         found = condition()
@@ -52,7 +52,7 @@
 
 
 def platform_instance(instance_id: str, **fields: Any) -> dict[str, Any]:
-    """An entry of the platform's list."""
+    """Return an entry of the platform's list."""
     entry = {
         "instance_id": instance_id,
         "upstream": "u1",
@@ -68,14 +68,14 @@
 
 
 class QuietHttpServer(ThreadingHTTPServer):
-    """Says nothing of clients that close their connection early."""
+    """A server that logs no errors of clients that close their connection early."""
 
     def handle_error(self, request: Any, client_address: Any) -> None:
-        """Nothing is told."""
+        """Ignore the error."""
 
 
 class FakePlatform:
-    """The platform's list of workers, in pages."""
+    """A platform whose list of workers is served in pages."""
 
     def __init__(self, host: str) -> None:
         self.instances: list[dict[str, Any]] = [
@@ -101,7 +101,7 @@
                 self.wfile.write(body)
 
             def log_message(self, *arguments: object) -> None:
-                """No log."""
+                """Suppress the access log."""
 
         self._server = QuietHttpServer((host, 0), Handler)
         self._server.daemon_threads = True
@@ -109,6 +109,7 @@
         threading.Thread(target=self._server.serve_forever, daemon=True).start()
 
     def page(self, path: str) -> bytes:
+        """Return the page of the list that the request path names."""
         token = parse_qs(urlsplit(path).query).get("page_token", ["0"])[0]
         start = int(token)
         end = start + self.page_size
@@ -116,12 +117,13 @@
         return json.dumps({"instances": self.instances[start:end], "next_token": following}).encode()
 
     def close(self) -> None:
+        """Stop the server."""
         self._server.shutdown()
         self._server.server_close()
 
 
 class EdgeClient:
-    """A session of a data plane scheduler, with blocking calls."""
+    """A session of a data plane node, with blocking calls."""
 
     def __init__(self, address: str, node_name: str = "edge-1", incarnation: str = "1") -> None:
         self.node_name = node_name
@@ -137,7 +139,7 @@
         running: dict[str, tuple[int, int]] | None = None,
         suspects: tuple[str, ...] = (),
     ) -> WatchResponse:
-        """The versions, as soon as a majority stands behind the control scheduler."""
+        """Watch until the control plane node has contact with a majority, and return the response."""
         while True:
             answer = self.watch_once(draining=draining, running=running, suspects=suspects)
             if isinstance(answer, WatchResponse):
@@ -150,6 +152,7 @@
         running: dict[str, tuple[int, int]] | None = None,
         suspects: tuple[str, ...] = (),
     ) -> WatchResponse | UnconfirmedResponse:
+        """Send a watch, and return its response."""
         self._request_id += 1
         asked = WatchRequest(
             self._request_id,
@@ -168,11 +171,12 @@
         return answer
 
     def fetch(self, source: str, have: Version = (0, 0)) -> Answer:
+        """Fetch one source."""
         self._send(FetchRequest(source, have))
         return self.receive()
 
     def fetch_updates(self) -> dict[str, Answer]:
-        """Watch once, and fetch whatever is new."""
+        """Watch once, and fetch every source with a new version."""
         found: dict[str, Answer] = {}
         for source, version in self.watch().versions.items():
             held = self.versions.get(source, (0, 0))
@@ -182,11 +186,13 @@
         return found
 
     def receive(self) -> Answer:
+        """Receive one message."""
         (length,) = LENGTH.unpack(self._exactly(LENGTH.size))
         answer: Answer = decode(self._exactly(length), Answer)
         return answer
 
     def close(self) -> None:
+        """Close the connection."""
         self._socket.close()
 
     def _send(self, message: Struct) -> None:
@@ -198,19 +204,20 @@
         while len(data) < count:
             part = self._socket.recv(count - len(data))
             if not part:
-                raise ConnectionResetError("the session is over")
+                raise ConnectionResetError("the control plane node closed the session")
             data += part
         return bytes(data)
 
 
 class Reply(Struct):
-    """An answer to an operator's call."""
+    """A response to an operator's call."""
 
     status: int
     body: bytes
     headers: dict[str, str]
 
     def error_code(self) -> int:
+        """Return the error code in the body."""
         code = json.loads(self.body)["error"]["code"]
         assert isinstance(code, int)
         return code
@@ -225,7 +232,7 @@
     *,
     in_chunks: bool = False,
 ) -> Reply | None:
-    """One call on a connection of its own; None where there is no answer within a second."""
+    """Send one request on a new connection. Returns None without a response within a second."""
     host, port = split_address(address)
     connection = http.client.HTTPConnection(host, port, timeout=1.0)
     headers = {} if match is None else {"If-Match": match}
@@ -244,7 +251,7 @@
 
 
 def configuration_document(generation: int, routes: int = 2, **changes: Any) -> bytes:
-    """A valid configuration."""
+    """Return a valid configuration document."""
     document = {
         "generation": generation,
         "routes": [
@@ -265,14 +272,14 @@
 
 
 def fetch_new_workers(edge: EdgeClient) -> WorkerList | None:
-    """The list of workers where it is new to the data plane scheduler."""
+    """Fetch the list of workers, or return None if it is not newer than the client's."""
     answer = edge.fetch_updates().get("workers")
     assert answer is None or isinstance(answer, WorkerList)
     return answer
 
 
 def wait_for_leased_workers(edge: EdgeClient) -> WorkerList:
-    """The first list of a holder of the lease."""
+    """Wait for a list that a holder of the lease has published, and return it."""
     found: list[WorkerList] = []
 
     def published() -> bool:
@@ -280,5 +287,5 @@
         found.extend([workers] if workers is not None else [])
         return bool(found) and found[-1].version[0] > UNLEASED_TERM
 
-    wait_until(published, WORKERS_TIMEOUT_S, "a list of workers")
+    wait_until(published, WORKERS_TIMEOUT_S, "a list of workers is published")
     return found[-1]
--- a/tests/control_plane_process/test_configuration_cache.py
+++ b/tests/control_plane_process/test_configuration_cache.py
@@ -1,4 +1,4 @@
-"""What a data plane scheduler is sent of the configuration, for whatever it holds."""
+"""Tests of the configuration updates sent to data plane nodes, for each version that they may have."""
 
 from __future__ import annotations
 
@@ -22,10 +22,12 @@
 
 
 def commit(cache: ConfigurationCache, sequence: int, document: bytes, view: int = VIEW) -> bool:
+    """Prepare and install a committed document."""
     return cache.install(cache.prepare(CommittedConfiguration(sequence, sequence * 2, document, view)))
 
 
-def received(cache: ConfigurationCache, have: Version) -> ConfigurationSnapshot | ConfigurationDelta:
+def decoded_update(cache: ConfigurationCache, have: Version) -> ConfigurationSnapshot | ConfigurationDelta:
+    """Return the decoded update for a node that has this version."""
     frame = cache.encoded_update(have)
     assert frame is not None
     answer: ConfigurationSnapshot | ConfigurationDelta
@@ -33,8 +35,9 @@
     return answer
 
 
-def brought_up_to_date(cache: ConfigurationCache, held: Configuration | None, have: Version) -> Configuration:
-    answer = received(cache, have)
+def apply_update(cache: ConfigurationCache, held: Configuration | None, have: Version) -> Configuration:
+    """Return the configuration of a node after it has applied its update."""
+    answer = decoded_update(cache, have)
     if isinstance(answer, ConfigurationSnapshot):
         return parse_configuration(answer.document)
     assert held is not None
@@ -71,7 +74,7 @@
     assert commit(cache, 4, configuration_document(10), view=VIEW + 1)
     assert cache.version == (VIEW + 1, 4)
     assert not commit(cache, 9, configuration_document(18))
-    assert isinstance(received(cache, (VIEW, 4)), ConfigurationSnapshot | ConfigurationDelta)
+    assert isinstance(decoded_update(cache, (VIEW, 4)), ConfigurationSnapshot | ConfigurationDelta)
 
 
 def test_a_small_change_is_sent_as_a_delta_and_encoded_once() -> None:
@@ -80,7 +83,7 @@
     changed = json.loads(configuration_document(4, routes=100))
     changed["routes"] = json.loads(configuration_document(2, routes=99))["routes"]
     commit(cache, 2, json.dumps(changed).encode())
-    answer = received(cache, (VIEW, 1))
+    answer = decoded_update(cache, (VIEW, 1))
     assert isinstance(answer, ConfigurationDelta)
     assert (json.loads(answer.routes), answer.removed_routes) == ([], ("r99",))
     assert cache.encoded_update((VIEW, 1)) is cache.encoded_update((VIEW, 1))
@@ -95,8 +98,8 @@
         commit(cache, number, document)
         held.append(parse_configuration(document))
     for number, old in enumerate(held[:-1], 1):
-        assert brought_up_to_date(cache, old, (VIEW, number)) == held[-1]
-    assert brought_up_to_date(cache, None, (0, 0)) == held[-1]
+        assert apply_update(cache, old, (VIEW, number)) == held[-1]
+    assert apply_update(cache, None, (0, 0)) == held[-1]
 
 
 def test_two_configurations_prepared_before_either_is_installed() -> None:
@@ -108,7 +111,7 @@
     assert cache.install(third)
     for have in (1, 2):
         old = parse_configuration(configuration_document(have * 2))
-        assert brought_up_to_date(cache, old, (VIEW, have)) == parse_configuration(configuration_document(6))
+        assert apply_update(cache, old, (VIEW, have)) == parse_configuration(configuration_document(6))
 
 
 def test_large_documents_are_evicted(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -117,4 +120,4 @@
     commit(cache, 1, configuration_document(2))
     commit(cache, 2, configuration_document(4))
     commit(cache, 3, configuration_document(6))
-    assert isinstance(received(cache, (VIEW, 1)), ConfigurationSnapshot)
+    assert isinstance(decoded_update(cache, (VIEW, 1)), ConfigurationSnapshot)
--- a/tests/control_plane_process/test_discovery_lease.py
+++ b/tests/control_plane_process/test_discovery_lease.py
@@ -1,4 +1,4 @@
-"""The lease of the worker discovery under a virtual clock: never two holders, and a new one soon."""
+"""Tests of the discovery lease in virtual time: at most one holder, and a new one soon after a loss."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class Network:
-    """Voters whose messages take TRANSIT_S, with cuts and stopped processes."""
+    """Voters whose messages take TRANSIT_S, with partitioned and suspended processes."""
 
     def __init__(self, names: tuple[str, ...] = NAMES, *, fresh_fleet: bool = True) -> None:
         self.now = 100.0
@@ -32,62 +32,71 @@
         self.fresh_fleet = fresh_fleet
         self.leases = {name: self.start(name) for name in names}
         self.in_transit: list[tuple[float, str, OutgoingMessage]] = []
-        self.cut: set[str] = set()
-        self.stopped: set[str] = set()
+        self.partitioned: set[str] = set()
+        self.suspended: set[str] = set()
         self.terms: dict[int, str] = {}
         self.sent = 0
         self.drop: set[int] = set()
 
     def start(self, name: str) -> DiscoveryLease:
+        """Start the process of a voter."""
         lease = DiscoveryLease(name, self.now, fresh_fleet=self.fresh_fleet)
         lease.set_voters(self.names)
         return lease
 
     def restart(self, name: str) -> None:
+        """Restart the process of a voter, which loses its grants."""
         self.fresh_fleet = False
         self.leases[name] = self.start(name)
 
     def send(self, sender: str, messages: list[OutgoingMessage]) -> None:
+        """Queue messages for delivery, except dropped ones."""
         for outgoing in messages:
             self.sent += 1
             if self.sent not in self.drop:
                 self.in_transit.append((self.now + TRANSIT_S, sender, outgoing))
 
     def deliver(self) -> None:
+        """Deliver the messages that are due, except over a partition."""
         due = [item for item in self.in_transit if item[0] <= self.now]
         self.in_transit = [item for item in self.in_transit if item[0] > self.now]
         for item in due:
             _, sender, outgoing = item
-            if outgoing.address in self.stopped:
+            if outgoing.address in self.suspended:
                 self.in_transit.append(item)
-            elif sender not in self.cut and outgoing.address not in self.cut:
+            elif sender not in self.partitioned and outgoing.address not in self.partitioned:
                 target = self.leases[outgoing.address]
                 self.send(outgoing.address, target.handle_message(sender, outgoing.message, self.now))
 
     def step(self) -> None:
+        """Advance the time by STEP_S, deliver messages and tick all running voters."""
         for _ in range(5):
             self.now += STEP_S / 5
             self.deliver()
             self.check()
         for name, lease in self.leases.items():
-            if name not in self.stopped:
+            if name not in self.suspended:
                 self.send(name, lease.tick(self.now))
         self.check()
 
     def run(self, seconds: float) -> None:
+        """Advance the time by these seconds."""
         for _ in range(round(seconds / STEP_S)):
             self.step()
 
     def holders(self) -> list[str]:
+        """Return the names of the voters that hold the lease."""
         return [name for name, lease in self.leases.items() if lease.is_held(self.now)]
 
     def check(self) -> None:
+        """Check that there is at most one holder, and that each term has one holder."""
         holders = self.holders()
         assert len(holders) <= 1
         for name in holders:
             assert self.terms.setdefault(self.leases[name].term, name) == name
 
-    def until_held(self, by: str | None = None, within: float = 5.0) -> float:
+    def run_until_held(self, by: str | None = None, within: float = 5.0) -> float:
+        """Advance the time until the lease is held, and return the elapsed seconds."""
         began = self.now
         while not self.holders() or by not in (None, *self.holders()):
             assert self.now - began < within
@@ -97,7 +106,7 @@
 
 def test_the_first_voter_acquires_the_lease_in_a_fresh_fleet_and_keeps_it() -> None:
     network = Network()
-    assert network.until_held() <= 0.2
+    assert network.run_until_held() <= 0.2
     assert network.holders() == ["a"]
     term = network.leases["a"].term
     for _ in range(200):
@@ -108,36 +117,36 @@
 
 def test_restarted_voters_grant_nothing_for_the_duration_of_a_lease() -> None:
     network = Network(fresh_fleet=False)
-    assert LEASE_TTL_S <= network.until_held() <= LEASE_TTL_S + 3 * STEP_S
+    assert LEASE_TTL_S <= network.run_until_held() <= LEASE_TTL_S + 3 * STEP_S
 
 
 def test_a_single_voter_acquires_the_lease() -> None:
     network = Network(("a",))
-    assert network.until_held() <= 0.1
+    assert network.run_until_held() <= 0.1
 
 
 @pytest.mark.parametrize("steps", range(30))
 def test_another_voter_takes_over_from_a_holder_killed_at_any_time(steps: int) -> None:
     network = Network()
-    network.until_held()
+    network.run_until_held()
     for _ in range(steps):
         network.step()
-    network.stopped.add("a")
+    network.suspended.add("a")
     network.restart("a")
-    assert network.until_held(within=LEASE_TTL_S + 0.5) <= LEASE_TTL_S + 0.5
+    assert network.run_until_held(within=LEASE_TTL_S + 0.5) <= LEASE_TTL_S + 0.5
     assert network.holders() == ["b"]
 
 
 @pytest.mark.parametrize("steps", range(0, 30, 3))
 def test_a_suspended_holder_does_not_hold_the_lease_when_it_resumes(steps: int) -> None:
     network = Network()
-    network.until_held()
+    network.run_until_held()
     for _ in range(steps):
         network.step()
-    network.stopped.add("a")
+    network.suspended.add("a")
     network.run(2.0)
     assert network.holders() == ["b"]
-    network.stopped.clear()
+    network.suspended.clear()
     network.run(2.0)
     assert network.holders() == ["b"]
 
@@ -145,13 +154,13 @@
 @pytest.mark.parametrize("steps", range(0, 30, 3))
 def test_a_partitioned_holder_stops_before_another_begins(steps: int) -> None:
     network = Network()
-    network.until_held()
+    network.run_until_held()
     for _ in range(steps):
         network.step()
-    network.cut.add("a")
+    network.partitioned.add("a")
     network.run(2.0)
     assert network.holders() == ["b"]
-    network.cut.clear()
+    network.partitioned.clear()
     network.run(2.0)
     assert network.holders() == ["b"]
 
@@ -174,32 +183,32 @@
 
 def test_no_lease_without_a_majority() -> None:
     network = Network()
-    network.until_held()
-    network.cut |= {"b", "c"}
+    network.run_until_held()
+    network.partitioned |= {"b", "c"}
     network.run(LEASE_TTL_S + 1)
     assert network.holders() == []
 
 
 def test_a_holder_that_steps_down_can_acquire_the_lease_again_later() -> None:
     network = Network()
-    network.until_held()
+    network.run_until_held()
     network.send("a", network.leases["a"].step_down(network.now))
-    assert network.until_held() <= 0.4
+    assert network.run_until_held() <= 0.4
     assert network.holders() == ["b"]
     network.run(STEP_DOWN_BACKOFF_S)
     assert network.holders() == ["b"]
-    network.stopped.add("b")
+    network.suspended.add("b")
     network.run(LEASE_TTL_S)
-    assert network.until_held() <= 0.4
+    assert network.run_until_held() <= 0.4
     assert network.holders() == ["a"]
 
 
 def test_a_process_that_shuts_down_never_requests_the_lease_again() -> None:
     network = Network()
-    network.until_held()
+    network.run_until_held()
     network.send("a", network.leases["a"].shut_down())
-    assert network.until_held() <= 0.4
-    network.stopped |= {"b"}
+    assert network.run_until_held() <= 0.4
+    network.suspended |= {"b"}
     network.run(4.0)
     assert network.holders() == ["c"]
 
@@ -208,7 +217,7 @@
     network = Network()
     for lease in network.leases.values():
         lease.observe_term(7)
-    network.until_held()
+    network.run_until_held()
     assert network.leases["a"].term >= 7
     network.leases["a"].require_term_above(40, network.now)
     network.run(0.2)
@@ -218,29 +227,29 @@
 
 def test_a_holder_that_observes_a_higher_term_stops_immediately() -> None:
     network = Network()
-    network.until_held()
+    network.run_until_held()
     network.run(1.0)
     fenced = network.leases["a"].term
     network.leases["a"].observe_term(fenced + 40)
     assert network.holders() == []
-    assert network.until_held(by="a") <= 3 * STEP_S
+    assert network.run_until_held(by="a") <= 3 * STEP_S
     assert network.leases["a"].term > fenced + 40
 
 
 def test_the_own_term_and_lower_ones_do_not_end_a_lease() -> None:
     network = Network()
-    network.until_held()
+    network.run_until_held()
     term = network.leases["a"].term
     for seen in (term, term - 1, 0):
         network.leases["a"].observe_term(seen)
         assert network.holders() == ["a"]
 
 
-@pytest.mark.parametrize("how", ["stopped", "cut"])
+@pytest.mark.parametrize("how", ["suspended", "partitioned"])
 def test_a_former_holder_that_observes_a_later_term_never_reuses_its_own(how: str) -> None:
-    """A holder that was paused or cut off while another one took the lease."""
+    """The former holder was suspended or partitioned while another process acquired the lease."""
     network = Network()
-    network.until_held()
+    network.run_until_held()
     old = network.leases["a"].term
     getattr(network, how).add("a")
     network.run(3.0)
@@ -249,24 +258,24 @@
     network.leases["a"].observe_term(network.leases[later].term)
     assert not network.leases["a"].is_held(network.now)
     before = set(network.terms)
-    network.stopped.add(later)
+    network.suspended.add(later)
     network.run(2.0)
-    network.until_held()
+    network.run_until_held()
     assert min(set(network.terms) - before) > network.leases[later].term > old
 
 
 def test_a_new_holder_has_a_higher_term() -> None:
     network = Network()
-    network.until_held()
+    network.run_until_held()
     first = network.leases["a"].term
-    network.stopped.add("a")
+    network.suspended.add("a")
     network.run(2.0)
     assert network.leases["b"].term > first
 
 
 def test_the_lease_is_renewed_no_more_often_than_needed() -> None:
     network = Network()
-    network.until_held()
+    network.run_until_held()
     before = network.sent
     network.run(10.0)
     requests_and_answers = 4
@@ -277,7 +286,7 @@
     network = Network(("a", "b", "c", "d"))
     for lease in network.leases.values():
         lease.set_voters(("a", "b", "c"))
-    network.until_held()
+    network.run_until_held()
     for lease in network.leases.values():
         lease.set_voters(("d", "b", "c"))
     network.run(3.0)
--- a/tests/control_plane_process/test_discovery_lease_rivals.py
+++ b/tests/control_plane_process/test_discovery_lease_rivals.py
@@ -1,4 +1,4 @@
-"""Two voters of three that want the lease in turn, while the third is cut off: one of them soon has it."""
+"""Tests with two competing voters while the third is partitioned: one of them soon acquires the lease."""
 
 from __future__ import annotations
 
@@ -22,28 +22,28 @@
     first: str, steps: int
 ) -> None:
     network = Network()
-    network.until_held()
-    network.cut.add("a")
+    network.run_until_held()
+    network.partitioned.add("a")
     network.run(2.0)
     network.restart(first)
     network.run(steps * STEP_S)
     network.restart("c" if first == "b" else "b")
-    network.terms.clear()  # forgotten by both; a list brings its own term back
-    assert network.until_held() <= FREE_AGAIN_S
+    network.terms.clear()  # Both have lost their terms. A list of workers would restore the highest one.
+    assert network.run_until_held() <= FREE_AGAIN_S
 
 
 def test_a_term_that_is_too_low_is_raised_immediately() -> None:
     network = Network(fresh_fleet=False)
-    network.cut.add("a")
+    network.partitioned.add("a")
     network.leases["c"].observe_term(7)
     network.run(LEASE_TTL_S + REQUEST_TIMEOUT_S + len(NAMES) * RANK_DELAY_S)
     network.leases["b"].observe_term(3)
-    assert network.until_held() <= FREE_AGAIN_S
+    assert network.run_until_held() <= FREE_AGAIN_S
 
 
 @pytest.mark.parametrize("incarnations", range(1, 6))
 def test_processes_without_shared_state_use_different_terms(incarnations: int) -> None:
-    """As after a loss of all processes, when terms begin anew."""
+    """After a loss of all processes, terms start again from 1."""
     terms = []
     for identity in (7, 8):
         lease = DiscoveryLease("a", 0.0, fresh_fleet=True, identity=identity)
--- a/tests/control_plane_process/test_edge_sessions.py
+++ b/tests/control_plane_process/test_edge_sessions.py
@@ -1,4 +1,4 @@
-"""Sessions with data plane schedulers over a real connection to a transport in this process."""
+"""Tests of sessions with data plane nodes over real connections to a transport in this process."""
 
 from __future__ import annotations
 
@@ -62,23 +62,29 @@
         )
 
     def tally_message(self, sender: str, message: TallyMessage) -> None:
+        """Fail, as no tally messages are expected."""
         raise AssertionError(message)
 
     def confirmed_as_of(self) -> float | None:
+        """Return the time of the confirmation set by the test."""
         return asyncio.get_running_loop().time() - self.confirmed_ago_s if self.confirmed else None
 
     def membership_changed(self) -> None:
+        """Refresh the list of members and notify the sessions."""
         self.membership.refresh(asyncio.get_running_loop().time())
         self.sessions.notify_update()
 
     def peer_message(self, sender: str, message: PeerMessage) -> None:
+        """Record a message of a peer."""
         self.peer_messages.append((sender, message))
 
     def commit(self, sequence: int, document: bytes) -> None:
+        """Install a committed document and notify the sessions."""
         self.cache.install(self.cache.prepare(CommittedConfiguration(sequence, sequence * 2, document, VIEW)))
         self.sessions.notify_update()
 
     def publish(self, workers: WorkerList) -> None:
+        """Adopt a list of workers and notify the sessions."""
         self.workers.adopt(workers, asyncio.get_running_loop().time())
         self.sessions.notify_update()
 
@@ -93,30 +99,37 @@
         self.request_id = 0
 
     def watch(self, *, draining: bool = False) -> None:
+        """Send a watch."""
         self.request_id += 1
         watch = WatchRequest(self.request_id, self.name, "1", "za", self.known_versions, draining=draining)
         self.channel.send(watch)
 
     async def versions(self) -> WatchResponse:
+        """Receive a `WatchResponse`."""
         answer = await self.channel.receive(Answer)
         assert isinstance(answer, WatchResponse)
         return answer
 
     async def watch_response(self) -> WatchResponse:
+        """Send a watch and receive its response."""
         self.watch()
         return await self.versions()
 
     async def receive_until_closed(self) -> None:
+        """Receive messages until the connection is closed."""
         while True:
             await self.channel.receive(Answer)
 
     async def fetch(self, source: str, known_version: Version = (0, 0)) -> Answer:
+        """Fetch a source and receive the answer."""
         self.channel.send(FetchRequest(source, known_version))
         answer: Answer = await self.channel.receive(Answer)
         return answer
 
 
-def play(scene: Callable[[ControlSide, Edge], Awaitable[None]]) -> None:
+def run_scene(scene: Callable[[ControlSide, Edge], Awaitable[None]]) -> None:
+    """Run the scene with both sides connected."""
+
     async def run() -> None:
         side = ControlSide()
         await side.transport.listen()
@@ -130,6 +143,7 @@
 
 
 async def timed(awaited: Awaitable[Received]) -> tuple[float, Received]:
+    """Await a result, and return the elapsed seconds with it."""
     loop = asyncio.get_running_loop()
     began = loop.time()
     answer = await awaited
@@ -143,7 +157,7 @@
         assert HEARTBEAT_S * 0.9 <= took < HEARTBEAT_S * 3
         assert answer.request_id == 2
 
-    play(scene)
+    run_scene(scene)
 
 
 def test_a_pending_watch_is_answered_as_soon_as_there_is_an_update() -> None:
@@ -159,7 +173,7 @@
         assert isinstance(snapshot, ConfigurationSnapshot)
         assert snapshot.document == configuration_document(6)
 
-    play(scene)
+    run_scene(scene)
 
 
 def test_an_outdated_node_is_notified_immediately_but_only_once_of_the_same_versions() -> None:
@@ -168,14 +182,14 @@
         took, first = await timed(edge.watch_response())
         assert took < HEARTBEAT_S / 2
         took, again = await timed(edge.watch_response())
-        assert took >= HEARTBEAT_S * 0.9, "two sides that tell each other the same would never rest"
+        assert took >= HEARTBEAT_S * 0.9, "the same versions must not be exchanged in a tight loop"
         assert again.versions == first.versions
         edge.watch()
         side.commit(4, configuration_document(8))
         took, _ = await timed(edge.versions())
         assert took < HEARTBEAT_S / 2
 
-    play(scene)
+    run_scene(scene)
 
 
 def test_a_node_with_newer_versions_is_sent_nothing_older() -> None:
@@ -190,7 +204,7 @@
         edge.channel.send(FetchRequest("no such source", (0, 0)))
         assert isinstance(await edge.fetch("members"), MemberList)
 
-    play(scene)
+    run_scene(scene)
 
 
 def test_the_remaining_warm_up_time_of_a_worker_decreases() -> None:
@@ -201,7 +215,7 @@
         assert isinstance(answer, WorkerList)
         assert 100.0 < answer.workers[0].cold_left_ms <= 600.0
 
-    play(scene)
+    run_scene(scene)
 
 
 def test_a_draining_node_is_not_a_member_after_its_session_is_closed() -> None:
@@ -214,7 +228,7 @@
         await asyncio.sleep(0.05)
         assert side.membership.members.edges == ()
 
-    play(scene)
+    run_scene(scene)
 
 
 def test_a_node_that_loses_its_session_stays_a_member_for_a_while() -> None:
@@ -224,7 +238,7 @@
         await asyncio.sleep(0.05)
         assert len(side.membership.members.edges) == 1
 
-    play(scene)
+    run_scene(scene)
 
 
 def test_sessions_beyond_the_limit_are_closed(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -237,7 +251,7 @@
             await other.watch_response()
         await edge.watch_response()
 
-    play(scene)
+    run_scene(scene)
 
 
 def test_the_session_of_a_node_that_does_not_read_is_closed(
@@ -253,7 +267,7 @@
         with pytest.raises(CONNECTION_ENDED):
             await edge.receive_until_closed()
 
-    play(scene)
+    run_scene(scene)
 
 
 def test_a_response_contains_its_waiting_time_and_the_age_of_its_confirmation() -> None:
@@ -264,7 +278,7 @@
         assert answer.wait_s == pytest.approx(HEARTBEAT_S, abs=HEARTBEAT_S / 2)
         assert answer.confirmed_ago_s == pytest.approx(0.25, abs=0.01)
 
-    play(scene)
+    run_scene(scene)
 
 
 def test_without_a_majority_a_watch_and_a_fetch_are_answered_as_unconfirmed() -> None:
@@ -279,7 +293,7 @@
         for source in ("configuration", "workers", "members"):
             assert isinstance(await edge.fetch(source), UnconfirmedResponse)
 
-    play(scene)
+    run_scene(scene)
 
 
 def test_a_fetch_that_allows_unconfirmed_state_gets_it() -> None:
@@ -289,7 +303,7 @@
         edge.channel.send(FetchRequest("configuration", allow_unconfirmed=True))
         assert isinstance(await edge.channel.receive(Answer), ConfigurationSnapshot)
 
-    play(scene)
+    run_scene(scene)
 
 
 def test_a_pending_watch_is_answered_when_the_majority_is_lost_and_regained() -> None:
@@ -311,7 +325,7 @@
         assert isinstance(answer, WatchResponse)
         assert took < HEARTBEAT_S / 2
 
-    play(scene)
+    run_scene(scene)
 
 
 def test_an_unconfirmed_response_is_repeated_with_each_heartbeat_only() -> None:
@@ -323,11 +337,11 @@
         took, _ = await timed(edge.channel.receive(Answer))
         assert took >= HEARTBEAT_S * 0.9
 
-    play(scene)
+    run_scene(scene)
 
 
 def test_a_process_suspended_before_its_response_sends_no_state_as_current() -> None:
-    """The grant runs out while the process stands still between the arrival of a watch and its answer."""
+    """The grant expires while the process is suspended between receiving a watch and answering it."""
 
     async def scene(side: ControlSide, edge: Edge) -> None:
         edge.known_versions = (await edge.watch_response()).versions
@@ -338,7 +352,7 @@
         answer = await edge.channel.receive(Answer)
         assert isinstance(answer, UnconfirmedResponse)
 
-    play(scene)
+    run_scene(scene)
 
 
 def test_an_unconfirmed_response_names_other_control_plane_nodes() -> None:
@@ -350,7 +364,7 @@
         assert isinstance(answer, UnconfirmedResponse)
         assert answer.control == (ControlMember("10.0.0.9:7660", "zb"),)
 
-    play(scene)
+    run_scene(scene)
 
 
 @pytest.mark.parametrize("payload", [b"", b"x", b"\xc1", b"\x91\xa5watch", b"\x92\xa5other\x01"])
@@ -362,7 +376,7 @@
             await bad.receive(Answer)
         await edge.watch_response()
 
-    play(scene)
+    run_scene(scene)
 
 
 def test_messages_of_a_peer_are_handled_with_its_address() -> None:
@@ -375,4 +389,4 @@
             await asyncio.sleep(0.01)
         assert side.peer_messages == [("10.0.0.9:1", table)]
 
-    play(scene)
+    run_scene(scene)
--- a/tests/control_plane_process/test_http_server.py
+++ b/tests/control_plane_process/test_http_server.py
@@ -1,4 +1,4 @@
-"""The HTTP server on a loopback address, byte by byte."""
+"""Tests of the HTTP server on a loopback address, at the level of bytes."""
 
 from __future__ import annotations
 
@@ -15,18 +15,19 @@
 from tests.ports import free_port
 
 HOST = "127.0.0.1"
-Talk = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
+Conversation = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 
 
 async def echo(request: Request) -> Response:
+    """Return the method, path and body of the request, or raise an error for one path."""
     if request.path == "/fails":
         raise ValueError("a fault")
     await asyncio.sleep(0)
     return Response(200, f"{request.method} {request.path} ".encode() + request.body)
 
 
-def talk(conversation: Talk) -> HttpServer:
-    """Run the conversation with a server on a connection."""
+def run_conversation(conversation: Conversation) -> HttpServer:
+    """Run the conversation on a connection to a new server."""
     address = f"{HOST}:{free_port((HOST,))}"
     servers: list[HttpServer] = []
 
@@ -44,6 +45,7 @@
 
 
 async def answer(reader: asyncio.StreamReader) -> tuple[int, bytes, bytes]:
+    """Read one response, and return its status, head and body."""
     head = await reader.readuntil(b"\r\n\r\n")
     length = int(head.lower().split(b"content-length: ")[1].split(b"\r\n")[0])
     return int(head.split()[1]), head, await reader.readexactly(length)
@@ -55,7 +57,7 @@
             writer.write(f"GET /{number} HTTP/1.1\r\nHost: h\r\n\r\n".encode())
             assert (await answer(reader))[::2] == (200, f"GET /{number} ".encode())
 
-    talk(conversation)
+    run_conversation(conversation)
 
 
 def test_pipelined_requests_are_answered_in_order() -> None:
@@ -67,7 +69,7 @@
         assert (await answer(reader))[2] == b"GET /b "
         assert (await answer(reader))[2] == b"GET /c "
 
-    talk(conversation)
+    run_conversation(conversation)
 
 
 BODIES = {
@@ -91,7 +93,7 @@
             writer.write(data[cut:])
             assert (await answer(reader))[2] == b"PUT /a 0123456789"
 
-    talk(conversation)
+    run_conversation(conversation)
 
 
 def test_a_large_body_is_received_completely() -> None:
@@ -101,7 +103,7 @@
         writer.write(b"PUT /a HTTP/1.1\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
         assert (await answer(reader))[2] == b"PUT /a " + body
 
-    talk(conversation)
+    run_conversation(conversation)
 
 
 @pytest.mark.parametrize(
@@ -125,7 +127,7 @@
         assert b'"error"' in body
         assert await reader.read() == b""
 
-    talk(conversation)
+    run_conversation(conversation)
 
 
 def test_an_error_in_a_handler_is_answered_with_500() -> None:
@@ -134,7 +136,7 @@
         assert (await answer(reader))[0] == 500
         assert (await answer(reader))[0] == 200
 
-    talk(conversation)
+    run_conversation(conversation)
 
 
 def test_the_connection_is_closed_if_the_client_requests_it() -> None:
@@ -143,7 +145,7 @@
         assert (await answer(reader))[0] == 200
         assert await reader.read() == b""
 
-    talk(conversation)
+    run_conversation(conversation)
 
 
 def test_a_client_that_expects_100_continue_receives_it() -> None:
@@ -153,7 +155,7 @@
         writer.write(b"xy")
         assert (await answer(reader))[2] == b"PUT /a xy"
 
-    talk(conversation)
+    run_conversation(conversation)
 
 
 def test_an_incomplete_request_times_out(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -165,7 +167,7 @@
         with pytest.raises((ConnectionError, asyncio.IncompleteReadError)):
             await reader.readexactly(1)
 
-    talk(conversation)
+    run_conversation(conversation)
 
 
 def test_connections_beyond_the_limit_are_closed(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -180,4 +182,4 @@
         writer.write(b"GET /a HTTP/1.1\r\n\r\n")
         assert (await answer(reader))[0] == 200
 
-    talk(conversation)
+    run_conversation(conversation)
--- a/tests/control_plane_process/test_http_server_edges.py
+++ b/tests/control_plane_process/test_http_server_edges.py
@@ -1,4 +1,4 @@
-"""The HTTP server on a loopback address: requests cut off, answers to clients that leave or go on sending."""
+"""Tests of the HTTP server with truncated requests, and with clients that disconnect or keep sending."""
 
 from __future__ import annotations
 
@@ -20,20 +20,21 @@
 from tests.ports import free_port
 
 HOST = "127.0.0.1"
-RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER: on, for no time
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER enabled with a time of 0
 PUT = b"PUT /a HTTP/1.1\r\nHost: h\r\nContent-Length: 10\r\n\r\n0123456789"
 LARGE = b"z" * 300_000
 
 
 class Operators(Struct):
-    """A handler that answers when it is told to."""
+    """A handler whose responses wait until the `proceed` event is set."""
 
     paths: list[str] = field(default_factory=list)
-    go_on: asyncio.Event = field(default_factory=asyncio.Event)
+    proceed: asyncio.Event = field(default_factory=asyncio.Event)
 
     async def answer(self, request: Request) -> Response:
+        """Record the path, wait for `proceed`, and echo the request."""
         self.paths.append(request.path)
-        await self.go_on.wait()
+        await self.proceed.wait()
         return Response(200, f"{request.method} {request.path} ".encode() + request.body)
 
 
@@ -41,11 +42,11 @@
 
 
 def with_server(scene: Scene) -> Operators:
-    """Run the scene beside a server."""
+    """Run the scene with a running server, and return its handler."""
 
     async def run() -> Operators:
         operators = Operators()
-        operators.go_on.set()
+        operators.proceed.set()
         server = HttpServer(operators.answer, malformed_request_body)
         address = f"{HOST}:{free_port((HOST,))}"
         await server.listen(address)
@@ -60,7 +61,7 @@
 
 
 def exchange(address: tuple[str, int], data: bytes, *, reset: bool = False) -> bytes:
-    """Send everything, then read until the end; or reset the connection instead."""
+    """Send everything, then read until the connection is closed, or reset the connection instead."""
     with socket.create_connection(address, timeout=5) as client:
         client.sendall(data)
         if reset:
@@ -72,15 +73,16 @@
     return raw
 
 
-async def write_on(writer: asyncio.StreamWriter) -> None:
-    """Until the connection is over."""
+async def keep_writing(writer: asyncio.StreamWriter) -> None:
+    """Keep sending until the connection fails."""
     while True:
         writer.write(b"more")
         await writer.drain()
         await asyncio.sleep(0.02)
 
 
-async def until(condition: Callable[[], bool]) -> None:
+async def wait_until(condition: Callable[[], bool]) -> None:
+    """Wait until the condition is true."""
     while not condition():
         await asyncio.sleep(0.005)
 
@@ -154,18 +156,18 @@
         writer.write(b"GET /a HTTP/1.1\r\nConnection: close\r\n\r\n")
         assert (await reader.read()).endswith(b"GET /a ")
         with pytest.raises(ConnectionError):
-            await write_on(writer)
+            await keep_writing(writer)
 
     with_server(scene)
 
 
 def test_pipelined_requests_are_not_run_after_the_client_has_disconnected() -> None:
     async def scene(operators: Operators, address: tuple[str, int]) -> None:
-        operators.go_on.clear()
+        operators.proceed.clear()
         both = b"GET /first HTTP/1.1\r\n\r\nPUT /second HTTP/1.1\r\nContent-Length: 0\r\n\r\n"
         await asyncio.to_thread(exchange, address, both, reset=True)
-        await until(lambda: operators.paths == ["/first"])
-        operators.go_on.set()
+        await wait_until(lambda: operators.paths == ["/first"])
+        operators.proceed.set()
         found = await asyncio.to_thread(
             exchange, address, b"GET /later HTTP/1.1\r\nConnection: close\r\n\r\n"
         )
@@ -176,7 +178,7 @@
 
 def test_concurrent_calls_on_several_connections_get_their_own_answers() -> None:
     async def scene(operators: Operators, address: tuple[str, int]) -> None:
-        operators.go_on.clear()
+        operators.proceed.clear()
         calls = [
             asyncio.create_task(
                 asyncio.to_thread(
@@ -185,8 +187,8 @@
             )
             for name in ("a", "b", "c")
         ]
-        await until(lambda: len(operators.paths) == 3)
-        operators.go_on.set()
+        await wait_until(lambda: len(operators.paths) == 3)
+        operators.proceed.set()
         answers = [found.rpartition(b"\r\n\r\n")[2] for found in await asyncio.gather(*calls)]
         assert answers == [b"GET /a ", b"GET /b ", b"GET /c "]
 
@@ -209,14 +211,14 @@
     async def scene(operators: Operators, address: tuple[str, int]) -> None:
         loop = asyncio.get_running_loop()
         loop.set_exception_handler(lambda _, context: errors.append(context))
-        operators.go_on.clear()
+        operators.proceed.clear()
         _, writer = await asyncio.open_connection(*address)
         writer.write(PUT.replace(b"Host: h", b"Host: h\r\nConnection: close"))
         while not operators.paths:
             await asyncio.sleep(0)
         writer.transport.abort()
         await asyncio.sleep(0)
-        operators.go_on.set()
+        operators.proceed.set()
         while len(asyncio.all_tasks()) > 1:
             await asyncio.sleep(0)
 
@@ -253,16 +255,18 @@
 
 
 class Refusals:
-    """What a server passes on of what never reached its handler."""
+    """Records the refused connections and malformed requests that a server reports."""
 
     def __init__(self) -> None:
         self.connections: list[int] = []
         self.malformed: list[int] = []
 
     def connection_refused(self, open_connections: int) -> None:
+        """Record a refused connection."""
         self.connections.append(open_connections)
 
     def request_malformed(self, status: int, message: str) -> None:
+        """Record the status of a malformed request."""
         assert message
         self.malformed.append(status)
 
--- a/tests/control_plane_process/test_membership.py
+++ b/tests/control_plane_process/test_membership.py
@@ -1,4 +1,4 @@
-"""Membership under a virtual clock."""
+"""Tests of the fleet membership with explicit times."""
 
 from __future__ import annotations
 
@@ -20,24 +20,29 @@
 def watch(
     name: str, incarnation: str = "1", running: WorkerLoads | None = None, suspects: tuple[str, ...] = ()
 ) -> WatchRequest:
+    """Build a watch of a data plane node."""
     return WatchRequest(1, name, incarnation, "zx", {}, running or {}, suspects=suspects)
 
 
 def table(*entries: SessionEntry) -> SessionTable:
+    """Build a session table without a sequence."""
     return SessionTable(entries, (1, 2), (3, 4))
 
 
 def entry(
     name: str, idle_s: float = 0.0, running: WorkerLoads | None = None, incarnation: str = "1"
 ) -> SessionEntry:
+    """Build an entry of a session table."""
     return SessionEntry(name, incarnation, "zx", idle_s, running or {})
 
 
 def membership() -> Membership:
+    """Build an empty membership."""
     return Membership(OWN, EDGE_TTL_S, INCARNATION)
 
 
 def names(members: Membership) -> list[str]:
+    """Return the names of the data plane nodes in the list of members."""
     return [edge.node_name for edge in members.members.edges]
 
 
@@ -119,8 +124,8 @@
 def test_suspicions_are_sent_to_peers() -> None:
     members = membership()
     members.update_edge(watch("e1", suspects=("i",)), 0.0)
-    (told,) = members.next_table(0.0, NONE, NONE).entries
-    assert told.suspects == ("i",)
+    (sent_entry,) = members.next_table(0.0, NONE, NONE).entries
+    assert sent_entry.suspects == ("i",)
 
 
 def test_suspicions_expire_with_their_edge() -> None:
@@ -143,7 +148,7 @@
     members = membership()
     members.set_view((Member("f1", OWN.address, "za"), Member("f2", "p2", "zb"), Member("f3", "p3", "zc")))
     members.peer_seen("p2", 0.0)
-    members.peer_seen("stranger", 0.0)
+    members.peer_seen("not-in-view", 0.0)
     members.refresh(0.0)
     assert list(members.members.control) == [OWN, ControlMember("p2", "zb")]
     members.refresh(SESSION_TABLE_TTL_S + 0.1)
@@ -185,17 +190,18 @@
 def test_the_own_table_has_the_idle_time_of_each_edge() -> None:
     members = membership()
     members.update_edge(watch("e1", running={"i": (1, 2)}), 1.0)
-    told = members.next_table(1.5, (1, 1), (2, 2))
+    sent_table = members.next_table(1.5, (1, 1), (2, 2))
     entries = (SessionEntry("e1", "1", "zx", 0.5, {"i": (1, 2)}),)
-    assert told == SessionTable(entries, (1, 1), (2, 2), INCARNATION, sequence=1)
+    assert sent_table == SessionTable(entries, (1, 1), (2, 2), INCARNATION, sequence=1)
 
 
 def numbered(name: str, incarnation: int, sequence: int) -> SessionTable:
-    """A table of one session, as the one with this `sequence` of a process."""
+    """Return a session table with one entry and this `incarnation` and `sequence`."""
     return SessionTable((entry(name),), (1, 2), (3, 4), incarnation, sequence)
 
 
-def edges_known(members: Membership) -> list[str]:
+def refreshed_names(members: Membership) -> list[str]:
+    """Refresh the list of members, and return the names of its data plane nodes."""
     members.refresh(0.0)
     return [edge.node_name for edge in members.members.edges]
 
@@ -205,9 +211,9 @@
     assert members.update_table("p", numbered("new", 7, 2), 0.0)
     assert not members.update_table("p", numbered("old", 7, 1), 0.0)
     assert not members.update_table("p", numbered("again", 7, 2), 0.0)
-    assert edges_known(members) == ["new"]
+    assert refreshed_names(members) == ["new"]
     assert members.update_table("p", numbered("newer", 7, 3), 0.0)
-    assert edges_known(members) == ["newer"]
+    assert refreshed_names(members) == ["newer"]
 
 
 def test_a_table_of_the_previous_incarnation_does_not_replace_the_current_one() -> None:
@@ -216,14 +222,14 @@
     assert members.update_table("p", numbered("present", 8, 1), 0.0)
     assert not members.update_table("p", numbered("former", 7, 91), 0.0)
     assert members.update_table("p", numbered("present", 8, 2), 0.0)
-    assert edges_known(members) == ["present"]
+    assert refreshed_names(members) == ["present"]
 
 
 def test_tables_without_a_sequence_replace_each_other() -> None:
     members = membership()
     for name in ("one", "two"):
         assert members.update_table("p", table(entry(name)), 0.0)
-    assert edges_known(members) == ["two"]
+    assert refreshed_names(members) == ["two"]
 
 
 def test_the_own_tables_have_rising_sequences() -> None:
--- a/tests/control_plane_process/test_metrics.py
+++ b/tests/control_plane_process/test_metrics.py
@@ -1,4 +1,4 @@
-"""What control schedulers tell of the operators' calls, and of themselves."""
+"""Tests of the log lines of operators' calls and of the metrics of a running control plane node."""
 
 from __future__ import annotations
 
@@ -9,33 +9,33 @@
 from tests.control_plane_process.fleet import Fleet
 from tests.control_plane_process.stand_ins import configuration_document, send_request
 
-TAKEN_S = 6.0
+ACCEPTED_S = 6.0
 
 
 def operator_calls(fleet: Fleet) -> list[dict[str, Any]]:
-    """The lines on calls of operators, of all nodes."""
+    """Return the log lines of operators' calls at all nodes."""
     lines = [json.loads(line) for node in fleet.nodes for line in node.log_file.read_text().splitlines()]
     return [line for line in lines if line["event"] == CALL_EVENT]
 
 
 def test_a_change_and_its_rejection_are_logged(fleet: Fleet) -> None:
     document = configuration_document(3)
-    fleet.put_until_accepted(document, 0, TAKEN_S)
+    fleet.put_until_accepted(document, 0, ACCEPTED_S)
     reply = fleet.nodes[0].put(configuration_document(9), "2")
     assert reply is not None
     assert reply.status == 412
     calls = operator_calls(fleet)
-    (taken,) = [line for line in calls if line["status"] == 200]
-    assert (taken["method"], taken["match"], taken["size"]) == ("PUT", "0", len(document))
-    assert taken["took_ms"] > 0
-    (refused,) = [line for line in calls if line["status"] == 412]
-    assert refused["code"] > 0
-    assert refused["message"]
-    assert refused["checksum"] != taken["checksum"]
+    (accepted,) = [line for line in calls if line["status"] == 200]
+    assert (accepted["method"], accepted["match"], accepted["size"]) == ("PUT", "0", len(document))
+    assert accepted["took_ms"] > 0
+    (rejected,) = [line for line in calls if line["status"] == 412]
+    assert rejected["code"] > 0
+    assert rejected["message"]
+    assert rejected["checksum"] != accepted["checksum"]
 
 
 def test_the_metrics_of_a_node_contain_its_state(fleet: Fleet) -> None:
-    fleet.put_until_accepted(configuration_document(3), 0, TAKEN_S)
+    fleet.put_until_accepted(configuration_document(3), 0, ACCEPTED_S)
     node = fleet.nodes[0]
     node.get()
     reply = send_request(f"{node.host}:{fleet.metrics_port}", "GET", "/metrics")
--- a/tests/control_plane_process/test_openapi.py
+++ b/tests/control_plane_process/test_openapi.py
@@ -1,4 +1,4 @@
-"""The OpenAPI files say what the code does: paths, methods, statuses, error codes and fields."""
+"""Tests that the OpenAPI files match the code: paths, methods, statuses, error codes and fields."""
 
 from __future__ import annotations
 
@@ -33,10 +33,12 @@
 
 
 def components(*types: Any) -> dict[str, Any]:
+    """Return the JSON schemas of these types."""
     return msgspec.json.schema_components(types, ref_template=SCHEMAS)[1]
 
 
 def validate(file: dict[str, Any], name: str, document: Any) -> None:
+    """Validate a document against a schema of the OpenAPI file."""
     jsonschema.validate(document, file | {"$ref": f"#/components/schemas/{name}"})
 
 
@@ -53,7 +55,9 @@
     for code in OPERATIONS[path][method].errors:
         expected.setdefault(str(http_status_of(code)), set()).add(int(code))
     responses = OPERATOR["paths"][path][method.lower()]["responses"]
-    assert {status: set(told.get("x-error-codes", ())) for status, told in responses.items()} == expected
+    assert {
+        status: set(response.get("x-error-codes", ())) for status, response in responses.items()
+    } == expected
 
 
 def test_the_operator_file_has_the_fields_of_the_code() -> None:
@@ -108,6 +112,7 @@
 
 
 def references(value: Any) -> list[str]:
+    """Return all values of `$ref` in a JSON value."""
     if isinstance(value, dict):
         own = [value["$ref"]] if isinstance(value.get("$ref"), str) else []
         return own + [found for item in value.values() for found in references(item)]
--- a/tests/control_plane_process/test_process.py
+++ b/tests/control_plane_process/test_process.py
@@ -1,4 +1,4 @@
-"""Three real control schedulers on loopback addresses, and what surrounds them."""
+"""Tests of three real control plane processes on loopback addresses, from outside."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
         reply = fleet.nodes[1].get()
         return reply is not None and reply.status == 404 and reply.error_code() == 304
 
-    wait_until(answered, STARTUP_TIMEOUT_S, "an answer that there is none")
+    wait_until(answered, STARTUP_TIMEOUT_S, "the absence of a configuration is reported")
 
 
 def test_a_configuration_is_accepted_and_returned_byte_for_byte_everywhere(fleet: Fleet) -> None:
@@ -51,27 +51,27 @@
     node = fleet.nodes[2]
     second = configuration_document(9, routes=3)
 
-    def refused(body: bytes, match: str | None) -> tuple[int, int]:
+    def rejection(body: bytes, match: str | None) -> tuple[int, int]:
         reply = node.put(body, match)
         assert reply is not None
         return reply.status, reply.error_code()
 
-    assert refused(second, None) == (400, 209)
-    assert refused(second, "x") == (400, 209)
-    assert refused(second, "9" * 5000) == (400, 209)
-    assert refused(b"{", "3") == (400, 201)
-    assert refused(json.dumps(json.loads(second) | {"routes": [{"name": "r"}]}).encode(), "3") == (400, 202)
-    assert refused(configuration_document(2), "3") == (400, 207)
-    assert refused(second, "2") == (412, 208)
+    assert rejection(second, None) == (400, 209)
+    assert rejection(second, "x") == (400, 209)
+    assert rejection(second, "9" * 5000) == (400, 209)
+    assert rejection(b"{", "3") == (400, 201)
+    assert rejection(json.dumps(json.loads(second) | {"routes": [{"name": "r"}]}).encode(), "3") == (400, 202)
+    assert rejection(configuration_document(2), "3") == (400, 207)
+    assert rejection(second, "2") == (412, 208)
     reply = node.put(second, "3")
     assert reply is not None
     assert (reply.status, json.loads(reply.body)) == (200, {"generation": 9})
-    assert refused(configuration_document(12), "3") == (412, 208)
+    assert rejection(configuration_document(12), "3") == (412, 208)
     for other in fleet.nodes:
         for again, match in ((second, "3"), (document, "0")):
             reply = other.put(again, match)
             assert reply is not None
-            assert reply.status == 200, "the same bytes again have been taken"
+            assert reply.status == 200, "a repeated document is already accepted"
         newest = other.get()
         assert newest is not None
         assert newest.body == second
@@ -92,24 +92,28 @@
     assert len(large) > 4_000_000
     edge = EdgeClient(fleet.nodes[1].peer_address)
     edge.fetch_updates()
-    wait_until(lambda: _taken(fleet.nodes[0].put(large, "3", in_chunks=True)), ACK_S, "it is taken")
+    wait_until(
+        lambda: _accepted(fleet.nodes[0].put(large, "3", in_chunks=True)),
+        ACK_S,
+        "the large configuration is accepted",
+    )
     for node in fleet.nodes:
         reply = node.get()
         assert reply is not None
         assert reply.body == large
     held: list[Answer] = []
 
-    def passed_on() -> bool:
+    def delivered() -> bool:
         held.extend(answer for source, answer in edge.fetch_updates().items() if source == "configuration")
         return bool(held)
 
-    wait_until(passed_on, 2.0, "the data plane holds it")
+    wait_until(delivered, 2.0, "the configuration is delivered to the data plane")
     assert isinstance(held[0], ConfigurationDelta)
     first = parse_configuration(configuration_document(3))
     assert apply_delta(first, held[0]) == parse_configuration(large)
 
 
-def _taken(reply: Reply | None) -> bool:
+def _accepted(reply: Reply | None) -> bool:
     assert reply is None or reply.status in (200, 503), reply
     return reply is not None and reply.status == 200
 
@@ -133,7 +137,7 @@
         reply = fleet.nodes[lost].get()
         return reply is not None and reply.body == configuration_document(5)
 
-    wait_until(has_it, STARTUP_TIMEOUT_S, "the one that was killed has it too")
+    wait_until(has_it, STARTUP_TIMEOUT_S, "the killed node has the change after its restart")
 
 
 def test_the_state_survives_a_simultaneous_kill_of_all_nodes(fleet: Fleet) -> None:
@@ -149,11 +153,11 @@
         replies = [node.get() for node in fleet.nodes]
         return all(reply is not None and reply.body == document for reply in replies)
 
-    wait_until(read_back, STARTUP_TIMEOUT_S, "the configuration is read back")
+    wait_until(read_back, STARTUP_TIMEOUT_S, "every node returns the configuration")
     again = EdgeClient(fleet.nodes[1].peer_address)
     again.versions = {"workers": held}
     assert wait_for_leased_workers(again).version > held, (
-        "a list that is newer than what the data plane holds"
+        "the new list is newer than the one that the data plane has"
     )
 
 
@@ -165,7 +169,7 @@
     content = bytearray(log.read_bytes())
     copy_size = len(encode_batch([b"-" * 16, b"1"])) // COPIES
     for copy in range(COPIES):
-        content[20 + copy * copy_size] ^= 0xFF  # in both copies of the first batch, which good ones follow
+        content[20 + copy * copy_size] ^= 0xFF  # both copies of the first batch, which valid ones follow
     log.write_bytes(content)
     node.start()
 
@@ -173,12 +177,12 @@
         reply = node.get()
         return reply is not None and reply.body == configuration_document(3)
 
-    wait_until(has_it, STARTUP_TIMEOUT_S, "the member is back")
+    wait_until(has_it, STARTUP_TIMEOUT_S, "the node serves the configuration again")
     assert b'"code":401' in node.log_file.read_bytes()
     fleet.put_until_accepted(configuration_document(5), 3, ACK_S)
 
 
-# ---- ends and settings ----
+# ---- shutdown and settings ----
 
 
 @pytest.mark.parametrize("leaver", range(3))
@@ -207,9 +211,9 @@
         assert node.process is not None
         assert node.process.wait(5) == 2
         (line,) = node.log_file.read_text().splitlines()
-        told = json.loads(line)
-        assert (told["code"], told["level"]) == (code, "error")
-        assert key in told["message"]
+        entry = json.loads(line)
+        assert (entry["code"], entry["level"]) == (code, "error")
+        assert key in entry["message"]
 
 
 def test_changed_settings_are_reloaded_and_invalid_ones_rejected(fleet: Fleet) -> None:
@@ -217,8 +221,12 @@
     node = fleet.nodes[0]
     node.settings_file.write_text("{")
     node.signal(signal.SIGHUP)
-    wait_until(lambda: b'"settings rejected"' in node.log_file.read_bytes(), 2.0, "the bad file is told")
+    wait_until(
+        lambda: b'"settings rejected"' in node.log_file.read_bytes(), 2.0, "the invalid file is logged"
+    )
     changed = node.settings(bootstrap=False) | {"seed_nodes": [f"{HOSTS[0]}:{fleet.control_port}"]}
     node.settings_file.write_text(json.dumps(changed))
-    wait_until(lambda: b'"seeds changed"' in node.log_file.read_bytes(), 4.0, "new seeds without a signal")
+    wait_until(
+        lambda: b'"seeds changed"' in node.log_file.read_bytes(), 4.0, "new seeds are loaded without a signal"
+    )
     fleet.put_until_accepted(configuration_document(5), 3, ACK_S)
--- a/tests/control_plane_process/test_process_leave.py
+++ b/tests/control_plane_process/test_process_leave.py
@@ -1,4 +1,4 @@
-"""How long a control scheduler stays after SIGTERM."""
+"""Tests of how long a control plane process keeps running after SIGTERM."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 
 NEEDED_FOR_S = 2.0
 SUCCESSOR_S = 4.0
-GRACE_S = 8.0  # as in the settings where they name none
-ORDINARY_END_S = 2.0
+GRACE_S = 8.0  # the settings' default
+SHUTDOWN_S = 2.0
 
 
 def _wait_until_chain_has(fleet: Fleet, asked: int, length: int) -> None:
@@ -46,7 +46,7 @@
         reply = fleet.nodes[lost].get()
         return reply is not None and (reply.status, reply.body) == (200, document)
 
-    wait_until(read_back, STARTUP_TIMEOUT_S, "the configuration is read at the successor")
+    wait_until(read_back, STARTUP_TIMEOUT_S, "the successor returns the configuration")
 
 
 def test_a_node_without_a_successor_ends_within_its_grace_period(fleet: Fleet) -> None:
@@ -67,4 +67,4 @@
         node.signal(signal.SIGTERM)
     for node in fleet.nodes:
         assert node.process is not None
-        assert node.process.wait(ORDINARY_END_S) == 0
+        assert node.process.wait(SHUTDOWN_S) == 0
--- a/tests/control_plane_process/test_quota_allocator.py
+++ b/tests/control_plane_process/test_quota_allocator.py
@@ -1,4 +1,4 @@
-"""Grants of quota at one control plane node, its loans, and short runs of the simulation."""
+"""Tests of quota grants and loans at one control plane node, and short runs of the simulation."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
 from reedspoke.control_plane.quota.share import QuotaShare
 from reedspoke.control_plane.quota.token_bucket import MAX_LOAN_SHARE
 from reedspoke.telemetry.invariants import Invariant, monitor
-from tests.control_plane_process.quota_simulation import Simulation, draw_parameters, play
+from tests.control_plane_process.quota_simulation import Simulation, draw_parameters, run_seed
 
 RULE = QuotaRule(window_s=8.0, excess=0.1, slack=0.0)
 RATE, BURST = 100.0, 100.0
 FULL = allowance(window_limit(RATE, BURST, RULE) / 3, 0.0, RULE).capacity
-START = 1000.0  # long enough after the start of the process
+START = 1000.0  # well after the start of the process, at time 0
 
 
 class AllocatorHarness:
@@ -46,19 +46,23 @@
             self.allocator.refresh(START - 60 + second)
 
     def configure(self, rate: float = RATE) -> None:
+        """Configure a tenant with this rate and a tenant without a limit."""
         limited = Tenant(name="limited", rate_per_s=rate, burst=BURST)
         self.allocator.configure({"limited": limited, "free": Tenant(name="free")}, 0.0)
 
     def request(self, units: float, tenant: str = "limited", number: int = 1) -> list[QuotaEffect]:
+        """Pass a quota request to the allocator."""
         return self.allocator.handle_request("edge", QuotaRequest(number, tenant, units), self.now)
 
 
 @pytest.fixture
 def harness() -> AllocatorHarness:
+    """Provide an allocator with a full bucket."""
     return AllocatorHarness()
 
 
 def outcomes(effects: list[QuotaEffect]) -> list[QuotaOutcome]:
+    """Return the outcomes of the responses among the effects."""
     return [effect.response.outcome for effect in effects if isinstance(effect, SendResponse)]
 
 
@@ -154,7 +158,7 @@
     returned = [effect for effect in effects if isinstance(effect, SendToPeer)]
     assert [effect.address for effect in returned] == ["b"]
     assert isinstance(returned[0].message, QuotaLoan)
-    assert returned[0].message.units == pytest.approx(10)  # the capacity has grown to the largest request
+    assert returned[0].message.units == pytest.approx(10)  # The capacity has grown to the largest request.
 
 
 def test_a_tenant_removed_while_loans_are_outstanding_is_dropped(harness: AllocatorHarness) -> None:
@@ -175,7 +179,7 @@
     assert isinstance(loan, SendToPeer)
     assert isinstance(loan.message, QuotaLoan)
     assert loan.message.units == pytest.approx(FULL * MAX_LOAN_SHARE)
-    assert outcomes(harness.request(FULL * 0.6)) == []  # it has to borrow
+    assert outcomes(harness.request(FULL * 0.6)) == []  # The request waits for loans.
 
 
 def test_a_lower_limit_applies_immediately(harness: AllocatorHarness) -> None:
@@ -191,18 +195,19 @@
 
 @pytest.mark.parametrize("seed", range(40))
 def test_no_window_exceeds_the_limit(seed: int) -> None:
-    parameters, used = play(seed)
+    parameters, used = run_seed(seed)
     assert used <= 1, parameters
 
 
 def test_the_simulation_detects_grants_without_a_share(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The judge is of use: with a whole quota at each control plane node it finds the rule broken."""
+    """The check is effective: it finds violations when each control plane node may grant the whole quota."""
     monkeypatch.setattr(QuotaShare, "share", lambda self, tenant, now, majority_as_of: 1.0)
     seeds = [seed for seed in range(40) if has_large_surge(seed)]
-    assert any(play(seed)[1] > 1 for seed in seeds[:5])
+    assert any(run_seed(seed)[1] > 1 for seed in seeds[:5])
 
 
 def has_large_surge(seed: int) -> bool:
+    """Return whether the seed's parameters have a large surge and more than three control plane nodes."""
     from random import Random
 
     parameters = draw_parameters(Random(seed))
@@ -212,16 +217,16 @@
 def test_nearly_all_demand_below_the_limit_is_granted() -> None:
     from tests.control_plane_process.quota_simulation import SimulationParameters
 
-    asked = granted = 0.0
+    requested = granted = 0.0
     for seed in range(3):
         parameters = SimulationParameters(8, 30, 90_000.0, 90_000.0, 110_000.0, 3_900.0, 0.77, 0.77, 0.5, 0)
         outcome = Simulation(parameters, seed).run()
-        asked, granted = asked + outcome.asked, granted + outcome.granted
-    assert granted > 0.97 * asked
+        requested, granted = requested + outcome.requested, granted + outcome.granted
+    assert granted > 0.97 * requested
 
 
 def test_the_invariant_is_evaluated_without_any_request(harness: AllocatorHarness) -> None:
-    """Seen in CI beside load: no limited request came behind the last restart, and nothing had looked."""
+    """In CI under load, no limited request followed the last restart, so nothing evaluated the invariant."""
     before = monitor.evaluated[Invariant.QUOTA_IS_CONSERVED]
     harness.allocator.refresh(START + 10.0)
     assert monitor.evaluated[Invariant.QUOTA_IS_CONSERVED] == before + 1
--- a/tests/control_plane_process/test_quota_share.py
+++ b/tests/control_plane_process/test_quota_share.py
@@ -1,4 +1,4 @@
-"""The shares of control plane nodes in quotas, over changes of the view."""
+"""Tests of the shares that control plane nodes have of quotas, across changes of the view."""
 
 from __future__ import annotations
 
@@ -14,10 +14,11 @@
 
 TENANT = "t"
 ALL = frozenset("abcd")
-LEAST_S = SHARE_LEASE_TTL_S - SHARE_LEASE_MARGIN_S
+USABLE_LEASE_S = SHARE_LEASE_TTL_S - SHARE_LEASE_MARGIN_S
 
 
 def quota_share(own: str = "a", voters: frozenset[str] = ALL) -> QuotaShare:
+    """Build the shares of a process with these voters in force since time 0."""
     share = QuotaShare(own, tolerated=1, started_at=0.0)
     share.set_voters(voters, 0.0)
     return share
@@ -33,7 +34,8 @@
 
 
 @pytest.mark.parametrize(
-    ("age_s", "share"), [(0.0, 0.25), (LEAST_S - 0.01, 0.25), (LEAST_S + 0.01, 0.0), (99.0, 0.0)]
+    ("age_s", "share"),
+    [(0.0, 0.25), (USABLE_LEASE_S - 0.01, 0.25), (USABLE_LEASE_S + 0.01, 0.0), (99.0, 0.0)],
 )
 def test_the_lease_expires_without_a_majority(age_s: float, share: float) -> None:
     assert quota_share().share(TENANT, 200.0, 200.0 - age_s) == share
--- a/tests/control_plane_process/test_quota_token_bucket.py
+++ b/tests/control_plane_process/test_quota_token_bucket.py
@@ -1,4 +1,4 @@
-"""The token bucket of a share of a quota."""
+"""Tests of the token bucket of a quota share."""
 
 from __future__ import annotations
 
@@ -19,11 +19,12 @@
 
 RULE = QuotaRule(window_s=8.0, excess=0.0, slack=0.0)
 SHARE = 1000.0  # units within any window
-LEAST = MIN_CAPACITY_SHARE * GRANTED_SHARE * SHARE
-MOST = MAX_CAPACITY_SHARE * GRANTED_SHARE * SHARE
+MIN_CAPACITY = MIN_CAPACITY_SHARE * GRANTED_SHARE * SHARE
+MAX_CAPACITY = MAX_CAPACITY_SHARE * GRANTED_SHARE * SHARE
 
 
 def bucket(level: float = 0.0) -> TokenBucket:
+    """Build a token bucket with this level."""
     tokens = TokenBucket(10.0)
     tokens.set_share(SHARE, RULE, 10.0)
     tokens.receive_loan(level)
@@ -36,7 +37,7 @@
     tokens.refill(10.5)
     assert tokens.level == pytest.approx(0.5 * tokens.refill_per_s)
     tokens.refill(1000.0)
-    assert tokens.level == pytest.approx(LEAST)
+    assert tokens.level == pytest.approx(MIN_CAPACITY)
 
 
 def test_a_time_in_the_past_refills_nothing() -> None:
@@ -47,7 +48,12 @@
 
 def test_the_capacity_follows_the_largest_request_and_never_shrinks_with_smaller_ones() -> None:
     tokens = bucket()
-    for units, capacity in ((50.0, LEAST), (200.0, 200.0), (5000.0, MOST), (1.0, MOST)):
+    for units, capacity in (
+        (50.0, MIN_CAPACITY),
+        (200.0, 200.0),
+        (5000.0, MAX_CAPACITY),
+        (1.0, MAX_CAPACITY),
+    ):
         tokens.grant(units, is_scarce=False)
         tokens.set_share(SHARE, RULE, 10.0)
         assert tokens.capacity == pytest.approx(capacity)
@@ -56,13 +62,13 @@
 def test_a_smaller_share_drops_excess_units() -> None:
     tokens = bucket(90)
     tokens.set_share(SHARE / 10, RULE, 10.0)
-    assert tokens.level == pytest.approx(LEAST / 10)
+    assert tokens.level == pytest.approx(MIN_CAPACITY / 10)
 
 
 def test_large_requests_need_the_same_level_as_small_ones_while_units_are_scarce() -> None:
     tokens = bucket(50)
     tokens.grant(80, is_scarce=True)
-    assert not tokens.grant(10, is_scarce=True)  # the next large one would find less still
+    assert not tokens.grant(10, is_scarce=True)  # It would lower the level for the next large request.
     assert tokens.grant(10, is_scarce=False)
     tokens.receive_loan(40)
     assert tokens.grant(80, is_scarce=True)
@@ -92,7 +98,7 @@
     tokens.receive_loan(200)
     assert tokens.level == 290
     tokens.remove_overflow()
-    assert tokens.level == pytest.approx(LEAST)
+    assert tokens.level == pytest.approx(MIN_CAPACITY)
 
 
 def test_the_waiting_time_of_a_request() -> None:
--- a/tests/control_plane_process/test_worker_discovery.py
+++ b/tests/control_plane_process/test_worker_discovery.py
@@ -1,4 +1,4 @@
-"""The calls of the platform's list against a stand-in platform, with a lease that is held or not."""
+"""Tests of worker discovery against a fake platform, with and without the discovery lease."""
 
 from __future__ import annotations
 
@@ -22,6 +22,7 @@
 
 @pytest.fixture
 def platform() -> Iterator[FakePlatform]:
+    """Provide a fake platform with three workers."""
     made = FakePlatform("127.0.0.1")
     yield made
     made.close()
@@ -57,14 +58,17 @@
         )
 
     def adjust_workers(self, entries: tuple[WorkerEntry, ...]) -> tuple[WorkerEntry, ...] | None:
+        """Adjust entries as the test sets it, or return None while the adjustment is unknown."""
         if not self.known:
             return None
         return tuple(structs.replace(entry, draining=entry.draining or self.drained) for entry in entries)
 
     def acquire_lease(self) -> None:
+        """Make this process the only voter, which grants itself the lease."""
         self.lease.set_voters((OWN,))
 
-    async def until(self, condition: Callable[[], object]) -> None:
+    async def wait_until(self, condition: Callable[[], object]) -> None:
+        """Tick the lease until the condition is true."""
         async with asyncio.timeout(5):
             while not condition():
                 self.lease.tick(self.loop.time())
@@ -72,8 +76,9 @@
                 await asyncio.sleep(0.005)
 
     async def run_for(self, seconds: float) -> None:
+        """Tick the lease for this time."""
         end = self.loop.time() + seconds
-        await self.until(lambda: self.loop.time() >= end)
+        await self.wait_until(lambda: self.loop.time() >= end)
 
 
 def run_scenario(
@@ -81,6 +86,8 @@
     scenario: Callable[[DiscoveryHarness], Awaitable[None]],
     rate_per_s: float = 10_000.0,
 ) -> None:
+    """Run the scenario with a running discovery task."""
+
     async def run() -> None:
         harness = DiscoveryHarness(platform, rate_per_s)
         task = asyncio.create_task(harness.discovery.run())
@@ -102,12 +109,12 @@
 def test_the_holder_publishes_all_pages_and_every_change(platform: FakePlatform) -> None:
     async def scenario(harness: DiscoveryHarness) -> None:
         harness.acquire_lease()
-        await harness.until(lambda: harness.published)
+        await harness.wait_until(lambda: harness.published)
         assert [worker.instance_id for worker in harness.published[0].workers] == ["i-1", "i-2", "i-3"]
         await harness.run_for(0.2)
         assert len(harness.published) == 1
         platform.instances[2] = platform_instance("i-3", state="draining")
-        await harness.until(lambda: len(harness.published) == 2)
+        await harness.wait_until(lambda: len(harness.published) == 2)
         assert [worker.draining for worker in harness.published[1].workers] == [False, False, True]
 
     run_scenario(platform, scenario)
@@ -117,9 +124,9 @@
 def test_a_holder_whose_calls_fail_releases_the_lease(platform: FakePlatform, status: int) -> None:
     async def scenario(harness: DiscoveryHarness) -> None:
         harness.acquire_lease()
-        await harness.until(lambda: harness.published)
+        await harness.wait_until(lambda: harness.published)
         platform.status = status
-        await harness.until(lambda: not harness.lease.is_held(harness.loop.time()))
+        await harness.wait_until(lambda: not harness.lease.is_held(harness.loop.time()))
         assert harness.worker_list.current == harness.published[0]
 
     run_scenario(platform, scenario)
@@ -128,7 +135,7 @@
 def test_a_rate_limited_holder_keeps_the_lease(platform: FakePlatform) -> None:
     async def scenario(harness: DiscoveryHarness) -> None:
         harness.acquire_lease()
-        await harness.until(lambda: harness.published)
+        await harness.wait_until(lambda: harness.published)
         platform.status = 429
         await harness.run_for(0.6)
         assert harness.lease.is_held(harness.loop.time())
@@ -142,8 +149,8 @@
         server = await asyncio.start_server(lambda reader, writer: None, "127.0.0.1", 0)
         host, port = server.sockets[0].getsockname()
         harness.discovery.update_settings(CloudApi(f"{host}:{port}", 1000.0))
-        await harness.until(lambda: harness.lease.is_held(harness.loop.time()))
-        await harness.until(lambda: not harness.lease.is_held(harness.loop.time()))
+        await harness.wait_until(lambda: harness.lease.is_held(harness.loop.time()))
+        await harness.wait_until(lambda: not harness.lease.is_held(harness.loop.time()))
         assert harness.published == []
         server.close()
 
@@ -166,9 +173,9 @@
 
     async def scenario(harness: DiscoveryHarness) -> None:
         harness.acquire_lease()
-        await harness.until(lambda: harness.published)
+        await harness.wait_until(lambda: harness.published)
         harness.worker_list.observe_version((70, 4))
-        await harness.until(lambda: len(harness.published) == 2)
+        await harness.wait_until(lambda: len(harness.published) == 2)
         assert harness.published[1].version > (70, 4)
         assert harness.published[1].workers == harness.published[0].workers
         pages = 2
@@ -180,7 +187,7 @@
 def test_a_list_read_before_the_lease_was_lost_is_not_published_again(platform: FakePlatform) -> None:
     async def scenario(harness: DiscoveryHarness) -> None:
         harness.acquire_lease()
-        await harness.until(lambda: harness.published)
+        await harness.wait_until(lambda: harness.published)
         harness.lease.step_down(harness.loop.time())
         harness.discovery.check_lease()
         harness.worker_list.observe_version((70, 4))
@@ -192,12 +199,12 @@
 
 
 def test_a_holder_fenced_between_two_pages_does_not_call_again(platform: FakePlatform) -> None:
-    """Some other one has published under a higher term: the rest of the list is not asked for."""
+    """Another process has published under a higher term, so the remaining pages are not requested."""
 
     async def scenario(harness: DiscoveryHarness) -> None:
         harness.acquire_lease()
-        await harness.until(lambda: platform.calls == 1)
-        harness.lease.set_voters(("another", "third"))  # it gets no further lease
+        await harness.wait_until(lambda: platform.calls == 1)
+        harness.lease.set_voters(("another", "third"))  # This process cannot acquire the lease again.
         harness.lease.observe_term(harness.lease.term + 5)
         harness.discovery.check_lease()
         await harness.run_for(0.6)
@@ -281,7 +288,7 @@
         await harness.discovery.discover_without_lease()
         assert [workers.version for workers in harness.published] == [(0, 1)]
         harness.acquire_lease()
-        await harness.until(lambda: len(harness.published) == 2)
+        await harness.wait_until(lambda: len(harness.published) == 2)
         assert harness.published[1].version[0] > 0
         assert harness.published[1].workers == harness.published[0].workers
 
@@ -296,7 +303,7 @@
         await harness.run_for(0.2)
         assert harness.published == []
         platform.status = 200
-        await harness.until(lambda: harness.published)
+        await harness.wait_until(lambda: harness.published)
         await reading
 
     run_scenario(platform, scenario)
@@ -305,12 +312,12 @@
 def test_a_changed_adjustment_is_published_without_the_platform(platform: FakePlatform) -> None:
     async def scenario(harness: DiscoveryHarness) -> None:
         harness.acquire_lease()
-        await harness.until(lambda: harness.published)
+        await harness.wait_until(lambda: harness.published)
         platform.status = 500
         await harness.run_for(0.2)
         harness.drained = True
         count = len(harness.published)
-        await harness.until(lambda: len(harness.published) > count)
+        await harness.wait_until(lambda: len(harness.published) > count)
         assert all(worker.draining for worker in harness.published[-1].workers)
 
     run_scenario(platform, scenario)
@@ -324,7 +331,7 @@
         await harness.run_for(0.3)
         assert harness.published == []
         harness.known = True
-        await harness.until(lambda: harness.published)
+        await harness.wait_until(lambda: harness.published)
         await asyncio.wait_for(task, 5)
 
     run_scenario(platform, scenario)
--- a/tests/control_plane_process/test_worker_list.py
+++ b/tests/control_plane_process/test_worker_list.py
@@ -1,4 +1,4 @@
-"""Which list of workers is the newest, and what the platform's pages mean."""
+"""Tests of the versions of the worker list, and of parsing the platform's pages."""
 
 from __future__ import annotations
 
@@ -25,6 +25,7 @@
 
 
 def worker(name: str, cold: float = 0.0, draining: bool = False) -> WorkerEntry:
+    """Build a worker entry."""
     return WorkerEntry(name, "u1", "10.0.0.9:8080", "z", "v1", 4, draining, cold)
 
 
