--- a/tests/control_plane/simulated_data_plane.py
+++ b/tests/control_plane/simulated_data_plane.py
@@ -87,7 +87,9 @@
 
     def _configuration_received(self, configuration: Configuration, version: Version) -> None:
         before = self.generation or 0
-        assert configuration.generation > before, f"{self._node.name} goes back from {before}"
+        assert configuration.generation > before, (
+            f"{self._node.name} goes back from generation {before} to {configuration.generation}"
+        )
         self.generation = configuration.generation
 
     def _workers_received(self, workers: WorkerList) -> None:
@@ -181,12 +183,12 @@
             node.frozen = False
             node.scheduler.loop.thaw()
 
-    def partition(self, name: str, addresses: list[str], there: bool = True, back: bool = True) -> None:
+    def partition(self, name: str, addresses: list[str], outbound: bool = True, inbound: bool = True) -> None:
         """Partition a node from control plane nodes in one or both directions."""
         for address in addresses:
-            if there:
+            if outbound:
                 self._simulation.network.cut_outside.add((name, address))
-            if back:
+            if inbound:
                 self._simulation.network.cut_outside.add((address, name))
 
     def heal_partitions(self) -> None:
--- a/tests/control_plane/worker_list_judge.py
+++ b/tests/control_plane/worker_list_judge.py
@@ -47,14 +47,16 @@
         holder = self._holders.setdefault(term, (address, incarnation))
         assert holder == (address, incarnation), f"two processes publish under term {term}"
         state = self._state_of(workers)
-        assert self._states.setdefault(workers.version, state) == state, f"two lists {workers.version}"
+        assert self._states.setdefault(workers.version, state) == state, (
+            f"two different lists have version {workers.version}"
+        )
 
     def check_held(self, name: str, workers: WorkerList | None) -> None:
         """Check that the list of a process is not older than the one that it had."""
         before = self._held.get(name, KnownList())
         if workers is None or workers.version == before.version:
             return
-        assert workers.version > before.version, f"{name} goes back to the list {workers.version}"
+        assert workers.version > before.version, f"{name} goes back to list version {workers.version}"
         state = self._states.get(workers.version)
         if state is None:
             state = self._state_of(workers)
@@ -73,7 +75,7 @@
             listed = listed_before.get(worker.instance_id)
             gone = listed is None and not self._is_new(worker.instance_id, now)
             leaving = gone or (listed is not None and listed.state == STATE_DRAINING)
-            assert worker.draining or not leaving, f"{name} takes {worker.instance_id} to be up"
+            assert worker.draining or not leaving, f"{name} still lists {worker.instance_id} as up"
 
     def _is_new(self, instance_id: str, now: float) -> bool:
         return instance_id in self.platform.list_at(now)[1]
--- a/tests/control_plane_process/__init__.py
+++ b/tests/control_plane_process/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the control scheduler's process, apart from its replica."""
+"""Tests of the control plane node's process and components, except for its replica."""
--- a/tests/control_plane_process/test_membership.py
+++ b/tests/control_plane_process/test_membership.py
@@ -162,24 +162,24 @@
 
 @given(st.lists(RUNNING, max_size=4), st.lists(RUNNING, max_size=4))
 def test_the_load_sent_to_an_edge_is_the_sum_of_all_others(
-    here: list[WorkerLoads], there: list[WorkerLoads]
+    own: list[WorkerLoads], remote: list[WorkerLoads]
 ) -> None:
     members = membership()
-    for number, running in enumerate(here):
+    for number, running in enumerate(own):
         members.update_edge(watch(f"h{number}", running=running), 0.0)
-    entries = [entry(f"t{number}", running=running) for number, running in enumerate(there)]
+    entries = [entry(f"t{number}", running=running) for number, running in enumerate(remote)]
     members.update_table("p", table(*entries), 0.0)
     members.update_load(0.0)
-    everybody = {f"h{number}": running for number, running in enumerate(here)}
-    everybody |= {f"t{number}": running for number, running in enumerate(there)}
-    for asker in everybody:
+    running_by_name = {f"h{number}": running for number, running in enumerate(own)}
+    running_by_name |= {f"t{number}": running for number, running in enumerate(remote)}
+    for receiver in running_by_name:
         expected: WorkerLoads = {}
-        for name, running in everybody.items():
-            if name != asker:
+        for name, running in running_by_name.items():
+            if name != receiver:
                 for instance, (requests, tokens) in running.items():
                     so_far = expected.get(instance, (0, 0))
                     expected[instance] = (so_far[0] + requests, so_far[1] + tokens)
-        got = members.load.running_except(asker)
+        got = members.load.running_except(receiver)
         assert _without_zeros(got) == _without_zeros(expected)
 
 
--- a/tests/control_plane_process/test_quota_allocator.py
+++ b/tests/control_plane_process/test_quota_allocator.py
@@ -200,7 +200,7 @@
 
 
 def test_the_simulation_detects_grants_without_a_share(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The check is effective: it finds violations when each control plane node may grant the whole quota."""
+    """The check of windows is effective: it finds violations if each node may grant the whole quota."""
     monkeypatch.setattr(QuotaShare, "share", lambda self, tenant, now, majority_as_of: 1.0)
     seeds = [seed for seed in range(40) if has_large_surge(seed)]
     assert any(run_seed(seed)[1] > 1 for seed in seeds[:5])
