--- a/tests/control_plane/test_guards_worker_discovery.py
+++ b/tests/control_plane/test_guards_worker_discovery.py
@@ -1,4 +1,4 @@
-"""Guards of the list of workers, its worker_discovery and the membership, one at a time."""
+"""Tests of single checks in the list of workers, worker discovery and the membership."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
     assert state.adopt(_workers(1, 2), 0.0)
 
 
-def test_the_highest_version_that_was_seen_is_remembered() -> None:
+def test_the_highest_observed_version_is_kept() -> None:
     state = WorkerListState()
     state.observe_version((5, 1))
     state.observe_version((3, 9))
@@ -39,7 +39,7 @@
     assert state.term_to_exceed(4) == 5
 
 
-def test_sessions_beyond_the_most_are_no_members(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_sessions_beyond_the_limit_are_not_members(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(membership, "MAX_EDGES", 1)
     members = Membership(ControlMember("10.0.0.1:1", "za"), EDGE_TTL_S, 77)
     for name in ("e1", "e2"):
@@ -49,7 +49,7 @@
 
 
 class ExpiringLease:
-    """A lease that expires while the platform answers."""
+    """A lease that expires while the platform handles a call."""
 
     term = 1
 
@@ -57,26 +57,30 @@
         self.held = True
 
     def is_held(self, now: float) -> bool:
+        """Return whether the lease is still held."""
         return self.held
 
 
 class Platform:
-    """Answers with one worker, once the lease has run out."""
+    """Returns one worker after the lease has expired."""
 
     def __init__(self, lease: ExpiringLease) -> None:
         self._lease = lease
         self.answered = asyncio.Event()
 
     async def fetch_page(self, token: str | None) -> PlatformPage:
+        """End the lease, and return one page."""
         self._lease.held = False
         self.answered.set()
         return PlatformPage((PlatformInstance("i-1", "u1", "a:1"),))
 
     def close(self) -> None:
-        """Nothing is open."""
+        """Do nothing, as no connection is open."""
 
 
-def test_what_is_answered_after_the_lease_is_not_published(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_response_received_after_the_lease_has_expired_is_not_published(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     async def scenario() -> list[WorkerList]:
         lease = ExpiringLease()
         platform = Platform(lease)
@@ -92,7 +96,7 @@
         worker_discovery.check_lease()
         running = asyncio.create_task(worker_discovery.run())
         await platform.answered.wait()
-        await asyncio.sleep(0)  # the call that was under way ends
+        await asyncio.sleep(0)  # lets the pending call complete
         running.cancel()
         return published
 
--- a/tests/control_plane/worker_list_judge.py
+++ b/tests/control_plane/worker_list_judge.py
@@ -1,4 +1,4 @@
-"""The rules of the list of workers, as an outside observer of the simulation holds them."""
+"""Checks of the list of workers by an observer outside of the simulated processes."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 from tests.control_plane.simulated_parts import VirtualTime
 from tests.control_plane.simulated_platform import SimulatedPlatform
 
-KNOWN_S = 3.0  # a worker shown as draining is known as such after that
+PROPAGATION_LIMIT_S = 3.0  # the longest time until all processes know that a listed worker is draining
 
 Holder = tuple[str, int]
 
 
 @dataclass
 class KnownList:
-    """The list that a process has."""
+    """The version of a process's list, and the number of the platform's state that it shows."""
 
     version: Version = NO_VERSION
     state: int = 0
@@ -25,7 +25,7 @@
 
 @dataclass
 class WorkerListJudge:
-    """Checks each list when it is published or taken."""
+    """Checks each list when it is published or received."""
 
     virtual_time: VirtualTime
     platform: SimulatedPlatform
@@ -34,12 +34,12 @@
     _states: dict[Version, int] = field(default_factory=dict)
     _held: dict[str, KnownList] = field(default_factory=dict)
 
-    def started(self, name: str) -> None:
-        """A new process has no list."""
+    def process_started(self, name: str) -> None:
+        """Record that a new process has started, which has no list."""
         self._held.pop(name, None)
 
-    def published(self, address: str, incarnation: int, workers: WorkerList) -> None:
-        """A control scheduler publishes a list."""
+    def check_published(self, address: str, incarnation: int, workers: WorkerList) -> None:
+        """Check a list that a control plane node publishes: one holder per term, one state per version."""
         self.publications += 1
         term = workers.version[0]
         if term == UNLEASED_TERM:
@@ -47,14 +47,16 @@
         holder = self._holders.setdefault(term, (address, incarnation))
         assert holder == (address, incarnation), f"two processes publish under term {term}"
         state = self._state_of(workers)
-        assert self._states.setdefault(workers.version, state) == state, f"two lists {workers.version}"
+        assert self._states.setdefault(workers.version, state) == state, (
+            f"two different lists have version {workers.version}"
+        )
 
-    def holds(self, name: str, workers: WorkerList | None) -> None:
-        """The list that a process has now."""
+    def check_held(self, name: str, workers: WorkerList | None) -> None:
+        """Check that the list of a process is not older than the one that it had."""
         before = self._held.get(name, KnownList())
         if workers is None or workers.version == before.version:
             return
-        assert workers.version > before.version, f"{name} goes back to the list {workers.version}"
+        assert workers.version > before.version, f"{name} goes back to list version {workers.version}"
         state = self._states.get(workers.version)
         if state is None:
             state = self._state_of(workers)
@@ -63,21 +65,21 @@
         self._held[name] = KnownList(workers.version, state)
 
     def check_known(self, name: str, workers: tuple[WorkerEntry, ...] | None) -> None:
-        """A process in touch knows what the platform has shown for KNOWN_S."""
+        """Check that a connected process knows what the platform has shown for `PROPAGATION_LIMIT_S`."""
         now = self.virtual_time.now
-        if self.platform.out_of_reach or now - self.platform.reachable_since < KNOWN_S:
+        if self.platform.is_unreachable or now - self.platform.reachable_since < PROPAGATION_LIMIT_S:
             return
         assert workers is not None, f"{name} has no list of workers"
-        _, shown = self.platform.shown(now - KNOWN_S)
+        _, listed_before = self.platform.list_at(now - PROPAGATION_LIMIT_S)
         for worker in workers:
-            listed = shown.get(worker.instance_id)
+            listed = listed_before.get(worker.instance_id)
             gone = listed is None and not self._is_new(worker.instance_id, now)
             leaving = gone or (listed is not None and listed.state == STATE_DRAINING)
-            assert worker.draining or not leaving, f"{name} takes {worker.instance_id} to be up"
+            assert worker.draining or not leaving, f"{name} still lists {worker.instance_id} as up"
 
     def _is_new(self, instance_id: str, now: float) -> bool:
-        return instance_id in self.platform.shown(now)[1]
+        return instance_id in self.platform.list_at(now)[1]
 
     def _state_of(self, workers: WorkerList) -> int:
         draining = {worker.instance_id: worker.draining for worker in workers.workers}
-        return self.platform.number_of(draining, self.virtual_time.now)
+        return self.platform.state_number_of(draining, self.virtual_time.now)
--- a/tests/control_plane_process/conftest.py
+++ b/tests/control_plane_process/conftest.py
@@ -1,4 +1,4 @@
-"""A running fleet of control schedulers."""
+"""Fixture with a running fleet of control plane nodes."""
 
 from __future__ import annotations
 
@@ -7,16 +7,21 @@
 
 import pytest
 
-from tests.control_plane_process.fleet import UP_S, Fleet
-from tests.control_plane_process.stand_ins import until
+from tests.control_plane_process.fleet import STARTUP_TIMEOUT_S, Fleet
+from tests.control_plane_process.stand_ins import wait_until
 
 
 @pytest.fixture
 def fleet(tmp_path: Path) -> Iterator[Fleet]:
-    made = Fleet(tmp_path)
-    made.start()
+    """Provide a fleet of three control plane nodes that are all voters."""
+    running = Fleet(tmp_path)
+    running.start()
     try:
-        until(lambda: all(node.votes_among(len(made.nodes)) for node in made.nodes), UP_S, "all are voters")
-        yield made
+        wait_until(
+            lambda: all(node.is_voter_among(len(running.nodes)) for node in running.nodes),
+            STARTUP_TIMEOUT_S,
+            "all are voters",
+        )
+        yield running
     finally:
-        made.close()
+        running.close()
--- a/tests/control_plane_process/stand_ins.py
+++ b/tests/control_plane_process/stand_ins.py
@@ -1,4 +1,4 @@
-"""Stand-ins for what surrounds a control scheduler: the platform, a data plane scheduler, an operator."""
+"""Test doubles for the environment of a control plane node: platform, data plane node and operator."""
 
 from __future__ import annotations
 
@@ -33,15 +33,15 @@
 
 POLL_S = 0.02
 CHUNK = 50_000
-WORKERS_S = 6.0
+WORKERS_TIMEOUT_S = 6.0
 Answer = (
     WatchResponse | UnconfirmedResponse | WorkerList | ConfigurationSnapshot | ConfigurationDelta | MemberList
 )
 Found = TypeVar("Found")
 
 
-def until(condition: Callable[[], Found | None], within: float, what: str) -> Found:
-    """The first true value of the condition; fails after `within` seconds."""
+def wait_until(condition: Callable[[], Found | None], within: float, what: str) -> Found:
+    """Return the first true value of the condition. Fails after `within` seconds."""
     deadline = time.monotonic() + within
     while True:
         found = condition()
@@ -51,8 +51,8 @@
         time.sleep(POLL_S)
 
 
-def instance(instance_id: str, **fields: Any) -> dict[str, Any]:
-    """An entry of the platform's list."""
+def platform_instance(instance_id: str, **fields: Any) -> dict[str, Any]:
+    """Return an entry of the platform's list."""
     entry = {
         "instance_id": instance_id,
         "upstream": "u1",
@@ -67,18 +67,22 @@
     return entry | fields
 
 
-class QuietServer(ThreadingHTTPServer):
-    """Says nothing of clients that close their connection early."""
+class QuietHttpServer(ThreadingHTTPServer):
+    """A server that logs no errors of clients that close their connection early."""
 
     def handle_error(self, request: Any, client_address: Any) -> None:
-        """Nothing is told."""
+        """Ignore the error."""
 
 
-class Platform:
-    """The platform's list of workers, in pages."""
+class FakePlatform:
+    """A platform whose list of workers is served in pages."""
 
     def __init__(self, host: str) -> None:
-        self.instances: list[dict[str, Any]] = [instance("i-1"), instance("i-2"), instance("i-3")]
+        self.instances: list[dict[str, Any]] = [
+            platform_instance("i-1"),
+            platform_instance("i-2"),
+            platform_instance("i-3"),
+        ]
         self.page_size = 2
         self.status = 200
         self.calls = 0
@@ -97,14 +101,15 @@
                 self.wfile.write(body)
 
             def log_message(self, *arguments: object) -> None:
-                """No log."""
+                """Suppress the access log."""
 
-        self._server = QuietServer((host, 0), Handler)
+        self._server = QuietHttpServer((host, 0), Handler)
         self._server.daemon_threads = True
         self.address = f"{host}:{self._server.server_port}"
         threading.Thread(target=self._server.serve_forever, daemon=True).start()
 
     def page(self, path: str) -> bytes:
+        """Return the page of the list that the request path names."""
         token = parse_qs(urlsplit(path).query).get("page_token", ["0"])[0]
         start = int(token)
         end = start + self.page_size
@@ -112,12 +117,13 @@
         return json.dumps({"instances": self.instances[start:end], "next_token": following}).encode()
 
     def close(self) -> None:
+        """Stop the server."""
         self._server.shutdown()
         self._server.server_close()
 
 
 class EdgeClient:
-    """A session of a data plane scheduler, with blocking calls."""
+    """A session of a data plane node, with blocking calls."""
 
     def __init__(self, address: str, node_name: str = "edge-1", incarnation: str = "1") -> None:
         self.node_name = node_name
@@ -133,7 +139,7 @@
         running: dict[str, tuple[int, int]] | None = None,
         suspects: tuple[str, ...] = (),
     ) -> WatchResponse:
-        """The versions, as soon as a majority stands behind the control scheduler."""
+        """Watch until the control plane node has contact with a majority, and return the response."""
         while True:
             answer = self.watch_once(draining=draining, running=running, suspects=suspects)
             if isinstance(answer, WatchResponse):
@@ -146,6 +152,7 @@
         running: dict[str, tuple[int, int]] | None = None,
         suspects: tuple[str, ...] = (),
     ) -> WatchResponse | UnconfirmedResponse:
+        """Send a watch, and return its response."""
         self._request_id += 1
         asked = WatchRequest(
             self._request_id,
@@ -164,11 +171,12 @@
         return answer
 
     def fetch(self, source: str, have: Version = (0, 0)) -> Answer:
+        """Fetch one source."""
         self._send(FetchRequest(source, have))
         return self.receive()
 
-    def catch_up(self) -> dict[str, Answer]:
-        """Watch once, and fetch whatever is new."""
+    def fetch_updates(self) -> dict[str, Answer]:
+        """Watch once, and fetch every source with a new version."""
         found: dict[str, Answer] = {}
         for source, version in self.watch().versions.items():
             held = self.versions.get(source, (0, 0))
@@ -178,11 +186,13 @@
         return found
 
     def receive(self) -> Answer:
+        """Receive one message."""
         (length,) = LENGTH.unpack(self._exactly(LENGTH.size))
         answer: Answer = decode(self._exactly(length), Answer)
         return answer
 
     def close(self) -> None:
+        """Close the connection."""
         self._socket.close()
 
     def _send(self, message: Struct) -> None:
@@ -194,25 +204,26 @@
         while len(data) < count:
             part = self._socket.recv(count - len(data))
             if not part:
-                raise ConnectionResetError("the session is over")
+                raise ConnectionResetError("the control plane node closed the session")
             data += part
         return bytes(data)
 
 
 class Reply(Struct):
-    """An answer to an operator's call."""
+    """A response to an operator's call."""
 
     status: int
     body: bytes
     headers: dict[str, str]
 
     def error_code(self) -> int:
+        """Return the error code in the body."""
         code = json.loads(self.body)["error"]["code"]
         assert isinstance(code, int)
         return code
 
 
-def call(
+def send_request(
     address: str,
     method: str,
     path: str,
@@ -221,7 +232,7 @@
     *,
     in_chunks: bool = False,
 ) -> Reply | None:
-    """One call on a connection of its own; None where there is no answer within a second."""
+    """Send one request on a new connection. Returns None without a response within a second."""
     host, port = split_address(address)
     connection = http.client.HTTPConnection(host, port, timeout=1.0)
     headers = {} if match is None else {"If-Match": match}
@@ -239,8 +250,8 @@
         connection.close()
 
 
-def configuration(generation: int, routes: int = 2, **changes: Any) -> bytes:
-    """A valid configuration."""
+def configuration_document(generation: int, routes: int = 2, **changes: Any) -> bytes:
+    """Return a valid configuration document."""
     document = {
         "generation": generation,
         "routes": [
@@ -260,21 +271,21 @@
     return json.dumps(document | changes).encode()
 
 
-def workers_of(edge: EdgeClient) -> WorkerList | None:
-    """The list of workers where it is new to the data plane scheduler."""
-    answer = edge.catch_up().get("workers")
+def fetch_new_workers(edge: EdgeClient) -> WorkerList | None:
+    """Fetch the list of workers, or return None if it is not newer than the client's."""
+    answer = edge.fetch_updates().get("workers")
     assert answer is None or isinstance(answer, WorkerList)
     return answer
 
 
-def first_workers(edge: EdgeClient) -> WorkerList:
-    """The first list of a holder of the lease."""
+def wait_for_leased_workers(edge: EdgeClient) -> WorkerList:
+    """Wait for a list that a holder of the lease has published, and return it."""
     found: list[WorkerList] = []
 
     def published() -> bool:
-        workers = workers_of(edge)
+        workers = fetch_new_workers(edge)
         found.extend([workers] if workers is not None else [])
         return bool(found) and found[-1].version[0] > UNLEASED_TERM
 
-    until(published, WORKERS_S, "a list of workers")
+    wait_until(published, WORKERS_TIMEOUT_S, "a list of workers is published")
     return found[-1]
--- a/tests/control_plane_process/test_http_server.py
+++ b/tests/control_plane_process/test_http_server.py
@@ -1,4 +1,4 @@
-"""The HTTP server on a loopback address, byte by byte."""
+"""Tests of the HTTP server on a loopback address, at the level of bytes."""
 
 from __future__ import annotations
 
@@ -15,18 +15,19 @@
 from tests.ports import free_port
 
 HOST = "127.0.0.1"
-Talk = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
+Conversation = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 
 
 async def echo(request: Request) -> Response:
+    """Return the method, path and body of the request, or raise an error for one path."""
     if request.path == "/fails":
         raise ValueError("a fault")
     await asyncio.sleep(0)
     return Response(200, f"{request.method} {request.path} ".encode() + request.body)
 
 
-def talk(conversation: Talk) -> HttpServer:
-    """Run the conversation with a server on a connection."""
+def run_conversation(conversation: Conversation) -> HttpServer:
+    """Run the conversation on a connection to a new server."""
     address = f"{HOST}:{free_port((HOST,))}"
     servers: list[HttpServer] = []
 
@@ -44,21 +45,22 @@
 
 
 async def answer(reader: asyncio.StreamReader) -> tuple[int, bytes, bytes]:
+    """Read one response, and return its status, head and body."""
     head = await reader.readuntil(b"\r\n\r\n")
     length = int(head.lower().split(b"content-length: ")[1].split(b"\r\n")[0])
     return int(head.split()[1]), head, await reader.readexactly(length)
 
 
-def test_requests_one_after_another_on_one_connection() -> None:
+def test_sequential_requests_on_one_connection() -> None:
     async def conversation(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         for number in range(3):
             writer.write(f"GET /{number} HTTP/1.1\r\nHost: h\r\n\r\n".encode())
             assert (await answer(reader))[::2] == (200, f"GET /{number} ".encode())
 
-    talk(conversation)
+    run_conversation(conversation)
 
 
-def test_requests_that_are_sent_without_waiting_are_answered_in_order() -> None:
+def test_pipelined_requests_are_answered_in_order() -> None:
     async def conversation(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         writer.write(
             b"PUT /a HTTP/1.1\r\nContent-Length: 3\r\n\r\nxyzGET /b HTTP/1.1\r\n\r\nGET /c HTTP/1.1\r\n\r\n"
@@ -67,7 +69,7 @@
         assert (await answer(reader))[2] == b"GET /b "
         assert (await answer(reader))[2] == b"GET /c "
 
-    talk(conversation)
+    run_conversation(conversation)
 
 
 BODIES = {
@@ -80,7 +82,7 @@
 
 
 @pytest.mark.parametrize("kind", BODIES)
-def test_a_request_may_arrive_in_any_segments(kind: str) -> None:
+def test_a_request_may_be_split_at_any_byte(kind: str) -> None:
     data = BODIES[kind]
 
     async def conversation(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -91,7 +93,7 @@
             writer.write(data[cut:])
             assert (await answer(reader))[2] == b"PUT /a 0123456789"
 
-    talk(conversation)
+    run_conversation(conversation)
 
 
 def test_a_large_body_is_received_completely() -> None:
@@ -101,7 +103,7 @@
         writer.write(b"PUT /a HTTP/1.1\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
         assert (await answer(reader))[2] == b"PUT /a " + body
 
-    talk(conversation)
+    run_conversation(conversation)
 
 
 @pytest.mark.parametrize(
@@ -125,38 +127,38 @@
         assert b'"error"' in body
         assert await reader.read() == b""
 
-    talk(conversation)
+    run_conversation(conversation)
 
 
-def test_an_error_in_a_handler_is_answered() -> None:
+def test_an_error_in_a_handler_is_answered_with_500() -> None:
     async def conversation(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         writer.write(b"GET /fails HTTP/1.1\r\n\r\nGET /b HTTP/1.1\r\n\r\n")
         assert (await answer(reader))[0] == 500
         assert (await answer(reader))[0] == 200
 
-    talk(conversation)
+    run_conversation(conversation)
 
 
-def test_the_end_of_the_connection_is_as_the_client_wants_it() -> None:
+def test_the_connection_is_closed_if_the_client_requests_it() -> None:
     async def conversation(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         writer.write(b"GET /a HTTP/1.1\r\nConnection: close\r\n\r\n")
         assert (await answer(reader))[0] == 200
         assert await reader.read() == b""
 
-    talk(conversation)
+    run_conversation(conversation)
 
 
-def test_a_client_that_expects_100_continue_gets_it() -> None:
+def test_a_client_that_expects_100_continue_receives_it() -> None:
     async def conversation(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         writer.write(b"PUT /a HTTP/1.1\r\nContent-Length: 2\r\nExpect: 100-continue\r\n\r\n")
         assert await reader.readuntil(b"\r\n\r\n") == b"HTTP/1.1 100 Continue\r\n\r\n"
         writer.write(b"xy")
         assert (await answer(reader))[2] == b"PUT /a xy"
 
-    talk(conversation)
+    run_conversation(conversation)
 
 
-def test_a_request_that_does_not_end_ends_the_connection(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_incomplete_request_times_out(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(http_server, "SWEEP_INTERVAL_S", 0.02)
     monkeypatch.setattr(http_connection, "REQUEST_TIMEOUT_S", 0.1)
 
@@ -165,7 +167,7 @@
         with pytest.raises((ConnectionError, asyncio.IncompleteReadError)):
             await reader.readexactly(1)
 
-    talk(conversation)
+    run_conversation(conversation)
 
 
 def test_connections_beyond_the_limit_are_closed(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -180,4 +182,4 @@
         writer.write(b"GET /a HTTP/1.1\r\n\r\n")
         assert (await answer(reader))[0] == 200
 
-    talk(conversation)
+    run_conversation(conversation)
--- a/tests/control_plane_process/test_worker_discovery.py
+++ b/tests/control_plane_process/test_worker_discovery.py
@@ -1,4 +1,4 @@
-"""The calls of the platform's list against a stand-in platform, with a lease that is held or not."""
+"""Tests of worker discovery against a fake platform, with and without the discovery lease."""
 
 from __future__ import annotations
 
@@ -15,14 +15,15 @@
 from reedspoke.control_plane.workers.discovery_lease import DiscoveryLease, OutgoingMessage
 from reedspoke.control_plane.workers.platform_client import PlatformClient, PlatformError, PlatformRateError
 from reedspoke.control_plane.workers.worker_list import WorkerListState
-from tests.control_plane_process.stand_ins import Platform, instance
+from tests.control_plane_process.stand_ins import FakePlatform, platform_instance
 
 OWN = "own"
 
 
 @pytest.fixture
-def platform() -> Iterator[Platform]:
-    made = Platform("127.0.0.1")
+def platform() -> Iterator[FakePlatform]:
+    """Provide a fake platform with three workers."""
+    made = FakePlatform("127.0.0.1")
     yield made
     made.close()
 
@@ -31,14 +32,14 @@
 def _short_times(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(discovery, "POLL_INTERVAL_S", 0.05)
     monkeypatch.setattr(discovery, "RETRY_BACKOFF_S", 0.02)
-    monkeypatch.setattr(discovery, "MAX_FAILING_S", 0.2)
+    monkeypatch.setattr(discovery, "MAX_FAILURE_PERIOD_S", 0.2)
     monkeypatch.setattr(platform_client, "CALL_TIMEOUT_S", 0.3)
 
 
 class DiscoveryHarness:
     """Worker discovery whose lease has one voter, this process."""
 
-    def __init__(self, platform: Platform, rate_per_s: float = 10_000.0) -> None:
+    def __init__(self, platform: FakePlatform, rate_per_s: float = 10_000.0) -> None:
         self.loop = asyncio.get_running_loop()
         self.lease = DiscoveryLease(OWN, self.loop.time(), fresh_fleet=True)
         self.worker_list = WorkerListState()
@@ -57,14 +58,17 @@
         )
 
     def adjust_workers(self, entries: tuple[WorkerEntry, ...]) -> tuple[WorkerEntry, ...] | None:
+        """Adjust entries as the test sets it, or return None while the adjustment is unknown."""
         if not self.known:
             return None
         return tuple(structs.replace(entry, draining=entry.draining or self.drained) for entry in entries)
 
     def acquire_lease(self) -> None:
+        """Make this process the only voter, which grants itself the lease."""
         self.lease.set_voters((OWN,))
 
-    async def until(self, condition: Callable[[], object]) -> None:
+    async def wait_until(self, condition: Callable[[], object]) -> None:
+        """Tick the lease until the condition is true."""
         async with asyncio.timeout(5):
             while not condition():
                 self.lease.tick(self.loop.time())
@@ -72,13 +76,18 @@
                 await asyncio.sleep(0.005)
 
     async def run_for(self, seconds: float) -> None:
+        """Tick the lease for this time."""
         end = self.loop.time() + seconds
-        await self.until(lambda: self.loop.time() >= end)
+        await self.wait_until(lambda: self.loop.time() >= end)
 
 
 def run_scenario(
-    platform: Platform, scenario: Callable[[DiscoveryHarness], Awaitable[None]], rate_per_s: float = 10_000.0
+    platform: FakePlatform,
+    scenario: Callable[[DiscoveryHarness], Awaitable[None]],
+    rate_per_s: float = 10_000.0,
 ) -> None:
+    """Run the scenario with a running discovery task."""
+
     async def run() -> None:
         harness = DiscoveryHarness(platform, rate_per_s)
         task = asyncio.create_task(harness.discovery.run())
@@ -89,7 +98,7 @@
     asyncio.run(run())
 
 
-def test_who_does_not_hold_the_lease_does_not_call(platform: Platform) -> None:
+def test_the_platform_is_not_called_without_the_lease(platform: FakePlatform) -> None:
     async def scenario(harness: DiscoveryHarness) -> None:
         await harness.run_for(0.2)
         assert platform.calls == 0
@@ -97,36 +106,36 @@
     run_scenario(platform, scenario)
 
 
-def test_the_holder_publishes_all_pages_and_every_change(platform: Platform) -> None:
+def test_the_holder_publishes_all_pages_and_every_change(platform: FakePlatform) -> None:
     async def scenario(harness: DiscoveryHarness) -> None:
         harness.acquire_lease()
-        await harness.until(lambda: harness.published)
+        await harness.wait_until(lambda: harness.published)
         assert [worker.instance_id for worker in harness.published[0].workers] == ["i-1", "i-2", "i-3"]
         await harness.run_for(0.2)
         assert len(harness.published) == 1
-        platform.instances[2] = instance("i-3", state="draining")
-        await harness.until(lambda: len(harness.published) == 2)
+        platform.instances[2] = platform_instance("i-3", state="draining")
+        await harness.wait_until(lambda: len(harness.published) == 2)
         assert [worker.draining for worker in harness.published[1].workers] == [False, False, True]
 
     run_scenario(platform, scenario)
 
 
 @pytest.mark.parametrize("status", [500, 503, 404])
-def test_a_holder_whose_calls_fail_gives_the_lease_up(platform: Platform, status: int) -> None:
+def test_a_holder_whose_calls_fail_releases_the_lease(platform: FakePlatform, status: int) -> None:
     async def scenario(harness: DiscoveryHarness) -> None:
         harness.acquire_lease()
-        await harness.until(lambda: harness.published)
+        await harness.wait_until(lambda: harness.published)
         platform.status = status
-        await harness.until(lambda: not harness.lease.is_held(harness.loop.time()))
+        await harness.wait_until(lambda: not harness.lease.is_held(harness.loop.time()))
         assert harness.worker_list.current == harness.published[0]
 
     run_scenario(platform, scenario)
 
 
-def test_a_holder_that_is_called_too_often_keeps_the_lease(platform: Platform) -> None:
+def test_a_rate_limited_holder_keeps_the_lease(platform: FakePlatform) -> None:
     async def scenario(harness: DiscoveryHarness) -> None:
         harness.acquire_lease()
-        await harness.until(lambda: harness.published)
+        await harness.wait_until(lambda: harness.published)
         platform.status = 429
         await harness.run_for(0.6)
         assert harness.lease.is_held(harness.loop.time())
@@ -134,21 +143,21 @@
     run_scenario(platform, scenario)
 
 
-def test_a_platform_that_is_silent_is_one_that_fails(platform: Platform) -> None:
+def test_a_platform_that_does_not_respond_counts_as_failing(platform: FakePlatform) -> None:
     async def scenario(harness: DiscoveryHarness) -> None:
         harness.acquire_lease()
         server = await asyncio.start_server(lambda reader, writer: None, "127.0.0.1", 0)
         host, port = server.sockets[0].getsockname()
         harness.discovery.update_settings(CloudApi(f"{host}:{port}", 1000.0))
-        await harness.until(lambda: harness.lease.is_held(harness.loop.time()))
-        await harness.until(lambda: not harness.lease.is_held(harness.loop.time()))
+        await harness.wait_until(lambda: harness.lease.is_held(harness.loop.time()))
+        await harness.wait_until(lambda: not harness.lease.is_held(harness.loop.time()))
         assert harness.published == []
         server.close()
 
     run_scenario(platform, scenario)
 
 
-def test_the_rate_of_the_platform_is_kept(platform: Platform) -> None:
+def test_calls_stay_below_the_platforms_rate_limit(platform: FakePlatform) -> None:
     async def scenario(harness: DiscoveryHarness) -> None:
         harness.acquire_lease()
         await harness.run_for(1.0)
@@ -157,16 +166,16 @@
     run_scenario(platform, scenario, rate_per_s=10.0)
 
 
-def test_a_newer_list_elsewhere_is_overtaken_at_once(
-    platform: Platform, monkeypatch: pytest.MonkeyPatch
+def test_a_newer_list_of_another_process_is_superseded_immediately(
+    platform: FakePlatform, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(discovery, "POLL_INTERVAL_S", 60.0)
 
     async def scenario(harness: DiscoveryHarness) -> None:
         harness.acquire_lease()
-        await harness.until(lambda: harness.published)
+        await harness.wait_until(lambda: harness.published)
         harness.worker_list.observe_version((70, 4))
-        await harness.until(lambda: len(harness.published) == 2)
+        await harness.wait_until(lambda: len(harness.published) == 2)
         assert harness.published[1].version > (70, 4)
         assert harness.published[1].workers == harness.published[0].workers
         pages = 2
@@ -175,10 +184,10 @@
     run_scenario(platform, scenario)
 
 
-def test_a_list_from_before_the_lease_was_lost_is_not_published_again(platform: Platform) -> None:
+def test_a_list_read_before_the_lease_was_lost_is_not_published_again(platform: FakePlatform) -> None:
     async def scenario(harness: DiscoveryHarness) -> None:
         harness.acquire_lease()
-        await harness.until(lambda: harness.published)
+        await harness.wait_until(lambda: harness.published)
         harness.lease.step_down(harness.loop.time())
         harness.discovery.check_lease()
         harness.worker_list.observe_version((70, 4))
@@ -189,13 +198,13 @@
     run_scenario(platform, scenario)
 
 
-def test_a_holder_that_is_fenced_between_two_pages_does_not_call_again(platform: Platform) -> None:
-    """Some other one has published under a higher term: the rest of the list is not asked for."""
+def test_a_holder_fenced_between_two_pages_does_not_call_again(platform: FakePlatform) -> None:
+    """Another process has published under a higher term, so the remaining pages are not requested."""
 
     async def scenario(harness: DiscoveryHarness) -> None:
         harness.acquire_lease()
-        await harness.until(lambda: platform.calls == 1)
-        harness.lease.set_voters(("another", "third"))  # it gets no further lease
+        await harness.wait_until(lambda: platform.calls == 1)
+        harness.lease.set_voters(("another", "third"))  # This process cannot acquire the lease again.
         harness.lease.observe_term(harness.lease.term + 5)
         harness.discovery.check_lease()
         await harness.run_for(0.6)
@@ -205,7 +214,7 @@
     run_scenario(platform, scenario, rate_per_s=10.0)
 
 
-def test_a_call_goes_over_one_connection_until_it_ends(platform: Platform) -> None:
+def test_calls_share_one_connection_until_it_is_closed(platform: FakePlatform) -> None:
     async def run() -> None:
         client = PlatformClient(platform.address)
         pages = [await client.fetch_page(None)]
@@ -237,7 +246,7 @@
         b'HTTP/1.1 200 OK\r\nContent-Length: 16\r\n\r\n{"instances":[',
     ],
 )
-def test_an_answer_that_is_none_is_an_error(answer: bytes) -> None:
+def test_a_malformed_response_is_an_error(answer: bytes) -> None:
     async def run() -> None:
         def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             writer.write(answer)
@@ -252,7 +261,7 @@
     asyncio.run(run())
 
 
-def test_a_platform_that_closes_idle_connections_is_called_again(platform: Platform) -> None:
+def test_a_platform_that_closes_its_connections_is_called_on_new_ones(platform: FakePlatform) -> None:
     page = b'{"instances":[],"next_token":null}'
     head = b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: %d\r\n\r\n" % len(page)
 
@@ -272,21 +281,21 @@
     asyncio.run(run())
 
 
-def test_a_process_without_a_list_reads_one_before_the_lease_and_the_holder_replaces_it(
-    platform: Platform,
+def test_a_list_read_without_the_lease_is_replaced_by_the_lease_holder(
+    platform: FakePlatform,
 ) -> None:
     async def scenario(harness: DiscoveryHarness) -> None:
         await harness.discovery.discover_without_lease()
         assert [workers.version for workers in harness.published] == [(0, 1)]
         harness.acquire_lease()
-        await harness.until(lambda: len(harness.published) == 2)
+        await harness.wait_until(lambda: len(harness.published) == 2)
         assert harness.published[1].version[0] > 0
         assert harness.published[1].workers == harness.published[0].workers
 
     run_scenario(platform, scenario)
 
 
-def test_a_first_list_is_asked_for_until_the_platform_answers(platform: Platform) -> None:
+def test_the_first_list_is_requested_until_the_platform_responds(platform: FakePlatform) -> None:
     platform.status = 503
 
     async def scenario(harness: DiscoveryHarness) -> None:
@@ -294,27 +303,27 @@
         await harness.run_for(0.2)
         assert harness.published == []
         platform.status = 200
-        await harness.until(lambda: harness.published)
+        await harness.wait_until(lambda: harness.published)
         await reading
 
     run_scenario(platform, scenario)
 
 
-def test_a_new_mark_is_published_without_the_platform(platform: Platform) -> None:
+def test_a_changed_adjustment_is_published_without_the_platform(platform: FakePlatform) -> None:
     async def scenario(harness: DiscoveryHarness) -> None:
         harness.acquire_lease()
-        await harness.until(lambda: harness.published)
+        await harness.wait_until(lambda: harness.published)
         platform.status = 500
         await harness.run_for(0.2)
         harness.drained = True
         count = len(harness.published)
-        await harness.until(lambda: len(harness.published) > count)
+        await harness.wait_until(lambda: len(harness.published) > count)
         assert all(worker.draining for worker in harness.published[-1].workers)
 
     run_scenario(platform, scenario)
 
 
-def test_nothing_is_published_while_the_marks_are_not_known(platform: Platform) -> None:
+def test_nothing_is_published_while_the_adjustment_is_unknown(platform: FakePlatform) -> None:
     async def scenario(harness: DiscoveryHarness) -> None:
         harness.known = False
         task = asyncio.create_task(harness.discovery.discover_without_lease())
@@ -322,7 +331,7 @@
         await harness.run_for(0.3)
         assert harness.published == []
         harness.known = True
-        await harness.until(lambda: harness.published)
+        await harness.wait_until(lambda: harness.published)
         await asyncio.wait_for(task, 5)
 
     run_scenario(platform, scenario)
