--- a/reedspoke/acme/driver.py
+++ b/reedspoke/acme/driver.py
@@ -24,7 +24,7 @@
 from reedspoke.tls.certificate import Pair, UnfitError, fit, pair
 from reedspoke.tls.meters import Meters
 from reedspoke.tls.store import Store, StoreError
-from reedspoke.units import seconds
+from reedspoke.units import parse_seconds
 
 log = logging.getLogger("reedspoke")
 
@@ -242,12 +242,12 @@
             await self._in(self._commands, partial(self._command, dns, "add", step.host, told))
         except challenges.CommandError as error:
             return words.Failed(Trouble.LOCAL, str(error))
-        await asyncio.sleep(seconds(dns.settle))
+        await asyncio.sleep(parse_seconds(dns.settle))
         return words.Done()
 
     def _command(self, dns: DnsChallenge, verb: str, host: str, told: str) -> None:
         name, value = challenges.dns_name(host), challenges.dns_value(told)
-        challenges.command(dns.command, verb, name, value, seconds(dns.limit))
+        challenges.command(dns.command, verb, name, value, parse_seconds(dns.limit))
 
     async def _withdraw(self, step: words.Withdraw) -> None:
         if step.challenge == "http-01":
--- a/reedspoke/acme/network.py
+++ b/reedspoke/acme/network.py
@@ -35,7 +35,7 @@
 from reedspoke.operator.types import Authority
 from reedspoke.sealed import TornError
 from reedspoke.tls.store import Store
-from reedspoke.units import seconds
+from reedspoke.units import parse_seconds
 
 log = logging.getLogger("reedspoke")
 
@@ -252,7 +252,7 @@
     # ---- calls ----
 
     def _network(self, key: str, uri: str | None) -> Network:
-        limit = max(0.05, seconds(self.authority.timeout))
+        limit = max(0.05, parse_seconds(self.authority.timeout))
         net = Network(
             key=accounts.jwk(key),
             alg=ES256,
--- a/reedspoke/acme/service.py
+++ b/reedspoke/acme/service.py
@@ -28,7 +28,7 @@
 from reedspoke.tls.handshakes import Handshakes
 from reedspoke.tls.meters import Meters
 from reedspoke.tls.store import Store
-from reedspoke.units import microseconds
+from reedspoke.units import parse_microseconds
 
 log = logging.getLogger("reedspoke")
 
@@ -40,7 +40,8 @@
 def certificate_request(certificate: Certificate, acme: Acme) -> CertificateRequest:
     """A certificate of the operator file as the engine knows it."""
     authorities = {
-        one.name: Authority(one.name, one.tries_a_day, microseconds(one.timeout)) for one in acme.authorities
+        one.name: Authority(one.name, one.tries_a_day, parse_microseconds(one.timeout))
+        for one in acme.authorities
     }
     names = certificate.authorities or list(authorities)
     return CertificateRequest(
@@ -53,14 +54,16 @@
 
 def renewal_settings(acme: Acme) -> RenewalSettings:
     """What the operator file says of all certificates."""
-    first, longest = microseconds(acme.backoff.first), microseconds(acme.backoff.most)
-    challenge = microseconds(acme.dns.limit) + microseconds(acme.dns.settle) if acme.dns else POLL_MOST
+    first, longest = parse_microseconds(acme.backoff.first), parse_microseconds(acme.backoff.most)
+    challenge = (
+        parse_microseconds(acme.dns.limit) + parse_microseconds(acme.dns.settle) if acme.dns else POLL_MOST
+    )
     return RenewalSettings(
         policy=Policy(acme.renew_at, acme.spread),
         first_backoff=first,
         longest_backoff=longest,
         first_poll_interval=min(first, POLL_MOST),
-        order_timeout=microseconds(acme.order_limit),
+        order_timeout=parse_microseconds(acme.order_limit),
         challenge_timeout=challenge,
         use_ari=acme.use_ari,
     )
@@ -132,7 +135,7 @@
         told = self.operator
         assert told.tls is not None
         self.front.names.want((one.name, one.hosts) for one in told.certificates)
-        self.handshakes.bound(microseconds(told.tls.handshake), told.tls.handshakes)
+        self.handshakes.bound(parse_microseconds(told.tls.handshake), told.tls.handshakes)
         before = set(self.engine.renewals)
         steps: list[words.Step] = []
         if told.acme is not None:
--- a/reedspoke/adapter.py
+++ b/reedspoke/adapter.py
@@ -28,7 +28,7 @@
     "dial_failed": plain.Reason.CONNECT_FAILED,
     "dropped": plain.Reason.RESET,
     "revoked": plain.Reason.CANCELLED,
-    "unused": plain.Reason.MOOT,
+    "unused": plain.Reason.NOT_EXECUTED,
 }
 STATES = {"IN": plain.WorkerState.UP, "LAME": plain.WorkerState.DRAINING, "OUT": plain.WorkerState.GONE}
 LISTS = {
@@ -37,7 +37,7 @@
     "warm_copy": plain.ListKind.STALE,
     "lost": plain.ListKind.LOST,
 }
-NOTES = {1: plain.NoteKind.STARTED, 2: plain.NoteKind.PROGRESS}
+NOTES = {1: plain.UpdateKind.STARTED, 2: plain.UpdateKind.PROGRESS}
 
 
 class WireError(ReedspokeError):
@@ -177,9 +177,9 @@
 DECODE = {name: msgspec.json.Decoder(message).decode for name, message in MESSAGES.items()}
 
 
-def entry(told: Member) -> plain.Entry:
+def entry(told: Member) -> plain.WorkerEntry:
     state = known(STATES, told.condition, "condition")
-    return plain.Entry(told.worker, told.az, told.sku, told.bay, state, told.power_hint, told.born)
+    return plain.WorkerEntry(told.worker, told.az, told.sku, told.bay, state, told.power_hint, told.born)
 
 
 def request(told: Accept) -> plain.Request:
@@ -190,10 +190,12 @@
     )  # fmt: skip
 
 
-def outcome(told: ReportBack) -> plain.Outcome:
+def outcome(told: ReportBack) -> plain.AttemptOutcome:
     reason = known(REASONS, told.reason, "reason")
     report = tuple(told.stats)
-    return plain.Outcome(told.handle, told.copy, told.worker, reason, told.cost_time, told.ended, report)
+    return plain.AttemptOutcome(
+        told.handle, told.copy, told.worker, reason, told.cost_time, told.ended, report
+    )
 
 
 def event(told: Told) -> plain.Event | None:
@@ -205,19 +207,19 @@
             return outcome(told)
         case Change():
             kind = NOTES.get(told.what)
-            return plain.Note(told.handle, told.copy, told.worker, kind, told.x) if kind else None
+            return plain.AttemptUpdate(told.handle, told.copy, told.worker, kind, told.x) if kind else None
         case Alarm():
             return plain.Timer(told.key_back)
         case Announce():
             entries = [entry(member) for member in told.members_list]
-            return plain.Members(known(LISTS, told.kind, "kind"), entries)
+            return plain.WorkerListUpdate(known(LISTS, told.kind, "kind"), entries)
         case Abandoned():
-            return plain.Gone(told.handle)
+            return plain.ClientDisconnected(told.handle)
         case Checked():
             reason = known(REASONS, told.reason, "reason")
-            return plain.Probed(told.worker, reason, told.cost_time, tuple(told.stats))
+            return plain.ProbeResult(told.worker, reason, told.cost_time, tuple(told.stats))
         case HeadReceived():
-            return plain.First(told.handle, told.copy)
+            return plain.ResponseStarted(told.handle, told.copy)
     return None
 
 
@@ -228,7 +230,7 @@
             fields = {"who": who, "handle": action.id, "worker": action.worker, "allow_for": action.timeout}
             return {"DISPATCH": fields}
         case plain.SetTimer():
-            return {"REMIND": {"who": who, "after": action.after, "key_back": action.token}}
+            return {"REMIND": {"who": who, "after": action.delay, "key_back": action.token}}
         case plain.Cancel():
             return {"RETRACT": {"who": who, "handle": action.id, "copy": action.attempt}}
         case plain.Refuse():
@@ -323,7 +325,7 @@
             changed |= transport.receive(self._clock, told.body)
         if changed:
             actions = instance.handle(
-                self._clock, plain.Others(transport.load_sharing.loads_of_others(instance.workers))
+                self._clock, plain.PeerLoads(transport.load_sharing.loads_of_others(instance.workers))
             )
             for action in actions:
                 self._reply.append(self._encode(message(told.who, action)))
--- a/reedspoke/assembly.py
+++ b/reedspoke/assembly.py
@@ -16,7 +16,7 @@
 from reedspoke.net.node import Node
 from reedspoke.operator.types import Operator
 from reedspoke.start import join_peers
-from reedspoke.units import microseconds
+from reedspoke.units import parse_microseconds
 
 if TYPE_CHECKING:
     from reedspoke.fleet.service import FleetOptions
@@ -46,7 +46,7 @@
     if operator.fleet is not None and peers is not None:
         from reedspoke.fleet.service import build_fleet
 
-        me = operator.fleet.me if operator.fleet.members else config.settings.me
+        me = operator.fleet.me if operator.fleet.members else config.settings.scheduler_index
         zone = config.settings.zone
         options = fleet_options(operator.fleet, len(peers.each), zone)
         try:
@@ -70,8 +70,10 @@
         return Peers(address(fleet.listen, "fleet.listen") if fleet.listen else each[fleet.me], each)
     if config.peers is None or not config.peers.each:
         raise ConfigError("fleet.members: is missing, and the platform names no peers")
-    if config.settings.me >= len(config.peers.each):
-        raise ConfigError(f"fleet: scheduler {config.settings.me} has no place among the platform's peers")
+    if config.settings.scheduler_index >= len(config.peers.each):
+        raise ConfigError(
+            f"fleet: scheduler {config.settings.scheduler_index} has no place among the platform's peers"
+        )
     return config.peers
 
 
@@ -88,12 +90,12 @@
     if max(voters) >= members:
         raise ConfigError(f"fleet.granters: {max(voters)} is no place among {members} members")
     roles = [
-        SingletonRole(one.name, microseconds(one.term), not one.zone or one.zone == zone)
+        SingletonRole(one.name, parse_microseconds(one.term), not one.zone or one.zone == zone)
         for one in fleet.duties
     ]
     calls = {
         one.name: PeriodicCallOptions(
-            CallTarget(one.call.url, microseconds(one.call.limit)), microseconds(one.call.every)
+            CallTarget(one.call.url, parse_microseconds(one.call.limit)), parse_microseconds(one.call.every)
         )
         for one in fleet.duties
         if one.call is not None
@@ -104,7 +106,7 @@
         roles.append(SingletonRole(CERTIFICATES, CERTIFICATES_TERM))
     return FleetOptions(
         VoterConfiguration(members, voters, fleet.drift),
-        microseconds(fleet.period),
+        parse_microseconds(fleet.period),
         tuple(roles),
         calls,
         delegated_roles,
@@ -135,7 +137,7 @@
     reducer = node.runtime.reducer
     meters = Meters()
     handshakes = Handshakes(
-        reducer.core, reducer.clients, microseconds(operator.tls.handshake), operator.tls.handshakes
+        reducer.core, reducer.clients, parse_microseconds(operator.tls.handshake), operator.tls.handshakes
     )
     reducer.add(handshakes)
     try:
--- a/reedspoke/booking/limits.py
+++ b/reedspoke/booking/limits.py
@@ -8,7 +8,7 @@
 
 from reedspoke.booking.messages import BookingCommand, ReserveCommand
 from reedspoke.booking.settings import Bookings
-from reedspoke.units import seconds
+from reedspoke.units import parse_seconds
 
 OTHER_TENANTS = ""  # the key of the limit for tenants that are not named
 
@@ -57,7 +57,7 @@
     return BookingLimits(
         {zone.name: zone.cap for zone in settings.zones},
         {team.tenant: team.most for team in settings.teams},
-        step_s=int(seconds(settings.step)),
-        horizon_s=int(seconds(settings.horizon)),
-        max_length_s=int(seconds(settings.longest)),
+        step_s=int(parse_seconds(settings.step)),
+        horizon_s=int(parse_seconds(settings.horizon)),
+        max_length_s=int(parse_seconds(settings.longest)),
     )
--- a/reedspoke/booking/subsystem.py
+++ b/reedspoke/booking/subsystem.py
@@ -21,7 +21,7 @@
 from reedspoke.fleet.replicated_log.log_store import LogStore
 from reedspoke.net.runtime import Runtime
 from reedspoke.net.subsystem import NAME, Call, Subsystem
-from reedspoke.units import seconds
+from reedspoke.units import parse_seconds
 
 LOG_NAME = "bookings"  # of the files in the operator's folder
 INCARNATION_BITS = 0xFFFF_FFFF
@@ -32,7 +32,7 @@
     """Stands on the fleet's own subsystem. Raises ValueError for a role of the same name, LogStoreError."""
     now = runtime.clock.now()
     incarnation = now // US_PER_MS & INCARNATION_BITS
-    lease_ttl_us = int(seconds(settings.term) * US_PER_SECOND)
+    lease_ttl_us = int(parse_seconds(settings.term) * US_PER_SECOND)
     node = BookingNode(
         fleet_node, limits_from(settings), lease_ttl_us, incarnation, lambda now: now // US_PER_SECOND
     )
--- a/reedspoke/cli/keys.py
+++ b/reedspoke/cli/keys.py
@@ -31,12 +31,12 @@
     name = "duration"
 
     def convert(self, value: Any, param: click.Parameter | None, ctx: click.Context | None) -> int:
-        from reedspoke.units import microseconds
+        from reedspoke.units import parse_microseconds
 
         if isinstance(value, int):
             return value
         try:
-            return microseconds(str(value))
+            return parse_microseconds(str(value))
         except ValueError as error:
             self.fail(str(error), param, ctx)
 
--- a/reedspoke/fleet/component.py
+++ b/reedspoke/fleet/component.py
@@ -176,7 +176,7 @@
     # ---- effects ----
 
     def _publish_loads(self, load_sharing: LoadSharing) -> None:
-        self.core.tell(api.Others(load_sharing.loads_of_others(self.state.hosts)))
+        self.core.tell(api.PeerLoads(load_sharing.loads_of_others(self.state.hosts)))
 
     def after(self) -> None:
         """Called behind each event of the reducer: turns what the node has collected into effects."""
--- a/reedspoke/fleet/load_sharing.py
+++ b/reedspoke/fleet/load_sharing.py
@@ -46,10 +46,10 @@
 def reserved_by(module: Dispatcher) -> WorkerLoads:
     """What the attempts of this scheduler have reserved now."""
     loads: WorkerLoads = {}
-    for attempt in module.out.values():
+    for attempt in module.in_flight.values():
         if not attempt.lost_at:
             worker = attempt.worker
-            loads[worker.id] = worker.used, worker.load
+            loads[worker.id] = worker.used_slots, worker.work_in_flight
     return loads
 
 
--- a/reedspoke/fleet/service.py
+++ b/reedspoke/fleet/service.py
@@ -74,12 +74,12 @@
     where the settings allow it, everything else where there are `options`. Raises FrameKeysError.
     """
     settings, now = runtime.reducer.settings, runtime.clock.now()
-    members = max(len(peers.each), settings.schedulers if settings.limits.peers else 0)
+    members = max(len(peers.each), settings.scheduler_count if settings.limits.peer_messages else 0)
     key_file = options.key_file if options is not None else ""
     keys = load_keys(key_file) if key_file else None
     channel = FrameChannel(node_id, members, now // US_PER_INCARNATION & FIELD_MASK, keys)
     peer_socket = PeerSocket(runtime, peers, node_id, channel, key_file)
-    load_sharing = LoadSharing(members) if settings.limits.peers else None
+    load_sharing = LoadSharing(members) if settings.limits.peer_messages else None
     node = FleetNode(channel)
     parts: list[PeerSocket | RoleCallClient] = [peer_socket]
     if options is not None:
--- a/reedspoke/identity/extension.py
+++ b/reedspoke/identity/extension.py
@@ -24,7 +24,7 @@
 from reedspoke.net.message import Message
 from reedspoke.operator.check import OperatorError, reloaded
 from reedspoke.operator.types import Identity, Operator
-from reedspoke.units import microseconds
+from reedspoke.units import parse_microseconds
 
 log = logging.getLogger("reedspoke")
 
@@ -35,7 +35,9 @@
 
 def token_policy(identity: Identity) -> TokenPolicy:
     """What the operator file demands of tokens."""
-    return TokenPolicy(identity.audience, microseconds(identity.skew), microseconds(identity.longest))
+    return TokenPolicy(
+        identity.audience, parse_microseconds(identity.skew), parse_microseconds(identity.longest)
+    )
 
 
 def callers_of(identity: Identity) -> list[Caller]:
--- a/reedspoke/interface.py
+++ b/reedspoke/interface.py
@@ -10,7 +10,7 @@
 from msgspec import Struct, field
 
 
-class Effect(Enum):
+class Idempotency(Enum):
     """What running a job twice would do."""
 
     SAFE = "safe"
@@ -18,7 +18,7 @@
     UNSAFE = "unsafe"
 
 
-class Group(Enum):
+class DedupScope(Enum):
     """The workers that drop each other's repeats of a keyed job."""
 
     ALL = "all"
@@ -36,7 +36,7 @@
     CONNECT_FAILED = "connect_failed"
     RESET = "reset"
     CANCELLED = "cancelled"
-    MOOT = "moot"
+    NOT_EXECUTED = "moot"
 
 
 class WorkerState(Enum):
@@ -52,10 +52,10 @@
     LOST = "lost"  # a call for the list failed or the watch broke
 
 
-class NoteKind(Enum):
+class UpdateKind(Enum):
     STARTED = "started"
     PROGRESS = "progress"
-    MUTE = "mute"  # the worker has not acknowledged the attempt in time, though all of it was sent
+    UNACKNOWLEDGED = "mute"  # the worker has not acknowledged the attempt in time, though all of it was sent
 
 
 # ---- settings ----
@@ -68,21 +68,21 @@
 
 class ClassSettings(Struct, frozen=True):
     name: str
-    effect: Effect
-    group: Group
-    window: int  # a keyed job's repeats are dropped for this long
-    aim: int  # an answer within aim + stretch x work earns the full worth
+    idempotency: Idempotency
+    dedup_scope: DedupScope
+    dedup_window: int  # a keyed job's repeats are dropped for this long
+    latency_target: int  # an answer within aim + stretch x work earns the full worth
     stretch: float
     deadline: int
-    worth: float
-    late_worth: float  # share of the worth that a late answer earns
-    kind: int = -1  # the one kind of worker that runs it (index into Settings.kinds), -1: any
-    stream: bool = False
+    value: float
+    late_value_share: float  # share of the worth that a late answer earns
+    worker_kind: int = -1  # the one kind of worker that runs it (index into Settings.kinds), -1: any
+    streaming: bool = False
 
     def __post_init__(self) -> None:
-        require(self.aim > 0, "aim", "be above 0")
+        require(self.latency_target > 0, "aim", "be above 0")
         require(self.deadline > 0, "deadline", "be above 0")
-        require(self.window >= 0, "window", "not be negative")
+        require(self.dedup_window >= 0, "window", "not be negative")
         require(self.stretch >= 0, "stretch", "not be negative")
 
 
@@ -96,11 +96,11 @@
 
 class Limits(Struct, frozen=True):
     max_attempts: int
-    cancel: bool
-    probes: bool
+    can_cancel: bool
+    can_probe: bool
     max_retry_after: int  # longest advice that clients heed; 0: they get none
     connect_timeout: int
-    peers: bool = False  # schedulers may tell each other what they hold
+    peer_messages: bool = False  # schedulers may tell each other what they hold
 
     def __post_init__(self) -> None:
         require(self.max_attempts >= 1, "max_attempts", "be at least 1")
@@ -110,108 +110,112 @@
 class Rules(Struct, frozen=True):
     drain_grace: int
     answer_slack: int
-    ask_within: int  # 0: the list is pushed
-    cold_from: float
-    cold_time: int
-    fall_multiple: float
-    fall_time: int
+    list_request_within: int  # 0: the list is pushed
+    cold_min_share: float
+    warm_up_time: int
+    overload_multiple: float
+    overload_window: int
 
     def __post_init__(self) -> None:
-        require(0 < self.cold_from <= 1, "cold_from", "be above 0 and at most 1")
-        require(self.cold_time >= 0, "cold_time", "not be negative")
-        require(self.fall_multiple > 0, "fall_multiple", "be above 0")
-        require(self.fall_time >= 0, "fall_time", "not be negative")
+        require(0 < self.cold_min_share <= 1, "cold_from", "be above 0 and at most 1")
+        require(self.warm_up_time >= 0, "cold_time", "not be negative")
+        require(self.overload_multiple > 0, "fall_multiple", "be above 0")
+        require(self.overload_window >= 0, "fall_time", "not be negative")
 
 
 class Settings(Struct, frozen=True):
-    me: int
-    schedulers: int
+    scheduler_index: int
+    scheduler_count: int
     zone: str
     classes: tuple[ClassSettings, ...]
     tenants: tuple[TenantSettings, ...]
-    kinds: tuple[str, ...]
+    worker_kinds: tuple[str, ...]
     limits: Limits
     rules: Rules
-    tick: int  # events come no closer together than this
-    ask_for_list: bool  # the list of workers comes only when asked for
-    tells_start: bool
-    progress_every: int  # 0: no progress notes
+    min_event_interval: int  # events come no closer together than this
+    list_on_request: bool  # the list of workers comes only when asked for
+    reports_start: bool
+    progress_interval: int  # 0: no progress notes
     report_fields: tuple[str, ...]  # names of the values of a load report, in order
     report_in_answers: bool
-    worth_by_work: bool  # a job's worth is its class's for each unit of work, else for each request
-    cross_zone_price: float  # share of the service that crossing zones with every attempt costs
+    value_by_work: bool  # a job's worth is its class's for each unit of work, else for each request
+    cross_zone_cost: float  # share of the service that crossing zones with every attempt costs
 
     def __post_init__(self) -> None:
-        require(self.schedulers >= 1, "schedulers", "be at least 1")
-        require(self.tick > 0, "tick", "be above 0")
+        require(self.scheduler_count >= 1, "schedulers", "be at least 1")
+        require(self.min_event_interval > 0, "tick", "be above 0")
         require(len(self.classes) > 0, "classes", "name at least one class")
-        require(all(cls.kind < len(self.kinds) for cls in self.classes), "kind", "be an index into `kinds`")
+        require(
+            all(cls.worker_kind < len(self.worker_kinds) for cls in self.classes),
+            "kind",
+            "be an index into `kinds`",
+        )
 
 
 # ---- events ----
 
 
-class Entry(Struct):
+class WorkerEntry(Struct):
     worker: str
     zone: str
     kind: str
     cell: int
     state: WorkerState
     weight: float
-    born: int  # time of its latest start, 0: long ago
+    started_at: int  # time of its latest start, 0: long ago
 
 
-class Members(Struct):
+class WorkerListUpdate(Struct):
     kind: ListKind
-    entries: list[Entry]
+    entries: list[WorkerEntry]
 
 
 class Request(Struct):
     id: int
-    cls: str
+    class_name: str
     deadline: int
-    hint: int = 0  # expected work, 0: not told
+    work_hint: int = 0  # expected work, 0: not told
     slots: int = 1
     memory: float = 0.0
     tenant: str = ""
-    key: str = ""
+    job_key: str = ""
 
 
-class Outcome(Struct):
+class AttemptOutcome(Struct):
     id: int
     attempt: int
     worker: str
     reason: Reason
-    took: int
-    ended: bool
+    duration: int
+    request_ended: bool
     report: tuple[float, ...] = ()
 
 
-class Note(Struct):
+class AttemptUpdate(Struct):
     id: int
     attempt: int
     worker: str
-    kind: NoteKind
-    share: float = 0.0
+    kind: UpdateKind
+    progress: float = 0.0
 
 
-class First(Struct):
+class ResponseStarted(Struct):
     """The answer of a streamed class has begun."""
 
     id: int
     attempt: int
 
 
-class Gone(Struct):
+class ClientDisconnected(Struct):
     """The client has left."""
 
     id: int
 
 
-class Probed(Struct):
+class ProbeResult(Struct):
     worker: str
     reason: Reason
-    took: int
+    duration: int
     report: tuple[float, ...] = ()
 
 
@@ -219,20 +223,20 @@
     token: str
 
 
-class Suspended(Struct):
+class SuspensionChange(Struct):
     """Operators leave a worker out, or put it back: whatever the list says of it meanwhile."""
 
     worker: str
-    on: bool
+    suspended: bool
 
 
-class Others(Struct):
+class PeerLoads(Struct):
     """What the other schedulers hold at workers by their own word: slots and work. All of it, each time."""
 
-    held: dict[str, tuple[int, float]]
+    by_worker: dict[str, tuple[int, float]]
 
 
-class Learned(Struct):
+class LearnedState(Struct):
     """What a dispatcher has learned and has sent, for one that takes over from it."""
 
     fleet: tuple[float, float, float] = (0.0, 0.0, 0.0)  # pace, usual wait and response
@@ -240,15 +244,27 @@
     cold: dict[str, list[tuple[int, float]]] = field(default_factory=dict)  # (time, work) sent to cold ones
 
 
-class Partner(Struct):
+class SiblingProcesses(Struct):
     """Other processes act for this scheduler as well, while one replaces another."""
 
-    staying: int  # of them, those that take requests still
-    slots: dict[str, int]  # that they hold at each worker
-    learned: Learned
-
-
-Event = Suspended | Partner | Others | Members | Request | Outcome | Note | First | Gone | Probed | Timer
+    accepting: int  # of them, those that take requests still
+    slots_by_worker: dict[str, int]  # that they hold at each worker
+    learned: LearnedState
+
+
+Event = (
+    SuspensionChange
+    | SiblingProcesses
+    | PeerLoads
+    | WorkerListUpdate
+    | Request
+    | AttemptOutcome
+    | AttemptUpdate
+    | ResponseStarted
+    | ClientDisconnected
+    | ProbeResult
+    | Timer
+)
 
 # ---- actions ----
 
@@ -286,7 +302,7 @@
 
 
 class SetTimer(Struct):
-    after: int
+    delay: int
     token: str
 
 
--- a/reedspoke/net/clients.py
+++ b/reedspoke/net/clients.py
@@ -210,7 +210,7 @@
         client = self.state.clients.get(event.client)
         if client is not None and (auth := client.authorisation) is not None and auth.open and not auth.legs:
             self.answer(auth, fx.Verdict.WITHDRAWN)
-            self.core.tell(api.Gone(auth.id))
+            self.core.tell(api.ClientDisconnected(auth.id))
 
     def _on_parted(self, event: fx.Parted) -> None:
         if (client := self.state.clients.pop(event.client, None)) is None:
@@ -231,7 +231,7 @@
         if (client := self.state.clients.get(auth.client)) is not None:
             client.authorisation = None
         self._close(auth)
-        self.core.tell(api.Gone(auth.id))
+        self.core.tell(api.ClientDisconnected(auth.id))
 
     def _on_scarce(self, _: fx.Scarce) -> None:
         """Guards who waits outside against a system that gives out fewer descriptors than were promised: one
@@ -254,7 +254,7 @@
                 f"no final answer in time, the last guard gives one (legs {auth.legs}, out {len(auth.out)})"
             )
             self.answer(auth, fx.Verdict.LATE)
-            self.core.tell(api.Gone(auth.id))
+            self.core.tell(api.ClientDisconnected(auth.id))
 
     def _tenant(self, name: str) -> str:
         """Guards the module's tables: where the settings name the tenants, all others are one to it."""
--- a/reedspoke/net/directory.py
+++ b/reedspoke/net/directory.py
@@ -66,7 +66,7 @@
     size = (
         told.capacity_hint if LEAST_SIZE <= told.capacity_hint <= MOST_SIZE else 1.0
     )  # speeds follow from it
-    entry = api.Entry(told.uid, told.az, told.model, told.pod_group, state, size, born)
+    entry = api.WorkerEntry(told.uid, told.az, told.model, told.pod_group, state, size, born)
     return fx.Target(entry, endpoint)
 
 
--- a/reedspoke/net/effects.py
+++ b/reedspoke/net/effects.py
@@ -169,7 +169,7 @@
     """A leg tells that its job has started, or how far it is."""
 
     conn: int
-    kind: api.NoteKind
+    kind: api.UpdateKind
     share: float
 
 
@@ -199,7 +199,7 @@
 class Target(Struct):
     """An issuer host as the directory lists it."""
 
-    entry: api.Entry
+    entry: api.WorkerEntry
     endpoint: tuple[str, int]
 
 
@@ -275,7 +275,7 @@
     leaving: bool
     descriptors: int
     slots: dict[str, int]  # at each issuer host
-    learned: api.Learned
+    learned: api.LearnedState
 
 
 class Accompanied(Struct):
@@ -430,7 +430,7 @@
     leaving: bool
     descriptors: int
     slots: dict[str, int]
-    learned: api.Learned
+    learned: api.LearnedState
 
 
 class Unclaim(Struct):
--- a/reedspoke/net/handover.py
+++ b/reedspoke/net/handover.py
@@ -52,7 +52,7 @@
     leaving: bool
     descriptors: int
     slots: dict[str, int]  # at each issuer host
-    learned: api.Learned
+    learned: api.LearnedState
 
 
 def inherited(number: int) -> socket.socket:
--- a/reedspoke/net/hosts.py
+++ b/reedspoke/net/hosts.py
@@ -54,7 +54,7 @@
     @property
     def pushed(self) -> bool:
         """Lists are an agent's to push: nobody is asked for them, and a watch costs nothing."""
-        return not self.core.settings.ask_for_list
+        return not self.core.settings.list_on_request
 
     def watch(self) -> None:
         """The module asks for the list; a watch that is open, or will be opened again here, is not opened
@@ -95,9 +95,9 @@
         another: as long as they need, longer each time they call in vain, and never beyond the deadline of
         the next call. Guards against back-offs: a drain told right behind a call that failed has to be heard
         of before it counts as told."""
-        schedulers, losses = self.core.settings.schedulers, self.state.watch_losses
+        schedulers, losses = self.core.settings.scheduler_count, self.state.watch_losses
         left = max(0, self.state.word_at + BETWEEN - self.core.now)
-        part = (self.core.settings.me + 0.5) / schedulers + losses * TURN
+        part = (self.core.settings.scheduler_index + 0.5) / schedulers + losses * TURN
         if not losses:
             return int(min(schedulers * EACH, max(AGAIN, left)) * (part % 1))
         span = max(schedulers * EACH * 2 ** min(losses, TRIES), self._again())
@@ -149,7 +149,7 @@
             if kind is api.ListKind.CHANGES:
                 kind = api.ListKind.FULL
                 entries = {target.entry.worker: target.entry for target in known.targets} | entries
-        self.core.tell(api.Members(kind, list(entries.values())))
+        self.core.tell(api.WorkerListUpdate(kind, list(entries.values())))
 
     def _older(self, event: fx.Listed) -> bool:
         """Guards drains against a directory that has fallen behind us, an agent just restarted, say: hosts
@@ -176,7 +176,7 @@
 
     @staticmethod
     def _gone(host: Host) -> fx.Target:
-        entry = api.Entry(host.uid, "", "", 0, api.WorkerState.GONE, 1.0, host.born)
+        entry = api.WorkerEntry(host.uid, "", "", 0, api.WorkerState.GONE, 1.0, host.born)
         return fx.Target(entry, host.endpoint)
 
     def settle(self) -> None:
@@ -197,7 +197,7 @@
         for uid in sorted(barred ^ state.barred):
             if (host := state.hosts.get(uid)) is not None:
                 self._drop_idle(host)  # it is worked on: their other end will be another process
-            self.core.tell(api.Suspended(uid, uid in barred))
+            self.core.tell(api.SuspensionChange(uid, uid in barred))
         state.barred = barred
         for host in state.hosts.values():
             host.suspended = host.uid in barred
@@ -210,16 +210,16 @@
                 self._remove(host)
             return
         if host is None:
-            host = Host(entry.worker, target.endpoint, entry.state, entry.born)
+            host = Host(entry.worker, target.endpoint, entry.state, entry.started_at)
             self.state.hosts[host.uid] = host
             self.state.ever_listed[host.uid] = None
             return
-        if entry.state is not api.WorkerState.UP or (target.endpoint, entry.born) != (
+        if entry.state is not api.WorkerState.UP or (target.endpoint, entry.started_at) != (
             host.endpoint,
             host.born,
         ):
             self._drop_idle(host)  # their other end may be another process by now
-        host.endpoint, host.state, host.born = target.endpoint, entry.state, entry.born
+        host.endpoint, host.state, host.born = target.endpoint, entry.state, entry.started_at
 
     def _remove(self, host: Host) -> None:
         """Forgotten at once, or the table would grow with every deploy; legs that are out go on."""
--- a/reedspoke/net/legs.py
+++ b/reedspoke/net/legs.py
@@ -9,7 +9,7 @@
 from __future__ import annotations
 
 from reedspoke import interface as api
-from reedspoke.logic import UNRUN
+from reedspoke.logic import NOT_EXECUTED_REASONS
 from reedspoke.net import effects as fx
 from reedspoke.net.clients import Clients
 from reedspoke.net.core import MS, SECOND, SPARE_LEGS, Concern, Core, Reactions, Rings
@@ -29,7 +29,9 @@
         self.clients = clients
         self.conn_idle = int(conn_idle * IDLE_SHARE) or IDLE_MOST
         self.windows = {  # us from a leg that may have run to the last that may follow
-            cls.name: cls.window for cls in core.settings.classes if cls.effect is api.Effect.KEYED
+            cls.name: cls.dedup_window
+            for cls in core.settings.classes
+            if cls.idempotency is api.Idempotency.KEYED
         }
 
     def reactions(self) -> Reactions:
@@ -57,7 +59,7 @@
         self.core.count("legs")
         if host is None or not auth.open:
             self.core.fault("the module sends to a host that is not listed, or what has its answer")
-            self.outcome(leg, api.Reason.MOOT)
+            self.outcome(leg, api.Reason.NOT_EXECUTED)
         else:
             self._carry(leg, host)
 
@@ -114,7 +116,7 @@
             # with it, and it would run once more.
             conn.leg = None
             self._rest(conn)
-            self.outcome(leg, api.Reason.MOOT)
+            self.outcome(leg, api.Reason.NOT_EXECUTED)
             return
         conn.phase, conn.heard = Phase.BUSY, False
         self.core.ask(fx.Transmit(conn.id, auth.client, auth.message, leg.until - self.core.now))
@@ -155,7 +157,7 @@
             return
         self.clients.leave(leg.authorisation)
         self._rest(conn)
-        self.outcome(leg, api.Reason.MOOT)
+        self.outcome(leg, api.Reason.NOT_EXECUTED)
 
     def _carry_on(self, conn: Conn, leg: Leg, reason: api.Reason) -> None:
         """A kept connection had ended before it could carry the leg: that says nothing of its host, and as
@@ -178,7 +180,9 @@
             self.core.count("mute")
             self._distrust(conn)
             leg = conn.leg
-            self.core.tell(api.Note(leg.authorisation.id, leg.number, leg.host, api.NoteKind.MUTE))
+            self.core.tell(
+                api.AttemptUpdate(leg.authorisation.id, leg.number, leg.host, api.UpdateKind.UNACKNOWLEDGED)
+            )
 
     def _distrust(self, conn: Conn) -> None:
         """Guards legs against connections that died unseen while they were kept: nothing tells so before the
@@ -197,7 +201,9 @@
     def _on_noted(self, event: fx.Noted) -> None:
         conn = self.state.conns.get(event.conn)
         if conn is not None and (leg := conn.leg) is not None:
-            self.core.tell(api.Note(leg.authorisation.id, leg.number, leg.host, event.kind, event.share))
+            self.core.tell(
+                api.AttemptUpdate(leg.authorisation.id, leg.number, leg.host, event.kind, event.share)
+            )
 
     def _on_concluded(self, event: fx.Concluded) -> None:
         conn = self.state.conns.get(event.conn)
@@ -216,7 +222,7 @@
                 # hold their slots. It is the host's verdict, passed on as a result is, and no failure of it.
                 del auth.out[leg.number]
                 self.clients.answer(auth, fx.Verdict.INVALID)
-            self.outcome(leg, api.Reason.MOOT if event.invalid else event.reason, event.report)
+            self.outcome(leg, api.Reason.NOT_EXECUTED if event.invalid else event.reason, event.report)
         else:
             if event.free:  # before the module hears: the leg that follows a look goes on its connection
                 self._rest(conn)
@@ -225,11 +231,11 @@
     def outcome(self, leg: Leg, reason: api.Reason, report: tuple[float, ...] = ()) -> None:
         auth = leg.authorisation
         auth.out.pop(leg.number, None)
-        if reason not in UNRUN and not auth.ran_at:
+        if reason not in NOT_EXECUTED_REASONS and not auth.ran_at:
             auth.ran_at = leg.made
         self.core.count(f"leg {reason.value}")
         self.core.tell(
-            api.Outcome(
+            api.AttemptOutcome(
                 auth.id, leg.number, leg.host, reason, self.core.now - leg.made, not auth.open, report
             )
         )
@@ -304,7 +310,7 @@
         host = self.state.hosts.get(action.worker)
         self.core.count("probes")
         if host is None:
-            self.core.tell(api.Probed(action.worker, api.Reason.MOOT, 0))
+            self.core.tell(api.ProbeResult(action.worker, api.Reason.NOT_EXECUTED, 0))
         else:
             self._probe(host, self.core.now)
 
@@ -312,7 +318,7 @@
         """On a kept connection where there is one: a handshake costs its host more than the probe."""
         conn = self._kept(host) or self._dial(host)
         if conn is None:
-            self.core.tell(api.Probed(host.uid, api.Reason.MOOT, 0))
+            self.core.tell(api.ProbeResult(host.uid, api.Reason.NOT_EXECUTED, 0))
             return
         conn.probe_at = asked
         if conn.phase is Phase.IDLE:
@@ -327,5 +333,5 @@
         self.core.ring(("leg", conn.id), self.core.now + PROBE_WAIT)
 
     def _probed(self, conn: Conn, reason: api.Reason, report: tuple[float, ...] = ()) -> None:
-        self.core.tell(api.Probed(conn.host, reason, self.core.now - conn.probe_at, report))
+        self.core.tell(api.ProbeResult(conn.host, reason, self.core.now - conn.probe_at, report))
         conn.probe_at = 0
--- a/reedspoke/net/message.py
+++ b/reedspoke/net/message.py
@@ -118,7 +118,7 @@
     name = text(head, b"x-request-id")
     if not name:
         raise MalformedError(400, "no x-request-id")
-    if classes[cls].effect is api.Effect.KEYED and not head.get(KEY):
+    if classes[cls].idempotency is api.Idempotency.KEYED and not head.get(KEY):
         raise MalformedError(400, f"no {KEY.decode()} in a keyed class")
     span = decimal(head, b"x-deadline")
     longest = classes[cls].deadline / 1_000_000
@@ -146,7 +146,7 @@
     "returned": api.Reason.FULL,
     "lost": api.Reason.RESET,
 }
-NOTES = {"started": api.NoteKind.STARTED, "running": api.NoteKind.PROGRESS}
+NOTES = {"started": api.UpdateKind.STARTED, "running": api.UpdateKind.PROGRESS}
 
 
 class Line(msgspec.Struct):
--- a/reedspoke/net/operators.py
+++ b/reedspoke/net/operators.py
@@ -218,7 +218,9 @@
             if effect.figures:
                 reducer = self.runtime.reducer
                 classes = [cls.name for cls in reducer.settings.classes]
-                told = metrics.text(reducer.state, classes, reducer.module.avoided(self.runtime.clock.now()))
+                told = metrics.text(
+                    reducer.state, classes, reducer.module.avoided_workers(self.runtime.clock.now())
+                )
                 told += "".join(more() for more in self.figures)
             status = effect.status or STATUS[effect.word]
             caller.reply.set_result((status, told or f"{effect.word.value}\n", effect.form or PLAIN))
--- a/reedspoke/net/reducer.py
+++ b/reedspoke/net/reducer.py
@@ -104,7 +104,7 @@
             case api.SetTimer():
                 timer = core.state.next_id()
                 core.state.timers[timer] = action.token
-                core.ring(("module", timer), core.now + action.after)
+                core.ring(("module", timer), core.now + action.delay)
             case api.Cancel():
                 self.legs.cancel(action)
             case api.Refuse():
--- a/reedspoke/net/upkeep.py
+++ b/reedspoke/net/upkeep.py
@@ -150,7 +150,7 @@
                     slots[leg.host] = slots.get(leg.host, 0) + auth.slots
         clients, door = len(state.clients), len(state.callers) + 2
         descriptors = OWN_DESCRIPTORS + door + clients + max(clients + SPARE_LEGS, len(state.conns))
-        learned = self.core.module.learned() if state.partners else api.Learned()
+        learned = self.core.module.learned_state() if state.partners else api.LearnedState()
         held = fx.Hold(state.life is not Life.SERVING, descriptors if state.partners else 0, slots, learned)
         if held != state.held:
             state.held = held
@@ -170,9 +170,9 @@
         for partner in event.partners:
             for uid, count in partner.slots.items():
                 slots[uid] = slots.get(uid, 0) + count
-        learned = event.partners[0].learned if event.partners else self.core.module.partner.learned
+        learned = event.partners[0].learned if event.partners else self.core.module.siblings.learned
         staying = sum(not partner.leaving for partner in event.partners)
-        self.core.tell(api.Partner(staying, slots, learned))
+        self.core.tell(api.SiblingProcesses(staying, slots, learned))
         self.clients.make_room()
 
     # ---- clients sent away ----
--- a/reedspoke/operator/check.py
+++ b/reedspoke/operator/check.py
@@ -16,7 +16,7 @@
 from reedspoke.errors import ReedspokeError
 from reedspoke.fleet.settings import Fleet
 from reedspoke.operator.types import Acme, Identity, Operator
-from reedspoke.units import ADDRESS, DURATION, seconds
+from reedspoke.units import ADDRESS_PATTERN, DURATION_PATTERN, parse_seconds
 
 LONGEST_HANDSHAKE = 2.0  # s: an answer or a close is due 3 s after connecting
 PLACE = re.compile(r"^(?P<what>.*?)(?: - at `(?:key in )?\$(?P<where>[^`]*)`)?$", re.DOTALL)
@@ -61,9 +61,9 @@
     for pattern, why in ((UNKNOWN, "unknown key"), (MISSING, "is missing")):
         if named := pattern.match(what):
             return f"{where + '.' if where else ''}{named[1]}: {why}"
-    if repr(DURATION)[1:-1] in what:
+    if repr(DURATION_PATTERN)[1:-1] in what:
         what = "no duration with its unit, such as 250ms, 2s, 5m, 12h or 30d"
-    elif repr(ADDRESS)[1:-1] in what:
+    elif repr(ADDRESS_PATTERN)[1:-1] in what:
         what = "no ip:port"
     elif "regex" in what:
         what = "has a form that is not allowed here"
@@ -73,7 +73,7 @@
 def contradictions(told: Operator) -> Iterator[tuple[str, str]]:
     yield from _addresses(told)
     if told.tls is not None:
-        handshake = seconds(told.tls.handshake)
+        handshake = parse_seconds(told.tls.handshake)
         if not 0 < handshake <= LONGEST_HANDSHAKE:
             yield "tls.handshake", f"must be above 0s and at most {LONGEST_HANDSHAKE:g}s"
         if not told.certificates:
@@ -110,10 +110,10 @@
             if names.index(name) != at:
                 yield f"bookings.{what}[{at}]", f"{name!r} is there twice"
     for key in ("step", "horizon", "longest"):
-        told = seconds(getattr(bookings, key))
+        told = parse_seconds(getattr(bookings, key))
         if told < 1 or told != int(told):
             yield f"bookings.{key}", "must be whole seconds, at least 1s"
-    if not 0.2 <= seconds(bookings.term) <= 600:
+    if not 0.2 <= parse_seconds(bookings.term) <= 600:
         yield "bookings.term", "must be from 200ms to 10m"
 
 
@@ -138,21 +138,21 @@
             yield f"fleet.granters[{at}]", f"no place among {len(fleet.members)} members"
         if fleet.granters.index(granter) != at:
             yield f"fleet.granters[{at}]", f"{granter} is there twice"
-    if not 0.05 <= seconds(fleet.period) <= 60:
+    if not 0.05 <= parse_seconds(fleet.period) <= 60:
         yield "fleet.period", "must be from 50ms to 1m"
     for at, duty in enumerate(fleet.duties):
-        if not 0.2 <= seconds(duty.term) <= 600:
+        if not 0.2 <= parse_seconds(duty.term) <= 600:
             yield f"fleet.duties[{at}].term", "must be from 200ms to 10m"
         if [one.name for one in fleet.duties].index(duty.name) != at:
             yield f"fleet.duties[{at}].name", f"{duty.name!r} is there twice"
         if (call := duty.call) is not None:
             yield from _directory(f"fleet.duties[{at}].call.url", call.url)
-            if not seconds(call.every) or not seconds(call.limit):
+            if not parse_seconds(call.every) or not parse_seconds(call.limit):
                 yield f"fleet.duties[{at}].call", "every and limit must be above 0s"
 
 
 def _identity(identity: Identity, tls: bool) -> Iterator[tuple[str, str]]:
-    if seconds(identity.skew) > 300:
+    if parse_seconds(identity.skew) > 300:
         yield "identity.skew", "must be at most 5m"
     if not identity.issuers and identity.certificates is None:
         yield "identity", "has neither issuers nor certificates: nobody could prove anything"
@@ -186,12 +186,12 @@
         if names.index(authority.name) != at:
             yield f"{key}.name", f"{authority.name!r} is there twice"
         yield from _directory(f"{key}.directory", authority.directory)
-        if not seconds(authority.timeout):
+        if not parse_seconds(authority.timeout):
             yield f"{key}.timeout", "must be above 0s"
-    first, most = seconds(acme.backoff.first), seconds(acme.backoff.most)
+    first, most = parse_seconds(acme.backoff.first), parse_seconds(acme.backoff.most)
     if not 0 < first <= most:
         yield "acme.backoff.first", "must be above 0s and at most acme.backoff.most"
-    if acme.dns is not None and not seconds(acme.dns.limit):
+    if acme.dns is not None and not parse_seconds(acme.dns.limit):
         yield "acme.dns.limit", "must be above 0s"
 
 
--- a/reedspoke/records.py
+++ b/reedspoke/records.py
@@ -38,12 +38,12 @@
     state: WorkerState = WorkerState.GONE
     born: int = 0  # its latest start, 0: long ago
     back: int = 0  # when operators put it back last, 0: never
-    used: int = 0  # slots that our attempts hold
+    used_slots: int = 0  # slots that our attempts hold
     others: tuple[int, float] = (0, 0.0)  # slots and work that other schedulers say they have there
     memory: float = 0.0  # units that our attempts hold
-    load: float = 0.0  # work of our attempts that are out
+    work_in_flight: float = 0.0  # work of our attempts that are out
     running: int = 0  # slots of our attempts that have started
-    peak: int = 1  # most slots seen free or running at once
+    peak_slots: int = 1  # most slots seen free or running at once
     delay: float = 0.0  # wait before a start, at `delay_at`
     delay_at: int = 0
     cut_at: int = 0  # when the cap was lowered last
@@ -70,10 +70,10 @@
         """Time until the jobs known of there, ours and what others tell of theirs, leave that many slots
         free, to compare workers by. Where they do already it is little: a job beside another does not wait
         for it, and is worth no way elsewhere."""
-        used, load = self.used + self.others[0], self.load + self.others[1]
-        over = max(0, used + slots - self.peak) / max(1, used)
+        used, load = self.used_slots + self.others[0], self.work_in_flight + self.others[1]
+        over = max(0, used + slots - self.peak_slots) / max(1, used)
         places = (
-            self.peak if self.others[0] else max(self.peak, int(self.cap))
+            self.peak_slots if self.others[0] else max(self.peak_slots, int(self.cap))
         )  # others' jobs hold a cap, too
         return (over / places + SPREAD) * load * self.pace
 
@@ -161,8 +161,8 @@
         self.enter()
 
     def enter(self) -> None:
-        self.worker.used += self.job.slots
-        self.worker.load += self.job.work
+        self.worker.used_slots += self.job.slots
+        self.worker.work_in_flight += self.job.work
         self.worker.memory += self.job.memory
 
     def start(self, now: int) -> None:
@@ -173,7 +173,7 @@
             self.enter()
         self.started = now
         self.worker.running += self.job.slots
-        self.worker.peak = max(self.worker.peak, self.worker.running)
+        self.worker.peak_slots = max(self.worker.peak_slots, self.worker.running)
 
     def end(self, unrun: bool) -> None:
         self.over, self.unrun = True, unrun
@@ -186,8 +186,8 @@
         self.leave()
 
     def leave(self) -> None:
-        self.worker.used -= self.job.slots
-        self.worker.load -= self.job.work
+        self.worker.used_slots -= self.job.slots
+        self.worker.work_in_flight -= self.job.work
         self.worker.memory -= self.job.memory
         if self.started:
             self.worker.running -= self.job.slots
--- a/reedspoke/settings.py
+++ b/reedspoke/settings.py
@@ -13,8 +13,12 @@
 from reedspoke import interface as plain
 from reedspoke.errors import ReedspokeError
 
-EFFECTS = {"pure": plain.Effect.SAFE, "token": plain.Effect.KEYED, "side_effect": plain.Effect.UNSAFE}
-GROUPS = {group.value: group for group in plain.Group}
+EFFECTS = {
+    "pure": plain.Idempotency.SAFE,
+    "token": plain.Idempotency.KEYED,
+    "side_effect": plain.Idempotency.UNSAFE,
+}
+GROUPS = {group.value: group for group in plain.DedupScope}
 DISCOVERY = {"pushed": False, "on_request": True}
 WORTH_BY = {"work": True, "request": False}
 REPORT_HOW = {"answers": True, "probe": False, "none": False}
@@ -127,51 +131,51 @@
         stretch = family.class_stretch[index] if index < len(family.class_stretch) else 0.0
     return plain.ClassSettings(
         name=told.name,
-        effect=known(EFFECTS, told.repeat, "repeat"),
-        group=known(GROUPS, told.group, "group"),
-        window=told.window,
-        aim=told.aim,
+        idempotency=known(EFFECTS, told.repeat, "repeat"),
+        dedup_scope=known(GROUPS, told.group, "group"),
+        dedup_window=told.window,
+        latency_target=told.aim,
         stretch=stretch,
         deadline=told.hard_limit,
-        worth=told.importance,
-        late_worth=told.late_share,
-        kind=family.class_kind[index] if index < len(family.class_kind) else -1,
-        stream=told.streaming,
+        value=told.importance,
+        late_value_share=told.late_share,
+        worker_kind=family.class_kind[index] if index < len(family.class_kind) else -1,
+        streaming=told.streaming,
     )
 
 
 def settings(info: Info) -> plain.Settings:
     """The platform's settings in the module's words."""
     return plain.Settings(
-        me=info.me,
-        schedulers=info.balancers,
+        scheduler_index=info.me,
+        scheduler_count=info.balancers,
         zone=info.zone,
         classes=tuple(class_settings(i, told, info.family_info) for i, told in enumerate(info.categories)),
         tenants=tuple(plain.TenantSettings(told.name, told.portion) for told in info.tenants),
-        kinds=tuple(info.flavors),
+        worker_kinds=tuple(info.flavors),
         limits=plain.Limits(
             max_attempts=info.ceilings.try_limit,
-            cancel=info.ceilings.cancelling,
-            probes=info.ceilings.probes,
-            peers=info.ceilings.peer_messages,
+            can_cancel=info.ceilings.cancelling,
+            can_probe=info.ceilings.probes,
+            peer_messages=info.ceilings.peer_messages,
             max_retry_after=info.ceilings.max_retry_after if info.ceilings.retry_after else 0,
             connect_timeout=info.ceilings.connect_timeout,
         ),
         rules=plain.Rules(
             drain_grace=info.safety.drain_grace,
             answer_slack=info.safety.answer_slack,
-            ask_within=info.safety.ask_within,
-            cold_from=info.safety.cold_from,
-            cold_time=info.safety.warm_up,
-            fall_multiple=info.safety.tip_multiple,
-            fall_time=info.safety.fall,
+            list_request_within=info.safety.ask_within,
+            cold_min_share=info.safety.cold_from,
+            warm_up_time=info.safety.warm_up,
+            overload_multiple=info.safety.tip_multiple,
+            overload_window=info.safety.fall,
         ),
-        tick=info.resolution,
-        ask_for_list=known(DISCOVERY, info.discovery, "discovery"),
-        tells_start=info.family_info.tells_start,
-        progress_every=info.family_info.progress,
+        min_event_interval=info.resolution,
+        list_on_request=known(DISCOVERY, info.discovery, "discovery"),
+        reports_start=info.family_info.tells_start,
+        progress_interval=info.family_info.progress,
         report_fields=tuple(REPORT_NAMES.get(name, name) for name in info.report.names),
         report_in_answers=known(REPORT_HOW, info.report.how, "how"),
-        worth_by_work=known(WORTH_BY, info.worth_by, "worth_by"),
-        cross_zone_price=info.deductions.cross_zone,
+        value_by_work=known(WORTH_BY, info.worth_by, "worth_by"),
+        cross_zone_cost=info.deductions.cross_zone,
     )
--- a/reedspoke/units.py
+++ b/reedspoke/units.py
@@ -7,28 +7,28 @@
 
 from msgspec import Meta
 
-DURATION = r"^[0-9]{1,9}(\.[0-9]{1,6})?(ms|s|m|h|d)$"
-ADDRESS = r"^(\[[0-9a-fA-F:.]+\]|[0-9.]+):[0-9]{1,5}$"
-SECONDS = {"ms": 0.001, "s": 1.0, "m": 60.0, "h": 3600.0, "d": 86_400.0}
+DURATION_PATTERN = r"^[0-9]{1,9}(\.[0-9]{1,6})?(ms|s|m|h|d)$"
+ADDRESS_PATTERN = r"^(\[[0-9a-fA-F:.]+\]|[0-9.]+):[0-9]{1,5}$"
+SECONDS_PER_UNIT = {"ms": 0.001, "s": 1.0, "m": 60.0, "h": 3600.0, "d": 86_400.0}
 
 Duration = Annotated[
-    str, Meta(pattern=DURATION, description="A number with its unit: 250ms, 2s, 5m, 12h or 30d.")
+    str, Meta(pattern=DURATION_PATTERN, description="A number with its unit: 250ms, 2s, 5m, 12h or 30d.")
 ]
 Address = Annotated[
-    str, Meta(pattern=ADDRESS, description="ip:port, IPv6 in brackets; names are not resolved.")
+    str, Meta(pattern=ADDRESS_PATTERN, description="ip:port, IPv6 in brackets; names are not resolved.")
 ]
 Name = Annotated[
     str, Meta(pattern=r"^[a-z0-9][a-z0-9_-]{0,62}$", description="Small letters, digits, - and _.")
 ]
 
 
-def seconds(text: str) -> float:
+def parse_seconds(text: str) -> float:
     """A duration in seconds. Raises ValueError where the unit is missing or unknown."""
-    found = re.match(DURATION, text)
+    found = re.match(DURATION_PATTERN, text)
     if found is None:
         raise ValueError(f"no duration such as 250ms, 2s, 5m, 12h or 30d: {text!r}")
-    return float(text[: found.start(2)]) * SECONDS[found[2]]
+    return float(text[: found.start(2)]) * SECONDS_PER_UNIT[found[2]]
 
 
-def microseconds(text: str) -> int:
-    return round(seconds(text) * 1_000_000)
+def parse_microseconds(text: str) -> int:
+    return round(parse_seconds(text) * 1_000_000)
--- a/tests/fleet/test_load_sharing_processes.py
+++ b/tests/fleet/test_load_sharing_processes.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from reedspoke.interface import Others
+from reedspoke.interface import PeerLoads
 from reedspoke.lab.program import free_port
 from reedspoke.lab.relay import Datagrams
 from reedspoke.net.config import ConfigError, load
@@ -119,11 +119,11 @@
 def test_placement_heeds_the_reservations_of_others() -> None:
     world = World(settings(schedulers=2), [entry("a"), entry("b")])
     for worker in world.dispatcher.workers.values():
-        worker.peak = 2
-    world.tell(Others({"a": (2, 800.0 * MS)}))
+        worker.peak_slots = 2
+    world.tell(PeerLoads({"a": (2, 800.0 * MS)}))
     world.request(1)
     assert [sent.worker for sent in world.out()] == ["b"]
-    world.tell(Others({"b": (2, 800.0 * MS)}))
+    world.tell(PeerLoads({"b": (2, 800.0 * MS)}))
     world.request(2)
     assert [sent.worker for sent in world.out()] == ["b", "a"], "each report of loads replaces the last one"
 
@@ -132,11 +132,11 @@
     """Seen in overload at the second deployment: four to six schedulers with a position at each of twelve
     hosts queued three deep in two slots; a fifth of all answers came too late, the short class got 0.41."""
     world = World(settings(schedulers=2), [entry("a")])
-    world.dispatcher.workers["a"].peak = 2
+    world.dispatcher.workers["a"].peak_slots = 2
     world.request(1, hint=200 * MS)
     world.started(world.out()[0])
-    world.tell(Others({"a": (4, 9_000.0 * MS)}))
+    world.tell(PeerLoads({"a": (4, 9_000.0 * MS)}))
     world.request(2, hint=200 * MS)
     assert len(world.out()) == 1
-    world.tell(Others({}))
+    world.tell(PeerLoads({}))
     assert len(world.out()) == 2
--- a/tests/operator/test_check.py
+++ b/tests/operator/test_check.py
@@ -13,7 +13,7 @@
 
 from reedspoke.operator.check import OperatorError, load, parse, reloaded
 from reedspoke.operator.schema import schema, text
-from reedspoke.units import seconds
+from reedspoke.units import parse_seconds
 from tests.peers import ROOT
 
 EXAMPLE = ROOT / "deploy" / "operator.example.json"
@@ -106,4 +106,4 @@
     ("told", "meant"), [("250ms", 0.25), ("1.5s", 1.5), ("2m", 120), ("1h", 3600), ("30d", 2_592_000)]
 )
 def test_durations(told: str, meant: float) -> None:
-    assert seconds(told) == pytest.approx(meant)
+    assert parse_seconds(told) == pytest.approx(meant)
--- a/tests/test_combined.py
+++ b/tests/test_combined.py
@@ -14,7 +14,7 @@
     while world.now < end:
         for worker in [name for name in world.cells if name not in hung]:
             for sent in world.out_at(worker)[:2]:
-                if not sent.started and world.config.tells_start:
+                if not sent.started and world.config.reports_start:
                     world.started(sent)
                 if sent.begun < 0:
                     sent.begun = world.now
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -220,7 +220,7 @@
 def test_alone_without_a_folder(folder: str | None) -> None:
     part, told = make(Path(folder) if folder else None)
     do(part, fx.Look())
-    do(part, fx.Hold(False, 1, {}, api.Learned()))
+    do(part, fx.Hold(False, 1, {}, api.LearnedState()))
     do(part, SUSPEND)
     assert part.claim("a")
     assert told == [fx.Ordered({"s-1": ("10.0.0.1", 80)}, False, 7)]
@@ -243,7 +243,7 @@
 ) -> None:
     """Guards the limit, which is one for both: together they never hold more."""
     play = Play(Budget.of(256, 80, DOOR))
-    partner = fx.Partner(leaving, 100, {"a": 2}, api.Learned())
+    partner = fx.Partner(leaving, 100, {"a": 2}, api.LearnedState())
     play.tell(listed("a"), fx.Accompanied((partner,)))
     assert play.reducer.budget == Budget.of(left(256, 100), 40, DOOR)
     play.tell(fx.Accompanied(()))
@@ -253,7 +253,7 @@
 def test_the_module_counts_what_the_other_process_has_at_a_host() -> None:
     play = Play(Budget.of(256, 80, DOOR))
     play.tell(listed("a"), *[fx.Joined(n) for n in range(1, 6)])
-    play.tell(fx.Accompanied((fx.Partner(True, 50, {"a": 1}, api.Learned()),)))
+    play.tell(fx.Accompanied((fx.Partner(True, 50, {"a": 1}, api.LearnedState()),)))
     dialled = [effect for n in range(1, 4) for effect in play.tell(arrived(n)) if isinstance(effect, fx.Dial)]
     assert len(dialled) == 1, "its cap is 2, of which the other process has 1"
     dialled = [effect for effect in play.tell(fx.Accompanied(())) if isinstance(effect, fx.Dial)]
@@ -267,9 +267,9 @@
     worker = module.workers["a"]
     assert module.warmth(worker) == 1
     worker.sound, worker.failed, worker.rest_until = 0.1, 5, play.now + 10**9
-    module.handle(play.now, api.Suspended("a", True))
-    assert not module.up
-    module.handle(play.now, api.Suspended("a", False))
-    assert module.up == [worker]
-    assert module.warmth(worker) == module.rules.cold_from
+    module.handle(play.now, api.SuspensionChange("a", True))
+    assert not module.available
+    module.handle(play.now, api.SuspensionChange("a", False))
+    assert module.available == [worker]
+    assert module.warmth(worker) == module.rules.cold_min_share
     assert (worker.sound, worker.failed, worker.rest_until) == (1.0, 0, 0)
--- a/tests/test_interleavings.py
+++ b/tests/test_interleavings.py
@@ -13,7 +13,7 @@
 from msgspec import Struct
 
 from reedspoke import interface as api
-from reedspoke.logic import UNRUN
+from reedspoke.logic import NOT_EXECUTED_REASONS
 from reedspoke.net import effects as fx
 from reedspoke.net.core import SECOND, Budget
 from reedspoke.net.state import Life
@@ -75,7 +75,7 @@
         self, kind: api.ListKind, *uids: str, state: api.WorkerState = api.WorkerState.UP, born: int = 0
     ) -> fx.Listed:
         self.rev += 1
-        entries = [api.Entry(uid, "here", "big", 0, state, 1.0, born) for uid in uids]
+        entries = [api.WorkerEntry(uid, "here", "big", 0, state, 1.0, born) for uid in uids]
         for uid in uids:
             if state is api.WorkerState.UP:
                 self.told_off.pop(uid, None)
@@ -129,8 +129,10 @@
         assert not job.ended
         assert not job.out, "a second copy"
         if job.maybe:
-            assert cls.effect is not api.Effect.UNSAFE, "it may have run"
-            assert cls.effect is not api.Effect.KEYED or self.play.now < job.at + cls.window, "too late"
+            assert cls.idempotency is not api.Idempotency.UNSAFE, "it may have run"
+            assert (
+                cls.idempotency is not api.Idempotency.KEYED or self.play.now < job.at + cls.dedup_window
+            ), "too late"
         if (since := self.told_off.get(wire.host)) is not None:
             assert self.play.now <= since + self.config.rules.drain_grace
         wire.busy, wire.written, wire.job, wire.client = True, False, name, effect.client
@@ -227,7 +229,7 @@
         if (found := self.wires_that(which, busy=True, written=True)) is not None:
             self.tell(fx.Heard(found[0]))
             if found[1].job:
-                self.tell(fx.Noted(found[0], api.NoteKind.STARTED, 0.0))
+                self.tell(fx.Noted(found[0], api.UpdateKind.STARTED, 0.0))
 
     def conclude(self, which: int, how: api.Reason, invalid: bool) -> None:
         if (found := self.wires_that(which, busy=True, written=True)) is None:
@@ -235,7 +237,7 @@
         number, wire = found
         wire.busy, wire.ending = False, True
         if wire.job:
-            self.end(wire, unrun=how in UNRUN)
+            self.end(wire, unrun=how in NOT_EXECUTED_REASONS)
             self.tell(fx.Concluded(number, how, (), b"result", invalid=invalid and how is api.Reason.ERROR))
         else:
             wire.ending = False
@@ -323,8 +325,8 @@
         assert not [*state.clients, *state.authorisations, *state.names, *state.parting]
         assert not [*state.conns, *state.idle]
         assert not module.jobs
-        assert not module.out
-        assert all(worker.used == worker.running == 0 for worker in module.workers.values())
+        assert not module.in_flight
+        assert all(worker.used_slots == worker.running == 0 for worker in module.workers.values())
         owners = {str(key[0]) for key in self.play.wheel._due}  # type: ignore[index]
         assert owners <= {"silence", "watch", "module", "end", "unheard", "room"}
         assert len(state.timers) <= 1, "the module's beat"
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -72,7 +72,7 @@
     turns = {"cheap": 0, "dear": 0}
     for _ in range(12):
         sent = world.out()[0]
-        length = world.requests[sent.request].hint
+        length = world.requests[sent.request].work_hint
         tenant = finish(world, length)
         spent[tenant] += length
         turns[tenant] += 1
@@ -145,7 +145,7 @@
 
 
 def ring(world: World) -> list[str]:
-    return [worker.id for worker in sorted(world.dispatcher.up, key=lambda worker: worker.rank)]
+    return [worker.id for worker in sorted(world.dispatcher.available, key=lambda worker: worker.rank)]
 
 
 def test_ranks_of_the_others_stay_when_a_worker_comes_or_goes() -> None:
@@ -221,7 +221,7 @@
 
 
 def test_what_cannot_be_in_time_is_refused_early_and_the_least_worth_first() -> None:
-    config = settings(classes=(SAFE, keyed(api.Group.CELL)))
+    config = settings(classes=(SAFE, keyed(api.DedupScope.CELL)))
     world = World(config, [entry("a")])
     world.request(0, hint=300 * MS)  # it runs on and on
     hold_caps(world)
@@ -273,10 +273,10 @@
 
 def test_events_about_unknown_requests_change_nothing() -> None:
     world = World(settings(), [entry("a")])
-    assert not world.tell(api.Outcome(99, 0, "a", api.Reason.OK, 5, True))
-    assert not world.tell(api.Note(99, 0, "a", api.NoteKind.STARTED))
-    assert not world.tell(api.Gone(99))
-    assert not world.tell(api.Probed("z", api.Reason.OK, 5))
+    assert not world.tell(api.AttemptOutcome(99, 0, "a", api.Reason.OK, 5, True))
+    assert not world.tell(api.AttemptUpdate(99, 0, "a", api.UpdateKind.STARTED))
+    assert not world.tell(api.ClientDisconnected(99))
+    assert not world.tell(api.ProbeResult("z", api.Reason.OK, 5))
 
 
 def test_state_is_freed_over_a_long_run() -> None:
@@ -348,8 +348,8 @@
         ("max_attempts", lambda: settings(attempts=0)),
         ("schedulers", lambda: settings(schedulers=0)),
         ("share", lambda: settings(tenants={"a": 0})),
-        ("kind", lambda: settings(classes=(replace(SAFE, kind=5),))),
-        ("aim", lambda: replace(SAFE, aim=0)),
+        ("kind", lambda: settings(classes=(replace(SAFE, worker_kind=5),))),
+        ("aim", lambda: replace(SAFE, latency_target=0)),
     ],
 )
 def test_invalid_settings_are_named(key: str, make: Callable[[], object]) -> None:
@@ -360,7 +360,7 @@
 def test_a_request_that_tells_no_slots_takes_one() -> None:
     world = World(settings(), [entry("a")])
     world.request(1, slots=0, hint=0)
-    assert world.dispatcher.workers["a"].used == 1
+    assert world.dispatcher.workers["a"].used_slots == 1
 
 
 def test_an_answer_that_has_begun_is_not_called_off() -> None:
@@ -368,7 +368,7 @@
     world = World(settings(), [entry("a"), entry("b")])
     world.request(1)
     world.answers[1] = "streams"
-    world.tell(api.First(1, 0))
+    world.tell(api.ResponseStarted(1, 0))
     assert not [action for action in world.actions if isinstance(action, api.Cancel)]
     world.outcome(world.out()[0], api.Reason.OK)
     world.check_freed()
@@ -409,7 +409,7 @@
     fleet = [entry(f"w{i}") for i in range(12)]
     used = []
     for me in range(3):
-        world = World(replace(settings(schedulers=3), me=me), fleet)
+        world = World(replace(settings(schedulers=3), scheduler_index=me), fleet)
         for number in range(8):
             world.request(number, hint=100 * MS)
             finish(world, 100 * MS)
@@ -458,7 +458,7 @@
     """Seen in a large fleet: forty schedulers tried the same jammed worker in turn, so it never emptied."""
     world = World(settings(schedulers=schedulers), [entry("w0"), entry("w1")])
     world.looks = {}
-    near, other = world.dispatcher.up
+    near, other = world.dispatcher.available
     near.delay, near.delay_at = 1.0 * SECOND, world.now
     world.advance(10 * SECOND)
     other.delay, other.delay_at = 80.0 * MS, world.now
@@ -472,19 +472,19 @@
     world.request(1, slots=4)
     world.now += 400 * MS
     world.started(world.out()[0])
-    assert world.dispatcher.up[0].delay <= 100 * MS
+    assert world.dispatcher.available[0].delay <= 100 * MS
 
 
 def test_jam_in_a_large_fleet_does_not_cost_a_ranking_of_it_all() -> None:
     """Seen at 298 workers: each 'full' answer had all of them looked at, and the day was cut off."""
     world = World(settings(), [entry(f"w{i}") for i in range(400)])
-    for worker in world.dispatcher.up[:300]:
+    for worker in world.dispatcher.available[:300]:
         worker.rest_until = world.now + SECOND
     world.request(1)
     assert not world.out(), "what is far beyond reach is not looked at"
-    world.dispatcher.up[10].rest_until = 0
+    world.dispatcher.available[10].rest_until = 0
     world.advance(200 * MS)
-    assert [sent.worker for sent in world.out()] == [world.dispatcher.up[10].id]
+    assert [sent.worker for sent in world.out()] == [world.dispatcher.available[10].id]
 
 
 def parted() -> tuple[World, list[str]]:
@@ -517,7 +517,7 @@
             lost[number] += 1
             world.outcome(sent, api.Reason.CONNECT_FAILED)
         for worker in world.probes():
-            world.tell(api.Probed(worker, api.Reason.CONNECT_FAILED, 200 * MS))
+            world.tell(api.ProbeResult(worker, api.Reason.CONNECT_FAILED, 200 * MS))
     assert lost[0] > 0
     assert not sum(lost[2:]), "it costs no more jobs once it counts as out of reach"
     assert "zone out of reach: left out and probed" in world.logs
@@ -527,7 +527,7 @@
     world.advance(100 * MS)
     asked = world.probes()
     assert asked, "it is asked again"
-    world.tell(api.Probed(asked[0], api.Reason.OK, 5 * MS))
+    world.tell(api.ProbeResult(asked[0], api.Reason.OK, 5 * MS))
     for number in range(300, 330):
         world.request(number)
     assert any(sent.worker in far for sent in world.out()), "it serves again once it answers"
@@ -558,9 +558,9 @@
         for sent in world.out():
             world.outcome(sent, api.Reason.CONNECT_FAILED)
         for worker in world.probes():
-            world.tell(api.Probed(worker, api.Reason.CONNECT_FAILED, 200 * MS))
+            world.tell(api.ProbeResult(worker, api.Reason.CONNECT_FAILED, 200 * MS))
     world.advance(6 * SECOND)
-    assert any(not worker.zone.cut_at for worker in world.dispatcher.up)
+    assert any(not worker.zone.cut_at for worker in world.dispatcher.available)
     world.request(100)
     assert world.sent[100]
 
@@ -573,12 +573,12 @@
     mute = world.out()[0]
     worker = world.dispatcher.workers[mute.worker]
     world.advance(300 * MS)
-    world.tell(api.Note(1, mute.number, mute.worker, api.NoteKind.MUTE))
-    assert worker.used == 0
+    world.tell(api.AttemptUpdate(1, mute.number, mute.worker, api.UpdateKind.UNACKNOWLEDGED))
+    assert worker.used_slots == 0
     called_off = [action for action in world.actions if isinstance(action, api.Cancel)]
     assert bool(called_off) == (cls == "read"), "what must never run twice is waited for"
     world.outcome(mute, api.Reason.CANCELLED if called_off else api.Reason.TIMEOUT)
-    assert worker.used == 0
+    assert worker.used_slots == 0
     assert [sent.worker != mute.worker for sent in world.out()] == ([True] if called_off else [])
 
 
@@ -612,14 +612,14 @@
     for number in range(5):
         world.request(number, "pay")
         (sent,) = world.out()
-        world.tell(api.Note(sent.request, sent.number, sent.worker, api.NoteKind.MUTE))
-        assert worker.used == 0
+        world.tell(api.AttemptUpdate(sent.request, sent.number, sent.worker, api.UpdateKind.UNACKNOWLEDGED))
+        assert worker.used_slots == 0
         world.advance(100 * MS)
         world.started(sent)
-        assert (worker.used, worker.running) == (1, 1)
+        assert (worker.used_slots, worker.running) == (1, 1)
         world.advance(50 * MS)
         world.outcome(sent, api.Reason.OK)
-        assert (worker.used, worker.running, worker.peak) == (0, 0, 1)
+        assert (worker.used_slots, worker.running, worker.peak_slots) == (0, 0, 1)
         assert worker.pace > 0.3
         world.advance(SECOND)
 
@@ -636,7 +636,7 @@
         world.advance(50 * MS)
         world.outcome(world.out()[-1], api.Reason.OK)
     assert world.out() == [stopped]
-    assert world.dispatcher.workers["a"].used == 0
+    assert world.dispatcher.workers["a"].used_slots == 0
     world.dispatcher.bill_running()
     start = flow(world, "").start
     world.advance(SECOND)
@@ -678,8 +678,8 @@
     for sent in [sent for sent in world.out() if sent.worker not in far]:
         world.started(sent)
     for worker in far:
-        world.tell(api.Probed(worker, api.Reason.CONNECT_FAILED, 1 * MS))
-    assert not any(worker.zone.cut_at for worker in world.dispatcher.up)
+        world.tell(api.ProbeResult(worker, api.Reason.CONNECT_FAILED, 1 * MS))
+    assert not any(worker.zone.cut_at for worker in world.dispatcher.available)
 
 
 def test_worker_that_fails_its_jobs_at_once_draws_few_and_none_that_must_not_repeat() -> None:
@@ -792,7 +792,7 @@
     """Seen with 40 schedulers and 60 workers: each met every queue and every failing worker by a job of its
     own, and a booking was lost at each of 9 bad workers by most of the 40."""
     world = World(MANY, [entry("a"), entry("b")])
-    near, far = (worker.id for worker in world.dispatcher.up)
+    near, far = (worker.id for worker in world.dispatcher.available)
     world.looks = {near: (api.Reason.FULL, ()), far: IDLE}
     world.request(1, "pay")
     assert [sent.worker for sent in world.out()] == [far], "the nearer one says that it cannot serve"
@@ -803,7 +803,7 @@
 
 def test_a_queue_seen_at_a_look_sends_the_job_elsewhere() -> None:
     world = World(MANY, [entry("a"), entry("b")])
-    near, far = (worker.id for worker in world.dispatcher.up)
+    near, far = (worker.id for worker in world.dispatcher.available)
     world.looks = {near: JAMMED, far: IDLE}
     world.request(1)
     assert [sent.worker for sent in world.out()] == [far]
@@ -817,19 +817,19 @@
 def test_a_look_that_is_not_answered_does_not_hold_a_job() -> None:
     """Guards jobs against workers that are cut off: a connection that never comes up takes 200 ms to fail."""
     world = World(MANY, [entry("a"), entry("b")])
-    near, far = (worker.id for worker in world.dispatcher.up)
+    near, far = (worker.id for worker in world.dispatcher.available)
     world.request(1)
     assert not world.out()
     world.advance(100 * MS)
     assert world.probes() == [near, far]
-    world.tell(api.Probed(far, *IDLE[:1], 3 * MS, IDLE[1]))
+    world.tell(api.ProbeResult(far, *IDLE[:1], 3 * MS, IDLE[1]))
     assert [sent.worker for sent in world.out()] == [far]
 
 
 def test_a_refused_look_rests_its_worker() -> None:
     """Seen as a zone was lost: a connection refused at once counted as a look, and jobs went there."""
     world = World(MANY, [entry("a"), entry("b")])
-    near, far = (worker.id for worker in world.dispatcher.up)
+    near, far = (worker.id for worker in world.dispatcher.available)
     world.looks = {near: (api.Reason.CONNECT_FAILED, ()), far: IDLE}
     world.request(1)
     assert [sent.worker for sent in world.out()] == [far]
@@ -862,7 +862,7 @@
     world = World(MANY, [entry(name, weight=size) for name, size in sizes.items()])
     module = world.dispatcher
     module.workers["slow"].away, module.workers["fast"].away = 0.0, 0.4
-    module.up.sort(key=lambda worker: worker.away)
+    module.available.sort(key=lambda worker: worker.away)
     world.looks = {"slow": IDLE, "fast": IDLE}
     world.request(1, hint=50 * MS)
     assert [sent.worker for sent in world.out()] == ["slow"], "it will be in time there"
@@ -877,10 +877,10 @@
 
 def zones(price: float, *, schedulers: int = 4) -> World:
     """A worker here and a faster one elsewhere, both with two slots."""
-    config = replace(settings(schedulers=schedulers), cross_zone_price=price)
+    config = replace(settings(schedulers=schedulers), cross_zone_cost=price)
     world = World(config, [entry("home"), entry("far", zone="there")])
     for worker in world.dispatcher.workers.values():
-        worker.peak = 2
+        worker.peak_slots = 2
     world.dispatcher.workers["far"].pace *= 0.9
     return world
 
@@ -903,7 +903,7 @@
         world.started(world.out()[-1])
     assert [sent.worker for sent in world.out()] == ["home", "home"]
     home = world.dispatcher.workers["home"]
-    assert home.ahead(1) > 0.2 * home.load * home.pace, "a third one would"
+    assert home.ahead(1) > 0.2 * home.work_in_flight * home.pace, "a third one would"
 
 
 @pytest.mark.parametrize(("error", "least", "most"), [(0.0, 0.8, 1.0), (1.2, 0.0, 0.35)])
@@ -938,5 +938,5 @@
     world, worker, _ = reported(2, (0.0, 2.0))
     known = world.dispatcher.workers[worker]
     known.delay, known.delay_at = 3.0 * SECOND, world.now
-    world.tell(api.Probed(worker, api.Reason.OK, MS, (0.0, 2.0)))
+    world.tell(api.ProbeResult(worker, api.Reason.OK, MS, (0.0, 2.0)))
     assert known.wait(world.now, world.dispatcher.forget) == 0.0
--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -20,7 +20,7 @@
 
 def listed(*uids: str, state: api.WorkerState = api.WorkerState.UP, full: bool = True) -> fx.Listed:
     kind = api.ListKind.FULL if full else api.ListKind.CHANGES
-    entries = [api.Entry(uid, "here", "big", 0, state, 1.0, 0) for uid in uids]
+    entries = [api.WorkerEntry(uid, "here", "big", 0, state, 1.0, 0) for uid in uids]
     return fx.Listed(kind, 7, [fx.Target(entry, ("127.0.0.1", 80)) for entry in entries])
 
 
@@ -82,7 +82,7 @@
     play.tell(listed("a"), fx.Joined(1), fx.Joined(2))
 
     def fails(now: int, event: api.Event) -> list[api.Action]:
-        if isinstance(event, api.Request) and event.cls == "pay":
+        if isinstance(event, api.Request) and event.class_name == "pay":
             raise RuntimeError("out of order")
         return handle(now, event)
 
@@ -281,8 +281,8 @@
     conn = conn_of(play.tell(arrived(1)))
     play.tell(fx.Opened(conn), fx.Written(conn), *([fx.Heard(conn)] if heard else []))
     play.advance(MUTE + 5 * MS)
-    notes = [event.kind for event in events if isinstance(event, api.Note)]
-    assert notes == ([api.NoteKind.MUTE] if told else [])
+    notes = [event.kind for event in events if isinstance(event, api.AttemptUpdate)]
+    assert notes == ([api.UpdateKind.UNACKNOWLEDGED] if told else [])
 
 
 def test_withdrawn_is_what_has_no_leg_and_nothing_else() -> None:
@@ -351,7 +351,7 @@
     monkeypatch.setattr(play.reducer.module, "handle", hear)
     play.tell(fx.Unlisted("it ended"), listed("a", "b"), fx.Unlisted("it ended"))
     play.advance(SECOND)
-    kinds = [event.kind for event in told if isinstance(event, api.Members)]
+    kinds = [event.kind for event in told if isinstance(event, api.WorkerListUpdate)]
     assert kinds == [api.ListKind.FULL]
 
 
@@ -383,12 +383,12 @@
     assert play.reducer.state.rev == 45
 
 
-def heard(play: Play, monkeypatch: pytest.MonkeyPatch) -> list[api.Members]:
+def heard(play: Play, monkeypatch: pytest.MonkeyPatch) -> list[api.WorkerListUpdate]:
     """What its module is told of lists from now on."""
-    told, handle = list[api.Members](), play.reducer.module.handle
+    told, handle = list[api.WorkerListUpdate](), play.reducer.module.handle
 
     def hear(now: int, event: api.Event) -> list[api.Action]:
-        if isinstance(event, api.Members):
+        if isinstance(event, api.WorkerListUpdate):
             told.append(event)
         return handle(now, event)
 
@@ -446,7 +446,7 @@
     """Each with a watch that has just said something."""
     plays = []
     for me in range(schedulers):
-        config = replace(settings(ask=True, schedulers=schedulers), me=me)
+        config = replace(settings(ask=True, schedulers=schedulers), scheduler_index=me)
         plays.append(Play(config=config))
         plays[-1].tell(fx.Listed(api.ListKind.STALE, 7, listed("a", "b").targets), fx.Listening())
         plays[-1].tell(listed("a", "b"))
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -32,7 +32,7 @@
 STATES = tuple(api.WorkerState)
 
 
-def fleet(now: int = 0) -> list[api.Entry]:
+def fleet(now: int = 0) -> list[api.WorkerEntry]:
     return [
         entry(name, cell=i // 2, zone="here" if i < 3 else "there", born=now if name == "e" else 0)
         for i, name in enumerate(WORKERS)
@@ -52,7 +52,7 @@
         done = [s for attempts in world.sent.values() for s in attempts if s.over]
         if done:
             old = done[amount % len(done)]
-            world.tell(api.Outcome(old.request, old.number, old.worker, REASONS[which], 5, False))
+            world.tell(api.AttemptOutcome(old.request, old.number, old.worker, REASONS[which], 5, False))
     elif what == "start" and out and not out[amount % len(out)].started:
         world.started(out[amount % len(out)])
     elif what == "gone" and world.open():
@@ -117,15 +117,20 @@
         world.advance(pause * MS)
         world.request(number, hint=work * MS)
         for sent in world.out():  # it runs one job at a time, at the standard speed
-            if world.now - sent.at >= world.requests[sent.request].hint:
+            if world.now - sent.at >= world.requests[sent.request].work_hint:
                 world.outcome(sent, api.Reason.OK)
-    sends = [(s.at, world.requests[s.request].hint) for attempts in world.sent.values() for s in attempts]
+    sends = [
+        (s.at, world.requests[s.request].work_hint) for attempts in world.sent.values() for s in attempts
+    ]
     for start, _ in sends:
         rules = config.rules
-        end = start + rules.fall_time
-        warmth = rules.cold_from + (1 - rules.cold_from) * (end - born) / rules.cold_time
+        end = start + rules.overload_window
+        warmth = rules.cold_min_share + (1 - rules.cold_min_share) * (end - born) / rules.warm_up_time
         work = sum(hint for at, hint in sends if start <= at <= end)
-        assert work <= rules.fall_multiple * min(1.0, warmth) * rules.fall_time / config.schedulers
+        assert (
+            work
+            <= rules.overload_multiple * min(1.0, warmth) * rules.overload_window / config.scheduler_count
+        )
 
 
 def test_unsafe_request_fails_after_a_reset_and_goes_on_after_full() -> None:
@@ -138,8 +143,8 @@
     assert world.answers[1] == "failed"
 
 
-@pytest.mark.parametrize("group", list(api.Group))
-def test_keyed_request_is_sent_again_within_its_group_only(group: api.Group) -> None:
+@pytest.mark.parametrize("group", list(api.DedupScope))
+def test_keyed_request_is_sent_again_within_its_group_only(group: api.DedupScope) -> None:
     world = World(settings(), fleet())
     world.request(1, keyed(group).name)
     first = world.out()[0]
@@ -147,7 +152,7 @@
     again = world.out()
     assert len(again) == 1
     assert again[0].worker != ""
-    if group is api.Group.CELL:
+    if group is api.DedupScope.CELL:
         assert world.cells[again[0].worker][0] == world.cells[first.worker][0]
 
 
@@ -190,11 +195,16 @@
     """Guards cold workers and the use of them: equal parts of many would hold no job at all, turns of two in
     forty came round after a worker was warm, and what all send together has to stay within one budget."""
     born, alone = 1_000 * SECOND, Dispatcher(settings(), 0)
-    modules = [Dispatcher(replace(settings(schedulers=schedulers), me=me), me) for me in range(schedulers)]
+    modules = [
+        Dispatcher(replace(settings(schedulers=schedulers), scheduler_index=me), me)
+        for me in range(schedulers)
+    ]
     names, sponsors = [f"cold{number}" for number in range(20)], set[int]()
     for module in [alone, *modules]:
-        module.handle(born, api.Members(api.ListKind.FULL, [entry(name, born=born) for name in names]))
-        module.born -= module.rules.fall_time  # it has not just started
+        module.handle(
+            born, api.WorkerListUpdate(api.ListKind.FULL, [entry(name, born=born) for name in names])
+        )
+        module.born -= module.rules.overload_window  # it has not just started
     for name in names:
         most = alone.cold_budget(alone.workers[name]) / COLD_PART
         for age in range(0, 9, 3):
@@ -202,7 +212,7 @@
             for module in modules:
                 module.now = born + age * SECOND
                 if (budget := module.cold_budget(module.workers[name])) > 0:
-                    budgets[module.settings.me] = budget
+                    budgets[module.settings.scheduler_index] = budget
             alone.now = born + age * SECOND
             most = alone.cold_budget(alone.workers[name]) / COLD_PART
             assert len(budgets) == SPONSORS
@@ -215,25 +225,27 @@
 def test_what_the_other_process_sent_to_a_cold_worker_counts() -> None:
     """Guards cold workers while one process replaces another: their budget is one."""
     module = Dispatcher(settings(), 0)
-    module.handle(0, api.Members(api.ListKind.FULL, [entry("cold", born=1)]))
+    module.handle(0, api.WorkerListUpdate(api.ListKind.FULL, [entry("cold", born=1)]))
     worker, now = module.workers["cold"], 10 * SECOND
     module.now, worker.born = now, now
     whole = module.cold_budget(worker)
-    learned = api.Learned((1.0, 0.0, 1.0), {}, {"cold": [(now - SECOND, 100.0), (now - 3 * SECOND, 900.0)]})
-    module.handle(now, api.Partner(0, {}, learned))
+    learned = api.LearnedState(
+        (1.0, 0.0, 1.0), {}, {"cold": [(now - SECOND, 100.0), (now - 3 * SECOND, 900.0)]}
+    )
+    module.handle(now, api.SiblingProcesses(0, {}, learned))
     assert module.cold_budget(worker) == pytest.approx(whole - 100)
-    module.handle(now, api.Partner(1, {}, learned))
+    module.handle(now, api.SiblingProcesses(1, {}, learned))
     assert module.cold_budget(worker) == pytest.approx(whole / 2 - 100)
 
 
 @pytest.mark.parametrize(("born", "warmth"), [(1, "cold"), (12, "warmer")])
 def test_a_worker_put_back_is_cold_since_the_start_that_was_told(born: int, warmth: str) -> None:
     module = Dispatcher(settings(), 0)
-    module.handle(0, api.Members(api.ListKind.FULL, [entry("a", born=1)]))
-    module.handle(11 * SECOND, api.Suspended("a", True))
-    module.handle(13 * SECOND, api.Members(api.ListKind.CHANGES, [entry("a", born=born * SECOND)]))
-    module.handle(15 * SECOND, api.Suspended("a", False))
-    least, worker = module.rules.cold_from, module.workers["a"]
+    module.handle(0, api.WorkerListUpdate(api.ListKind.FULL, [entry("a", born=1)]))
+    module.handle(11 * SECOND, api.SuspensionChange("a", True))
+    module.handle(13 * SECOND, api.WorkerListUpdate(api.ListKind.CHANGES, [entry("a", born=born * SECOND)]))
+    module.handle(15 * SECOND, api.SuspensionChange("a", False))
+    least, worker = module.rules.cold_min_share, module.workers["a"]
     assert module.warmth(worker) == (least if warmth == "cold" else least + (1 - least) * 0.3)
 
 
@@ -245,32 +257,32 @@
     work; at `at` some of them start anew and remember nothing. The most jobs in any window, and the bound."""
     config = replace(settings(schedulers=schedulers), rules=COLD)
     born, sent = 1_000 * SECOND, list[int]()
-    modules = {me: Dispatcher(replace(config, me=me), me) for me in range(schedulers)}
+    modules = {me: Dispatcher(replace(config, scheduler_index=me), me) for me in range(schedulers)}
 
     def told(module: Dispatcher, now: int) -> None:
-        module.handle(now, api.Members(api.ListKind.FULL, [entry("cold", born=born), entry("warm")]))
-        module.workers["warm"].peak = 4  # as seen in service
+        module.handle(now, api.WorkerListUpdate(api.ListKind.FULL, [entry("cold", born=born), entry("warm")]))
+        module.workers["warm"].peak_slots = 4  # as seen in service
 
     for module in modules.values():
-        module.handle(born - 60 * SECOND, api.Members(api.ListKind.FULL, [entry("warm")]))
+        module.handle(born - 60 * SECOND, api.WorkerListUpdate(api.ListKind.FULL, [entry("warm")]))
         told(module, born)
     lot = Random(schedulers)
     for now in range(born, born + 9 * SECOND, 50 * MS):
         if now == born + at:
             for me in lot.sample(sorted(modules), int(restarted * schedulers)):
-                modules[me] = Dispatcher(replace(config, me=me), me)
+                modules[me] = Dispatcher(replace(config, scheduler_index=me), me)
                 told(modules[me], now)
         for module in modules.values():
             module.now, worker = now, module.workers["cold"]
             while module.warmth(worker) < 1 and module.cold_budget(worker) >= work:
                 worker.cold_sends.append((now, float(work)))
                 sent.append(now)
-    window = COLD.fall_time
+    window = COLD.overload_window
     worst, bound = 0.0, 0.0
     for begin in range(born, born + 9 * SECOND - window, 50 * MS):
-        least = COLD.cold_from
-        warmth = least + (1 - least) * (begin - born) / COLD.cold_time
-        allowed = COLD.fall_multiple * warmth * 4 * window / work
+        least = COLD.cold_min_share
+        warmth = least + (1 - least) * (begin - born) / COLD.warm_up_time
+        allowed = COLD.overload_multiple * warmth * 4 * window / work
         most = allowed + 2 * allowed**0.5 + 2
         count = sum(begin <= when < begin + window for when in sent)
         if not bound or count / most > worst / bound:
@@ -301,13 +313,13 @@
     warm = [f"warm{number}" for number in range(3)]
 
     def world(me: int, now: int) -> World:
-        made = World(replace(config, me=me), seed=seed * 1000 + me)
+        made = World(replace(config, scheduler_index=me), seed=seed * 1000 + me)
         made.looks = {}
         made.now = now
         entries = [entry("cold", born=born if now >= born else 0), *map(entry, warm)]
         made.members(entries, api.ListKind.STALE)
         for worker in made.dispatcher.workers.values():
-            worker.peak = 4  # as seen in service
+            worker.peak_slots = 4  # as seen in service
         return made
 
     begin = born - 2 * SECOND
@@ -332,16 +344,16 @@
                 if sent.begun < 0:
                     sent.begun = now
                     if sent.worker == "cold" and now >= born:
-                        sends.append((now, one.requests[sent.request].hint / mean))
-                if now - sent.begun >= one.requests[sent.request].hint:  # at the standard speed
+                        sends.append((now, one.requests[sent.request].work_hint / mean))
+                if now - sent.begun >= one.requests[sent.request].work_hint:  # at the standard speed
                     reason = lot.choice([api.Reason.OK] * 6 + [api.Reason.FULL, api.Reason.RESET])
                     one.outcome(sent, reason)
                 elif not sent.started:
                     one.started(sent)
-    worst, bound, window = 0.0, 1.0, COLD.fall_time
+    worst, bound, window = 0.0, 1.0, COLD.overload_window
     for start in range(born, born + 7 * SECOND, 20 * MS):
-        warmth = COLD.cold_from + (1 - COLD.cold_from) * (start - born) / COLD.cold_time
-        allowed = COLD.fall_multiple * warmth * 4 * window / mean
+        warmth = COLD.cold_min_share + (1 - COLD.cold_min_share) * (start - born) / COLD.warm_up_time
+        allowed = COLD.overload_multiple * warmth * 4 * window / mean
         most = allowed + 2 * allowed**0.5 + 2
         work = sum(cost for at, cost in sends if start <= at < start + window)
         if work / most > worst / bound:
--- a/tests/world.py
+++ b/tests/world.py
@@ -10,16 +10,20 @@
 MS = 1000
 SECOND = 1000 * MS
 
-SAFE = api.ClassSettings("read", api.Effect.SAFE, api.Group.ALL, 0, 200 * MS, 2.0, 5 * SECOND, 1.0, 0.5)
-UNSAFE = api.ClassSettings("pay", api.Effect.UNSAFE, api.Group.ALL, 0, 200 * MS, 2.0, 5 * SECOND, 2.0, 0.5)
+SAFE = api.ClassSettings(
+    "read", api.Idempotency.SAFE, api.DedupScope.ALL, 0, 200 * MS, 2.0, 5 * SECOND, 1.0, 0.5
+)
+UNSAFE = api.ClassSettings(
+    "pay", api.Idempotency.UNSAFE, api.DedupScope.ALL, 0, 200 * MS, 2.0, 5 * SECOND, 2.0, 0.5
+)
 
 
-def keyed(group: api.Group, name: str = "", window: int = 2 * SECOND) -> api.ClassSettings:
+def keyed(group: api.DedupScope, name: str = "", window: int = 2 * SECOND) -> api.ClassSettings:
     name = name or f"order-{group.value}"
-    return api.ClassSettings(name, api.Effect.KEYED, group, window, 200 * MS, 2.0, 5 * SECOND, 5.0, 0.5)
+    return api.ClassSettings(name, api.Idempotency.KEYED, group, window, 200 * MS, 2.0, 5 * SECOND, 5.0, 0.5)
 
 
-CLASSES = (SAFE, UNSAFE, *(keyed(group) for group in api.Group))
+CLASSES = (SAFE, UNSAFE, *(keyed(group) for group in api.DedupScope))
 
 
 def settings(
@@ -36,22 +40,22 @@
     progress: int = SECOND,
 ) -> api.Settings:
     return api.Settings(
-        me=0,
-        schedulers=schedulers,
+        scheduler_index=0,
+        scheduler_count=schedulers,
         zone="here",
         classes=classes,
         tenants=tuple(api.TenantSettings(name, share) for name, share in (tenants or {}).items()),
-        kinds=("big", "small"),
+        worker_kinds=("big", "small"),
         limits=api.Limits(attempts, cancel, probes, 0, 200 * MS),
         rules=api.Rules(500 * MS, 16 * MS, 10 * SECOND if ask else 0, 0.25, 10 * SECOND, 3.0, 2 * SECOND),
-        tick=4 * MS,
-        ask_for_list=ask,
-        tells_start=tells_start,
-        progress_every=progress,
+        min_event_interval=4 * MS,
+        list_on_request=ask,
+        reports_start=tells_start,
+        progress_interval=progress,
         report_fields=report_fields,
         report_in_answers=bool(report_fields),
-        worth_by_work=True,
-        cross_zone_price=0.02,
+        value_by_work=True,
+        cross_zone_cost=0.02,
     )
 
 
@@ -63,8 +67,8 @@
     zone: str = "here",
     born: int = 0,
     weight: float = 1.0,
-) -> api.Entry:
-    return api.Entry(worker, zone, "big", cell, state, weight, born)
+) -> api.WorkerEntry:
+    return api.WorkerEntry(worker, zone, "big", cell, state, weight, born)
 
 
 class Sent:
@@ -79,7 +83,7 @@
 class World:
     """One scheduler in service."""
 
-    def __init__(self, config: api.Settings, workers: Iterable[api.Entry] = (), seed: int = 7) -> None:
+    def __init__(self, config: api.Settings, workers: Iterable[api.WorkerEntry] = (), seed: int = 7) -> None:
         self.config = config
         self.dispatcher = Dispatcher(config, seed)
         self.now = 1_000 * SECOND
@@ -108,10 +112,10 @@
         for action in actions:
             if isinstance(action, api.Probe) and self.looks is not None:
                 reason, report = self.looks.get(action.worker, (api.Reason.OK, ()))
-                self.tell(api.Probed(action.worker, reason, MS, report))
+                self.tell(api.ProbeResult(action.worker, reason, MS, report))
         return actions
 
-    def members(self, entries: list[api.Entry], kind: api.ListKind = api.ListKind.CHANGES) -> None:
+    def members(self, entries: list[api.WorkerEntry], kind: api.ListKind = api.ListKind.CHANGES) -> None:
         if kind in (api.ListKind.FULL, api.ListKind.STALE):
             for worker in self.cells.keys() - {told.worker for told in entries}:
                 self.told_off.setdefault(worker, self.now)
@@ -121,7 +125,7 @@
                 self.told_off.pop(told.worker, None)
             else:
                 self.told_off.setdefault(told.worker, self.now)
-        self.tell(api.Members(kind, entries))
+        self.tell(api.WorkerListUpdate(kind, entries))
 
     def request(
         self, number: int, cls: str = "read", *, hint: int = 100 * MS, tenant: str = "", slots: int = 1,
@@ -137,19 +141,19 @@
             self.answers.setdefault(sent.request, "ok")
         ended = sent.request in self.answers
         took = self.now - sent.at
-        self.tell(api.Outcome(sent.request, sent.number, sent.worker, reason, took, ended, report))
+        self.tell(api.AttemptOutcome(sent.request, sent.number, sent.worker, reason, took, ended, report))
 
     def suspend(self, worker: str, *, on: bool) -> None:
         (self.suspended.add if on else self.suspended.discard)(worker)
-        self.tell(api.Suspended(worker, on))
+        self.tell(api.SuspensionChange(worker, on))
 
     def started(self, sent: Sent) -> None:
         sent.started = True
-        self.tell(api.Note(sent.request, sent.number, sent.worker, api.NoteKind.STARTED))
+        self.tell(api.AttemptUpdate(sent.request, sent.number, sent.worker, api.UpdateKind.STARTED))
 
     def gone(self, number: int) -> None:
         self.answers.setdefault(number, "gone")
-        self.tell(api.Gone(number))
+        self.tell(api.ClientDisconnected(number))
 
     def advance(self, span: int) -> None:
         """Let time pass: timers ring and attempts time out at the client's deadline."""
@@ -192,15 +196,15 @@
             case api.Refuse() | api.Fail():
                 self.check_answer(action)
             case api.Cancel():
-                assert self.config.limits.cancel
+                assert self.config.limits.can_cancel
                 assert action.attempt < len(self.sent[action.id]), "an attempt never made is cancelled"
             case api.SetTimer():
-                assert action.after > 0
-                self.timers.append((self.now + action.after, action.token))
+                assert action.delay > 0
+                self.timers.append((self.now + action.delay, action.token))
             case api.Watch():
                 self.watches += 1
             case api.Probe():
-                assert self.config.limits.probes
+                assert self.config.limits.can_probe
                 assert action.worker in self.cells, "a worker is probed that no list has named"
                 self.asked.append(action.worker)
             case api.Log():
@@ -226,22 +230,22 @@
         assert not out, "a second copy is sent"
         cls = self.cls(action.id)
         ran = self.may_have_run(action.id)
-        if not ran or cls.effect is api.Effect.SAFE:
+        if not ran or cls.idempotency is api.Idempotency.SAFE:
             return
-        assert cls.effect is not api.Effect.UNSAFE, "an unsafe request is sent again"
-        assert self.now - ran[0].at < cls.window, "a keyed request is sent again after its window"
+        assert cls.idempotency is not api.Idempotency.UNSAFE, "an unsafe request is sent again"
+        assert self.now - ran[0].at < cls.dedup_window, "a keyed request is sent again after its window"
         (cell, zone), (old_cell, old_zone) = self.cells[action.worker], self.cells[ran[0].worker]
-        if cls.group is api.Group.CELL:
+        if cls.dedup_scope is api.DedupScope.CELL:
             assert cell == old_cell, "a keyed request leaves its cell"
-        if cls.group is api.Group.ZONE:
+        if cls.dedup_scope is api.DedupScope.ZONE:
             assert zone == old_zone, "a keyed request leaves its zone"
 
     def check_answer(self, action: api.Refuse | api.Fail) -> None:
         assert action.id not in self.answers, "a request is answered twice"
         self.answers[action.id] = "refused" if isinstance(action, api.Refuse) else "failed"
         cls = self.cls(action.id)
-        everywhere = cls.effect is api.Effect.KEYED and cls.group is api.Group.ALL
-        if isinstance(action, api.Refuse) and cls.effect is not api.Effect.SAFE and not everywhere:
+        everywhere = cls.idempotency is api.Idempotency.KEYED and cls.dedup_scope is api.DedupScope.ALL
+        if isinstance(action, api.Refuse) and cls.idempotency is not api.Idempotency.SAFE and not everywhere:
             assert not self.may_have_run(action.id), "a request is refused that may have run"
 
     def check_deadlines(self) -> None:
@@ -250,13 +254,13 @@
         assert not late, f"requests {late} got no answer in time"
 
     def cls(self, number: int) -> api.ClassSettings:
-        return next(cls for cls in self.config.classes if cls.name == self.requests[number].cls)
+        return next(cls for cls in self.config.classes if cls.name == self.requests[number].class_name)
 
     def check_freed(self) -> None:
         """Nothing is remembered of what has ended."""
         assert not self.dispatcher.jobs
-        assert not self.dispatcher.out
+        assert not self.dispatcher.in_flight
         for worker in self.dispatcher.workers.values():
-            assert worker.used == worker.running == 0
-            assert abs(worker.load) < 1
+            assert worker.used_slots == worker.running == 0
+            assert abs(worker.work_in_flight) < 1
         assert all(not flow.queue and not flow.out for flow in self.dispatcher.flows.values())
