--- a/tests/fleet/test_load_sharing_processes.py
+++ b/tests/fleet/test_load_sharing_processes.py
@@ -117,26 +117,28 @@
 
 
 def test_placement_heeds_the_reservations_of_others() -> None:
-    world = World(settings(schedulers=2), [entry("a"), entry("b")])
+    world = World(settings(scheduler_count=2), [entry("a"), entry("b")])
     for worker in world.dispatcher.workers.values():
         worker.peak_slots = 2
-    world.tell(PeerLoads({"a": (2, 800.0 * MS)}))
+    world.handle(PeerLoads({"a": (2, 800.0 * MS)}))
     world.request(1)
-    assert [sent.worker for sent in world.out()] == ["b"]
-    world.tell(PeerLoads({"b": (2, 800.0 * MS)}))
+    assert [sent.worker for sent in world.in_flight()] == ["b"]
+    world.handle(PeerLoads({"b": (2, 800.0 * MS)}))
     world.request(2)
-    assert [sent.worker for sent in world.out()] == ["b", "a"], "each report of loads replaces the last one"
+    assert [sent.worker for sent in world.in_flight()] == ["b", "a"], (
+        "each report of loads replaces the last one"
+    )
 
 
 def test_a_job_that_would_start_late_behind_the_others_waits_until_a_slot_is_free() -> None:
     """Seen in overload at the second deployment: four to six schedulers with a position at each of twelve
     hosts queued three deep in two slots; a fifth of all answers came too late, the short class got 0.41."""
-    world = World(settings(schedulers=2), [entry("a")])
+    world = World(settings(scheduler_count=2), [entry("a")])
     world.dispatcher.workers["a"].peak_slots = 2
     world.request(1, hint=200 * MS)
-    world.started(world.out()[0])
-    world.tell(PeerLoads({"a": (4, 9_000.0 * MS)}))
+    world.start(world.in_flight()[0])
+    world.handle(PeerLoads({"a": (4, 9_000.0 * MS)}))
     world.request(2, hint=200 * MS)
-    assert len(world.out()) == 1
-    world.tell(PeerLoads({}))
-    assert len(world.out()) == 2
+    assert len(world.in_flight()) == 1
+    world.handle(PeerLoads({}))
+    assert len(world.in_flight()) == 2
--- a/tests/test_combined.py
+++ b/tests/test_combined.py
@@ -13,13 +13,13 @@
     end = world.now + span
     while world.now < end:
         for worker in [name for name in world.cells if name not in hung]:
-            for sent in world.out_at(worker)[:2]:
+            for sent in world.in_flight_at(worker)[:2]:
                 if not sent.started and world.config.reports_start:
-                    world.started(sent)
-                if sent.begun < 0:
-                    sent.begun = world.now
-                if world.now - sent.begun >= 100 * MS:
-                    world.outcome(sent, api.Reason.OK, report)
+                    world.start(sent)
+                if sent.taken_up_at < 0:
+                    sent.taken_up_at = world.now
+                if world.now - sent.taken_up_at >= 100 * MS:
+                    world.finish(sent, api.Reason.OK, report)
         world.advance(20 * MS)
 
 
@@ -36,11 +36,11 @@
     calm = [n for n in world.requests if world.requests[n].tenant == "calm"]
     served = sum(world.answers[n] == "ok" for n in calm)
     assert served >= 0.8 * len(calm), "the calm tenant lives through the other's flood"
-    assert not world.open()
+    assert not world.unanswered()
 
 
 def test_frozen_and_missing_load_reports() -> None:
-    config = settings(tells_start=False, report_fields=("queue", "x0"), progress=0)
+    config = settings(reports_start=False, report_fields=("queue", "x0"), progress_interval=0)
     for report in ((0.0, 2.0), ()):
         world = World(config, [entry("w0"), entry("w1")])
         for number in range(100):
@@ -48,7 +48,7 @@
             serve(world, 40 * MS, report=report)
         serve(world, 8 * SECOND, report=report)
         assert sum(answer == "ok" for answer in world.answers.values()) >= 90
-        assert not world.open()
+        assert not world.unanswered()
 
 
 def test_start_notices_that_never_come_though_promised() -> None:
@@ -56,8 +56,8 @@
     for number in range(60):
         world.request(number)
         world.advance(60 * MS)
-        for sent in [s for s in world.out() if world.now - s.at >= 100 * MS]:
-            world.outcome(sent, api.Reason.OK)
+        for sent in [s for s in world.in_flight() if world.now - s.sent_at >= 100 * MS]:
+            world.finish(sent, api.Reason.OK)
     world.advance(8 * SECOND)
     assert sum(answer == "ok" for answer in world.answers.values()) >= 50
 
@@ -67,25 +67,25 @@
     for number in range(20):
         world.request(number)
     world.advance(100 * MS)
-    world.members([entry("w0", api.WorkerState.DRAINING)])
+    world.update_workers([entry("w0", api.WorkerState.DRAINING)])
     serve(world, 8 * SECOND)
-    assert not world.open(), "what nobody can serve is answered all the same"
+    assert not world.unanswered(), "what nobody can serve is answered all the same"
     assert "refused" in world.answers.values()
 
 
 def test_list_out_of_reach_after_a_restart_with_a_stale_list() -> None:
-    world = World(settings(ask=True), [entry("gone"), entry("here")])
+    world = World(settings(list_on_request=True), [entry("gone"), entry("here")])
     world.advance(100 * MS)
-    asked = world.watches
+    asked = world.list_requests
     assert asked >= 1
     for number in range(40):
-        world.members([], api.ListKind.LOST)
+        world.update_workers([], api.ListKind.LOST)
         world.request(number)
-        for sent in world.out_at("gone"):
-            world.outcome(sent, api.Reason.CONNECT_FAILED)
+        for sent in world.in_flight_at("gone"):
+            world.finish(sent, api.Reason.CONNECT_FAILED)
         serve(world, 300 * MS, hung=frozenset({"gone"}))
     serve(world, 8 * SECOND)
-    assert world.watches > asked + 5, "it goes on asking"
+    assert world.list_requests > asked + 5, "it goes on asking"
     assert sum(answer == "ok" for answer in world.answers.values()) >= 36
 
 
--- a/tests/test_interleavings.py
+++ b/tests/test_interleavings.py
@@ -65,7 +65,7 @@
         self.told_off: dict[str, int] = {}
         self.number = self.rev = 0
         self.over = self.stopping = False
-        self.config = settings(cancel=cancel, schedulers=schedulers, ask=ask)
+        self.config = settings(can_cancel=cancel, scheduler_count=schedulers, list_on_request=ask)
         self.play = Play(Budget(places, places + 4), self.config)
         self.tell(self.list_of(api.ListKind.STALE, *HOSTS), fx.Listening(), fx.Beaten())
 
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -29,13 +29,13 @@
 
 def finish(world: World, after: int) -> str:
     """Let the oldest attempt run for `after` and end well; returns its tenant."""
-    sent = world.out()[0]
+    sent = world.in_flight()[0]
     if not sent.started:
-        world.started(sent)
+        world.start(sent)
     world.now += after
     tenant = world.requests[sent.request].tenant
     hold_caps(world)
-    world.outcome(sent, api.Reason.OK)
+    world.finish(sent, api.Reason.OK)
     return tenant
 
 
@@ -71,7 +71,7 @@
     spent = {"cheap": 0, "dear": 0}
     turns = {"cheap": 0, "dear": 0}
     for _ in range(12):
-        sent = world.out()[0]
+        sent = world.in_flight()[0]
         length = world.requests[sent.request].work_hint
         tenant = finish(world, length)
         spent[tenant] += length
@@ -111,27 +111,27 @@
     world = one_slot_worlds({"a": 1})
     world.request(1, tenant="a", hint=400 * MS)
     assert flow(world, "a").start == 400 * MS
-    world.outcome(world.out()[0], api.Reason.FULL)
+    world.finish(world.in_flight()[0], api.Reason.FULL)
     assert flow(world, "a").start == 0
-    assert world.open() == [1]
+    assert world.unanswered() == [1]
 
 
 def test_running_jobs_are_billed_while_they_run() -> None:
     """Refresh charging: a job that outlasts its estimate holds its tenant back before it ends."""
     world = one_slot_worlds({"a": 1, "b": 1}, workers=2)
     world.request(1, tenant="a", hint=10 * MS)
-    world.started(world.out()[0])
+    world.start(world.in_flight()[0])
     world.request(2, tenant="b", hint=10 * MS)
     world.now += 100 * MS
     hold_caps(world)
     world.request(3, tenant="a", hint=10 * MS)
     world.request(4, tenant="b", hint=10 * MS)
-    sent = world.out_at(world.sent[2][0].worker)[0]
+    sent = world.in_flight_at(world.sent[2][0].worker)[0]
     hold_caps(world)
-    world.started(sent)
+    world.start(sent)
     hold_caps(world)
-    world.outcome(sent, api.Reason.OK)
-    assert [s.request for s in world.out()] == [1, 4], "a paid for its long job, so b goes first"
+    world.finish(sent, api.Reason.OK)
+    assert [s.request for s in world.in_flight()] == [1, 4], "a paid for its long job, so b goes first"
 
 
 def test_an_idle_tenant_brings_no_credit() -> None:
@@ -152,9 +152,9 @@
     names = [f"w{i}" for i in range(20)]
     world = World(settings(), [entry(name) for name in names])
     before = ring(world)
-    world.members([entry("w7", api.WorkerState.GONE)])
+    world.update_workers([entry("w7", api.WorkerState.GONE)])
     assert ring(world) == [name for name in before if name != "w7"]
-    world.members([entry("w7")])
+    world.update_workers([entry("w7")])
     assert ring(world) == before
 
 
@@ -163,15 +163,15 @@
     worker = world.dispatcher.workers["a"]
     world.request(1)
     world.now += 300 * MS
-    world.started(world.out()[0])
+    world.start(world.in_flight()[0])
     low = worker.cap
     assert low < 2
-    world.outcome(world.out()[0], api.Reason.OK)
+    world.finish(world.in_flight()[0], api.Reason.OK)
     for number in range(2, 20):
         world.advance(2 * SECOND)
         world.request(number)
-        world.started(world.out()[0])
-        world.outcome(world.out()[0], api.Reason.OK)
+        world.start(world.in_flight()[0])
+        world.finish(world.in_flight()[0], api.Reason.OK)
     assert worker.cap > low
 
 
@@ -179,29 +179,29 @@
     """Seen on a day when one worker's queue grew to 12 s: its start notices came after that long."""
     world = World(settings(), [entry("a"), entry("b")])
     world.request(1)
-    stuck = world.out()[0].worker
+    stuck = world.in_flight()[0].worker
     world.advance(SECOND)
     for number in range(2, 8):
         world.request(number)
-        other = next(s for s in world.out() if s.request == number)
+        other = next(s for s in world.in_flight() if s.request == number)
         assert other.worker != stuck
-        world.started(other)
-        world.outcome(other, api.Reason.OK)
+        world.start(other)
+        world.finish(other, api.Reason.OK)
 
 
 def test_a_worker_that_hangs_after_the_start_is_avoided() -> None:
     """Seen in incident i8b5d22: hung workers tell the start and no more, and were sent to as before."""
     world = World(settings(), [entry("a"), entry("b")])
     world.request(1, hint=20 * MS)
-    hung = world.out()[0].worker
-    world.started(world.out()[0])
+    hung = world.in_flight()[0].worker
+    world.start(world.in_flight()[0])
     world.advance(3 * SECOND)
     for number in range(2, 6):
         world.request(number, hint=20 * MS)
-        other = next(s for s in world.out() if s.request == number)
+        other = next(s for s in world.in_flight() if s.request == number)
         assert other.worker != hung
-        world.started(other)
-        world.outcome(other, api.Reason.OK)
+        world.start(other)
+        world.finish(other, api.Reason.OK)
 
 
 def test_a_fleet_that_is_slow_as_a_whole_goes_on_working() -> None:
@@ -210,11 +210,11 @@
     for number in range(12):
         world.request(number)
         world.advance(300 * MS)
-        for sent in world.out():
-            if world.now - sent.at >= 800 * MS:
-                world.outcome(sent, api.Reason.OK)
-    for sent in world.out():
-        world.outcome(sent, api.Reason.OK)
+        for sent in world.in_flight():
+            if world.now - sent.sent_at >= 800 * MS:
+                world.finish(sent, api.Reason.OK)
+    for sent in world.in_flight():
+        world.finish(sent, api.Reason.OK)
     world.advance(6 * SECOND)
     assert sum(answer == "ok" for answer in world.answers.values()) >= 6
     assert all(len(attempts) <= 1 for attempts in world.sent.values())
@@ -232,30 +232,30 @@
     assert refused
     assert all(number % 2 for number in refused[:3]), "the class worth less goes first"
     world.advance(6 * SECOND)
-    assert not world.open()
+    assert not world.unanswered()
 
 
 def test_a_list_that_is_lost_is_asked_for_again_even_when_idle() -> None:
-    world = World(settings(ask=True), [entry("a")])
+    world = World(settings(list_on_request=True), [entry("a")])
     world.advance(100 * MS)
-    assert world.watches == 1
-    world.members([], api.ListKind.LOST)
+    assert world.list_requests == 1
+    world.update_workers([], api.ListKind.LOST)
     world.advance(SECOND)
-    assert world.watches == 2
-    world.members([entry("a")], api.ListKind.FULL)
+    assert world.list_requests == 2
+    world.update_workers([entry("a")], api.ListKind.FULL)
     world.advance(10 * SECOND)
-    assert world.watches == 2
+    assert world.list_requests == 2
 
 
 def test_a_worker_out_of_reach_is_left_alone_for_a_while() -> None:
     world = World(settings(), [entry("a"), entry("b")])
     world.request(1)
-    down = world.out()[0]
-    world.outcome(down, api.Reason.CONNECT_FAILED)
-    assert world.out()[0].worker != down.worker
+    down = world.in_flight()[0]
+    world.finish(down, api.Reason.CONNECT_FAILED)
+    assert world.in_flight()[0].worker != down.worker
     for number in range(2, 6):
         world.request(number)
-    assert not world.out_at(down.worker)
+    assert not world.in_flight_at(down.worker)
 
 
 def test_same_events_same_actions() -> None:
@@ -265,7 +265,7 @@
             world.request(number, tenant="ab"[number % 2], hint=(number % 7 + 1) * 30 * MS)
             world.advance(20 * MS)
             if number % 2:
-                world.outcome(world.out()[0], api.Reason.OK)
+                world.finish(world.in_flight()[0], api.Reason.OK)
         return [repr(action) for action in world.actions]
 
     assert play() == play()
@@ -273,18 +273,18 @@
 
 def test_events_about_unknown_requests_change_nothing() -> None:
     world = World(settings(), [entry("a")])
-    assert not world.tell(api.AttemptOutcome(99, 0, "a", api.Reason.OK, 5, True))
-    assert not world.tell(api.AttemptUpdate(99, 0, "a", api.UpdateKind.STARTED))
-    assert not world.tell(api.ClientDisconnected(99))
-    assert not world.tell(api.ProbeResult("z", api.Reason.OK, 5))
+    assert not world.handle(api.AttemptOutcome(99, 0, "a", api.Reason.OK, 5, True))
+    assert not world.handle(api.AttemptUpdate(99, 0, "a", api.UpdateKind.STARTED))
+    assert not world.handle(api.ClientDisconnected(99))
+    assert not world.handle(api.ProbeResult("z", api.Reason.OK, 5))
 
 
 def test_state_is_freed_over_a_long_run() -> None:
     world = World(settings(tenants={"a": 1}), [entry(f"w{i}") for i in range(4)])
     for number in range(2000):
         world.request(number, tenant="a", hint=20 * MS)
-        for sent in world.out():
-            world.outcome(sent, api.Reason.OK)
+        for sent in world.in_flight():
+            world.finish(sent, api.Reason.OK)
         world.advance(10 * MS)
     world.check_freed()
     assert len(world.dispatcher.workers) == 4
@@ -293,8 +293,8 @@
 def test_a_new_worker_id_at_each_deploy_leaves_nothing_behind() -> None:
     world = World(settings(), [entry("w0")])
     for number in range(1, 50):
-        world.members([entry(f"w{number}")])
-        world.members([entry(f"w{number - 1}", api.WorkerState.GONE)])
+        world.update_workers([entry(f"w{number}")])
+        world.update_workers([entry(f"w{number - 1}", api.WorkerState.GONE)])
     assert len(world.dispatcher.workers) <= 2
 
 
@@ -304,36 +304,36 @@
     for number in range(20):
         world.request(number)
         world.advance(50 * MS)
-        for sent in world.out():
-            world.outcome(sent, api.Reason.OK)
+        for sent in world.in_flight():
+            world.finish(sent, api.Reason.OK)
     world.advance(6 * SECOND)
-    assert not world.open()
+    assert not world.unanswered()
     assert ("ok" in world.answers.values()) == bool(workers)
 
 
 def test_service_returns_when_every_worker_comes_back() -> None:
     names = [entry(f"w{i}") for i in range(4)]
     world = World(settings(), names)
-    world.members([entry(e.worker, api.WorkerState.GONE) for e in names])
+    world.update_workers([entry(e.worker, api.WorkerState.GONE) for e in names])
     for number in range(10):
         world.request(number)
     world.advance(6 * SECOND)
-    assert not world.open()
-    world.members(names)
+    assert not world.unanswered()
+    world.update_workers(names)
     world.request(100)
-    world.outcome(world.out()[0], api.Reason.OK)
+    world.finish(world.in_flight()[0], api.Reason.OK)
     assert world.answers[100] == "ok"
 
 
 def test_a_cold_fleet_takes_work() -> None:
-    world = World(settings(schedulers=2))
-    world.members([entry(f"w{i}", born=world.now) for i in range(3)], api.ListKind.FULL)
+    world = World(settings(scheduler_count=2))
+    world.update_workers([entry(f"w{i}", started_at=world.now) for i in range(3)], api.ListKind.FULL)
     world.request(1, hint=100 * MS)
     assert world.sent[1]
 
 
 def test_settings_at_their_limits() -> None:
-    config = settings(attempts=1, cancel=False, probes=False)
+    config = settings(max_attempts=1, can_cancel=False, can_probe=False)
     world = World(config, [entry("a")])
     world.request(1, slots=16)
     assert world.sent[1], "a job wider than any cap runs on a worker that holds nothing else of ours"
@@ -345,8 +345,8 @@
     ("key", "make"),
     [
         ("classes", lambda: settings(classes=())),
-        ("max_attempts", lambda: settings(attempts=0)),
-        ("schedulers", lambda: settings(schedulers=0)),
+        ("max_attempts", lambda: settings(max_attempts=0)),
+        ("schedulers", lambda: settings(scheduler_count=0)),
         ("share", lambda: settings(tenants={"a": 0})),
         ("kind", lambda: settings(classes=(replace(SAFE, worker_kind=5),))),
         ("aim", lambda: replace(SAFE, latency_target=0)),
@@ -368,9 +368,9 @@
     world = World(settings(), [entry("a"), entry("b")])
     world.request(1)
     world.answers[1] = "streams"
-    world.tell(api.ResponseStarted(1, 0))
+    world.handle(api.ResponseStarted(1, 0))
     assert not [action for action in world.actions if isinstance(action, api.Cancel)]
-    world.outcome(world.out()[0], api.Reason.OK)
+    world.finish(world.in_flight()[0], api.Reason.OK)
     world.check_freed()
 
 
@@ -380,7 +380,7 @@
     for number, memory in ((1, 2.0), (2, 2.0), (3, 0.5)):
         world.sent[number] = []
         world.requests[number] = api.Request(number, "read", world.now + 5 * SECOND, 50 * MS, memory=memory)
-        world.tell(world.requests[number])
+        world.handle(world.requests[number])
     assert world.sent[1]
     assert not world.sent[2], "two units and two more do not fit three slots"
 
@@ -394,14 +394,14 @@
     for _ in range(30):
         if world.sent[99]:
             break
-        for sent in world.out():
+        for sent in world.in_flight():
             if not sent.started:
-                world.started(sent)
+                world.start(sent)
         world.now += 10 * MS
         hold_caps(world, 2.0)
-        world.outcome(world.out()[0], api.Reason.OK)
+        world.finish(world.in_flight()[0], api.Reason.OK)
     assert world.sent[99], "it got no worker while small jobs took turns"
-    assert [s.request for s in world.out_at(world.sent[99][0].worker)] == [99]
+    assert [s.request for s in world.in_flight_at(world.sent[99][0].worker)] == [99]
 
 
 def test_schedulers_keep_out_of_each_others_way_until_there_is_need() -> None:
@@ -409,16 +409,16 @@
     fleet = [entry(f"w{i}") for i in range(12)]
     used = []
     for me in range(3):
-        world = World(replace(settings(schedulers=3), scheduler_index=me), fleet)
+        world = World(replace(settings(scheduler_count=3), scheduler_index=me), fleet)
         for number in range(8):
             world.request(number, hint=100 * MS)
             finish(world, 100 * MS)
         used.append({s.worker for attempts in world.sent.values() for s in attempts})
     assert len(used[0] | used[1] | used[2]) == sum(map(len, used)), "no worker is met by two of them"
-    world = World(settings(schedulers=3), fleet)
+    world = World(settings(scheduler_count=3), fleet)
     for number in range(24):
         world.request(number, hint=100 * MS)
-    assert len({s.worker for s in world.out()}) == 12, "under load all workers serve"
+    assert len({s.worker for s in world.in_flight()}) == 12, "under load all workers serve"
 
 
 def test_job_is_held_where_every_start_would_be_far_too_late() -> None:
@@ -428,7 +428,7 @@
         worker.delay, worker.delay_at = 20.0 * SECOND, world.now
     world.request(1)
     world.request(2)
-    assert [sent.request for sent in world.out()] == [1], (
+    assert [sent.request for sent in world.in_flight()] == [1], (
         "one tries whether the jam has gone, the other is held"
     )
     world.advance(2 * SECOND)
@@ -436,19 +436,19 @@
     world.advance(30 * SECOND)
     world.request(3)
     world.request(4)
-    assert len(world.out()) == 2, "what is not seen again is forgotten"
+    assert len(world.in_flight()) == 2, "what is not seen again is forgotten"
 
 
 def test_scheduler_does_not_stop_for_long_on_workers_that_are_idle_again() -> None:
     """Incident icef380: after a flood 272 schedulers refused four jobs in five, their workers idle."""
-    world = World(settings(schedulers=272), [entry("w0"), entry("w1")])
-    world.looks = {}
+    world = World(settings(scheduler_count=272), [entry("w0"), entry("w1")])
+    world.probe_replies = {}
     for worker in world.dispatcher.workers.values():
         worker.delay, worker.delay_at = 5.0 * SECOND, world.now
     world.dispatcher.usual = 600.0 * MS
     for number in range(20):
         world.request(number)
-        while world.out():
+        while world.in_flight():
             finish(world, 100 * MS)
     assert sum(answer == "ok" for answer in world.answers.values()) == 20
 
@@ -456,14 +456,14 @@
 @pytest.mark.parametrize(("schedulers", "again"), [(2, True), (200, False)])
 def test_bad_worker_is_tried_again_less_often_by_each_of_many(schedulers: int, again: bool) -> None:
     """Seen in a large fleet: forty schedulers tried the same jammed worker in turn, so it never emptied."""
-    world = World(settings(schedulers=schedulers), [entry("w0"), entry("w1")])
-    world.looks = {}
+    world = World(settings(scheduler_count=schedulers), [entry("w0"), entry("w1")])
+    world.probe_replies = {}
     near, other = world.dispatcher.available
     near.delay, near.delay_at = 1.0 * SECOND, world.now
     world.advance(10 * SECOND)
     other.delay, other.delay_at = 80.0 * MS, world.now
     world.request(1)
-    assert (world.out()[0].worker == near.id) is again
+    assert (world.in_flight()[0].worker == near.id) is again
 
 
 def test_wait_of_a_job_of_many_slots_counts_for_each_slot() -> None:
@@ -471,7 +471,7 @@
     world = World(settings(), [entry("w0")])
     world.request(1, slots=4)
     world.now += 400 * MS
-    world.started(world.out()[0])
+    world.start(world.in_flight()[0])
     assert world.dispatcher.available[0].delay <= 100 * MS
 
 
@@ -481,10 +481,10 @@
     for worker in world.dispatcher.available[:300]:
         worker.rest_until = world.now + SECOND
     world.request(1)
-    assert not world.out(), "what is far beyond reach is not looked at"
+    assert not world.in_flight(), "what is far beyond reach is not looked at"
     world.dispatcher.available[10].rest_until = 0
     world.advance(200 * MS)
-    assert [sent.worker for sent in world.out()] == [world.dispatcher.available[10].id]
+    assert [sent.worker for sent in world.in_flight()] == [world.dispatcher.available[10].id]
 
 
 def parted() -> tuple[World, list[str]]:
@@ -493,9 +493,9 @@
     world = World(settings(), [entry(f"near{i}") for i in range(3)] + [entry(w, zone="far") for w in far])
     for number in range(12):
         world.request(1000 + number)
-    for sent in world.out():
-        world.started(sent)
-        world.outcome(sent, api.Reason.OK)
+    for sent in world.in_flight():
+        world.start(sent)
+        world.finish(sent, api.Reason.OK)
     world.advance(10 * MS)
     return world, far
 
@@ -508,16 +508,16 @@
         for tries in range(12):
             world.request(12 * number + tries)
         world.advance(50 * MS)
-        for sent in world.out():
+        for sent in world.in_flight():
             if sent.worker not in far:
-                world.started(sent)
-                world.outcome(sent, api.Reason.OK)
+                world.start(sent)
+                world.finish(sent, api.Reason.OK)
         world.advance(200 * MS)
-        for sent in [sent for sent in world.out() if sent.worker in far]:
+        for sent in [sent for sent in world.in_flight() if sent.worker in far]:
             lost[number] += 1
-            world.outcome(sent, api.Reason.CONNECT_FAILED)
+            world.finish(sent, api.Reason.CONNECT_FAILED)
         for worker in world.probes():
-            world.tell(api.ProbeResult(worker, api.Reason.CONNECT_FAILED, 200 * MS))
+            world.handle(api.ProbeResult(worker, api.Reason.CONNECT_FAILED, 200 * MS))
     assert lost[0] > 0
     assert not sum(lost[2:]), "it costs no more jobs once it counts as out of reach"
     assert "zone out of reach: left out and probed" in world.logs
@@ -527,10 +527,10 @@
     world.advance(100 * MS)
     asked = world.probes()
     assert asked, "it is asked again"
-    world.tell(api.ProbeResult(asked[0], api.Reason.OK, 5 * MS))
+    world.handle(api.ProbeResult(asked[0], api.Reason.OK, 5 * MS))
     for number in range(300, 330):
         world.request(number)
-    assert any(sent.worker in far for sent in world.out()), "it serves again once it answers"
+    assert any(sent.worker in far for sent in world.in_flight()), "it serves again once it answers"
 
 
 def test_zone_that_falls_silent_is_probed_before_any_failure_is_told() -> None:
@@ -538,13 +538,13 @@
     world, far = parted()
     for number in range(12):
         world.request(number)
-    for sent in [sent for sent in world.out() if sent.worker not in far]:
-        world.started(sent)
+    for sent in [sent for sent in world.in_flight() if sent.worker not in far]:
+        world.start(sent)
     world.advance(20 * MS)
     world.request(50)
     world.advance(200 * MS)
-    near = next(sent for sent in world.out() if sent.worker not in far)
-    world.outcome(near, api.Reason.OK)
+    near = next(sent for sent in world.in_flight() if sent.worker not in far)
+    world.finish(near, api.Reason.OK)
     world.advance(200 * MS)
     assert {worker[:3] for worker in world.probes()} == {"far"}
 
@@ -555,10 +555,10 @@
     for number in range(10):
         world.request(number)
         world.advance(250 * MS)
-        for sent in world.out():
-            world.outcome(sent, api.Reason.CONNECT_FAILED)
+        for sent in world.in_flight():
+            world.finish(sent, api.Reason.CONNECT_FAILED)
         for worker in world.probes():
-            world.tell(api.ProbeResult(worker, api.Reason.CONNECT_FAILED, 200 * MS))
+            world.handle(api.ProbeResult(worker, api.Reason.CONNECT_FAILED, 200 * MS))
     world.advance(6 * SECOND)
     assert any(not worker.zone.cut_at for worker in world.dispatcher.available)
     world.request(100)
@@ -570,16 +570,16 @@
     """Seen on days with silent connections: one of them made its sound worker look jammed for 15 s."""
     world = World(settings(), [entry("a"), entry("b")])
     world.request(1, cls)
-    mute = world.out()[0]
+    mute = world.in_flight()[0]
     worker = world.dispatcher.workers[mute.worker]
     world.advance(300 * MS)
-    world.tell(api.AttemptUpdate(1, mute.number, mute.worker, api.UpdateKind.UNACKNOWLEDGED))
+    world.handle(api.AttemptUpdate(1, mute.number, mute.worker, api.UpdateKind.UNACKNOWLEDGED))
     assert worker.used_slots == 0
     called_off = [action for action in world.actions if isinstance(action, api.Cancel)]
     assert bool(called_off) == (cls == "read"), "what must never run twice is waited for"
-    world.outcome(mute, api.Reason.CANCELLED if called_off else api.Reason.TIMEOUT)
+    world.finish(mute, api.Reason.CANCELLED if called_off else api.Reason.TIMEOUT)
     assert worker.used_slots == 0
-    assert [sent.worker != mute.worker for sent in world.out()] == ([True] if called_off else [])
+    assert [sent.worker != mute.worker for sent in world.in_flight()] == ([True] if called_off else [])
 
 
 @pytest.mark.parametrize(("fields", "sent"), [((), 1), (("queue", "x0"), 3)], ids=["no reports", "reports"])
@@ -589,15 +589,15 @@
     """Guards a fleet whose workers report nothing: what a scheduler had not met it took for idle, so 200 of
     them fed a jam until nearly every job timed out in a queue."""
     names = [f"w{number}" for number in range(40)]
-    world = World(settings(schedulers=40, report_fields=fields), [entry(name) for name in names])
-    world.looks = {}
+    world = World(settings(scheduler_count=40, report_fields=fields), [entry(name) for name in names])
+    world.probe_replies = {}
     for number in range(12):  # all of them wait for long before they start
         world.request(number, "pay")
-    waiting = world.out()
+    waiting = world.in_flight()
     world.advance(3 * SECOND)
     for one in waiting:
-        world.started(one)
-        world.outcome(one, api.Reason.OK)
+        world.start(one)
+        world.finish(one, api.Reason.OK)
     before = len([s for attempts in world.sent.values() for s in attempts])
     for number in range(100, 103):
         world.request(number)
@@ -611,14 +611,14 @@
     worker = world.dispatcher.workers["a"]
     for number in range(5):
         world.request(number, "pay")
-        (sent,) = world.out()
-        world.tell(api.AttemptUpdate(sent.request, sent.number, sent.worker, api.UpdateKind.UNACKNOWLEDGED))
+        (sent,) = world.in_flight()
+        world.handle(api.AttemptUpdate(sent.request, sent.number, sent.worker, api.UpdateKind.UNACKNOWLEDGED))
         assert worker.used_slots == 0
         world.advance(100 * MS)
-        world.started(sent)
+        world.start(sent)
         assert (worker.used_slots, worker.running) == (1, 1)
         world.advance(50 * MS)
-        world.outcome(sent, api.Reason.OK)
+        world.finish(sent, api.Reason.OK)
         assert (worker.used_slots, worker.running, worker.peak_slots) == (0, 0, 1)
         assert worker.pace > 0.3
         world.advance(SECOND)
@@ -628,14 +628,14 @@
     """Guards against a position held, and a tenant billed, until the deadline of a job that is long over."""
     world = World(settings(), [entry("a")])
     world.request(1, "pay", hint=50 * MS)
-    (stopped,) = world.out()
-    world.started(stopped)
+    (stopped,) = world.in_flight()
+    world.start(stopped)
     for number in range(2, 30):  # its worker goes on with others
         world.request(number, hint=50 * MS)
-        world.started(world.out()[-1])
+        world.start(world.in_flight()[-1])
         world.advance(50 * MS)
-        world.outcome(world.out()[-1], api.Reason.OK)
-    assert world.out() == [stopped]
+        world.finish(world.in_flight()[-1], api.Reason.OK)
+    assert world.in_flight() == [stopped]
     assert world.dispatcher.workers["a"].used_slots == 0
     world.dispatcher.bill_running()
     start = flow(world, "").start
@@ -646,24 +646,24 @@
 
 def test_worker_rests_longer_the_more_connections_fail_in_a_row() -> None:
     """Seen on days with resets: a single one kept a sound worker out for a usual response."""
-    world, rests = World(settings(attempts=9), [entry("a")]), list[int]()
+    world, rests = World(settings(max_attempts=9), [entry("a")]), list[int]()
     worker = world.dispatcher.workers["a"]
     number = 0
     while len(rests) < 8:
         number += 1
         world.request(number)
         world.advance(100 * MS)
-        for sent in world.out():
-            world.outcome(sent, api.Reason.CONNECT_FAILED)
+        for sent in world.in_flight():
+            world.finish(sent, api.Reason.CONNECT_FAILED)
             rests.append(worker.rest_until - world.now)
     assert 0 < rests[0] <= 0.26 * world.dispatcher.response
     assert rests == sorted(rests)
     assert rests[-1] == 4 * world.dispatcher.response, "it is always tried again"
-    while not world.out():
+    while not world.in_flight():
         number += 1
         world.request(number)
         world.advance(100 * MS)
-    world.started(world.out()[-1])
+    world.start(world.in_flight()[-1])
     assert worker.failed == 0
 
 
@@ -673,12 +673,12 @@
     for number in range(12):
         world.request(number)
     world.advance(20 * MS)
-    for sent in [sent for sent in world.out() if sent.worker in far]:
-        world.outcome(sent, api.Reason.CONNECT_FAILED)
-    for sent in [sent for sent in world.out() if sent.worker not in far]:
-        world.started(sent)
+    for sent in [sent for sent in world.in_flight() if sent.worker in far]:
+        world.finish(sent, api.Reason.CONNECT_FAILED)
+    for sent in [sent for sent in world.in_flight() if sent.worker not in far]:
+        world.start(sent)
     for worker in far:
-        world.tell(api.ProbeResult(worker, api.Reason.CONNECT_FAILED, 1 * MS))
+        world.handle(api.ProbeResult(worker, api.Reason.CONNECT_FAILED, 1 * MS))
     assert not any(worker.zone.cut_at for worker in world.dispatcher.available)
 
 
@@ -690,19 +690,19 @@
         nonlocal lost, got
         for number in range(first, first + 200):
             world.request(number, "pay" if number % 2 else "read")
-            for sent in world.out():
+            for sent in world.in_flight():
                 if sent.worker == bad:
                     got, lost = got + 1, lost + number % 2
-                    world.outcome(sent, api.Reason.ERROR)
+                    world.finish(sent, api.Reason.ERROR)
                 elif not sent.started:
-                    world.started(sent)
-                elif world.now - sent.at >= 60 * MS:
-                    world.outcome(sent, api.Reason.OK)
+                    world.start(sent)
+                elif world.now - sent.sent_at >= 60 * MS:
+                    world.finish(sent, api.Reason.OK)
             world.advance(every)
 
     world.request(1000)
-    (first,) = world.out()
-    world.outcome(first, api.Reason.OK)
+    (first,) = world.in_flight()
+    world.finish(first, api.Reason.OK)
     play(0, first.worker, 20 * MS)
     assert 3 <= got <= 20, "it is tried now and then"
     assert lost <= 3
@@ -716,29 +716,29 @@
     for worker in world.dispatcher.workers.values():
         worker.sound = 0.4
     world.request(1, "pay")
-    assert world.out(), "none is better than the others"
+    assert world.in_flight(), "none is better than the others"
 
 
 def test_one_failure_among_results_changes_nothing() -> None:
     """Guards calm days: of a thousand jobs a few fail, and their workers are as good as before."""
     world = World(settings(), [entry("a")])
     world.request(1, "pay")
-    world.outcome(world.out()[0], api.Reason.ERROR)
+    world.finish(world.in_flight()[0], api.Reason.ERROR)
     world.request(2, "pay")
-    assert world.out(), "it does not rest and is trusted"
+    assert world.in_flight(), "it does not rest and is trusted"
 
 
 @pytest.mark.parametrize("schedulers", [1, 4, 40])
 def test_calls_for_the_list_back_off_and_start_anew_after_one(schedulers: int) -> None:
     """Guards discovery, which is one for all schedulers: those whose calls fail must not call on at once. Of
     forty each waits longer: at four times as many calls as it can answer it answered none for 20 s."""
-    world, pauses = World(settings(ask=True, schedulers=schedulers), [entry("a")]), []
+    world, pauses = World(settings(list_on_request=True, scheduler_count=schedulers), [entry("a")]), []
     for turn in range(6):
         if turn == 5:
-            world.members([entry("a")], api.ListKind.FULL)
-        lost, asked = world.now, world.watches
-        world.members([], api.ListKind.LOST)
-        while world.watches == asked:
+            world.update_workers([entry("a")], api.ListKind.FULL)
+        lost, asked = world.now, world.list_requests
+        world.update_workers([], api.ListKind.LOST)
+        while world.list_requests == asked:
             world.advance(5 * MS)
         pauses.append(world.now - lost)
     timeout, beat = 200 * MS * max(1, schedulers / 4), 150 * MS
@@ -750,14 +750,16 @@
 
 def reported(schedulers: int, report: tuple[float, float]) -> tuple[World, str, float]:
     """A first job that ends with the report: its worker, and the wait there in usual answers."""
-    world = World(settings(schedulers=schedulers, report_fields=("queue", "x0")), [entry("a"), entry("b")])
-    world.looks = {}  # where many look first, a look tells nothing here
+    world = World(
+        settings(scheduler_count=schedulers, report_fields=("queue", "x0")), [entry("a"), entry("b")]
+    )
+    world.probe_replies = {}  # where many look first, a look tells nothing here
     world.request(1)
-    (sent,) = world.out()
-    world.started(sent)
+    (sent,) = world.in_flight()
+    world.start(sent)
     world.advance(20 * MS)
     usual = world.dispatcher.response
-    world.outcome(sent, api.Reason.OK, report)
+    world.finish(sent, api.Reason.OK, report)
     worker = world.dispatcher.workers[sent.worker]
     return world, sent.worker, worker.wait(world.now, world.dispatcher.forget) / usual
 
@@ -768,7 +770,7 @@
     world, worker, wait = reported(schedulers, (8.0, 0.0))
     assert wait == pytest.approx(waits)
     world.request(2)
-    assert world.out()[0].worker != worker
+    assert world.in_flight()[0].worker != worker
 
 
 @pytest.mark.parametrize("free", [0.0, 1.0])
@@ -784,7 +786,7 @@
 
 # ---- many schedulers, each of few jobs ----
 
-MANY = settings(schedulers=40, report_fields=("queue", "x0"))
+MANY = settings(scheduler_count=40, report_fields=("queue", "x0"))
 IDLE, JAMMED = (api.Reason.OK, (0.0, 4.0)), (api.Reason.OK, (9.0, 0.0))
 
 
@@ -793,9 +795,9 @@
     own, and a booking was lost at each of 9 bad workers by most of the 40."""
     world = World(MANY, [entry("a"), entry("b")])
     near, far = (worker.id for worker in world.dispatcher.available)
-    world.looks = {near: (api.Reason.FULL, ()), far: IDLE}
+    world.probe_replies = {near: (api.Reason.FULL, ()), far: IDLE}
     world.request(1, "pay")
-    assert [sent.worker for sent in world.out()] == [far], "the nearer one says that it cannot serve"
+    assert [sent.worker for sent in world.in_flight()] == [far], "the nearer one says that it cannot serve"
     assert world.probes() == [near, far]
     world.request(2, "pay")
     assert world.probes() == [], "what was seen a moment ago serves again"
@@ -804,14 +806,16 @@
 def test_a_queue_seen_at_a_look_sends_the_job_elsewhere() -> None:
     world = World(MANY, [entry("a"), entry("b")])
     near, far = (worker.id for worker in world.dispatcher.available)
-    world.looks = {near: JAMMED, far: IDLE}
+    world.probe_replies = {near: JAMMED, far: IDLE}
     world.request(1)
-    assert [sent.worker for sent in world.out()] == [far]
-    world.outcome(world.out()[0], api.Reason.OK)
+    assert [sent.worker for sent in world.in_flight()] == [far]
+    world.finish(world.in_flight()[0], api.Reason.OK)
     world.advance(20 * SECOND)
-    world.looks[near], world.looks[far] = IDLE, JAMMED
+    world.probe_replies[near], world.probe_replies[far] = IDLE, JAMMED
     world.request(2)
-    assert [sent.worker for sent in world.out()] == [near], "the later look counts, also where it is better"
+    assert [sent.worker for sent in world.in_flight()] == [near], (
+        "the later look counts, also where it is better"
+    )
 
 
 def test_a_look_that_is_not_answered_does_not_hold_a_job() -> None:
@@ -819,26 +823,26 @@
     world = World(MANY, [entry("a"), entry("b")])
     near, far = (worker.id for worker in world.dispatcher.available)
     world.request(1)
-    assert not world.out()
+    assert not world.in_flight()
     world.advance(100 * MS)
     assert world.probes() == [near, far]
-    world.tell(api.ProbeResult(far, *IDLE[:1], 3 * MS, IDLE[1]))
-    assert [sent.worker for sent in world.out()] == [far]
+    world.handle(api.ProbeResult(far, *IDLE[:1], 3 * MS, IDLE[1]))
+    assert [sent.worker for sent in world.in_flight()] == [far]
 
 
 def test_a_refused_look_rests_its_worker() -> None:
     """Seen as a zone was lost: a connection refused at once counted as a look, and jobs went there."""
     world = World(MANY, [entry("a"), entry("b")])
     near, far = (worker.id for worker in world.dispatcher.available)
-    world.looks = {near: (api.Reason.CONNECT_FAILED, ()), far: IDLE}
+    world.probe_replies = {near: (api.Reason.CONNECT_FAILED, ()), far: IDLE}
     world.request(1)
-    assert [sent.worker for sent in world.out()] == [far]
+    assert [sent.worker for sent in world.in_flight()] == [far]
 
 
 def test_few_schedulers_learn_by_their_own_jobs() -> None:
-    world = World(settings(schedulers=8, report_fields=("queue", "x0")), [entry("a"), entry("b")])
+    world = World(settings(scheduler_count=8, report_fields=("queue", "x0")), [entry("a"), entry("b")])
     world.request(1)
-    assert world.out()
+    assert world.in_flight()
     assert not world.probes()
 
 
@@ -851,7 +855,7 @@
     paces = {name: module.workers[name].pace for name in sizes}
     assert paces["a"] * 2.5 == pytest.approx(paces["b"] * 4.0) == pytest.approx(paces["c"] * 6.0)
     assert paces["c"] < 1 < paces["a"]
-    few = World(settings(schedulers=2), told).dispatcher
+    few = World(settings(scheduler_count=2), told).dispatcher
     assert {worker.pace for worker in few.workers.values()} == {few.pace}
 
 
@@ -863,13 +867,13 @@
     module = world.dispatcher
     module.workers["slow"].away, module.workers["fast"].away = 0.0, 0.4
     module.available.sort(key=lambda worker: worker.away)
-    world.looks = {"slow": IDLE, "fast": IDLE}
+    world.probe_replies = {"slow": IDLE, "fast": IDLE}
     world.request(1, hint=50 * MS)
-    assert [sent.worker for sent in world.out()] == ["slow"], "it will be in time there"
-    world.looks["slow"] = JAMMED
+    assert [sent.worker for sent in world.in_flight()] == ["slow"], "it will be in time there"
+    world.probe_replies["slow"] = JAMMED
     world.advance(SECOND)
     world.request(2, hint=50 * MS)
-    assert [sent.worker for sent in world.out() if sent.request == 2] == ["fast"]
+    assert [sent.worker for sent in world.in_flight() if sent.request == 2] == ["fast"]
 
 
 # ---- what the second deployment showed: dear crossings, rough hints, few slots ----
@@ -877,7 +881,7 @@
 
 def zones(price: float, *, schedulers: int = 4) -> World:
     """A worker here and a faster one elsewhere, both with two slots."""
-    config = replace(settings(schedulers=schedulers), cross_zone_cost=price)
+    config = replace(settings(scheduler_count=schedulers), cross_zone_cost=price)
     world = World(config, [entry("home"), entry("far", zone="there")])
     for worker in world.dispatcher.workers.values():
         worker.peak_slots = 2
@@ -891,7 +895,7 @@
     crossings cost 0.06 to 0.09 of G on each day, more than all else on quiet ones."""
     world = zones(price)
     world.request(1)
-    assert [sent.worker for sent in world.out()] == [chosen]
+    assert [sent.worker for sent in world.in_flight()] == [chosen]
 
 
 def test_a_job_beside_another_waits_for_nobody() -> None:
@@ -900,8 +904,8 @@
     world = zones(0.12)
     for number in range(2):
         world.request(number, hint=SECOND)
-        world.started(world.out()[-1])
-    assert [sent.worker for sent in world.out()] == ["home", "home"]
+        world.start(world.in_flight()[-1])
+    assert [sent.worker for sent in world.in_flight()] == ["home", "home"]
     home = world.dispatcher.workers["home"]
     assert home.ahead(1) > 0.2 * home.work_in_flight * home.pace, "a third one would"
 
@@ -926,10 +930,10 @@
     world = World(settings(), [entry("a")])
     for number in range(30):
         world.request(number, hint=told if number % 3 == 0 else 100 * MS)
-        for sent in world.out():
-            world.outcome(sent, api.Reason.OK)
+        for sent in world.in_flight():
+            world.finish(sent, api.Reason.OK)
     world.advance(6 * SECOND)
-    assert not world.open()
+    assert not world.unanswered()
 
 
 def test_an_old_wait_ends_with_a_report_that_tells_of_none() -> None:
@@ -938,5 +942,5 @@
     world, worker, _ = reported(2, (0.0, 2.0))
     known = world.dispatcher.workers[worker]
     known.delay, known.delay_at = 3.0 * SECOND, world.now
-    world.tell(api.ProbeResult(worker, api.Reason.OK, MS, (0.0, 2.0)))
+    world.handle(api.ProbeResult(worker, api.Reason.OK, MS, (0.0, 2.0)))
     assert known.wait(world.now, world.dispatcher.forget) == 0.0
--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -32,7 +32,7 @@
     """A reducer whose timers ring; keeps what it asked for."""
 
     def __init__(self, budget: Budget | None = None, config: api.Settings | None = None) -> None:
-        config = config or settings(ask=True)
+        config = config or settings(list_on_request=True)
         self.reducer = Reducer(config, 1, budget or Budget(10, 12), 60 * SECOND, ("127.0.0.1", 8500))
         self.now, self.wheel, self.asked = NOW, Wheel(5 * MS, NOW), list[fx.Effect]()
 
@@ -305,7 +305,7 @@
 
 def pushed(*events: fx.Event) -> Play:
     """At an agent that has said something already."""
-    play = Play(config=settings(ask=False))
+    play = Play(config=settings(list_on_request=False))
     play.tell(KNOWN, fx.Listening(), fx.Beaten(), *events)
     return play
 
@@ -412,7 +412,7 @@
 ) -> None:
     """Guards drains at a restart: what the agent holds is told from the first moment, and the list in the
     configuration may name a host that drains. A silent agent holds the start up for 2 s."""
-    play = Play(config=settings(ask=False))
+    play = Play(config=settings(list_on_request=False))
     told = heard(play, monkeypatch)
     play.tell(KNOWN, fx.Listening(), fx.Joined(1), arrived(1))
     assert not [effect for effect in play.asked if isinstance(effect, fx.Dial)]
@@ -446,7 +446,7 @@
     """Each with a watch that has just said something."""
     plays = []
     for me in range(schedulers):
-        config = replace(settings(ask=True, schedulers=schedulers), scheduler_index=me)
+        config = replace(settings(list_on_request=True, scheduler_count=schedulers), scheduler_index=me)
         plays.append(Play(config=config))
         plays[-1].tell(fx.Listed(api.ListKind.STALE, 7, listed("a", "b").targets), fx.Listening())
         plays[-1].tell(listed("a", "b"))
@@ -550,7 +550,7 @@
 def test_an_agent_that_is_back_is_heard_within_the_window_of_a_drain(grace: int, most: int) -> None:
     """Guards drains after an outage: what the agent holds is told at once, and the pauses had grown to 1
     s."""
-    config = settings(ask=False)
+    config = settings(list_on_request=False)
     play = Play(config=replace(config, rules=replace(config.rules, drain_grace=grace)))
     play.tell(KNOWN, fx.Listening(), fx.Beaten())
     times = []
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -34,40 +34,40 @@
 
 def fleet(now: int = 0) -> list[api.WorkerEntry]:
     return [
-        entry(name, cell=i // 2, zone="here" if i < 3 else "there", born=now if name == "e" else 0)
+        entry(name, cell=i // 2, zone="here" if i < 3 else "there", started_at=now if name == "e" else 0)
         for i, name in enumerate(WORKERS)
     ]
 
 
 def act(world: World, what: str, which: int, amount: int) -> None:
-    out = world.out()
+    out = world.in_flight()
     if what == "request":
         number = len(world.requests)
         left = max(1, amount * 125) * MS
         slots = 1 + amount % 3
-        world.request(number, CLASSES[which].name, hint=amount * 10 * MS, left=left, slots=slots)
+        world.request(number, CLASSES[which].name, hint=amount * 10 * MS, time_left=left, slots=slots)
     elif what == "outcome" and out:
-        world.outcome(out[amount % len(out)], REASONS[which])
+        world.finish(out[amount % len(out)], REASONS[which])
     elif what == "again" and any(world.sent.values()):  # an outcome told twice
-        done = [s for attempts in world.sent.values() for s in attempts if s.over]
+        done = [s for attempts in world.sent.values() for s in attempts if s.ended]
         if done:
             old = done[amount % len(done)]
-            world.tell(api.AttemptOutcome(old.request, old.number, old.worker, REASONS[which], 5, False))
+            world.handle(api.AttemptOutcome(old.request, old.number, old.worker, REASONS[which], 5, False))
     elif what == "start" and out and not out[amount % len(out)].started:
-        world.started(out[amount % len(out)])
-    elif what == "gone" and world.open():
-        world.gone(world.open()[amount % len(world.open())])
+        world.start(out[amount % len(out)])
+    elif what == "gone" and world.unanswered():
+        world.disconnect(world.unanswered()[amount % len(world.unanswered())])
     elif what == "suspend":
-        world.suspend(WORKERS[which], on=amount == 0)
+        world.set_suspended(WORKERS[which], on=amount == 0)
     elif what == "wait":
         world.advance(amount * 5 * MS)
     elif what == "list" and amount < 3:
         name = WORKERS[which]
         told = next(e for e in fleet(world.now) if e.worker == name)
         told.state = STATES[amount]
-        world.members([told])
+        world.update_workers([told])
     elif what == "list":
-        world.members([], api.ListKind.LOST) if amount == 3 else world.members(
+        world.update_workers([], api.ListKind.LOST) if amount == 3 else world.update_workers(
             fleet()[which:], api.ListKind.FULL
         )
 
@@ -79,23 +79,23 @@
             now = world.now
             world = World(config, fleet(now))
             world.now = now
-            world.members(fleet(now), api.ListKind.STALE)
+            world.update_workers(fleet(now), api.ListKind.STALE)
         else:
             act(world, what, which, amount)
     world.advance(10 * SECOND)
-    assert not world.open()
-    for sent in world.out():
-        world.outcome(sent, api.Reason.CANCELLED)
+    assert not world.unanswered()
+    for sent in world.in_flight():
+        world.finish(sent, api.Reason.CANCELLED)
     world.check_freed()
     return world
 
 
 CONFIGS = {
     "usual": settings(),
-    "asked": settings(ask=True),
-    "no cancel": settings(cancel=False),
-    "one attempt": settings(attempts=1),
-    "reports": settings(tells_start=False, report_fields=("queue", "x0"), progress=0),
+    "asked": settings(list_on_request=True),
+    "no cancel": settings(can_cancel=False),
+    "one attempt": settings(max_attempts=1),
+    "reports": settings(reports_start=False, report_fields=("queue", "x0"), progress_interval=0),
 }
 
 
@@ -109,18 +109,18 @@
 @hypothesis_settings(derandomize=True, deadline=None, max_examples=100, database=None)
 @given(st.lists(st.tuples(st.integers(0, 300), st.integers(5, 900)), min_size=1, max_size=60))
 def test_a_cold_worker_gets_no_more_than_our_part_in_any_window(jobs: list[tuple[int, int]]) -> None:
-    config = settings(schedulers=2)
+    config = settings(scheduler_count=2)
     world = World(config)
-    world.members([entry("cold", born=world.now)], api.ListKind.FULL)
+    world.update_workers([entry("cold", started_at=world.now)], api.ListKind.FULL)
     born = world.now
     for number, (pause, work) in enumerate(jobs):
         world.advance(pause * MS)
         world.request(number, hint=work * MS)
-        for sent in world.out():  # it runs one job at a time, at the standard speed
-            if world.now - sent.at >= world.requests[sent.request].work_hint:
-                world.outcome(sent, api.Reason.OK)
+        for sent in world.in_flight():  # it runs one job at a time, at the standard speed
+            if world.now - sent.sent_at >= world.requests[sent.request].work_hint:
+                world.finish(sent, api.Reason.OK)
     sends = [
-        (s.at, world.requests[s.request].work_hint) for attempts in world.sent.values() for s in attempts
+        (s.sent_at, world.requests[s.request].work_hint) for attempts in world.sent.values() for s in attempts
     ]
     for start, _ in sends:
         rules = config.rules
@@ -136,10 +136,10 @@
 def test_unsafe_request_fails_after_a_reset_and_goes_on_after_full() -> None:
     world = World(settings(), fleet())
     world.request(1, "pay")
-    world.outcome(world.out()[0], api.Reason.FULL)
+    world.finish(world.in_flight()[0], api.Reason.FULL)
     world.advance(100 * MS)
     assert len(world.sent[1]) == 2
-    world.outcome(world.out()[0], api.Reason.RESET)
+    world.finish(world.in_flight()[0], api.Reason.RESET)
     assert world.answers[1] == "failed"
 
 
@@ -147,9 +147,9 @@
 def test_keyed_request_is_sent_again_within_its_group_only(group: api.DedupScope) -> None:
     world = World(settings(), fleet())
     world.request(1, keyed(group).name)
-    first = world.out()[0]
-    world.outcome(first, api.Reason.RESET)
-    again = world.out()
+    first = world.in_flight()[0]
+    world.finish(first, api.Reason.RESET)
+    again = world.in_flight()
     assert len(again) == 1
     assert again[0].worker != ""
     if group is api.DedupScope.CELL:
@@ -159,10 +159,12 @@
 def test_keyed_request_without_a_worker_left_in_its_group_fails_in_time() -> None:
     world = World(settings(), fleet())
     world.request(1, "order-cell")
-    first = world.out()[0]
+    first = world.in_flight()[0]
     cell = world.cells[first.worker][0]
-    world.members([entry(w, api.WorkerState.GONE, cell=c) for w, (c, _) in world.cells.items() if c == cell])
-    world.outcome(first, api.Reason.RESET)
+    world.update_workers(
+        [entry(w, api.WorkerState.GONE, cell=c) for w, (c, _) in world.cells.items() if c == cell]
+    )
+    world.finish(first, api.Reason.RESET)
     world.advance(6 * SECOND)
     assert world.answers[1] == "failed"
     assert len(world.sent[1]) == 1
@@ -170,7 +172,7 @@
 
 def test_held_request_whose_first_attempt_ends_at_the_deadline_is_answered() -> None:
     """Seen on overloaded days: held for a second copy, it was looked at no more."""
-    world = World(settings(attempts=2), [entry("a")])
+    world = World(settings(max_attempts=2), [entry("a")])
     world.request(1)
     world.advance(5 * SECOND + 8 * MS)
     assert world.answers[1] == "failed" or world.answers[1] == "refused"
@@ -186,7 +188,7 @@
 
 def test_request_that_comes_with_hardly_any_time_is_answered() -> None:
     world = World(settings(), [])
-    world.request(1, left=1 * MS)
+    world.request(1, time_left=1 * MS)
     assert world.answers[1] == "refused"
 
 
@@ -196,13 +198,13 @@
     forty came round after a worker was warm, and what all send together has to stay within one budget."""
     born, alone = 1_000 * SECOND, Dispatcher(settings(), 0)
     modules = [
-        Dispatcher(replace(settings(schedulers=schedulers), scheduler_index=me), me)
+        Dispatcher(replace(settings(scheduler_count=schedulers), scheduler_index=me), me)
         for me in range(schedulers)
     ]
     names, sponsors = [f"cold{number}" for number in range(20)], set[int]()
     for module in [alone, *modules]:
         module.handle(
-            born, api.WorkerListUpdate(api.ListKind.FULL, [entry(name, born=born) for name in names])
+            born, api.WorkerListUpdate(api.ListKind.FULL, [entry(name, started_at=born) for name in names])
         )
         module.born -= module.rules.overload_window  # it has not just started
     for name in names:
@@ -225,7 +227,7 @@
 def test_what_the_other_process_sent_to_a_cold_worker_counts() -> None:
     """Guards cold workers while one process replaces another: their budget is one."""
     module = Dispatcher(settings(), 0)
-    module.handle(0, api.WorkerListUpdate(api.ListKind.FULL, [entry("cold", born=1)]))
+    module.handle(0, api.WorkerListUpdate(api.ListKind.FULL, [entry("cold", started_at=1)]))
     worker, now = module.workers["cold"], 10 * SECOND
     module.now, worker.born = now, now
     whole = module.cold_budget(worker)
@@ -241,9 +243,11 @@
 @pytest.mark.parametrize(("born", "warmth"), [(1, "cold"), (12, "warmer")])
 def test_a_worker_put_back_is_cold_since_the_start_that_was_told(born: int, warmth: str) -> None:
     module = Dispatcher(settings(), 0)
-    module.handle(0, api.WorkerListUpdate(api.ListKind.FULL, [entry("a", born=1)]))
+    module.handle(0, api.WorkerListUpdate(api.ListKind.FULL, [entry("a", started_at=1)]))
     module.handle(11 * SECOND, api.SuspensionChange("a", True))
-    module.handle(13 * SECOND, api.WorkerListUpdate(api.ListKind.CHANGES, [entry("a", born=born * SECOND)]))
+    module.handle(
+        13 * SECOND, api.WorkerListUpdate(api.ListKind.CHANGES, [entry("a", started_at=born * SECOND)])
+    )
     module.handle(15 * SECOND, api.SuspensionChange("a", False))
     least, worker = module.rules.cold_min_share, module.workers["a"]
     assert module.warmth(worker) == (least if warmth == "cold" else least + (1 - least) * 0.3)
@@ -255,12 +259,14 @@
 def greedy(schedulers: int, work: int, restarted: float, at: int) -> tuple[float, float]:
     """All schedulers together send a host that has just started all that each believes it may, jobs of that
     work; at `at` some of them start anew and remember nothing. The most jobs in any window, and the bound."""
-    config = replace(settings(schedulers=schedulers), rules=COLD)
+    config = replace(settings(scheduler_count=schedulers), rules=COLD)
     born, sent = 1_000 * SECOND, list[int]()
     modules = {me: Dispatcher(replace(config, scheduler_index=me), me) for me in range(schedulers)}
 
     def told(module: Dispatcher, now: int) -> None:
-        module.handle(now, api.WorkerListUpdate(api.ListKind.FULL, [entry("cold", born=born), entry("warm")]))
+        module.handle(
+            now, api.WorkerListUpdate(api.ListKind.FULL, [entry("cold", started_at=born), entry("warm")])
+        )
         module.workers["warm"].peak_slots = 4  # as seen in service
 
     for module in modules.values():
@@ -309,15 +315,15 @@
     window. Traffic is uneven, jobs vary in cost, hosts hand some back and break under others, so that these
     go again. The most work sent to the cold one in any window, in calls of mean work, and the bound."""
     lot, mean, born = Random(seed), 400 * MS, 1_000 * SECOND
-    config = replace(settings(schedulers=schedulers, attempts=3), rules=COLD)
+    config = replace(settings(scheduler_count=schedulers, max_attempts=3), rules=COLD)
     warm = [f"warm{number}" for number in range(3)]
 
     def world(me: int, now: int) -> World:
         made = World(replace(config, scheduler_index=me), seed=seed * 1000 + me)
-        made.looks = {}
+        made.probe_replies = {}
         made.now = now
-        entries = [entry("cold", born=born if now >= born else 0), *map(entry, warm)]
-        made.members(entries, api.ListKind.STALE)
+        entries = [entry("cold", started_at=born if now >= born else 0), *map(entry, warm)]
+        made.update_workers(entries, api.ListKind.STALE)
         for worker in made.dispatcher.workers.values():
             worker.peak_slots = 4  # as seen in service
         return made
@@ -335,21 +341,21 @@
             one = worlds[me]
             one.advance(max(0, now - one.now))
             if now == born:
-                one.members([entry("cold", born=born)])
+                one.update_workers([entry("cold", started_at=born)])
             if lot.random() < 20 * share[me] / sum(share) / 3:
                 number += 1
                 cost = max(20 * MS, int(mean * lot.lognormvariate(-0.3, 0.8)))
                 one.request(number, lot.choice(["read", "order-all"]), hint=cost)
-            for sent in one.out():
-                if sent.begun < 0:
-                    sent.begun = now
+            for sent in one.in_flight():
+                if sent.taken_up_at < 0:
+                    sent.taken_up_at = now
                     if sent.worker == "cold" and now >= born:
                         sends.append((now, one.requests[sent.request].work_hint / mean))
-                if now - sent.begun >= one.requests[sent.request].work_hint:  # at the standard speed
+                if now - sent.taken_up_at >= one.requests[sent.request].work_hint:  # at the standard speed
                     reason = lot.choice([api.Reason.OK] * 6 + [api.Reason.FULL, api.Reason.RESET])
-                    one.outcome(sent, reason)
+                    one.finish(sent, reason)
                 elif not sent.started:
-                    one.started(sent)
+                    one.start(sent)
     worst, bound, window = 0.0, 1.0, COLD.overload_window
     for start in range(born, born + 7 * SECOND, 20 * MS):
         warmth = COLD.cold_min_share + (1 - COLD.cold_min_share) * (start - born) / COLD.warm_up_time
--- a/tests/world.py
+++ b/tests/world.py
@@ -30,28 +30,30 @@
     *,
     classes: tuple[api.ClassSettings, ...] = CLASSES,
     tenants: dict[str, float] | None = None,
-    attempts: int = 4,
-    cancel: bool = True,
-    probes: bool = True,
-    ask: bool = False,
-    tells_start: bool = True,
+    max_attempts: int = 4,
+    can_cancel: bool = True,
+    can_probe: bool = True,
+    list_on_request: bool = False,
+    reports_start: bool = True,
     report_fields: tuple[str, ...] = (),
-    schedulers: int = 1,
-    progress: int = SECOND,
+    scheduler_count: int = 1,
+    progress_interval: int = SECOND,
 ) -> api.Settings:
     return api.Settings(
         scheduler_index=0,
-        scheduler_count=schedulers,
+        scheduler_count=scheduler_count,
         zone="here",
         classes=classes,
         tenants=tuple(api.TenantSettings(name, share) for name, share in (tenants or {}).items()),
         worker_kinds=("big", "small"),
-        limits=api.Limits(attempts, cancel, probes, 0, 200 * MS),
-        rules=api.Rules(500 * MS, 16 * MS, 10 * SECOND if ask else 0, 0.25, 10 * SECOND, 3.0, 2 * SECOND),
+        limits=api.Limits(max_attempts, can_cancel, can_probe, 0, 200 * MS),
+        rules=api.Rules(
+            500 * MS, 16 * MS, 10 * SECOND if list_on_request else 0, 0.25, 10 * SECOND, 3.0, 2 * SECOND
+        ),
         min_event_interval=4 * MS,
-        list_on_request=ask,
-        reports_start=tells_start,
-        progress_interval=progress,
+        list_on_request=list_on_request,
+        reports_start=reports_start,
+        progress_interval=progress_interval,
         report_fields=report_fields,
         report_in_answers=bool(report_fields),
         value_by_work=True,
@@ -65,19 +67,19 @@
     *,
     cell: int = 0,
     zone: str = "here",
-    born: int = 0,
+    started_at: int = 0,
     weight: float = 1.0,
 ) -> api.WorkerEntry:
-    return api.WorkerEntry(worker, zone, "big", cell, state, weight, born)
+    return api.WorkerEntry(worker, zone, "big", cell, state, weight, started_at)
 
 
 class Sent:
     def __init__(self, request: int, number: int, worker: str, at: int) -> None:
-        self.request, self.number, self.worker, self.at = request, number, worker, at
-        self.over = False
-        self.unrun = False
+        self.request, self.number, self.worker, self.sent_at = request, number, worker, at
+        self.ended = False
+        self.not_executed = False
         self.started = False
-        self.begun = -1  # when a worker of the test took it up
+        self.taken_up_at = -1  # when a worker of the test took it up
 
 
 class World:
@@ -90,97 +92,101 @@
         self.requests: dict[int, api.Request] = {}
         self.sent: dict[int, list[Sent]] = {}
         self.answers: dict[int, str] = {}
-        self.told_off: dict[str, int] = {}
+        self.unavailable_since: dict[str, int] = {}
         self.cells: dict[str, tuple[int, str]] = {}
         self.timers: list[tuple[int, str]] = []
         self.logs: list[str] = []
         self.actions: list[api.Action] = []
-        self.watches = 0
+        self.list_requests = 0
         self.suspended: set[str] = set()
-        self.asked: list[str] = []
-        self.looks: dict[str, tuple[api.Reason, tuple[float, ...]]] | None = None  # probes' answers, at once
+        self.probed: list[str] = []
+        self.probe_replies: dict[str, tuple[api.Reason, tuple[float, ...]]] | None = (
+            None  # probes' answers, at once
+        )
         entries = list(workers)
         if entries:
-            self.members(entries, api.ListKind.STALE)
+            self.update_workers(entries, api.ListKind.STALE)
 
     # ---- what happens ----
 
-    def tell(self, event: api.Event) -> list[api.Action]:
+    def handle(self, event: api.Event) -> list[api.Action]:
         actions = self.dispatcher.handle(self.now, event)
         for action in actions:
             self.carry_out(action)
         for action in actions:
-            if isinstance(action, api.Probe) and self.looks is not None:
-                reason, report = self.looks.get(action.worker, (api.Reason.OK, ()))
-                self.tell(api.ProbeResult(action.worker, reason, MS, report))
+            if isinstance(action, api.Probe) and self.probe_replies is not None:
+                reason, report = self.probe_replies.get(action.worker, (api.Reason.OK, ()))
+                self.handle(api.ProbeResult(action.worker, reason, MS, report))
         return actions
 
-    def members(self, entries: list[api.WorkerEntry], kind: api.ListKind = api.ListKind.CHANGES) -> None:
+    def update_workers(
+        self, entries: list[api.WorkerEntry], kind: api.ListKind = api.ListKind.CHANGES
+    ) -> None:
         if kind in (api.ListKind.FULL, api.ListKind.STALE):
             for worker in self.cells.keys() - {told.worker for told in entries}:
-                self.told_off.setdefault(worker, self.now)
+                self.unavailable_since.setdefault(worker, self.now)
         for told in entries:
             self.cells[told.worker] = told.cell, told.zone
             if told.state is api.WorkerState.UP:
-                self.told_off.pop(told.worker, None)
+                self.unavailable_since.pop(told.worker, None)
             else:
-                self.told_off.setdefault(told.worker, self.now)
-        self.tell(api.WorkerListUpdate(kind, entries))
+                self.unavailable_since.setdefault(told.worker, self.now)
+        self.handle(api.WorkerListUpdate(kind, entries))
 
     def request(
         self, number: int, cls: str = "read", *, hint: int = 100 * MS, tenant: str = "", slots: int = 1,
-        left: int = 5 * SECOND,
+        time_left: int = 5 * SECOND,
     ) -> list[api.Action]:  # fmt: skip
-        self.requests[number] = api.Request(number, cls, self.now + left, hint, slots, tenant=tenant)
+        self.requests[number] = api.Request(number, cls, self.now + time_left, hint, slots, tenant=tenant)
         self.sent[number] = []
-        return self.tell(self.requests[number])
+        return self.handle(self.requests[number])
 
-    def outcome(self, sent: Sent, reason: api.Reason, report: tuple[float, ...] = ()) -> None:
-        sent.over, sent.unrun = True, reason.value in ("full", "connect_failed", "moot")
+    def finish(self, sent: Sent, reason: api.Reason, report: tuple[float, ...] = ()) -> None:
+        sent.ended, sent.not_executed = True, reason.value in ("full", "connect_failed", "moot")
         if reason is api.Reason.OK:
             self.answers.setdefault(sent.request, "ok")
         ended = sent.request in self.answers
-        took = self.now - sent.at
-        self.tell(api.AttemptOutcome(sent.request, sent.number, sent.worker, reason, took, ended, report))
+        took = self.now - sent.sent_at
+        self.handle(api.AttemptOutcome(sent.request, sent.number, sent.worker, reason, took, ended, report))
 
-    def suspend(self, worker: str, *, on: bool) -> None:
+    def set_suspended(self, worker: str, *, on: bool) -> None:
         (self.suspended.add if on else self.suspended.discard)(worker)
-        self.tell(api.SuspensionChange(worker, on))
+        self.handle(api.SuspensionChange(worker, on))
 
-    def started(self, sent: Sent) -> None:
+    def start(self, sent: Sent) -> None:
         sent.started = True
-        self.tell(api.AttemptUpdate(sent.request, sent.number, sent.worker, api.UpdateKind.STARTED))
+        self.handle(api.AttemptUpdate(sent.request, sent.number, sent.worker, api.UpdateKind.STARTED))
 
-    def gone(self, number: int) -> None:
+    def disconnect(self, number: int) -> None:
         self.answers.setdefault(number, "gone")
-        self.tell(api.ClientDisconnected(number))
+        self.handle(api.ClientDisconnected(number))
 
     def advance(self, span: int) -> None:
         """Let time pass: timers ring and attempts time out at the client's deadline."""
         end = self.now + span
         while True:
             due = [(at, 0, token) for at, token in self.timers]
-            due += [(self.requests[s.request].deadline, 1, "") for s in self.out()]
+            due += [(self.requests[s.request].deadline, 1, "") for s in self.in_flight()]
             if not due or min(due)[0] > end:
                 break
             at, _, token = min(due)
             self.now = max(self.now, at)
             if token:
                 self.timers.remove((at, token))
-                self.tell(api.Timer(token))
-            for sent in [s for s in self.out() if self.requests[s.request].deadline <= self.now]:
-                self.outcome(sent, api.Reason.TIMEOUT)
+                self.handle(api.Timer(token))
+            for sent in [s for s in self.in_flight() if self.requests[s.request].deadline <= self.now]:
+                self.finish(sent, api.Reason.TIMEOUT)
             self.check_deadlines()
         self.now = end
         self.check_deadlines()
 
-    def out(self) -> list[Sent]:
-        return [s for attempts in self.sent.values() for s in attempts if not s.over]
+    def in_flight(self) -> list[Sent]:
+        return [s for attempts in self.sent.values() for s in attempts if not s.ended]
 
-    def out_at(self, worker: str) -> list[Sent]:
-        return [s for s in self.out() if s.worker == worker]
+    def in_flight_at(self, worker: str) -> list[Sent]:
+        return [s for s in self.in_flight() if s.worker == worker]
 
-    def open(self) -> list[int]:
+    def unanswered(self) -> list[int]:
         return [number for number in self.requests if number not in self.answers]
 
     # ---- what must hold ----
@@ -190,7 +196,7 @@
         match action:
             case api.Send():
                 self.check_send(action)
-                assert action.worker not in self.suspended, "operators have left it out"
+                assert action.worker not in self.suspended, "operators have suspended it"
                 attempts = self.sent[action.id]
                 attempts.append(Sent(action.id, len(attempts), action.worker, self.now))
             case api.Refuse() | api.Fail():
@@ -202,38 +208,38 @@
                 assert action.delay > 0
                 self.timers.append((self.now + action.delay, action.token))
             case api.Watch():
-                self.watches += 1
+                self.list_requests += 1
             case api.Probe():
                 assert self.config.limits.can_probe
                 assert action.worker in self.cells, "a worker is probed that no list has named"
-                self.asked.append(action.worker)
+                self.probed.append(action.worker)
             case api.Log():
                 self.logs.append(action.text)
 
     def probes(self) -> list[str]:
         """The workers probed since the last call."""
-        asked, self.asked = self.asked, []
+        asked, self.probed = self.probed, []
         return asked
 
     def may_have_run(self, number: int) -> list[Sent]:
-        return [s for s in self.sent[number] if not s.unrun]
+        return [s for s in self.sent[number] if not s.not_executed]
 
     def check_send(self, action: api.Send) -> None:
         assert action.id in self.requests, "a request is sent that never came"
         assert action.id not in self.answers, "a request is sent that has its answer"
         assert action.worker in self.cells, "a worker is sent to that no list has named"
-        off = self.told_off.get(action.worker)
+        off = self.unavailable_since.get(action.worker)
         assert off is None or self.now - off <= self.config.rules.drain_grace, "a drain is broken"
         attempts = self.sent[action.id]
         assert len(attempts) < self.config.limits.max_attempts, "too many attempts"
-        out = [s for s in attempts if not s.over]
+        out = [s for s in attempts if not s.ended]
         assert not out, "a second copy is sent"
-        cls = self.cls(action.id)
+        cls = self.class_of(action.id)
         ran = self.may_have_run(action.id)
         if not ran or cls.idempotency is api.Idempotency.SAFE:
             return
         assert cls.idempotency is not api.Idempotency.UNSAFE, "an unsafe request is sent again"
-        assert self.now - ran[0].at < cls.dedup_window, "a keyed request is sent again after its window"
+        assert self.now - ran[0].sent_at < cls.dedup_window, "a keyed request is sent again after its window"
         (cell, zone), (old_cell, old_zone) = self.cells[action.worker], self.cells[ran[0].worker]
         if cls.dedup_scope is api.DedupScope.CELL:
             assert cell == old_cell, "a keyed request leaves its cell"
@@ -243,17 +249,17 @@
     def check_answer(self, action: api.Refuse | api.Fail) -> None:
         assert action.id not in self.answers, "a request is answered twice"
         self.answers[action.id] = "refused" if isinstance(action, api.Refuse) else "failed"
-        cls = self.cls(action.id)
+        cls = self.class_of(action.id)
         everywhere = cls.idempotency is api.Idempotency.KEYED and cls.dedup_scope is api.DedupScope.ALL
         if isinstance(action, api.Refuse) and cls.idempotency is not api.Idempotency.SAFE and not everywhere:
             assert not self.may_have_run(action.id), "a request is refused that may have run"
 
     def check_deadlines(self) -> None:
         slack = self.config.rules.answer_slack
-        late = [n for n in self.open() if self.requests[n].deadline + slack < self.now]
+        late = [n for n in self.unanswered() if self.requests[n].deadline + slack < self.now]
         assert not late, f"requests {late} got no answer in time"
 
-    def cls(self, number: int) -> api.ClassSettings:
+    def class_of(self, number: int) -> api.ClassSettings:
         return next(cls for cls in self.config.classes if cls.name == self.requests[number].class_name)
 
     def check_freed(self) -> None:
