--- a/reedspoke/logic.py
+++ b/reedspoke/logic.py
@@ -74,7 +74,7 @@
         self.thin = settings.scheduler_count > FEW and self.limits.can_probe and not self.limits.peer_messages
         self.blind = self.thin and not settings.report_fields  # queues show by our own jobs alone
         self.beat = max(settings.min_event_interval, self.tightest // 4)  # us between looks at what is late
-        self.beating, self.watching, self.watch_at, self.losses = False, False, 0, 0
+        self.beating, self.list_requested, self.watch_at, self.losses = False, False, 0, 0
         self.norm = 1.0  # running time for each unit of work on a worker of weight 1
         self.usual, self.pace = 0.0, 1.0  # over the fleet: wait before a start, time for each unit of work
         self.response = 2.0 * self.tightest  # time from a send to its answer, lately
@@ -89,7 +89,7 @@
         self.now, self.actions, self.born = now, [], now if self.born < 0 else self.born
         self.reactions[type(event)](event)
         self.release()
-        if not self.beating and (self.jobs or self.settings.list_on_request and not self.watching):
+        if not self.beating and (self.jobs or self.settings.list_on_request and not self.list_requested):
             self.beating = True
             self.actions.append(SetTimer(self.beat, "beat"))
         return self.actions
@@ -157,12 +157,12 @@
 
     def on_members(self, members: WorkerListUpdate) -> None:
         if members.kind is ListKind.LOST:
-            if self.watching or not self.losses:
+            if self.list_requested or not self.losses:
                 step = self.limits.connect_timeout * max(1.0, self.settings.scheduler_count / 4)
                 left = BETWEEN - (self.now - self.watch_at) * (self.losses > 0)  # no back-off goes beyond
                 step = min(step * min(self.losses + 1, 4), max(0, left) / 1.5)
                 self.watch_at = self.now + int((0.5 + self.random.random()) * step)
-            self.watching, self.losses = False, self.losses + 1
+            self.list_requested, self.losses = False, self.losses + 1
             return
         listed, self.losses = {entry.worker for entry in members.entries}, 0
         if not self.workers and listed:  # the usual worker stands for a standard one until results come
@@ -219,8 +219,8 @@
 
     def on_timer(self, _: Timer) -> None:
         self.beating = False
-        if self.settings.list_on_request and not self.watching and self.watch_at <= self.now:
-            self.watching, self.watch_at = True, self.now
+        if self.settings.list_on_request and not self.list_requested and self.watch_at <= self.now:
+            self.list_requested, self.watch_at = True, self.now
             self.actions.append(Watch())  # answered by a list or by 'lost'
         for attempt in [attempt for attempt in self.in_flight.values() if not attempt.lost_at]:
             self.look_after(attempt)
@@ -438,7 +438,7 @@
             and self.trusted(job, worker)
             and (not worker.used_slots or there + job.slots <= worker.cap)  # one that is ours alone takes any
             and worker.memory + job.memory <= max(job.memory, worker.cap)  # one unit for each slot
-            and (self.warmth(worker) >= 1 or self.cold_budget(worker) >= job.work * job.slots)
+            and (self.capacity_share(worker) >= 1 or self.cold_budget(worker) >= job.work * job.slots)
         )
 
     def suits(self, job: Job, worker: Worker) -> bool:
@@ -457,7 +457,7 @@
         near = cls.dedup_scope is not DedupScope.ZONE or bound.worker.zone is worker.zone
         return near and cls.idempotency is Idempotency.KEYED and self.now - bound.sent < cls.dedup_window
 
-    def warmth(self, worker: Worker) -> float:
+    def capacity_share(self, worker: Worker) -> float:
         """The least share of its capacity that a worker has by now."""
         started = max(worker.born, worker.back)
         least, age = self.rules.cold_min_share, max(0, self.now - started)
@@ -470,7 +470,7 @@
         while sends and self.now - sends[0][0] > window:
             sends.popleft()
         slots = max(other.peak_slots for other in self.available if other.kind == worker.kind)
-        budget = self.rules.overload_multiple * self.warmth(worker) * slots / worker.pace * window
+        budget = self.rules.overload_multiple * self.capacity_share(worker) * slots / worker.pace * window
         if self.now - self.born < window and not self.siblings.learned.fleet[0]:
             budget /= 2  # before a restart we may have used this window
         budget /= 1 + self.siblings.accepting  # it is one budget for the processes of a scheduler
@@ -489,7 +489,7 @@
         self.in_flight[job.id, attempt.number] = attempt
         attempt.begin()
         attempt.pay(job.flow.largest[job.api])
-        if self.warmth(worker) < 1:
+        if self.capacity_share(worker) < 1:
             worker.cold_sends.append((self.now, job.work * job.slots))
         self.actions.append(Send(job.id, worker.id))
 
--- a/reedspoke/records.py
+++ b/reedspoke/records.py
@@ -42,7 +42,7 @@
     others: tuple[int, float] = (0, 0.0)  # slots and work that other schedulers say they have there
     memory: float = 0.0  # units that our attempts hold
     work_in_flight: float = 0.0  # work of our attempts that are out
-    running: int = 0  # slots of our attempts that have started
+    running_slots: int = 0  # slots of our attempts that have started
     peak_slots: int = 1  # most slots seen free or running at once
     delay: float = 0.0  # wait before a start, at `delay_at`
     delay_at: int = 0
@@ -172,8 +172,8 @@
             self.lost_at = 0
             self.enter()
         self.started = now
-        self.worker.running += self.job.slots
-        self.worker.peak_slots = max(self.worker.peak_slots, self.worker.running)
+        self.worker.running_slots += self.job.slots
+        self.worker.peak_slots = max(self.worker.peak_slots, self.worker.running_slots)
 
     def end(self, unrun: bool) -> None:
         self.over, self.unrun = True, unrun
@@ -190,7 +190,7 @@
         self.worker.work_in_flight -= self.job.work
         self.worker.memory -= self.job.memory
         if self.started:
-            self.worker.running -= self.job.slots
+            self.worker.running_slots -= self.job.slots
 
     def cost(self, now: int) -> float:
         """Slots times time, from the start notice where one came."""
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -265,11 +265,11 @@
     play.tell(listed("a"))
     module = play.reducer.module
     worker = module.workers["a"]
-    assert module.warmth(worker) == 1
+    assert module.capacity_share(worker) == 1
     worker.sound, worker.failed, worker.rest_until = 0.1, 5, play.now + 10**9
     module.handle(play.now, api.SuspensionChange("a", True))
     assert not module.available
     module.handle(play.now, api.SuspensionChange("a", False))
     assert module.available == [worker]
-    assert module.warmth(worker) == module.rules.cold_min_share
+    assert module.capacity_share(worker) == module.rules.cold_min_share
     assert (worker.sound, worker.failed, worker.rest_until) == (1.0, 0, 0)
--- a/tests/test_interleavings.py
+++ b/tests/test_interleavings.py
@@ -326,7 +326,7 @@
         assert not [*state.conns, *state.idle]
         assert not module.jobs
         assert not module.in_flight
-        assert all(worker.used_slots == worker.running == 0 for worker in module.workers.values())
+        assert all(worker.used_slots == worker.running_slots == 0 for worker in module.workers.values())
         owners = {str(key[0]) for key in self.play.wheel._due}  # type: ignore[index]
         assert owners <= {"silence", "watch", "module", "end", "unheard", "room"}
         assert len(state.timers) <= 1, "the module's beat"
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -616,10 +616,10 @@
         assert worker.used_slots == 0
         world.advance(100 * MS)
         world.start(sent)
-        assert (worker.used_slots, worker.running) == (1, 1)
+        assert (worker.used_slots, worker.running_slots) == (1, 1)
         world.advance(50 * MS)
         world.finish(sent, api.Reason.OK)
-        assert (worker.used_slots, worker.running, worker.peak_slots) == (0, 0, 1)
+        assert (worker.used_slots, worker.running_slots, worker.peak_slots) == (0, 0, 1)
         assert worker.pace > 0.3
         world.advance(SECOND)
 
--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -450,7 +450,7 @@
         plays.append(Play(config=config))
         plays[-1].tell(fx.Listed(api.ListKind.STALE, 7, listed("a", "b").targets), fx.Listening())
         plays[-1].tell(listed("a", "b"))
-        plays[-1].reducer.state.watching = plays[-1].reducer.module.watching = True
+        plays[-1].reducer.state.watching = plays[-1].reducer.module.list_requested = True
     return plays
 
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -250,7 +250,7 @@
     )
     module.handle(15 * SECOND, api.SuspensionChange("a", False))
     least, worker = module.rules.cold_min_share, module.workers["a"]
-    assert module.warmth(worker) == (least if warmth == "cold" else least + (1 - least) * 0.3)
+    assert module.capacity_share(worker) == (least if warmth == "cold" else least + (1 - least) * 0.3)
 
 
 COLD = api.Rules(250 * MS, 20 * MS, 10 * SECOND, 0.34, 8_900 * MS, 2.5, 2 * SECOND)
@@ -280,7 +280,7 @@
                 told(modules[me], now)
         for module in modules.values():
             module.now, worker = now, module.workers["cold"]
-            while module.warmth(worker) < 1 and module.cold_budget(worker) >= work:
+            while module.capacity_share(worker) < 1 and module.cold_budget(worker) >= work:
                 worker.cold_sends.append((now, float(work)))
                 sent.append(now)
     window = COLD.overload_window
--- a/tests/world.py
+++ b/tests/world.py
@@ -267,6 +267,6 @@
         assert not self.dispatcher.jobs
         assert not self.dispatcher.in_flight
         for worker in self.dispatcher.workers.values():
-            assert worker.used_slots == worker.running == 0
+            assert worker.used_slots == worker.running_slots == 0
             assert abs(worker.work_in_flight) < 1
         assert all(not flow.queue and not flow.out for flow in self.dispatcher.flows.values())
