--- a/reedspoke/logic.py
+++ b/reedspoke/logic.py
@@ -139,7 +139,7 @@
             self.hear(worker)
         if outcome.reason is Reason.FULL:  # let it work some off
             self.cut(worker, attempt.sent)
-            worker.rest_until = self.now + int(self.response)
+            worker.paused_until = self.now + int(self.response)
         elif outcome.reason is Reason.CONNECT_FAILED:
             self.let_be(worker, attempt.sent)
         elif outcome.reason in (Reason.OK, Reason.ERROR, Reason.RESET):
@@ -244,7 +244,7 @@
 
     def hear(self, worker: Worker) -> None:
         worker.heard = worker.zone.heard = self.now  # a sign of life: the way to its zone is open
-        worker.failed = worker.zone.cut_at = 0
+        worker.connect_failures = worker.zone.cut_at = 0
 
     def ask(self, zone: Zone, since: int) -> None:
         """Probe a zone not heard from since then, though others were: the network may have parted."""
@@ -256,22 +256,26 @@
 
     def let_be(self, worker: Worker, since: int) -> None:
         """A connection failed: the more do with no sign of life between them, the longer it is let be."""
-        worker.failed += 1
-        worker.rest_until = self.now + int(self.response * min(FAILED_MOST, FAILED_FIRST * 2**worker.failed))
+        worker.connect_failures += 1
+        worker.paused_until = self.now + int(
+            self.response * min(FAILED_MOST, FAILED_FIRST * 2**worker.connect_failures)
+        )
         self.ask(worker.zone, since)
 
     def judge(self, worker: Worker, sound: bool) -> None:
         """Guards jobs against a worker that fails them at once: always free, it would draw the most."""
-        worker.sound += LEARN * (sound - worker.sound)
-        if worker.sound < TRUST and not sound:
-            rest = min(FAILED_MOST, 1 / worker.sound - 1) * self.response
-            worker.rest_until = max(worker.rest_until, self.now + int(rest))
+        worker.success_rate += LEARN * (sound - worker.success_rate)
+        if worker.success_rate < TRUST and not sound:
+            rest = min(FAILED_MOST, 1 / worker.success_rate - 1) * self.response
+            worker.paused_until = max(worker.paused_until, self.now + int(rest))
 
     def trusted(self, job: Job, worker: Worker) -> bool:
         """Whether it may have the job: safe ones try it out, one at a time if it fails most."""
-        if worker.sound >= TRUST or all(other.sound < TRUST for other in self.available):
+        if worker.success_rate >= TRUST or all(other.success_rate < TRUST for other in self.available):
             return True
-        return job.cls.idempotency is Idempotency.SAFE and (worker.sound >= TRIAL or not worker.used_slots)
+        return job.cls.idempotency is Idempotency.SAFE and (
+            worker.success_rate >= TRIAL or not worker.used_slots
+        )
 
     def miss(self, attempt: Attempt) -> None:
         """Not acknowledged: its connection is dead, or all of its worker; no sign of a queue."""
@@ -433,7 +437,7 @@
         there = worker.used_slots + self.siblings.slots_by_worker.get(worker.id, 0) + worker.others[0]
         return (
             self.suits(job, worker)
-            and self.now >= worker.rest_until
+            and self.now >= worker.paused_until
             and (not worker.asked or self.now < worker.asked + UNSEEN)
             and self.trusted(job, worker)
             and (not worker.used_slots or there + job.slots <= worker.cap)  # one that is ours alone takes any
--- a/reedspoke/records.py
+++ b/reedspoke/records.py
@@ -51,15 +51,15 @@
     asked: int = 0  # when the probe that is out was sent, 0: none is
     looked: int = 0  # when a probe was answered last
     away: float = 0.0  # distance on the ring of ranks from our part of the fleet, from 0 to 1
-    rest_until: int = 0  # nothing is sent before
-    sound: float = 1.0  # share of its answers that were results, the latest count most
-    failed: int = 0  # connections that failed or stayed mute since the last sign of life
+    paused_until: int = 0  # nothing is sent before
+    success_rate: float = 1.0  # share of its answers that were results, the latest count most
+    connect_failures: int = 0  # connections that failed or stayed mute since the last sign of life
     cold_sends: deque[tuple[int, float]] = field(default_factory=deque)  # (time, work) of the current window
 
     def renew(self, cap: float, back: int = 0) -> None:
         """It has started anew: what was learned of its load and held against it is void."""
-        self.cap, self.delay, self.rest_until, self.sound = cap, 0.0, 0, 1.0
-        self.failed, self.back = 0, back
+        self.cap, self.delay, self.paused_until, self.success_rate = cap, 0.0, 0, 1.0
+        self.connect_failures, self.back = 0, back
 
     def wait(self, now: int, forget: float) -> float:
         """The wait before a start to expect: the last ones, forgotten as time passes."""
@@ -79,7 +79,7 @@
 
     def rests(self, now: int) -> bool:
         """It is listed, and gets nothing by our own choice."""
-        return self.state is WorkerState.UP and (self.rest_until > now or self.zone.cut_at > 0)
+        return self.state is WorkerState.UP and (self.paused_until > now or self.zone.cut_at > 0)
 
 
 class Hints(Struct, eq=False):
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -266,10 +266,10 @@
     module = play.reducer.module
     worker = module.workers["a"]
     assert module.capacity_share(worker) == 1
-    worker.sound, worker.failed, worker.rest_until = 0.1, 5, play.now + 10**9
+    worker.success_rate, worker.connect_failures, worker.paused_until = 0.1, 5, play.now + 10**9
     module.handle(play.now, api.SuspensionChange("a", True))
     assert not module.available
     module.handle(play.now, api.SuspensionChange("a", False))
     assert module.available == [worker]
     assert module.capacity_share(worker) == module.rules.cold_min_share
-    assert (worker.sound, worker.failed, worker.rest_until) == (1.0, 0, 0)
+    assert (worker.success_rate, worker.connect_failures, worker.paused_until) == (1.0, 0, 0)
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -479,10 +479,10 @@
     """Seen at 298 workers: each 'full' answer had all of them looked at, and the day was cut off."""
     world = World(settings(), [entry(f"w{i}") for i in range(400)])
     for worker in world.dispatcher.available[:300]:
-        worker.rest_until = world.now + SECOND
+        worker.paused_until = world.now + SECOND
     world.request(1)
     assert not world.in_flight(), "what is far beyond reach is not looked at"
-    world.dispatcher.available[10].rest_until = 0
+    world.dispatcher.available[10].paused_until = 0
     world.advance(200 * MS)
     assert [sent.worker for sent in world.in_flight()] == [world.dispatcher.available[10].id]
 
@@ -655,7 +655,7 @@
         world.advance(100 * MS)
         for sent in world.in_flight():
             world.finish(sent, api.Reason.CONNECT_FAILED)
-            rests.append(worker.rest_until - world.now)
+            rests.append(worker.paused_until - world.now)
     assert 0 < rests[0] <= 0.26 * world.dispatcher.response
     assert rests == sorted(rests)
     assert rests[-1] == 4 * world.dispatcher.response, "it is always tried again"
@@ -664,7 +664,7 @@
         world.request(number)
         world.advance(100 * MS)
     world.start(world.in_flight()[-1])
-    assert worker.failed == 0
+    assert worker.connect_failures == 0
 
 
 def test_refused_probe_does_not_part_the_network() -> None:
@@ -708,13 +708,13 @@
     assert lost <= 3
     got = 0
     play(200, "", 5 * MS)  # more than the others have positions for
-    assert world.dispatcher.workers[first.worker].sound > 0.9, "it finds its way back"
+    assert world.dispatcher.workers[first.worker].success_rate > 0.9, "it finds its way back"
 
 
 def test_fleet_that_fails_as_a_whole_is_not_left_alone() -> None:
     world = World(settings(), [entry("a"), entry("b")])
     for worker in world.dispatcher.workers.values():
-        worker.sound = 0.4
+        worker.success_rate = 0.4
     world.request(1, "pay")
     assert world.in_flight(), "none is better than the others"
 
