--- a/reedspoke/logic.py
+++ b/reedspoke/logic.py
@@ -44,9 +44,8 @@
 # Workers examined for a job, in addition to one for each attempt in flight. With all 298 workers of a fleet
 # ranked at each `full` outcome, congestion cost too much computing time.
 EXTRA_CANDIDATES = 50
-COLD_BUDGET_SHARE = (
-    0.6  # used part of this scheduler's budget for a cold worker: sizes and speeds are estimates
-)
+# Used part of this scheduler's budget for a cold worker. Sizes and speeds of workers are estimates.
+COLD_BUDGET_SHARE = 0.6
 MAX_FEW_SCHEDULERS = 12  # with more of them, each learns too little of a worker from its own jobs
 # Among many schedulers, as many share the budget of a cold worker: an equal part for all would fit no job.
 SCHEDULERS_PER_COLD_WORKER = 3
@@ -94,15 +93,13 @@
         self.min_target = min(cls.latency_target for cls in settings.classes)
         schedulers = settings.scheduler_count
         # Half-life of measured start delays. The more schedulers there are, the longer it takes until one of
-        # them meets a worker again.
+        # them sends to a worker again.
         self.half_life = self.min_target * max(DELAY_HALF_LIFE_FACTOR, schedulers / 4)
         # Each of many schedulers sees few jobs at each worker, so it probes a worker before it sends to it.
         probing = self.limits.can_probe and not self.limits.peer_messages
         self.sparse = schedulers > MAX_FEW_SCHEDULERS and probing
         self.unreported = self.sparse and not settings.report_fields  # only own jobs show queues
-        self.check_interval = max(
-            settings.min_event_interval, self.min_target // 4
-        )  # between checks for overdue attempts
+        self.check_interval = max(settings.min_event_interval, self.min_target // 4)  # for overdue attempts
         self.timer_set, self.list_requested, self.list_request_at, self.list_losses = False, False, 0, 0
         self.standard_pace = 1.0  # running time of a unit of work on a worker of weight 1
         # Averages over the fleet: start delay, running time of a unit of work, time from send to outcome.
@@ -123,7 +120,7 @@
         self.dispatch_queued()
         if not self.timer_set and (self.jobs or self.settings.list_on_request and not self.list_requested):
             self.timer_set = True
-            self.actions.append(SetTimer(self.check_interval, "beat"))
+            self.actions.append(SetTimer(self.check_interval, "beat"))  # the token is part of the wire
         return self.actions
 
     def on_request(self, request: Request) -> None:
@@ -133,7 +130,7 @@
         if key not in flow.largest:
             flow.largest[key] = float(slots * request.work_hint) or max(flow.largest.values(), default=0.0)
         hint = request.work_hint or flow.largest[key] / slots or float(cls.latency_target)
-        work = self.hints[cls.name].expected_work(hint)
+        work = self.hints[cls.name].expected_work(hint)  # imprecise hints move towards the class's mean
         # A client that retries sets a shorter deadline; its latency target counts from its first try.
         arrived = min(self.now, request.deadline - cls.deadline)
         latest_end = min(arrived + cls.latency_target + cls.stretch * work, request.deadline)
@@ -198,7 +195,8 @@
         """Apply an update of the worker list, or schedule the next request for it if the list was lost."""
         if update.kind is ListKind.LOST:
             if self.list_requested or not self.list_losses:
-                # Linear backoff. It grows with the number of schedulers, which all ask the same discovery.
+                # Linear backoff with jitter, longer for more schedulers as all use one discovery service. The
+                # divisor is the largest jitter, so that no pause exceeds the limit.
                 step = self.limits.connect_timeout * max(1.0, self.settings.scheduler_count / 4)
                 left = MAX_LIST_RETRY_US - (self.now - self.list_request_at) * (self.list_losses > 0)
                 step = min(step * min(self.list_losses + 1, 4), max(0, left) / 1.5)
@@ -218,7 +216,10 @@
         self.order_available()
 
     def on_suspension_change(self, event: SuspensionChange) -> None:
-        """Suspend a worker, or resume it: it is then cold, since its start or else since now."""
+        """Suspend a worker, or resume it.
+
+        A resumed worker is cold since its start if it has started during the suspension, else since now.
+        """
         worker = self.workers.get(event.worker)
         if event.suspended:
             self.suspended.setdefault(event.worker, self.now)
@@ -361,7 +362,7 @@
         self.record_success(worker, probe.reason is Reason.OK)
         if probe.reason is Reason.OK:
             self.record_contact(worker)
-        else:
+        else:  # the probe has shown that it cannot serve before a job was lost there
             self.pause_unreachable(worker, self.now)
         # A connection that is refused at once shows that the zone can be reached.
         zone, timeout = worker.zone, self.limits.connect_timeout
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -99,9 +99,9 @@
     )
     assert first.returncode == 0
     assert first.stderr == ""
-    empty, _, sent, beat = replies(first)
+    empty, _, sent, timed = replies(first)
     assert empty == []
-    assert {"STREAM_CHANGES": {"who": "scheduler/0", "want": True}} in beat
+    assert {"STREAM_CHANGES": {"who": "scheduler/0", "want": True}} in timed
     dispatch = next(action["DISPATCH"] for action in sent if "DISPATCH" in action)
     assert dispatch["handle"] == 7
     assert dispatch["worker"] in {"w0", "w1", "w2"}
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -64,20 +64,20 @@
 
 def test_cheap_jobs_do_not_wait_for_a_series_of_expensive_ones() -> None:
     """As in figure 5 of the paper, a tenant of large jobs gets its share of time, not of job starts."""
-    world = one_slot_workers({"cheap": 1, "dear": 1})
+    world = one_slot_workers({"cheap": 1, "expensive": 1})
     for number in range(20):
         world.request(number, tenant="cheap", hint=50 * MS)
-        world.request(100 + number, tenant="dear", hint=400 * MS)
-    spent = {"cheap": 0, "dear": 0}
-    turns = {"cheap": 0, "dear": 0}
+        world.request(100 + number, tenant="expensive", hint=400 * MS)
+    spent = {"cheap": 0, "expensive": 0}
+    turns = {"cheap": 0, "expensive": 0}
     for _ in range(12):
         sent = world.in_flight()[0]
         length = world.requests[sent.request].work_hint
         tenant = finish(world, length)
         spent[tenant] += length
         turns[tenant] += 1
-    assert turns["cheap"] > 2 * turns["dear"]
-    assert spent["dear"] >= spent["cheap"] / 2
+    assert turns["cheap"] > 2 * turns["expensive"]
+    assert spent["expensive"] >= spent["cheap"] / 2
 
 
 def test_cost_estimate_is_the_largest_recent_cost() -> None:
@@ -745,11 +745,11 @@
         while world.list_requests == asked:
             world.advance(5 * MS)
         pauses.append(world.now - lost)
-    timeout, beat = 200 * MS * max(1, schedulers / 4), 150 * MS
+    timeout, check_interval = 200 * MS * max(1, schedulers / 4), 150 * MS
     for pause, times in zip(pauses, (1, 2, 3, 4, 4, 1), strict=True):
         # A list counts as known 6 s after discovery is back.
         step = min(times * timeout, MAX_LIST_RETRY_US / 1.5)
-        assert 0.5 * step <= pause <= 1.5 * step + beat
+        assert 0.5 * step <= pause <= 1.5 * step + check_interval
     assert len(set(pauses[2:5])) > 1, "the pauses have jitter"
 
 
@@ -861,12 +861,12 @@
     schedulers learn speeds from their own jobs: with two of them, using the sizes cost 0.03 of the score
     G."""
     sizes = {"a": 2.5, "b": 4.0, "c": 6.0}
-    told = [entry(name, weight=size) for name, size in sizes.items()]
-    module = World(MANY, told).dispatcher
-    paces = {name: module.workers[name].pace for name in sizes}
+    entries = [entry(name, weight=size) for name, size in sizes.items()]
+    dispatcher = World(MANY, entries).dispatcher
+    paces = {name: dispatcher.workers[name].pace for name in sizes}
     assert paces["a"] * 2.5 == pytest.approx(paces["b"] * 4.0) == pytest.approx(paces["c"] * 6.0)
     assert paces["c"] < 1 < paces["a"]
-    few = World(settings(scheduler_count=2), told).dispatcher
+    few = World(settings(scheduler_count=2), entries).dispatcher
     assert {worker.pace for worker in few.workers.values()} == {few.mean_pace}
 
 
@@ -876,9 +876,9 @@
     delay."""
     sizes = {"slow": 2.5, "fast": 6.0}
     world = World(MANY, [entry(name, weight=size) for name, size in sizes.items()])
-    module = world.dispatcher
-    module.workers["slow"].home_distance, module.workers["fast"].home_distance = 0.0, 0.4
-    module.available.sort(key=lambda worker: worker.home_distance)
+    dispatcher = world.dispatcher
+    dispatcher.workers["slow"].home_distance, dispatcher.workers["fast"].home_distance = 0.0, 0.4
+    dispatcher.available.sort(key=lambda worker: worker.home_distance)
     world.probe_replies = {"slow": IDLE, "fast": IDLE}
     world.request(1, hint=50 * MS)
     assert [sent.worker for sent in world.in_flight()] == ["slow"], "the job will be in time there"
@@ -937,11 +937,11 @@
     assert least <= trusted <= most
 
 
-@pytest.mark.parametrize("told", [1, 10**12])
-def test_extreme_hints_do_no_harm(told: int) -> None:
+@pytest.mark.parametrize("hint", [1, 10**12])
+def test_extreme_hints_do_no_harm(hint: int) -> None:
     world = World(settings(), [entry("a")])
     for number in range(30):
-        world.request(number, hint=told if number % 3 == 0 else 100 * MS)
+        world.request(number, hint=hint if number % 3 == 0 else 100 * MS)
         for sent in world.in_flight():
             world.finish(sent, api.Reason.OK)
     world.advance(6 * SECOND)
--- a/tests/test_names.py
+++ b/tests/test_names.py
@@ -1,4 +1,4 @@
-"""What the program does follows from the settings that a deployment gives, never from whose they are."""
+"""The program names no zone, class, caller or worker kind of a particular deployment."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import pytest
 
 PACKAGE = Path(__file__).parent.parent / "reedspoke"
-# Operators, sites, zones, classes, callers and kinds of both deployments.
+# Operators, sites, zones, classes, callers and worker kinds of both deployments.
 NAMES = (
     "kleinkredit", "kredit", "wien", "linz", "offer-quote", "balance-view", "loan-booking", "repayment-post",
     "alpenhaus", "donau-bank", "moebel-steiner", "tirol-rad", "grazer-technik", "sport-leitner",
@@ -29,6 +29,6 @@
 
 
 @pytest.mark.parametrize("path", SOURCES, ids=lambda path: str(path.relative_to(PACKAGE)))
-def test_no_module_names_a_deployment_s_own(path: Path) -> None:
-    """Guards a third deployment: a rule for one name works at one place, and by luck elsewhere."""
+def test_no_module_contains_the_names_of_a_deployment(path: Path) -> None:
+    """A rule for the name of one deployment would work elsewhere only by chance."""
     assert not named(path.read_text(encoding="utf-8"))
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""The README's example does what it says."""
+"""The embedding example in the README runs and prints what it states."""
 
 import re
 from pathlib import Path
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -63,9 +63,9 @@
         world.advance(amount * 5 * MS)
     elif what == "list" and amount < 3:
         name = WORKERS[which]
-        told = next(e for e in fleet(world.now) if e.worker == name)
-        told.state = STATES[amount]
-        world.update_workers([told])
+        changed = next(e for e in fleet(world.now) if e.worker == name)
+        changed.state = STATES[amount]
+        world.update_workers([changed])
     elif what == "list":
         world.update_workers([], api.ListKind.LOST) if amount == 3 else world.update_workers(
             fleet()[which:], api.ListKind.FULL
--- a/tests/world.py
+++ b/tests/world.py
@@ -102,9 +102,8 @@
         self.list_requests = 0
         self.suspended: set[str] = set()
         self.probed: list[str] = []
-        self.probe_replies: dict[str, tuple[api.Reason, tuple[float, ...]]] | None = (
-            None  # results of probes; None: none come
-        )
+        # Reason and load report of each probed worker, sent at once; None: probes get no result.
+        self.probe_replies: dict[str, tuple[api.Reason, tuple[float, ...]]] | None = None
         entries = list(workers)
         if entries:
             self.update_workers(entries, api.ListKind.STALE)
