--- a/reedspoke/logic.py
+++ b/reedspoke/logic.py
@@ -57,8 +57,9 @@
 PROBE_WAIT_US = 30_000  # after that time without a result a worker is skipped until the result arrives
 # Crossing zones has to save this many times its cost in time, as the saved delay is only an estimate.
 CROSS_ZONE_COST_FACTOR = 8.0
-# Weight of a worker's home distance, in the mean response plus the job's slot time: half the time for which
-# one more job occupies a worker.
+# Weight of a worker's home distance among many schedulers. At the largest distance, 1, the job is rated as if
+# it ended later by half of the time for which it occupies a worker and lets another job wait there. That time
+# is estimated as the mean response plus the job's slot time.
 HOME_DISTANCE_WEIGHT = 0.5
 # Least success rate of a worker for jobs that must not be retried; one failure among successes is normal.
 MIN_SUCCESS_RATE = 0.75
@@ -91,19 +92,23 @@
         self.flows = {tenant.name: Flow(tenant.share / mean) for tenant in settings.tenants}
         self.virtual_time, self.virtual_time_at, self.recent_work, self.charged_at = 0.0, 0, 0.0, 0
         self.min_target = min(cls.latency_target for cls in settings.classes)
-        schedulers = settings.scheduler_count
         # Half-life of measured start delays. The more schedulers there are, the longer it takes until one of
         # them sends to a worker again.
-        self.half_life = self.min_target * max(DELAY_HALF_LIFE_FACTOR, schedulers / 4)
+        self.half_life = self.min_target * max(DELAY_HALF_LIFE_FACTOR, settings.scheduler_count / 4)
         # Each of many schedulers sees few jobs at each worker, so it probes a worker before it sends to it.
-        probing = self.limits.can_probe and not self.limits.peer_messages
-        self.sparse = schedulers > MAX_FEW_SCHEDULERS and probing
+        self.sparse = (
+            settings.scheduler_count > MAX_FEW_SCHEDULERS
+            and settings.limits.can_probe
+            and not settings.limits.peer_messages
+        )
         self.unreported = self.sparse and not settings.report_fields  # only own jobs show queues
-        self.check_interval = max(settings.min_event_interval, self.min_target // 4)  # for overdue attempts
+        # Time between two checks for overdue attempts and late jobs.
+        self.check_interval = max(settings.min_event_interval, self.min_target // 4)
         self.timer_set, self.list_requested, self.list_request_at, self.list_losses = False, False, 0, 0
         self.standard_pace = 1.0  # running time of a unit of work on a worker of weight 1
-        # Averages over the fleet: start delay, running time of a unit of work, time from send to outcome.
-        self.mean_delay, self.mean_pace, self.mean_response = 0.0, 1.0, 2.0 * self.min_target
+        # Averages over the fleet: start delay, running time of a unit of work.
+        self.mean_delay, self.mean_pace = 0.0, 1.0
+        self.mean_response = 2.0 * self.min_target  # average time from a send to its outcome
         self.handlers: dict[type, Callable[[Any], None]] = {
             Request: self.on_request, AttemptOutcome: self.on_outcome, AttemptUpdate: self.on_attempt_update,
             Timer: self.on_timer, WorkerListUpdate: self.on_worker_list,
@@ -114,8 +119,11 @@
 
     def handle(self, now: int, event: Event) -> list[Action]:
         """Process an event that happened at `now`; return the actions to carry out, in order."""
-        self.now, self.actions = now, []
-        self.first_event_at = now if self.first_event_at < 0 else self.first_event_at
+        self.now, self.actions, self.first_event_at = (
+            now,
+            [],
+            now if self.first_event_at < 0 else self.first_event_at,
+        )
         self.handlers[type(event)](event)
         self.dispatch_queued()
         if not self.timer_set and (self.jobs or self.settings.list_on_request and not self.list_requested):
@@ -133,8 +141,9 @@
         work = self.hints[cls.name].expected_work(hint)  # imprecise hints move towards the class's mean
         # A client that retries sets a shorter deadline; its latency target counts from its first try.
         arrived = min(self.now, request.deadline - cls.deadline)
-        latest_end = min(arrived + cls.latency_target + cls.stretch * work, request.deadline)
-        latest_start = latest_end - self.mean_pace * work
+        latest_start = (
+            min(arrived + cls.latency_target + cls.stretch * work, request.deadline) - self.mean_pace * work
+        )
         job = Job(
             request.id, cls, flow, key, hint, work, slots, request.deadline, latest_start, request.memory
         )
@@ -157,8 +166,9 @@
             self.record_contact(attempt.worker)
             if update.kind is UpdateKind.STARTED and not attempt.started_at:
                 attempt.mark_started(self.now)
-                delay = (self.now - attempt.sent_at) / attempt.job.slots
-                self.record_start_delay(attempt.worker, delay, attempt.sent_at)
+                self.record_start_delay(
+                    attempt.worker, (self.now - attempt.sent_at) / attempt.job.slots, attempt.sent_at
+                )
 
     def on_outcome(self, outcome: AttemptOutcome) -> None:
         """Settle an ended attempt, learn from it, and retry or answer its request where it needs that."""
@@ -287,11 +297,15 @@
             pace = self.standard_pace / entry.weight if entry.weight > 0 and self.sparse else self.mean_pace
             worker = Worker(entry.worker, crc32(entry.worker.encode()), pace, INITIAL_SLOT_CAP, entry.weight)
             self.workers[worker.id] = worker
-        elif entry.started_at != worker.started_at:  # restarted: its load is unknown
+        elif entry.started_at != worker.started_at:  # it has restarted, so its learned load is obsolete
             worker.reset(INITIAL_SLOT_CAP)
         worker.zone = self.zones.setdefault(entry.zone, Zone(entry.zone))
-        worker.kind, worker.cell, worker.state = entry.kind, entry.cell, entry.state
-        worker.started_at = entry.started_at
+        worker.kind, worker.cell, worker.state, worker.started_at = (
+            entry.kind,
+            entry.cell,
+            entry.state,
+            entry.started_at,
+        )
 
     def record_contact(self, worker: Worker) -> None:
         """Note that a worker has answered, so its zone can be reached."""
@@ -300,8 +314,9 @@
 
     def probe_zone(self, zone: Zone, since: int) -> None:
         """Probe a zone that has not answered since then while others have: the network may be partitioned."""
-        latest_contact = max(z.contact_at for z in self.zones.values())
-        if self.now >= zone.next_probe_at and zone.contact_at < since < latest_contact:
+        if self.now >= zone.next_probe_at and zone.contact_at < since < max(
+            z.contact_at for z in self.zones.values()
+        ):
             zone.next_probe_at = self.now + max(self.limits.connect_timeout, (self.now - since) // 4)
             there = [worker.id for worker in self.available if worker.zone is zone]
             if there and self.limits.can_probe:
@@ -310,8 +325,9 @@
     def pause_unreachable(self, worker: Worker, since: int) -> None:
         """Pause a worker after a failed connection, the longer the more have failed without an answer."""
         worker.connect_failures += 1
-        factor = min(MAX_PAUSE_FACTOR, CONNECT_PAUSE_FACTOR * 2**worker.connect_failures)
-        worker.paused_until = self.now + int(self.mean_response * factor)
+        worker.paused_until = self.now + int(
+            self.mean_response * min(MAX_PAUSE_FACTOR, CONNECT_PAUSE_FACTOR * 2**worker.connect_failures)
+        )
         self.probe_zone(worker.zone, since)
 
     def record_success(self, worker: Worker, success: bool) -> None:
@@ -330,11 +346,12 @@
         Safe jobs try out a worker with a low rate, one at a time if most of its jobs fail. Where all workers
         have a low rate, none is excluded.
         """
-        rate = worker.success_rate
-        if rate >= MIN_SUCCESS_RATE or all(w.success_rate < MIN_SUCCESS_RATE for w in self.available):
+        if worker.success_rate >= MIN_SUCCESS_RATE or all(
+            other.success_rate < MIN_SUCCESS_RATE for other in self.available
+        ):
             return True
         return job.cls.idempotency is Idempotency.SAFE and (
-            rate >= MIN_PARALLEL_RATE or not worker.used_slots
+            worker.success_rate >= MIN_PARALLEL_RATE or not worker.used_slots
         )
 
     def on_unacknowledged(self, attempt: Attempt) -> None:
@@ -348,8 +365,11 @@
         attempt.mark_lost(self.now)
         if worker.contact_at < attempt.sent_at:
             self.pause_unreachable(worker, attempt.sent_at)
-        safe = job.cls.idempotency is Idempotency.SAFE
-        if job.unanswered and safe and len(job.attempts) < self.limits.max_attempts:
+        if (
+            job.unanswered
+            and job.cls.idempotency is Idempotency.SAFE
+            and len(job.attempts) < self.limits.max_attempts
+        ):
             self.cancel(attempt)
 
     def on_probe_result(self, probe: ProbeResult) -> None:
@@ -364,9 +384,12 @@
             self.record_contact(worker)
         else:  # the probe has shown that it cannot serve before a job was lost there
             self.pause_unreachable(worker, self.now)
+        zone = worker.zone
         # A connection that is refused at once shows that the zone can be reached.
-        zone, timeout = worker.zone, self.limits.connect_timeout
-        if self.now - zone.contact_at > probe.duration >= timeout and not zone.unreachable_since:
+        if (
+            self.now - zone.contact_at > probe.duration >= self.limits.connect_timeout
+            and not zone.unreachable_since
+        ):
             zone.unreachable_since = self.now
             self.actions.append(Log("zone out of reach: left out and probed"))
 
@@ -382,8 +405,9 @@
 
     def update_mean_delay(self, delay: float) -> None:
         """Add a start delay to the mean of the fleet; outliers are limited."""
-        limit = MAX_SAMPLE_RATIO * self.min_target * (1 + 3 * self.unreported)
-        self.mean_delay += MEAN_DELAY_WEIGHT * (min(delay, limit) - self.mean_delay)
+        self.mean_delay += MEAN_DELAY_WEIGHT * (
+            min(delay, MAX_SAMPLE_RATIO * self.min_target * (1 + 3 * self.unreported)) - self.mean_delay
+        )
 
     def record_report(self, worker: Worker, report: tuple[float, ...], sent: int) -> None:
         """Estimate a worker's start delay from its load report.
@@ -393,16 +417,24 @@
         """
         load = dict(zip(self.settings.report_fields, report, strict=False))
         worker.peak_slots = max(worker.peak_slots, round(load.get("x0", 0.0)))
-        queue, free, response = load.get("queue", 0.0), load.get("x0", CONTENDED_SLOTS), self.mean_response
-        lacking = max(0.0, CONTENDED_SLOTS + 1.5 * queue - free) if self.sparse else queue / 2
-        latency = load.get("latency_ms", response / 2000) * 1000 if self.sparse else response
+        queue = load.get("queue", 0.0)
+        lacking = (
+            max(0.0, CONTENDED_SLOTS + 1.5 * queue - load.get("x0", CONTENDED_SLOTS))
+            if self.sparse
+            else queue / 2
+        )
+        latency = (
+            load.get("latency_ms", self.mean_response / 2000) * 1000 if self.sparse else self.mean_response
+        )
         worker.start_delay, worker.start_delay_at = lacking * latency / worker.peak_slots, self.now
 
     def lower_cap(self, worker: Worker, sent: int) -> None:
         """Lower a slot cap, once for all the attempts that were sent before the last decrease."""
         if sent >= worker.cap_lowered_at:
-            cap = min(worker.slot_cap, worker.used_slots + 1) * SLOT_CAP_DECREASE_FACTOR
-            worker.slot_cap, worker.cap_lowered_at = max(MIN_SLOT_CAP, cap), self.now
+            worker.slot_cap = max(
+                MIN_SLOT_CAP, min(worker.slot_cap, worker.used_slots + 1) * SLOT_CAP_DECREASE_FACTOR
+            )
+            worker.cap_lowered_at = self.now
 
     def advance_virtual_time(self) -> float:
         """Advance v by the rate of finished work divided by the shares of the active tenants."""
@@ -425,15 +457,20 @@
 
     def settle_charge(self, attempt: Attempt, reason: Reason) -> None:
         """Retroactive charging of the paper, or a refund if the job never ran; learn from its cost."""
-        cost, worker, job = attempt.cost(self.now), attempt.worker, attempt.job
+        cost, worker = attempt.cost(self.now), attempt.worker
         attempt.charge(0.0 if attempt.not_executed else cost)
         if reason is Reason.OK:
             self.recent_work += cost
-            job.flow.largest[job.job_key] = max(MAX_COST_DECAY * job.flow.largest[job.job_key], cost)
-            self.hints[job.cls.name].record_cost(job.hint, cost / job.slots / worker.pace)
-            pace = cost / job.slots / job.work
-            self.mean_pace = moving_average(self.mean_pace, pace)
-            worker.pace = moving_average(worker.pace, pace)
+            largest, key = attempt.job.flow.largest, attempt.job.job_key
+            largest[key] = max(MAX_COST_DECAY * largest[key], cost)
+            self.hints[attempt.job.cls.name].record_cost(
+                attempt.job.hint, cost / attempt.job.slots / worker.pace
+            )
+            pace = cost / attempt.job.slots / attempt.job.work
+            self.mean_pace, worker.pace = (
+                moving_average(self.mean_pace, pace),
+                moving_average(worker.pace, pace),
+            )
             self.standard_pace += MEAN_DELAY_WEIGHT * (pace * worker.weight - self.standard_pace)
             self.mean_response = moving_average(self.mean_response, self.now - attempt.sent_at)
 
@@ -472,14 +509,17 @@
 
         Otherwise each of many schedulers would lose a job of its own at each bad worker.
         """
-        outdated = worker.probe_answered_at + PROBE_VALIDITY_US <= self.now
-        if self.sparse and outdated and not worker.probe_sent_at:
+        if (
+            self.sparse
+            and worker.probe_answered_at + PROBE_VALIDITY_US <= self.now
+            and not worker.probe_sent_at
+        ):
             worker.probe_sent_at = self.now
             self.actions.append(Probe(worker.id))
         return worker.probe_sent_at > 0
 
     def reserve_worker(self, job: Job, reserved: list[Worker]) -> None:
-        """Reserve the least used worker for a job of many slots, which small jobs would starve otherwise."""
+        """Reserve the least used worker to drain for a job of many slots; small jobs would starve it."""
         usable = [w for w in self.available if job.slots > 1 and w.used_slots and self.can_run(job, w)]
         reserved += sorted(usable, key=lambda worker: worker.used_slots)[:1]
 
@@ -514,14 +554,24 @@
         # Without load reports the mean delay is assumed at each worker, or a congested fleet got more jobs.
         usual = self.mean_delay * self.unreported
         for worker in [other for other in near if other not in reserved]:
-            queueing = worker.queueing_time(job.slots)
-            delay = max(worker.expected_delay(self.now, self.half_life), usual)
+            queueing, delay = (
+                worker.queueing_time(job.slots),
+                max(worker.expected_delay(self.now, self.half_life), usual),
+            )
             end = far * worker.home_distance + queueing + cross * (worker.zone.name != self.settings.zone)
-            left = job.latest_start - self.now + (self.mean_pace - worker.pace) * job.work
-            part = (end + max(delay, self.check_interval)) / max(self.check_interval, left)
-            end = part if self.sparse else end + delay + job.work * worker.pace
-            in_time = delay + queueing <= slack or not self.in_flight
-            if end < least and in_time and self.may_send(job, worker):
+            left = max(
+                self.check_interval, job.latest_start - self.now + (self.mean_pace - worker.pace) * job.work
+            )
+            end = (
+                (end + max(delay, self.check_interval)) / left
+                if self.sparse
+                else end + delay + job.work * worker.pace
+            )
+            if (
+                end < least
+                and (delay + queueing <= slack or not self.in_flight)
+                and self.may_send(job, worker)
+            ):
                 best, least = worker, end
         return best
 
@@ -562,8 +612,9 @@
         if cls.dedup_scope is DedupScope.CELL and first.worker.cell != worker.cell:
             return False
         in_zone = cls.dedup_scope is not DedupScope.ZONE or first.worker.zone is worker.zone
-        in_window = self.now - first.sent_at < cls.dedup_window
-        return in_zone and cls.idempotency is Idempotency.KEYED and in_window
+        return (
+            in_zone and cls.idempotency is Idempotency.KEYED and self.now - first.sent_at < cls.dedup_window
+        )
 
     def capacity_share(self, worker: Worker) -> float:
         """The least share of its full capacity that a worker has by now; 1 if it is warm."""
@@ -574,17 +625,25 @@
 
     def cold_budget(self, worker: Worker) -> float:
         """Work that this scheduler may still send to a cold worker within the current window."""
-        sends, window = worker.cold_sends, self.rules.overload_window
-        while sends and self.now - sends[0][0] > window:
+        sends = worker.cold_sends
+        while sends and self.now - sends[0][0] > self.rules.overload_window:
             sends.popleft()
         slots = max(other.peak_slots for other in self.available if other.kind == worker.kind)
-        budget = self.rules.overload_multiple * self.capacity_share(worker) * slots / worker.pace * window
-        # After a restart without handover it is unknown what was sent within this window.
-        if self.now - self.first_event_at < window and not self.siblings.learned.fleet[0]:
+        budget = (
+            self.rules.overload_multiple
+            * self.capacity_share(worker)
+            * slots
+            / worker.pace
+            * self.rules.overload_window
+        )
+        # After a restart without handover some of the budget may have been used in this window already.
+        if self.now - self.first_event_at < self.rules.overload_window and not self.siblings.learned.fleet[0]:
             budget /= 2
         budget /= 1 + self.siblings.accepting  # the processes of a scheduler share its budget
         theirs = self.siblings.learned.cold.get(worker.id, ())
-        sent = sum((work for at, work in [*sends, *theirs] if self.now - at <= window), 0.0)
+        sent = sum(
+            (work for at, work in [*sends, *theirs] if self.now - at <= self.rules.overload_window), 0.0
+        )
         # The schedulers that share the budget of a worker follow from its hash, so they never change.
         schedulers = self.settings.scheduler_count
         sharing = SCHEDULERS_PER_COLD_WORKER if schedulers > MAX_FEW_SCHEDULERS else schedulers
@@ -606,9 +665,8 @@
 
     def answer_unserved(self, job: Job) -> None:
         """Give the final answer to a request without result: refused if a retry is safe, else failed."""
-        cls = job.cls
-        keyed_to_all = cls.idempotency is Idempotency.KEYED and cls.dedup_scope is DedupScope.ALL
-        safe = cls.idempotency is Idempotency.SAFE or keyed_to_all or job.first_maybe_executed() is None
+        keyed_to_all = job.cls.idempotency is Idempotency.KEYED and job.cls.dedup_scope is DedupScope.ALL
+        safe = job.first_maybe_executed() is None or job.cls.idempotency is Idempotency.SAFE or keyed_to_all
         self.actions.append(Refuse(job.id, self.retry_delay(job)) if safe else Fail(job.id))
         self.close_request(job)
 
@@ -638,18 +696,22 @@
 
         Its expected time includes the mean response, so no worker stands out where all are slow.
         """
-        worker, contact_at = attempt.worker, attempt.worker.contact_at
+        worker = attempt.worker
         limit = self.min_target + OVERDUE_FACTOR * max(self.mean_response, attempt.job.work * worker.pace)
         if self.settings.reports_start and not attempt.started_at:
             limit = float(self.min_target)
         # The worker answers others but should have ended this one long ago: its response stream was cut off.
-        if attempt.started_at and contact_at > attempt.started_at + limit:
+        if attempt.started_at and worker.contact_at > attempt.started_at + limit:
             attempt.mark_lost(self.now)
             return
-        waited = self.now - (max(attempt.sent_at, contact_at) if attempt.started_at else attempt.sent_at)
+        waited = self.now - (
+            max(attempt.sent_at, worker.contact_at) if attempt.started_at else attempt.sent_at
+        )
         if waited > limit:
-            worker.start_delay = max(worker.expected_delay(self.now, self.half_life), waited)
-            worker.start_delay_at = self.now
+            worker.start_delay, worker.start_delay_at = (
+                max(worker.expected_delay(self.now, self.half_life), waited),
+                self.now,
+            )
             self.update_mean_delay(waited if self.unreported else self.mean_delay)
             self.lower_cap(worker, attempt.sent_at)
             self.probe_zone(worker.zone, attempt.sent_at)
--- a/reedspoke/records.py
+++ b/reedspoke/records.py
@@ -82,8 +82,7 @@
         It serves to compare workers. If the slots are free already it is small, as the jobs there delay no
         further one, and does not justify a distant worker.
         """
-        used = self.used_slots + self.peer_load[0]
-        work = self.work_in_flight + self.peer_load[1]
+        used, work = self.used_slots + self.peer_load[0], self.work_in_flight + self.peer_load[1]
         over = max(0, used + slots - self.peak_slots) / max(1, used)
         # The slots that peers hold count towards the cap too.
         positions = self.peak_slots if self.peer_load[0] else max(self.peak_slots, int(self.slot_cap))
@@ -112,19 +111,19 @@
         log_hint = math.log(hint)
         self.count += 1
         self.mean_log_hint += max(MIN_HINT_WEIGHT, 1 / self.count) * (log_hint - self.mean_log_hint)
-        slope = (self.covariance_sum + HINT_PRIOR / 2) / (self.variance_sum + HINT_PRIOR)
-        trust = min(1.0, max(0.0, slope))
+        trust = min(1.0, max(0.0, (self.covariance_sum + HINT_PRIOR / 2) / (self.variance_sum + HINT_PRIOR)))
         return math.exp(self.mean_log_hint + trust * (log_hint - self.mean_log_hint))
 
     def record_cost(self, hint: float, cost: float) -> None:
         """Learn from the running time, on a standard worker, of a job with that hint."""
         log_hint, log_cost = math.log(hint), math.log(max(1.0, cost))
-        step = MIN_HINT_WEIGHT * (log_cost - self.mean_log_cost) if self.mean_log_cost else log_cost
-        self.mean_log_cost += step
-        hint_distance = log_hint - self.mean_log_hint
-        self.variance_sum = HINT_DECAY * self.variance_sum + hint_distance**2
-        product = hint_distance * (log_cost - self.mean_log_cost)
-        self.covariance_sum = HINT_DECAY * self.covariance_sum + product
+        self.mean_log_cost += (
+            MIN_HINT_WEIGHT * (log_cost - self.mean_log_cost) if self.mean_log_cost else log_cost
+        )
+        self.variance_sum = HINT_DECAY * self.variance_sum + (log_hint - self.mean_log_hint) ** 2
+        self.covariance_sum = HINT_DECAY * self.covariance_sum + (log_hint - self.mean_log_hint) * (
+            log_cost - self.mean_log_cost
+        )
 
 
 class Flow(Struct, eq=False):
