--- a/reedspoke/logic.py
+++ b/reedspoke/logic.py
@@ -50,16 +50,16 @@
 # Among many schedulers, as many share the budget of a cold worker: an equal part for all would fit no job.
 SCHEDULERS_PER_COLD_WORKER = 3
 CONTENDED_SLOTS = 1.5  # free slots of a report that this and other jobs will have taken before the start
-# Longest time between requests for the worker list. A change of it counts as known to all schedulers 6 s
-# after discovery can be reached.
+# Longest time between requests for the worker list. What discovery holds counts as known 6 s after it can be
+# reached, whether or not it has arrived, so that requests have to be closer together than that.
 MAX_LIST_RETRY_US = 4_000_000
 PROBE_VALIDITY_US = 500_000  # a probe's result is used for that long; reports are renewed about once a second
 PROBE_WAIT_US = 30_000  # after that time without a result a worker is skipped until the result arrives
 # Crossing zones has to save this many times its cost in time, as the saved delay is only an estimate.
 CROSS_ZONE_COST_FACTOR = 8.0
-# Weight of a worker's home distance among many schedulers. At the largest distance, 1, the job is rated as if
-# it ended later by half of the time for which it occupies a worker and lets another job wait there. That time
-# is estimated as the mean response plus the job's slot time.
+# Weight of a worker's home distance if there are many schedulers. The time for which a worker keeps a job
+# waiting is estimated as the mean response plus the job's slot time. A worker at the largest distance, 1, is
+# rated as if it took half of that time longer than a worker at home.
 HOME_DISTANCE_WEIGHT = 0.5
 # Least success rate of a worker for jobs that must not be retried; one failure among successes is normal.
 MIN_SUCCESS_RATE = 0.75
--- a/reedspoke/records.py
+++ b/reedspoke/records.py
@@ -17,7 +17,8 @@
 FREE_SLOT_LOAD_WEIGHT = 0.1
 MIN_HINT_WEIGHT = 0.03  # least weight of a new hint in the mean of its class
 HINT_DECAY = 0.99  # factor of the sums over hints and costs at each further job
-# Strength of the initial assumption on hints, in jobs whose hints are off the mean by one logarithmic unit.
+# Hints count by half until results outweigh this many assumed jobs, each of them with a hint that is one
+# logarithmic unit off the mean.
 HINT_PRIOR = 5.0
 MAX_SAMPLE_RATIO = 3.0  # of a sample to the average, so that a single pause does not look like a slow worker
 
