--- a/reedspoke/interface.py
+++ b/reedspoke/interface.py
@@ -131,7 +131,9 @@
 
     drain_grace: int  # time after the start of a drain within which a worker may still get attempts
     answer_slack: int  # time after its deadline within which a request must have its final answer
-    list_request_within: int  # time within which the worker list must be requested; 0: it is pushed
+    # Setting `ask_within` of the platform: time within which a scheduler has to request the worker list; 0 if
+    # the list is pushed. The dispatcher does not read it, as it requests the list at its first timer.
+    list_request_within: int
     cold_min_share: float
     warm_up_time: int
     overload_multiple: float
