--- a/reedspoke/interface.py
+++ b/reedspoke/interface.py
@@ -1,6 +1,7 @@
-"""The types that go into and come out of reedspoke/logic.py: settings, events and actions.
+"""Settings, events and actions of the dispatcher in `reedspoke/logic.py`.
 
-All times are integer microseconds of the caller's clock; `work` is time on a standard core.
+The caller passes events to `Dispatcher.handle` and carries out the actions that it returns. All times are
+integer microseconds of the caller's clock. `work` is running time on a standard core, in microseconds too.
 """
 
 from __future__ import annotations
@@ -10,16 +11,16 @@
 from msgspec import Struct, field
 
 
-class Effect(Enum):
-    """What running a job twice would do."""
+class Idempotency(Enum):
+    """What happens if a request is executed twice."""
 
-    SAFE = "safe"
-    KEYED = "keyed"  # repeats are dropped within a group of workers, for a window of time
-    UNSAFE = "unsafe"
+    SAFE = "safe"  # repeated execution does no harm
+    KEYED = "keyed"  # workers of one deduplication scope drop repeats for a limited time
+    UNSAFE = "unsafe"  # it must not be executed twice
 
 
-class Group(Enum):
-    """The workers that drop each other's repeats of a keyed job."""
+class DedupScope(Enum):
+    """The workers that share their record of executed requests and drop each other's repeats."""
 
     ALL = "all"
     ZONE = "zone"
@@ -27,66 +28,77 @@
 
 
 class Reason(Enum):
-    """How an attempt ended."""
+    """How an attempt or a probe ended."""
 
     OK = "ok"
     ERROR = "error"
-    FULL = "full"
+    FULL = "full"  # the worker rejected it without executing it
     TIMEOUT = "timeout"
     CONNECT_FAILED = "connect_failed"
     RESET = "reset"
     CANCELLED = "cancelled"
-    MOOT = "moot"
+    NOT_EXECUTED = "moot"  # it was dropped before it was executed, and says nothing about the worker
 
 
 class WorkerState(Enum):
+    """The state of a worker in the list."""
+
     UP = "up"
     DRAINING = "draining"
     GONE = "gone"
 
 
 class ListKind(Enum):
+    """What a worker list update holds."""
+
     CHANGES = "changes"
     FULL = "full"
-    STALE = "stale"  # the full list as last held before a restart
-    LOST = "lost"  # a call for the list failed or the watch broke
+    STALE = "stale"  # the full list as it was known before a restart
+    LOST = "lost"  # no entries: a request for the list failed, or its stream of changes broke
 
 
-class NoteKind(Enum):
+class UpdateKind(Enum):
+    """What an attempt update reports."""
+
     STARTED = "started"
     PROGRESS = "progress"
-    MUTE = "mute"  # the worker has not acknowledged the attempt in time, though all of it was sent
+    UNACKNOWLEDGED = "mute"  # the request was sent in full, but not acknowledged in time
 
 
 # ---- settings ----
 
 
 def require(holds: bool, key: str, must: str) -> None:
+    """Raise ValueError for the setting `key` unless the condition holds."""
     if not holds:
         raise ValueError(f"setting `{key}` must {must}")
 
 
 class ClassSettings(Struct, frozen=True):
+    """The service class of a request."""
+
     name: str
-    effect: Effect
-    group: Group
-    window: int  # a keyed job's repeats are dropped for this long
-    aim: int  # an answer within aim + stretch x work earns the full worth
+    idempotency: Idempotency
+    dedup_scope: DedupScope
+    dedup_window: int  # time for which workers drop repeats of a keyed request
+    latency_target: int  # an answer within latency_target + stretch x work earns the full value
     stretch: float
     deadline: int
-    worth: float
-    late_worth: float  # share of the worth that a late answer earns
-    kind: int = -1  # the one kind of worker that runs it (index into Settings.kinds), -1: any
-    stream: bool = False
+    value: float
+    late_value_share: float  # share of the value that a late answer earns
+    worker_kind: int = -1  # index into Settings.worker_kinds of the only kind that runs it, -1: any kind
+    streaming: bool = False
 
     def __post_init__(self) -> None:
-        require(self.aim > 0, "aim", "be above 0")
+        require(self.latency_target > 0, "aim", "be above 0")
         require(self.deadline > 0, "deadline", "be above 0")
-        require(self.window >= 0, "window", "not be negative")
+        require(self.dedup_window >= 0, "window", "not be negative")
         require(self.stretch >= 0, "stretch", "not be negative")
 
 
 class TenantSettings(Struct, frozen=True):
+    """A tenant and its weight in fair queueing."""
+
     name: str
     share: float
 
@@ -95,12 +107,14 @@
 
 
 class Limits(Struct, frozen=True):
+    """What the platform allows a scheduler to do."""
+
     max_attempts: int
-    cancel: bool
-    probes: bool
-    max_retry_after: int  # longest advice that clients heed; 0: they get none
+    can_cancel: bool
+    can_probe: bool
+    max_retry_after: int  # longest retry delay that clients honour; 0: refusals carry none
     connect_timeout: int
-    peers: bool = False  # schedulers may tell each other what they hold
+    peer_messages: bool = False  # schedulers may report their loads to each other
 
     def __post_init__(self) -> None:
         require(self.max_attempts >= 1, "max_attempts", "be at least 1")
@@ -108,189 +122,243 @@
 
 
 class Rules(Struct, frozen=True):
-    drain_grace: int
-    answer_slack: int
-    ask_within: int  # 0: the list is pushed
-    cold_from: float
-    cold_time: int
-    fall_multiple: float
-    fall_time: int
+    """Bounds that every scheduler has to keep.
+
+    A worker that has just started is cold: its capacity grows linearly from `cold_min_share` to 1 during
+    `warm_up_time`. All schedulers together may send it, within any `overload_window`, at most
+    `overload_multiple` times the work that it can do in that time.
+    """
+
+    drain_grace: int  # time after the start of a drain within which a worker may still get attempts
+    answer_slack: int  # time after its deadline within which a request must have its final answer
+    # Setting `ask_within` of the platform: time within which a scheduler has to request the worker list; 0 if
+    # the list is pushed. The dispatcher does not read it, as it requests the list at its first timer.
+    list_request_within: int
+    cold_min_share: float
+    warm_up_time: int
+    overload_multiple: float
+    overload_window: int
 
     def __post_init__(self) -> None:
-        require(0 < self.cold_from <= 1, "cold_from", "be above 0 and at most 1")
-        require(self.cold_time >= 0, "cold_time", "not be negative")
-        require(self.fall_multiple > 0, "fall_multiple", "be above 0")
-        require(self.fall_time >= 0, "fall_time", "not be negative")
+        require(0 < self.cold_min_share <= 1, "cold_from", "be above 0 and at most 1")
+        require(self.warm_up_time >= 0, "cold_time", "not be negative")
+        require(self.overload_multiple > 0, "fall_multiple", "be above 0")
+        require(self.overload_window >= 0, "fall_time", "not be negative")
 
 
 class Settings(Struct, frozen=True):
-    me: int
-    schedulers: int
-    zone: str
+    """Settings of one scheduler."""
+
+    scheduler_index: int  # from 0, among scheduler_count
+    scheduler_count: int
+    zone: str  # the scheduler's own zone
     classes: tuple[ClassSettings, ...]
     tenants: tuple[TenantSettings, ...]
-    kinds: tuple[str, ...]
+    worker_kinds: tuple[str, ...]
     limits: Limits
     rules: Rules
-    tick: int  # events come no closer together than this
-    ask_for_list: bool  # the list of workers comes only when asked for
-    tells_start: bool
-    progress_every: int  # 0: no progress notes
+    min_event_interval: int  # shortest time between two events
+    list_on_request: bool  # the worker list is sent only on request, else it is pushed
+    reports_start: bool  # workers report that an attempt has started
+    progress_interval: int  # time between progress reports of an attempt; 0: there are none
     report_fields: tuple[str, ...]  # names of the values of a load report, in order
-    report_in_answers: bool
-    worth_by_work: bool  # a job's worth is its class's for each unit of work, else for each request
-    cross_zone_price: float  # share of the service that crossing zones with every attempt costs
+    report_in_answers: bool  # load reports come with the outcomes of attempts
+    value_by_work: bool  # a request is worth its class's value for each unit of work, else once
+    cross_zone_cost: float  # share of the total value lost if all attempts were sent to other zones
 
     def __post_init__(self) -> None:
-        require(self.schedulers >= 1, "schedulers", "be at least 1")
-        require(self.tick > 0, "tick", "be above 0")
+        require(self.scheduler_count >= 1, "schedulers", "be at least 1")
+        require(self.min_event_interval > 0, "tick", "be above 0")
         require(len(self.classes) > 0, "classes", "name at least one class")
-        require(all(cls.kind < len(self.kinds) for cls in self.classes), "kind", "be an index into `kinds`")
+        require(
+            all(cls.worker_kind < len(self.worker_kinds) for cls in self.classes),
+            "kind",
+            "be an index into `kinds`",
+        )
 
 
 # ---- events ----
 
 
-class Entry(Struct):
+class WorkerEntry(Struct):
+    """One worker of the list."""
+
     worker: str
     zone: str
     kind: str
     cell: int
     state: WorkerState
-    weight: float
-    born: int  # time of its latest start, 0: long ago
+    weight: float  # its size, relative to other workers
+    started_at: int  # time of its latest start; 0: unknown or long ago
+
 
+class WorkerListUpdate(Struct):
+    """The worker list or changes of it have been received, or its source was lost."""
 
-class Members(Struct):
     kind: ListKind
-    entries: list[Entry]
+    entries: list[WorkerEntry]
 
 
 class Request(Struct):
+    """A client's request has been received; it needs one final answer by its deadline."""
+
     id: int
-    cls: str
+    class_name: str
     deadline: int
-    hint: int = 0  # expected work, 0: not told
+    work_hint: int = 0  # the work that the client expects; 0: unknown
     slots: int = 1
     memory: float = 0.0
     tenant: str = ""
-    key: str = ""
+    job_key: str = ""  # requests with the same key share a cost estimate; "": the class's name is the key
+
 
+class AttemptOutcome(Struct):
+    """An attempt has ended."""
 
-class Outcome(Struct):
     id: int
     attempt: int
     worker: str
     reason: Reason
-    took: int
-    ended: bool
+    duration: int
+    request_ended: bool  # the request has its final answer, or needs none any more
     report: tuple[float, ...] = ()
 
 
-class Note(Struct):
+class AttemptUpdate(Struct):
+    """An attempt in flight has started, made progress, or was not acknowledged in time."""
+
     id: int
     attempt: int
     worker: str
-    kind: NoteKind
-    share: float = 0.0
+    kind: UpdateKind
+    progress: float = 0.0
 
 
-class First(Struct):
-    """The answer of a streamed class has begun."""
+class ResponseStarted(Struct):
+    """The response of a streaming class has begun: this attempt is the one that answers the client."""
 
     id: int
     attempt: int
 
 
-class Gone(Struct):
-    """The client has left."""
+class ClientDisconnected(Struct):
+    """The client has disconnected; its request needs no answer any more."""
 
     id: int
 
 
-class Probed(Struct):
+class ProbeResult(Struct):
+    """A probe of a worker has ended."""
+
     worker: str
     reason: Reason
-    took: int
+    duration: int
     report: tuple[float, ...] = ()
 
 
 class Timer(Struct):
+    """A timer set by SetTimer has expired."""
+
     token: str
 
 
-class Suspended(Struct):
-    """Operators leave a worker out, or put it back: whatever the list says of it meanwhile."""
+class SuspensionChange(Struct):
+    """An operator has suspended or resumed a worker; worker list updates do not change its suspension."""
 
     worker: str
-    on: bool
+    suspended: bool
+
 
+class PeerLoads(Struct):
+    """Slots and work that other schedulers report to hold at each worker; replaces the previous report."""
 
-class Others(Struct):
-    """What the other schedulers hold at workers by their own word: slots and work. All of it, each time."""
+    by_worker: dict[str, tuple[int, float]]
 
-    held: dict[str, tuple[int, float]]
 
+class LearnedState(Struct):
+    """What a dispatcher has measured of workers, and sent to cold ones, for the process that replaces it.
 
-class Learned(Struct):
-    """What a dispatcher has learned and has sent, for one that takes over from it."""
+    The field names are those of the handover file.
+    """
 
-    fleet: tuple[float, float, float] = (0.0, 0.0, 0.0)  # pace, usual wait and response
-    workers: dict[str, tuple[float, float, int]] = field(default_factory=dict)  # pace, cap and peak
-    cold: dict[str, list[tuple[int, float]]] = field(default_factory=dict)  # (time, work) sent to cold ones
+    fleet: tuple[float, float, float] = (0.0, 0.0, 0.0)  # averages: pace, wait before a start, response time
+    workers: dict[str, tuple[float, float, int]] = field(default_factory=dict)  # pace, slot cap, peak slots
+    cold: dict[str, list[tuple[int, float]]] = field(default_factory=dict)  # (time, work) of sends while cold
 
 
-class Partner(Struct):
-    """Other processes act for this scheduler as well, while one replaces another."""
+class SiblingProcesses(Struct):
+    """The other processes of this scheduler, while one process replaces another."""
 
-    staying: int  # of them, those that take requests still
-    slots: dict[str, int]  # that they hold at each worker
-    learned: Learned
+    accepting: int  # how many of them still accept requests
+    slots_by_worker: dict[str, int]  # slots that their attempts hold at each worker
+    learned: LearnedState
 
 
-Event = Suspended | Partner | Others | Members | Request | Outcome | Note | First | Gone | Probed | Timer
+Event = (
+    SuspensionChange
+    | SiblingProcesses
+    | PeerLoads
+    | WorkerListUpdate
+    | Request
+    | AttemptOutcome
+    | AttemptUpdate
+    | ResponseStarted
+    | ClientDisconnected
+    | ProbeResult
+    | Timer
+)
 
 # ---- actions ----
 
 
 class Send(Struct):
+    """Send a new attempt of the request to the worker."""
+
     id: int
     worker: str
     timeout: int = 0  # 0: until the client gives up
 
 
 class Cancel(Struct):
+    """Cancel an attempt in flight."""
+
     id: int
     attempt: int
 
 
 class Refuse(Struct):
-    """Final answer: not done, trying again is harmless."""
+    """Give the final answer that the request was not executed, or is safe to retry."""
 
     id: int
     retry_after: int = 0
 
 
 class Fail(Struct):
-    """Final answer: promises nothing."""
+    """Give the final answer that the request failed and may have been executed."""
 
     id: int
 
 
 class Watch(Struct):
-    """Ask for the changes of the list from now on."""
+    """Request the worker list and its changes from now on."""
 
 
 class Probe(Struct):
+    """Probe a worker: ask for its health and its load report."""
+
     worker: str
 
 
 class SetTimer(Struct):
-    after: int
+    """Deliver a Timer event after the delay."""
+
+    delay: int
     token: str
 
 
 class Log(Struct):
+    """Write a line to the log."""
+
     text: str
 
 
--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -20,7 +20,7 @@
 
 def listed(*uids: str, state: api.WorkerState = api.WorkerState.UP, full: bool = True) -> fx.Listed:
     kind = api.ListKind.FULL if full else api.ListKind.CHANGES
-    entries = [api.Entry(uid, "here", "big", 0, state, 1.0, 0) for uid in uids]
+    entries = [api.WorkerEntry(uid, "here", "big", 0, state, 1.0, 0) for uid in uids]
     return fx.Listed(kind, 7, [fx.Target(entry, ("127.0.0.1", 80)) for entry in entries])
 
 
@@ -32,7 +32,7 @@
     """A reducer whose timers ring; keeps what it asked for."""
 
     def __init__(self, budget: Budget | None = None, config: api.Settings | None = None) -> None:
-        config = config or settings(ask=True)
+        config = config or settings(list_on_request=True)
         self.reducer = Reducer(config, 1, budget or Budget(10, 12), 60 * SECOND, ("127.0.0.1", 8500))
         self.now, self.wheel, self.asked = NOW, Wheel(5 * MS, NOW), list[fx.Effect]()
 
@@ -82,7 +82,7 @@
     play.tell(listed("a"), fx.Joined(1), fx.Joined(2))
 
     def fails(now: int, event: api.Event) -> list[api.Action]:
-        if isinstance(event, api.Request) and event.cls == "pay":
+        if isinstance(event, api.Request) and event.class_name == "pay":
             raise RuntimeError("out of order")
         return handle(now, event)
 
@@ -281,8 +281,8 @@
     conn = conn_of(play.tell(arrived(1)))
     play.tell(fx.Opened(conn), fx.Written(conn), *([fx.Heard(conn)] if heard else []))
     play.advance(MUTE + 5 * MS)
-    notes = [event.kind for event in events if isinstance(event, api.Note)]
-    assert notes == ([api.NoteKind.MUTE] if told else [])
+    notes = [event.kind for event in events if isinstance(event, api.AttemptUpdate)]
+    assert notes == ([api.UpdateKind.UNACKNOWLEDGED] if told else [])
 
 
 def test_withdrawn_is_what_has_no_leg_and_nothing_else() -> None:
@@ -305,7 +305,7 @@
 
 def pushed(*events: fx.Event) -> Play:
     """At an agent that has said something already."""
-    play = Play(config=settings(ask=False))
+    play = Play(config=settings(list_on_request=False))
     play.tell(KNOWN, fx.Listening(), fx.Beaten(), *events)
     return play
 
@@ -351,7 +351,7 @@
     monkeypatch.setattr(play.reducer.module, "handle", hear)
     play.tell(fx.Unlisted("it ended"), listed("a", "b"), fx.Unlisted("it ended"))
     play.advance(SECOND)
-    kinds = [event.kind for event in told if isinstance(event, api.Members)]
+    kinds = [event.kind for event in told if isinstance(event, api.WorkerListUpdate)]
     assert kinds == [api.ListKind.FULL]
 
 
@@ -383,12 +383,12 @@
     assert play.reducer.state.rev == 45
 
 
-def heard(play: Play, monkeypatch: pytest.MonkeyPatch) -> list[api.Members]:
+def heard(play: Play, monkeypatch: pytest.MonkeyPatch) -> list[api.WorkerListUpdate]:
     """What its module is told of lists from now on."""
-    told, handle = list[api.Members](), play.reducer.module.handle
+    told, handle = list[api.WorkerListUpdate](), play.reducer.module.handle
 
     def hear(now: int, event: api.Event) -> list[api.Action]:
-        if isinstance(event, api.Members):
+        if isinstance(event, api.WorkerListUpdate):
             told.append(event)
         return handle(now, event)
 
@@ -412,7 +412,7 @@
 ) -> None:
     """Guards drains at a restart: what the agent holds is told from the first moment, and the list in the
     configuration may name a host that drains. A silent agent holds the start up for 2 s."""
-    play = Play(config=settings(ask=False))
+    play = Play(config=settings(list_on_request=False))
     told = heard(play, monkeypatch)
     play.tell(KNOWN, fx.Listening(), fx.Joined(1), arrived(1))
     assert not [effect for effect in play.asked if isinstance(effect, fx.Dial)]
@@ -446,11 +446,11 @@
     """Each with a watch that has just said something."""
     plays = []
     for me in range(schedulers):
-        config = replace(settings(ask=True, schedulers=schedulers), me=me)
+        config = replace(settings(list_on_request=True, scheduler_count=schedulers), scheduler_index=me)
         plays.append(Play(config=config))
         plays[-1].tell(fx.Listed(api.ListKind.STALE, 7, listed("a", "b").targets), fx.Listening())
         plays[-1].tell(listed("a", "b"))
-        plays[-1].reducer.state.watching = plays[-1].reducer.module.watching = True
+        plays[-1].reducer.state.watching = plays[-1].reducer.module.list_requested = True
     return plays
 
 
@@ -550,7 +550,7 @@
 def test_an_agent_that_is_back_is_heard_within_the_window_of_a_drain(grace: int, most: int) -> None:
     """Guards drains after an outage: what the agent holds is told at once, and the pauses had grown to 1
     s."""
-    config = settings(ask=False)
+    config = settings(list_on_request=False)
     play = Play(config=replace(config, rules=replace(config.rules, drain_grace=grace)))
     play.tell(KNOWN, fx.Listening(), fx.Beaten())
     times = []
