--- a/reedspoke/control_plane/graceful_shutdown.py
+++ b/reedspoke/control_plane/graceful_shutdown.py
@@ -25,7 +25,7 @@
         """Calls of operators without a response."""
 
     @property
-    def has_staying_peer(self) -> bool:
+    def has_peer_not_draining(self) -> bool:
         """Whether a replica in reach is not about to shut down."""
 
 
@@ -56,4 +56,4 @@
         if waited_s < PENDING_CALLS_S:
             return out_of_chain and not self._replica.pending_calls
         time_is_up = waited_s >= self._grace_s() - GRACE_MARGIN_S
-        return time_is_up or out_of_chain or not self._replica.has_staying_peer
+        return time_is_up or out_of_chain or not self._replica.has_peer_not_draining
--- a/reedspoke/control_plane/peer_exchange.py
+++ b/reedspoke/control_plane/peer_exchange.py
@@ -104,7 +104,7 @@
                 if self._workers.adopt(message, now):
                     self._sessions.notify_update()
             case _:
-                self._replica.received(sender, message)
+                self._replica.receive(sender, message)
 
     def _handle_table(self, sender: str, table: SessionTable, now: float) -> None:
         if not self._membership.update_table(sender, table, now):
--- a/reedspoke/control_plane/replication/chain.py
+++ b/reedspoke/control_plane/replication/chain.py
@@ -78,7 +78,7 @@
         return self._position is not None and self._position.is_tail
 
     @property
-    def long_enough(self) -> bool:
+    def can_replicate(self) -> bool:
         """Whether the chain has enough members to acknowledge, and the next one has reported its status.
 
         Before that report the successor may lack entries, or be gone: a change accepted now would be in
@@ -93,8 +93,8 @@
         """Whether this replica holds everything since it was appended."""
         if self._position is None or self._register.installing_snapshot or self._outbox.synced_state_lost:
             return False
-        joined = self._position.own_link.joined
-        return joined == FIRST_VIEW_NUMBER or self._register.synced_since == joined
+        joined_view = self._position.own_link.joined_view
+        return joined_view == FIRST_VIEW_NUMBER or self._register.synced_since == joined_view
 
     def enter_view(self, view: View) -> None:
         """Act in a newer view from now on."""
@@ -137,12 +137,12 @@
                 if self._of_this_view(message.view_number):
                     self._receive_status(message)
             case CommitNotification():
-                self.committed_up_to(message.view_number, message.sequence)
+                self.record_committed(message.view_number, message.sequence)
             case _:
                 return False
         return True
 
-    def committed_up_to(self, view: int, sequence: int) -> None:
+    def record_committed(self, view: int, sequence: int) -> None:
         """The tail of this view has committed up to `sequence`."""
         if not self._of_this_view(view) or not self.complete:
             return
@@ -170,12 +170,14 @@
 
     def _receive_snapshot(self, message: InstallSnapshot) -> None:
         position = self._position
-        if position is None or position.own_link.joined != message.joined or position.is_head:
+        if position is None or position.own_link.joined_view != message.joined_view or position.is_head:
             return
         if self.complete or self._register.installing_snapshot or self._outbox.disk_failed:
             self._send_status()
             return
-        self._register.install_snapshot(message.entry, message.history, message.joined, self._entry_synced)
+        self._register.install_snapshot(
+            message.entry, message.history, message.joined_view, self._entry_synced
+        )
 
     def _entry_synced(self, synced: bool) -> None:
         if synced:
@@ -194,7 +196,7 @@
         status = SuccessorStatus(
             position.view.number,
             self._own.folder_id,
-            position.own_link.joined,
+            position.own_link.joined_view,
             self.complete,
             self._register.sequence,
         )
@@ -206,7 +208,7 @@
         successor = self._position.successor if self._position else None
         if successor is None or successor.member.folder_id != status.folder_id:
             return
-        if successor.joined != status.joined:
+        if successor.joined_view != status.joined_view:
             return  # sent before this replica was appended anew: it says nothing of what it holds now
         self._successor.record_status(status)
         if status.complete and self.complete:
@@ -229,7 +231,7 @@
     # ---- commits ----
 
     def _may_commit(self) -> bool:
-        return self.is_tail and self.complete and self.long_enough
+        return self.is_tail and self.complete and self.can_replicate
 
     def _check_synced(self) -> None:
         """What this replica is about to claim, or to commit, is on its disk."""
--- a/reedspoke/control_plane/replication/chain_repair.py
+++ b/reedspoke/control_plane/replication/chain_repair.py
@@ -10,8 +10,8 @@
 from reedspoke.control_plane.replication.membership_observer import MembershipObserver
 from reedspoke.control_plane.replication.outbox import Outbox
 from reedspoke.control_plane.replication.settings import (
-    PROPOSE_AFTER_S,
-    RANK_DELAY_S,
+    PROPOSAL_DELAY_PER_RANK_S,
+    PROPOSAL_DELAY_S,
     REACHABLE_TIMEOUT_S,
     ReplicaSettings,
 )
@@ -21,10 +21,12 @@
 from reedspoke.control_plane.views.next_view import MemberCondition, choose_next_view
 from reedspoke.control_plane.views.quorum import majority_size
 
-SEED_STARTS_WITHIN_S = 1.0  # a seed that is heard for longer and has no part in the first start gets none
-SEED_COMES_WITHIN_S = 2.4  # a seed that is not heard by then is lost: the first start goes on without it
+SEED_BOOTSTRAP_TIMEOUT_S = 1.0  # a seed that is heard for longer and has no part in the first start gets none
+MISSING_SEED_TIMEOUT_S = 2.4  # a seed that is not heard by then is lost: the first start goes on without it
 
-GATHER_S = 0.8  # after its start a seed proposes no first view with fewer voters than there should be
+FIRST_VIEW_GATHERING_S = (
+    0.8  # after its start a seed proposes no first view with fewer voters than there should be
+)
 
 
 class ChainRepair:
@@ -67,7 +69,7 @@
     def propose_first(self, seeds: tuple[str, ...]) -> None:
         """At the first start: propose the first view, of all seeds or a majority where some are given up."""
         heartbeats = self._observer.heartbeats_for_first_view(seeds)
-        starting = {heartbeat.member.address for heartbeat in heartbeats if heartbeat.bootstrap}
+        starting = {heartbeat.member.address for heartbeat in heartbeats if heartbeat.bootstrap_seed}
         given_up = all(self._is_given_up(seed) for seed in set(seeds) - starting)
         seeds_needed = majority_size(len(set(seeds))) if given_up else len(set(seeds))
         view = form_first_view(seeds, heartbeats, seeds_needed, self._voters_target)
@@ -78,12 +80,12 @@
     def _has_gathered(self, view: View) -> bool:
         """Whether the first view has the voters that it should have, or was held back for long enough."""
         enough = len(view.voters) >= self._voters_target
-        return enough or self._outbox.now - self._started >= GATHER_S
+        return enough or self._outbox.now - self._started >= FIRST_VIEW_GATHERING_S
 
     def _is_given_up(self, seed: str) -> bool:
         """Whether this seed has no part in the first start, as its disk was lost, or has not come."""
-        no_participant = self._observer.heard_for_s(seed) >= SEED_STARTS_WITHIN_S
-        return no_participant or self._outbox.now - self._started >= SEED_COMES_WITHIN_S
+        no_participant = self._observer.received_for_s(seed) >= SEED_BOOTSTRAP_TIMEOUT_S
+        return no_participant or self._outbox.now - self._started >= MISSING_SEED_TIMEOUT_S
 
     # ---- the next view ----
 
@@ -121,7 +123,7 @@
         now = self._outbox.now
         if self._in_sight_since is None:
             self._in_sight_since = now
-        if now - self._in_sight_since < PROPOSE_AFTER_S + rank * RANK_DELAY_S:
+        if now - self._in_sight_since < PROPOSAL_DELAY_S + rank * PROPOSAL_DELAY_PER_RANK_S:
             return
         if self._agreement.may_propose(self._observer.reachable):
             self._agreement.propose(desired)
--- a/reedspoke/control_plane/replication/change_history.py
+++ b/reedspoke/control_plane/replication/change_history.py
@@ -9,18 +9,18 @@
 from bisect import bisect_left
 
 from reedspoke.control_plane.replication.entry import ChangeId
-from reedspoke.control_plane.replication.settings import HISTORY_LIMIT
+from reedspoke.control_plane.replication.settings import MAX_HISTORY_CHANGES
 
 ROW = struct.Struct(">q32s")  # generation, SHA-256 of the document
 
 
 class ChangeHistory:
-    """The newest HISTORY_LIMIT accepted changes; older ones are evicted."""
+    """The newest MAX_HISTORY_CHANGES accepted changes; older ones are evicted."""
 
     def __init__(self, packed: bytes = b"") -> None:
         """Raises ValueError where `packed` is not whole rows."""
         check_packed(packed)
-        self._rows = bytearray(packed[-HISTORY_LIMIT * ROW.size :])
+        self._rows = bytearray(packed[-MAX_HISTORY_CHANGES * ROW.size :])
 
     def __len__(self) -> int:
         return len(self._rows) // ROW.size
@@ -47,7 +47,7 @@
     def add(self, change: ChangeId) -> None:
         """Add a change, whose generation is above all others; a full history evicts the oldest."""
         self._rows += ROW.pack(change.generation, change.digest)
-        if len(self) > HISTORY_LIMIT:
+        if len(self) > MAX_HISTORY_CHANGES:
             del self._rows[: ROW.size]
 
     def remove_newest(self) -> None:
--- a/reedspoke/control_plane/replication/configuration_register.py
+++ b/reedspoke/control_plane/replication/configuration_register.py
@@ -104,14 +104,14 @@
         self._outbox.store([EntryRecord(entry)], on_end)
 
     def install_snapshot(
-        self, entry: Entry | None, packed_history: bytes, joined: int, on_synced: OnSynced
+        self, entry: Entry | None, packed_history: bytes, joined_view: int, on_synced: OnSynced
     ) -> None:
         """Replace the state by that of the predecessor; `on_synced` tells whether it is on disk."""
         self.entry = entry
         self._synced_at = None
         self.pending_entry = None
         self._history = ChangeHistory(packed_history)
-        self.synced_since = joined
+        self.synced_since = joined_view
         self.installing_snapshot = True
 
         def on_end(error: ErrorCode | None) -> None:
--- a/reedspoke/control_plane/replication/driver.py
+++ b/reedspoke/control_plane/replication/driver.py
@@ -34,7 +34,7 @@
 from reedspoke.control_plane.replication.pending_calls import PendingCalls
 from reedspoke.control_plane.replication.replica import Replica
 from reedspoke.control_plane.replication.replica_storage import ReplicaStorage
-from reedspoke.control_plane.replication.settings import TICK_S
+from reedspoke.control_plane.replication.settings import TICK_INTERVAL_S
 from reedspoke.control_plane.replication.view import View
 from reedspoke.control_plane.storage.job_thread import JobThread
 from reedspoke.telemetry.invariants import Invariant, check
@@ -55,7 +55,7 @@
         """A newer view is known."""
 
     def ticked(self) -> None:
-        """TICK_S has passed."""
+        """TICK_INTERVAL_S has passed."""
 
 
 class ReplicaDriver:
@@ -112,7 +112,7 @@
         unhandled_errors.record("the replica has failed, and its process ends", error)
         end_process(REPLICA_FAILED_EXIT)
 
-    def received(self, sender: str, message: ReplicaMessage) -> None:
+    def receive(self, sender: str, message: ReplicaMessage) -> None:
         """A message of another replica; there is none to take it before the data folder is open."""
         if self._replica is not None:
             self.handle(MessageReceived(sender, message))
@@ -131,7 +131,9 @@
         self.handle(Tick())
 
     def _tick(self) -> None:
-        self._loop.call_later(TICK_S, self._tick)  # first: an error in this one must not be the end of all
+        self._loop.call_later(
+            TICK_INTERVAL_S, self._tick
+        )  # first: an error in this one must not be the end of all
         if self._replica is not None:
             self.handle(Tick())
         try:
@@ -190,9 +192,9 @@
         return self._replica is not None and self._replica.disk_works
 
     @property
-    def has_staying_peer(self) -> bool:
+    def has_peer_not_draining(self) -> bool:
         """Whether a replica in reach is not about to shut down."""
-        return self._replica is not None and self._replica.has_staying_peer
+        return self._replica is not None and self._replica.has_peer_not_draining
 
     # ---- effects ----
 
--- a/reedspoke/control_plane/replication/effect_buffer.py
+++ b/reedspoke/control_plane/replication/effect_buffer.py
@@ -14,16 +14,16 @@
         self.now = now
         self._address = address
         self._effects: list[Effect] = []
-        self._to_self: list[Struct] = []
+        self._own_messages: list[Struct] = []
 
-    def take(self) -> list[Effect]:
+    def take_effects(self) -> list[Effect]:
         """The effects collected so far."""
         effects, self._effects = self._effects, []
         return effects
 
-    def take_to_self(self) -> list[Struct]:
+    def take_own_messages(self) -> list[Struct]:
         """Messages of this replica to itself, which never leave it."""
-        messages, self._to_self = self._to_self, []
+        messages, self._own_messages = self._own_messages, []
         return messages
 
     def emit(self, effect: Effect) -> None:
@@ -33,7 +33,7 @@
     def send(self, address: str, message: Struct) -> None:
         """Send to a replica, which may be this one."""
         if address == self._address:
-            self._to_self.append(message)
+            self._own_messages.append(message)
         else:
             self._effects.append(SendMessage(address, message))
 
--- a/reedspoke/control_plane/replication/events.py
+++ b/reedspoke/control_plane/replication/events.py
@@ -25,7 +25,7 @@
 
 
 class Tick(Struct, frozen=True):
-    """Time has passed; due every `TICK_S`."""
+    """Time has passed; due every `TICK_INTERVAL_S`."""
 
 
 class PutSubmitted(Struct, frozen=True):
--- a/reedspoke/control_plane/replication/head_queue.py
+++ b/reedspoke/control_plane/replication/head_queue.py
@@ -102,7 +102,7 @@
 
     def _may_decide(self) -> bool:
         chain = self._chain
-        return chain.is_head and chain.complete and chain.long_enough and self._register.nothing_in_flight
+        return chain.is_head and chain.complete and chain.can_replicate and self._register.nothing_in_flight
 
     def _decide(self, pending: PendingPut) -> ChangeDecision:
         return decide_change(pending.request, pending.change, self._register)
--- a/reedspoke/control_plane/replication/heartbeats.py
+++ b/reedspoke/control_plane/replication/heartbeats.py
@@ -56,17 +56,19 @@
         return Heartbeat(
             member=self._settings.member,
             view_number=view.number if view else 0,
-            heard=self._failure_detector.heard(self._view_members, self._outbox.now),
+            receives_from=self._failure_detector.receives_from(self._view_members, self._outbox.now),
             disk_ok=self._outbox.disk_ok,
             # While a snapshot is being stored the log still holds the former state: it must not count as
             # complete, or a repair could build on a copy that a crash takes back.
             synced_since=0 if self._register.installing_snapshot else self._register.synced_since,
-            committed=self._register.committed_sequence,
+            committed_sequence=self._register.committed_sequence,
             draining=self.draining,
-            bootstrap=self._first_start.is_participant,
-            undecided=self._agreement.has_undecided_view,
+            bootstrap_seed=self._first_start.is_participant,
+            has_undecided_view=self._agreement.has_undecided_view,
             sent_at=self._outbox.now,
-            starts_new=view is None and self._settings.bootstrap and not self._first_start.is_participant,
+            bootstrap_joiner=view is None
+            and self._settings.bootstrap
+            and not self._first_start.is_participant,
         )
 
     def tick(self) -> None:
@@ -103,7 +105,7 @@
             self._agreement.send_newest_view(sender)
         elif heartbeat.view_number > self._agreement.learned_number:
             self._outbox.send(sender, self.own())
-        self._chain.committed_up_to(heartbeat.view_number, heartbeat.committed)
+        self._chain.record_committed(heartbeat.view_number, heartbeat.committed_sequence)
 
     def _condition(self) -> tuple[bool, bool]:
         return (self._outbox.disk_ok, self._chain.complete)
--- a/reedspoke/control_plane/replication/log_records.py
+++ b/reedspoke/control_plane/replication/log_records.py
@@ -59,9 +59,9 @@
 
 
 class SyncedRecord(Struct, tag="synced", array_like=True, frozen=True):
-    """This replica holds what its predecessor held since it was appended in the view `joined`."""
+    """This replica holds what its predecessor held since it was appended in the view `joined_view`."""
 
-    joined: int
+    joined_view: int
 
 
 class ProbeRecord(Struct, tag="probe", array_like=True, frozen=True):
@@ -132,8 +132,8 @@
             for change in listed:
                 state.history.add(change)
             state.entry = None
-        case SyncedRecord(joined=joined):
-            state.synced_since = joined
+        case SyncedRecord(joined_view=joined_view):
+            state.synced_since = joined_view
         case ProbeRecord():
             pass
 
--- a/reedspoke/control_plane/replication/membership_observer.py
+++ b/reedspoke/control_plane/replication/membership_observer.py
@@ -11,7 +11,7 @@
 from reedspoke.control_plane.replication.failure_detector import FailureDetector
 from reedspoke.control_plane.replication.messages import Heartbeat
 from reedspoke.control_plane.replication.outbox import Outbox
-from reedspoke.control_plane.replication.settings import ESTABLISHED_AFTER_S, ReplicaSettings
+from reedspoke.control_plane.replication.settings import ESTABLISHED_MIN_REACHABLE_S, ReplicaSettings
 from reedspoke.control_plane.replication.view import View
 from reedspoke.control_plane.views.first_view import FIRST_VIEW_NUMBER
 from reedspoke.control_plane.views.next_view import MemberCondition, MembershipSnapshot
@@ -46,7 +46,7 @@
         reached = sum(self.reachable(voter.folder_id) for voter in view.voters)
         return reached >= majority_size(len(view.voters))
 
-    def has_staying_peer(self) -> bool:
+    def has_peer_not_draining(self) -> bool:
         """Whether a replica in reach is not about to shut down."""
         members = self._failure_detector.members(self._outbox.now)
         reached = [member for member in members if self.reachable(member.folder_id)]
@@ -57,9 +57,9 @@
         heartbeat = self._heartbeat_of(folder_id)
         return heartbeat is not None and heartbeat.draining
 
-    def heard_for_s(self, address: str) -> float:
+    def received_for_s(self, address: str) -> float:
         """How long the replica at this address has been heard without a gap, in seconds."""
-        return self._failure_detector.heard_for(address, self._outbox.now)
+        return self._failure_detector.received_for_s(address, self._outbox.now)
 
     def heartbeats_for_first_view(self, seeds: tuple[str, ...]) -> list[Heartbeat]:
         """Of this replica, of the seeds that were heard, and of whoever else hears this replica too."""
@@ -73,9 +73,9 @@
 
     def sees_undecided_view(self, view: View, folder_ids: list[str]) -> bool:
         """Whether one of these replicas has accepted a next view that may never have been decided."""
-        heartbeats = (self._failure_detector.latest(folder_id) for folder_id in folder_ids)
+        heartbeats = (self._failure_detector.latest_heartbeat(folder_id) for folder_id in folder_ids)
         return any(
-            heartbeat.undecided and heartbeat.view_number == view.number
+            heartbeat.has_undecided_view and heartbeat.view_number == view.number
             for heartbeat in heartbeats
             if heartbeat is not None
         )
@@ -95,16 +95,16 @@
     def _conditions(self, view: View) -> dict[str, MemberCondition]:
         now = self._outbox.now
         detector = self._failure_detector
-        joined = {link.member.folder_id: link.joined for link in view.chain}
-        established = now - self._started >= ESTABLISHED_AFTER_S
-        conditions = {self._own.folder_id: _condition(self._own_heartbeat(), joined, True, established)}
+        joined_view = {link.member.folder_id: link.joined_view for link in view.chain}
+        established = now - self._started >= ESTABLISHED_MIN_REACHABLE_S
+        conditions = {self._own.folder_id: _condition(self._own_heartbeat(), joined_view, True, established)}
         for member in detector.members(now):
             folder_id = member.folder_id
-            heartbeat = detector.latest(folder_id)
+            heartbeat = detector.latest_heartbeat(folder_id)
             if heartbeat is not None and self.reachable(folder_id):
                 steady = heartbeat.view_number == view.number and detector.is_steady(folder_id, now)
                 established = detector.is_established(folder_id, now)
-                conditions[folder_id] = _condition(heartbeat, joined, steady, established)
+                conditions[folder_id] = _condition(heartbeat, joined_view, steady, established)
         return conditions
 
     def _is_connected(self, one: str, other: str) -> bool:
@@ -116,17 +116,17 @@
     def _heartbeat_of(self, folder_id: str) -> Heartbeat | None:
         if folder_id == self._own.folder_id:
             return self._own_heartbeat()
-        return self._failure_detector.latest(folder_id)
+        return self._failure_detector.latest_heartbeat(folder_id)
 
 
 def _condition(
-    heartbeat: Heartbeat, joined: dict[str, int], steady: bool, established: bool
+    heartbeat: Heartbeat, joined_view: dict[str, int], steady: bool, established: bool
 ) -> MemberCondition:
-    """How a replica stands; `joined` has, for each member of the chain, the view that appended it."""
+    """How a replica stands; `joined_view` has, for each member of the chain, the view that appended it."""
     return MemberCondition(
         member=heartbeat.member,
         healthy=heartbeat.disk_ok,
-        complete=joined.get(heartbeat.member.folder_id) in (FIRST_VIEW_NUMBER, heartbeat.synced_since),
+        complete=joined_view.get(heartbeat.member.folder_id) in (FIRST_VIEW_NUMBER, heartbeat.synced_since),
         steady=steady,
         established=established,
     )
--- a/reedspoke/control_plane/replication/messages.py
+++ b/reedspoke/control_plane/replication/messages.py
@@ -22,23 +22,24 @@
     Each heartbeat requests a `ViewConfirmation`; `sent_at` is its time on the sender's steady clock. One of a
     tail that requests a read lease has `lease_requested_at` set, a time of the same clock.
 
-    `synced_since` is the view since whose appending the sender holds what its predecessor held; `undecided`
-    is set where it has accepted a next view that it does not know to be decided. `bootstrap` is set by a seed
-    whose folder is one of the first start, `starts_new` by any other replica of it that has no view.
+    `synced_since` is the view since whose appending the sender holds what its predecessor held;
+    `has_undecided_view` is set where it has accepted a next view that it does not know to be decided.
+    `bootstrap_seed` is set by a seed whose folder is one of the first start, `bootstrap_joiner` by any other
+    replica of it that has no view.
     """
 
     member: Member
     view_number: int
-    heard: tuple[str, ...]
+    receives_from: tuple[str, ...]
     disk_ok: bool
     synced_since: int
-    committed: int
+    committed_sequence: int
     draining: bool = False
-    bootstrap: bool = False
-    undecided: bool = False
+    bootstrap_seed: bool = False
+    has_undecided_view: bool = False
     lease_requested_at: float | None = None
     sent_at: float = 0.0
-    starts_new: bool = False
+    bootstrap_joiner: bool = False
 
 
 class ViewConfirmation(Struct, tag="contact_grant", array_like=True, frozen=True):
@@ -129,7 +130,7 @@
 
     view_number: int
     folder_id: str
-    joined: int
+    joined_view: int
     complete: bool
     sequence: int
 
@@ -142,13 +143,13 @@
 
 
 class InstallSnapshot(Struct, tag="snapshot", array_like=True, frozen=True):
-    """Predecessor to a successor that was appended in the view `joined`: the full state.
+    """Predecessor to a successor that was appended in the view `joined_view`: the full state.
 
     `history` is a packed `ChangeHistory`.
     """
 
     view_number: int
-    joined: int
+    joined_view: int
     entry: Entry | None
     history: bytes
 
--- a/reedspoke/control_plane/replication/outbox.py
+++ b/reedspoke/control_plane/replication/outbox.py
@@ -14,9 +14,9 @@
 from reedspoke.control_plane.replication.log_records import EntryRecord, ProbeRecord, encode_record
 from reedspoke.control_plane.replication.settings import (
     DISK_BYTES_PER_S,
-    DISK_PROBE_S,
-    DISK_STALL_S,
-    REWRITE_BYTES,
+    DISK_PROBE_INTERVAL_S,
+    DISK_STALL_TIMEOUT_S,
+    LOG_REWRITE_THRESHOLD_BYTES,
 )
 from reedspoke.control_plane.storage.log_format import COPIES, encoded_size
 
@@ -91,7 +91,7 @@
         """Try a failed disk again."""
         if not self.disk_failed or self._pending or self.now < self._probe_after:
             return
-        self._probe_after = self.now + DISK_PROBE_S
+        self._probe_after = self.now + DISK_PROBE_INTERVAL_S
         self.store([ProbeRecord()], self._probe_ended)
 
     def _store(self, records: tuple[bytes, ...], on_end: StoreEnd, newest: int, replace: bool) -> None:
@@ -99,7 +99,7 @@
         self._next_token += 1
         size = encoded_size(records)
         unwritten = size + sum(store.size for store in self._pending.values())
-        due = self.now + DISK_STALL_S + unwritten / DISK_BYTES_PER_S
+        due = self.now + DISK_STALL_TIMEOUT_S + unwritten / DISK_BYTES_PER_S
         self._pending[token] = PendingStore(due, size, replace, on_end, newest)
         self.emit(StoreRecords(token, records, replace))
 
@@ -113,7 +113,7 @@
         if not self.disk_failed:
             self.log(logging.ERROR, "log write failed", code=int(error))
         self.disk_failed = True
-        self._probe_after = self.now + DISK_PROBE_S
+        self._probe_after = self.now + DISK_PROBE_INTERVAL_S
 
     def _probe_ended(self, error: ErrorCode | None) -> None:
         if error is None:
@@ -127,7 +127,7 @@
     def _rewrite_when_long(self) -> None:
         if self.disk_failed or any(store.replace for store in self._pending.values()):
             return
-        if self._log_size - self._live_size > REWRITE_BYTES:
+        if self._log_size - self._live_size > LOG_REWRITE_THRESHOLD_BYTES:
             self.rewrite(_ignore)
 
 
--- a/reedspoke/control_plane/replication/replica.py
+++ b/reedspoke/control_plane/replication/replica.py
@@ -1,6 +1,6 @@
 """The replicated configuration state: a pure state machine, fed with events and answering with effects.
 
-It does no I/O and reads no clock. The driver sends `Tick` about every `TICK_S`, keeps the order of
+It does no I/O and reads no clock. The driver sends `Tick` about every `TICK_INTERVAL_S`, keeps the order of
 `StoreRecords` effects, answers each with `StoreCompleted`, and feeds what comes over the network as
 `MessageReceived`.
 
@@ -67,7 +67,7 @@
 from reedspoke.control_plane.replication.settings import (
     PROCESS_STOP_GAP_S,
     REPAIR_INTERVAL_S,
-    TICK_S,
+    TICK_INTERVAL_S,
     ReplicaSettings,
 )
 from reedspoke.control_plane.replication.tail_reader import TailReader
@@ -75,7 +75,7 @@
 from reedspoke.control_plane.views.agreement import ViewAgreement
 from reedspoke.control_plane.views.majority_contact import ContactState
 
-__all__ = ["TICK_S", "Replica", "ReplicaSettings"]
+__all__ = ["TICK_INTERVAL_S", "Replica", "ReplicaSettings"]
 
 NO_MAJORITY = "No majority stands behind this machine any more."
 UNCLEAR_ERRORS = (ErrorCode.NO_QUORUM, ErrorCode.WRITE_UNCLEAR)
@@ -182,9 +182,9 @@
         return self._outbox.disk_ok
 
     @property
-    def has_staying_peer(self) -> bool:
+    def has_peer_not_draining(self) -> bool:
         """Whether a replica in reach is not about to shut down."""
-        return self._observer.has_staying_peer()
+        return self._observer.has_peer_not_draining()
 
     @property
     def committed(self) -> CommittedConfiguration | None:
@@ -205,7 +205,7 @@
         self._dispatch(event)
         self._receive_own_messages()
         self._invariants.check_after_event(self.view, self._register.committed, self._register.entry)
-        return [self._checked(effect) for effect in self._outbox.take()]
+        return [self._checked(effect) for effect in self._outbox.take_effects()]
 
     def _checked(self, effect: Effect) -> Effect:
         """No operator is told anything for certain while no majority stands behind this replica.
@@ -248,7 +248,7 @@
                 self._first_start.configured_seeds = seeds
 
     def _receive_own_messages(self) -> None:
-        while messages := self._outbox.take_to_self():
+        while messages := self._outbox.take_own_messages():
             for message in messages:
                 self._receive(self._settings.address, message)
 
@@ -282,7 +282,7 @@
         self._tick_forwarders()
         self._heartbeats.tick()
         now = self._outbox.now
-        if now - self._last_repair >= REPAIR_INTERVAL_S - TICK_S / 2:
+        if now - self._last_repair >= REPAIR_INTERVAL_S - TICK_INTERVAL_S / 2:
             self._last_repair = now
             self._look_for_better_view()
 
--- a/reedspoke/control_plane/replication/successor_progress.py
+++ b/reedspoke/control_plane/replication/successor_progress.py
@@ -13,8 +13,8 @@
 from reedspoke.control_plane.replication.outbox import Outbox
 from reedspoke.control_plane.replication.settings import (
     MAX_RESEND_INTERVAL_S,
+    RESEND_BACKOFF_FACTOR,
     RESEND_BYTES_PER_S,
-    RESEND_GROWTH,
     RESEND_INTERVAL_S,
 )
 from reedspoke.control_plane.replication.view import ChainLink
@@ -67,7 +67,7 @@
         lag = self._register.sequence - status.sequence
         if not status.complete or lag > 1:
             history = self._register.packed_history
-            return InstallSnapshot(view_number, successor.joined, entry, history)
+            return InstallSnapshot(view_number, successor.joined_view, entry, history)
         if lag == 1 and entry is not None:
             return AppendRequest(view_number, entry)
         return None
@@ -78,7 +78,7 @@
             return True
         interval_s = RESEND_INTERVAL_S + _size(message) / RESEND_BYTES_PER_S
         for _ in range(last.attempts - 1):
-            interval_s = min(interval_s * RESEND_GROWTH, MAX_RESEND_INTERVAL_S)
+            interval_s = min(interval_s * RESEND_BACKOFF_FACTOR, MAX_RESEND_INTERVAL_S)
         return self._outbox.now - last.sent_at >= interval_s
 
     def _next_attempt(self) -> ForwardAttempt:
--- a/reedspoke/control_plane/replication/view.py
+++ b/reedspoke/control_plane/replication/view.py
@@ -21,10 +21,10 @@
 
 
 class ChainLink(Struct, array_like=True, frozen=True):
-    """A member of the chain; `joined` is the number of the view that appended it."""
+    """A member of the chain; `joined_view` is the number of the view that appended it."""
 
     member: Member
-    joined: int
+    joined_view: int
 
 
 class View(Struct, array_like=True, frozen=True):
--- a/reedspoke/control_plane/views/acceptor.py
+++ b/reedspoke/control_plane/views/acceptor.py
@@ -22,7 +22,7 @@
     ProposalRejected,
 )
 from reedspoke.control_plane.replication.outbox import Outbox
-from reedspoke.control_plane.replication.settings import PROPOSER_ACTIVE_S
+from reedspoke.control_plane.replication.settings import PROPOSER_ACTIVE_TIMEOUT_S
 from reedspoke.control_plane.replication.view import Member, View
 from reedspoke.control_plane.views.read_lease import ReadLeaseVoter
 
@@ -31,7 +31,7 @@
     """A proposer that has sent this voter a request that was not rejected."""
 
     name: str
-    heard_at: float
+    last_request_at: float
 
 
 class Acceptor:
@@ -68,9 +68,9 @@
         return self._state(view_number).accepted_view
 
     def active_proposer(self, now: float) -> str | None:
-        """Name of the proposer that has been heard within `PROPOSER_ACTIVE_S`, if any."""
+        """Name of the proposer that has been heard within `PROPOSER_ACTIVE_TIMEOUT_S`, if any."""
         proposer = self._active_proposer
-        if proposer is None or now - proposer.heard_at > PROPOSER_ACTIVE_S:
+        if proposer is None or now - proposer.last_request_at > PROPOSER_ACTIVE_TIMEOUT_S:
             return None
         return proposer.name
 
--- a/reedspoke/control_plane/views/first_view.py
+++ b/reedspoke/control_plane/views/first_view.py
@@ -19,11 +19,13 @@
     deployment needs, losses within its bounds could leave no majority. Their number is odd.
     """
     known = list(heartbeats)
-    founders = {heartbeat.member.address: heartbeat.member for heartbeat in known if heartbeat.bootstrap}
+    founders = {heartbeat.member.address: heartbeat.member for heartbeat in known if heartbeat.bootstrap_seed}
     founding_seeds = [founders[seed] for seed in sorted(set(seeds)) if seed in founders]
     if not founding_seeds or len(founding_seeds) < min_seeds:
         return None
-    newcomers = {heartbeat.member.address: heartbeat.member for heartbeat in known if heartbeat.starts_new}
+    newcomers = {
+        heartbeat.member.address: heartbeat.member for heartbeat in known if heartbeat.bootstrap_joiner
+    }
     others = [newcomers[address] for address in sorted(set(newcomers) - set(seeds))]
     extra_count = _extra_member_count(len(founding_seeds), len(others), target_members)
     members = tuple(founding_seeds + others[:extra_count])
--- a/reedspoke/control_plane/views/next_view.py
+++ b/reedspoke/control_plane/views/next_view.py
@@ -42,8 +42,8 @@
     retained = _retained_chain(view, snapshot)
     if not retained:
         return view
-    joined = view.number + 1
-    chain = (*retained, *(ChainLink(joiner, joined) for joiner in _joiners(view, retained, snapshot)))
+    joined_view = view.number + 1
+    chain = (*retained, *(ChainLink(joiner, joined_view) for joiner in _joiners(view, retained, snapshot)))
     if len(chain) < snapshot.chain_minimum and len(chain) < len(view.chain):
         return view  # a shorter chain could not acknowledge anything either, and holds fewer replicas
     voters = _next_voters(view, chain, snapshot)
--- a/tests/control_plane/chain_replica.py
+++ b/tests/control_plane/chain_replica.py
@@ -83,8 +83,8 @@
 
     def sent(self) -> list[Struct]:
         """The messages since the last call, also those to itself; stores go to `stores`."""
-        messages = self.outbox.take_to_self()
-        for effect in self.outbox.take():
+        messages = self.outbox.take_own_messages()
+        for effect in self.outbox.take_effects():
             if isinstance(effect, SendMessage):
                 messages.append(effect.message)
             elif isinstance(effect, StoreRecords):
--- a/tests/control_plane/direct_core.py
+++ b/tests/control_plane/direct_core.py
@@ -16,7 +16,7 @@
     StoreCompleted,
     Tick,
 )
-from reedspoke.control_plane.replication.replica import TICK_S, Replica, ReplicaSettings
+from reedspoke.control_plane.replication.replica import TICK_INTERVAL_S, Replica, ReplicaSettings
 
 START_S = 3.0
 
@@ -70,8 +70,8 @@
 
     def run(self, duration: float) -> None:
         """Let time pass."""
-        for _ in range(round(duration / TICK_S)):
-            self.now += TICK_S
+        for _ in range(round(duration / TICK_INTERVAL_S)):
+            self.now += TICK_INTERVAL_S
             for address in self.addresses:
                 self._events.append((address, Tick()))
             self._handle_all()
@@ -82,7 +82,7 @@
         request_id = self._requests
         self.inject(address, PutSubmitted(request_id, match, generation, document))
         while request_id not in self._answers:
-            self.run(TICK_S)
+            self.run(TICK_INTERVAL_S)
         return self._answers.pop(request_id).error
 
     def inject(self, address: str, event: Event) -> None:
--- a/tests/control_plane/loss_check.py
+++ b/tests/control_plane/loss_check.py
@@ -167,7 +167,10 @@
         survivors[link.member.folder_id]
         for link in newest.chain
         if link.member.folder_id in survivors
-        and (link.joined == FIRST_VIEW_NUMBER or survivors[link.member.folder_id].synced_since == link.joined)
+        and (
+            link.joined_view == FIRST_VIEW_NUMBER
+            or survivors[link.member.folder_id].synced_since == link.joined_view
+        )
     ]
     assert complete, f"no complete member {where}"
     for state in complete:
--- a/tests/control_plane/simulated_control.py
+++ b/tests/control_plane/simulated_control.py
@@ -282,7 +282,7 @@
         self._within(machine, lambda scheduler: scheduler.begin_leave())
 
     def ticked(self, machine: Machine) -> None:
-        """TICK_S has passed."""
+        """TICK_INTERVAL_S has passed."""
         self._within(machine, lambda scheduler: scheduler.ticked())
 
     def received(self, machine: Machine, sender: str, message: Struct) -> None:
--- a/tests/control_plane/simulated_core.py
+++ b/tests/control_plane/simulated_core.py
@@ -31,7 +31,7 @@
     ReplicaMessage,
     ViewConfirmation,
 )
-from reedspoke.control_plane.replication.replica import TICK_S, Replica, ReplicaSettings
+from reedspoke.control_plane.replication.replica import TICK_INTERVAL_S, Replica, ReplicaSettings
 from tests.control_plane.calm import Calm
 from tests.control_plane.judge import Judge
 from tests.control_plane.simulated_parts import (
@@ -159,7 +159,7 @@
             machine.tick_is_due = True
         else:
             self._ticked(machine)
-        self.at(self.now + TICK_S, lambda: self._tick(address, incarnation))
+        self.at(self.now + TICK_INTERVAL_S, lambda: self._tick(address, incarnation))
 
     def _ticked(self, machine: Machine) -> None:
         machine.tick_is_due = False
--- a/tests/control_plane/simulated_parts.py
+++ b/tests/control_plane/simulated_parts.py
@@ -85,7 +85,7 @@
         """A process has ended."""
 
     def ticked(self, machine: Machine) -> None:
-        """TICK_S has passed in a process that is not frozen."""
+        """TICK_INTERVAL_S has passed in a process that is not frozen."""
 
     def leaving(self, machine: Machine) -> None:
         """The process got SIGTERM."""
--- a/tests/control_plane/test_guards_agreement.py
+++ b/tests/control_plane/test_guards_agreement.py
@@ -58,7 +58,7 @@
     voter = Voter(A)
     voter.agreement.receive("at-b", PrepareRequest(2, ProposalNumber(1, "b")))
     voter.agreement.receive("at-b", PrepareRequest(2, ProposalNumber(1, "b")))
-    assert not [effect for effect in voter.outbox.take() if isinstance(effect, SendMessage)]
+    assert not [effect for effect in voter.outbox.take_effects() if isinstance(effect, SendMessage)]
 
 
 def test_a_voter_votes_on_the_next_view_alone() -> None:
@@ -92,7 +92,7 @@
 
 
 def test_the_first_view_consists_of_folders_that_were_made_for_it() -> None:
-    founders = [Heartbeat(member, 0, (), True, 0, 0, bootstrap=True) for member in (A, B)]
+    founders = [Heartbeat(member, 0, (), True, 0, 0, bootstrap_seed=True) for member in (A, B)]
     other = Heartbeat(C, 0, (), True, 0, 0)
     view = form_first_view(tuple(member.address for member in MEMBERS), [*founders, other], 2, 3)
     assert view is not None
@@ -105,9 +105,9 @@
 )
 def test_others_of_the_first_start_vote_beside_the_seeds(newcomers: int, target: int, voters: int) -> None:
     """As many as are wanted, in odd number; a folder that is older takes no part."""
-    founders = [Heartbeat(member, 0, (), True, 0, 0, bootstrap=True) for member in MEMBERS]
+    founders = [Heartbeat(member, 0, (), True, 0, 0, bootstrap_seed=True) for member in MEMBERS]
     others = [Member(f"folder-{number}", f"other-{number}", "z") for number in range(newcomers)]
-    pings = [Heartbeat(member, 0, (), True, 0, 0, starts_new=True) for member in others]
+    pings = [Heartbeat(member, 0, (), True, 0, 0, bootstrap_joiner=True) for member in others]
     older = Heartbeat(Member("folder-old", "at-old", "z"), 0, (), True, 0, 0)
     view = form_first_view(tuple(member.address for member in MEMBERS), [older, *pings, *founders], 3, target)
     assert view is not None
@@ -117,8 +117,8 @@
 
 
 def test_two_seeds_and_another_begin_without_the_third() -> None:
-    founders = [Heartbeat(member, 0, (), True, 0, 0, bootstrap=True) for member in (A, B)]
-    other = Heartbeat(Member("folder-1", "other-1", "z"), 0, (), True, 0, 0, starts_new=True)
+    founders = [Heartbeat(member, 0, (), True, 0, 0, bootstrap_seed=True) for member in (A, B)]
+    other = Heartbeat(Member("folder-1", "other-1", "z"), 0, (), True, 0, 0, bootstrap_joiner=True)
     view = form_first_view(tuple(member.address for member in MEMBERS), [*founders, other], 2, 5)
     assert view is not None
     assert view.voters == (A, B, other.member)
--- a/tests/control_plane/test_guards_answers.py
+++ b/tests/control_plane/test_guards_answers.py
@@ -18,7 +18,11 @@
     ViewConfirmation,
     ViewDecided,
 )
-from reedspoke.control_plane.replication.settings import HEARTBEAT_INTERVAL_S, MAJORITY_CONTACT_TTL_S, TICK_S
+from reedspoke.control_plane.replication.settings import (
+    HEARTBEAT_INTERVAL_S,
+    MAJORITY_CONTACT_TTL_S,
+    TICK_INTERVAL_S,
+)
 from reedspoke.control_plane.replication.view import ChainLink, View
 from tests.control_plane.chain_replica import HEAD, MIDDLE, TAIL, VIEW_NUMBER, entry, packed_history, view_of
 from tests.control_plane.test_guards_replica import LoneReplica
@@ -40,7 +44,7 @@
 
 
 def _grants_run_out(member: LoneReplica) -> None:
-    member.run_beside(HEAD, seconds=MAJORITY_CONTACT_TTL_S + TICK_S)
+    member.run_beside(HEAD, seconds=MAJORITY_CONTACT_TTL_S + TICK_INTERVAL_S)
     assert member.replica.majority_reached
 
 
--- a/tests/control_plane/test_guards_failure_detector.py
+++ b/tests/control_plane/test_guards_failure_detector.py
@@ -11,10 +11,10 @@
 from reedspoke.control_plane.replication.outbox import Outbox
 from reedspoke.control_plane.replication.settings import (
     DEAD_TIMEOUT_S,
-    DISK_PROBE_S,
-    DISK_STALL_S,
+    DISK_PROBE_INTERVAL_S,
+    DISK_STALL_TIMEOUT_S,
     HEARTBEAT_INTERVAL_S,
-    JOIN_AFTER_S,
+    JOIN_MIN_REACHABLE_S,
     REACHABLE_TIMEOUT_S,
 )
 from reedspoke.control_plane.replication.view import Member
@@ -24,7 +24,7 @@
 
 def _heartbeat(member: Member, *heard: Member, bootstrap: bool = False) -> Heartbeat:
     folders = tuple(other.folder_id for other in heard)
-    return Heartbeat(member, 1, folders, True, 0, 0, bootstrap=bootstrap)
+    return Heartbeat(member, 1, folders, True, 0, 0, bootstrap_seed=bootstrap)
 
 
 def _hear(peers: FailureDetector, heartbeat: Heartbeat, begin: float, end: float) -> None:
@@ -46,9 +46,9 @@
 def test_a_replica_is_steady_after_a_while_in_reach() -> None:
     peers = FailureDetector(HEAD, START)
     peers.record_heartbeat(_heartbeat(MIDDLE, HEAD), START)
-    assert not peers.is_steady(MIDDLE.folder_id, START + JOIN_AFTER_S / 2)
-    _hear(peers, _heartbeat(MIDDLE, HEAD), START, START + JOIN_AFTER_S + HEARTBEAT_INTERVAL_S)
-    assert peers.is_steady(MIDDLE.folder_id, START + JOIN_AFTER_S + HEARTBEAT_INTERVAL_S)
+    assert not peers.is_steady(MIDDLE.folder_id, START + JOIN_MIN_REACHABLE_S / 2)
+    _hear(peers, _heartbeat(MIDDLE, HEAD), START, START + JOIN_MIN_REACHABLE_S + HEARTBEAT_INTERVAL_S)
+    assert peers.is_steady(MIDDLE.folder_id, START + JOIN_MIN_REACHABLE_S + HEARTBEAT_INTERVAL_S)
 
 
 def test_a_replica_in_reach_is_one_that_was_heard_lately_and_hears_us() -> None:
@@ -82,7 +82,7 @@
 
     def end_store(self, error: ErrorCode | None = None) -> StoreRecords:
         """The store that is out ends."""
-        (store,) = _stores(self.outbox.take())
+        (store,) = _stores(self.outbox.take_effects())
         self.outbox.store_completed(StoreCompleted(store.token, error))
         return store
 
@@ -94,7 +94,7 @@
 def test_after_a_failed_store_the_disk_is_bad_until_the_log_is_rewritten() -> None:
     disk = FailedDisk()
     assert disk.outbox.disk_failed
-    disk.outbox.now += DISK_PROBE_S
+    disk.outbox.now += DISK_PROBE_INTERVAL_S
     disk.outbox.tick()
     assert not disk.end_store().replace
     assert disk.outbox.disk_failed
@@ -105,7 +105,7 @@
 def test_a_store_that_hangs_makes_the_disk_bad() -> None:
     outbox = Outbox(HEAD.address, START, 0)
     outbox.store([ProbeRecord()], lambda error: None)
-    outbox.now = START + DISK_STALL_S
+    outbox.now = START + DISK_STALL_TIMEOUT_S
     assert outbox.disk_ok
     outbox.now += 0.01
     assert not outbox.disk_ok
--- a/tests/control_plane/test_guards_head.py
+++ b/tests/control_plane/test_guards_head.py
@@ -39,7 +39,7 @@
     replica = ChainReplica(HEAD, view)
     successor = view.chain[1]
     state = SuccessorStatus(
-        view.number, successor.member.folder_id, successor.joined, True, replica.register.sequence
+        view.number, successor.member.folder_id, successor.joined_view, True, replica.register.sequence
     )
     replica.chain.receive(state)
     replica.sent()
@@ -190,7 +190,7 @@
         self.rejections = RejectionConfirmer("own:1", self.outbox)
         self.rejections.enter_view(VIEW_NUMBER, TAIL)
         self.rejections.add("r1", START + ANSWER_LIMIT_S, self.ended.append)
-        (sent,) = self.outbox.take()
+        (sent,) = self.outbox.take_effects()
         asked = sent.message  # type: ignore[union-attr]
         assert isinstance(asked, GetRequest)
         self.key = asked.request_id
@@ -223,7 +223,7 @@
     outbox = Outbox(MIDDLE.address, START, 0)
     puts = PutForwarder("b:1", outbox, ANSWER_LIMIT_S)
     puts.submit(PutSubmitted(1, 0, 10, b"document"), view, contact)
-    (answer,) = outbox.take()
+    (answer,) = outbox.take_effects()
     assert isinstance(answer, PutCompleted)
     assert answer.error is ErrorCode.NO_QUORUM
 
@@ -232,10 +232,10 @@
     outbox = Outbox(MIDDLE.address, START, 0)
     puts = PutForwarder("b:1", outbox, ANSWER_LIMIT_S)
     puts.submit(PutSubmitted(1, 0, 10, b"document"), FULL_CHAIN, ContactState.CONFIRMED)
-    outbox.take()
+    outbox.take_effects()
     outbox.now = START + ANSWER_LIMIT_S
     puts.tick(FULL_CHAIN, ContactState.CONFIRMED)
-    assert [answer.error for answer in outbox.take() if isinstance(answer, PutCompleted)] == [
+    assert [answer.error for answer in outbox.take_effects() if isinstance(answer, PutCompleted)] == [
         ErrorCode.WRITE_UNCLEAR
     ]
 
@@ -246,12 +246,12 @@
     puts.submit(PutSubmitted(1, 0, 10, b"document"), FULL_CHAIN, ContactState.CONFIRMED)
     following = view_of((HEAD, 1), (TAIL, 1), number=VIEW_NUMBER + 1)
     puts.tick(following, ContactState.CONFIRMED)
-    outbox.take()
+    outbox.take_effects()
     refused = int(ErrorCode.CONFIGURATION_STALE_MATCH)
     puts.receive_reply(PutReply(VIEW_NUMBER, "b:1:1", refused))
-    assert not outbox.take()
+    assert not outbox.take_effects()
     puts.receive_reply(PutReply(following.number, "b:1:1", refused))
-    assert len(outbox.take()) == 1
+    assert len(outbox.take_effects()) == 1
 
 
 def test_documents_that_wait_have_a_bound_in_bytes() -> None:
--- a/tests/control_plane/test_guards_outbox.py
+++ b/tests/control_plane/test_guards_outbox.py
@@ -7,14 +7,14 @@
 from reedspoke.control_plane.replication.events import StoreCompleted
 from reedspoke.control_plane.replication.log_records import ProbeRecord
 from reedspoke.control_plane.replication.outbox import Outbox
-from reedspoke.control_plane.replication.settings import DISK_PROBE_S
+from reedspoke.control_plane.replication.settings import DISK_PROBE_INTERVAL_S
 
 START = 100.0
 
 
 def _store(outbox: Outbox) -> StoreRecords:
     """The only store among the effects."""
-    (store,) = (effect for effect in outbox.take() if isinstance(effect, StoreRecords))
+    (store,) = (effect for effect in outbox.take_effects() if isinstance(effect, StoreRecords))
     return store
 
 
@@ -33,7 +33,7 @@
 
 def test_a_disk_counts_as_good_again_once_the_whole_log_has_been_rewritten() -> None:
     outbox = _after_a_failed_store()
-    outbox.now = START + DISK_PROBE_S
+    outbox.now = START + DISK_PROBE_INTERVAL_S
     outbox.tick()
     probe = _store(outbox)
     assert not probe.replace
--- a/tests/control_plane/test_guards_replica.py
+++ b/tests/control_plane/test_guards_replica.py
@@ -25,11 +25,11 @@
 from reedspoke.control_plane.replication.replica import Replica, ReplicaSettings
 from reedspoke.control_plane.replication.settings import (
     HEARTBEAT_INTERVAL_S,
-    PROPOSE_AFTER_S,
-    RANK_DELAY_S,
+    PROPOSAL_DELAY_PER_RANK_S,
+    PROPOSAL_DELAY_S,
     REACHABLE_TIMEOUT_S,
     READ_LEASE_TTL_S,
-    TICK_S,
+    TICK_INTERVAL_S,
 )
 from reedspoke.control_plane.replication.view import Member, View
 from tests.control_plane.chain_replica import (
@@ -45,7 +45,7 @@
 
 OTHER_TAIL = View(VIEW_NUMBER + 1, FULL_CHAIN.voters, FULL_CHAIN.chain[:-1])
 LONG_PAUSE_S = 5.0
-PROPOSED_BY_S = REACHABLE_TIMEOUT_S + PROPOSE_AFTER_S + 3 * RANK_DELAY_S + 1.0
+PROPOSED_BY_S = REACHABLE_TIMEOUT_S + PROPOSAL_DELAY_S + 3 * PROPOSAL_DELAY_PER_RANK_S + 1.0
 
 
 class LoneReplica:
@@ -82,7 +82,7 @@
         """What it sends when this comes."""
         return self._carry_out(self.replica.handle(self.now, MessageReceived(sender.address, message)))
 
-    def tick(self, seconds: float = TICK_S) -> list[Struct]:
+    def tick(self, seconds: float = TICK_INTERVAL_S) -> list[Struct]:
         """What it sends when so much time has passed."""
         self.now += seconds
         return self._carry_out(self.replica.handle(self.now, Tick()))
@@ -213,7 +213,7 @@
     middle = LoneReplica(MIDDLE)
     for other in (HEAD, TAIL):
         middle.ping_from(other)
-    assert _last_ping(middle.tick(LONG_PAUSE_S)).heard == (HEAD.folder_id, TAIL.folder_id)
+    assert _last_ping(middle.tick(LONG_PAUSE_S)).receives_from == (HEAD.folder_id, TAIL.folder_id)
 
 
 # ---- the first start ----
@@ -221,15 +221,15 @@
 
 def test_a_folder_that_the_disk_refused_takes_no_part_in_the_first_start() -> None:
     starting = LoneReplica(HEAD, None, bootstrap=True)
-    assert _last_ping(starting.tick(HEARTBEAT_INTERVAL_S)).bootstrap
+    assert _last_ping(starting.tick(HEARTBEAT_INTERVAL_S)).bootstrap_seed
     refused = LoneReplica(HEAD, None, bootstrap=True, disk_error=ErrorCode.STORAGE_FULL)
-    assert not _last_ping(refused.tick(HEARTBEAT_INTERVAL_S)).bootstrap
+    assert not _last_ping(refused.tick(HEARTBEAT_INTERVAL_S)).bootstrap_seed
 
 
 def test_an_empty_folder_founds_nothing_unless_it_is_told_to() -> None:
     joining = LoneReplica(HEAD, None, bootstrap=False)
     assert joining.store_count == 0
-    assert not _last_ping(joining.tick(HEARTBEAT_INTERVAL_S)).bootstrap
+    assert not _last_ping(joining.tick(HEARTBEAT_INTERVAL_S)).bootstrap_seed
 
 
 # ---- whom it judges ----
@@ -250,14 +250,14 @@
 def test_a_replica_that_falls_silent_is_not_in_reach() -> None:
     head = LoneReplica(HEAD)
     head.ping_from(TAIL)
-    for _ in range(int(REACHABLE_TIMEOUT_S / TICK_S) + 2):
+    for _ in range(int(REACHABLE_TIMEOUT_S / TICK_INTERVAL_S) + 2):
         head.tick()
     assert not head.replica.majority_reached
 
 
 def test_who_has_just_started_proposes_nobody_s_removal() -> None:
     head = LoneReplica(HEAD)
-    sent = head.run_beside(MIDDLE, seconds=REACHABLE_TIMEOUT_S - 2 * TICK_S)
+    sent = head.run_beside(MIDDLE, seconds=REACHABLE_TIMEOUT_S - 2 * TICK_INTERVAL_S)
     assert not _of_type(sent, PrepareRequest)
     assert _of_type(head.run_beside(MIDDLE, seconds=PROPOSED_BY_S), PrepareRequest)
 
@@ -278,7 +278,7 @@
     head = LoneReplica(HEAD)
     head.run_beside(MIDDLE, TAIL, seconds=PROPOSED_BY_S)
     sent: list[Struct] = []
-    for _ in range(int(PROPOSED_BY_S / TICK_S)):
+    for _ in range(int(PROPOSED_BY_S / TICK_INTERVAL_S)):
         sent += head.ping_from(MIDDLE)
         sent += head.ping_from(TAIL, disk_ok=False)
         sent += head.tick()
--- a/tests/control_plane/test_guards_tail_reader.py
+++ b/tests/control_plane/test_guards_tail_reader.py
@@ -73,9 +73,9 @@
     for sequence, expected in ((1, 10), (2, None)):
         gets = GetForwarder("b:1", replica.outbox, replica.register, ANSWER_LIMIT_S)
         gets.submit(GetSubmitted(1), FULL_CHAIN, ContactState.CONFIRMED)
-        replica.outbox.take()
+        replica.outbox.take_effects()
         gets.receive_reply(GetReply(VIEW_NUMBER, "b:1:1", True, sequence))
-        (answer,) = replica.outbox.take()
+        (answer,) = replica.outbox.take_effects()
         assert isinstance(answer, GetCompleted)
         if expected is None:
             assert (answer.committed, answer.error) == (None, ErrorCode.NO_QUORUM)
--- a/tests/control_plane/test_losses_first_start.py
+++ b/tests/control_plane/test_losses_first_start.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from reedspoke.control_plane.replication.chain_repair import SEED_COMES_WITHIN_S
+from reedspoke.control_plane.replication.chain_repair import MISSING_SEED_TIMEOUT_S
 from tests.control_plane.loss_check import check_by_trial, check_records, further_losses
 from tests.control_plane.schedule import check_end
 from tests.control_plane.simulation import Simulation
@@ -48,7 +48,7 @@
     check_records(simulation, set(), 1)
 
 
-@pytest.mark.parametrize("late", [1.0, 2.0, SEED_COMES_WITHIN_S - 0.2])
+@pytest.mark.parametrize("late", [1.0, 2.0, MISSING_SEED_TIMEOUT_S - 0.2])
 def test_a_seed_that_starts_late_is_waited_for(late: float) -> None:
     simulation = _late_start("m3", late)
     assert simulation.newest_view() is None
@@ -66,7 +66,7 @@
     assert simulation.put_and_wait("m1", 0, 1, b"first") is None
 
 
-@pytest.mark.parametrize("late", [SEED_COMES_WITHIN_S + 0.5, 4.0, 7.0])
+@pytest.mark.parametrize("late", [MISSING_SEED_TIMEOUT_S + 0.5, 4.0, 7.0])
 def test_a_seed_that_starts_too_late_joins_what_the_others_have_begun(late: float) -> None:
     simulation = _late_start("m3", late)
     assert simulation.chain() == ["m1", "m2"]
--- a/tests/control_plane/test_losses_next_view.py
+++ b/tests/control_plane/test_losses_next_view.py
@@ -114,7 +114,7 @@
     view = view_of("abc", voters="abcde")
     following = choose_next_view(view, snapshot_of("ade", incomplete="de", tolerated=2))
     assert chain_names(following) == "ade"
-    assert [link.joined for link in following.chain] == [1, 6, 6]
+    assert [link.joined_view for link in following.chain] == [1, 6, 6]
     assert choose_next_view(view, snapshot_of("ad", incomplete="d", tolerated=2)) == view
     assert (
         chain_names(choose_next_view(view_of("abc"), snapshot_of("abcde", incomplete="de", tolerated=2)))
--- a/tests/control_plane/test_losses_strength.py
+++ b/tests/control_plane/test_losses_strength.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from reedspoke.control_plane.replication.settings import ESTABLISHED_AFTER_S
+from reedspoke.control_plane.replication.settings import ESTABLISHED_MIN_REACHABLE_S
 from tests.control_plane.simulation import Simulation
 from tests.control_plane.strength import (
     Loss,
@@ -87,7 +87,7 @@
     """Nobody comes in their place; those that are left are as many as the losses ask for."""
     tolerated = 2 if machines >= 7 else 1
     simulation = strong_core(machines, machines, tolerated)
-    simulation.run(ESTABLISHED_AFTER_S + 6.0)
+    simulation.run(ESTABLISHED_MIN_REACHABLE_S + 6.0)
     view = simulation.newest_view()
     assert view is not None
     assert len(view.voters) == (machines if machines % 2 else machines - 1)
--- a/tests/control_plane/test_next_view.py
+++ b/tests/control_plane/test_next_view.py
@@ -43,7 +43,7 @@
     assert choose_next_view(view, snapshot_of("a")) == view
     following = choose_next_view(view, snapshot_of("a", joiners=[member_named("c")]))
     assert chain_names(following) == "ac"
-    assert following.chain[1].joined == 6
+    assert following.chain[1].joined_view == 6
 
 
 def test_a_joiner_is_appended_once_all_others_are_complete() -> None:
--- a/tests/control_plane/test_puts_history.py
+++ b/tests/control_plane/test_puts_history.py
@@ -21,7 +21,7 @@
     restore,
 )
 from reedspoke.control_plane.replication.messages import InstallSnapshot, ReplicaMessage
-from reedspoke.control_plane.replication.settings import HISTORY_LIMIT
+from reedspoke.control_plane.replication.settings import MAX_HISTORY_CHANGES
 from tests.control_plane.direct_core import DirectCore
 
 LATER_CHANGES = 5000
@@ -73,8 +73,8 @@
 
 def test_what_has_fallen_out_of_the_history_gets_no_clear_answer() -> None:
     core = _core_with_rivals()
-    newest = _change(core, HISTORY_LIMIT, after=FIRST)
-    oldest = newest - HISTORY_LIMIT + 1
+    newest = _change(core, MAX_HISTORY_CHANGES, after=FIRST)
+    oldest = newest - MAX_HISTORY_CHANGES + 1
     for _ in range(2):
         assert core.put("m2", 0, FIRST, _document(FIRST)) is ErrorCode.WRITE_UNCLEAR
         assert core.put("m3", 0, FIRST, b"a rival") is ErrorCode.WRITE_UNCLEAR
@@ -109,9 +109,9 @@
 
 
 def test_a_longer_packed_history_is_cut_at_its_old_end() -> None:
-    packed = b"".join(ROW.pack(generation, bytes(32)) for generation in range(1, HISTORY_LIMIT + 11))
+    packed = b"".join(ROW.pack(generation, bytes(32)) for generation in range(1, MAX_HISTORY_CHANGES + 11))
     history = ChangeHistory(packed)
-    assert (len(history), history.oldest_generation) == (HISTORY_LIMIT, 11)
+    assert (len(history), history.oldest_generation) == (MAX_HISTORY_CHANGES, 11)
 
 
 def test_a_log_of_an_earlier_version_is_read() -> None:
@@ -135,5 +135,5 @@
 
 
 def test_a_full_history_stays_small_on_disk() -> None:
-    full = HistoryRecord(ROW.pack(2**62, bytes(32)) * HISTORY_LIMIT)
+    full = HistoryRecord(ROW.pack(2**62, bytes(32)) * MAX_HISTORY_CHANGES)
     assert len(ormsgpack.packb(to_builtins(full, builtin_types=(bytes,)))) < 330_000
--- a/tests/control_plane/test_puts_requests.py
+++ b/tests/control_plane/test_puts_requests.py
@@ -147,7 +147,7 @@
 
 
 def _key(outbox: Outbox) -> str:
-    (effect,) = (effect for effect in outbox.take() if isinstance(effect, SendMessage))
+    (effect,) = (effect for effect in outbox.take_effects() if isinstance(effect, SendMessage))
     assert isinstance(effect.message, GetRequest)
     return effect.message.request_id
 
--- a/tests/control_plane/test_puts_views.py
+++ b/tests/control_plane/test_puts_views.py
@@ -110,7 +110,7 @@
 
 def _is_newer_ping(event: Event, view: int) -> bool:
     ping = event.message if isinstance(event, MessageReceived) else None
-    return isinstance(ping, Heartbeat) and ping.view_number > view and ping.committed == 2
+    return isinstance(ping, Heartbeat) and ping.view_number > view and ping.committed_sequence == 2
 
 
 def test_a_head_without_a_majority_takes_nothing_and_says_so_at_once(core: Simulation) -> None:
@@ -198,7 +198,7 @@
 
 
 def _is_old_ping(message: Struct, view: int, hearer: str) -> bool:
-    return isinstance(message, Heartbeat) and message.view_number == view and hearer in message.heard
+    return isinstance(message, Heartbeat) and message.view_number == view and hearer in message.receives_from
 
 
 def _note_reply(effect: SendMessage, replies: list[PutReply]) -> None:
--- a/tests/control_plane/test_replica_answers.py
+++ b/tests/control_plane/test_replica_answers.py
@@ -9,7 +9,11 @@
 from reedspoke.control_plane.replication.entry import ChangeId
 from reedspoke.control_plane.replication.log_records import restore
 from reedspoke.control_plane.replication.messages import AppendRequest
-from reedspoke.control_plane.replication.settings import HISTORY_LIMIT, READ_LEASE_TTL_S, REWRITE_BYTES
+from reedspoke.control_plane.replication.settings import (
+    LOG_REWRITE_THRESHOLD_BYTES,
+    MAX_HISTORY_CHANGES,
+    READ_LEASE_TTL_S,
+)
 from reedspoke.control_plane.storage.log_format import COPIES
 from tests.control_plane.schedule import come_back
 from tests.control_plane.simulated_parts import DiskMode
@@ -159,7 +163,7 @@
         assert core.put_and_wait("m1", generation - 1, generation, document + b"%d" % generation) is None
     for machine in core.machines.values():
         size = sum(map(len, machine.disk.records))
-        assert COPIES * size < REWRITE_BYTES + 4 * 2_000_000
+        assert COPIES * size < LOG_REWRITE_THRESHOLD_BYTES + 4 * 2_000_000
     for address in core.machines:
         core.lose_power(address)
     core.run(1.0)
@@ -181,9 +185,9 @@
 
 
 def test_the_history_is_bounded() -> None:
-    assert HISTORY_LIMIT == 8192
+    assert MAX_HISTORY_CHANGES == 8192
     history = restore([]).history
-    for generation in range(1, HISTORY_LIMIT + 2):
+    for generation in range(1, MAX_HISTORY_CHANGES + 2):
         history.add(ChangeId(generation, bytes(32)))
-    assert len(history) == HISTORY_LIMIT
+    assert len(history) == MAX_HISTORY_CHANGES
     assert history.oldest_generation == 2
--- a/tests/control_plane/test_replica_membership.py
+++ b/tests/control_plane/test_replica_membership.py
@@ -7,7 +7,7 @@
 import pytest
 
 from reedspoke.common.errors import ErrorCode
-from reedspoke.control_plane.replication.settings import ESTABLISHED_AFTER_S
+from reedspoke.control_plane.replication.settings import ESTABLISHED_MIN_REACHABLE_S
 from tests.control_plane.schedule import check_end
 from tests.control_plane.simulation import Simulation
 
@@ -45,7 +45,7 @@
     simulation.settle(8.0)
     assert len(simulation.chain()) == machines
     assert len(_voters(simulation)) == 3, "enough for one loss"
-    simulation.run(ESTABLISHED_AFTER_S + 2.0)
+    simulation.run(ESTABLISHED_MIN_REACHABLE_S + 2.0)
     assert len(_voters(simulation)) == (machines if machines % 2 else machines - 1)
 
 
--- a/tests/control_plane/test_replica_stale.py
+++ b/tests/control_plane/test_replica_stale.py
@@ -56,7 +56,7 @@
 
     def is_old_ping(event: Event) -> bool:
         ping = event.message if isinstance(event, MessageReceived) else None
-        return isinstance(ping, Heartbeat) and ping.view_number == OLD_VIEW and own in ping.heard
+        return isinstance(ping, Heartbeat) and ping.view_number == OLD_VIEW and own in ping.receives_from
 
     machine.missed = [event for event in machine.missed if is_old_ping(event)]
     core.thaw(address)
@@ -160,14 +160,14 @@
     puts = PutForwarder("own:1", outbox, 0.9)
     puts.submit(PutSubmitted(1, 0, 1, b"first"), _view(1, "a"), contact=ContactState.CONFIRMED)
     puts.tick(_view(2, "b"), ContactState.CONFIRMED)
-    sent = [effect for effect in outbox.take() if isinstance(effect, SendMessage)]
+    sent = [effect for effect in outbox.take_effects() if isinstance(effect, SendMessage)]
     assert [effect.address for effect in sent] == ["at-a", "at-b"]
     stale = int(ErrorCode.CONFIGURATION_STALE_MATCH)
     puts.receive_reply(PutReply(1, "own:1:1", stale))
-    assert _answers(outbox.take()) == []
+    assert _answers(outbox.take_effects()) == []
     puts.receive_reply(PutReply(2, "own:1:1", stale))
     puts.receive_reply(PutReply(2, "own:1:1", 0))
-    assert _answers(outbox.take()) == [ErrorCode.CONFIGURATION_STALE_MATCH]
+    assert _answers(outbox.take_effects()) == [ErrorCode.CONFIGURATION_STALE_MATCH]
 
 
 def test_an_acknowledgement_counts_from_any_head() -> None:
@@ -175,6 +175,6 @@
     puts = PutForwarder("own:1", outbox, 0.9)
     puts.submit(PutSubmitted(1, 0, 1, b"first"), _view(1, "a"), contact=ContactState.CONFIRMED)
     puts.tick(_view(2, "b"), ContactState.CONFIRMED)
-    outbox.take()
+    outbox.take_effects()
     puts.receive_reply(PutReply(1, "own:1:1", 0))
-    assert _answers(outbox.take()) == [None]
+    assert _answers(outbox.take_effects()) == [None]
--- a/tests/control_plane/test_storage_changes.py
+++ b/tests/control_plane/test_storage_changes.py
@@ -105,7 +105,7 @@
 @pytest.fixture
 def fleet(monkeypatch: pytest.MonkeyPatch) -> Fleet:
     """Three machines whose logs are rewritten often."""
-    monkeypatch.setattr(replica_outbox, "REWRITE_BYTES", SMALL_LIMIT)
+    monkeypatch.setattr(replica_outbox, "LOG_REWRITE_THRESHOLD_BYTES", SMALL_LIMIT)
     return Fleet(StorageSimulation(monkeypatch, seed=SEED))
 
 
--- a/tests/control_plane/test_storage_lost_state.py
+++ b/tests/control_plane/test_storage_lost_state.py
@@ -80,7 +80,7 @@
     assert view is not None
     link = view.chain[1]
     messages: dict[str, Struct] = {
-        "successor": SuccessorStatus(view.number, link.member.folder_id, link.joined, True, CHANGES + 1),
+        "successor": SuccessorStatus(view.number, link.member.folder_id, link.joined_view, True, CHANGES + 1),
         "tail": CommitNotification(view.number, CHANGES + 1),
         "ping": Heartbeat(link.member, view.number, (), True, 0, CHANGES + 1),
     }
--- a/tests/control_plane/test_storage_random.py
+++ b/tests/control_plane/test_storage_random.py
@@ -17,13 +17,13 @@
 
 FIRST_SEED, END_SEED = map(int, os.environ.get("STORAGE_SEEDS", "0:40").split(":"))
 STEPS = 20
-REWRITE_BYTES = 3_000  # so that rewritings are among the steps
+LOG_REWRITE_THRESHOLD_BYTES = 3_000  # so that rewritings are among the steps
 ROUNDS = 8
 
 
 @pytest.mark.parametrize("seed", range(FIRST_SEED, END_SEED))
 def test_a_random_schedule(monkeypatch: pytest.MonkeyPatch, seed: int) -> None:
-    monkeypatch.setattr(replica_outbox, "REWRITE_BYTES", REWRITE_BYTES)
+    monkeypatch.setattr(replica_outbox, "LOG_REWRITE_THRESHOLD_BYTES", LOG_REWRITE_THRESHOLD_BYTES)
     play(StorageSimulation(monkeypatch, seed), tolerated=1, steps=STEPS)
 
 
@@ -33,7 +33,7 @@
     monkeypatch: pytest.MonkeyPatch, seed: int, changed: int
 ) -> None:
     """One member at a time; it comes back with all that it had, or as a new one."""
-    monkeypatch.setattr(replica_outbox, "REWRITE_BYTES", REWRITE_BYTES)
+    monkeypatch.setattr(replica_outbox, "LOG_REWRITE_THRESHOLD_BYTES", LOG_REWRITE_THRESHOLD_BYTES)
     simulation = StorageSimulation(monkeypatch, seed)
     simulation.settle()
     simulation.run(1.0)
--- a/tests/control_plane/test_storage_size.py
+++ b/tests/control_plane/test_storage_size.py
@@ -13,7 +13,7 @@
 from reedspoke.control_plane.replication.effects import StoreRecords
 from reedspoke.control_plane.replication.events import StoreCompleted
 from reedspoke.control_plane.replication.outbox import Outbox
-from reedspoke.control_plane.replication.settings import REWRITE_BYTES
+from reedspoke.control_plane.replication.settings import LOG_REWRITE_THRESHOLD_BYTES
 from reedspoke.control_plane.storage.log_format import COPIES, encode_batch, encoded_size
 from tests.control_plane.storage_simulation import StorageSimulation
 
@@ -44,18 +44,18 @@
 
 
 def test_large_documents_take_a_bounded_part_of_a_small_disk(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A log with REWRITE_BYTES out of date, one live document, one more, and the log that is written."""
+    """A log with as much out of date as allowed, a live document, one more, and the rewritten log."""
     largest = 4 * MEGABYTE
     sizes = [largest, MEGABYTE, largest, 2 * MEGABYTE]
     documents = [b"%06d" % number + b"x" * sizes[number % 4] for number in range(LARGE_CHANGES)]
     most = _most_bytes(_alone(monkeypatch), documents)
-    assert most < REWRITE_BYTES + 4 * COPIES * largest + MEGABYTE
+    assert most < LOG_REWRITE_THRESHOLD_BYTES + 4 * COPIES * largest + MEGABYTE
     assert most < 64 * MEGABYTE
 
 
 def test_many_small_documents_take_a_bounded_part(monkeypatch: pytest.MonkeyPatch) -> None:
     limit = 20_000
-    monkeypatch.setattr(replica_outbox, "REWRITE_BYTES", limit)
+    monkeypatch.setattr(replica_outbox, "LOG_REWRITE_THRESHOLD_BYTES", limit)
     documents = [b"%06d" % number + b"x" * SMALL_DOCUMENT for number in range(SMALL_CHANGES)]
     most = _most_bytes(_alone(monkeypatch), documents)
     history = 2 * COPIES * SMALL_CHANGES * 45
@@ -69,7 +69,7 @@
 
 def test_a_log_that_was_long_at_the_start_is_rewritten_by_the_first_store() -> None:
     """What of it is out of date is not known then; by its whole length it might grow with each restart."""
-    outbox = Outbox("at-own", 10.0, REWRITE_BYTES // COPIES + 1)
+    outbox = Outbox("at-own", 10.0, LOG_REWRITE_THRESHOLD_BYTES // COPIES + 1)
     outbox.snapshot_records = lambda: (b"state",)
     assert _replaces_after_one_store(outbox)
     assert not _replaces_after_one_store(Outbox("at-own", 10.0, 1000))
@@ -77,7 +77,7 @@
 
 def _replaces_after_one_store(outbox: Outbox) -> bool:
     outbox.store([], lambda _: None)
-    (store,) = outbox.take()
+    (store,) = outbox.take_effects()
     assert isinstance(store, StoreRecords)
     outbox.store_completed(StoreCompleted(store.token))
-    return any(isinstance(effect, StoreRecords) and effect.replace for effect in outbox.take())
+    return any(isinstance(effect, StoreRecords) and effect.replace for effect in outbox.take_effects())
--- a/tests/control_plane/test_view_agreement.py
+++ b/tests/control_plane/test_view_agreement.py
@@ -62,8 +62,8 @@
 
     def step(self) -> list[SendMessage]:
         """Carry out stores; return what is to be sent, messages to itself among them."""
-        sent = [SendMessage(self.member.address, message) for message in self.outbox.take_to_self()]
-        for effect in self.outbox.take():
+        sent = [SendMessage(self.member.address, message) for message in self.outbox.take_own_messages()]
+        for effect in self.outbox.take_effects():
             if isinstance(effect, SendMessage):
                 sent.append(effect)
             elif isinstance(effect, StoreRecords):
--- a/tests/golden/replica_examples.py
+++ b/tests/golden/replica_examples.py
@@ -46,30 +46,30 @@
     "ping": Heartbeat(
         member=Member(folder_id="text1", address="text2", zone="text3"),
         view_number=4,
-        heard=(
+        receives_from=(
             "text5",
             "text6",
         ),
         disk_ok=True,
         synced_since=7,
-        committed=8,
+        committed_sequence=8,
         draining=True,
-        bootstrap=True,
-        undecided=True,
+        bootstrap_seed=True,
+        has_undecided_view=True,
         lease_requested_at=9.5,
         sent_at=10.5,
-        starts_new=True,
+        bootstrap_joiner=True,
     ),
     "ping by default": Heartbeat(
         member=Member(folder_id="text1", address="text2", zone="text3"),
         view_number=4,
-        heard=(
+        receives_from=(
             "text5",
             "text6",
         ),
         disk_ok=True,
         synced_since=7,
-        committed=8,
+        committed_sequence=8,
     ),
     "contact_grant": ViewConfirmation(folder_id="text1", view_number=2, requested_at=3.5),
     "contact_grant by default": ViewConfirmation(folder_id="text1", view_number=2, requested_at=3.5),
@@ -83,8 +83,8 @@
                 Member(folder_id="text5", address="text6", zone="text7"),
             ),
             chain=(
-                ChainLink(member=Member(folder_id="text8", address="text9", zone="text10"), joined=11),
-                ChainLink(member=Member(folder_id="text12", address="text13", zone="text14"), joined=15),
+                ChainLink(member=Member(folder_id="text8", address="text9", zone="text10"), joined_view=11),
+                ChainLink(member=Member(folder_id="text12", address="text13", zone="text14"), joined_view=15),
             ),
         )
     ),
@@ -96,8 +96,8 @@
                 Member(folder_id="text5", address="text6", zone="text7"),
             ),
             chain=(
-                ChainLink(member=Member(folder_id="text8", address="text9", zone="text10"), joined=11),
-                ChainLink(member=Member(folder_id="text12", address="text13", zone="text14"), joined=15),
+                ChainLink(member=Member(folder_id="text8", address="text9", zone="text10"), joined_view=11),
+                ChainLink(member=Member(folder_id="text12", address="text13", zone="text14"), joined_view=15),
             ),
         )
     ),
@@ -117,8 +117,8 @@
                 Member(folder_id="text13", address="text14", zone="text15"),
             ),
             chain=(
-                ChainLink(member=Member(folder_id="text16", address="text17", zone="text18"), joined=19),
-                ChainLink(member=Member(folder_id="text20", address="text21", zone="text22"), joined=23),
+                ChainLink(member=Member(folder_id="text16", address="text17", zone="text18"), joined_view=19),
+                ChainLink(member=Member(folder_id="text20", address="text21", zone="text22"), joined_view=23),
             ),
         ),
     ),
@@ -134,8 +134,8 @@
                 Member(folder_id="text13", address="text14", zone="text15"),
             ),
             chain=(
-                ChainLink(member=Member(folder_id="text16", address="text17", zone="text18"), joined=19),
-                ChainLink(member=Member(folder_id="text20", address="text21", zone="text22"), joined=23),
+                ChainLink(member=Member(folder_id="text16", address="text17", zone="text18"), joined_view=19),
+                ChainLink(member=Member(folder_id="text20", address="text21", zone="text22"), joined_view=23),
             ),
         ),
     ),
@@ -149,8 +149,8 @@
                 Member(folder_id="text8", address="text9", zone="text10"),
             ),
             chain=(
-                ChainLink(member=Member(folder_id="text11", address="text12", zone="text13"), joined=14),
-                ChainLink(member=Member(folder_id="text15", address="text16", zone="text17"), joined=18),
+                ChainLink(member=Member(folder_id="text11", address="text12", zone="text13"), joined_view=14),
+                ChainLink(member=Member(folder_id="text15", address="text16", zone="text17"), joined_view=18),
             ),
         ),
         released_at=19.5,
@@ -165,8 +165,8 @@
                 Member(folder_id="text8", address="text9", zone="text10"),
             ),
             chain=(
-                ChainLink(member=Member(folder_id="text11", address="text12", zone="text13"), joined=14),
-                ChainLink(member=Member(folder_id="text15", address="text16", zone="text17"), joined=18),
+                ChainLink(member=Member(folder_id="text11", address="text12", zone="text13"), joined_view=14),
+                ChainLink(member=Member(folder_id="text15", address="text16", zone="text17"), joined_view=18),
             ),
         ),
     ),
@@ -194,9 +194,11 @@
     "resign_request by default": ReadLeaseReleaseRequest(view_number=1),
     "resigned": ReadLeaseReleased(view_number=1, released_at=2.5),
     "resigned by default": ReadLeaseReleased(view_number=1, released_at=2.5),
-    "chain_state": SuccessorStatus(view_number=1, folder_id="text2", joined=3, complete=True, sequence=4),
+    "chain_state": SuccessorStatus(
+        view_number=1, folder_id="text2", joined_view=3, complete=True, sequence=4
+    ),
     "chain_state by default": SuccessorStatus(
-        view_number=1, folder_id="text2", joined=3, complete=True, sequence=4
+        view_number=1, folder_id="text2", joined_view=3, complete=True, sequence=4
     ),
     "append": AppendRequest(view_number=1, entry=Entry(sequence=2, view=3, generation=4, document=b"bytes5")),
     "append by default": AppendRequest(
@@ -204,13 +206,13 @@
     ),
     "snapshot": InstallSnapshot(
         view_number=1,
-        joined=2,
+        joined_view=2,
         entry=Entry(sequence=3, view=4, generation=5, document=b"bytes6"),
         history=bytes(range(40)),
     ),
     "snapshot by default": InstallSnapshot(
         view_number=1,
-        joined=2,
+        joined_view=2,
         entry=Entry(sequence=3, view=4, generation=5, document=b"bytes6"),
         history=bytes(range(40)),
     ),
@@ -255,8 +257,8 @@
                 Member(folder_id="text5", address="text6", zone="text7"),
             ),
             chain=(
-                ChainLink(member=Member(folder_id="text8", address="text9", zone="text10"), joined=11),
-                ChainLink(member=Member(folder_id="text12", address="text13", zone="text14"), joined=15),
+                ChainLink(member=Member(folder_id="text8", address="text9", zone="text10"), joined_view=11),
+                ChainLink(member=Member(folder_id="text12", address="text13", zone="text14"), joined_view=15),
             ),
         )
     ),
@@ -268,8 +270,8 @@
                 Member(folder_id="text5", address="text6", zone="text7"),
             ),
             chain=(
-                ChainLink(member=Member(folder_id="text8", address="text9", zone="text10"), joined=11),
-                ChainLink(member=Member(folder_id="text12", address="text13", zone="text14"), joined=15),
+                ChainLink(member=Member(folder_id="text8", address="text9", zone="text10"), joined_view=11),
+                ChainLink(member=Member(folder_id="text12", address="text13", zone="text14"), joined_view=15),
             ),
         )
     ),
@@ -284,8 +286,8 @@
                 Member(folder_id="text10", address="text11", zone="text12"),
             ),
             chain=(
-                ChainLink(member=Member(folder_id="text13", address="text14", zone="text15"), joined=16),
-                ChainLink(member=Member(folder_id="text17", address="text18", zone="text19"), joined=20),
+                ChainLink(member=Member(folder_id="text13", address="text14", zone="text15"), joined_view=16),
+                ChainLink(member=Member(folder_id="text17", address="text18", zone="text19"), joined_view=20),
             ),
         ),
     ),
@@ -308,8 +310,8 @@
             ChangeId(generation=3, digest=b"bytes4"),
         )
     ),
-    "synced": SyncedRecord(joined=1),
-    "synced by default": SyncedRecord(joined=1),
+    "synced": SyncedRecord(joined_view=1),
+    "synced by default": SyncedRecord(joined_view=1),
     "probe": ProbeRecord(),
     "probe by default": ProbeRecord(),
 }
