--- a/tests/control_plane/contact.py
+++ b/tests/control_plane/contact.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from tests.control_plane.calm import CATCH_UP_S, CONTACT_S
+from tests.control_plane.disturbances import CATCH_UP_S, STABLE_AFTER_S
 from tests.control_plane.simulation import Simulation
 
 NEVER = float("-inf")
@@ -35,14 +35,18 @@
 
     def _too_many_lost(self) -> bool:
         simulation = self._simulation
-        calm = simulation.calm
-        lately = {address for address in simulation.machines if calm.disk_lately(simulation.now, address)}
-        lost = simulation.troubled() | lately | self._without_a_copy()
+        disturbances = simulation.disturbances
+        lately = {
+            address
+            for address in simulation.machines
+            if disturbances.disk_changed_recently(simulation.now, address)
+        }
+        lost = simulation.impaired_machines() | lately | self._without_a_copy()
         return len(lost) > simulation.tolerated
 
     def _note_lost(self, now: float) -> None:
         """A machine stays lost for CATCH_UP_S after it is back."""
-        for address in self._simulation.troubled():
+        for address in self._simulation.impaired_machines():
             self._lost_until[address] = now + CATCH_UP_S
 
     def _cannot_decide(self, side: set[str]) -> bool:
@@ -87,10 +91,10 @@
 
     def stable_for(self) -> float:
         """For how long the core has been stable, less the time after an event in which it is not yet."""
-        if not self.majority_side() or self._simulation.network.noisy:
+        if not self.majority_side() or self._simulation.network.has_message_faults:
             return NEVER
-        last = max(self._simulation.calm.last_event, self._majority_since)
-        return self._simulation.now - last - CONTACT_S
+        last = max(self._simulation.disturbances.last_event, self._majority_since)
+        return self._simulation.now - last - STABLE_AFTER_S
 
     def majority_for(self) -> float:
         """For how long more than half of the core has run, connected, with no more lost than tolerated."""
@@ -103,12 +107,12 @@
 
     def untroubled_for(self, name: str) -> float:
         """For how long nothing has happened to a machine itself."""
-        return self._simulation.now - self._simulation.calm.last_of(name)
+        return self._simulation.now - self._simulation.disturbances.last_of(name)
 
     def in_touch(self, name: str) -> bool:
         """Whether the rules' time bounds hold for a machine now."""
         own = min(self.joined_for(name), self.untroubled_for(name))
-        return own >= CONTACT_S and self.stable_for() >= 0.0
+        return own >= STABLE_AFTER_S and self.stable_for() >= 0.0
 
     def _path(self, one: str, other: str) -> bool:
         network = self._simulation.network
--- a/tests/control_plane/calm.py
+++ b/tests/control_plane/disturbances.py
@@ -4,30 +4,30 @@
 
 from dataclasses import dataclass, field
 
-CONTACT_S = 3.0  # after an event the core counts as settled, and a machine as in touch
+STABLE_AFTER_S = 3.0  # after an event the core counts as settled, and a machine as in touch
 CATCH_UP_S = 4.0  # a machine that is back, or new, counts as lost for that long
 
 
 @dataclass
-class Calm:
+class Disturbances:
     """Times of the events that disturb machines."""
 
     last_event: float = float("-inf")
     _last_of: dict[str, float] = field(default_factory=dict)
     _last_disk_of: dict[str, float] = field(default_factory=dict)
 
-    def disturbed(self, now: float, *addresses: str) -> None:
+    def record(self, now: float, *addresses: str) -> None:
         """Something happened to these machines that also unsettles the core."""
         self.last_event = now
         for address in addresses:
             self._last_of[address] = now
 
-    def disk_changed(self, now: float, address: str) -> None:
+    def record_disk_change(self, now: float, address: str) -> None:
         """A disk got into trouble or out of it, which leaves the core settled."""
         self._last_of[address] = now
         self._last_disk_of[address] = now
 
-    def disk_lately(self, now: float, address: str) -> bool:
+    def disk_changed_recently(self, now: float, address: str) -> bool:
         """Whether the machine counts as lost still for a trouble of its disk."""
         return now - self._last_disk_of.get(address, float("-inf")) < CATCH_UP_S
 
--- a/tests/control_plane/fault_injection.py
+++ b/tests/control_plane/fault_injection.py
@@ -152,7 +152,7 @@
         self._later(seconds, self._join)
 
     def _join(self) -> None:
-        self._simulation.join()
+        self._simulation.restore_links()
         if self.on_join is not None:
             self.on_join()
 
@@ -183,15 +183,15 @@
         both = rng.random() < 0.5
         self._log(f"cut the link from {one} to {other}{' and back' if both else ''}")
         self._simulation.cut(one, other, both=both)
-        self._later(rng.uniform(*SHORT_CUT_S), self._simulation.join)
+        self._later(rng.uniform(*SHORT_CUT_S), self._simulation.restore_links)
 
     def noise(self, rng: Random) -> None:
         """Messages are lost, doubled and late."""
         network = self._simulation.network
         network.loss, network.doubled, network.late = rng.choice([(0.02, 0.1, 0.1), (0.2, 0.0, 0.1)])
-        self._simulation.calm.disturbed(self._simulation.now, *self._simulation.machines)
+        self._simulation.disturbances.record(self._simulation.now, *self._simulation.machines)
         self._log(f"noise {network.loss}")
-        self._later(rng.uniform(0.5, NOISE_S), self._simulation.silence_noise)
+        self._later(rng.uniform(0.5, NOISE_S), self._simulation.end_message_faults)
 
     # ---- machines come and go ----
 
--- a/tests/control_plane/fleet_judge.py
+++ b/tests/control_plane/fleet_judge.py
@@ -4,8 +4,8 @@
 
 from bisect import bisect_right
 
-from tests.control_plane.calm import CONTACT_S
 from tests.control_plane.contact import ContactWatch
+from tests.control_plane.disturbances import STABLE_AFTER_S
 from tests.control_plane.simulated_control import ControlSchedulers
 from tests.control_plane.simulated_data_plane import APPLY_S, DataPlane, DataPlaneScheduler
 from tests.control_plane.simulation import Simulation
@@ -90,6 +90,6 @@
         if contact.in_touch(name):
             return APPLY_S
         own = min(contact.joined_for(name), contact.untroubled_for(name))
-        if own >= CONTACT_S and contact.majority_for() >= APPLY_S + STRETCH_S:
+        if own >= STABLE_AFTER_S and contact.majority_for() >= APPLY_S + STRETCH_S:
             return APPLY_S + STRETCH_S
         return None
--- a/tests/control_plane/loss_budget.py
+++ b/tests/control_plane/loss_budget.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from tests.control_plane.calm import CATCH_UP_S
+from tests.control_plane.disturbances import CATCH_UP_S
 from tests.control_plane.simulation import Simulation
 
 LOOK_S = 0.1
@@ -55,7 +55,7 @@
         present = {self.slot(address) for address in simulation.machines}
         lost = set(self._slots.values()) - present
         for address in simulation.machines:
-            lately = simulation.now - simulation.calm.last_of(address) < CATCH_UP_S
-            if lately or address in simulation.troubled():
+            lately = simulation.now - simulation.disturbances.last_of(address) < CATCH_UP_S
+            if lately or address in simulation.impaired_machines():
                 lost.add(self.slot(address))
         return lost
--- a/tests/control_plane/loss_schedule.py
+++ b/tests/control_plane/loss_schedule.py
@@ -157,8 +157,8 @@
         if len(self._lost()) >= self._tolerated:
             return
         taken = self._lost_addresses() | {loss.leaving for loss in self._lost()}
-        calm = [machine.address for machine in self._simulation.running() if machine.address not in taken]
-        address = self._random.choice(calm)
+        idle = [machine.address for machine in self._simulation.running() if machine.address not in taken]
+        address = self._random.choice(idle)
         loss = Lost({address})
         self._losses.append(loss)
         self.figures.losses += 1
--- a/tests/control_plane/operators.py
+++ b/tests/control_plane/operators.py
@@ -10,7 +10,7 @@
 
 from reedspoke.common.errors import ErrorCode
 from reedspoke.control_plane.replication.effects import PutCompleted
-from tests.control_plane.calm import CONTACT_S
+from tests.control_plane.disturbances import STABLE_AFTER_S
 from tests.control_plane.simulation import Simulation
 
 SILENCE_S = 1.0  # an operator goes on to another machine after that
@@ -170,7 +170,7 @@
     def _check(self) -> None:
         simulation = self._simulation
         simulation.at(simulation.now + CHECK_INTERVAL_S, self._check)
-        settled_from = simulation.settled_since() + CONTACT_S
+        settled_from = simulation.settled_since() + STABLE_AFTER_S
         for order in self.open_orders():
             change = simulation.judge.changes.get(order.document)
             if change is not None and (change.acknowledged or change.refused):
--- a/tests/control_plane/random_schedule.py
+++ b/tests/control_plane/random_schedule.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from tests.control_plane.calm import CONTACT_S
+from tests.control_plane.disturbances import STABLE_AFTER_S
 from tests.control_plane.fault_injection import CUT_S, FaultInjector
 from tests.control_plane.fleet_fault_injection import FleetFaultInjector
 from tests.control_plane.operators import MOST_ORDERS, Operators
@@ -70,7 +70,7 @@
 
 
 @dataclass
-class World:
+class FaultScenario:
     """A simulation with operators and troubles, and what has happened to it."""
 
     seed: int
@@ -94,7 +94,7 @@
         """Note what happens."""
         self.lines.append(f"{self.simulation.now:8.3f} {text}")
 
-    def take(self, step: Step) -> None:
+    def run_step(self, step: Step) -> None:
         """Carry out one step."""
         rng = Random(f"step {self.seed} {step.number}")
         if step.kind in FAULTS:
@@ -117,7 +117,7 @@
         assert simulation.run_until(lambda: not self.operators.open_orders(), SETTLE_LIMIT_S)
         simulation.run(1.0)
         check_end(simulation)
-        simulation.run(2 * CONTACT_S)
+        simulation.run(2 * STABLE_AFTER_S)
         self.fleet.check_end()
 
     def _cut_outside(self, victims: list[str], rng: Random) -> None:
@@ -157,10 +157,10 @@
     return Step(number, kind, rng.uniform(0.0, MOST_CALM_S if calm else MOST_PAUSE_S))
 
 
-def play_schedule(seed: int, steps: Sequence[Step], machines: int = 3, tolerated: int = 1) -> World:
+def play_schedule(seed: int, steps: Sequence[Step], machines: int = 3, tolerated: int = 1) -> FaultScenario:
     """Carry out a schedule from the first start on. Raises AssertionError where a rule is broken."""
-    world = World(seed, Simulation(seed, machines, tolerated))
+    scenario = FaultScenario(seed, Simulation(seed, machines, tolerated))
     for step in steps:
-        world.take(step)
-    world.end()
-    return world
+        scenario.run_step(step)
+    scenario.end()
+    return scenario
--- a/tests/control_plane/schedule.py
+++ b/tests/control_plane/schedule.py
@@ -113,7 +113,7 @@
         """Only while all machines are in the chain, as the troubles before must have been overcome."""
         simulation = self._simulation
         all_run = len(simulation.running()) == len(simulation.machines)
-        if self._tolerated == 0 or not all_run or not simulation.whole():
+        if self._tolerated == 0 or not all_run or not simulation.all_in_chain():
             return
         addresses = self._random.sample(list(simulation.machines), len(simulation.machines))
         lost = addresses[: self._random.randint(1, self._tolerated)]
--- a/tests/control_plane/simulated_core.py
+++ b/tests/control_plane/simulated_core.py
@@ -32,7 +32,7 @@
     ViewConfirmation,
 )
 from reedspoke.control_plane.replication.replica import TICK_INTERVAL_S, Replica, ReplicaSettings
-from tests.control_plane.calm import Calm
+from tests.control_plane.disturbances import Disturbances
 from tests.control_plane.judge import Judge
 from tests.control_plane.simulated_parts import (
     STORE_ERRORS,
@@ -75,7 +75,7 @@
         self.doubled_messages: set[int] = set()
         self.late_messages: set[int] = set()
         self.tolerated = tolerated
-        self.calm = Calm()
+        self.disturbances = Disturbances()
         self.components: list[Component] = []
         self.on_put_answer: Callable[[PutCompleted], None] | None = None
         self._seed = seed
@@ -116,7 +116,7 @@
         machine.missed = []
         machine.tick_is_due = False
         machine.calls = {}
-        self.calm.disturbed(self.now, address)
+        self.disturbances.record(self.now, address)
         self.judge.started(address)
         settings = ReplicaSettings(
             folder_id=machine.disk.folder_id,
@@ -138,7 +138,7 @@
             return
         machine.replica = None
         machine.incarnation += 1
-        self.calm.disturbed(self.now, address)
+        self.disturbances.record(self.now, address)
         self.judge.stopped(address)
         for component in self.components:
             component.stopped(machine)
--- a/tests/control_plane/simulated_data_plane.py
+++ b/tests/control_plane/simulated_data_plane.py
@@ -204,7 +204,7 @@
 
     def _note(self, name: str) -> None:
         """Something happened to a node, which leaves the core settled."""
-        self._simulation.calm.disk_changed(self._simulation.now, name)
+        self._simulation.disturbances.record_disk_change(self._simulation.now, name)
 
     # ---- connections ----
 
--- a/tests/control_plane/simulated_parts.py
+++ b/tests/control_plane/simulated_parts.py
@@ -125,14 +125,14 @@
         return link not in self.cut and link not in self.cut_outside
 
     @property
-    def noisy(self) -> bool:
+    def has_message_faults(self) -> bool:
         """Whether any message may be lost, doubled or late."""
         return bool(self.loss or self.doubled or self.late)
 
     @property
-    def troubled(self) -> bool:
+    def is_impaired(self) -> bool:
         """Whether any link is cut or harmed."""
-        return bool(self.cut) or self.noisy
+        return bool(self.cut) or self.has_message_faults
 
 
 STORE_ERRORS = {DiskMode.FULL: ErrorCode.STORAGE_FULL, DiskMode.FAILS: ErrorCode.STORAGE_FAILED}
--- a/tests/control_plane/simulation.py
+++ b/tests/control_plane/simulation.py
@@ -90,41 +90,41 @@
         view = self.newest_view()
         return [link.member.address for link in view.chain] if view else []
 
-    def whole(self) -> bool:
+    def all_in_chain(self) -> bool:
         """Whether every running machine is in the newest chain and acts in that view."""
         running = self.running()
         views = {m.replica.view.number if m.replica and m.replica.view else 0 for m in running}
         return len(views) == 1 and all(m.replica is not None and m.replica.in_chain for m in running)
 
-    def harmed_by_links(self) -> set[str]:
+    def machines_with_bad_links(self) -> set[str]:
         """Machines that count as cut off: all of a harmed network, else the ends of the cut links.
 
         A link to a machine that is cut off as a whole does not count against its other end.
         """
-        if self.network.noisy:
+        if self.network.has_message_faults:
             return set(self.machines)
         off = self.network.cut_off
         links = (link for link in self.network.cut if not off.intersection(link))
         return off.union(*links)
 
-    def troubled(self) -> set[str]:
+    def impaired_machines(self) -> set[str]:
         """Machines that are down, frozen, cut off or have a bad disk now."""
         bad = {
             machine.address
             for machine in self.machines.values()
             if machine.replica is None or machine.frozen or machine.disk.mode is not DiskMode.WORKS
         }
-        return bad | self.harmed_by_links()
+        return bad | self.machines_with_bad_links()
 
     def settled_since(self) -> float:
         """Since when nothing has happened to the core and its links; never where too much is lost now."""
-        if self.network.troubled or len(self.troubled()) > self.tolerated:
+        if self.network.is_impaired or len(self.impaired_machines()) > self.tolerated:
             return float("inf")
-        return self.calm.last_event
+        return self.disturbances.last_event
 
     def settle(self, limit: float = 6.0) -> None:
         """Let the core become whole."""
-        assert self.run_until(self.whole, limit), f"not whole, the chain is {self.chain()}"
+        assert self.run_until(self.all_in_chain, limit), f"not whole, the chain is {self.chain()}"
 
     # ---- faults of processes ----
 
@@ -148,22 +148,22 @@
 
     def freeze(self, address: str) -> None:
         """The process is stopped; its clock goes on."""
-        self.calm.disturbed(self.now, address)
-        self.stand_still(address)
+        self.disturbances.record(self.now, address)
+        self.suspend(address)
 
     def thaw(self, address: str) -> None:
         """The process goes on, and finds what came meanwhile."""
-        self.calm.disturbed(self.now, address)
-        self.go_on(address)
+        self.disturbances.record(self.now, address)
+        self.resume(address)
 
-    def stand_still(self, address: str) -> None:
+    def suspend(self, address: str) -> None:
         """The process gets no processor time for now, which is no trouble of its machine."""
         machine = self.machines[address]
         machine.frozen = True
         for component in self.components:
             component.frozen(machine)
 
-    def go_on(self, address: str) -> None:
+    def resume(self, address: str) -> None:
         """The process gets processor time again, and finds what came meanwhile."""
         machine = self.machines[address]
         machine.frozen = False
@@ -179,7 +179,7 @@
         """SIGTERM: the process says so, and ends for good a little later."""
         machine = self.machines[address]
         machine.leaving = True
-        self.calm.disturbed(self.now, address)
+        self.disturbances.record(self.now, address)
         incarnation = machine.incarnation
         self._handle(address, ShutdownStarted())
         for component in self.components:
@@ -204,7 +204,7 @@
 
     def change_seeds(self, seeds: tuple[str, ...]) -> None:
         """The settings of all machines name other seeds from now on."""
-        self.calm.disturbed(self.now)
+        self.disturbances.record(self.now)
         self.seeds = seeds
         for machine in self.running():
             self._handle(machine.address, SeedsChanged(seeds))
@@ -215,7 +215,7 @@
         """The disk gets into or out of trouble; what hung is carried out."""
         disk = self.machines[address].disk
         if disk.mode is not mode:
-            self.calm.disk_changed(self.now, address)
+            self.disturbances.record_disk_change(self.now, address)
         disk.mode = mode
         waiting, disk.waiting = disk.waiting, []
         for store in waiting:
@@ -223,7 +223,7 @@
 
     def cut(self, one: str, other: str, both: bool = True) -> None:
         """The link carries nothing from one to the other."""
-        self.calm.disturbed(self.now, one, other)
+        self.disturbances.record(self.now, one, other)
         self.network.cut.add((one, other))
         if both:
             self.network.cut.add((other, one))
@@ -235,7 +235,7 @@
     def cut_off(self, addresses: Iterable[str], direction: Direction = Direction.BOTH) -> None:
         """Machines are cut off from all others, and go on reaching each other."""
         inside = set(addresses)
-        self.calm.disturbed(self.now, *inside)
+        self.disturbances.record(self.now, *inside)
         self.network.cut_off |= inside
         for one in inside:
             for other in set(self.machines) - inside:
@@ -244,23 +244,23 @@
                 if direction is not Direction.FROM_THEM:
                     self.network.cut.add((other, one))
 
-    def join(self) -> None:
+    def restore_links(self) -> None:
         """No link is cut any more."""
         if self.network.cut:
-            self.calm.disturbed(self.now, *self.harmed_by_links())
+            self.disturbances.record(self.now, *self.machines_with_bad_links())
         self.network.cut.clear()
         self.network.cut_off.clear()
 
-    def silence_noise(self) -> None:
+    def end_message_faults(self) -> None:
         """No message is lost, doubled or late any more."""
-        if self.network.noisy:
-            self.calm.disturbed(self.now, *self.machines)
+        if self.network.has_message_faults:
+            self.disturbances.record(self.now, *self.machines)
         self.network.loss = self.network.doubled = self.network.late = 0.0
 
     def heal(self) -> None:
         """All links carry again, all disks work, all processes run."""
-        self.join()
-        self.silence_noise()
+        self.restore_links()
+        self.end_message_faults()
         for machine in list(self.machines.values()):
             self.set_disk(machine.address, DiskMode.WORKS)
             if machine.frozen:
--- a/tests/control_plane/strength.py
+++ b/tests/control_plane/strength.py
@@ -16,7 +16,7 @@
 
 def at_full_strength(simulation: Simulation, tolerated: int) -> bool:
     """Every running machine is complete in the chain, and enough of them, and nobody else, vote."""
-    if not simulation.whole():
+    if not simulation.all_in_chain():
         return False
     view = simulation.newest_view()
     assert view is not None
--- a/tests/control_plane/test_storage_changes.py
+++ b/tests/control_plane/test_storage_changes.py
@@ -82,7 +82,7 @@
         machine = self.simulation.machines[address]
         if machine.replica is None or machine.frozen:
             return False
-        return self.simulation.whole() and self._held(address) == self.generation
+        return self.simulation.all_in_chain() and self._held(address) == self.generation
 
     def _check_ends_of_chain(self) -> None:
         """Who heads the newest chain, or would answer as its tail, holds the newest acknowledged change."""
--- a/tests/control_plane/test_storage_lost_state.py
+++ b/tests/control_plane/test_storage_lost_state.py
@@ -62,7 +62,7 @@
         for asked in simulation.machines:
             simulation.get(asked)
         simulation.run(0.02)
-    assert simulation.run_until(simulation.whole, CATCH_UP_S)
+    assert simulation.run_until(simulation.all_in_chain, CATCH_UP_S)
     for asked in simulation.machines:
         answer = simulation.get_and_wait(asked)
         assert answer is not None
--- a/tests/control_plane/test_worst_days_losses.py
+++ b/tests/control_plane/test_worst_days_losses.py
@@ -4,27 +4,27 @@
 
 import pytest
 
-from tests.control_plane.calm import CATCH_UP_S
-from tests.control_plane.random_schedule import World
-from tests.control_plane.worst_day import fleet_in_service, run_with_orders
+from tests.control_plane.disturbances import CATCH_UP_S
+from tests.control_plane.fleet_scenario import fleet_in_service, run_with_orders
+from tests.control_plane.random_schedule import FaultScenario
 
 WHILE_REPLACED_S = 1.0
 
 
-def _replace(world: World, old: str, planned: bool) -> None:
+def _replace(scenario: FaultScenario, old: str, planned: bool) -> None:
     """A new machine at a new address with an empty disk; the old one goes before it comes, or after."""
-    simulation = world.simulation
+    simulation = scenario.simulation
     if planned:
         simulation.add_machine("n1")
-        run_with_orders(world, WHILE_REPLACED_S)
+        run_with_orders(scenario, WHILE_REPLACED_S)
         simulation.leave(old, gone_after=1.0)
-        run_with_orders(world, WHILE_REPLACED_S)
+        run_with_orders(scenario, WHILE_REPLACED_S)
         simulation.remove_machine(old)
     else:
         simulation.remove_machine(old)
-        run_with_orders(world, WHILE_REPLACED_S)
+        run_with_orders(scenario, WHILE_REPLACED_S)
         simulation.add_machine("n1")
-    run_with_orders(world, CATCH_UP_S)
+    run_with_orders(scenario, CATCH_UP_S)
 
 
 @pytest.mark.parametrize("with_power", [False, True])
@@ -34,51 +34,51 @@
     place: int, planned: bool, with_power: bool
 ) -> None:
     for second in range(3):
-        world = fleet_in_service(seed=80 + place)
-        simulation = world.simulation
-        _replace(world, simulation.chain()[place], planned)
+        scenario = fleet_in_service(seed=80 + place)
+        simulation = scenario.simulation
+        _replace(scenario, simulation.chain()[place], planned)
         machines = list(simulation.machines)
         simulation.lose_disk(machines[second], restart_after=0.5)
         if with_power:
             for address in machines:
                 if address != machines[second]:
                     simulation.lose_power(address, restart_after=0.3)
-        run_with_orders(world, 2.0)
-        world.end()
+        run_with_orders(scenario, 2.0)
+        scenario.end()
 
 
 @pytest.mark.parametrize("place", [0, 1, 2])
 def test_disks_lost_one_after_another_as_soon_as_each_machine_has_caught_up(place: int) -> None:
-    world = fleet_in_service(seed=90 + place)
+    scenario = fleet_in_service(seed=90 + place)
     for turn in range(3):
-        address = list(world.simulation.machines)[(place + turn) % 3]
-        world.simulation.lose_disk(address, restart_after=0.3)
-        run_with_orders(world, 0.3 + CATCH_UP_S)
-    world.end()
+        address = list(scenario.simulation.machines)[(place + turn) % 3]
+        scenario.simulation.lose_disk(address, restart_after=0.3)
+        run_with_orders(scenario, 0.3 + CATCH_UP_S)
+    scenario.end()
 
 
 @pytest.mark.parametrize("place", [0, 1, 2])
 def test_a_machine_leaves_once_another_with_a_lost_disk_has_caught_up(place: int) -> None:
-    world = fleet_in_service(seed=95 + place)
-    simulation = world.simulation
+    scenario = fleet_in_service(seed=95 + place)
+    simulation = scenario.simulation
     lost = simulation.chain()[place]
     simulation.lose_disk(lost, restart_after=0.3)
-    run_with_orders(world, 0.3 + CATCH_UP_S)
+    run_with_orders(scenario, 0.3 + CATCH_UP_S)
     leaving = next(address for address in simulation.machines if address != lost)
     simulation.leave(leaving, gone_after=1.0)
-    run_with_orders(world, 1.5)
+    run_with_orders(scenario, 1.5)
     simulation.start(leaving)
-    world.end()
+    scenario.end()
 
 
 def test_two_of_five_are_replaced_at_once_and_two_more_lose_their_disks() -> None:
-    world = fleet_in_service(seed=99, machines=5, tolerated=2)
-    simulation = world.simulation
+    scenario = fleet_in_service(seed=99, machines=5, tolerated=2)
+    simulation = scenario.simulation
     for number, old in enumerate(["m1", "m5"]):
         simulation.remove_machine(old)
         simulation.add_machine(f"n{number}")
-    run_with_orders(world, CATCH_UP_S)
+    run_with_orders(scenario, CATCH_UP_S)
     for address in ("m2", "n0"):
         simulation.lose_disk(address, restart_after=0.5)
-    run_with_orders(world, 2.0)
-    world.end()
+    run_with_orders(scenario, 2.0)
+    scenario.end()
--- a/tests/control_plane/test_worst_days_operators.py
+++ b/tests/control_plane/test_worst_days_operators.py
@@ -8,9 +8,9 @@
 from pytest_bdd import given, parsers, scenarios, then, when
 
 from reedspoke.common.errors import ErrorCode
+from tests.control_plane.fleet_scenario import acknowledged, fleet_in_service
 from tests.control_plane.operators import Order
-from tests.control_plane.random_schedule import ACK_LOSS, World
-from tests.control_plane.worst_day import acknowledged, fleet_in_service
+from tests.control_plane.random_schedule import ACK_LOSS, FaultScenario
 
 ANSWER_LIMIT_S = 12.0
 
@@ -21,12 +21,14 @@
 class Story:
     """A fleet and the orders of the story."""
 
-    world: World
+    scenario: FaultScenario
     orders: list[Order] = field(default_factory=list)
 
     def finish(self) -> None:
         """Wait until each order has a final answer."""
-        done = self.world.simulation.run_until(lambda: not self.world.operators.open_orders(), ANSWER_LIMIT_S)
+        done = self.scenario.simulation.run_until(
+            lambda: not self.scenario.operators.open_orders(), ANSWER_LIMIT_S
+        )
         assert done
 
 
@@ -38,73 +40,73 @@
 
 @given("a fleet in service")
 def fleet(story: Story) -> None:
-    assert story.world.operators.newest()
+    assert story.scenario.operators.newest()
 
 
 @given("7 of 10 answers to operators are lost")
 def answers_lost(story: Story) -> None:
-    story.world.operators.answer_loss = ACK_LOSS
+    story.scenario.operators.answer_loss = ACK_LOSS
 
 
 @given(parsers.parse("{count:d} changes have been made since the first"))
 def many_changes(story: Story, count: int) -> None:
     for _ in range(count):
-        story.world.operators.order_next()
+        story.scenario.operators.order_next()
         story.finish()
 
 
 @when(parsers.parse("{count:d} operators send different changes under one number at once"))
 def race(story: Story, count: int) -> None:
-    story.orders = story.world.operators.race(count)
+    story.orders = story.scenario.operators.race(count)
 
 
 @when("the head is killed")
 def head_killed(story: Story) -> None:
-    story.world.simulation.run(0.004)
-    story.world.simulation.kill(story.world.simulation.chain()[0], restart_after=0.5)
+    story.scenario.simulation.run(0.004)
+    story.scenario.simulation.kill(story.scenario.simulation.chain()[0], restart_after=0.5)
 
 
 @when("an operator's order is on its way at a machine that is killed")
 def asked_machine_killed(story: Story) -> None:
-    newest = story.world.operators.newest()
-    story.orders = [story.world.operators.order(newest, newest + 1, at="m2")]
-    story.world.simulation.run(0.004)
-    story.world.simulation.kill("m2", restart_after=0.3)
+    newest = story.scenario.operators.newest()
+    story.orders = [story.scenario.operators.order(newest, newest + 1, at="m2")]
+    story.scenario.simulation.run(0.004)
+    story.scenario.simulation.kill("m2", restart_after=0.3)
 
 
 @when("an operator asks a machine that is killed, and another operator asks its next process")
 def two_processes(story: Story) -> None:
-    world = story.world
-    newest = world.operators.newest()
-    first = world.operators.order(newest, newest + 1, at="m2")
-    world.simulation.run(0.002)
-    world.simulation.kill("m2", restart_after=0.05)
-    world.simulation.run(0.06)
-    second = world.operators.order(newest, newest + 1, at="m2")
+    scenario = story.scenario
+    newest = scenario.operators.newest()
+    first = scenario.operators.order(newest, newest + 1, at="m2")
+    scenario.simulation.run(0.002)
+    scenario.simulation.kill("m2", restart_after=0.05)
+    scenario.simulation.run(0.06)
+    second = scenario.operators.order(newest, newest + 1, at="m2")
     story.orders = [first, second]
 
 
 @when("the first order is sent again")
 def first_again(story: Story) -> None:
-    first = story.world.operators.orders[0]
-    story.orders = [story.world.operators.order(first.match, first.generation, first.document)]
-    story.world.simulation.run(2.0)
+    first = story.scenario.operators.orders[0]
+    story.orders = [story.scenario.operators.order(first.match, first.generation, first.document)]
+    story.scenario.simulation.run(2.0)
 
 
 @then("one of them is acknowledged and all others are refused")
 def one_wins(story: Story) -> None:
     story.finish()
-    won = acknowledged(story.world, story.orders)
-    changes = story.world.simulation.judge.changes
+    won = acknowledged(story.scenario, story.orders)
+    changes = story.scenario.simulation.judge.changes
     assert len(won) == 1
     assert all(changes[order.document].refused for order in story.orders if order not in won)
 
 
 @then("every machine reads back the one that was acknowledged")
 def read_back(story: Story) -> None:
-    (won,) = acknowledged(story.world, story.orders)
-    for address in story.world.simulation.machines:
-        answer = story.world.simulation.get_and_wait(address)
+    (won,) = acknowledged(story.scenario, story.orders)
+    for address in story.scenario.simulation.machines:
+        answer = story.scenario.simulation.get_and_wait(address)
         assert answer is not None
         assert answer.committed is not None
         assert (answer.committed.generation, answer.committed.document) == (won.generation, won.document)
@@ -113,16 +115,16 @@
 @then("the order is acknowledged at another machine")
 def acknowledged_elsewhere(story: Story) -> None:
     story.finish()
-    assert acknowledged(story.world, story.orders) == story.orders
+    assert acknowledged(story.scenario, story.orders) == story.orders
 
 
 @then("sending it again everywhere is acknowledged")
 def again_everywhere(story: Story) -> None:
     (order,) = story.orders
-    story.world.simulation.settle()
-    story.world.simulation.run(1.0)
-    for address in story.world.simulation.machines:
-        put = story.world.simulation.put_and_wait
+    story.scenario.simulation.settle()
+    story.scenario.simulation.run(1.0)
+    for address in story.scenario.simulation.machines:
+        put = story.scenario.simulation.put_and_wait
         assert put(address, order.match, order.generation, order.document) is None
 
 
@@ -135,6 +137,6 @@
 
 @then("it is not refused")
 def not_refused(story: Story) -> None:
-    answers = story.world.simulation.judge.put_answers.values()
+    answers = story.scenario.simulation.judge.put_answers.values()
     refused = (ErrorCode.CONFIGURATION_STALE_MATCH, ErrorCode.CONFIGURATION_OLD_GENERATION)
     assert not [answer for answer in answers if answer.error in refused]
--- a/tests/control_plane/test_worst_days_partition.py
+++ b/tests/control_plane/test_worst_days_partition.py
@@ -5,69 +5,69 @@
 import pytest
 
 from reedspoke.common.errors import ErrorCode
-from tests.control_plane.random_schedule import World
+from tests.control_plane.fleet_scenario import acknowledged, fleet_in_service, run_with_orders
+from tests.control_plane.random_schedule import FaultScenario
 from tests.control_plane.simulated_parts import Direction
-from tests.control_plane.worst_day import acknowledged, fleet_in_service, run_with_orders
 
 CUT_S = 20.0
 DETECTED_S = 2.0  # a machine knows by then that it is cut off
 UNCLEAR = (ErrorCode.NO_QUORUM, ErrorCode.WRITE_UNCLEAR)
 
 
-def _answers_while_cut_off(world: World, address: str, seconds: float) -> None:
+def _answers_while_cut_off(scenario: FaultScenario, address: str, seconds: float) -> None:
     """Orders go to the machine that is cut off first; it neither confirms nor refuses any."""
-    simulation = world.simulation
+    simulation = scenario.simulation
     before = set(simulation.judge.put_answers)
-    orders = run_with_orders(world, seconds, at=address)
+    orders = run_with_orders(scenario, seconds, at=address)
     asked_there = set(simulation.machines[address].calls.values())
     for call, answer in simulation.judge.put_answers.items():
         if call in asked_there and call not in before:
             assert answer.error in UNCLEAR
-    assert len(acknowledged(world, orders)) > seconds / 4
+    assert len(acknowledged(scenario, orders)) > seconds / 4
 
 
 @pytest.mark.parametrize("place", [0, 1, 2])
 @pytest.mark.parametrize("direction", list(Direction))
 def test_it_hands_out_nothing_old_and_answers_no_order(place: int, direction: Direction) -> None:
-    world = fleet_in_service(seed=41 + place)
-    address = world.simulation.chain()[place]
-    world.simulation.network.holds = direction is not Direction.BOTH
-    world.simulation.cut_off([address], direction)
-    world.simulation.run(DETECTED_S)
-    _answers_while_cut_off(world, address, CUT_S - DETECTED_S)
-    world.simulation.join()
-    run_with_orders(world, 2.0, at=address)
-    world.end()
+    scenario = fleet_in_service(seed=41 + place)
+    address = scenario.simulation.chain()[place]
+    scenario.simulation.network.holds = direction is not Direction.BOTH
+    scenario.simulation.cut_off([address], direction)
+    scenario.simulation.run(DETECTED_S)
+    _answers_while_cut_off(scenario, address, CUT_S - DETECTED_S)
+    scenario.simulation.restore_links()
+    run_with_orders(scenario, 2.0, at=address)
+    scenario.end()
 
 
 @pytest.mark.parametrize("place", [0, 2])
 def test_restarts_and_seeds_that_begin_with_it_change_nothing(place: int) -> None:
-    world = fleet_in_service(seed=51 + place)
-    simulation = world.simulation
+    scenario = fleet_in_service(seed=51 + place)
+    simulation = scenario.simulation
     address = simulation.chain()[place]
     simulation.cut_off([address])
     simulation.change_seeds((address, *(other for other in simulation.machines if other != address)))
-    run_with_orders(world, DETECTED_S)
+    run_with_orders(scenario, DETECTED_S)
     simulation.kill(address, restart_after=0.3)
-    for name in world.fleet.data_plane.nodes:
-        world.fleet.data_plane.kill(name, restart_after=0.2)
-    run_with_orders(world, 6.0)
+    for name in scenario.fleet.data_plane.nodes:
+        scenario.fleet.data_plane.kill(name, restart_after=0.2)
+    run_with_orders(scenario, 6.0)
     others = [other for other in simulation.machines if other != address]
     for other in others:
         simulation.kill(other, restart_after=0.3)
-        run_with_orders(world, 5.0)
-    simulation.join()
-    world.end()
-    assert world.fleet.judge.looks_in_touch
+        run_with_orders(scenario, 5.0)
+    simulation.restore_links()
+    scenario.end()
+    assert scenario.fleet.judge.looks_in_touch
 
 
 def test_two_of_five_that_reach_each_other_lead_nobody_astray() -> None:
-    world = fleet_in_service(seed=61, machines=5, tolerated=2)
-    simulation = world.simulation
+    scenario = fleet_in_service(seed=61, machines=5, tolerated=2)
+    simulation = scenario.simulation
     victims = [simulation.chain()[0], simulation.chain()[-1]]
     simulation.cut_off(victims)
     simulation.run(DETECTED_S)
     for address in victims:
-        _answers_while_cut_off(world, address, (CUT_S - DETECTED_S) / 2)
-    simulation.join()
-    world.end()
+        _answers_while_cut_off(scenario, address, (CUT_S - DETECTED_S) / 2)
+    simulation.restore_links()
+    scenario.end()
--- a/tests/control_plane/test_worst_days_restart.py
+++ b/tests/control_plane/test_worst_days_restart.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from tests.control_plane.worst_day import fleet_in_service, run_with_orders
+from tests.control_plane.fleet_scenario import fleet_in_service, run_with_orders
 
 PARSING_S = (0.3, 0.5)  # of a large configuration
 
@@ -42,7 +42,7 @@
     simulation.cut_off([address])
     world.fleet.data_plane.cut("e1", others)
     run_with_orders(world, 6.0)
-    simulation.join()
+    simulation.restore_links()
     simulation.run(4.0)
     world.fleet.data_plane.join()
     world.end()
