--- a/reedspoke/control_plane/replication/chain.py
+++ b/reedspoke/control_plane/replication/chain.py
@@ -1,13 +1,13 @@
 """Chain replication in the present view: entries go from head to tail; each member syncs, then forwards.
 
 After van Renesse and Schneider, "Chain Replication for Supporting High Throughput and Availability" (OSDI
-2004). A member forwards an entry only once it is on its own disk, so that what a member holds all members
-before it hold too (the update propagation invariant), and what the tail holds is committed. The head accepts
-the next change only once the one before is committed, so that no two members differ by more than one entry
-that is not committed.
+2004). A member forwards an entry only once it is on its own disk. So every entry of a member is also held by
+all members before it (the update propagation invariant), and the entries of the tail are committed. The head
+accepts the next change only once the previous one is committed, so that no two members differ by more than
+one uncommitted entry.
 
-The view says which members there are. A message of another view changes nothing here: in another view the
-neighbours, and what counts as committed, may differ.
+The view names the members. Messages of another view are ignored, as the neighbours and the committed entries
+may differ in it.
 """
 
 from __future__ import annotations
@@ -36,10 +36,10 @@
 
 
 class Chain:
-    """Owns this replica's position in the chain; exchanges entries with its neighbours.
+    """Owns this replica's position in the chain, and exchanges entries with its neighbours.
 
-    `on_committed` is called with each newer committed entry, `on_idle` whenever nothing is in flight any more
-    or a store has failed.
+    `on_committed` is called with each newly committed entry, `on_idle` whenever no entry is in flight any
+    more or a store has failed.
     """
 
     def __init__(
@@ -69,20 +69,20 @@
 
     @property
     def is_head(self) -> bool:
-        """Whether changes enter here."""
+        """Whether this replica is the head, where changes enter the chain."""
         return self._position is not None and self._position.is_head
 
     @property
     def is_tail(self) -> bool:
-        """Whether entries are committed here."""
+        """Whether this replica is the tail, where entries are committed."""
         return self._position is not None and self._position.is_tail
 
     @property
     def can_replicate(self) -> bool:
-        """Whether the chain has enough members to acknowledge, and the next one has reported its status.
+        """Whether the chain has enough members to acknowledge changes, and the successor has reported.
 
-        Before that report the successor may lack entries, or be gone: a change accepted now would be in
-        flight for as long as its repair takes.
+        Before its report the successor may lack entries or be lost, and a change accepted now would stay in
+        flight until the chain is repaired.
         """
         if self._position is None or len(self._position.view.chain) < self._minimum:
             return False
@@ -90,31 +90,31 @@
 
     @property
     def complete(self) -> bool:
-        """Whether this replica holds everything since it was appended."""
+        """Whether this replica holds all entries since it was appended."""
         if self._position is None or self._register.installing_snapshot or self._outbox.synced_state_lost:
             return False
         joined_view = self._position.own_link.joined_view
         return joined_view == FIRST_VIEW_NUMBER or self._register.synced_since == joined_view
 
     def enter_view(self, view: View) -> None:
-        """Act in a newer view from now on."""
+        """Take the position of this replica in a newer view."""
         self._position = position_of(self._own, view)
         self._successor.enter_view()
         if self._position is None:
-            self._outbox.synced_state_lost = False  # it installs a snapshot before it is complete again
+            self._outbox.synced_state_lost = False  # before it is complete again it installs a snapshot
         self._send_status()
         self._forward_or_commit()
 
     # ---- events ----
 
     def tick(self) -> None:
-        """Report to the predecessor again, which then sends what is missing."""
+        """Report to the predecessor periodically, and resend what the successor lacks."""
         if self._outbox.now - self._status_sent_at >= HEARTBEAT_INTERVAL_S:
             self._send_status()
             self._forward()
 
     def append(self, generation: int, document: bytes, on_stored: Callable[[bool], None]) -> None:
-        """At the head: append a change to the chain. `on_stored` gets whether it is on the head's disk."""
+        """At the head: append a change; `on_stored` is called with whether the head's disk has stored it."""
         assert self._position is not None
         entry = Entry(self._register.sequence + 1, self._position.view.number, generation, document)
 
@@ -125,7 +125,7 @@
         self._register.append(entry, on_synced)
 
     def receive(self, message: Struct) -> bool:
-        """Handle a message; false where it is none of the chain. Those of another view are ignored."""
+        """Handle a message; return False if it is not a chain message. Other views' messages are ignored."""
         match message:
             case AppendRequest():
                 if self._of_this_view(message.view_number):
@@ -143,7 +143,7 @@
         return True
 
     def record_committed(self, view: int, sequence: int) -> None:
-        """The tail of this view has committed up to `sequence`."""
+        """Record that the tail of this view has committed all entries up to `sequence`."""
         if not self._of_this_view(view) or not self.complete:
             return
         self._detect_lost_state(sequence)
@@ -159,7 +159,7 @@
         if register.pending_entry is not None:
             return
         if entry.sequence == register.sequence + 1:
-            self._commit()  # the head accepts a change only once all before it is committed
+            self._commit()  # the head accepts a change only once all earlier entries are committed
             register.append(entry, self._entry_synced)
         elif entry == register.entry:
             self._send_status()
@@ -187,7 +187,7 @@
             self._on_idle()
 
     def _send_status(self) -> None:
-        """Report to the predecessor, which also acknowledges what it has sent."""
+        """Report to the predecessor; this also acknowledges the entries that it has sent."""
         self._status_sent_at = self._outbox.now
         position = self._position
         if position is None or position.predecessor is None:
@@ -209,7 +209,7 @@
         if successor is None or successor.member.folder_id != status.folder_id:
             return
         if successor.joined_view != status.joined_view:
-            return  # sent before this replica was appended anew: it says nothing of what it holds now
+            return  # sent before the successor was appended again, so it is outdated
         self._successor.record_status(status)
         if status.complete and self.complete:
             self._detect_lost_state(status.sequence)
@@ -234,7 +234,7 @@
         return self.is_tail and self.complete and self.can_replicate
 
     def _check_synced(self) -> None:
-        """What this replica is about to claim, or to commit, is on its disk."""
+        """Check that the entries that this replica reports or commits are on its disk."""
         claimed, synced = self._register.sequence if self.complete else 0, self._outbox.synced_sequence
         check(Invariant.ACKNOWLEDGED_IS_SYNCED, claimed <= synced, claimed=claimed, synced=synced)
 
@@ -254,10 +254,11 @@
             self._outbox.send(link.member.address, notification)
 
     def _detect_lost_state(self, sequence: int) -> None:
-        """What is committed, or held by the successor, has been synced here: if it is gone, the disk lost it.
+        """Detect that the disk has lost synced entries.
 
-        This member then counts as one with a failed disk: a repair leaves it out, and it installs a snapshot
-        of another member. Otherwise it would acknowledge new entries without those before them.
+        Every entry that is committed, or held by the successor, was synced here before. A member that lacks
+        one counts as one with a failed disk: a repair removes it from the chain, and it is appended again
+        with a snapshot. Otherwise it would acknowledge new entries without the earlier ones.
         """
         if sequence <= self._register.sequence:
             return
--- a/reedspoke/control_plane/replication/change_decision.py
+++ b/reedspoke/control_plane/replication/change_decision.py
@@ -1,6 +1,6 @@
-"""What becomes of a change: a pure function of the change and of a register with nothing in flight.
+"""Decision on a change, as a pure function of the change and of a register with nothing in flight.
 
-A rejection is final: generations only rise, so that a stale match and a generation that is too low stay so.
+A rejection is final: generations only rise, so a stale match stays stale and a low generation stays too low.
 """
 
 from __future__ import annotations
@@ -13,18 +13,18 @@
 
 
 class ChangeDecision(Enum):
-    """What the head does with a change."""
+    """Decision of the head on a change."""
 
-    ACKNOWLEDGE = "it has been accepted"
-    HISTORY_EXPIRED = "it may have been accepted before the history begins"
+    ACKNOWLEDGE = "it has already been accepted"
+    HISTORY_EXPIRED = "it may have been accepted and evicted from the history"
     STALE_MATCH = "the configuration that it builds on has been replaced"
     OLD_GENERATION = "its generation is not above the one that it builds on"
-    WAIT = "the configuration that it builds on is not there yet"
-    ACCEPT = "it is next"
+    WAIT = "the configuration that it builds on is not in force yet"
+    ACCEPT = "it is the next change"
 
 
 def decide_change(request: PutRequest, change: ChangeId, register: ConfigurationRegister) -> ChangeDecision:
-    """Decide a request; `change` is the id of the change in it."""
+    """Decide on a request; `change` is the id of the change in it."""
     if register.has_accepted(change):
         return ChangeDecision.ACKNOWLEDGE
     if register.may_have_evicted(change):
--- a/reedspoke/control_plane/replication/change_history.py
+++ b/reedspoke/control_plane/replication/change_history.py
@@ -1,6 +1,6 @@
-"""The ids of the accepted changes, oldest first, bounded, and packed for disk and network alike.
+"""Bounded history of the ids of accepted changes, oldest first, in the packed form used on disk and wire.
 
-Generations rise from change to change, so that the packed rows are sorted and are searched as they stand.
+Generations rise from change to change, so the packed rows are sorted and can be searched without unpacking.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
     """The newest MAX_HISTORY_CHANGES accepted changes; older ones are evicted."""
 
     def __init__(self, packed: bytes = b"") -> None:
-        """Raises ValueError where `packed` is not whole rows."""
+        """Load packed rows. Raises ValueError if `packed` is not a whole number of rows."""
         check_packed(packed)
         self._rows = bytearray(packed[-MAX_HISTORY_CHANGES * ROW.size :])
 
@@ -32,20 +32,20 @@
     def __eq__(self, other: object) -> bool:
         return isinstance(other, ChangeHistory) and self._rows == other._rows
 
-    __hash__ = None  # type: ignore[assignment]  # it changes
+    __hash__ = None  # type: ignore[assignment]  # mutable
 
     @property
     def oldest_generation(self) -> int:
-        """Generation of the oldest change in the history, 0 where there is none."""
+        """Generation of the oldest change in the history; 0 if the history is empty."""
         return self._generation(0) if self._rows else 0
 
     @property
     def newest(self) -> ChangeId | None:
-        """The change that was added last."""
+        """The change that was added last; None if the history is empty."""
         return self._change(len(self) - 1) if self._rows else None
 
     def add(self, change: ChangeId) -> None:
-        """Add a change, whose generation is above all others; a full history evicts the oldest."""
+        """Add a change with a generation above all others; a full history evicts the oldest change."""
         self._rows += ROW.pack(change.generation, change.digest)
         if len(self) > MAX_HISTORY_CHANGES:
             del self._rows[: ROW.size]
@@ -55,7 +55,7 @@
         del self._rows[-ROW.size :]
 
     def packed(self) -> bytes:
-        """All rows, as the constructor takes them."""
+        """All rows in packed form, as the constructor takes them."""
         return bytes(self._rows)
 
     def _generation(self, index: int) -> int:
@@ -66,6 +66,6 @@
 
 
 def check_packed(packed: bytes) -> None:
-    """Raises ValueError where `packed` is not whole rows."""
+    """Raises ValueError if `packed` is not a whole number of rows."""
     if len(packed) % ROW.size:
-        raise ValueError(f"a packed history of {len(packed)} bytes")
+        raise ValueError(f"packed history of {len(packed)} bytes is not a multiple of {ROW.size} bytes")
--- a/reedspoke/control_plane/replication/configuration_register.py
+++ b/reedspoke/control_plane/replication/configuration_register.py
@@ -27,7 +27,7 @@
 
 
 class ConfigurationRegister:
-    """Owns the newest synced entry, the one that is being stored, and how far entries are committed."""
+    """Owns the newest synced entry, the entry being stored, and the newest committed configuration."""
 
     def __init__(self, outbox: Outbox, restored: RestoredState) -> None:
         self._outbox = outbox
@@ -36,23 +36,23 @@
         self.committed: CommittedConfiguration | None = None
         self.installing_snapshot = False
         self.synced_since = restored.synced_since
-        self._synced_at: float | None = None  # of `entry`, where the one before it is known to be committed
+        self._synced_at: float | None = None  # of `entry`, if the entry before it is known to be committed
         self._history = restored.history
         outbox.synced_sequence = self.sequence
 
     @property
     def sequence(self) -> int:
-        """Sequence of the newest synced entry, 0 before the first."""
+        """Sequence of the newest synced entry; 0 before the first."""
         return self.entry.sequence if self.entry else 0
 
     @property
     def generation(self) -> int:
-        """Generation of the newest synced entry, 0 before the first."""
+        """Generation of the newest synced entry; 0 before the first."""
         return self.entry.generation if self.entry else 0
 
     @property
     def committed_sequence(self) -> int:
-        """Sequence of the newest entry known to be committed."""
+        """Sequence of the newest entry known to be committed; 0 before the first."""
         return self.committed.sequence if self.committed else 0
 
     @property
@@ -62,10 +62,10 @@
         return not in_flight and self.committed_sequence == self.sequence
 
     def committed_until(self, now: float) -> float | None:
-        """`committed` is the newest, unless something has been committed after this time.
+        """A time up to which nothing newer than `committed` has been committed.
 
-        An entry is committed only after it has been synced here. None where entries may have been committed
-        of which this replica has not been notified.
+        An entry is committed only after it has been synced here. None if entries may have been committed
+        without a notification to this replica.
         """
         if self.installing_snapshot:
             return None
@@ -73,27 +73,27 @@
 
     @property
     def packed_history(self) -> bytes:
-        """The accepted changes, as `ChangeHistory` packs them."""
+        """The accepted changes in the packed form of `ChangeHistory`."""
         return self._history.packed()
 
     def has_accepted(self, change: ChangeId) -> bool:
-        """Whether this change has been accepted; it is committed if nothing is in flight."""
+        """Whether this change has been accepted. If nothing is in flight, it is also committed."""
         return change in self._history
 
     def may_have_evicted(self, change: ChangeId) -> bool:
-        """Whether this change may have been accepted before the oldest one in the history.
+        """Whether this change may have been accepted and evicted from the history.
 
-        Each accepted change has the next sequence, so that a history shorter than the sequence has lost some.
+        Sequences have no gaps, so a history with fewer changes than the sequence has evicted some.
         """
         return self.sequence > len(self._history) and change.generation < self._history.oldest_generation
 
     def append(self, entry: Entry, on_synced: OnSynced) -> None:
-        """Store the next entry; `on_synced` tells whether it is on disk."""
+        """Store the next entry; `on_synced` is called with whether it is on disk."""
         self.pending_entry = entry
 
         def on_end(error: ErrorCode | None) -> None:
             if self.pending_entry is not entry:
-                return  # a snapshot has replaced it meanwhile
+                return  # replaced by a snapshot during the store
             self.pending_entry = None
             if error is None:
                 self.entry = entry
@@ -106,7 +106,7 @@
     def install_snapshot(
         self, entry: Entry | None, packed_history: bytes, joined_view: int, on_synced: OnSynced
     ) -> None:
-        """Replace the state by that of the predecessor; `on_synced` tells whether it is on disk."""
+        """Replace the state by a snapshot; `on_synced` is called with whether it is on disk."""
         self.entry = entry
         self._synced_at = None
         self.pending_entry = None
@@ -123,14 +123,14 @@
         self._outbox.rewrite(on_end, self.sequence)
 
     def commit(self) -> CommittedConfiguration | None:
-        """The newest synced entry is committed; it is returned where that was not known before."""
+        """Commit the newest synced entry; return its configuration if it was not known to be committed."""
         if self.entry is None or self.entry.sequence <= self.committed_sequence:
             return None
         self.committed = committed_configuration(self.entry)
         return self.committed
 
     def records(self) -> list[Struct]:
-        """What the log has to hold."""
+        """Records of the register's state, for a rewritten log."""
         records: list[Struct] = [HistoryRecord(self.packed_history)]
         records += [EntryRecord(entry) for entry in (self.entry, self.pending_entry) if entry is not None]
         records.append(SyncedRecord(self.synced_since))
--- a/reedspoke/control_plane/replication/driver.py
+++ b/reedspoke/control_plane/replication/driver.py
@@ -1,4 +1,4 @@
-"""Drives the replica on the event loop: events in, effects carried out, calls of operators answered."""
+"""Runs the replica on the event loop: passes events in, carries out effects, completes operator calls."""
 
 from __future__ import annotations
 
@@ -39,27 +39,27 @@
 from reedspoke.control_plane.storage.job_thread import JobThread
 from reedspoke.telemetry.invariants import Invariant, check
 
-REPLICA_FAILED_EXIT = 3  # exit status
+REPLICA_FAILED_EXIT = 3  # exit status of the process after an error in the replica
 
 
 class ReplicaEnvironment(Protocol):
-    """What the driver needs of the process."""
+    """The part of the process that the driver uses."""
 
     def send(self, effect: SendMessage) -> None:
-        """Send to another replica."""
+        """Send a message to another replica."""
 
     def deliver(self, committed: CommittedConfiguration) -> None:
-        """The data plane may have this configuration."""
+        """Deliver a committed configuration to the data plane."""
 
     def view_changed(self, view: View) -> None:
-        """A newer view is known."""
+        """Handle the change of the replica to a newer view."""
 
     def ticked(self) -> None:
-        """TICK_INTERVAL_S has passed."""
+        """Handle a tick; called every TICK_INTERVAL_S."""
 
 
 class ReplicaDriver:
-    """Owns the replica and the calls that wait for it; the disk is the part of `ReplicaStorage`."""
+    """Owns the replica and the pending operator calls; `ReplicaStorage` owns the log."""
 
     def __init__(self, settings: NodeSettings, own_address: str, environment: ReplicaEnvironment) -> None:
         self._environment = environment
@@ -76,15 +76,15 @@
     # ---- events ----
 
     def start(self) -> None:
-        """Open the data folder, and go on by ticks from then on."""
+        """Start to open the data folder, and start the ticks."""
         self._storage.open()
         self._tick()
 
     def handle(self, event: Event) -> None:
-        """Give the replica an event, and carry out what follows from it.
+        """Pass an event to the replica, and carry out its effects.
 
-        An effect may lead to the next event at once, as a message to a process in the same loop does. Events
-        are handled one after the other: the effects of one are all begun before the next is handled.
+        An effect may cause the next event at once, such as a message to a process on the same loop. Events
+        are handled one at a time: all effects of one are started before the next is handled.
         """
         self._events.append(event)
         if self._handling or self._replica is None:
@@ -108,22 +108,25 @@
             self._carry_out_isolated(effect)
 
     def _replica_failed(self, error: Exception) -> None:
-        """Its state is not known to be right, and its effects are lost: it starts again from its disk."""
-        unhandled_errors.record("the replica has failed, and its process ends", error)
+        """End the process, as the replica's state may be wrong and its effects are lost.
+
+        The next process restores the state from disk.
+        """
+        unhandled_errors.record("unexpected error in the replica; ending the process", error)
         end_process(REPLICA_FAILED_EXIT)
 
     def receive(self, sender: str, message: ReplicaMessage) -> None:
-        """A message of another replica; there is none to take it before the data folder is open."""
+        """Handle a message of another replica; dropped before the data folder is open."""
         if self._replica is not None:
             self.handle(MessageReceived(sender, message))
 
     def start_shutdown(self) -> None:
-        """The process is about to end."""
+        """Notify the replica that the process is about to end."""
         if self._replica is not None:
             self.handle(ShutdownStarted())
 
     def seeds_changed(self, seeds: tuple[str, ...]) -> None:
-        """The settings file names other seeds."""
+        """Pass new seeds from the settings file to the replica."""
         self.handle(SeedsChanged(seeds))
 
     def _opened(self, replica: Replica) -> None:
@@ -133,18 +136,18 @@
     def _tick(self) -> None:
         self._loop.call_later(
             TICK_INTERVAL_S, self._tick
-        )  # first: an error in this one must not be the end of all
+        )  # first, so that an error in this tick does not stop the ticks
         if self._replica is not None:
             self.handle(Tick())
         try:
             self._environment.ticked()
         except Exception as error:
-            unhandled_errors.record("a tick has failed", error)
+            unhandled_errors.record("unexpected error in a tick", error)
 
     # ---- calls of the operator ----
 
     def put(self, match: int, generation: int, document: bytes) -> asyncio.Future[PutCompleted]:
-        """Have a configuration replicated. Raises FleetError NOT_MEMBER before the data folder is open."""
+        """Replicate a configuration. Raises FleetError NOT_MEMBER before the data folder is open."""
         self._check_open()
         request_id = self._next_request_id()
         future = self._puts.add(request_id)
@@ -161,7 +164,7 @@
 
     @property
     def pending_calls(self) -> int:
-        """Calls without an answer."""
+        """Number of operator calls without an answer."""
         return len(self._puts) + len(self._gets)
 
     def _check_open(self) -> None:
@@ -175,25 +178,25 @@
     # ---- state of the replica ----
 
     def holds_majority(self) -> bool:
-        """Whether a majority of voters stands behind this replica at this instant."""
+        """Whether a majority of voters has lately confirmed the replica's view, as of now."""
         return self._replica is not None and self._replica.holds_majority(self._loop.time())
 
     def majority_as_of(self) -> float | None:
-        """The latest time as of which the view known here was certainly the newest; None: never yet."""
+        """The latest time as of which the replica's view was certainly the newest; None if there is none."""
         return None if self._replica is None else self._replica.majority_as_of
 
     def confirmed_as_of(self) -> float | None:
-        """As `Replica.confirmed_as_of`, at this instant; None before the data folder is open."""
+        """`Replica.confirmed_as_of` as of now; None before the data folder is open."""
         return None if self._replica is None else self._replica.confirmed_as_of(self._loop.time())
 
     @property
     def disk_works(self) -> bool:
-        """Whether the data folder is open and its disk answers."""
+        """Whether the data folder is open and its disk works."""
         return self._replica is not None and self._replica.disk_works
 
     @property
     def has_peer_not_draining(self) -> bool:
-        """Whether a replica in reach is not about to shut down."""
+        """Whether another reachable replica is not about to shut down."""
         return self._replica is not None and self._replica.has_peer_not_draining
 
     # ---- effects ----
@@ -204,11 +207,11 @@
             check(Invariant.READ_HAS_GRANT, granted, answer=type(effect).__name__)
 
     def _carry_out_isolated(self, effect: Effect) -> None:
-        """An error around the replica must not cost the effects behind this one, as a store."""
+        """Carry out one effect; an error does not prevent the later ones, which may include a store."""
         try:
             self._carry_out(effect)
         except Exception as error:
-            unhandled_errors.record("an effect has failed", error, effect=type(effect).__name__)
+            unhandled_errors.record("unexpected error in an effect", error, effect=type(effect).__name__)
 
     def _carry_out(self, effect: Effect) -> None:
         match effect:
--- a/reedspoke/control_plane/replication/effect_buffer.py
+++ b/reedspoke/control_plane/replication/effect_buffer.py
@@ -1,4 +1,4 @@
-"""Effects that a replica collects while it handles one event, and its messages to itself."""
+"""Effects that a replica collects while it handles an event, and its messages to itself."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class EffectBuffer:
-    """Owns the effects of the event that is being handled, and the time `now` at which it happened."""
+    """Owns the effects of the event that is being handled, and the time `now` of that event."""
 
     def __init__(self, address: str, now: float) -> None:
         self.now = now
@@ -17,12 +17,12 @@
         self._own_messages: list[Struct] = []
 
     def take_effects(self) -> list[Effect]:
-        """The effects collected so far."""
+        """Remove and return the effects collected so far."""
         effects, self._effects = self._effects, []
         return effects
 
     def take_own_messages(self) -> list[Struct]:
-        """Messages of this replica to itself, which never leave it."""
+        """Remove and return the messages of this replica to itself, which are not sent over the network."""
         messages, self._own_messages = self._own_messages, []
         return messages
 
@@ -31,12 +31,12 @@
         self._effects.append(effect)
 
     def send(self, address: str, message: Struct) -> None:
-        """Send to a replica, which may be this one."""
+        """Send a message to a replica, which may be this one."""
         if address == self._address:
             self._own_messages.append(message)
         else:
             self._effects.append(SendMessage(address, message))
 
     def log(self, level: int, text: str, **fields: object) -> None:
-        """Write a line to the operator's log."""
+        """Write a line to the log."""
         self._effects.append(LogEvent(level, text, fields))
--- a/reedspoke/control_plane/replication/effects.py
+++ b/reedspoke/control_plane/replication/effects.py
@@ -1,4 +1,4 @@
-"""What the replica's state machine asks its driver to do, in order: the result of `Replica.handle`."""
+"""Effects returned by `Replica.handle`, which the driver carries out in order."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 
 
 class SendMessage(Struct, frozen=True):
-    """Send to another replica.
+    """Send a message to another replica.
 
-    The message may be lost, and may come twice after a new connection; one connection never reorders.
+    It may be lost, or delivered twice after a reconnect; a single connection never reorders messages.
     """
 
     address: str
@@ -20,9 +20,9 @@
 
 
 class StoreRecords(Struct, frozen=True):
-    """Append records to the log and sync, in the order of tokens; answered by `StoreCompleted`.
+    """Append records to the log and sync it, in the order of tokens; answered by `StoreCompleted`.
 
-    With `replace` the log is rewritten to hold these records alone.
+    With `replace`, the log is rewritten with these records only.
     """
 
     token: int
@@ -31,7 +31,7 @@
 
 
 class PutCompleted(Struct, frozen=True):
-    """Final answer to a `PutSubmitted`: `error` None means acknowledged."""
+    """Final answer to a `PutSubmitted`; the change is acknowledged if `error` is None."""
 
     request_id: int
     error: ErrorCode | None
@@ -48,21 +48,21 @@
 
 
 class DeliverConfiguration(Struct, frozen=True):
-    """This is committed and newer than what was delivered before: the data plane may have it."""
+    """Deliver a committed configuration, newer than the previous one, to the data plane."""
 
     committed: CommittedConfiguration
 
 
 class ViewChanged(Struct, frozen=True):
-    """The replica acts in this newer view from now on."""
+    """The replica has entered a newer view."""
 
     view: View
 
 
 class LogEvent(Struct, frozen=True):
-    """Something for the operator's log."""
+    """Write a line to the log."""
 
-    level: int  # of the logging module
+    level: int  # level of the `logging` module
     text: str
     fields: dict[str, object]
 
--- a/reedspoke/control_plane/replication/entry.py
+++ b/reedspoke/control_plane/replication/entry.py
@@ -26,9 +26,9 @@
 
 
 class ChangeId(Struct, array_like=True, frozen=True):
-    """An accepted change by its generation and the SHA-256 of its document.
+    """Id of an accepted change: its generation and the SHA-256 of its document.
 
-    A change that is submitted again has the same id, so that it is acknowledged and not applied twice.
+    A resubmitted change has the same id, so that it is acknowledged again without being applied twice.
     """
 
     generation: int
@@ -36,10 +36,10 @@
 
 
 def committed_configuration(entry: Entry) -> CommittedConfiguration:
-    """The configuration of an entry that is committed."""
+    """The configuration of a committed entry."""
     return CommittedConfiguration(entry.sequence, entry.generation, entry.document, entry.view)
 
 
 def change_id_of(entry: Entry) -> ChangeId:
-    """The id under which the history of accepted changes has this entry."""
+    """The id of this entry in the history of accepted changes."""
     return ChangeId(entry.generation, sha256(entry.document).digest())
--- a/reedspoke/control_plane/replication/events.py
+++ b/reedspoke/control_plane/replication/events.py
@@ -1,6 +1,6 @@
-"""What happens to the replica's state machine: `Replica.handle(now, event) -> list[Effect]`.
+"""Events of the replica's state machine: `Replica.handle(now, event) -> list[Effect]`.
 
-Times are seconds of a steady clock that goes on while the process is stopped.
+Times are seconds of a steady clock that keeps running while the process is stopped.
 """
 
 from __future__ import annotations
@@ -11,25 +11,25 @@
 
 
 class MessageReceived(Struct, frozen=True):
-    """A message of another replica (one of `replication.messages`)."""
+    """A message of another replica, one of `replication.messages`, has arrived."""
 
-    sender: str  # its address for other control plane nodes
+    sender: str  # internal address of the sender
     message: Struct
 
 
 class StoreCompleted(Struct, frozen=True):
-    """A `StoreRecords` effect has ended; `error` is None where all of it is synced."""
+    """A `StoreRecords` effect has ended; `error` is None if all records are synced."""
 
     token: int
     error: ErrorCode | None = None
 
 
 class Tick(Struct, frozen=True):
-    """Time has passed; due every `TICK_INTERVAL_S`."""
+    """A periodic event, due every `TICK_INTERVAL_S`."""
 
 
 class PutSubmitted(Struct, frozen=True):
-    """An operator's change, checked as far as it can be without the current configuration.
+    """An operator submits a change, validated as far as possible without the current configuration.
 
     `match` is the generation of the configuration that the change builds on.
     """
@@ -47,7 +47,7 @@
 
 
 class ShutdownStarted(Struct, frozen=True):
-    """The process is about to end: the chain goes on without this member."""
+    """The process is about to end, so that a repair should remove this member from the chain."""
 
 
 class SeedsChanged(Struct, frozen=True):
--- a/reedspoke/control_plane/replication/failure_detector.py
+++ b/reedspoke/control_plane/replication/failure_detector.py
@@ -1,4 +1,4 @@
-"""What a replica knows of the others from their heartbeats: who is in reach, both ways, in what condition."""
+"""Failure detector: reachability and state of the other replicas, from their heartbeats."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class PeerStatus(Struct):
-    """The newest heartbeat of a replica, and since when it has been heard without a gap."""
+    """The newest heartbeat of a replica, and since when its heartbeats have arrived without a gap."""
 
     heartbeat: Heartbeat
     last_received_at: float
@@ -27,17 +27,17 @@
 class FailureDetector:
     """Owns the newest heartbeat of each replica.
 
-    A replica is in reach while each hears the other's heartbeats: over a link that works one way only,
-    neither may rely on the other.
+    A replica is reachable while both replicas receive each other's heartbeats: over a link that works in one
+    direction only, neither may rely on the other.
     """
 
     def __init__(self, own: Member, now: float) -> None:
         self._own = own
         self._peers: dict[str, PeerStatus] = {}
-        self._timeouts_count_from = now  # no timeout counts from before this
+        self._timeouts_count_from = now  # time-outs are measured from this time at the earliest
 
     def record_heartbeat(self, heartbeat: Heartbeat, now: float) -> None:
-        """A heartbeat has come. A folder at the address of an older folder replaces it."""
+        """Record a heartbeat. A new folder at the address of an older one replaces it."""
         folder_id = heartbeat.member.folder_id
         self._forget_other_folders(heartbeat.member)
         known = self._peers.get(folder_id)
@@ -45,11 +45,11 @@
         self._peers[folder_id] = PeerStatus(heartbeat, now, since)
 
     def process_resumed(self, now: float) -> None:
-        """This process was stopped: what it has missed until now says nothing of the others."""
+        """Restart all time-outs after a stop of this process, in which it has received nothing."""
         self._timeouts_count_from = now
 
     def members(self, now: float) -> list[Member]:
-        """All replicas heard lately, whether members of the view or not."""
+        """All replicas whose heartbeats arrived within `DEAD_TIMEOUT_S`, members of the view or not."""
         return [
             peer.heartbeat.member
             for peer in self._peers.values()
@@ -57,19 +57,19 @@
         ]
 
     def latest_heartbeat(self, folder_id: str) -> Heartbeat | None:
-        """The newest heartbeat of this replica."""
+        """The newest heartbeat of this replica; None before the first."""
         peer = self._peers.get(folder_id)
         return peer.heartbeat if peer else None
 
     def received_for_s(self, address: str, now: float) -> float:
-        """How long the replica at this address has been heard without a gap."""
+        """Seconds for which heartbeats of the replica at this address have arrived without a gap."""
         since = [
             peer.received_since for peer in self._peers.values() if peer.heartbeat.member.address == address
         ]
         return max((now - each for each in since), default=0.0)
 
     def is_timed_out(self, folder_id: str, now: float, limit: float) -> bool:
-        """Whether this replica has not been heard for `limit`, as far as that can be judged."""
+        """Whether `limit` seconds have passed since its last heartbeat and the last restart of time-outs."""
         peer = self._peers.get(folder_id)
         last_received_at = max(
             peer.last_received_at if peer else self._timeouts_count_from, self._timeouts_count_from
@@ -77,15 +77,19 @@
         return now - last_received_at > limit
 
     def receives_from(self, members: Iterable[Member], now: float) -> tuple[str, ...]:
-        """The replicas that this one hears; of `members` those are included that can't be judged yet."""
-        judged = {folder for folder, peer in self._peers.items() if self._is_received_recently(peer, now)}
+        """Folder ids of the replicas whose heartbeats arrive here.
+
+        For `REACHABLE_TIMEOUT_S` after a restart of time-outs they include those of `members` from whose
+        address no heartbeat has arrived yet.
+        """
+        received = {folder for folder, peer in self._peers.items() if self._is_received_recently(peer, now)}
         if now - self._timeouts_count_from <= REACHABLE_TIMEOUT_S:
-            judged.update(member.folder_id for member in members if self._is_unjudged(member))
-        judged.discard(self._own.folder_id)
-        return tuple(sorted(judged))
+            received.update(member.folder_id for member in members if self._is_unobserved(member))
+        received.discard(self._own.folder_id)
+        return tuple(sorted(received))
 
     def mutually_reachable(self, folder_id: str, now: float) -> bool:
-        """Whether this replica and I hear each other."""
+        """Whether this process and that replica receive each other's heartbeats."""
         if folder_id == self._own.folder_id:
             return True
         peer = self._peers.get(folder_id)
@@ -94,22 +98,26 @@
         return self._own.folder_id in peer.heartbeat.receives_from
 
     def are_connected(self, one: str, other: str) -> bool:
-        """Whether two replicas hear each other, by their newest heartbeats.
+        """Whether two other replicas receive each other's heartbeats, by the newest heartbeat of each.
 
-        `mutually_reachable` judges this replica's own links.
+        For links of this replica itself there is `mutually_reachable`.
         """
         return other in self._senders_received_by(one) and one in self._senders_received_by(other)
 
     def is_steady(self, folder_id: str, now: float) -> bool:
-        """Whether this replica has been in reach for long enough to be appended."""
+        """Whether this replica has been reachable for long enough to be appended to the chain."""
         return self._reachable_for(folder_id, now, JOIN_MIN_REACHABLE_S)
 
     def is_established(self, folder_id: str, now: float) -> bool:
-        """Whether this replica has been in reach for so long that it will hardly be replaced soon."""
+        """Whether this replica has been reachable for so long that it is unlikely to be replaced soon."""
         return self._reachable_for(folder_id, now, ESTABLISHED_MIN_REACHABLE_S)
 
     def is_lost(self, folder_id: str, now: float) -> bool:
-        """Whether neither this replica nor any that has run as long heard that one for `DEAD_TIMEOUT_S`."""
+        """Whether this replica counts as lost, so that another may replace it as a voter.
+
+        No heartbeat of it has arrived here for `DEAD_TIMEOUT_S`, and no other replica whose own heartbeats
+        have arrived for longer than that reports to receive it.
+        """
         if folder_id == self._own.folder_id or not self.is_timed_out(folder_id, now, DEAD_TIMEOUT_S):
             return False
         observers = [
@@ -133,8 +141,8 @@
     def _is_received_recently(self, peer: PeerStatus, now: float) -> bool:
         return now - max(peer.last_received_at, self._timeouts_count_from) <= REACHABLE_TIMEOUT_S
 
-    def _is_unjudged(self, member: Member) -> bool:
-        """Whether nothing has been heard from this member's address so far."""
+    def _is_unobserved(self, member: Member) -> bool:
+        """Whether no heartbeat has arrived from this member's address so far."""
         return all(peer.heartbeat.member.address != member.address for peer in self._peers.values())
 
     def _forget_other_folders(self, member: Member) -> None:
--- a/reedspoke/control_plane/replication/first_start.py
+++ b/reedspoke/control_plane/replication/first_start.py
@@ -1,8 +1,8 @@
-"""The part of a replica in the first start of the whole system, and the seeds that the settings name.
+"""A replica's part in the first start of the system, and the seeds that the settings name.
 
-The first view has no view before it whose voters could decide it: the seeds do. A folder takes part only
-where its log says so, and the log says so only where the folder was made at the first start. So a seed whose
-disk is lost later comes back without a vote on the first view, and can't decide a second one beside it.
+The first view has no previous view whose voters could decide it, so the seeds decide it. A folder takes part
+only if its log says so, and the log says so only if the folder was created at the first start. So a seed that
+loses its disk later returns without a vote on the first view, and cannot help to decide a second one.
 """
 
 from __future__ import annotations
@@ -19,9 +19,9 @@
 
 
 class FirstStart:
-    """Owns the seeds: those in the log (`stored_seeds`), and those of the settings (`configured_seeds`).
+    """Owns the seeds in the log (`stored_seeds`) and those of the settings (`configured_seeds`).
 
-    `on_stored` is called once the log says that this folder has a part in the first start.
+    `on_stored` is called once the log says that this folder takes part in the first start.
     """
 
     def __init__(
@@ -42,27 +42,27 @@
 
     @property
     def is_participant(self) -> bool:
-        """Whether the log says that this folder was made at the first start."""
+        """Whether the log says that this folder was created at the first start."""
         return bool(self.stored_seeds)
 
     def records(self) -> list[Struct]:
-        """What the log has to hold."""
+        """Record of the part in the first start, for a rewritten log."""
         return [BootstrapRecord(self.stored_seeds)] if self.is_participant else []
 
     def begin(self) -> None:
-        """Take part where the settings say that this is the first start, and this replica is a seed."""
+        """Take part if the settings say that this is the first start, and this replica is a seed."""
         if not self._settings.bootstrap or self.is_participant:
             return
         if self._settings.address in self.configured_seeds:
             self._store(self.configured_seeds)
 
     def retry(self) -> None:
-        """Begin again where the disk refused at first."""
+        """Begin again after a failed store, once the disk works."""
         if self._store_ended and not self._outbox.disk_failed:
             self.begin()
 
     def _store(self, seeds: tuple[str, ...]) -> None:
-        """Vote on the first view only once it is on disk that this folder does."""
+        """Store the seeds; this replica votes on the first view only after that."""
         self._store_ended = False
 
         def on_end(error: ErrorCode | None) -> None:
--- a/reedspoke/control_plane/replication/get_forwarding.py
+++ b/reedspoke/control_plane/replication/get_forwarding.py
@@ -1,4 +1,4 @@
-"""Reads: forwarded to the tail, which answers while it holds the read lease."""
+"""Reads of operators: forwarded to the tail, which answers while it holds the read lease."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class PendingGetRequest(PendingRequest):
-    """A read without answer; `known` is what this replica knew to be committed when it sent the request."""
+    """A read without an answer; `known` is the committed configuration when the request was last sent."""
 
     get: GetSubmitted
     known: CommittedConfiguration | None = None
@@ -25,7 +25,7 @@
 
 
 class GetForwarder(RequestForwarder[PendingGetRequest]):
-    """Requests the configuration of the tail until it replies or the time limit is reached."""
+    """Requests the configuration from the tail until it replies or the time limit is reached."""
 
     def __init__(
         self, name: str, outbox: Outbox, register: ConfigurationRegister, answer_limit_s: float
@@ -34,11 +34,11 @@
         self._register = register
 
     def submit(self, get: GetSubmitted, view: View | None, contact: ContactState) -> None:
-        """An operator's read."""
+        """Forward an operator's read."""
         self._begin(PendingGetRequest(get, submitted_at=self._outbox.now), view, contact)
 
     def receive_reply(self, reply: GetReply) -> None:
-        """The tail's reply."""
+        """Handle the tail's reply; one that is not ready is retried."""
         pending = self._pending.get(reply.request_id)
         if pending is None:
             return
@@ -54,14 +54,14 @@
     def _send(self, request: str, call: PendingGetRequest, view: View) -> None:
         call.retry_at = self._outbox.now + RESEND_INTERVAL_S
         call.known = self._register.committed
-        have = call.known.sequence if call.known else 0
-        self._outbox.send(tail_member(view).address, GetRequest(view.number, request, have))
+        known_sequence = call.known.sequence if call.known else 0
+        self._outbox.send(tail_member(view).address, GetRequest(view.number, request, known_sequence))
 
     def _expire(self, call: PendingGetRequest) -> None:
-        self._fail(call, "The newest configuration can't be told for certain.")
+        self._fail(call, "The tail has not confirmed the newest configuration in time.")
 
     def _reject(self, call: PendingGetRequest) -> None:
-        self._fail(call, "This machine reaches no majority.")
+        self._fail(call, "This machine cannot reach a majority of voters.")
 
     def _fail(self, call: PendingGetRequest, message: str) -> None:
         self._outbox.emit(GetCompleted(call.get.request_id, None, ErrorCode.NO_QUORUM, message))
@@ -75,6 +75,6 @@
         return GetCompleted(request_id, pending.known)
     if reply.sequence == 0:
         return GetCompleted(
-            request_id, None, ErrorCode.NO_CONFIGURATION, "No configuration has been taken yet."
+            request_id, None, ErrorCode.NO_CONFIGURATION, "No configuration has been accepted yet."
         )
-    return GetCompleted(request_id, None, ErrorCode.NO_QUORUM, "The tail's answer does not fit.")
+    return GetCompleted(request_id, None, ErrorCode.NO_QUORUM, "The tail's reply does not match the request.")
--- a/reedspoke/control_plane/replication/grants.py
+++ b/reedspoke/control_plane/replication/grants.py
@@ -1,8 +1,8 @@
-"""Grants of the voters: of the tail's read lease, and that a replica's view was the newest at a known time.
+"""Grants of the voters: read leases for the tail, and confirmations that a replica's view was the newest.
 
-Each heartbeat is a request for both kinds. The read lease (Gray and Cheriton 1989) lets the tail answer reads
-alone: no view with another tail is accepted while it runs. A view confirmation blocks nothing: it is a
-statement on the past, see `views.majority_contact`.
+Heartbeats request both. The read lease (Gray and Cheriton, 1989) lets the tail answer reads on its own: no
+view with another tail is accepted until it has expired. A view confirmation blocks nothing, as it is a
+statement about the past; see `views.majority_contact`.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 class VoterGrants:
-    """What this replica grants as a voter. The state of its vote is in `ViewAgreement`."""
+    """Issues the grants of this replica as a voter. `ViewAgreement` owns the state of its vote."""
 
     def __init__(
         self,
@@ -42,27 +42,27 @@
     def grant_read_lease(self, heartbeat: Heartbeat) -> None:
         """Grant the read lease that the tail of the present view requests.
 
-        A tail that does not hear this voter gets none: it could go on for as long as its heartbeats arrive
-        here, and the repair that replaces it would have to wait for its lease.
+        A tail that does not receive this voter's heartbeats gets none. Otherwise it could renew its lease for
+        as long as its own heartbeats arrive here, and the repair that replaces it would have to wait.
         """
         view, requested_at = self._agreement.view, heartbeat.lease_requested_at
         if requested_at is None or view is None or tail_member(view) != heartbeat.member:
             return
-        reached = self._failure_detector.mutually_reachable(heartbeat.member.folder_id, self._outbox.now)
-        if reached and self._agreement.may_grant_read_lease(heartbeat.view_number):
+        reachable = self._failure_detector.mutually_reachable(heartbeat.member.folder_id, self._outbox.now)
+        if reachable and self._agreement.may_grant_read_lease(heartbeat.view_number):
             self._agreement.read_lease_voter.grant(requested_at, self._outbox.now)
             grant = ReadLeaseGrant(self._own.folder_id, heartbeat.view_number, requested_at)
             self._outbox.send(heartbeat.member.address, grant)
 
     def confirm_view(self, heartbeat: Heartbeat) -> None:
-        """Say that the view in which the sender acts is the newest known here."""
+        """Confirm to the sender that its view is the newest that this voter knows."""
         if self._agreement.may_confirm_view(heartbeat.view_number):
             confirmation = ViewConfirmation(self._own.folder_id, heartbeat.view_number, heartbeat.sent_at)
             self._outbox.send(heartbeat.member.address, confirmation)
 
 
 class ReceivedGrants:
-    """What the voters of the present view have granted to this replica."""
+    """Owns the grants that voters of the present view have given to this replica."""
 
     def __init__(
         self, outbox: Outbox, register: ConfigurationRegister, chain: Chain, agreement: ViewAgreement
@@ -73,7 +73,7 @@
         self._agreement = agreement
         self._read_lease = ReadLeaseHolder()
         self._contact = MajorityContact(outbox.now)
-        self._requested: set[str] = set()  # voters of which a confirmation was requested out of turn
+        self._requested: set[str] = set()  # voters that were sent an extra request for a confirmation
 
     @property
     def majority_as_of(self) -> float | None:
@@ -90,12 +90,12 @@
         return self._agreement.view is not None and self._contact.is_valid(now)
 
     def holds_read_lease(self) -> bool:
-        """Whether a majority of voters has granted a read lease that has not run out."""
+        """Whether a majority of voters has granted a read lease that has not expired."""
         view = self._agreement.view
         return view is not None and self._read_lease.is_held(view.voters, self._outbox.now)
 
     def enter_view(self) -> None:
-        """A newer view: its voters grant anew."""
+        """Drop the grants of the former view, as the voters of a newer one issue their own."""
         self._read_lease.enter_view()
         self._contact.enter_view()
         self._requested.clear()
@@ -103,19 +103,19 @@
     # ---- the read lease, at the tail ----
 
     def may_request_read_lease(self) -> bool:
-        """Whether the next heartbeat requests a read lease: that of a complete tail, unless just released."""
+        """Whether to request a read lease: at a complete tail, unless it has just released one."""
         if not self._chain.is_tail or not self._chain.complete:
             return False
         return self._read_lease.may_request(self._outbox.now)
 
     def receive_lease_grant(self, grant: ReadLeaseGrant) -> None:
-        """A voter has granted the read lease."""
+        """Record a read lease grant of a voter."""
         view = self._agreement.view
         if view is not None and view.number == grant.view_number:
             self._read_lease.record_grant(grant.folder_id, grant.requested_at)
 
     def release_read_lease(self, sender: str, request: ReadLeaseReleaseRequest) -> None:
-        """A proposer of a view with another tail need not wait for this lease to run out."""
+        """Release the read lease, so that a proposer need not wait for its expiry."""
         view = self._agreement.view
         if view is None or view.number != request.view_number or not self._chain.is_tail:
             return
@@ -123,13 +123,13 @@
         self._outbox.send(sender, ReadLeaseReleased(request.view_number, self._outbox.now))
 
     def release_own_read_lease(self) -> None:
-        """Give up every read lease requested until now."""
+        """Release every read lease requested until now."""
         self._read_lease.release(self._outbox.now)
 
     # ---- confirmations of the view ----
 
     def should_request_confirmation(self, heartbeat: Heartbeat) -> bool:
-        """Whether a voter in the present view has not confirmed it; the request out of turn is made once."""
+        """Whether the sender has not confirmed the present view yet; True once per sender and view."""
         view = self._agreement.view
         folder_id = heartbeat.member.folder_id
         if view is None or heartbeat.view_number != view.number or folder_id in self._requested:
@@ -140,7 +140,7 @@
         return True
 
     def receive_confirmation(self, confirmation: ViewConfirmation) -> None:
-        """A voter has confirmed that the present view was the newest that it knew."""
+        """Record a voter's confirmation that the present view was the newest that it knew."""
         view = self._agreement.view
         if view is None or view.number != confirmation.view_number:
             return
--- a/reedspoke/control_plane/replication/head_queue.py
+++ b/reedspoke/control_plane/replication/head_queue.py
@@ -1,8 +1,8 @@
-"""Changes at the head of the chain: accepted one at a time, each once what it builds on is in force.
+"""Changes at the head of the chain: accepted one at a time, each after the generation that it builds on.
 
 A rejection is final, also for a duplicate of the request that is still in the network. A change that builds
-on a generation not reached yet may become valid, and stays pending; at its deadline it gets no clear answer,
-as does all else that is not ruled out for good.
+on a generation not reached yet may become valid, and stays pending. At its deadline it gets an unclear
+answer, as does every other change that cannot be ruled out for good.
 """
 
 from __future__ import annotations
@@ -21,13 +21,14 @@
 from reedspoke.control_plane.views.read_lease import tail_member
 
 MAX_CACHED_REPLIES = 512
-# Of documents: six of the largest. A forwarder sends again what got no clear answer.
+# Limit on the documents of pending changes: six of the largest size. Further changes get an unclear answer,
+# and their submitters may retry them.
 MAX_PENDING_BYTES = 24 * 1024 * 1024
-PENDING_TIME_FRACTION = 0.9  # of the forwarder's own limit
+PENDING_TIME_FRACTION = 0.9  # of the forwarder's time limit, so that the answer still arrives within it
 
 
 class PendingPut(Struct, eq=False):
-    """A change that has no final answer yet."""
+    """A change without a final answer."""
 
     request: PutRequest
     reply_to: str
@@ -38,8 +39,8 @@
 class HeadQueue:
     """Owns the pending changes of the present view and the latest replies.
 
-    A request that came twice is decided once; one of another view is ignored, as the head of that view
-    decides it. So no change is answered by two heads.
+    A duplicate request gets the same reply. A request of another view is ignored, as the head of that view
+    decides it, so that no request is answered by two heads.
     """
 
     def __init__(
@@ -55,14 +56,14 @@
         self.rejections = RejectionConfirmer(name, outbox)
 
     def enter_view(self, view: View) -> None:
-        """A newer view: the forwarders send again what is still undecided."""
+        """Drop the pending changes; the forwarders resend undecided ones to the head of the newer view."""
         self._view = view.number
         self.rejections.enter_view(view.number, tail_member(view))
         self._pending.clear()
         self._replies.clear()
 
     def receive(self, sender: str, request: PutRequest, majority_reached: bool) -> None:
-        """A change, forwarded by another replica or by this one."""
+        """Handle a change that this replica or another one has forwarded."""
         if request.view_number != self._view or not self._chain.is_head:
             return
         if request.request_id in self._replies:
@@ -75,20 +76,20 @@
             self._expire(pending)
             return
         if self._is_full(request):
-            self._reply(pending, ErrorCode.WRITE_UNCLEAR, "Too many changes wait.")
+            self._reply(pending, ErrorCode.WRITE_UNCLEAR, "Too many changes are pending.")
             return
         self._pending.append(pending)
         self.advance()
 
     def tick(self) -> None:
-        """Give up on what has waited too long."""
+        """Expire changes whose deadline has passed, and decide others if possible."""
         while self._pending and self._pending[0].deadline <= self._outbox.now:
             self._expire(self._pending.pop(0))
         self.rejections.tick()
         self.advance()
 
     def advance(self) -> None:
-        """Decide as many as possible."""
+        """Decide as many pending changes as possible, and accept the first acceptable one."""
         if not self._pending or not self._may_decide():
             return
         decisions = [(pending, self._decide(pending)) for pending in self._pending]
@@ -129,7 +130,7 @@
         def on_stored(stored: bool) -> None:
             if not stored and pending in self._pending:
                 self._pending.remove(pending)
-                self._reply(pending, ErrorCode.WRITE_UNCLEAR, "The disk failed during the write.")
+                self._reply(pending, ErrorCode.WRITE_UNCLEAR, "The disk of the head failed during the write.")
 
         self._chain.append(pending.request.generation, pending.request.document, on_stored)
 
@@ -143,7 +144,7 @@
         self.rejections.add(pending.request.request_id, pending.deadline, on_end)
 
     def _is_full(self, request: PutRequest) -> bool:
-        """Whether the documents that wait would take too much memory with this one; one alone never does."""
+        """Whether this document would exceed the limit on pending documents; a single one never does."""
         pending = sum(len(other.request.document) for other in self._pending)
         return pending > 0 and pending + len(request.document) > MAX_PENDING_BYTES
 
@@ -152,17 +153,17 @@
         return queued or self.rejections.is_pending(request)
 
     def _expire(self, pending: PendingPut) -> None:
-        """Give no clear answer: after a restart this head may still accept a duplicate in the network."""
-        self._reply(pending, ErrorCode.WRITE_UNCLEAR, self._why_unclear(pending))
+        """Give an unclear answer, as this head may still accept a duplicate that is in the network."""
+        self._reply(pending, ErrorCode.WRITE_UNCLEAR, self._unclear_message(pending))
 
-    def _why_unclear(self, pending: PendingPut) -> str:
+    def _unclear_message(self, pending: PendingPut) -> str:
         pending_entry = self._register.pending_entry
         stored = pending_entry is not None and change_id_of(pending_entry) == pending.change
         if stored or self._register.has_accepted(pending.change):
-            return "The write is under way, its end is not known yet."
+            return "The write is in progress and its result is not known yet."
         if pending.request.match > self._register.generation:
-            return f"Generation {pending.request.match}, which the change builds on, is not in force yet."
-        return "Too few machines are in reach to take a change."
+            return f"The change builds on generation {pending.request.match}, which is not in force yet."
+        return "Too few machines are reachable to accept a change."
 
     def _reply(self, pending: PendingPut, error: ErrorCode | None, message: str = "") -> None:
         request = pending.request
--- a/reedspoke/control_plane/replication/heartbeats.py
+++ b/reedspoke/control_plane/replication/heartbeats.py
@@ -1,8 +1,8 @@
-"""Heartbeats: what this replica says of itself to all others, and what follows from theirs.
+"""Heartbeats: sends the state of this replica to all others, and handles theirs.
 
-A heartbeat is sent every `HEARTBEAT_INTERVAL_S`, and at once where the sender's condition or view changes. It
+A heartbeat is sent every `HEARTBEAT_INTERVAL_S`, and at once if the sender's condition or view changes. It
 feeds the failure detector, requests the grants of the voters (`grants`), and carries the committed sequence
-and the number of the view, so that a replica that has missed either catches up.
+and the view number, so that a replica that has missed a commit or a view catches up.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class Heartbeats:
-    """Owns when the last heartbeat was sent and to whom they go; `draining`: this process is about to end."""
+    """Owns the time of the last heartbeat and its receivers; `draining` is set before the process ends."""
 
     def __init__(
         self,
@@ -48,18 +48,18 @@
         self.draining = False
         self._view_members: frozenset[Member] = frozenset()
         self._last_sent = float("-inf")
-        self._last_condition = (True, False)  # disk works, copy of the chain's state is complete
+        self._last_condition = (True, False)  # whether the disk works, and whether this copy is complete
 
     def own(self) -> Heartbeat:
-        """This replica's heartbeat at this instant."""
+        """The heartbeat of this replica, as of now."""
         view = self._agreement.view
         return Heartbeat(
             member=self._settings.member,
             view_number=view.number if view else 0,
             receives_from=self._failure_detector.receives_from(self._view_members, self._outbox.now),
             disk_ok=self._outbox.disk_ok,
-            # While a snapshot is being stored the log still holds the former state: it must not count as
-            # complete, or a repair could build on a copy that a crash takes back.
+            # While a snapshot is being stored, the log still holds the former state. It must not count as
+            # complete, as a repair could otherwise rely on a copy that a crash would lose.
             synced_since=0 if self._register.installing_snapshot else self._register.synced_since,
             committed_sequence=self._register.committed_sequence,
             draining=self.draining,
@@ -72,18 +72,18 @@
         )
 
     def tick(self) -> None:
-        """Send a heartbeat where one is due, or the condition that it tells has changed."""
+        """Send a heartbeat if one is due or the condition of this replica has changed."""
         due = self._outbox.now - self._last_sent >= HEARTBEAT_INTERVAL_S
         if due or self._condition() != self._last_condition:
             self.broadcast()
 
     def enter_view(self, view: View) -> None:
-        """Tell everybody of the newer view."""
+        """Send a heartbeat with the newer view to all replicas."""
         self._view_members = frozenset([*view.voters, *(link.member for link in view.chain)])
         self.broadcast()
 
     def broadcast(self) -> None:
-        """Send a heartbeat to every known replica, and count the own vote."""
+        """Send a heartbeat to every known replica, and issue the grants of this replica to itself."""
         self._last_sent = self._outbox.now
         self._last_condition = self._condition()
         heartbeat = self.own()
@@ -95,7 +95,7 @@
             self._outbox.send(address, heartbeat)
 
     def receive(self, sender: str, heartbeat: Heartbeat) -> None:
-        """A heartbeat of another replica."""
+        """Handle a heartbeat of another replica."""
         self._failure_detector.record_heartbeat(heartbeat, self._outbox.now)
         self._voter_grants.grant_read_lease(heartbeat)
         self._voter_grants.confirm_view(heartbeat)
@@ -111,7 +111,7 @@
         return (self._outbox.disk_ok, self._chain.complete)
 
     def _addresses(self) -> set[str]:
-        """All members of the view, all replicas heard lately, and the seeds; without this replica."""
+        """Addresses of the view's members, the seeds and senders of recent heartbeats, except its own."""
         addresses = {member.address for member in self._view_members}
         addresses.update(member.address for member in self._failure_detector.members(self._outbox.now))
         addresses.update(self._first_start.configured_seeds)
--- a/reedspoke/control_plane/replication/invariants.py
+++ b/reedspoke/control_plane/replication/invariants.py
@@ -8,7 +8,7 @@
 
 
 class ReplicaInvariants:
-    """Owns what was seen last."""
+    """Owns the last observed view, committed sequence and entry."""
 
     def __init__(self) -> None:
         self._view_number = 0
@@ -18,7 +18,7 @@
     def check_after_event(
         self, view: View | None, committed: CommittedConfiguration | None, entry: Entry | None
     ) -> None:
-        """The replica now acts in this view, knows this to be committed, and has synced this entry."""
+        """Check the present view, the committed configuration and the newest synced entry."""
         self._check_view(0 if view is None else view.number)
         self._check_sequence(0 if committed is None else committed.sequence)
         if entry is not None and committed is not None and entry is not self._compared:
--- a/reedspoke/control_plane/replication/log_records.py
+++ b/reedspoke/control_plane/replication/log_records.py
@@ -1,4 +1,4 @@
-"""Records in a replica's log; replaying them in order yields its state, the last of a kind wins."""
+"""Records of a replica's log; replaying them in order restores its state, with the last of each kind."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class BootstrapRecord(Struct, tag="bootstrap", array_like=True, frozen=True):
-    """This folder was made at the first start of the whole system, with these seeds."""
+    """The folder was created at the first start of the system, with these seeds."""
 
     seeds: tuple[str, ...]
 
@@ -29,7 +29,7 @@
 
 
 class AcceptorRecord(Struct, tag="acceptor", array_like=True, frozen=True):
-    """What this voter has promised and accepted for the view `view_number`."""
+    """The promise and acceptance of this voter for the view `view_number`."""
 
     view_number: int
     promised: ProposalNumber
@@ -38,13 +38,13 @@
 
 
 class EntryRecord(Struct, tag="entry", array_like=True, frozen=True):
-    """An entry of the chain, which also goes into the history."""
+    """An entry of the chain, which is also added to the history."""
 
     entry: Entry
 
 
 class HistoryRecord(Struct, tag="packed_history", array_like=True, frozen=True):
-    """The whole history of accepted changes, as `ChangeHistory` packs it, in place of what was before."""
+    """The packed `ChangeHistory`, which replaces the history and entry before it in the log."""
 
     history: bytes
 
@@ -53,19 +53,19 @@
 
 
 class ListedHistoryRecord(Struct, tag="history", array_like=True, frozen=True):
-    """The whole history as earlier versions wrote it; it is only read."""
+    """The history in the format of earlier versions; it is read but not written."""
 
     history: tuple[ChangeId, ...]
 
 
 class SyncedRecord(Struct, tag="synced", array_like=True, frozen=True):
-    """This replica holds what its predecessor held since it was appended in the view `joined_view`."""
+    """The replica holds the snapshot that it received after it was appended in the view `joined_view`."""
 
     joined_view: int
 
 
 class ProbeRecord(Struct, tag="probe", array_like=True, frozen=True):
-    """Written to learn whether the disk works again."""
+    """A record without content, written to test whether a failed disk works again."""
 
 
 Record = (
@@ -81,7 +81,7 @@
 
 
 class RestoredState(Struct):
-    """The state that a log yields."""
+    """The state restored from a log."""
 
     seeds: tuple[str, ...] = ()
     view: View | None = None
@@ -92,18 +92,18 @@
 
 
 def encode_record(record: Struct) -> bytes:
-    """Bytes of one record."""
+    """Encode one record."""
     return ormsgpack.packb(to_builtins(record, builtin_types=(bytes,)))
 
 
 def decode_record(payload: bytes) -> Record:
-    """A record from its bytes. Raises msgspec.ValidationError for anything else."""
+    """Decode one record. Raises msgspec.ValidationError if it is not a known record."""
     record: Record = convert(ormsgpack.unpackb(payload), type=Record)
     return record
 
 
 def restore(records: Sequence[bytes]) -> RestoredState:
-    """The state after all these records. Raises FleetError STORAGE_CORRUPT for a record of no known kind."""
+    """The state after all these records. Raises FleetError STORAGE_CORRUPT for an unknown record."""
     state = RestoredState()
     try:
         for payload in records:
--- a/reedspoke/control_plane/replication/membership_observer.py
+++ b/reedspoke/control_plane/replication/membership_observer.py
@@ -1,7 +1,7 @@
-"""What a replica sees of the others when it judges a view: who is in reach, and in what condition.
+"""The members as a replica observes them for the choice of a view: their reachability and condition.
 
-It joins the failure detector's knowledge with this replica's own heartbeat, so that the choice of a view
-needs no special case for the replica that chooses.
+The observer combines the failure detector's state with the replica's own heartbeat, so that the choice of a
+view needs no special case for the replica that chooses.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class MembershipObserver:
-    """A view of the failure detector's state; it has none but the time of its start."""
+    """Derives membership state from the failure detector; its only own state is the time of its start."""
 
     def __init__(
         self,
@@ -38,31 +38,31 @@
         self._started = outbox.now
 
     def reachable(self, folder_id: str) -> bool:
-        """Whether this replica and that one hear each other."""
+        """Whether this replica and that one receive each other's heartbeats."""
         return self._failure_detector.mutually_reachable(folder_id, self._outbox.now)
 
     def reaches_majority_of(self, view: View) -> bool:
-        """Whether this replica and a majority of the view's voters hear each other."""
+        """Whether this replica and a majority of the view's voters receive each other's heartbeats."""
         reached = sum(self.reachable(voter.folder_id) for voter in view.voters)
         return reached >= majority_size(len(view.voters))
 
     def has_peer_not_draining(self) -> bool:
-        """Whether a replica in reach is not about to shut down."""
+        """Whether another reachable replica is not about to shut down."""
         members = self._failure_detector.members(self._outbox.now)
         reached = [member for member in members if self.reachable(member.folder_id)]
         return any(not self.is_draining(member.folder_id) for member in reached)
 
     def is_draining(self, folder_id: str) -> bool:
-        """Whether this replica has said that its process is about to end."""
+        """Whether this replica has announced that its process is about to end."""
         heartbeat = self._heartbeat_of(folder_id)
         return heartbeat is not None and heartbeat.draining
 
     def received_for_s(self, address: str) -> float:
-        """How long the replica at this address has been heard without a gap, in seconds."""
+        """Seconds for which heartbeats of the replica at this address have arrived without a gap."""
         return self._failure_detector.received_for_s(address, self._outbox.now)
 
     def heartbeats_for_first_view(self, seeds: tuple[str, ...]) -> list[Heartbeat]:
-        """Of this replica, of the seeds that were heard, and of whoever else hears this replica too."""
+        """Newest heartbeats of this replica, of seeds, and of other replicas that are reachable."""
         members = [
             member
             for member in self._failure_detector.members(self._outbox.now)
@@ -81,7 +81,7 @@
         )
 
     def snapshot(self, view: View) -> MembershipSnapshot:
-        """What the choice of the view after this one is made from."""
+        """The input for the choice of the view after this one."""
         now = self._outbox.now
         return MembershipSnapshot(
             conditions=self._conditions(view),
@@ -122,7 +122,7 @@
 def _condition(
     heartbeat: Heartbeat, joined_view: dict[str, int], steady: bool, established: bool
 ) -> MemberCondition:
-    """How a replica stands; `joined_view` has, for each member of the chain, the view that appended it."""
+    """The condition of a replica; `joined_view` maps chain members to the view that appended each."""
     return MemberCondition(
         member=heartbeat.member,
         healthy=heartbeat.disk_ok,
--- a/reedspoke/control_plane/replication/messages.py
+++ b/reedspoke/control_plane/replication/messages.py
@@ -1,4 +1,4 @@
-"""Messages between replicas, each a typed, tagged structure; `ReplicaMessage` is the union of them."""
+"""Messages between replicas, as tagged structures; `ReplicaMessage` is the union of them."""
 
 from __future__ import annotations
 
@@ -10,22 +10,23 @@
 
 
 class ProposalNumber(Struct, array_like=True, frozen=True, order=True):
-    """Number of a Paxos proposal: the larger wins, and no two proposers share one."""
+    """Number of a Paxos proposal: the largest has precedence, and each is used by one proposer only."""
 
     counter: int = 0
-    proposer: str = ""  # folder id and incarnation
+    proposer: str = ""  # folder id and incarnation of the proposer
 
 
 class Heartbeat(Struct, tag="ping", array_like=True, frozen=True):
-    """The sender is alive, in this condition; sent to every known replica.
+    """Periodic message to every known replica, with the condition of the sender.
 
-    Each heartbeat requests a `ViewConfirmation`; `sent_at` is its time on the sender's steady clock. One of a
-    tail that requests a read lease has `lease_requested_at` set, a time of the same clock.
+    Each heartbeat requests a `ViewConfirmation`; `sent_at` is its time on the sender's steady clock. A tail
+    that requests a read lease sets `lease_requested_at`, a time of the same clock.
 
-    `synced_since` is the view since whose appending the sender holds what its predecessor held;
-    `has_undecided_view` is set where it has accepted a next view that it does not know to be decided.
-    `bootstrap_seed` is set by a seed whose folder is one of the first start, `bootstrap_joiner` by any other
-    replica of it that has no view.
+    `receives_from` has the folder ids of the replicas whose heartbeats reach the sender. `synced_since` is
+    the view that appended the sender to the chain, once it has stored the snapshot. `has_undecided_view` is
+    set if the sender has accepted a next view that it does not know to be decided. `bootstrap_seed` is set by
+    a seed that takes part in the first start, `bootstrap_joiner` by any other replica of the first start that
+    has no view yet.
     """
 
     member: Member
@@ -43,7 +44,7 @@
 
 
 class ViewConfirmation(Struct, tag="contact_grant", array_like=True, frozen=True):
-    """A voter acts in this view and had accepted no next one when the heartbeat of `requested_at` came."""
+    """A voter was in this view and had accepted no next one when the heartbeat of `requested_at` arrived."""
 
     folder_id: str
     view_number: int
@@ -51,9 +52,9 @@
 
 
 class ReadLeaseGrant(Struct, tag="lease_grant", array_like=True, frozen=True):
-    """A voter accepts no view with another tail for `READ_LEASE_TTL_S`.
+    """A voter accepts no view with another tail or other voters for `READ_LEASE_TTL_S`.
 
-    `requested_at` is the time of the request, by the clock of the tail that is to hold the lease.
+    `requested_at` is the time of the request on the clock of the tail that requested the lease.
     """
 
     folder_id: str
@@ -62,20 +63,20 @@
 
 
 class ViewDecided(Struct, tag="view", array_like=True, frozen=True):
-    """A decided view."""
+    """The newest decided view that the sender knows."""
 
     view: View
 
 
 class PrepareRequest(Struct, tag="prepare", array_like=True, frozen=True):
-    """Paxos phase 1 for the view `view_number`: a proposer asks for a promise."""
+    """Paxos phase 1 for the view `view_number`: a proposer requests a promise."""
 
     view_number: int
     proposal_number: ProposalNumber
 
 
 class PrepareResponse(Struct, tag="promise", array_like=True, frozen=True):
-    """The promise that answers a `PrepareRequest`, with what this acceptor has accepted before."""
+    """The promise in response to a `PrepareRequest`, with the value that the acceptor has accepted before."""
 
     acceptor: Member
     view_number: int
@@ -85,9 +86,9 @@
 
 
 class AcceptRequest(Struct, tag="accept", array_like=True, frozen=True):
-    """Paxos phase 2: a proposer asks to accept `view`.
+    """Paxos phase 2: a proposer requests the acceptance of `view`.
 
-    `released_at`: the present tail has released its read lease, at this time of its clock.
+    `released_at` is the time, on the tail's clock, at which the present tail released its read lease.
     """
 
     view_number: int
@@ -105,7 +106,7 @@
 
 
 class ProposalRejected(Struct, tag="rejected", array_like=True, frozen=True):
-    """An acceptor has promised a larger proposal number; answers either request."""
+    """An acceptor has promised a larger proposal number; a response to either phase's request."""
 
     view_number: int
     proposal_number: ProposalNumber
@@ -113,20 +114,20 @@
 
 
 class ReadLeaseReleaseRequest(Struct, tag="resign_request", array_like=True, frozen=True):
-    """A proposer asks the tail of the view `view_number` to release its read lease."""
+    """A proposer requests that the tail of the view `view_number` release its read lease."""
 
     view_number: int
 
 
 class ReadLeaseReleased(Struct, tag="resigned", array_like=True, frozen=True):
-    """The tail has released every read lease that it requested until `released_at`, a time of its clock."""
+    """The tail has released every read lease that it requested up to `released_at`, a time of its clock."""
 
     view_number: int
     released_at: float
 
 
 class SuccessorStatus(Struct, tag="chain_state", array_like=True, frozen=True):
-    """Successor to predecessor: what the sender has on disk, which also acknowledges an `AppendRequest`."""
+    """Successor to predecessor: the entries that the sender has on disk; acknowledges an `AppendRequest`."""
 
     view_number: int
     folder_id: str
@@ -143,7 +144,7 @@
 
 
 class InstallSnapshot(Struct, tag="snapshot", array_like=True, frozen=True):
-    """Predecessor to a successor that was appended in the view `joined_view`: the full state.
+    """Predecessor to a successor that was appended in the view `joined_view`: the complete state.
 
     `history` is a packed `ChangeHistory`.
     """
@@ -158,7 +159,7 @@
 
 
 class CommitNotification(Struct, tag="commit", array_like=True, frozen=True):
-    """Tail to the others of the chain: everything up to `sequence` is committed."""
+    """Tail to the other members of the chain: all entries up to `sequence` are committed."""
 
     view_number: int
     sequence: int
@@ -175,7 +176,7 @@
 
 
 class PutReply(Struct, tag="put_reply", array_like=True, frozen=True):
-    """Final reply of the head of the view to a `PutRequest`; `error` 0 means acknowledged."""
+    """Final reply of the head to a `PutRequest`; the change is acknowledged if `error` is 0."""
 
     view_number: int
     request_id: str
@@ -184,7 +185,7 @@
 
 
 class GetRequest(Struct, tag="get_request", array_like=True, frozen=True):
-    """A read, forwarded to the tail of the view; `known_sequence` is the newest that the forwarder has."""
+    """A read, forwarded to the tail; `known_sequence` is the newest committed one at the forwarder."""
 
     view_number: int
     request_id: str
@@ -192,9 +193,9 @@
 
 
 class GetReply(Struct, tag="get_reply", array_like=True, frozen=True):
-    """The tail's reply: newest committed `sequence` (0: none), with the entry unless the forwarder has it.
+    """The tail's reply: the newest committed `sequence`, with its entry unless the forwarder has it.
 
-    `ready` is false where the tail may not answer yet.
+    `sequence` is 0 if there is none. `ready` is false while the tail may not answer yet.
     """
 
     view_number: int
--- a/reedspoke/control_plane/replication/outbox.py
+++ b/reedspoke/control_plane/replication/outbox.py
@@ -1,4 +1,4 @@
-"""Stores whose end is awaited, and the state of the disk that follows from how they end."""
+"""Stores in progress, and the state of the disk as derived from their results."""
 
 from __future__ import annotations
 
@@ -25,20 +25,20 @@
 
 
 class PendingStore(Struct):
-    """A store that has not ended."""
+    """A store in progress."""
 
-    due: float  # the disk is failing where it has not ended by then
+    deadline: float  # a store in progress after this time means that the disk is failing
     size: int
     replace: bool
     on_end: StoreEnd
-    newest: int  # sequence of the newest entry in it, 0: none
+    newest_sequence: int  # of the entries in the store; 0 if it has none
 
 
 class Outbox(EffectBuffer):
-    """Owns the stores that have not ended, and the state of the disk.
+    """Owns the effects, the stores in progress, and the state of the disk.
 
-    After a failed store the disk counts as failed until a small probe and then a rewrite of the whole log,
-    which also removes whatever the failed store left, have succeeded.
+    After a failed store, the disk counts as failed until a small probe and then a rewrite of the whole log
+    have succeeded. The rewrite also removes what the failed store may have written.
     """
 
     def __init__(self, address: str, now: float, restored_size: int) -> None:
@@ -46,41 +46,41 @@
         self.disk_failed = False
         self.synced_state_lost = False
         self.snapshot_records: SnapshotRecords = tuple
-        self.synced_sequence = 0  # of the newest entry whose store has ended well, of all since the start
+        self.synced_sequence = 0  # of the newest entry stored successfully since the start, or restored
         self._pending: dict[int, PendingStore] = {}
         self._next_token = 1
         self._log_size = COPIES * restored_size
-        self._live_size = 0  # not known before the first rewrite
+        self._live_size = 0  # unknown before the first rewrite
         self._probe_after = 0.0
 
     @property
     def disk_ok(self) -> bool:
-        """Whether the disk answers in time, and has kept what it had synced."""
+        """Whether all stores end in time, and no synced entries have been lost."""
         if self.disk_failed or self.synced_state_lost:
             return False
-        return all(self.now <= store.due for store in self._pending.values())
+        return all(self.now <= store.deadline for store in self._pending.values())
 
     def store(self, records: Sequence[Struct], on_end: StoreEnd) -> None:
-        """Append records; `on_end` is called with the result."""
-        newest = max(
+        """Append records to the log; `on_end` is called with the result."""
+        newest_sequence = max(
             (record.entry.sequence for record in records if isinstance(record, EntryRecord)), default=0
         )
-        self._store(tuple(map(encode_record, records)), on_end, newest, replace=False)
+        self._store(tuple(map(encode_record, records)), on_end, newest_sequence, replace=False)
 
-    def rewrite(self, on_end: StoreEnd, newest: int = 0) -> None:
-        """Replace the log by the snapshot of the present state.
+    def rewrite(self, on_end: StoreEnd, newest_sequence: int = 0) -> None:
+        """Replace the log by a snapshot of the present state.
 
-        `newest` is the sequence of an entry in it that has not been stored before.
+        `newest_sequence` is that of an entry in it that has not been stored before; 0 if there is none.
         """
-        self._store(self.snapshot_records(), on_end, newest, replace=True)
+        self._store(self.snapshot_records(), on_end, newest_sequence, replace=True)
 
     def store_completed(self, event: StoreCompleted) -> None:
-        """A store has ended."""
+        """Record the result of a store, and call its `on_end`."""
         pending = self._pending.pop(event.token, None)
         if pending is None:
             return
         if event.error is None:
-            self.synced_sequence = max(self.synced_sequence, pending.newest)
+            self.synced_sequence = max(self.synced_sequence, pending.newest_sequence)
             self._count_bytes(pending)
         else:
             self._record_failure(event.error)
@@ -88,19 +88,21 @@
         self._rewrite_when_long()
 
     def tick(self) -> None:
-        """Try a failed disk again."""
+        """Probe a failed disk every `DISK_PROBE_INTERVAL_S`."""
         if not self.disk_failed or self._pending or self.now < self._probe_after:
             return
         self._probe_after = self.now + DISK_PROBE_INTERVAL_S
         self.store([ProbeRecord()], self._probe_ended)
 
-    def _store(self, records: tuple[bytes, ...], on_end: StoreEnd, newest: int, replace: bool) -> None:
+    def _store(
+        self, records: tuple[bytes, ...], on_end: StoreEnd, newest_sequence: int, replace: bool
+    ) -> None:
         token = self._next_token
         self._next_token += 1
         size = encoded_size(records)
         unwritten = size + sum(store.size for store in self._pending.values())
-        due = self.now + DISK_STALL_TIMEOUT_S + unwritten / DISK_BYTES_PER_S
-        self._pending[token] = PendingStore(due, size, replace, on_end, newest)
+        deadline = self.now + DISK_STALL_TIMEOUT_S + unwritten / DISK_BYTES_PER_S
+        self._pending[token] = PendingStore(deadline, size, replace, on_end, newest_sequence)
         self.emit(StoreRecords(token, records, replace))
 
     def _count_bytes(self, pending: PendingStore) -> None:
@@ -132,4 +134,4 @@
 
 
 def _ignore(error: ErrorCode | None) -> None:
-    """Rewriting a log that has grown long changes nothing, whether it succeeds or not."""
+    """Ignore the result of a rewrite that only shortens the log."""
--- a/reedspoke/control_plane/replication/pending_calls.py
+++ b/reedspoke/control_plane/replication/pending_calls.py
@@ -1,4 +1,4 @@
-"""Calls to the replica that wait for their answer: futures by the number of the request."""
+"""Operator calls that wait for an answer of the replica, as futures by request id."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class PendingCalls(Generic[Answer]):
-    """Owns the futures; a caller that gives up (cancels its future) is forgotten."""
+    """Owns the futures; a future that its caller cancels is removed."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self._loop = loop
@@ -21,14 +21,14 @@
         return len(self._futures)
 
     def add(self, request_id: int) -> asyncio.Future[Answer]:
-        """The future of a new request."""
+        """Create the future of a new request."""
         future: asyncio.Future[Answer] = self._loop.create_future()
         self._futures[request_id] = future
         future.add_done_callback(lambda _: self._futures.pop(request_id, None))
         return future
 
     def complete(self, answer: Answer) -> None:
-        """The replica has answered; nothing happens where the caller has given up."""
+        """Complete the future of an answered request, unless its caller has cancelled it."""
         future = self._futures.get(answer.request_id)
         if future is not None and not future.done():
             future.set_result(answer)
--- a/reedspoke/control_plane/replication/put_forwarding.py
+++ b/reedspoke/control_plane/replication/put_forwarding.py
@@ -13,23 +13,23 @@
 
 
 class PendingPutRequest(PendingRequest):
-    """A change without answer."""
+    """A change without an answer."""
 
     put: PutSubmitted
     sent_at: float = float("-inf")
 
 
 class PutForwarder(RequestForwarder[PendingPutRequest]):
-    """Sends each change to the head of the present view, and again to the next one's."""
+    """Sends each change to the head of the present view, and again to the head of each newer view."""
 
     def submit(self, put: PutSubmitted, view: View | None, contact: ContactState) -> None:
-        """An operator's change."""
+        """Forward an operator's change."""
         self._begin(PendingPutRequest(put, submitted_at=self._outbox.now), view, contact)
 
     def receive_reply(self, reply: PutReply) -> None:
-        """The head's reply. A rejection counts only from the head to which the change was sent last.
+        """Handle a head's reply. An error counts only from the head to which the change was sent last.
 
-        An earlier head may reject what the present one has been sent, and acknowledges.
+        The head of an earlier view may reject a change that the present head acknowledges.
         """
         pending = self._pending.get(reply.request_id)
         if pending is None or (reply.error and reply.view_number != pending.sent_view):
@@ -49,10 +49,10 @@
         self._outbox.send(view.chain[0].member.address, message)
 
     def _expire(self, call: PendingPutRequest) -> None:
-        self._answer(call.put, ErrorCode.WRITE_UNCLEAR, "The head has not answered in time.")
+        self._answer(call.put, ErrorCode.WRITE_UNCLEAR, "The head has not replied in time.")
 
     def _reject(self, call: PendingPutRequest) -> None:
-        self._answer(call.put, ErrorCode.NO_QUORUM, "This machine reaches no majority.")
+        self._answer(call.put, ErrorCode.NO_QUORUM, "This machine cannot reach a majority of voters.")
 
     def _answer(self, put: PutSubmitted, error: ErrorCode | None, message: str) -> None:
         self._outbox.emit(PutCompleted(put.request_id, error, message))
--- a/reedspoke/control_plane/replication/rejection_confirmation.py
+++ b/reedspoke/control_plane/replication/rejection_confirmation.py
@@ -1,7 +1,8 @@
-"""Rejections of the head, which wait until the tail has confirmed that the head's view is still in force.
+"""Rejections of the head, which are deferred until the tail confirms that the head's view is in force.
 
-A partitioned head may lack changes that the others have acknowledged since, and must not reject them. A tail
-that holds its read lease in the same view rules that out. The request for a confirmation is a read.
+A partitioned head may lack changes that the others have acknowledged in a newer view, and must not reject
+them. While the tail of its view holds the read lease there is no newer view. The request for a confirmation
+is a read.
 """
 
 from __future__ import annotations
@@ -15,7 +16,7 @@
 from reedspoke.control_plane.replication.settings import GET_RETRY_INTERVAL_S
 from reedspoke.control_plane.replication.view import Member
 
-KEY_PREFIX = "refusal "  # on the wire; tells the keys from the request ids of reads
+KEY_PREFIX = "refusal "  # on the wire; distinguishes the keys from the request ids of reads
 
 NO_ENTRY_REQUESTED = 2**62  # no sequence is larger, so that the tail sends no entry
 
@@ -23,7 +24,7 @@
 
 
 class PendingRejection(Struct):
-    """A rejection that is not confirmed yet; `on_end` gets whether it was confirmed in time."""
+    """An unconfirmed rejection; `on_end` is called with whether it was confirmed in time."""
 
     request: str
     on_end: OnConfirmed
@@ -32,10 +33,10 @@
 
 
 class RejectionConfirmer:
-    """Requests a confirmation of the tail for each rejection, until it confirms or the deadline is reached.
+    """Requests a confirmation by the tail for each rejection until it replies or the deadline is reached.
 
-    Each has a key of its own, so that a reply to an earlier request confirms nothing: the id of the rejected
-    request would come again where the head has been restarted, as the forwarder repeats it.
+    Each confirmation has a key of its own, so that a reply to an earlier request is not mistaken for it. The
+    id of the rejected request would not be unique: the forwarder resends it after a restart of the head.
     """
 
     def __init__(self, name: str, outbox: Outbox) -> None:
@@ -47,24 +48,24 @@
         self._tail: Member | None = None
 
     def enter_view(self, number: int, tail: Member) -> None:
-        """A newer view: its head decides anew what was pending."""
+        """Drop the pending rejections; the head of the newer view decides these changes again."""
         self._view = number
         self._tail = tail
         self._pending.clear()
 
     def add(self, request: str, deadline: float, on_end: OnConfirmed) -> None:
-        """Have a rejection confirmed."""
+        """Request the confirmation of a rejection."""
         self._count += 1
         key = f"{self._prefix}{self._count}"
         self._pending[key] = PendingRejection(request, on_end, deadline, self._outbox.now)
         self._request_confirmation(key)
 
     def is_pending(self, request: str) -> bool:
-        """Whether a rejection of this request waits for its confirmation."""
+        """Whether a rejection of this request waits for a confirmation."""
         return any(rejection.request == request for rejection in self._pending.values())
 
     def receive_reply(self, reply: GetReply) -> bool:
-        """The tail's reply; false where it belongs to a read."""
+        """Handle a tail's reply; return False if it is the reply to a read."""
         if not reply.request_id.startswith(KEY_PREFIX):
             return False
         if reply.ready and reply.view_number == self._view and reply.request_id in self._pending:
@@ -72,7 +73,7 @@
         return True
 
     def tick(self) -> None:
-        """Request again, or give up."""
+        """Resend requests, and end those whose deadline has passed."""
         for key, rejection in list(self._pending.items()):
             if self._outbox.now >= rejection.deadline:
                 del self._pending[key]
--- a/reedspoke/control_plane/replication/replica.py
+++ b/reedspoke/control_plane/replication/replica.py
@@ -1,17 +1,17 @@
-"""The replicated configuration state: a pure state machine, fed with events and answering with effects.
+"""A replica of the configuration state, as a pure state machine that turns events into effects.
 
 It does no I/O and reads no clock. The driver sends `Tick` about every `TICK_INTERVAL_S`, keeps the order of
-`StoreRecords` effects, answers each with `StoreCompleted`, and feeds what comes over the network as
+`StoreRecords` effects, answers each with `StoreCompleted`, and passes each network message as
 `MessageReceived`.
 
-`Replica` owns the parts and hands each event to the part that it is for; the state is theirs:
+`Replica` owns the parts and dispatches each event to the responsible one. The parts own the state:
 
-* `ViewAgreement` the view, `Chain` this replica's position in it, `ConfigurationRegister` the entries;
-* `HeadQueue` the changes at the head, `TailReader` the reads at the tail;
-* `PutForwarder` and `GetForwarder` the requests of this node's operators;
-* `Heartbeats` and `FailureDetector` who is in reach, `ChainRepair` which next view to propose;
-* `VoterGrants` what this replica grants as voter, `ReceivedGrants` what others have granted to it;
-* `FirstStart` the seeds, `Outbox` the effects and the condition of the disk.
+* `ViewAgreement`: the view; `Chain`: this replica's position in it; `ConfigurationRegister`: the entries;
+* `HeadQueue`: the changes at the head; `TailReader`: the reads at the tail;
+* `PutForwarder` and `GetForwarder`: the requests of this node's operators;
+* `Heartbeats` and `FailureDetector`: which replicas are reachable; `ChainRepair`: the next view to propose;
+* `VoterGrants`: the grants that this replica issues as a voter; `ReceivedGrants`: those that it holds;
+* `FirstStart`: the seeds; `Outbox`: the effects and the state of the disk.
 """
 
 from __future__ import annotations
@@ -77,18 +77,18 @@
 
 __all__ = ["TICK_INTERVAL_S", "Replica", "ReplicaSettings"]
 
-NO_MAJORITY = "No majority stands behind this machine any more."
+NO_MAJORITY = "This machine is not in contact with a majority of voters any more."
 UNCLEAR_ERRORS = (ErrorCode.NO_QUORUM, ErrorCode.WRITE_UNCLEAR)
 
 
 class Replica:
     """One member of the replicated configuration state.
 
-    `records` is what the log holds. `incarnation` differs at each start of the process: requests and
-    proposals are named by it. It is drawn at random, as clocks and counters may repeat after a reboot or a
-    lost disk.
+    `records` are the records of the log. `incarnation` is unique to each start of the process and part of the
+    names of requests and proposals. It is random, as clocks and counters may repeat after a reboot or a lost
+    disk.
 
-    Raises FleetError STORAGE_CORRUPT for a record of no known kind.
+    Raises FleetError STORAGE_CORRUPT for an unknown record.
     """
 
     def __init__(
@@ -112,7 +112,7 @@
             self._first_start.begin()
 
     def _create_parts(self, name: str, restored: RestoredState) -> None:
-        """Create the parts; `name` tells this replica's requests and proposals from those of all others."""
+        """Create the parts; `name` makes the requests and proposals of this incarnation unique."""
         settings, outbox = self._settings, self._outbox
         limit_s = settings.answer_limit_s
         self._failure_detector = FailureDetector(settings.member, outbox.now)
@@ -140,7 +140,7 @@
         self._observer = MembershipObserver(settings, outbox, self._failure_detector, self._heartbeats.own)
         self._repair = ChainRepair(settings, outbox, self._agreement, self._observer)
 
-    # ---- what the driver may ask ----
+    # ---- state for the driver ----
 
     @property
     def view(self) -> View | None:
@@ -154,7 +154,7 @@
 
     @property
     def majority_reached(self) -> bool:
-        """Whether this replica and a majority of the voters hear each other."""
+        """Whether this replica and a majority of the voters receive each other's heartbeats."""
         return self._repair.majority_reached()
 
     def holds_majority(self, now: float) -> bool:
@@ -169,8 +169,8 @@
     def confirmed_as_of(self, now: float) -> float | None:
         """The time as of which the configuration known here to be committed was certainly the newest.
 
-        None while this replica may not hand over its state: it is no complete member of the chain, it has
-        heard of a newer view, or no majority has lately confirmed that its own is the newest.
+        None while this replica may not deliver its state as current: it is not a complete member of the
+        chain, it has learned a newer view, or no majority has lately confirmed that its own is the newest.
         """
         if not self.in_chain or self._agreement.is_behind or not self.holds_majority(now):
             return None
@@ -178,12 +178,12 @@
 
     @property
     def disk_works(self) -> bool:
-        """Whether the disk answers in time, and has kept what it had synced."""
+        """Whether the disk ends all stores in time, and has lost no synced entries."""
         return self._outbox.disk_ok
 
     @property
     def has_peer_not_draining(self) -> bool:
-        """Whether a replica in reach is not about to shut down."""
+        """Whether another reachable replica is not about to shut down."""
         return self._observer.has_peer_not_draining()
 
     @property
@@ -192,25 +192,25 @@
         return self._register.committed
 
     def snapshot_records(self) -> tuple[bytes, ...]:
-        """Records that yield the present state: what a rewritten log holds."""
+        """Records that restore the present state, for a rewritten log."""
         records = [*self._first_start.records(), *self._agreement.records(), *self._register.records()]
         return tuple(map(encode_record, records))
 
     # ---- events ----
 
     def handle(self, now: float, event: Event) -> list[Effect]:
-        """Handle one event at the time `now` of the steady clock; the effects are to be done in order."""
+        """Handle one event at the time `now` of the steady clock; return the effects in order."""
         self._outbox.now = now
         self._detect_process_stop(now)
         self._dispatch(event)
         self._receive_own_messages()
         self._invariants.check_after_event(self.view, self._register.committed, self._register.entry)
-        return [self._checked(effect) for effect in self._outbox.take_effects()]
+        return [self._without_unconfirmed_answer(effect) for effect in self._outbox.take_effects()]
 
-    def _checked(self, effect: Effect) -> Effect:
-        """No operator is told anything for certain while no majority stands behind this replica.
+    def _without_unconfirmed_answer(self, effect: Effect) -> Effect:
+        """Replace a final answer by an unclear one while this replica lacks contact with a majority.
 
-        An answer may have been decided by a part of this replica before the event that cost the majority.
+        A part of this replica may have decided the answer before the event in which the contact was lost.
         """
         if self._reaches_majority():
             return effect
@@ -222,7 +222,7 @@
         return effect
 
     def _reaches_majority(self) -> bool:
-        """Whether a majority has confirmed this replica's view, and is still heard."""
+        """Whether a majority has confirmed this replica's view and is still reachable."""
         return self.holds_majority(self._outbox.now) and self.majority_reached
 
     def _contact_state(self) -> ContactState:
@@ -284,14 +284,14 @@
         now = self._outbox.now
         if now - self._last_repair >= REPAIR_INTERVAL_S - TICK_INTERVAL_S / 2:
             self._last_repair = now
-            self._look_for_better_view()
+            self._propose_view()
 
     def _tick_forwarders(self) -> None:
         contact = self._contact_state()
         self._puts.tick(self.view, contact)
         self._gets.tick(self.view, contact)
 
-    def _look_for_better_view(self) -> None:
+    def _propose_view(self) -> None:
         if self.view is not None:
             self._repair.propose_next(self.view)
         elif self._first_start.is_participant:
@@ -318,7 +318,7 @@
         self._tick_forwarders()
 
     def _detect_process_stop(self, now: float) -> None:
-        """After a stop of this process nobody counts as lost until it has listened for a while."""
+        """Restart all time-outs after a stop of this process, in which it has received no heartbeats."""
         if now - self._last_tick > PROCESS_STOP_GAP_S:
             self._failure_detector.process_resumed(now)
             self._repair.process_resumed()
--- a/reedspoke/control_plane/replication/replica_storage.py
+++ b/reedspoke/control_plane/replication/replica_storage.py
@@ -1,7 +1,7 @@
-"""The data folder of a replica: opened, replayed and written on a thread of its own.
+"""The data folder of a replica: opened, replayed and written on a separate thread.
 
-A log that can't be read is put into quarantine, and the replica starts with an empty folder; it then has lost
-its part of what the fleet has agreed on, and so takes no part in a first start.
+A log that cannot be read is quarantined, and the replica starts with an empty folder. As it may have lost
+votes and entries, it takes no part in a first start.
 """
 
 from __future__ import annotations
@@ -29,8 +29,8 @@
 class ReplicaStorage:
     """Owns the log of the replica. `_thread_restore` runs on the storage thread.
 
-    `on_opened` gets the replica once the folder is open, `on_stored` the end of each store; both are called
-    on the event loop.
+    `on_opened` is called with the replica once the folder is open, `on_stored` with the result of each store;
+    both are called on the event loop.
     """
 
     def __init__(
@@ -50,11 +50,11 @@
         self._log = DurableLog(directory, LOG_NAME, thread, self._thread_restore, self._opened)
 
     def open(self) -> None:
-        """Open the data folder, again and again until it succeeds."""
+        """Open the data folder; retried until it succeeds."""
         self._log.open()
 
     def store(self, effect: StoreRecords) -> None:
-        """Write to the log; stores end in the order in which they were begun."""
+        """Write to the log; stores end in the order in which they were started."""
 
         def stored(error: ErrorCode | None) -> None:
             self._on_stored(StoreCompleted(effect.token, error))
@@ -62,14 +62,14 @@
         self._log.store(effect.records, effect.replace, stored)
 
     def _thread_restore(self, opened: OpenedLog) -> Replica:
-        # A folder whose log was corrupt has lost its part of what the fleet agreed on.
-        lost_part = opened.succeeds_corrupt or self._log.was_corrupt
+        # A folder whose log was corrupt may have lost votes and entries.
+        lost_state = opened.succeeds_corrupt or self._log.was_corrupt
         settings = ReplicaSettings(
             folder_id=opened.folder_id,
             address=self._own_address,
             zone=self._settings.zone,
             seeds=self._settings.seed_addresses(),
-            bootstrap=self._settings.bootstrap and not lost_part,
+            bootstrap=self._settings.bootstrap and not lost_state,
             machines_tolerated=self._settings.fault_tolerance.machines,
         )
         incarnation = os.urandom(INCARNATION_BYTES).hex()
--- a/reedspoke/control_plane/replication/request_forwarding.py
+++ b/reedspoke/control_plane/replication/request_forwarding.py
@@ -1,4 +1,4 @@
-"""Calls of operators that another replica answers: forwarded, retried, and ended within a time limit."""
+"""Operator calls that another replica answers: forwarded, retried and ended within a time limit."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class PendingRequest(Struct, kw_only=True):
-    """A call without answer; `sent_view` is the view in which it was sent last, 0 before it was sent."""
+    """A call without an answer; `sent_view` is the view in which it was last sent, 0 if it was not sent."""
 
     submitted_at: float
     sent_view: int = 0
@@ -23,10 +23,10 @@
 
 
 class RequestForwarder(Generic[Call]):
-    """Owns the calls without answer, by the id of their request.
+    """Owns the calls without an answer, by request id.
 
-    A call is sent only once a majority of voters has confirmed this replica's view: a partitioned replica
-    would send it to a head or tail that is no longer one.
+    A call is sent only while a majority of voters has confirmed this replica's view. Otherwise a partitioned
+    replica would send it to the head or tail of an outdated view.
     """
 
     def __init__(self, name: str, outbox: Outbox, answer_limit_s: float) -> None:
@@ -37,7 +37,7 @@
         self._count = 0
 
     def tick(self, view: View | None, contact: ContactState) -> None:
-        """Send again what may have been lost; end what has waited too long."""
+        """Resend requests that may have been lost, and end calls at their time limit."""
         for request in list(self._pending):
             self._advance(request, view, contact)
 
@@ -60,17 +60,17 @@
             self._reject(self._pending.pop(request))
 
     def _is_due(self, call: Call) -> bool:
-        """Whether to send it again to the same member, as the message or its reply may be lost."""
+        """Whether to resend the request to the same member, as it or its reply may have been lost."""
         raise NotImplementedError
 
     def _send(self, request: str, call: Call, view: View) -> None:
-        """Send it to the member of this view that answers it."""
+        """Send the request to the member of this view that answers it."""
         raise NotImplementedError
 
     def _expire(self, call: Call) -> None:
-        """No answer has come in time."""
+        """Answer a call at its time limit."""
         raise NotImplementedError
 
     def _reject(self, call: Call) -> None:
-        """This replica reaches no majority, and nothing was sent: the call has certainly had no effect."""
+        """Answer a call that was not sent, and so had no effect, as this replica reaches no majority."""
         raise NotImplementedError
--- a/reedspoke/control_plane/replication/successor_progress.py
+++ b/reedspoke/control_plane/replication/successor_progress.py
@@ -1,7 +1,7 @@
-"""How far the successor in the chain has come, and what it is to be sent next.
+"""Progress of the successor in the chain, and the next message for it.
 
-The same message is sent again only after a while that grows: over a slow link a repeated snapshot would
-otherwise fill the link before the first copy has arrived.
+A message is resent with exponential backoff. Otherwise, on a slow link, repeated snapshots would fill the
+link before the first copy has arrived.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class ForwardAttempt(Struct, frozen=True):
-    """What the successor has been sent last: everything up to `sequence`, for the time number `attempts`."""
+    """The last message to the successor: entries up to `sequence`, sent `attempts` times so far."""
 
     sequence: int
     sent_at: float
@@ -29,7 +29,7 @@
 
 
 class SuccessorProgress:
-    """Owns the successor's last status, and the last attempt to send it what it lacks."""
+    """Owns the successor's last status, and the last attempt to send it missing state."""
 
     def __init__(self, outbox: Outbox, register: ConfigurationRegister) -> None:
         self._outbox = outbox
@@ -43,18 +43,18 @@
         return self._status is not None
 
     def enter_view(self) -> None:
-        """A newer view: its successor is to report anew."""
+        """Forget the status, as the successor in a newer view has not reported yet."""
         self._status = None
         self._last_attempt = None
 
     def record_status(self, status: SuccessorStatus) -> None:
-        """The successor's status has come."""
+        """Record a status report of the successor."""
         if self._status is None or self._status.complete != status.complete:
             self._last_attempt = None  # it needs another message than the one sent last
         self._status = status
 
     def send_missing(self, view_number: int, successor: ChainLink) -> None:
-        """Send the successor what it lacks, and the same again only after a while."""
+        """Send the successor the entry or snapshot that it lacks, unless a resend is not due yet."""
         message = self._missing(view_number, successor)
         if message is not None and self._is_due(message):
             self._last_attempt = self._next_attempt()
@@ -88,6 +88,6 @@
 
 
 def _size(message: AppendRequest | InstallSnapshot) -> int:
-    """Bytes of the message's large parts."""
+    """Size in bytes of the document and history in the message."""
     document = len(message.entry.document) if message.entry else 0
     return document + (len(message.history) if isinstance(message, InstallSnapshot) else 0)
--- a/reedspoke/control_plane/replication/tail_reader.py
+++ b/reedspoke/control_plane/replication/tail_reader.py
@@ -1,4 +1,4 @@
-"""Reads at the tail, which answers them while it holds the read lease."""
+"""Reads at the tail of the chain, which answers them while it holds the read lease."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class TailReader:
-    """Replies to reads. While the newest entry is not committed the forwarder has to try again."""
+    """Replies to reads; while the newest entry is not committed, the forwarder has to retry."""
 
     def __init__(
         self, outbox: Outbox, chain: Chain, register: ConfigurationRegister, holds_lease: Callable[[], bool]
@@ -23,7 +23,7 @@
         self._holds_lease = holds_lease
 
     def receive(self, sender: str, request: GetRequest, view: View | None) -> None:
-        """A read, forwarded by another replica or by this one."""
+        """Handle a read that this replica or another one has forwarded."""
         number = view.number if view else 0
         ready = number == request.view_number and self._may_answer()
         if not ready:
--- a/reedspoke/control_plane/replication/view.py
+++ b/reedspoke/control_plane/replication/view.py
@@ -1,6 +1,6 @@
-"""The agreed view: the configuration of the chain, and who votes on the next one.
+"""The agreed view: the order of the chain, and the voters on the next view.
 
-A view is what van Renesse and Schneider's chain replication (OSDI 2004) leaves to a master service. Here each
+In van Renesse and Schneider's chain replication (OSDI 2004) a master service configures the chain. Here each
 view is decided by the voters of the view before it, with single-decree Paxos (`control_plane.views`).
 """
 
@@ -10,9 +10,9 @@
 
 
 class Member(Struct, array_like=True, frozen=True):
-    """A control plane node: the id of its data folder, made with the folder, and its internal address.
+    """A control plane node: the id of its data folder, created with the folder, and its internal address.
 
-    A node whose data folder was lost comes back as another member at the same address.
+    A node that loses its data folder returns as another member at the same address.
     """
 
     folder_id: str
@@ -28,7 +28,7 @@
 
 
 class View(Struct, array_like=True, frozen=True):
-    """The agreed view: who votes on the next one, and the order of the chain from head to tail."""
+    """The voters on the next view, and the members of the chain from head to tail."""
 
     number: int
     voters: tuple[Member, ...]
--- a/reedspoke/control_plane/views/__init__.py
+++ b/reedspoke/control_plane/views/__init__.py
@@ -7,7 +7,7 @@
 - the read lease of the chain's tail (`read_lease`), and the confirmation by a majority of voters that a
   replica acts in the newest view (`majority_contact`).
 
-Nothing here does I/O or reads a clock: messages and log writes go to the replica's `Outbox`, which also has
+Nothing here does I/O or reads a clock: messages and log writes go to the replica's `Outbox`, which also holds
 the time of the event that is being handled. The package may import `replication.view`, its messages, settings
 and outbox, and `log_records`; `replication` drives it.
 """
--- a/reedspoke/control_plane/views/acceptor.py
+++ b/reedspoke/control_plane/views/acceptor.py
@@ -1,8 +1,8 @@
 """Acceptor of the single-decree Paxos that decides each next view; `agreement` describes the protocol.
 
-`Acceptor` owns what this voter has promised and accepted for views that are not known to be decided. Whatever
-it answers is on its disk before: a promise that a restart forgets could let two values be decided for one
-view.
+`Acceptor` owns what this voter has promised and accepted for views that are not known to be decided. Every
+response waits until the promise or acceptance in it is on disk: if a restart lost a promise, two values could
+be decided for one view.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 
 
 class Acceptor:
-    """Promises and accepts for views that are not decided yet."""
+    """Handles prepare and accept requests for views that are not decided yet."""
 
     def __init__(
         self, own: Member, outbox: Outbox, restored: RestoredState, read_lease: ReadLeaseVoter
@@ -43,17 +43,17 @@
         self._own = own
         self._outbox = outbox
         self._read_lease = read_lease
-        self._states = restored.acceptors  # by view number, what is or will be on disk
-        self._synced: dict[int, AcceptorRecord] = dict(restored.acceptors)  # what is on disk
+        self._states = restored.acceptors  # by view number, including states that are still being stored
+        self._synced: dict[int, AcceptorRecord] = dict(restored.acceptors)  # only states that are on disk
         self._storing: AcceptorRecord | None = None
         self._active_proposer: ActiveProposer | None = None
 
     def records(self) -> list[Struct]:
-        """What the log has to hold."""
+        """Records of the acceptor's states, for a rewritten log."""
         return list(self._states.values())
 
     def enter_view(self, view: View) -> None:
-        """Views up to this one are decided: their states are not needed, nobody proposes them any more."""
+        """Drop the states of views up to this one, which are decided and are not proposed any more."""
         self._active_proposer = None
         for number in [number for number in self._states if number <= view.number]:
             del self._states[number]
@@ -64,18 +64,18 @@
         return self._state(view_number).promised
 
     def accepted_view(self, view_number: int) -> View | None:
-        """What has been accepted for this view."""
+        """The value that this acceptor has accepted for this view; None before it has accepted one."""
         return self._state(view_number).accepted_view
 
     def active_proposer(self, now: float) -> str | None:
-        """Name of the proposer that has been heard within `PROPOSER_ACTIVE_TIMEOUT_S`, if any."""
+        """Name of the proposer whose last request came within `PROPOSER_ACTIVE_TIMEOUT_S`, if any."""
         proposer = self._active_proposer
         if proposer is None or now - proposer.last_request_at > PROPOSER_ACTIVE_TIMEOUT_S:
             return None
         return proposer.name
 
     def handle_prepare(self, sender: str, request: PrepareRequest) -> None:
-        """Phase 1: promise to accept nothing below this number, and tell what was accepted before."""
+        """Phase 1: promise to accept nothing below this number, and report what was accepted before."""
         state = self._state(request.view_number)
         if request.proposal_number < state.promised:
             self._reject(sender, request, state.promised)
@@ -94,7 +94,7 @@
     def handle_accept(self, sender: str, request: AcceptRequest, present: View | None) -> None:
         """Phase 2: accept the view, unless a larger proposal number was promised.
 
-        A view that would break a read lease is left without a response; the proposer sends its request again.
+        A request for a view that would violate a read lease gets no response; the proposer resends it.
         """
         state = self._state(request.view_number)
         if request.proposal_number < state.promised:
@@ -119,13 +119,13 @@
         self._active_proposer = ActiveProposer(proposal_number.proposer, self._outbox.now)
 
     def _store_and_respond(self, state: AcceptorRecord, sender: str, response: Struct) -> None:
-        """Respond once the state is on disk."""
+        """Store the state, and send the response once it is on disk."""
         if self._synced.get(state.view_number) == state:
             self._outbox.send(sender, response)
             return
         self._states[state.view_number] = state
         if self._storing == state:
-            return  # a request that came again: the response goes out when the store for the first ends
+            return  # a duplicate request: the response is sent when the store under way ends
         self._storing = state
         self._outbox.store([state], self._respond_when_synced(state, sender, response))
 
--- a/reedspoke/control_plane/views/agreement.py
+++ b/reedspoke/control_plane/views/agreement.py
@@ -2,29 +2,29 @@
 
 Views are numbered, and view `n + 1` is decided by the voters of view `n` alone: a sequence of independent
 instances of the protocol in "Paxos made simple" (Lamport, 2001), which reconfigures the replication chain as
-the configuration master of "Vertical Paxos" (Lamport, Malkhi, Zhou, 2009) does, but without a master of its
-own: the members of the chain decide themselves. The first view has no view before it; it is decided by the
-seed addresses of the settings.
+the configuration master of "Vertical Paxos" (Lamport, Malkhi, Zhou, 2009) does, but without a separate
+master: the voters of the present view decide. The first view has no view before it; it is decided by the
+replicas at the seed addresses of the settings.
 
 One instance:
 
-1. A proposer draws a proposal number above all that it knows, and asks the acceptors to prepare for it. Each
-   promises to accept nothing below that number, and tells what it has accepted before.
-2. With the promises of a majority the proposer asks all to accept a view: the one accepted under the largest
-   number among the promises, which may have been decided, or its own where there is none.
-3. A view that a majority has accepted under one number is decided. The proposer tells the members of both
-   views; whoever lacks a decided view is told by any replica that hears from it.
+1. A proposer chooses a proposal number above all that it knows, and sends it to the acceptors in a prepare
+   request. Each promises to accept nothing below that number, and reports what it has accepted before.
+2. With the promises of a majority, the proposer asks all acceptors to accept a view: the one accepted under
+   the largest number among the promises, which may have been decided, or its own where there is none.
+3. A view that a majority has accepted under one number is decided. The proposer sends it to the members of
+   both views. A replica that receives a heartbeat or request of an older view replies with the newest one.
 
 What differs from the paper:
 
-- A decided view takes effect at a replica only once it is on its disk, and nobody votes on view `n + 2`
-  before `n + 1` has taken effect there. So the state of one instance at a time is kept.
-- An acceptor defers a view that would break a read lease which it has granted (`read_lease`).
-- Promises and acceptances are on disk before they are told (`acceptor`); a voter that loses its disk is a new
-  member with another folder id, and has no vote until a view gives it one.
+- A decided view takes effect at a replica only once it is on its disk, and a replica votes on view `n + 2`
+  only after `n + 1` has taken effect there. So each replica keeps the state of one instance at a time.
+- An acceptor defers a view that would violate a read lease which it has granted (`read_lease`).
+- Promises and acceptances are on disk before they are sent (`acceptor`). A voter that loses its disk becomes
+  a new member with another folder id, and has no vote until a view includes it as a voter.
 
-`ViewAgreement` owns the newest view of this replica: the one it acts in and the newest one that it has
-learned of, which differ while the latter is being stored.
+`ViewAgreement` owns the view that this replica acts in and the newest view that it has learned. They differ
+while the latter is being stored.
 """
 
 from __future__ import annotations
@@ -59,7 +59,7 @@
 class ViewAgreement:
     """The newest view that this replica has on disk, its vote on the next one, and its own proposals.
 
-    A newer view takes effect here, through `on_enter`, once it is on disk.
+    `on_enter` is called with each newer view once it is on disk.
     """
 
     def __init__(
@@ -83,7 +83,7 @@
         if self._view is not None:
             self._acceptor.enter_view(self._view)
 
-    # ---- what is known ----
+    # ---- known views ----
 
     @property
     def view(self) -> View | None:
@@ -92,12 +92,12 @@
 
     @property
     def learned_number(self) -> int:
-        """Number of the newest decided view known here, 0: none."""
+        """Number of the newest decided view that this replica has learned; 0 before the first."""
         return self._learned.number if self._learned else 0
 
     @property
     def is_behind(self) -> bool:
-        """Whether a newer view is known than the one that this replica acts in."""
+        """Whether this replica has learned a newer view than the one that it acts in."""
         return self.learned_number > self._view_number()
 
     @property
@@ -106,18 +106,18 @@
         return self._acceptor.accepted_view(self._view_number() + 1) is not None
 
     def records(self) -> list[Struct]:
-        """What the log has to hold."""
+        """Records of the newest view and of the acceptor, for a rewritten log."""
         views: list[Struct] = [ViewRecord(self._learned)] if self._learned else []
         return views + self._acceptor.records()
 
     # ---- proposals ----
 
     def set_first_acceptors(self, seeds: tuple[str, ...]) -> None:
-        """Take part in the first start, whose view these addresses decide."""
+        """Take part in the decision on the first view, whose acceptors have these addresses."""
         self._first_acceptors = seeds
 
     def may_propose(self, is_reachable: Callable[[str], bool]) -> bool:
-        """Whether no proposal is under way, neither an own one nor one of a replica that is reachable."""
+        """Whether neither this replica nor another reachable one has a proposal in flight."""
         now = self._outbox.now
         if not self._proposer.is_ready(now):
             return False
@@ -125,7 +125,7 @@
         return other is None or other.startswith(self._own.folder_id) or not is_reachable(folder_of(other))
 
     def propose(self, value: View) -> None:
-        """Propose the next view; ask the tail to release its read lease where that view needs it."""
+        """Propose the next view; ask the tail to release its read lease if the view conflicts with it."""
         acceptors = {
             acceptor_key(value.number, acceptor): acceptor.address
             for acceptor in self._acceptors(value.number)
@@ -138,7 +138,7 @@
     # ---- grants of this voter ----
 
     def may_grant_read_lease(self, view_number: int) -> bool:
-        """Whether a lease for the tail of this view contradicts nothing that this voter has accepted."""
+        """Whether this voter has accepted no view that conflicts with a lease for the tail of this view."""
         if self._view is None or self._view.number != view_number or not self._is_acceptor(view_number + 1):
             return False
         accepted = self._acceptor.accepted_view(view_number + 1)
@@ -146,7 +146,7 @@
         return is_harmless and self.read_lease_voter.may_grant(self._outbox.now)
 
     def may_confirm_view(self, view_number: int) -> bool:
-        """Whether this voter can say that it knows of no view after this one, decided or accepted."""
+        """Whether this voter has neither learned nor accepted a view after this one."""
         if self._view_number() != view_number or self.is_behind or not self._is_acceptor(view_number + 1):
             return False
         return not self.has_undecided_view
@@ -154,12 +154,12 @@
     # ---- events ----
 
     def tick(self) -> None:
-        """Time has passed: retry what was not answered or not stored."""
+        """Resend requests without a response; store a learned view again after a failed store."""
         self._proposer.tick()
         self._store_learned()
 
     def receive(self, sender: str, message: Struct) -> bool:
-        """Handle a message; False where it is none of the agreement."""
+        """Handle a message; return False if it is not a message of the agreement."""
         match message:
             case ViewDecided(view=view):
                 self.learn(view)
@@ -179,21 +179,25 @@
         return True
 
     def learn(self, view: View) -> None:
-        """A decided view is known."""
+        """Record a decided view, and store it if it is the newest."""
         if view.number > self.learned_number:
             self._learned = view
             self._proposer.stop(view.number)
             self._store_learned()
 
     def send_newest_view(self, address: str) -> None:
-        """Tell another replica the newest decided view."""
+        """Send the newest decided view that is known here to another replica."""
         if self._learned is not None:
             self._outbox.send(address, ViewDecided(self._learned))
 
-    # ---- inside ----
+    # ---- handling of requests and decided views ----
 
     def _handle_request(self, sender: str, request: PrepareRequest | AcceptRequest) -> None:
-        """As acceptor. Requests for views after the next one wait until this replica has entered it."""
+        """Handle a request as an acceptor.
+
+        A request for a view after the next one is ignored; the proposer resends it, and it is handled once
+        this replica has entered the view before.
+        """
         if request.view_number <= self.learned_number:
             self.send_newest_view(sender)
         elif request.view_number == self._view_number() + 1 and self._is_acceptor(request.view_number):
@@ -254,7 +258,7 @@
 
 
 def _addresses(previous: View | None, view: View) -> set[str]:
-    """Of all voters and members of the chain in both views."""
+    """Addresses of all voters and chain members of both views."""
     views = [view] if previous is None else [previous, view]
     members = [member for each in views for member in each.voters]
     members += [link.member for each in views for link in each.chain]
--- a/reedspoke/control_plane/views/largest_chain.py
+++ b/reedspoke/control_plane/views/largest_chain.py
@@ -1,7 +1,7 @@
-"""The largest part of a chain whose members all reach each other: a maximum clique that keeps the order.
+"""The largest part of a chain whose members all reach each other: a maximum clique in the chain's order.
 
-Chains have at most some fifteen members, so a depth-first search with a bound (branch and bound after
-Carraghan and Pardalos, 1990) finds it at once.
+Chains have at most about fifteen members, so a depth-first search with a bound (branch and bound after
+Carraghan and Pardalos, 1990) is fast enough.
 """
 
 from __future__ import annotations
@@ -19,9 +19,10 @@
     may_be_head: Callable[[ChainLink], bool],
     preferred_tail: ChainLink,
 ) -> Links:
-    """The largest part, in the order of `links`, of which every two are connected and the first may be head.
+    """The largest subsequence of `links` whose members are pairwise connected and whose first may be head.
 
-    Among several of one size one that ends with `preferred_tail`, then the one whose members stand first.
+    Among several of the same size, one that ends with `preferred_tail` is preferred, then the one whose
+    members come first in `links`.
     """
     search = _Search(links, is_connected, may_be_head)
     largest = search.run(range(len(links)), ())
@@ -33,7 +34,7 @@
 
 
 class _Search:
-    """Depth-first over the indexes of `links`; members that stand first are tried before others."""
+    """Depth-first search over the indexes of `links`, in ascending order."""
 
     def __init__(
         self,
@@ -51,11 +52,11 @@
         self._suffix: Links = ()
 
     def neighbours_before(self, index: int) -> list[int]:
-        """The indexes before this one that are connected with it."""
+        """Indexes below this one whose members are connected with its member."""
         return [other for other in range(index) if index in self._later_neighbours[other]]
 
     def run(self, indexes: Sequence[int], suffix: Links) -> Links:
-        """The largest chain of these indexes, which are in order, followed by `suffix`."""
+        """The largest chain of members at these ascending indexes, followed by `suffix`."""
         self._best = ()
         self._suffix = suffix
         self._extend([], list(indexes))
@@ -66,7 +67,7 @@
         for position, index in enumerate(candidates):
             rest = candidates[position + 1 :]
             if len(chosen) + 1 + len(rest) + len(self._suffix) <= len(self._best):
-                return  # no chain of what is left could be larger
+                return  # no chain of the remaining candidates could be larger
             if chosen or self._may_be_head[index]:
                 neighbours = self._later_neighbours[index]
                 self._extend([*chosen, index], [other for other in rest if other in neighbours])
--- a/reedspoke/control_plane/views/next_view.py
+++ b/reedspoke/control_plane/views/next_view.py
@@ -1,9 +1,8 @@
-"""Choice of the next view: a pure function of the present view and of which members are reachable, in what
-state.
+"""Choice of the next view, as a pure function of the present view and a snapshot of the members.
 
-The chain loses members that are unhealthy or out of reach and gains, one at a time, members that can replace
-them. At most one voter comes and at most one goes from view to view. `docs/control-safety.md` tells which
-losses the result has to bear.
+Members that are unhealthy or unreachable are removed from the chain; members that can replace them are
+appended one at a time. Each view adds at most one voter and removes at most one. `docs/control-safety.md`
+describes which losses the result has to tolerate.
 """
 
 from __future__ import annotations
@@ -17,35 +16,35 @@
 
 
 class MemberCondition(Struct, frozen=True):
-    """A reachable member, as the replica that chooses sees it."""
+    """State of a reachable member, as observed by the replica that chooses the view."""
 
     member: Member
     healthy: bool  # its disk works
-    complete: bool  # it holds everything since it was appended
+    complete: bool  # it holds all entries since it was appended
     steady: bool  # reachable for long enough to be appended
-    established: bool  # reachable for long enough to vote beside as many voters as are needed
+    established: bool  # reachable for long enough to vote although there are already enough voters
 
 
 class MembershipSnapshot(Struct, frozen=True):
-    """What the choosing replica knows of members, by folder id; `conditions` has the reachable ones."""
+    """What the choosing replica knows about members, by folder id; `conditions` has the reachable ones."""
 
     conditions: dict[str, MemberCondition]
     is_connected: Callable[[str, str], bool]  # whether two members reach each other
     is_lost: Callable[[str], bool]
     is_draining: Callable[[str], bool]  # it is about to shut down
-    chain_minimum: int  # members that a chain needs to acknowledge anything
-    voters_target: int  # voters are not reduced below this
+    chain_minimum: int  # a shorter chain acknowledges no change
+    voters_target: int  # no voter is removed without a replacement at or below this number
 
 
 def choose_next_view(view: View, snapshot: MembershipSnapshot) -> View:
-    """The view that should follow; the present one where no better one is in sight."""
+    """The view that should follow; the present one if no better view is possible."""
     retained = _retained_chain(view, snapshot)
     if not retained:
         return view
     joined_view = view.number + 1
     chain = (*retained, *(ChainLink(joiner, joined_view) for joiner in _joiners(view, retained, snapshot)))
     if len(chain) < snapshot.chain_minimum and len(chain) < len(view.chain):
-        return view  # a shorter chain could not acknowledge anything either, and holds fewer replicas
+        return view  # the shorter chain could not acknowledge changes either, and has fewer copies
     voters = _next_voters(view, chain, snapshot)
     if chain == view.chain and voters == view.voters:
         return view
@@ -56,7 +55,7 @@
 
 
 def _retained_chain(view: View, snapshot: MembershipSnapshot) -> Links:
-    """The members that go on; one that drains is retained while too few besides it are complete."""
+    """The members to keep; a draining one is kept while too few others are complete."""
     usable = [link for link in view.chain if _is_usable(link, snapshot)]
     staying = [link for link in usable if not snapshot.is_draining(link.member.folder_id)]
     retained = _connected_chain(staying, view, snapshot)
@@ -87,9 +86,9 @@
 
 
 def _joiners(view: View, retained: Links, snapshot: MembershipSnapshot) -> list[Member]:
-    """The first by address that may be appended, once all before are complete.
+    """The first candidates by address; none while a retained member is incomplete.
 
-    One at a time; several only where the chain would be too short with one.
+    One is appended at a time, or several if the chain would be too short with one.
     """
     if not all(_is_complete(link, snapshot) for link in retained):
         return []
@@ -105,7 +104,7 @@
 
 
 def _join_candidates(view: View, snapshot: MembershipSnapshot) -> list[Member]:
-    """Members outside the present chain that may be appended, in the order of their addresses."""
+    """Members outside the present chain that may be appended, ordered by address."""
     in_chain = {link.member.folder_id for link in view.chain}
     candidates = [
         condition.member
@@ -123,13 +122,13 @@
 
 
 def _next_voters(view: View, chain: Links, snapshot: MembershipSnapshot) -> tuple[Member, ...]:
-    """At most one voter comes and at most one goes."""
-    newcomers = _newcomers(view, chain, snapshot)
-    for newcomer in newcomers:
-        replaced = _replaced_voter(view.voters, newcomer, snapshot)
+    """The voters of the next view: at most one is added and at most one removed."""
+    candidates = _voter_candidates(view, chain, snapshot)
+    for candidate in candidates:
+        replaced = _replaced_voter(view.voters, candidate, snapshot)
         if replaced is not None:
-            return (*(voter for voter in view.voters if voter != replaced), newcomer)
-    added = _added_voter(view.voters, newcomers, snapshot)
+            return (*(voter for voter in view.voters if voter != replaced), candidate)
+    added = _added_voter(view.voters, candidates, snapshot)
     if added is not None:
         return (*view.voters, added)
     if len(view.voters) <= snapshot.voters_target:
@@ -138,15 +137,15 @@
     return tuple(voter for voter in view.voters if voter != surplus)
 
 
-def _newcomers(view: View, chain: Links, snapshot: MembershipSnapshot) -> list[Member]:
-    """The members of the chain that have no vote yet and do not drain."""
+def _voter_candidates(view: View, chain: Links, snapshot: MembershipSnapshot) -> list[Member]:
+    """Members of the chain that have no vote yet and are not draining."""
     voting = {voter.folder_id for voter in view.voters}
     voteless = [link.member for link in chain if link.member.folder_id not in voting]
     return [member for member in voteless if not snapshot.is_draining(member.folder_id)]
 
 
 def _surplus_voter(voters: tuple[Member, ...], chain: Links, snapshot: MembershipSnapshot) -> Member | None:
-    """A voter that is lost, else one that drains and that the chain does not need any more."""
+    """A lost voter, else a draining one that is not in the chain."""
     in_chain = {link.member.folder_id for link in chain}
     for voter in voters:
         if snapshot.is_lost(voter.folder_id):
@@ -158,18 +157,19 @@
 
 
 def _added_voter(
-    voters: tuple[Member, ...], newcomers: list[Member], snapshot: MembershipSnapshot
+    voters: tuple[Member, ...], candidates: list[Member], snapshot: MembershipSnapshot
 ) -> Member | None:
-    """The newcomer that votes besides the others; None where that would not be safe now, or of no use.
+    """The new voter to add without removing another; None if that would be unsafe or useless now.
 
-    As long as voters are too few, any. Beyond that a machine and the one that is to replace it would both
-    vote, and count as one loss together: so only those that have been there for a while, and an odd number
-    of voters in the end, as an even one bears no more losses than the odd one below it. None besides one
-    that may be dead: the newcomer would be a second loss until it has caught up.
+    While there are too few voters, any new voter is added. Above the target, a machine and its replacement
+    could both vote, and the loss of that one machine would then cost two votes. So only established members
+    are added, and only where the number of voters ends up odd, as an even number tolerates no more losses
+    than the odd number below it. None is added beside a voter that may be dead: the new voter would count as
+    a second loss until it has caught up.
     """
     if len(voters) < snapshot.voters_target:
-        return newcomers[0] if newcomers else None
-    established = [member for member in newcomers if snapshot.conditions[member.folder_id].established]
+        return candidates[0] if candidates else None
+    established = [member for member in candidates if snapshot.conditions[member.folder_id].established]
     needed = 1 if len(voters) % 2 == 0 else 2
     if len(established) < needed or not _all_healthy(voters, snapshot):
         return None
@@ -182,11 +182,11 @@
 
 
 def _replaced_voter(
-    voters: tuple[Member, ...], newcomer: Member, snapshot: MembershipSnapshot
+    voters: tuple[Member, ...], candidate: Member, snapshot: MembershipSnapshot
 ) -> Member | None:
-    """The voter at the same address, else one that is lost, else one that drains."""
+    """The voter at the same address, else a lost voter, else a draining one."""
     for voter in voters:
-        if voter.address == newcomer.address:
+        if voter.address == candidate.address:
             return voter
     if len(voters) < snapshot.voters_target:
         return None
--- a/reedspoke/control_plane/views/proposer.py
+++ b/reedspoke/control_plane/views/proposer.py
@@ -29,14 +29,17 @@
 
 
 def acceptor_key(view_number: int, acceptor: Member) -> str:
-    """The first view is decided by addresses, as no one knows all folders then; later ones by folders."""
+    """Key of an acceptor: its folder id, or its address for the first view.
+
+    No replica knows the folder ids of all seeds at the first start.
+    """
     return acceptor.address if view_number == FIRST_VIEW_NUMBER else acceptor.folder_id
 
 
 class ProposalAttempt(Struct):
-    """One proposal number, from its first request until it is decided, rejected or given up.
+    """One proposal, from its first request until it is decided, rejected or timed out.
 
-    `acceptors` has the address of each acceptor by its key. Times are seconds of the steady clock.
+    `acceptors` maps the key of each acceptor to its address. Times are seconds of the steady clock.
     """
 
     view_number: int
@@ -51,29 +54,29 @@
 
     @property
     def is_prepared(self) -> bool:
-        """Whether a majority has promised: phase 2 has begun."""
+        """Whether a majority has promised, so that phase 2 has begun."""
         return len(self.promises) >= majority_size(len(self.acceptors))
 
     @property
     def is_decided(self) -> bool:
-        """Whether a majority has accepted."""
+        """Whether a majority has accepted the value."""
         return len(self.accepted_by) >= majority_size(len(self.acceptors))
 
     def request(self) -> PrepareRequest | AcceptRequest:
-        """What the acceptors are sent in the present phase."""
+        """The request of the present phase."""
         if self.is_prepared:
             return AcceptRequest(self.view_number, self.proposal_number, self.value, self.released_at)
         return PrepareRequest(self.view_number, self.proposal_number)
 
     def responded(self) -> Container[str]:
-        """Keys of the acceptors whose response in the present phase has come."""
+        """Keys of the acceptors that have responded in the present phase."""
         return self.accepted_by if self.is_prepared else self.promises
 
 
 class Proposer:
-    """Runs one attempt at a time.
+    """Runs one proposal attempt at a time.
 
-    `name` differs in each incarnation of the process, so that no proposal number is used twice.
+    `name` is unique to each incarnation of the process, so that no proposal number is used twice.
     """
 
     def __init__(self, name: str, outbox: Outbox) -> None:
@@ -85,7 +88,7 @@
 
     @property
     def attempt(self) -> ProposalAttempt | None:
-        """The attempt that is under way."""
+        """The attempt that is under way, if any."""
         return self._attempt
 
     def is_ready(self, now: float) -> bool:
@@ -93,7 +96,7 @@
         return self._attempt is None and now >= self._backoff_until
 
     def start(self, value: View, acceptors: dict[str, str], promised: ProposalNumber) -> None:
-        """Propose `value`; where another one was accepted before, that one is proposed instead.
+        """Propose `value`; if the promises report an accepted value, that one is proposed instead.
 
         `promised` is the largest proposal number that this replica has promised as an acceptor.
         """
@@ -103,7 +106,7 @@
         self._send(self._attempt)
 
     def tick(self) -> None:
-        """Send requests without a response again, or give the attempt up."""
+        """Resend requests without a response, or end the attempt after `PROPOSAL_TIMEOUT_S`."""
         attempt = self._attempt
         if attempt is None:
             return
@@ -113,14 +116,14 @@
             self._send(attempt)
 
     def stop(self, decided_number: int) -> None:
-        """Views up to this number are decided."""
+        """Stop the attempt if its view is among those up to this number, which are decided."""
         if self._attempt is not None and self._attempt.view_number <= decided_number:
             self._attempt = None
 
     def handle_prepare_response(self, response: PrepareResponse) -> None:
-        """Phase 1: an acceptor has promised. With a majority the second phase begins.
+        """Phase 1: record a promise; a majority of them begins phase 2.
 
-        A promise that comes later changes nothing, as one proposal number has one value.
+        Later promises are ignored, as each proposal number has one value.
         """
         attempt = self._matching(response.view_number, response.proposal_number)
         key = acceptor_key(response.view_number, response.acceptor)
@@ -132,7 +135,7 @@
             self._send(attempt)
 
     def handle_accept_response(self, response: AcceptResponse) -> View | None:
-        """Phase 2: an acceptor has accepted. The view, once it is decided."""
+        """Phase 2: record an acceptance; return the view once it is decided."""
         attempt = self._matching(response.view_number, response.proposal_number)
         key = acceptor_key(response.view_number, response.acceptor)
         if attempt is None or key not in attempt.acceptors:
@@ -141,7 +144,7 @@
         return attempt.value if attempt.is_decided else None
 
     def handle_rejection(self, rejection: ProposalRejected) -> None:
-        """An acceptor has promised a larger proposal number: leave the other proposer some time."""
+        """End the attempt, as an acceptor has promised a larger number, and back off for its proposer."""
         if self._matching(rejection.view_number, rejection.proposal_number) is None:
             return
         self._largest_counter = max(self._largest_counter, rejection.promised.counter)
@@ -149,7 +152,7 @@
         self._backoff_until = self._outbox.now + REJECTED_BACKOFF_S
 
     def read_lease_released(self, released_at: float) -> None:
-        """The present tail has released its read lease, at this time of its clock."""
+        """Resend the request with the time, on the tail's clock, at which it released its read lease."""
         if self._attempt is not None:
             self._attempt.released_at = released_at
             self._send(self._attempt)
@@ -161,7 +164,7 @@
         return attempt if attempt.proposal_number == proposal_number else None
 
     def _send(self, attempt: ProposalAttempt) -> None:
-        """Send the request of the present phase to all acceptors whose response has not come."""
+        """Send the request of the present phase to all acceptors that have not responded."""
         attempt.sent_at = self._outbox.now
         request = attempt.request()
         for key, address in attempt.acceptors.items():
@@ -170,6 +173,6 @@
 
 
 def _value_to_propose(attempt: ProposalAttempt) -> View:
-    """The value accepted under the largest proposal number, which may have been decided; else the own one."""
+    """The value accepted under the largest number, as it may have been decided; else the proposer's own."""
     newest = max(attempt.promises.values(), key=lambda promise: promise.accepted_proposal_number)
     return newest.accepted_view if newest.accepted_view is not None else attempt.value
--- a/reedspoke/control_plane/views/quorum.py
+++ b/reedspoke/control_plane/views/quorum.py
@@ -6,7 +6,7 @@
 
 from reedspoke.control_plane.replication.view import Member
 
-NEVER = float("-inf")  # a time before all others
+NEVER = float("-inf")  # earlier than any other time
 
 
 def majority_size(count: int) -> int:
@@ -15,10 +15,9 @@
 
 
 def majority_time(times: Mapping[str, float], voters: tuple[Member, ...]) -> float:
-    """The latest time that a majority of `voters` has reached, `NEVER` where there is none.
+    """The latest time that the times of a majority of `voters` reach or exceed; `NEVER` if there is none.
 
-    `times` has one time for each folder id, in seconds of any one clock; voters without one have reached
-    none.
+    `times` maps folder ids to seconds of one clock; a voter without an entry counts as `NEVER`.
     """
     latest_first = sorted((times.get(voter.folder_id, NEVER) for voter in voters), reverse=True)
     return latest_first[majority_size(len(voters)) - 1]
--- a/tests/control_plane/test_guards_head.py
+++ b/tests/control_plane/test_guards_head.py
@@ -264,7 +264,7 @@
     _receive(replica, PutRequest(VIEW_NUMBER, "beyond", 50, 70, b"d"))
     (reply,) = _replies(replica)
     assert (reply.request_id, reply.error) == ("beyond", ErrorCode.WRITE_UNCLEAR)
-    assert "Too many changes wait" in reply.message
+    assert "Too many changes are pending" in reply.message
 
 
 def test_one_document_alone_is_taken_whatever_its_size() -> None:
