--- a/tests/control_plane/chain_replica.py
+++ b/tests/control_plane/chain_replica.py
@@ -1,4 +1,4 @@
-"""Chain, register and head queue of one replica, fed by hand; a store ends when the test says so."""
+"""Chain, register and head queue of one replica; tests pass messages in and end its stores."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
 
 
 class ChainReplica:
-    """One member of the chain, with what it holds when the view begins."""
+    """One member of the chain, with the entry that it holds when the view begins."""
 
     def __init__(
         self,
@@ -82,7 +82,7 @@
         self.head.advance()
 
     def sent(self) -> list[Struct]:
-        """The messages since the last call, also those to itself; stores go to `stores`."""
+        """The messages since the last call, including those to itself; stores are added to `stores`."""
         messages = self.outbox.take_own_messages()
         for effect in self.outbox.take_effects():
             if isinstance(effect, SendMessage):
@@ -92,6 +92,6 @@
         return messages
 
     def end_store(self, error: ErrorCode | None = None) -> None:
-        """The oldest store that is out ends."""
+        """End the oldest store in progress."""
         self.sent()
         self.outbox.store_completed(StoreCompleted(self.stores.pop(0).token, error))
--- a/tests/control_plane/competing_changes.py
+++ b/tests/control_plane/competing_changes.py
@@ -1,4 +1,4 @@
-"""Operators who put different documents under one generation on top of one version."""
+"""Operators who submit different documents with one match and one generation."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 from tests.control_plane.simulation import Simulation
 
 REJECTED = {ErrorCode.CONFIGURATION_STALE_MATCH, ErrorCode.CONFIGURATION_OLD_GENERATION}
-ANSWER_LOST = 0.4  # how often an operator does not get the answer and sends again
+ANSWER_LOST = 0.4  # share of answers that are lost, after which the operator resubmits
 
 
 @dataclass
 class CompetingChange:
-    """One operator's change, with every call that sent it."""
+    """One operator's change, with every call that submitted it."""
 
     match: int
     generation: int
@@ -23,7 +23,7 @@
 
 
 class CompetingChanges:
-    """The changes of some operators to one core; `check` holds all answers so far against the rules."""
+    """Competing changes of several operators; `check` checks all answers so far."""
 
     def __init__(self, simulation: Simulation, operators: int, match: int, generation: int) -> None:
         self._simulation = simulation
@@ -34,24 +34,24 @@
         ]
 
     def send(self) -> None:
-        """Every operator without a final answer sends its change, to any scheduler and in any sequence."""
+        """Submit the change of every operator without a final answer, at random machines in random order."""
         for change in self._random.sample(self.changes, len(self.changes)):
             if not change.finished:
                 self._send(change, self._random.choice(list(self._simulation.machines)))
 
     def read_answers(self) -> None:
-        """Operators learn what came, unless the answer was lost."""
+        """Deliver the answers to the operators, except for those that are lost."""
         for change in self.changes:
             clear = self._final_answers(change)
             if clear and self._random.random() >= ANSWER_LOST:
                 change.finished = True
 
     def resend_all(self) -> list[ErrorCode | None]:
-        """Send each change once more, whatever its answer was; the answers, one for each operator."""
+        """Submit each change again, whatever its answer was; return the answers, one for each operator."""
         return [self._resend(change) for change in self.changes]
 
     def check(self) -> None:
-        """At most one change is ever acknowledged, and none has both final answers."""
+        """Check that at most one change is acknowledged, and that none is both acknowledged and rejected."""
         outcomes = [self._final_answers(change) for change in self.changes]
         assert sum("acknowledged" in outcome for outcome in outcomes) <= 1, outcomes
         assert all(len(outcome) <= 1 for outcome in outcomes), outcomes
--- a/tests/control_plane/direct_core.py
+++ b/tests/control_plane/direct_core.py
@@ -1,6 +1,6 @@
-"""Replicas that are driven directly: no delay, no loss, and no time passes but in `run`.
+"""Replicas that are driven directly, without delays or losses; virtual time passes only in `run`.
 
-Thousands of changes go through in a few seconds; for faults there is the simulation.
+Thousands of changes take a few seconds. For faults there is `Simulation`.
 """
 
 from __future__ import annotations
@@ -42,20 +42,20 @@
         self.restart(bootstrap=True)
 
     def lose_disk(self, address: str) -> None:
-        """The folder is empty from now on; the process is to be started again."""
+        """Empty the folder; the process has to be started again."""
         self._incarnations += 1
         self._folders[address] = f"folder-{self._incarnations}"
         self.disks[address] = []
 
     def restart(self, bootstrap: bool = False) -> None:
-        """All processes end and start again from their disks."""
+        """Restart all processes from their disks."""
         self._events.clear()
         for address in self.addresses:
             self.start(address, bootstrap)
         self.run(START_S)
 
     def start(self, address: str, bootstrap: bool = False) -> None:
-        """One process starts from its disk."""
+        """Start one process from its disk."""
         self._incarnations += 1
         settings = ReplicaSettings(
             folder_id=self._folders[address],
@@ -77,7 +77,7 @@
             self._handle_all()
 
     def put(self, address: str, match: int, generation: int, document: bytes) -> ErrorCode | None:
-        """A change and its answer; time passes until it comes."""
+        """Submit a change, let time pass until it is answered, and return the error."""
         self._requests += 1
         request_id = self._requests
         self.inject(address, PutSubmitted(request_id, match, generation, document))
@@ -86,7 +86,7 @@
         return self._answers.pop(request_id).error
 
     def inject(self, address: str, event: Event) -> None:
-        """Hand any event to a machine, and carry out all that follows."""
+        """Pass an event to a machine, and carry out all resulting effects."""
         self._events.append((address, event))
         self._handle_all()
 
--- a/tests/control_plane/fault_injection.py
+++ b/tests/control_plane/fault_injection.py
@@ -1,7 +1,7 @@
-"""Troubles of a core, as they may come to it in service; each is over by itself after a while.
+"""Fault injection into a core; each fault ends by itself after some time.
 
-No more machines are lost at a time than are tolerated, but for a loss of all processes with their disks kept,
-and, with `beyond`, for cuts and stops, which may then strike any machines.
+No more machines are lost at a time than tolerated. The exceptions are the loss of all processes with their
+disks kept and, with `beyond`, partitions and stops, which may then affect any machines.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 
 class FaultInjector:
-    """Brings troubles about; each method is one kind, named as in a schedule."""
+    """Injects faults; each public method is one kind of fault, with its name in a schedule."""
 
     def __init__(self, simulation: Simulation, operators: Operators, log: Log, beyond: bool = False) -> None:
         self.budget = LossBudget(simulation)
@@ -43,25 +43,25 @@
         simulation.judge.on_acknowledged.append(self._acknowledged)
 
     def stop(self) -> None:
-        """Nothing new is begun any more."""
+        """Cancel the fault that waits for an acknowledgement."""
         self._at_next_ack = None
 
     # ---- one process ----
 
     def kill(self, rng: Random) -> None:
-        """SIGKILL, and a new start a little later."""
+        """SIGKILL, and a restart a little later."""
         for address in self._victims(rng):
             self._log(f"kill {address}")
             self._simulation.kill(address, rng.uniform(*SHORT_S))
 
     def power(self, rng: Random) -> None:
-        """A loss of power."""
+        """Machines lose power, and restart a little later."""
         for address in self._victims(rng):
             self._log(f"power of {address}")
             self._simulation.lose_power(address, rng.uniform(*SHORT_S))
 
     def freeze(self, rng: Random) -> None:
-        """The process stands still for a while."""
+        """Processes are stopped for some time."""
         for address in self._victims(rng):
             seconds = rng.uniform(*SHORT_S)
             self._log(f"freeze {address} for {seconds:.2f} s")
@@ -69,7 +69,7 @@
             self._later(seconds, partial(self._thaw, address))
 
     def leave(self, rng: Random) -> None:
-        """SIGTERM, and a new start."""
+        """A process gets SIGTERM, ends, and restarts."""
         for address in self._victims(rng, most=1):
             self._log(f"SIGTERM of {address}")
             gone_after = rng.uniform(0.3, 1.0)
@@ -79,41 +79,41 @@
     # ---- disks ----
 
     def disk_trouble(self, rng: Random) -> None:
-        """A disk is full, refuses or hangs; that leaves the core settled, so never more than tolerated."""
-        for address in self._spared(rng):
+        """Disks are full, fail or stall; never more than tolerated, as the core still counts as stable."""
+        for address in self._expendable(rng):
             mode = rng.choice([DiskMode.FULL, DiskMode.FAILS, DiskMode.STALLS])
             self._log(f"disk of {address} {mode.value}")
             self._simulation.set_disk(address, mode)
-            self._later(rng.uniform(0.2, 5.0), partial(self._mend_disk, address))
+            self._later(rng.uniform(0.2, 5.0), partial(self._repair_disk, address))
 
     def wipe(self, rng: Random) -> None:
         """Disks are lost, as many as are tolerated at most."""
-        self._wipe(self._spared_for_good(rng), rng)
+        self._wipe(self._expendable_for_good(rng), rng)
 
     def wipe_oldest(self, rng: Random) -> None:
-        """The disks that have lasted longest are lost."""
-        self._wipe(self._spared_for_good(rng, self._oldest_first()), rng)
+        """The oldest disks are lost."""
+        self._wipe(self._expendable_for_good(rng, self._oldest_first()), rng)
 
     def wipe_after_ack(self, rng: Random) -> None:
         """As many disks as are tolerated are lost right after the next acknowledgement."""
 
-        def strike() -> None:
+        def inject() -> None:
             if self.budget.none_lost():
                 addresses = rng.sample(list(self._simulation.machines), self._simulation.tolerated)
                 self._wipe(addresses, rng, power=rng.random() < 0.5)
 
-        self._at_next_ack = lambda: self._later(rng.uniform(0.0, AFTER_ACK_S), strike)
+        self._at_next_ack = lambda: self._later(rng.uniform(0.0, AFTER_ACK_S), inject)
 
     # ---- all processes ----
 
     def kill_all(self, rng: Random) -> None:
-        """All processes at once, back within a second."""
+        """All processes are killed at once, and restart within a second."""
         self._log("kill all")
         for address in list(self._simulation.machines):
             self._simulation.kill(address, rng.uniform(0.1, 1.0))
 
     def power_all(self, rng: Random) -> None:
-        """The power of all machines at once."""
+        """All machines lose power at once."""
         self._log("power of all")
         for address in list(self._simulation.machines):
             self._simulation.lose_power(address, rng.uniform(0.1, 1.0))
@@ -121,11 +121,11 @@
     # ---- links ----
 
     def cut(self, rng: Random) -> None:
-        """Machines are cut off for some twenty seconds, in one of many shapes."""
+        """Machines are partitioned from the others for about twenty seconds, in one of several variants."""
         self._cut(rng, rng.uniform(*CUT_S))
 
     def short_cut(self, rng: Random) -> None:
-        """Machines are cut off for a moment."""
+        """Machines are partitioned from the others for a short time."""
         self._cut(rng, rng.uniform(*SHORT_CUT_S))
 
     def _cut(self, rng: Random, seconds: float) -> None:
@@ -174,7 +174,7 @@
         self._later(after, order)
 
     def link(self, rng: Random) -> None:
-        """One link carries nothing one way, or neither way."""
+        """One link is cut in one direction or both."""
         if len(self._simulation.machines) < 2:
             return
         one, other = rng.sample(list(self._simulation.machines), 2)
@@ -186,17 +186,17 @@
         self._later(rng.uniform(*SHORT_CUT_S), self._simulation.restore_links)
 
     def noise(self, rng: Random) -> None:
-        """Messages are lost, doubled and late."""
+        """Messages are lost, duplicated and late."""
         network = self._simulation.network
         network.loss, network.doubled, network.late = rng.choice([(0.02, 0.1, 0.1), (0.2, 0.0, 0.1)])
         self._simulation.disturbances.record(self._simulation.now, *self._simulation.machines)
         self._log(f"noise {network.loss}")
         self._later(rng.uniform(0.5, NOISE_S), self._simulation.end_message_faults)
 
-    # ---- machines come and go ----
+    # ---- replacement of machines ----
 
     def replace_planned(self, rng: Random) -> None:
-        """New machines first, with empty disks at new addresses; then the old ones get SIGTERM."""
+        """New machines with empty disks are added at new addresses; then the old ones get SIGTERM."""
         for old in self._replaceable(rng):
             new = self._add_in_place_of(old, rng)
             self._log(f"{new} comes, {old} leaves")
@@ -205,7 +205,7 @@
             self._later(leaves_after, partial(self._leave_for_good, old, gone_after))
 
     def replace_unplanned(self, rng: Random) -> None:
-        """Machines are gone for good; empty ones come later at new addresses."""
+        """Machines are lost permanently; new ones with empty disks are added later at new addresses."""
         for old in self._replaceable(rng):
             self._log(f"{old} is gone for good")
             self._simulation.lose_power(old, restart_after=None)
@@ -214,7 +214,7 @@
             self._later(seconds, partial(self._replace_gone, old, rng))
 
     def seeds(self, rng: Random) -> None:
-        """The settings name other seeds."""
+        """The seeds in the settings change."""
         self._name_seeds(rng)
         self._log(f"seeds {', '.join(self._simulation.seeds)}")
         self._simulation.change_seeds(self._simulation.seeds)
@@ -248,14 +248,14 @@
     # ---- helpers ----
 
     def _victims(self, rng: Random, most: int | None = None) -> list[str]:
-        """Machines that may be stopped or cut off now."""
+        """Machines to stop or partition now."""
         if self._beyond and rng.random() < 0.5:
             count = rng.randint(1, len(self._simulation.machines))
             return rng.sample(list(self._simulation.machines), min(count, most or count))
-        return self._spared(rng, most=most)
+        return self._expendable(rng, most=most)
 
-    def _spared(self, rng: Random, order: list[str] | None = None, most: int | None = None) -> list[str]:
-        """Machines that may be lost now by the users' count, one more often than several."""
+    def _expendable(self, rng: Random, order: list[str] | None = None, most: int | None = None) -> list[str]:
+        """Machines that may be lost now within the tolerated number, one more often than several."""
         addresses = order or rng.sample(list(self._simulation.machines), len(self._simulation.machines))
         tolerated = self._simulation.tolerated
         wanted = min(most or tolerated, tolerated if rng.random() < 0.5 else 1)
@@ -265,14 +265,14 @@
                 chosen.append(address)
         return chosen
 
-    def _spared_for_good(self, rng: Random, order: list[str] | None = None) -> list[str]:
-        """Machines of which the disks may be lost now."""
-        chosen = self._spared(rng, order)
+    def _expendable_for_good(self, rng: Random, order: list[str] | None = None) -> list[str]:
+        """Machines whose disks may be lost now."""
+        chosen = self._expendable(rng, order)
         return chosen if self.budget.allows_for_good(*chosen) else []
 
     def _replaceable(self, rng: Random) -> list[str]:
         """Machines that may be replaced now and are not being replaced already."""
-        chosen = self._spared_for_good(rng, self._oldest_first() if rng.random() < 0.3 else None)
+        chosen = self._expendable_for_good(rng, self._oldest_first() if rng.random() < 0.3 else None)
         machines = [address for address in chosen if address not in self._departing]
         self._departing.update(machines)
         return machines
@@ -292,9 +292,9 @@
                 self._simulation.lose_power(address, rng.uniform(0.1, 1.0))
 
     def _acknowledged(self) -> None:
-        strike, self._at_next_ack = self._at_next_ack, None
-        if strike is not None:
-            strike()
+        inject, self._at_next_ack = self._at_next_ack, None
+        if inject is not None:
+            inject()
 
     def _later(self, seconds: float, action: Callable[[], None]) -> None:
         self._simulation.at(self._simulation.now + seconds, action)
@@ -308,6 +308,6 @@
         if machine is not None and machine.frozen:
             self._simulation.thaw(address)
 
-    def _mend_disk(self, address: str) -> None:
+    def _repair_disk(self, address: str) -> None:
         if address in self._simulation.machines:
             self._simulation.set_disk(address, DiskMode.WORKS)
--- a/tests/control_plane/fleet_fault_injection.py
+++ b/tests/control_plane/fleet_fault_injection.py
@@ -1,4 +1,4 @@
-"""Troubles of workers, of the platform, and of data plane schedulers with their links."""
+"""Fault injection into workers, the platform, and data plane schedulers with their links."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class FleetFaultInjector:
-    """Each method is one kind, named as in a schedule."""
+    """Injects faults; each public method is one kind of fault, with its name in a schedule."""
 
     def __init__(self, simulation: Simulation, fleet: SimulatedFleet, log: Log) -> None:
         self._simulation = simulation
@@ -23,11 +23,11 @@
         self._log = log
 
     def worker_comes(self, rng: Random) -> None:
-        """A worker is new."""
+        """A worker is added."""
         self._fleet.platform.come()
 
     def worker_drains(self, rng: Random) -> None:
-        """A worker is about to end."""
+        """A worker begins to drain."""
         self._fleet.platform.drain(rng)
 
     def platform_out(self, rng: Random) -> None:
@@ -37,20 +37,20 @@
         self._later(rng.uniform(*PLATFORM_OUT_S), partial(self._fleet.platform.set_out_of_reach, False))
 
     def node_kill(self, rng: Random) -> None:
-        """A data plane scheduler dies and starts again."""
+        """A data plane scheduler is killed and restarts."""
         name = self._node(rng)
         self._log(f"kill {name}")
         self._fleet.data_plane.kill(name, rng.uniform(*SHORT_S))
 
     def node_freeze(self, rng: Random) -> None:
-        """A data plane scheduler stands still."""
+        """A data plane scheduler is stopped for some time."""
         name = self._node(rng)
         self._log(f"freeze {name}")
         self._fleet.data_plane.freeze(name)
         self._later(rng.uniform(*SHORT_S), partial(self._fleet.data_plane.thaw, name))
 
     def node_cut(self, rng: Random) -> None:
-        """A data plane scheduler is cut off from all control schedulers, or from some, or one way."""
+        """A data plane scheduler is cut off from control schedulers, in one direction or both."""
         name = self._node(rng)
         machines = list(self._simulation.machines)
         count = rng.choice([1, len(machines) // 2, len(machines)])
--- a/tests/control_plane/fleet_judge.py
+++ b/tests/control_plane/fleet_judge.py
@@ -1,4 +1,4 @@
-"""The rules of configuration and list for whole fleets: what each scheduler must hold by when."""
+"""Checks for whole fleets: by when each scheduler must have the newest configuration and worker list."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from tests.control_plane.simulation import Simulation
 from tests.control_plane.worker_list_judge import WorkerListJudge
 
-STRETCH_S = 5.0  # while the core is not stable
+STRETCH_S = 5.0  # additional time while the core is not stable
 LOOK_S = 0.05
 
 
 class FleetJudge:
-    """Looks at all schedulers every LOOK_S."""
+    """Checks all schedulers every LOOK_S."""
 
     def __init__(
         self,
@@ -43,7 +43,7 @@
         return self._generations[-1] if self._generations else 0
 
     def acknowledged_before(self, at: float) -> int:
-        """The newest generation that had been acknowledged by then."""
+        """The newest generation that had been acknowledged at this time."""
         place = bisect_right(self._acknowledged_at, at)
         return self._generations[place - 1] if place else 0
 
@@ -68,7 +68,10 @@
                 self._lists.check_known(machine.address, workers_here)
 
     def _check_denied(self, name: str, scheduler: DataPlaneScheduler) -> None:
-        """404 for a route that is new since the version held here: never once that version is too old."""
+        """Check that a scheduler which is certain of its version has the newest one.
+
+        Otherwise it would answer 404 for a route that only a newer version has.
+        """
         if scheduler.generation is None or scheduler.in_doubt():
             return
         self.looks_certain += 1
@@ -85,11 +88,11 @@
         assert held >= wanted, f"{name} holds {held} and not {wanted}, {bound} s after its acknowledgement"
 
     def _bound(self, name: str) -> float | None:
-        """How old the newest configuration may be that is not in force at a data plane scheduler."""
+        """Time after an acknowledgement by which a data plane scheduler must have it; None if unbounded."""
         contact = self.contact
         if contact.in_touch(name):
             return APPLY_S
-        own = min(contact.joined_for(name), contact.untroubled_for(name))
+        own = min(contact.connected_for(name), contact.undisturbed_for(name))
         if own >= STABLE_AFTER_S and contact.majority_for() >= APPLY_S + STRETCH_S:
             return APPLY_S + STRETCH_S
         return None
--- a/tests/control_plane/hunt.py
+++ b/tests/control_plane/hunt.py
@@ -1,4 +1,4 @@
-"""Runs random schedules until one breaks a rule, and shortens that one.
+"""Runs random schedules until one violates a rule, and shortens that schedule.
 
 `python -m tests.control_plane.hunt --steps 10000 --seed 1 --machines 3 --tolerated 1`
 """
@@ -24,22 +24,22 @@
 
 
 def failure(seed: int, steps: Sequence[Step], machines: int, tolerated: int) -> Exception | None:
-    """What goes wrong in a schedule; None where it breaks no rule and no invariant."""
+    """The error in a schedule; None if it violates no rule and no invariant."""
     monitor.reset_violations()
     try:
         play_schedule(seed, steps, machines, tolerated)
-    except Exception as error:  # whatever the program raises is a find as well
+    except Exception as error:  # any exception of the program is a failure as well
         return error
     return invariant_error(monitor.reset_violations())
 
 
 def invariant_error(broken: list[Violation]) -> Exception | None:
-    """A find of the invariants in the code under test."""
+    """An error for the invariant violations of the code under test; None if there are none."""
     return AssertionError(f"invariants were violated: {broken}") if broken else None
 
 
 def shorten(seed: int, steps: Sequence[Step], machines: int, tolerated: int) -> list[Step]:
-    """Take out steps, many at a time and then fewer, while the schedule still fails."""
+    """Remove steps, many at a time and then fewer, while the schedule fails in the same place."""
     kept = list(steps)
     wanted = _kind(failure(seed, kept, machines, tolerated))
     size = max(1, len(kept) // 2)
@@ -58,7 +58,7 @@
 
 
 def _kind(error: Exception | None) -> str:
-    """The place where a rule was found broken: what a shorter schedule must have in common."""
+    """The place of the failed check, which a shortened schedule must have in common."""
     if error is None:
         return ""
     if error.__traceback__ is None:
@@ -68,7 +68,7 @@
 
 
 def show(seed: int, steps: Sequence[Step], machines: int, tolerated: int) -> None:
-    """Print what happens in a schedule that fails."""
+    """Print the error and the steps of a failing schedule."""
     found = failure(seed, steps, machines, tolerated)
     print("".join(traceback.format_exception(found)[-4:]))
     for step in steps:
@@ -76,7 +76,7 @@
 
 
 def fix_hash_seed() -> None:
-    """Start again with one order of sets for all runs, so that a seed is the same schedule each time."""
+    """Restart with a fixed hash seed, so that sets have one order and a seed gives the same schedule."""
     if os.environ.get("PYTHONHASHSEED") != HASH_SEED:
         arguments = [sys.executable, "-m", "tests.control_plane.hunt", *sys.argv[1:]]
         os.execve(sys.executable, arguments, os.environ | {"PYTHONHASHSEED": HASH_SEED})
--- a/tests/control_plane/judge.py
+++ b/tests/control_plane/judge.py
@@ -1,4 +1,4 @@
-"""What an outside observer of the simulation holds against it: the rules of the configuration."""
+"""Checks of the simulation by an outside observer: the rules for configuration changes and reads."""
 
 from __future__ import annotations
 
@@ -18,24 +18,24 @@
 
 @dataclass
 class Change:
-    """A document that was sent, with every call that sent it."""
+    """A submitted document, with all calls that submitted it."""
 
     match: int
     generation: int
     open_calls: set[int] = field(default_factory=set)
     acknowledged: bool = False
     unclear: bool = False
-    refused: bool = False  # for good: not only by a machine that reached no majority
+    refused: bool = False  # finally, and not only by a machine without a majority
 
     @property
     def may_be_in_force(self) -> bool:
-        """False once it was refused for good, or every call with it was refused."""
+        """False once it was refused finally, or every call with it was refused."""
         return not self.refused and (bool(self.open_calls) or self.acknowledged or self.unclear)
 
 
 @dataclass
 class Judge:
-    """Checks each answer and delivery when it comes. Tests send each document under one match only."""
+    """Checks each answer and delivery as it comes. Tests submit each document with one match only."""
 
     changes: dict[bytes, Change] = field(default_factory=dict)
     put_answers: dict[int, PutCompleted] = field(default_factory=dict)
@@ -53,19 +53,21 @@
 
     @property
     def newest_known(self) -> int:
-        """The newest generation that any operator has learned of."""
+        """The newest generation that any operator has seen."""
         return max(self.newest_acknowledged, self.newest_read)
 
     def asked_put(self, address: str, request_id: int, match: int, generation: int, document: bytes) -> None:
-        """A change is handed to a machine."""
+        """A change is submitted to a machine."""
         self._calls.setdefault(address, set()).add(request_id)
         change = self.changes.setdefault(document, Change(match, generation))
-        assert (change.match, change.generation) == (match, generation), "a test reuses a document"
+        assert (change.match, change.generation) == (match, generation), (
+            "the test submits one document as two changes"
+        )
         change.open_calls.add(request_id)
         self._documents[request_id] = document
 
     def answered_put(self, answer: PutCompleted) -> None:
-        """A change has its answer."""
+        """A change is answered."""
         assert answer.request_id not in self.put_answers, "two answers to one call"
         self.put_answers[answer.request_id] = answer
         document = self._documents[answer.request_id]
@@ -77,15 +79,15 @@
             assert answer.error is ErrorCode.WRITE_UNCLEAR
             change.unclear = True
         else:
-            # a machine without a majority cannot know that a change has been acknowledged before
+            # A machine without a majority cannot know that a change has been acknowledged before.
             known = answer.error is not ErrorCode.NO_QUORUM
             assert not (known and change.acknowledged), "refused after it was acknowledged"
-            # one on top of a version that is still to come may be taken once that version is there
+            # A change that builds on a future generation may be accepted once that is in force.
             change.refused |= known and change.match <= self.newest_known
             self._check_not_committed(change, document)
 
     def stopped(self, address: str) -> None:
-        """A process has ended; its callers learn nothing."""
+        """A process has ended; its open calls get no answer."""
         for request_id in self._calls.pop(address, set()):
             if request_id not in self.put_answers:
                 change = self.changes[self._documents[request_id]]
@@ -93,11 +95,11 @@
                 change.unclear = True
 
     def asked_get(self, request_id: int) -> None:
-        """A read is handed to a machine; it must not be older than what is known by now."""
+        """A read is submitted; its answer must not be older than the newest generation known now."""
         self._least_for_get[request_id] = self.newest_known
 
     def answered_get(self, answer: GetCompleted) -> None:
-        """A read has its answer."""
+        """A read is answered."""
         assert answer.request_id not in self.get_answers, "two answers to one call"
         self.get_answers[answer.request_id] = answer
         if answer.error is ErrorCode.NO_QUORUM:
@@ -110,17 +112,17 @@
             self._check_committed(answer.committed)
 
     def delivered(self, address: str, committed: CommittedConfiguration) -> None:
-        """A machine gives a configuration to its data plane."""
+        """A machine delivers a configuration to its data plane."""
         assert committed.sequence > self._delivered.get(address, 0), "delivered an older configuration"
         self._delivered[address] = committed.sequence
         self._check_committed(committed)
 
     def started(self, address: str) -> None:
-        """A new process delivers from the beginning."""
+        """A process has started; it may deliver an older configuration than the one before."""
         self._delivered.pop(address, None)
 
     def delivered_sequence(self, address: str) -> int:
-        """What this process has delivered last."""
+        """The sequence that this process has delivered last; 0 before the first."""
         return self._delivered.get(address, 0)
 
     def _acknowledge(self, change: Change, document: bytes) -> None:
@@ -131,8 +133,8 @@
         other = self._acknowledged_on.setdefault(change.match, document)
         assert other == document, f"two changes on top of {change.match} are acknowledged"
         self.newest_acknowledged = max(self.newest_acknowledged, change.generation)
-        for told in self.on_acknowledged:
-            told()
+        for callback in self.on_acknowledged:
+            callback()
 
     def _check_committed(self, committed: CommittedConfiguration) -> None:
         known = self._committed.setdefault(committed.sequence, committed)
--- a/tests/control_plane/loss_budget.py
+++ b/tests/control_plane/loss_budget.py
@@ -1,4 +1,4 @@
-"""How many machines are lost at a time, as the users count: no more disks may be lost than are tolerated."""
+"""Number of machines that count as lost at a time, so that no more disks are lost than tolerated."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 
 class LossBudget:
-    """A machine counts as lost while it is troubled and for CATCH_UP_S after; a successor has its slot.
+    """A machine counts as lost during a fault and for CATCH_UP_S after it; a replacement has its slot.
 
-    While more are lost than tolerated nobody can catch up, so that the time for it begins after that.
+    While more machines are lost than tolerated none can catch up, so the time to catch up starts after that.
     """
 
     def __init__(self, simulation: Simulation) -> None:
@@ -21,12 +21,12 @@
         self._look()
 
     def allows_for_good(self, *addresses: str) -> bool:
-        """Whether these machines, or their disks, may be lost for good now."""
+        """Whether these machines, or their disks, may be lost permanently now."""
         caught_up = self._simulation.now - self._last_beyond >= CATCH_UP_S
         return caught_up and self.allows(*addresses)
 
     def allows(self, *addresses: str) -> bool:
-        """Whether these machines may be lost now; never one of a pair of which one replaces the other."""
+        """Whether these machines may be lost now; never a machine and its replacement at the same time."""
         slots = [self.slot(address) for address in self._simulation.machines]
         if any(slots.count(self.slot(address)) > 1 for address in addresses):
             return False
@@ -34,15 +34,15 @@
         return len(self._lost_slots() | added) <= self._simulation.tolerated
 
     def none_lost(self) -> bool:
-        """Whether all machines count as there."""
+        """Whether no machine counts as lost."""
         return not self._lost_slots()
 
     def slot(self, address: str) -> str:
-        """The place in the core that a machine has; one that nobody planned has a place of its own."""
+        """The slot of a machine in the core; a machine that replaces no other has a slot of its own."""
         return self._slots.setdefault(address, address)
 
     def succeeds(self, successor: str, address: str) -> None:
-        """A machine will be replaced, or has been."""
+        """Assign the slot of a machine to its replacement."""
         self._slots[successor] = self.slot(address)
 
     def _look(self) -> None:
--- a/tests/control_plane/loss_check.py
+++ b/tests/control_plane/loss_check.py
@@ -1,8 +1,8 @@
-"""What must hold at every step: tolerated losses leave every acknowledged change and a working core.
+"""Checks that tolerated losses leave every acknowledged change and a working core.
 
-`check_records` looks at what stands on the disks; `check_by_trial` copies the disks into a new simulation,
-starts it and waits until it takes orders. Some machines may be lost already; each set of further ones within
-what is tolerated may lose their disks at once while all others lose power.
+`check_records` checks the records on the disks; `check_by_trial` copies the disks into a new simulation,
+starts it and waits until it accepts changes. Some machines may be lost already. Each set of further machines
+within the tolerated number may lose their disks at once while all others lose power.
 """
 
 from __future__ import annotations
@@ -26,8 +26,10 @@
 
 ORDERS_LIMIT_S = 8.0
 STARTS_WITHIN_S = 0.5
-HEARD_ALL_AFTER_S = STARTS_WITHIN_S + REACHABLE_TIMEOUT_S  # from then on every machine has heard the others
-FIRST_FREE_ID = 1_000_000  # of folders and requests of a copy: none is used twice
+ALL_REACHABLE_AFTER_S = (
+    STARTS_WITHIN_S + REACHABLE_TIMEOUT_S
+)  # by then every machine has received heartbeats of the others
+FIRST_FREE_ID = 1_000_000  # for folders and requests of a copy, so that none is used twice
 
 
 @dataclass
@@ -39,14 +41,14 @@
 
 
 def further_losses(simulation: Simulation, lost: set[str], budget: int) -> Iterator[frozenset[str]]:
-    """Every set of machines that may be lost besides these, the empty one too."""
+    """Every set of machines that may be lost besides these, including the empty set."""
     addresses = [machine.address for machine in simulation.running() if machine.address not in lost]
     for size in range(budget + 1):
         yield from map(frozenset, itertools.combinations(addresses, size))
 
 
 def check_records(simulation: Simulation, lost: set[str], budget: int) -> int:
-    """Check each further loss by what is on the disks of the others; how many there were."""
+    """Check each further loss by the records on the other disks; return the number of checks."""
     disks = {
         machine.address: Stored(machine.disk.folder_id, restore(machine.disk.records))
         for machine in simulation.running()
@@ -68,14 +70,14 @@
 
 
 def check_by_trial(simulation: Simulation, lost: set[str], wiped: frozenset[str]) -> None:
-    """The machines `wiped` lose their disks and the others their power, while `lost` stay away.
+    """In a copy of the core, the machines `wiped` lose their disks and the others power, without `lost`.
 
-    In a copy of the core; it must take orders with nothing lost. Then the lost ones come back as they were.
+    The copy must accept changes and have kept all acknowledged ones. Then the lost machines return unchanged.
     """
     trial = Trial(simulation, lost, wiped)
-    trial.take_an_order()
+    trial.submit_until_acknowledged()
     trial.bring_back(simulation, lost)
-    trial.run(HEARD_ALL_AFTER_S)
+    trial.run(ALL_REACHABLE_AFTER_S)
     trial.settle(ORDERS_LIMIT_S)
     check_end(trial)
 
@@ -98,11 +100,11 @@
             start = self.now + self.random.uniform(0.0, STARTS_WITHIN_S)
             self.at(start, self._starter(machine.address))
 
-    def take_an_order(self) -> None:
-        """Send a change on top of the newest one until it is acknowledged."""
+    def submit_until_acknowledged(self) -> None:
+        """Submit changes that build on the newest generation until one is acknowledged."""
         deadline = self.now + ORDERS_LIMIT_S
         for number in itertools.count(1):
-            assert self.now < deadline, f"takes no orders: {self.newest_view()}"
+            assert self.now < deadline, f"accepts no changes: {self.newest_view()}"
             self.run(0.1)
             running = [machine.address for machine in self.running()]
             if not running:
@@ -117,7 +119,7 @@
                 return
 
     def bring_back(self, origin: Simulation, lost: set[str]) -> None:
-        """These come back with the disks that they had."""
+        """Start the lost machines with the disks that they had."""
         for address in sorted(lost & set(origin.machines)):
             self.machines[address] = self._copied(origin.machines[address], wiped=False)
             self.start(address)
--- a/tests/control_plane/loss_hunt.py
+++ b/tests/control_plane/loss_hunt.py
@@ -1,4 +1,7 @@
-"""Many random losses: `python -m tests.control_plane.loss_hunt --steps N --seed S`; 1 after a fault."""
+"""Runs many schedules of random losses: `python -m tests.control_plane.loss_hunt --steps N --seed S`.
+
+The exit status is 1 if a check has failed.
+"""
 
 from __future__ import annotations
 
@@ -15,7 +18,7 @@
 
 
 class Size(Struct, frozen=True):
-    """A core and the time that it has to get over a loss."""
+    """A size of the core, and the time that it has to recover from a loss."""
 
     machines: int
     tolerated: int
@@ -26,13 +29,13 @@
 
 
 def hunt(size: Size, seed: int, steps: int = STEPS_PER_SEED, trial_share: float = 0.05) -> Figures:
-    """One schedule; raises AssertionError where a loss would do harm."""
+    """Run one schedule. Raises AssertionError if a loss would violate a rule."""
     simulation = Simulation(seed, machines=size.machines, tolerated=size.tolerated)
     return LossSchedule(simulation, size.tolerated, size.catch_up_s, trial_share).play(steps)
 
 
 def main() -> int:
-    """Seeds from the given one on, until so many steps have been checked."""
+    """Run schedules from the given seed on, until the given number of steps has been checked."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--steps", type=int, default=2000)
     parser.add_argument("--seed", type=int, default=0)
--- a/tests/control_plane/loss_schedule.py
+++ b/tests/control_plane/loss_schedule.py
@@ -1,7 +1,8 @@
-"""Random losses, never more at a time than are tolerated, and the check of every further loss at each step.
+"""Random losses within the tolerated number; at each step every further tolerated loss is checked.
 
-A machine is lost while it is killed, frozen, cut off, without power or taken away, and for the time to catch
-up after it or its successor is back. While it is lost, more may happen to it. Operators go on all the time.
+A machine counts as lost while it is killed, frozen, cut off, without power or removed, and for the catch-up
+time after it or its replacement is back. More faults may be injected into a lost machine. Operators submit
+changes all the time.
 """
 
 from __future__ import annotations
@@ -23,20 +24,20 @@
 LOSS_LASTS_S = (0.1, 2.5)
 DEPARTURE_LOOK_S = 0.05
 LEAST_DEPARTURE_S = 0.3
-TOLD_S = 0.2  # out of the chain for so long: the others know that view too
+PROPAGATION_S = 0.2  # out of the chain for this long, all others know that view
 MOST_DEPARTURE_S = 7.0  # the longest that a process stays after SIGTERM, as in operation
 FORGOTTEN_AFTER_S = 1.0
 ARMED_MESSAGES = 60
 LOSS_SHARE = 0.12  # of the steps begin with a loss
-AGAIN_SHARE = 0.04  # of the steps begin with one more trouble of a machine that is lost
+AGAIN_SHARE = 0.04  # of the steps begin with another fault of a lost machine
 MOST_NOISE = 0.05  # of the messages come late or twice, as after a new connection
-MESSAGE_CHECK_SHARE = 0.03  # of the messages are moments for a check of the records
+MESSAGE_CHECK_SHARE = 0.03  # of the messages trigger a check of the records
 FOREVER = float("inf")
 
 
 @dataclass
 class Figures:
-    """How much has been checked."""
+    """Counts of injected losses and of checks."""
 
     losses: int = 0
     steps: int = 0
@@ -46,10 +47,10 @@
 
 @dataclass
 class Lost:
-    """A loss that still counts: the machine, and the one in its place."""
+    """A loss that still counts: the lost machine, and its replacement."""
 
     addresses: set[str] = field(default_factory=set)
-    leaving: str = ""  # about to leave while its successor is there
+    leaving: str = ""  # a machine that will be shut down once its replacement has started
     until: float = FOREVER
 
 
@@ -57,13 +58,13 @@
 
 
 class DecidedViews:
-    """All views that were told to be decided: one of each number, and each near to the one before."""
+    """Checks the decided views: one of each number, with at most one voter changed from view to view."""
 
     def __init__(self) -> None:
         self._views: dict[int, View] = {}
 
     def decided(self, view: View) -> None:
-        """A view is told."""
+        """Record and check a view that a message announces as decided."""
         known = self._views.setdefault(view.number, view)
         assert known == view, f"two views {view.number}: {known} and {view}"
         for number in (view.number, view.number + 1):
@@ -78,7 +79,7 @@
 
 
 class LossSchedule:
-    """Steps of losses and of calls; each step is checked by the records, a share of them by trials too."""
+    """Steps of losses and calls; each step is checked by the records, and a share of them also by trials."""
 
     def __init__(
         self, simulation: Simulation, tolerated: int, catch_up_s: float, trial_share: float = 0.05
@@ -98,7 +99,7 @@
         simulation.spy = self._spy
 
     def play(self, steps: int) -> Figures:
-        """From the first start; the first loss comes when the time to catch up is over."""
+        """Run from the first start on; the first loss comes after the catch-up time."""
         network = self._simulation.network
         network.late = network.doubled = self._random.choice([0.0, MOST_NOISE])
         end = self._simulation.now + self._catch_up_s
@@ -111,7 +112,7 @@
             self._check()
         return self.figures
 
-    # ---- what is lost ----
+    # ---- losses ----
 
     def _lost(self) -> list[Lost]:
         self._losses = [loss for loss in self._losses if loss.until > self._simulation.now]
@@ -142,7 +143,7 @@
             self._begin(fault)
 
     def _on_message(self, count: int) -> None:
-        """Before a message is sent: some are a moment for a loss, some for a check."""
+        """Called before each message: some trigger a loss, some a check."""
         if self._armed is not None and count >= self._armed_for:
             fault, self._armed = self._armed, None
             self._begin(fault)
@@ -165,7 +166,7 @@
         fault(loss, address)
 
     def _harm_again(self) -> None:
-        """A machine that is back, but still counts as lost, loses its process, power or disk once more."""
+        """Let a machine that is back but still counts as lost lose its process, power or disk again."""
         losses = [loss for loss in self._lost() if loss.until < FOREVER]
         if not losses:
             return
@@ -175,7 +176,7 @@
             self.figures.losses += 1
             self._random.choice([self._kill, self._power, self._disk])(loss, self._random.choice(running))
 
-    # ---- troubles ----
+    # ---- faults ----
 
     def _kill(self, loss: Lost, address: str) -> None:
         self._simulation.kill(address, restart_after=None)
@@ -190,15 +191,15 @@
         self._back(loss, lambda: self._simulation.start(address))
 
     def _replace(self, loss: Lost, address: str) -> None:
-        """Taken away without notice; the new machine comes sooner or later."""
+        """The machine is removed without notice; its replacement starts later."""
         self._simulation.lose_power(address, restart_after=None)
         self._forget(address)
         self._back(loss, lambda: self._add_machine(loss))
 
     def _leave(self, loss: Lost, address: str) -> None:
-        """Taken away with SIGTERM, the new machine first or the old one."""
+        """The machine is shut down with SIGTERM, after or before its replacement starts."""
         if self._random.random() < 0.5:
-            loss.addresses.discard(address)  # it still runs, and leaves in order
+            loss.addresses.discard(address)  # it still runs, and shuts down gracefully
             loss.leaving = address
             self._add_machine(loss)
             self._at(
@@ -237,10 +238,10 @@
 
         self._back(loss, join)
 
-    # ---- machinery ----
+    # ---- helpers ----
 
     def _back(self, loss: Lost, come_back: Callable[[], None]) -> None:
-        """The loss counts until the machine is back and has caught up."""
+        """End the fault after a while; the loss counts until the machine has had the time to catch up."""
         loss.until = FOREVER
 
         def back() -> None:
@@ -287,7 +288,7 @@
 
 
 def depart(simulation: Simulation, address: str, on_end: Callable[[], None]) -> None:
-    """SIGTERM: the process ends once it is out of the chain, as the program does, or when its time is up."""
+    """SIGTERM: the process ends once it is out of the chain, as the program does, or after a time-out."""
     simulation.inject(address, ShutdownStarted())
     machine = simulation.machines[address]
     incarnation, began = machine.incarnation, simulation.now
@@ -302,7 +303,7 @@
         view = machine.replica.view if machine.replica else None
         if view is None or address in [link.member.address for link in view.chain]:
             last_needed = now
-        may_end = now - began >= LEAST_DEPARTURE_S and now - last_needed >= TOLD_S
+        may_end = now - began >= LEAST_DEPARTURE_S and now - last_needed >= PROPAGATION_S
         if may_end or now - began >= MOST_DEPARTURE_S:
             simulation.kill(address, restart_after=None)
             on_end()
--- a/tests/control_plane/operators.py
+++ b/tests/control_plane/operators.py
@@ -1,4 +1,4 @@
-"""Operators of the simulation: orders under way, lost answers, and the same bytes again at other machines."""
+"""Simulated operators: changes in flight, lost answers, and resubmissions at other machines."""
 
 from __future__ import annotations
 
@@ -13,22 +13,22 @@
 from tests.control_plane.disturbances import STABLE_AFTER_S
 from tests.control_plane.simulation import Simulation
 
-SILENCE_S = 1.0  # an operator goes on to another machine after that
+SILENCE_S = 1.0  # an operator without an answer tries another machine after this
 FIRST_PAUSE_S = 0.05
 MOST_PAUSE_S = 0.5
 PAUSE_GROWTH = 1.6
-MOST_ORDERS = 8  # under way at a time
+MOST_ORDERS = 8  # in flight at a time
 CHECK_INTERVAL_S = 0.1
 SMALL_ACK_S = 4.0
 LARGE_ACK_S = 5.0
 LARGE_CORE = 5
-LARGEST_STEP = 3  # between the numbers of two versions
+LARGEST_STEP = 3  # between two generations
 FINAL_REFUSALS = (ErrorCode.CONFIGURATION_STALE_MATCH, ErrorCode.CONFIGURATION_OLD_GENERATION)
 
 
 @dataclass(eq=False)
 class Order:
-    """A change that its operator sends until it gets a final answer."""
+    """A change that its operator submits until it gets a final answer."""
 
     match: int
     generation: int
@@ -36,18 +36,18 @@
     began: float
     pause: float = FIRST_PAUSE_S
     tries: dict[str, int] = field(default_factory=dict)
-    call: int | None = None  # under way
+    call: int | None = None  # in flight
     ended: bool = False
 
 
 def document_of(generation: int, number: int) -> bytes:
-    """A configuration that differs from all others by its number."""
+    """A configuration that is unique by its number."""
     limits = {"max_header_bytes": 16384 + number}
     return json.encode({"generation": generation, "routes": [], "upstreams": [], "limits": limits})
 
 
 class Operators:
-    """All operators together. `answer_loss` is the share of answers that never reach them."""
+    """All operators. `answer_loss` is the share of answers that are lost."""
 
     def __init__(self, simulation: Simulation) -> None:
         self.answer_loss = 0.0
@@ -61,12 +61,12 @@
         simulation.on_put_answer = self._answered
         self._check()
 
-    # ---- what they do ----
+    # ---- calls ----
 
     def order(
         self, match: int, generation: int, document: bytes | None = None, at: str | None = None
     ) -> Order:
-        """Begin an order, at any machine or at this one first."""
+        """Submit a change, at any machine or first at the given one."""
         if document is None:
             document = document_of(generation, next(self._documents))
         order = Order(match, generation, document, self._simulation.now)
@@ -75,12 +75,12 @@
         return order
 
     def order_next(self) -> None:
-        """A change on top of the newest version that an operator knows."""
+        """Submit a change that builds on the newest generation that an operator knows."""
         match = self.newest()
         self.order(match, match + self._random.randint(1, LARGEST_STEP))
 
     def race(self, count: int) -> list[Order]:
-        """Changes on the same version under one number, each through another machine if possible."""
+        """Submit competing changes with one match and one generation, each at another machine if possible."""
         match = self.newest()
         generation = match + self._random.randint(1, LARGEST_STEP)
         addresses = list(self._simulation.machines)
@@ -89,14 +89,14 @@
         return [self.order(match, generation, at=next(places)) for _ in range(count)]
 
     def again(self) -> None:
-        """The same bytes as in an order that has been acknowledged, the newest more often than others."""
+        """Submit an acknowledged change again, the newest more often than others."""
         done = [change for change in self._simulation.judge.changes.items() if change[1].acknowledged]
         if done:
             document, change = done[-1] if self._random.random() < 0.5 else self._random.choice(done)
             self.order(change.match, change.generation, document)
 
     def stale(self) -> None:
-        """An order on a version that has been replaced, or under an old number."""
+        """Submit a change with a stale match or an old generation."""
         newest = self.newest()
         if newest and self._random.random() < 0.5:
             self.order(self._random.randint(0, newest - 1), newest + 1)
@@ -104,7 +104,7 @@
             self.order(newest, self._random.randint(0, newest))
 
     def read(self) -> None:
-        """Ask any machine that runs for the newest version."""
+        """Submit a read to any running machine."""
         running = self._simulation.running()
         if running:
             self._simulation.get(self._random.choice(running).address)
@@ -114,7 +114,7 @@
         return self._simulation.judge.newest_known
 
     def open_orders(self) -> list[Order]:
-        """Orders without a final answer."""
+        """Changes without a final answer."""
         return [order for order in self.orders if not order.ended]
 
     # ---- one order ----
@@ -138,7 +138,7 @@
         simulation.put(address, order.match, order.generation, order.document, on_call=begin)
 
     def _next_machine(self, order: Order) -> str:
-        """One that has been tried least often."""
+        """A machine with the fewest submissions of this change."""
         addresses = list(self._simulation.machines)
         self._random.shuffle(addresses)
         return min(addresses, key=lambda address: order.tries.get(address, 0))
--- a/tests/control_plane/process_loop.py
+++ b/tests/control_plane/process_loop.py
@@ -1,6 +1,6 @@
 """An event loop for one simulated process, so that coroutines of the program run in virtual time.
 
-It offers what `asyncio` tasks, futures, events and timeouts need of a loop, and nothing that does I/O.
+It implements the part of a loop that `asyncio` tasks, futures, events and time-outs use, without I/O.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
     # ---- for the simulation ----
 
     def run(self, callback: Callable[..., object], *arguments: object) -> None:
-        """Run a callback within this process now, or once it goes on."""
+        """Run a callback in this process now, or once it continues."""
         self._run(events.Handle(callback, arguments, self._loop))
 
     def freeze(self) -> None:
@@ -41,14 +41,14 @@
         self._frozen = True
 
     def thaw(self) -> None:
-        """The process goes on."""
+        """The process continues."""
         self._frozen = False
         held_up, self._held_up = self._held_up, []
         for handle in held_up:
             self._run(handle)
 
     def end(self) -> None:
-        """The process is gone, with all its tasks."""
+        """The process ends with all its tasks."""
         self.ended = True
         self._held_up.clear()
         for task in self._tasks:
@@ -100,7 +100,7 @@
         return handle
 
     def _timer_handle_cancelled(self, handle: asyncio.TimerHandle) -> None:
-        """A cancelled handle is passed over when it is due."""
+        """Do nothing, as a cancelled handle is skipped when it is due."""
 
     def create_future(self) -> asyncio.Future[Any]:
         """As in `AbstractEventLoop`."""
@@ -132,6 +132,6 @@
         return False
 
     def call_exception_handler(self, context: dict[str, Any]) -> None:
-        """Pending tasks are left behind when a simulation is over; anything else is an error."""
+        """Raise the exception; pending tasks at the end of a simulation are no error."""
         if "exception" in context:
             raise context["exception"]
--- a/tests/control_plane/random_schedule.py
+++ b/tests/control_plane/random_schedule.py
@@ -1,6 +1,6 @@
-"""Random schedules of troubles and orders: lists of steps, each with random choices of its own.
+"""Random schedules of faults and operator calls: lists of steps, each with a random generator of its own.
 
-So a step does the same whichever other steps are taken out, and a schedule that fails can be made shorter.
+So a step makes the same choices if other steps are removed, and a failing schedule can be shortened.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 CALM_SHARE = 0.15
 MOST_PAUSE_S = 0.7
 MOST_CALM_S = 12.0
-BEYOND_SHARE = 0.4  # of schedules, in which cuts and stops may strike more machines than are tolerated
+BEYOND_SHARE = 0.4  # of schedules, in which partitions and stops may exceed the tolerated losses
 LONGEST_FAULT_S = CUT_S[1] + 2.0
 RACES = (2, 2, 2, 4, 8)
 ACK_LOSS = 0.7
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True)
 class Step:
-    """One step, and how long nothing else is begun after it."""
+    """One step, and the pause after it."""
 
     number: int
     kind: str
@@ -71,7 +71,7 @@
 
 @dataclass
 class FaultScenario:
-    """A simulation with operators and troubles, and what has happened to it."""
+    """A simulation with operators, fault injection and a log of the faults."""
 
     seed: int
     simulation: Simulation
@@ -91,7 +91,7 @@
         self.faults.on_join = self.fleet.data_plane.join
 
     def log(self, text: str) -> None:
-        """Note what happens."""
+        """Add a line to the log."""
         self.lines.append(f"{self.simulation.now:8.3f} {text}")
 
     def run_step(self, step: Step) -> None:
@@ -106,7 +106,7 @@
         self.simulation.run(step.pause)
 
     def end(self) -> None:
-        """All troubles end, all orders get their answers, and the last checks are made."""
+        """End all faults, wait for all answers, and check the final state."""
         simulation = self.simulation
         self.operators.answer_loss = 0.0
         self.faults.stop()
@@ -121,7 +121,7 @@
         self.fleet.check_end()
 
     def _cut_outside(self, victims: list[str], rng: Random) -> None:
-        """Control schedulers that are cut off from each other still reach data plane schedulers, or not."""
+        """Cut the links between partitioned control schedulers and no, some or all data plane schedulers."""
         shape = rng.choice(["core only", "core only", "all", "near"])
         self.log(f"and from data plane schedulers: {shape}")
         zones = {self.simulation.machines[address].zone for address in victims}
@@ -145,7 +145,7 @@
 
 
 def draw_steps(seed: int, count: int) -> list[Step]:
-    """A schedule."""
+    """Draw the steps of a schedule."""
     rng = Random(f"schedule {seed}")
     return [_draw_step(rng, number) for number in range(count)]
 
@@ -158,7 +158,7 @@
 
 
 def play_schedule(seed: int, steps: Sequence[Step], machines: int = 3, tolerated: int = 1) -> FaultScenario:
-    """Carry out a schedule from the first start on. Raises AssertionError where a rule is broken."""
+    """Run a schedule from the first start on. Raises AssertionError if a rule is violated."""
     scenario = FaultScenario(seed, Simulation(seed, machines, tolerated))
     for step in steps:
         scenario.run_step(step)
--- a/tests/control_plane/schedule.py
+++ b/tests/control_plane/schedule.py
@@ -1,4 +1,4 @@
-"""Random schedules of faults and of an operator's calls, and what must hold after them."""
+"""Random schedules of faults and operator calls, and the checks after them."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Operator:
-    """Sends changes on top of what it believes to be newest, sometimes two at once or an old one again."""
+    """Submits changes that build on the newest generation it knows, two competing ones, or old ones again."""
 
     def __init__(self, simulation: Simulation) -> None:
         self._simulation = simulation
@@ -22,7 +22,7 @@
         self._generation = 0
 
     def act(self) -> None:
-        """One or two calls."""
+        """Make one or two random calls."""
         choice = self._random.random()
         if choice < 0.5:
             self.change()
@@ -38,14 +38,14 @@
             self._simulation.get(self._somewhere())
 
     def change(self, match: int | None = None) -> None:
-        """A new change."""
+        """Submit a new change."""
         match = self._believed() if match is None else match
         self._generation = max(self._generation, match) + 1
         document = f"document {next(self._counts)}".encode()
         self._simulation.put(self._somewhere(), match, self._generation, document)
 
     def again(self) -> None:
-        """The same bytes as in an earlier call that is not known to be refused."""
+        """Submit an earlier document again that is not known to be rejected."""
         changes = self._simulation.judge.changes
         documents = [document for document, change in changes.items() if change.may_be_in_force]
         if documents:
@@ -61,7 +61,7 @@
 
 
 class Faults:
-    """Makes trouble; no more disks are lost at a time than is tolerated."""
+    """Injects faults; no more disks are lost at a time than tolerated."""
 
     def __init__(self, simulation: Simulation, tolerated: int) -> None:
         self._simulation = simulation
@@ -69,7 +69,7 @@
         self._tolerated = tolerated
 
     def act(self) -> None:
-        """One fault, or the end of all."""
+        """Inject a random fault, or end all faults."""
         simulation = self._simulation
         machine = self._random.choice(list(simulation.machines.values()))
         address = machine.address
@@ -110,7 +110,7 @@
         network.holds = self._random.random() < 0.5
 
     def _lose_disks(self) -> None:
-        """Only while all machines are in the chain, as the troubles before must have been overcome."""
+        """Lose disks, but only while all machines are in the chain, so that earlier losses are repaired."""
         simulation = self._simulation
         all_run = len(simulation.running()) == len(simulation.machines)
         if self._tolerated == 0 or not all_run or not simulation.all_in_chain():
@@ -133,7 +133,7 @@
 
 
 def play(simulation: Simulation, tolerated: int, steps: int) -> None:
-    """Faults and calls in random order, then peace and the last checks."""
+    """Run faults and calls in random order, then end all faults and check the final state."""
     operator = Operator(simulation)
     faults = Faults(simulation, tolerated)
     for _ in range(steps):
@@ -147,7 +147,7 @@
 
 
 def come_back(simulation: Simulation, restarts_within: float = 3.1) -> None:
-    """All troubles end and all machines run."""
+    """End all faults, and wait until all machines are in the chain."""
     simulation.heal()
     simulation.run(restarts_within)
     simulation.heal()
@@ -155,7 +155,7 @@
 
 
 def check_end(simulation: Simulation) -> None:
-    """Everywhere the newest configuration is read, and acknowledged changes are acknowledged again."""
+    """Check that all machines read the newest configuration and acknowledge accepted changes again."""
     judge = simulation.judge
     assert not [request for change in judge.changes.values() for request in change.open_calls]
     read = {_read(simulation, machine) for machine in simulation.running()}
@@ -165,7 +165,9 @@
         if change.acknowledged:
             address = simulation.random.choice(list(simulation.machines))
             answer = simulation.put_and_wait(address, change.match, change.generation, document)
-            assert answer is None, f"generation {change.generation} gets {answer!r} now"
+            assert answer is None, (
+                f"generation {change.generation} was acknowledged and is answered with {answer!r}"
+            )
 
 
 def _read(simulation: Simulation, machine: Machine) -> int:
--- a/tests/control_plane/simulated_channel.py
+++ b/tests/control_plane/simulated_channel.py
@@ -16,20 +16,20 @@
 from tests.control_plane.simulated_parts import VirtualTime
 
 DELAY_S = (0.001, 0.006)
-RESEND_S = 0.2  # what meets a cut is sent again
-USER_TIMEOUT_S = 1.5  # and ends the connection after this
+RESEND_S = 0.2  # a message on a cut link is resent after this
+USER_TIMEOUT_S = 1.5  # a cut link ends the connection after this
 
 
 class Links(Protocol):
-    """Which way bytes go."""
+    """The links between machines."""
 
     def carries(self, sender: str, receiver: str) -> bool:
-        """Whether bytes of the one reach the other now."""
+        """Whether the link from sender to receiver is up."""
 
 
 @dataclass
 class Outgoing:
-    """Something that is on its way to the other end."""
+    """A message, or the end of the connection, in transit to the other end."""
 
     deliver: Callable[[SimulatedChannel], None]
     sent_at: float
@@ -69,31 +69,31 @@
             self._transmit(lambda peer: peer.arrive(payload))
 
     def write_backlog_bytes(self) -> int:
-        """Nothing is held back."""
+        """0, as nothing is buffered for writing."""
         return 0
 
     async def receive(self, expected: Any) -> Any:
         """As `Channel.receive`."""
         while not self._arrived:
             if self._ended:
-                raise ConnectionResetError("the connection is over")
+                raise ConnectionResetError("the connection has ended")
             self._waiter = self._loop.create_future()
             await asyncio.wait_for(self._waiter, self.idle_timeout_s)
         return decode(self._arrived.popleft(), expected)
 
     def close(self) -> None:
-        """End the connection; the other side learns of it where the link carries that.
+        """End the connection; the other end is notified if the link is up.
 
-        What is left of a process that has ended, as Python clears it away at any time, does nothing any more.
+        Does nothing in a process that has ended, whose objects Python may finalize at any time.
         """
         if not self._ended and not self._loop.ended:
             self._transmit(lambda peer: peer.end())
             self._ended = True
 
-    # ---- what happens to it ----
+    # ---- events ----
 
     def arrive(self, payload: bytes) -> None:
-        """A message has come."""
+        """A message has arrived."""
         if self._ended:
             return
         if self.on_message is not None:
@@ -103,7 +103,7 @@
         self._wake()
 
     def end(self) -> None:
-        """The connection is over."""
+        """The connection has ended."""
         if self._ended:
             return
         self._ended = True
@@ -124,7 +124,7 @@
             self._virtual_time.at(due, self._pass_on)
 
     def _pass_on(self) -> None:
-        """Deliver what is due, in order."""
+        """Deliver the messages that are due, in order."""
         now = self._virtual_time.now
         while self._outgoing and self.peer is not None:
             first = self._outgoing[0]
@@ -151,5 +151,5 @@
 
 
 def join_channels(one: SimulatedChannel, other: SimulatedChannel) -> None:
-    """The two ends of one connection."""
+    """Connect the two ends of one connection."""
     one.peer, other.peer = other, one
--- a/tests/control_plane/simulated_control.py
+++ b/tests/control_plane/simulated_control.py
@@ -1,5 +1,7 @@
-"""What a control scheduler does beside its replica, in the simulation: the program's own process, lease,
-worker discovery and sessions, on a loop in virtual time. Only sockets, threads and the platform are replaced.
+"""Simulated control schedulers without their replicas.
+
+The process, lease, worker discovery and sessions are those of the program, on an event loop in virtual time.
+Only sockets, threads and the platform are replaced.
 """
 
 from __future__ import annotations
@@ -36,7 +38,7 @@
 from tests.control_plane.simulation import Simulation
 from tests.control_plane.worker_list_judge import WorkerListJudge
 
-PREPARE_S = (0.0, 0.02)  # a configuration is parsed on another thread
+PREPARE_S = (0.0, 0.02)  # time to parse a configuration on another thread
 FIRST_INCARNATION = 1
 NO_SETTINGS_FILE = Path("/nonexistent/settings.json")
 
@@ -44,7 +46,7 @@
 
 
 class DocumentsThread:
-    """In place of the thread that parses documents: the result comes a little later."""
+    """Replacement for the thread that parses documents; results come after a random delay."""
 
     def __init__(self, loop: ProcessLoop, random: Random, lasts: tuple[float, float]) -> None:
         self._loop = loop
@@ -64,7 +66,7 @@
 
 
 class PeerLinks:
-    """In place of the connections to other control schedulers."""
+    """Replacement for the connections to other control schedulers."""
 
     def __init__(self, simulation: Simulation, address: str) -> None:
         self._simulation = simulation
@@ -80,11 +82,11 @@
         self.send(address, decode(payload, PeerMessage))
 
     def close_idle(self) -> None:
-        """There is nothing to close."""
+        """Do nothing, as there are no connections."""
 
 
 class ReplicaView:
-    """In place of the driver: what the process asks of its replica."""
+    """Replacement for the driver: the state of the replica that the process reads."""
 
     def __init__(self, machine: Machine, loop: ProcessLoop) -> None:
         self._machine = machine
@@ -107,10 +109,10 @@
 
 
 class NoTallies:
-    """In place of the tallies, which share nothing with the rest and have a model of their own."""
+    """Replacement for the tallies, which share no state with the rest and have a simulation of their own."""
 
     def tick(self) -> None:
-        """Nothing is due."""
+        """Do nothing."""
 
 
 class SimulatedWorkerDiscovery(WorkerDiscovery):
@@ -123,7 +125,7 @@
 
 
 class ControlScheduler(ControlProcess):
-    """One life of a control scheduler's process, without its replica."""
+    """One process of a control scheduler, without its replica."""
 
     def __init__(
         self,
@@ -175,47 +177,47 @@
         return discovery
 
     def _build_endpoints(self, settings: NodeSettings) -> None:
-        """There is no operator API and no metrics endpoint."""
+        """Do nothing, as there is no operator API and no metrics endpoint."""
 
     def begin(self) -> None:
-        """The tasks that the process starts with."""
+        """Start the tasks of the process."""
         self.loop.create_task(self._discovery.run())
         self.loop.create_task(self._discovery.discover_without_lease())
 
     def term_held(self) -> int | None:
-        """The term under which it holds the discovery lease; None: it does not hold it."""
+        """The term in which this scheduler holds the discovery lease; None if it does not hold it."""
         return self._lease.term if self._lease.is_held(self.loop.time()) else None
 
     def begin_leave(self) -> None:
-        """What SIGTERM changes here."""
+        """Release the discovery lease on SIGTERM."""
         self._exchange.release_lease()
 
     def end_sessions(self) -> None:
-        """A process that leaves closes its sessions before it ends."""
+        """Close all sessions, as a process does before a graceful end."""
         for channel in self.channels:
             channel.close()
 
     def peer_message(self, sender: str, message: Struct) -> None:
-        """A message of another control scheduler, other than those between replicas."""
+        """Handle a message of another control scheduler that is not for the replica."""
         self._exchange.handle(sender, message)  # type: ignore[arg-type]
         self._judge.holds(self._address, self._workers.current)
 
-    def heard_peer(self, sender: str) -> None:
-        """Any message of another control scheduler is a sign of life."""
+    def record_peer_message(self, sender: str) -> None:
+        """Record that a message of another control scheduler has arrived."""
         self._membership.peer_seen(sender, self.loop.time())
 
     def accept(self, channel: SimulatedChannel) -> None:
-        """A data plane scheduler has opened a session."""
+        """Accept the session of a data plane scheduler."""
         self.channels.append(channel)
         channel.on_message = lambda payload: self._edge_message(channel, payload)
         channel.on_end = lambda: self._sessions.connection_closed(channel)  # type: ignore[arg-type]
 
     def workers(self) -> tuple[WorkerEntry, ...] | None:
-        """The list that this scheduler has."""
+        """The worker list of this scheduler."""
         return None if self._workers.current is None else self._workers.current.workers
 
     def workers_version(self) -> Version:
-        """And its version."""
+        """The version of the worker list of this scheduler."""
         return self._workers.version
 
     def _edge_message(self, channel: SimulatedChannel, payload: bytes) -> None:
@@ -259,7 +261,7 @@
         loop.run(build)
 
     def stopped(self, machine: Machine) -> None:
-        """A process has ended; the others are told of it at once, or find out."""
+        """A process has ended; its sessions are closed at once, or time out at the other end."""
         scheduler = self.running.pop(machine.address, None)
         if scheduler is None:
             return
@@ -268,12 +270,12 @@
         scheduler.loop.end()
 
     def frozen(self, machine: Machine) -> None:
-        """A process stands still."""
+        """A process is frozen."""
         if machine.address in self.running:
             self.running[machine.address].loop.freeze()
 
     def thawed(self, machine: Machine) -> None:
-        """A process goes on."""
+        """A process continues."""
         if machine.address in self.running:
             self.running[machine.address].loop.thaw()
 
@@ -288,7 +290,7 @@
     def received(self, machine: Machine, sender: str, message: Struct) -> None:
         """A message of another control scheduler."""
         if isinstance(message, get_args(ReplicaMessage)):
-            self._within(machine, lambda scheduler: scheduler.heard_peer(sender))
+            self._within(machine, lambda scheduler: scheduler.record_peer_message(sender))
         else:
             self._within(machine, lambda scheduler: scheduler.peer_message(sender, message))
 
--- a/tests/control_plane/simulated_core.py
+++ b/tests/control_plane/simulated_core.py
@@ -1,7 +1,7 @@
-"""Machinery of the simulation: processes of control schedulers, their disks, and the network between them.
+"""Simulated core: processes of control schedulers, their disks, and the network between them.
 
-Everything random comes from one seeded generator. A fault can be placed at a numbered point: before the n-th
-message is sent, or when the n-th store is asked for.
+All random choices come from generators derived from one seed. A fault can be injected at a numbered point:
+before the n-th message is sent, or when the n-th store is requested.
 """
 
 from __future__ import annotations
@@ -48,7 +48,7 @@
 DISK_DELAY_S = (0.001, 0.008)
 START_SPREAD_S = 0.3
 HELD_RETRY_S = 0.2
-HELD_S = 1.5  # a connection that a cut holds up ends after that
+HELD_S = 1.5  # a connection over a cut link ends after this
 MOST_CLOCK_SKEW_S = 1000.0
 MOST_CLOCK_DRIFT = 1e-3
 
@@ -182,7 +182,7 @@
         incarnation = machine.incarnation
         for effect in machine.replica.handle(machine.clock(self.now), event):
             if machine.incarnation != incarnation:
-                return  # a fault at a numbered point has ended this process
+                return  # a fault injected at a numbered point has ended this process
             self._carry_out(address, effect)
 
     def _carry_out(self, address: str, effect: Effect) -> None:
@@ -214,7 +214,7 @@
             self.on_put_answer(answer)
 
     def _new_call(self, address: str) -> tuple[int, int]:
-        """Number of a call in the simulation, and in the process that gets it (each counts anew)."""
+        """Number of a new call in the simulation, and its number in the process that gets it."""
         machine = self.machines[address]
         call = next(self._requests)
         in_process = len(machine.calls) + 1
@@ -222,13 +222,13 @@
         return call, in_process
 
     def _call_of(self, address: str, request_id: int) -> int:
-        """The call that a process answers."""
+        """The number in the simulation of a call that a process answers."""
         calls = self.machines[address].calls
-        assert request_id in calls, f"{address} answers a call that it never got"
+        assert request_id in calls, f"{address} answered a call that it never got"
         return calls[request_id]
 
     def send(self, sender: str, effect: SendMessage) -> None:
-        """Carry a message of one control scheduler to another."""
+        """Send a message from one control scheduler to another."""
         number = self._message_number(effect.message)
         if self.spy is not None:
             self.spy(effect)
@@ -247,7 +247,9 @@
             self._transmit(sender, effect.address, message, 0.4 if late or copy else 0.0)
 
     def _random_for(self, sender: str, receiver: str, message: Struct) -> random.Random:
-        """Messages that are not between replicas leave in no fixed order: each link has its own numbers."""
+        """Generator for a message. Messages other than those between replicas have no fixed order, so each of
+        their links has a generator of its own.
+        """
         if isinstance(message, REPLICA_MESSAGES):
             return self.random
         link = (sender, receiver)
@@ -256,7 +258,7 @@
         return self._link_random[link]
 
     def _message_number(self, message: Struct) -> int:
-        """Numbers what happens once; signs of life, which are repeated all the time, get none."""
+        """Number a message; 0 for heartbeats and grants, which are repeated all the time."""
         if isinstance(message, Heartbeat | ReadLeaseGrant | ViewConfirmation):
             return 0
         self.message_count += 1
@@ -265,7 +267,7 @@
         return self.message_count
 
     def _transmit(self, sender: str, receiver: str, message: Struct, extra: float) -> None:
-        """Deliver after the link's delay, in order unless `extra` sets the message apart."""
+        """Deliver after the link's delay; in order, unless there is an `extra` delay."""
         numbers = self._random_for(sender, receiver, message)
         arrival = self.now + numbers.uniform(*LINK_DELAY_S) + extra
         if not extra:
@@ -273,7 +275,7 @@
             self._link_free[(sender, receiver)] = arrival
 
         given_up_at = arrival + HELD_S
-        forever = isinstance(message, REPLICA_MESSAGES)  # they bear that, whatever a connection does
+        forever = isinstance(message, REPLICA_MESSAGES)  # the replication protocol tolerates any delay
 
         def arrive() -> None:
             if (sender, receiver) not in self.network.cut:
@@ -297,7 +299,7 @@
             self._start_store(address, store)
 
     def _start_store(self, address: str, store: StoreRecords) -> None:
-        """Stores end in their order; while the disk hangs they wait."""
+        """Start a store; stores end in order, and wait while the disk stalls."""
         machine = self.machines[address]
         incarnation = machine.incarnation
         machine.disk.waiting.append(store)
--- a/tests/control_plane/simulated_fleet.py
+++ b/tests/control_plane/simulated_fleet.py
@@ -1,4 +1,4 @@
-"""A whole control side: replicas, worker discovery, sessions, data plane schedulers, platform and judges."""
+"""A simulated fleet: worker discovery, sessions, data plane schedulers, platform and judges."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class SimulatedFleet:
-    """Everything beside the replicas, for a simulation that has not run yet."""
+    """All parts but the replicas, for a simulation that has not run yet."""
 
     def __init__(self, simulation: Simulation, data_plane_schedulers: int = DATA_PLANE_SCHEDULERS) -> None:
         self.platform = SimulatedPlatform(simulation)
@@ -23,14 +23,14 @@
         self.judge = FleetJudge(simulation, self.control, self.data_plane, self.lists)
 
     def heal(self) -> None:
-        """All troubles outside the core end."""
+        """End all faults outside the core."""
         self.data_plane.join()
         self.platform.set_out_of_reach(False)
         for name in self.data_plane.nodes:
             self.data_plane.thaw(name)
 
     def check_end(self) -> None:
-        """All are in touch, hold the newest configuration and are certain of it."""
+        """Check that all data plane schedulers are in touch and certain of the newest configuration."""
         newest = self.judge.newest_acknowledged
         for name, scheduler in self.data_plane.schedulers().items():
             assert self.judge.contact.in_touch(name), f"{name} is not in touch at the end"
--- a/tests/control_plane/simulated_parts.py
+++ b/tests/control_plane/simulated_parts.py
@@ -20,16 +20,16 @@
 
 
 class DiskMode(Enum):
-    """What the disk does with a store."""
+    """Behaviour of a disk on a store."""
 
     WORKS = "works"
     STALLS = "stalls"
     FULL = "full"
-    FAILS = "fails"  # refuses, and may have written all the same
+    FAILS = "fails"  # reports an error, and may have written the data
 
 
 class Direction(Enum):
-    """Which way a cut holds up, as seen from the machines that are cut off."""
+    """Direction in which a cut drops messages, as seen from the machines that are cut off."""
 
     BOTH = "both"
     FROM_THEM = "from them"
@@ -38,7 +38,7 @@
 
 @dataclass
 class Disk:
-    """What survives; a wiped disk comes with a new folder id."""
+    """The data that survives a process; an empty disk has a new folder id."""
 
     folder_id: str
     records: list[bytes] = field(default_factory=list)
@@ -49,7 +49,7 @@
 
 @dataclass
 class Machine:
-    """One core machine; `incarnation` tells its processes apart."""
+    """One core machine; `incarnation` is the number of its process."""
 
     address: str
     zone: str
@@ -60,14 +60,16 @@
     replica: Replica | None = None
     frozen: bool = False
     leaving: bool = False
-    gone: bool = False  # for good: it is not started again
+    gone: bool = False  # permanently: it is not started again
     incarnation: int = 0
-    tick_is_due: bool = False  # it came while the process stood still
+    tick_is_due: bool = False  # it was due while the process was frozen
     missed: list[Event] = field(default_factory=list)
-    calls: dict[int, int] = field(default_factory=dict)  # of operators, by their number in this process
+    calls: dict[int, int] = field(
+        default_factory=dict
+    )  # numbers of operator calls in the simulation, by their number in this process
 
     def clock(self, now: float) -> float:
-        """The machine's steady clock, which goes on while its process is stopped."""
+        """The machine's steady clock, which keeps running while its process is stopped."""
         return self.clock_skew + now * self.clock_rate
 
     def true_time(self, clock: float) -> float:
@@ -91,10 +93,10 @@
         """The process got SIGTERM."""
 
     def frozen(self, machine: Machine) -> None:
-        """A process stands still."""
+        """A process is frozen."""
 
     def thawed(self, machine: Machine) -> None:
-        """A process goes on."""
+        """A process continues."""
 
     def received(self, machine: Machine, sender: str, message: Struct) -> None:
         """A message of another control scheduler; those between replicas go to the replica as well."""
@@ -108,30 +110,30 @@
 
 @dataclass
 class Network:
-    """Which directed links carry nothing, and how often a message is lost, doubled or late."""
+    """The cut links, by direction, and the rates at which messages are lost, duplicated or late."""
 
     cut: set[tuple[str, str]] = field(default_factory=set)  # between control schedulers
     cut_outside: set[tuple[str, str]] = field(default_factory=set)  # to and from data plane schedulers
     loss: float = 0.0
     doubled: float = 0.0
     late: float = 0.0
-    holds: bool = False  # what meets a cut comes once the link carries again, instead of being lost
+    holds: bool = False  # messages on a cut link are delivered once it is restored, instead of lost
     check_encoding: bool = False
     cut_off: set[str] = field(default_factory=set)  # machines whose links are all cut
 
     def carries(self, sender: str, receiver: str) -> bool:
-        """Whether bytes of the one reach the other now."""
+        """Whether the link from sender to receiver is up."""
         link = (sender, receiver)
         return link not in self.cut and link not in self.cut_outside
 
     @property
     def has_message_faults(self) -> bool:
-        """Whether any message may be lost, doubled or late."""
+        """Whether any message may be lost, duplicated or late."""
         return bool(self.loss or self.doubled or self.late)
 
     @property
     def is_impaired(self) -> bool:
-        """Whether any link is cut or harmed."""
+        """Whether any link is cut, or messages may be lost, duplicated or late."""
         return bool(self.cut) or self.has_message_faults
 
 
@@ -139,7 +141,7 @@
 
 
 class VirtualTime:
-    """Time that passes only when a test lets it, and what is to be done in it."""
+    """Virtual time with a queue of actions; it passes only in `run` and `run_until`."""
 
     def __init__(self) -> None:
         self.now = 100.0
@@ -147,11 +149,11 @@
         self._order = itertools.count()
 
     def at(self, when: float, action: Callable[[], None]) -> None:
-        """Do something at a time."""
+        """Schedule an action."""
         heapq.heappush(self._queue, (when, next(self._order), action))
 
     def run(self, duration: float) -> None:
-        """Let time pass."""
+        """Let time pass, and run the actions that are due."""
         end = self.now + duration
         while self._queue and self._queue[0][0] <= end:
             when, _, action = heapq.heappop(self._queue)
@@ -160,7 +162,7 @@
         self.now = end
 
     def run_until(self, condition: Callable[[], bool], limit: float, step: float = 0.02) -> bool:
-        """Let time pass until the condition holds; false where the limit came first."""
+        """Let time pass until the condition holds; return False if the limit comes first."""
         end = self.now + limit
         while self.now < end:
             if condition():
--- a/tests/control_plane/simulation.py
+++ b/tests/control_plane/simulation.py
@@ -1,4 +1,4 @@
-"""Deterministic simulation of control schedulers: calls of operators, and faults switched on and off."""
+"""Deterministic simulation of control schedulers: operator calls, and faults that tests start and end."""
 
 from __future__ import annotations
 
@@ -20,9 +20,9 @@
 
 
 class Simulation(SimulatedCore):
-    """A core of machines with what a test does to it and asks of it."""
+    """A core of machines, with operator calls, state queries and fault injection for tests."""
 
-    # ---- operator ----
+    # ---- operator calls ----
 
     def put(
         self,
@@ -32,9 +32,9 @@
         document: bytes,
         on_call: Callable[[int], None] | None = None,
     ) -> int:
-        """Hand a change to a machine; the judge gets the answer under the returned id.
+        """Submit a change to a machine; the judge records the answer under the returned id.
 
-        `on_call` is told the id before the machine gets the change, which it may answer at once.
+        `on_call` is called with the id before the machine gets the change, which it may answer at once.
         """
         call, request_id = self._new_call(address)
         if on_call is not None:
@@ -45,30 +45,30 @@
         return call
 
     def get(self, address: str) -> int:
-        """Ask a machine for the newest configuration."""
+        """Submit a read of the newest configuration to a machine."""
         call, request_id = self._new_call(address)
         self.judge.asked_get(call)
         self._handle(address, GetSubmitted(request_id))
         return call
 
     def put_and_wait(self, address: str, match: int, generation: int, document: bytes) -> ErrorCode | None:
-        """A change and its answer; WRITE_UNCLEAR where none came."""
+        """Submit a change and return its answer; WRITE_UNCLEAR if none came."""
         request_id = self.put(address, match, generation, document)
         self.run_until(lambda: request_id in self.judge.put_answers, 2.0)
         answer = self.judge.put_answers.get(request_id)
         return answer.error if answer else ErrorCode.WRITE_UNCLEAR
 
     def get_and_wait(self, address: str) -> GetCompleted | None:
-        """A read and its answer."""
+        """Submit a read and return its answer; None if none came."""
         request_id = self.get(address)
         self.run_until(lambda: request_id in self.judge.get_answers, 2.0)
         return self.judge.get_answers.get(request_id)
 
     def inject(self, address: str, event: Event) -> None:
-        """Hand any event to a machine."""
+        """Pass an event to a machine."""
         self._handle(address, event)
 
-    # ---- what the tests look at ----
+    # ---- state of the core ----
 
     def replica(self, address: str) -> Replica:
         """The running replica of a machine."""
@@ -77,7 +77,7 @@
         return replica
 
     def running(self) -> list[Machine]:
-        """Machines whose process runs and is not frozen."""
+        """Machines whose process is running and not frozen."""
         return [machine for machine in self.machines.values() if machine.replica and not machine.frozen]
 
     def newest_view(self) -> View | None:
@@ -97,9 +97,9 @@
         return len(views) == 1 and all(m.replica is not None and m.replica.in_chain for m in running)
 
     def machines_with_bad_links(self) -> set[str]:
-        """Machines that count as cut off: all of a harmed network, else the ends of the cut links.
+        """All machines if any message may be lost, duplicated or late, else the ends of the cut links.
 
-        A link to a machine that is cut off as a whole does not count against its other end.
+        A link to a machine that is isolated as a whole does not count against its other end.
         """
         if self.network.has_message_faults:
             return set(self.machines)
@@ -108,7 +108,7 @@
         return off.union(*links)
 
     def impaired_machines(self) -> set[str]:
-        """Machines that are down, frozen, cut off or have a bad disk now."""
+        """Machines that are down, frozen, cut off or have a failing disk now."""
         bad = {
             machine.address
             for machine in self.machines.values()
@@ -117,29 +117,31 @@
         return bad | self.machines_with_bad_links()
 
     def settled_since(self) -> float:
-        """Since when nothing has happened to the core and its links; never where too much is lost now."""
+        """Time of the last disturbance of the core; infinity while too many machines are lost."""
         if self.network.is_impaired or len(self.impaired_machines()) > self.tolerated:
             return float("inf")
         return self.disturbances.last_event
 
     def settle(self, limit: float = 6.0) -> None:
-        """Let the core become whole."""
-        assert self.run_until(self.all_in_chain, limit), f"not whole, the chain is {self.chain()}"
+        """Let time pass until all running machines are in the chain."""
+        assert self.run_until(self.all_in_chain, limit), (
+            f"not all running machines are in the chain {self.chain()}"
+        )
 
     # ---- faults of processes ----
 
     def kill(self, address: str, restart_after: float | None = 0.3) -> None:
-        """The process dies; what it had written stays or not, what it had synced stays."""
+        """The process is killed; synced data remains on the disk, unsynced data may."""
         self._stop(address, keep_unsynced=self.random.random() < 0.5)
         self._restart_later(address, restart_after)
 
     def lose_power(self, address: str, restart_after: float | None = 0.5) -> None:
-        """Power is lost: none or some of the stores under way are on the disk."""
+        """Power is lost; none or some of the stores in progress are on the disk."""
         self._stop(address, keep_unsynced=self.random.random() < 0.3)
         self._restart_later(address, restart_after)
 
     def lose_disk(self, address: str, restart_after: float | None = 0.5) -> None:
-        """The disk is lost with everything on it."""
+        """The disk is lost with all its data."""
         self._stop(address, keep_unsynced=False)
         machine = self.machines[address]
         machine.disk = self._new_disk()
@@ -147,24 +149,24 @@
         self._restart_later(address, restart_after)
 
     def freeze(self, address: str) -> None:
-        """The process is stopped; its clock goes on."""
+        """The process is stopped, while its clock keeps running; counts as a disturbance of the machine."""
         self.disturbances.record(self.now, address)
         self.suspend(address)
 
     def thaw(self, address: str) -> None:
-        """The process goes on, and finds what came meanwhile."""
+        """The process continues, and handles the events that arrived meanwhile."""
         self.disturbances.record(self.now, address)
         self.resume(address)
 
     def suspend(self, address: str) -> None:
-        """The process gets no processor time for now, which is no trouble of its machine."""
+        """The process gets no processor time for now, which does not count as a fault of its machine."""
         machine = self.machines[address]
         machine.frozen = True
         for component in self.components:
             component.frozen(machine)
 
     def resume(self, address: str) -> None:
-        """The process gets processor time again, and finds what came meanwhile."""
+        """The process gets processor time again, and handles the events that arrived meanwhile."""
         machine = self.machines[address]
         machine.frozen = False
         for component in self.components:
@@ -176,7 +178,7 @@
             self._ticked(machine)
 
     def leave(self, address: str, gone_after: float = 0.5) -> None:
-        """SIGTERM: the process says so, and ends for good a little later."""
+        """The process gets SIGTERM, announces its shutdown, and ends a little later without a restart."""
         machine = self.machines[address]
         machine.leaving = True
         self.disturbances.record(self.now, address)
@@ -192,18 +194,18 @@
         self.at(self.now + gone_after, end)
 
     def add_machine(self, address: str) -> None:
-        """A new machine with an empty disk."""
+        """Add a machine with an empty disk, and start it."""
         self.machines[address] = self._new_machine(address, bootstrap=False)
         self._start(address)
 
     def remove_machine(self, address: str) -> None:
-        """A machine is taken away with its disk."""
+        """Remove a machine with its disk."""
         self.machines[address].gone = True
         self._stop(address, keep_unsynced=False)
         del self.machines[address]
 
     def change_seeds(self, seeds: tuple[str, ...]) -> None:
-        """The settings of all machines name other seeds from now on."""
+        """Change the seeds in the settings of all machines."""
         self.disturbances.record(self.now)
         self.seeds = seeds
         for machine in self.running():
@@ -212,7 +214,7 @@
     # ---- faults of disks and links ----
 
     def set_disk(self, address: str, mode: DiskMode) -> None:
-        """The disk gets into or out of trouble; what hung is carried out."""
+        """Change the mode of a disk, and start the stores that were waiting."""
         disk = self.machines[address].disk
         if disk.mode is not mode:
             self.disturbances.record_disk_change(self.now, address)
@@ -222,18 +224,18 @@
             self._start_store(address, store)
 
     def cut(self, one: str, other: str, both: bool = True) -> None:
-        """The link carries nothing from one to the other."""
+        """Cut the link from one machine to the other, and back if `both`."""
         self.disturbances.record(self.now, one, other)
         self.network.cut.add((one, other))
         if both:
             self.network.cut.add((other, one))
 
     def isolate(self, address: str) -> None:
-        """All links of a machine are cut."""
+        """Cut all links of a machine."""
         self.cut_off([address])
 
     def cut_off(self, addresses: Iterable[str], direction: Direction = Direction.BOTH) -> None:
-        """Machines are cut off from all others, and go on reaching each other."""
+        """Cut off machines from all others; they still reach each other."""
         inside = set(addresses)
         self.disturbances.record(self.now, *inside)
         self.network.cut_off |= inside
@@ -245,20 +247,20 @@
                     self.network.cut.add((other, one))
 
     def restore_links(self) -> None:
-        """No link is cut any more."""
+        """Restore all cut links."""
         if self.network.cut:
             self.disturbances.record(self.now, *self.machines_with_bad_links())
         self.network.cut.clear()
         self.network.cut_off.clear()
 
     def end_message_faults(self) -> None:
-        """No message is lost, doubled or late any more."""
+        """Stop the loss, duplication and delay of messages."""
         if self.network.has_message_faults:
             self.disturbances.record(self.now, *self.machines)
         self.network.loss = self.network.doubled = self.network.late = 0.0
 
     def heal(self) -> None:
-        """All links carry again, all disks work, all processes run."""
+        """End all faults: restore links and disks, and continue frozen processes."""
         self.restore_links()
         self.end_message_faults()
         for machine in list(self.machines.values()):
--- a/tests/control_plane/strength.py
+++ b/tests/control_plane/strength.py
@@ -1,4 +1,7 @@
-"""Full strength of a simulated core, and the losses that it has to get over: how long until it is back."""
+"""Time until a simulated core is back at full strength after losses.
+
+At full strength all running machines are complete members of the chain, and enough of them vote.
+"""
 
 from __future__ import annotations
 
@@ -15,7 +18,7 @@
 
 
 def at_full_strength(simulation: Simulation, tolerated: int) -> bool:
-    """Every running machine is complete in the chain, and enough of them, and nobody else, vote."""
+    """Whether all running machines are complete in the chain, and the voters are enough running machines."""
     if not simulation.all_in_chain():
         return False
     view = simulation.newest_view()
@@ -54,21 +57,21 @@
 
 
 def kill(simulation: Simulation, lost: list[str]) -> None:
-    """The processes are killed, and come back with their disks after the chain has gone on without them."""
+    """Kill the processes; they restart with their disks after the chain was repaired without them."""
     for address in lost:
         simulation.kill(address, restart_after=KILLED_FOR_S)
     simulation.run(KILLED_FOR_S)
 
 
 def lose_disk(simulation: Simulation, lost: list[str]) -> None:
-    """The machines come back at their addresses with empty disks."""
+    """Lose the disks; the machines restart at their addresses with empty ones."""
     for address in lost:
         simulation.lose_disk(address, restart_after=0.5)
     simulation.run(0.5)
 
 
 def replace(simulation: Simulation, lost: list[str]) -> None:
-    """The machines are taken away without notice, and new ones come at once, at new addresses."""
+    """Remove the machines without notice, and add new ones at once at new addresses."""
     for address in lost:
         simulation.lose_power(address, restart_after=None)
     for address in lost:
@@ -76,7 +79,7 @@
 
 
 def replace_as_seeds(simulation: Simulation, lost: list[str]) -> None:
-    """As `replace`, and the settings name only the new machines and one more as seeds."""
+    """As `replace`, and change the seeds to the new machines and one other."""
     new = [f"n{address}" for address in lost]
     staying = [machine.address for machine in simulation.running() if machine.address not in lost]
     simulation.change_seeds((*new, staying[0]))
--- a/tests/control_plane/test_change_decision.py
+++ b/tests/control_plane/test_change_decision.py
@@ -1,4 +1,4 @@
-"""Verdicts on changes: a table, and that a refusal is one for all time."""
+"""Decisions on changes: a table of cases, and that a rejection is final."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 from reedspoke.control_plane.replication.messages import PutRequest
 from reedspoke.control_plane.replication.outbox import Outbox
 
-REFUSED = {ChangeDecision.STALE_MATCH, ChangeDecision.OLD_GENERATION}
-NOT_TAKEN = REFUSED | {ChangeDecision.HISTORY_EXPIRED}
+REJECTED = {ChangeDecision.STALE_MATCH, ChangeDecision.OLD_GENERATION}
+NOT_ACCEPTED = REJECTED | {ChangeDecision.HISTORY_EXPIRED}
 
 Order = tuple[int, int, bytes]
 
 
 def _register(generations: list[int]) -> ConfigurationRegister:
-    """A register that has taken these generations, each with its own document."""
+    """A register that has accepted these generations, each with its own document."""
     entries = [
         Entry(sequence, 1, generation, b"taken %d" % generation)
         for sequence, generation in enumerate(generations, 1)
@@ -52,7 +52,7 @@
         ((6, 9, b"early"), ChangeDecision.WAIT),
     ],
 )
-def test_verdicts_after_generations_3_and_5(order: Order, decision: ChangeDecision) -> None:
+def test_decisions_after_generations_3_and_5(order: Order, decision: ChangeDecision) -> None:
     assert _decide(_register([3, 5]), order) is decision
 
 
@@ -72,7 +72,7 @@
     numbers,
     st.booleans(),
 )
-def test_a_refused_order_is_never_taken_later(
+def test_a_rejected_change_is_never_accepted_later(
     generations: list[int], match: int, generation: int, rival: bool
 ) -> None:
     document = b"a rival" if rival else b"taken %d" % generation
@@ -82,7 +82,7 @@
     ]
     for index, decision in enumerate(decisions):
         later = decisions[index:]
-        if decision in REFUSED and rival:
-            assert set(later) <= NOT_TAKEN
+        if decision in REJECTED and rival:
+            assert set(later) <= NOT_ACCEPTED
         if decision is ChangeDecision.ACKNOWLEDGE:
             assert set(later) <= {ChangeDecision.ACKNOWLEDGE}
--- a/tests/control_plane/test_clocks.py
+++ b/tests/control_plane/test_clocks.py
@@ -1,4 +1,4 @@
-"""The time of day may step: nothing but the log lines reads it."""
+"""Only log lines read the time of day, as it may step."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 @pytest.mark.parametrize("package", PACKAGES)
-def test_no_module_but_the_log_lines_reads_the_time_of_day(package: str) -> None:
+def test_only_the_log_module_reads_the_time_of_day(package: str) -> None:
     sources = sorted((ROOT / package).rglob("*.py"))
     assert sources
     readers = [path.name for path in sources if TIME_OF_DAY_MODULES & _imported(path)]
--- a/tests/control_plane/test_guards_answers.py
+++ b/tests/control_plane/test_guards_answers.py
@@ -1,4 +1,4 @@
-"""Guards of what a replica tells operators and hands over, by its contact with a majority of voters."""
+"""Guard conditions on answers and delivered state: they require contact with a majority of voters."""
 
 from __future__ import annotations
 
@@ -31,9 +31,9 @@
 
 
 def _in_contact(member: LoneReplica) -> LoneReplica:
-    """The head is heard and has granted, as has the member itself."""
+    """A member with confirmations by the head and by itself, and with the head reachable."""
     member.tick(HEARTBEAT_INTERVAL_S)
-    member.ping_from(HEAD)
+    member.heartbeat_from(HEAD)
     member.receive(HEAD, ViewConfirmation(HEAD.folder_id, member.view_number, member.now))
     assert member.replica.holds_majority(member.now)
     return member
@@ -43,33 +43,33 @@
     return member.replica.handle(member.now, event)
 
 
-def _grants_run_out(member: LoneReplica) -> None:
-    member.run_beside(HEAD, seconds=MAJORITY_CONTACT_TTL_S + TICK_INTERVAL_S)
+def _confirmations_expire(member: LoneReplica) -> None:
+    member.run_with(HEAD, seconds=MAJORITY_CONTACT_TTL_S + TICK_INTERVAL_S)
     assert member.replica.majority_reached
 
 
-def _is_not_heard_any_more(member: LoneReplica) -> None:
-    member.ping_from(HEAD, hears_us=False)
+def _head_becomes_unreachable(member: LoneReplica) -> None:
+    member.heartbeat_from(HEAD, receives_us=False)
     assert member.replica.holds_majority(member.now)
 
 
 def _nothing_is_lost(member: LoneReplica) -> None:
-    """The majority stays."""
+    """The contact with the majority stays."""
 
 
 Loss = Callable[[LoneReplica], None]
 
 
 @pytest.mark.parametrize(
-    ("loss", "told"),
+    ("loss", "expected"),
     [
         (_nothing_is_lost, None),
-        (_grants_run_out, ErrorCode.WRITE_UNCLEAR),
-        (_is_not_heard_any_more, ErrorCode.WRITE_UNCLEAR),
+        (_confirmations_expire, ErrorCode.WRITE_UNCLEAR),
+        (_head_becomes_unreachable, ErrorCode.WRITE_UNCLEAR),
     ],
 )
-def test_a_change_is_acknowledged_only_while_a_majority_stands_behind_the_replica(
-    loss: Loss, told: ErrorCode | None
+def test_a_change_is_acknowledged_only_in_contact_with_a_majority(
+    loss: Loss, expected: ErrorCode | None
 ) -> None:
     member = _in_contact(LoneReplica(MIDDLE))
     (sent,) = _handle(member, PutSubmitted(1, 0, 10, b"document"))
@@ -79,20 +79,18 @@
     reply = PutReply(VIEW_NUMBER, sent.message.request_id, 0)
     (answer,) = _handle(member, MessageReceived(HEAD.address, reply))
     assert isinstance(answer, PutCompleted)
-    assert answer.error is told
+    assert answer.error is expected
 
 
 @pytest.mark.parametrize(
-    ("loss", "told"),
+    ("loss", "expected"),
     [
         (_nothing_is_lost, ErrorCode.NO_CONFIGURATION),
-        (_grants_run_out, ErrorCode.NO_QUORUM),
-        (_is_not_heard_any_more, ErrorCode.NO_QUORUM),
+        (_confirmations_expire, ErrorCode.NO_QUORUM),
+        (_head_becomes_unreachable, ErrorCode.NO_QUORUM),
     ],
 )
-def test_a_read_is_answered_only_while_a_majority_stands_behind_the_replica(
-    loss: Loss, told: ErrorCode
-) -> None:
+def test_a_read_is_answered_only_in_contact_with_a_majority(loss: Loss, expected: ErrorCode) -> None:
     member = _in_contact(LoneReplica(MIDDLE))
     (sent,) = _handle(member, GetSubmitted(1))
     assert isinstance(sent, SendMessage)
@@ -101,15 +99,17 @@
     reply = GetReply(VIEW_NUMBER, sent.message.request_id, ready=True)
     (answer,) = _handle(member, MessageReceived(TAIL.address, reply))
     assert isinstance(answer, GetCompleted)
-    assert answer.error is told
+    assert answer.error is expected
 
 
-def test_grants_outside_the_chain_say_nothing_of_what_is_held_once_it_has_been_appended() -> None:
+def test_confirmations_from_before_a_replica_was_appended_do_not_confirm_its_state() -> None:
     member = _in_contact(LoneReplica(MIDDLE, WITHOUT_MIDDLE))
-    joined = VIEW_NUMBER + 1
-    following = View(joined, WITHOUT_MIDDLE.voters, (*WITHOUT_MIDDLE.chain, ChainLink(MIDDLE, joined)))
+    joined_view = VIEW_NUMBER + 1
+    following = View(
+        joined_view, WITHOUT_MIDDLE.voters, (*WITHOUT_MIDDLE.chain, ChainLink(MIDDLE, joined_view))
+    )
     member.receive(HEAD, ViewDecided(following))
-    member.receive(TAIL, InstallSnapshot(joined, joined, entry(1), packed_history(entry(1))))
+    member.receive(TAIL, InstallSnapshot(joined_view, joined_view, entry(1), packed_history(entry(1))))
     assert member.replica.in_chain
     assert member.replica.holds_majority(member.now)
     assert member.replica.confirmed_as_of(member.now) is None
--- a/tests/control_plane/test_guards_chain.py
+++ b/tests/control_plane/test_guards_chain.py
@@ -1,4 +1,4 @@
-"""Guards of the chain, one at a time: what each message must not do."""
+"""Guard conditions of the chain, one test each: effects that a message must not have."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
     return [message for message in messages if isinstance(message, kinds)]
 
 
-def test_a_successor_s_state_in_another_view_is_not_answered() -> None:
+def test_a_successor_status_of_another_view_is_ignored() -> None:
     head = ChainReplica(HEAD, held=FIRST)
     head.chain.receive(SuccessorStatus(VIEW_NUMBER - 1, MIDDLE.folder_id, 1, True, 0))
     assert not _of_type(head.sent(), AppendRequest, InstallSnapshot)
@@ -40,7 +40,7 @@
     assert head.sent() == [AppendRequest(VIEW_NUMBER, FIRST)]
 
 
-def test_a_successor_s_state_before_it_was_appended_anew_is_not_answered() -> None:
+def test_a_successor_status_from_before_it_was_appended_again_is_ignored() -> None:
     head = ChainReplica(HEAD, JUST_APPENDED, held=FIRST)
     head.chain.receive(SuccessorStatus(VIEW_NUMBER, MIDDLE.folder_id, 1, True, 0))
     assert not head.sent()
@@ -48,7 +48,7 @@
     assert head.sent() == [InstallSnapshot(VIEW_NUMBER, VIEW_NUMBER, FIRST, packed_history(FIRST))]
 
 
-def test_an_incomplete_successor_gets_all_also_where_one_entry_seems_to_lack() -> None:
+def test_an_incomplete_successor_gets_a_snapshot_even_if_it_lags_by_one_entry() -> None:
     head = ChainReplica(HEAD, JUST_APPENDED, held=SECOND)
     head.chain.receive(SuccessorStatus(VIEW_NUMBER, MIDDLE.folder_id, VIEW_NUMBER, False, 1))
     assert _of_type(head.sent(), AppendRequest, InstallSnapshot) == [
@@ -56,7 +56,7 @@
     ]
 
 
-def test_a_successor_that_lacks_several_entries_gets_all() -> None:
+def test_a_successor_that_lags_by_several_entries_gets_a_snapshot() -> None:
     head = ChainReplica(HEAD, held=THIRD)
     head.chain.receive(SuccessorStatus(VIEW_NUMBER, MIDDLE.folder_id, 1, True, 1))
     assert head.sent() == [InstallSnapshot(VIEW_NUMBER, 1, THIRD, packed_history(THIRD))]
@@ -69,7 +69,7 @@
     assert not middle.stores
 
 
-def test_an_incomplete_replica_hands_nothing_on() -> None:
+def test_an_incomplete_replica_forwards_nothing() -> None:
     middle = ChainReplica(MIDDLE, JUST_APPENDED, held=SECOND)
     middle.chain.receive(SuccessorStatus(VIEW_NUMBER, TAIL.folder_id, 1, True, 1))
     assert not _of_type(middle.sent(), AppendRequest, InstallSnapshot)
@@ -83,7 +83,7 @@
     assert not middle.stores
 
 
-def test_an_entry_that_comes_again_while_it_is_stored_is_stored_once() -> None:
+def test_a_duplicate_entry_during_its_store_is_stored_once() -> None:
     middle = ChainReplica(MIDDLE)
     middle.chain.receive(AppendRequest(VIEW_NUMBER, FIRST))
     middle.chain.receive(AppendRequest(VIEW_NUMBER, entry(1)))
@@ -91,7 +91,7 @@
     assert len(middle.stores) == 1
 
 
-def test_an_entry_that_does_not_follow_is_not_stored() -> None:
+def test_an_entry_out_of_sequence_is_not_stored() -> None:
     middle = ChainReplica(MIDDLE, held=FIRST)
     middle.chain.receive(AppendRequest(VIEW_NUMBER, THIRD))
     middle.sent()
@@ -99,7 +99,7 @@
     assert not middle.delivered
 
 
-def test_an_entry_that_the_disk_refused_is_neither_told_nor_handed_on() -> None:
+def test_an_entry_whose_store_failed_is_neither_acknowledged_nor_forwarded() -> None:
     middle = ChainReplica(MIDDLE)
     middle.chain.receive(SuccessorStatus(VIEW_NUMBER, TAIL.folder_id, 1, True, 0))
     middle.chain.receive(AppendRequest(VIEW_NUMBER, FIRST))
@@ -107,7 +107,7 @@
     assert not middle.sent()
 
 
-def test_a_snapshot_made_for_an_earlier_joining_is_not_adopted() -> None:
+def test_a_snapshot_for_an_earlier_joining_is_not_installed() -> None:
     middle = ChainReplica(MIDDLE, JUST_APPENDED)
     middle.chain.receive(InstallSnapshot(VIEW_NUMBER, 1, FIRST, packed_history(FIRST)))
     middle.sent()
@@ -117,7 +117,7 @@
     assert len(middle.stores) == 1
 
 
-def test_a_complete_replica_keeps_its_entries_whatever_snapshot_comes() -> None:
+def test_a_complete_replica_installs_no_snapshot() -> None:
     middle = ChainReplica(MIDDLE, held=SECOND)
     middle.chain.receive(InstallSnapshot(VIEW_NUMBER, 1, FIRST, packed_history(FIRST)))
     middle.sent()
@@ -125,7 +125,7 @@
     assert not middle.stores
 
 
-def test_a_replica_is_complete_once_the_adopted_state_is_on_disk() -> None:
+def test_a_replica_is_complete_once_its_snapshot_is_on_disk() -> None:
     middle = ChainReplica(MIDDLE, JUST_APPENDED)
     assert not middle.chain.complete
     middle.chain.receive(InstallSnapshot(VIEW_NUMBER, VIEW_NUMBER, FIRST, packed_history(FIRST)))
@@ -134,14 +134,14 @@
     assert middle.chain.complete
 
 
-def test_a_replica_whose_disk_refuses_the_adopted_state_is_not_complete() -> None:
+def test_a_replica_whose_store_of_the_snapshot_failed_is_not_complete() -> None:
     middle = ChainReplica(MIDDLE, JUST_APPENDED)
     middle.chain.receive(InstallSnapshot(VIEW_NUMBER, VIEW_NUMBER, FIRST, packed_history(FIRST)))
     middle.end_store(ErrorCode.STORAGE_FULL)
     assert not middle.chain.complete
 
 
-def test_a_commit_beyond_what_is_held_here_is_heeded_and_one_below_is_not() -> None:
+def test_a_commit_above_the_newest_entry_commits_it_and_one_below_does_not() -> None:
     middle = ChainReplica(MIDDLE, held=SECOND)
     middle.chain.receive(CommitNotification(VIEW_NUMBER, 1))
     assert not middle.delivered
@@ -149,14 +149,14 @@
     assert [committed.sequence for committed in middle.delivered] == [2]
 
 
-def test_an_incomplete_replica_takes_no_entry_for_committed() -> None:
+def test_an_incomplete_replica_commits_no_entry_on_a_notification() -> None:
     middle = ChainReplica(MIDDLE, JUST_APPENDED, held=SECOND)
     middle.chain.receive(CommitNotification(VIEW_NUMBER, 2))
     assert not middle.delivered
 
 
 @pytest.mark.parametrize(("member", "committed"), [(HEAD, False), (MIDDLE, False), (TAIL, True)])
-def test_the_tail_alone_commits_what_it_holds(member: Member, committed: bool) -> None:
+def test_only_the_tail_commits_its_newest_entry(member: Member, committed: bool) -> None:
     replica = ChainReplica(member, held=FIRST)
     assert bool(replica.delivered) is committed
 
@@ -167,13 +167,13 @@
     assert ChainReplica(TAIL, chain, held=FIRST, synced_since=VIEW_NUMBER).delivered
 
 
-def test_a_chain_of_as_many_copies_as_may_be_lost_commits_nothing() -> None:
+def test_a_chain_below_the_minimum_length_commits_nothing() -> None:
     chain = view_of((HEAD, 1), (TAIL, 1))
     assert not ChainReplica(TAIL, chain, held=FIRST, tolerated=2).delivered
     assert ChainReplica(TAIL, chain, held=FIRST, tolerated=1).delivered
 
 
-def test_a_member_before_the_tail_commits_nothing_once_its_successor_has_told_its_state() -> None:
+def test_a_member_before_the_tail_commits_nothing_after_its_successors_status() -> None:
     head = ChainReplica(HEAD)
     head.chain.receive(SuccessorStatus(VIEW_NUMBER, MIDDLE.folder_id, 1, True, 0))
     head.chain.append(FIRST.generation, FIRST.document, lambda stored: None)
--- a/tests/control_plane/test_guards_configuration_register.py
+++ b/tests/control_plane/test_guards_configuration_register.py
@@ -1,4 +1,4 @@
-"""Guards of the register and of the records that it is restored from, one at a time."""
+"""Guard conditions of the register and of its restored records, one test each."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
     assert not ended
 
 
-def test_an_entry_that_the_disk_refused_is_not_held() -> None:
+def test_an_entry_whose_store_failed_is_not_kept() -> None:
     replica = ChainReplica(MIDDLE, held=FIRST)
     ended: list[bool] = []
     replica.register.append(SECOND, ended.append)
@@ -45,7 +45,7 @@
     assert ended == [False]
 
 
-def test_an_adopted_state_that_the_disk_refused_counts_as_lacking() -> None:
+def test_a_snapshot_whose_store_failed_does_not_count_as_installed() -> None:
     replica = ChainReplica(MIDDLE)
     replica.register.install_snapshot(FIRST, b"", VIEW_NUMBER, lambda synced: None)
     replica.end_store(ErrorCode.STORAGE_FULL)
@@ -59,36 +59,36 @@
     assert restored.entry == SECOND
 
 
-def test_a_committed_entry_is_told_once() -> None:
+def test_a_committed_entry_is_returned_once() -> None:
     replica = ChainReplica(MIDDLE, held=FIRST)
     assert replica.register.commit() is not None
     assert replica.register.commit() is None
 
 
-def test_the_newest_view_of_the_log_counts() -> None:
+def test_the_newest_view_in_the_log_is_restored() -> None:
     older = view_of(number=VIEW_NUMBER - 1)
     restored = restore([encode_record(ViewRecord(view)) for view in (FULL_CHAIN, older)])
     assert restored.view == FULL_CHAIN
 
 
-def test_an_adopted_state_without_entry_replaces_the_one_before() -> None:
+def test_a_snapshot_without_entry_replaces_an_earlier_entry_in_the_log() -> None:
     restored = restore([encode_record(EntryRecord(FIRST)), encode_record(HistoryRecord(b""))])
     assert restored.entry is None
 
 
-def test_an_entry_that_was_replaced_leaves_the_history() -> None:
+def test_a_replaced_entry_is_removed_from_the_history() -> None:
     replacing = Entry(1, VIEW_NUMBER, 11, b"another document")
     restored = restore([encode_record(EntryRecord(each)) for each in (FIRST, replacing)])
     assert restored.history.packed() == packed_history(replacing)
 
 
-def test_all_that_is_held_is_committed_until_now() -> None:
+def test_a_committed_newest_entry_is_the_newest_until_now() -> None:
     replica = ChainReplica(MIDDLE, held=FIRST)
     replica.register.commit()
     assert replica.register.committed_until(NOW) == NOW
 
 
-def test_what_is_held_and_not_known_to_be_committed_may_be_so_since_its_sync() -> None:
+def test_an_entry_not_known_to_be_committed_may_be_committed_since_its_sync() -> None:
     replica = ChainReplica(MIDDLE, held=FIRST)
     replica.register.commit()
     replica.register.append(SECOND, lambda synced: None)
@@ -98,12 +98,12 @@
     assert replica.register.committed_until(synced_at + 1.0) == synced_at
 
 
-def test_of_what_was_held_at_the_start_it_is_not_known_when_it_was_committed() -> None:
+def test_the_commit_time_of_a_restored_entry_is_unknown() -> None:
     replica = ChainReplica(MIDDLE, held=FIRST)
     assert replica.register.committed_until(NOW) is None
 
 
-def test_while_a_state_is_adopted_and_after_it_nothing_is_known_of_commits() -> None:
+def test_commits_are_unknown_during_and_after_the_install_of_a_snapshot() -> None:
     replica = ChainReplica(MIDDLE)
     replica.register.install_snapshot(FIRST, packed_history(FIRST), VIEW_NUMBER, lambda synced: None)
     assert replica.register.committed_until(NOW) is None
@@ -111,7 +111,7 @@
     assert replica.register.committed_until(NOW) is None
 
 
-def test_while_an_empty_state_is_adopted_nothing_is_known_of_commits() -> None:
+def test_commits_are_unknown_during_the_install_of_an_empty_snapshot() -> None:
     replica = ChainReplica(MIDDLE)
     replica.register.install_snapshot(None, b"", VIEW_NUMBER, lambda synced: None)
     assert replica.register.committed_until(NOW) is None
--- a/tests/control_plane/test_guards_failure_detector.py
+++ b/tests/control_plane/test_guards_failure_detector.py
@@ -1,4 +1,4 @@
-"""Guards of the failure detector, the first view and the state of the disk, one at a time."""
+"""Guard conditions of the failure detector, the first view and the state of the disk, one test each."""
 
 from __future__ import annotations
 
@@ -22,36 +22,36 @@
 from tests.control_plane.chain_replica import HEAD, MIDDLE, START, TAIL
 
 
-def _heartbeat(member: Member, *heard: Member, bootstrap: bool = False) -> Heartbeat:
-    folders = tuple(other.folder_id for other in heard)
+def _heartbeat(member: Member, *receives_from: Member, bootstrap: bool = False) -> Heartbeat:
+    folders = tuple(other.folder_id for other in receives_from)
     return Heartbeat(member, 1, folders, True, 0, 0, bootstrap_seed=bootstrap)
 
 
-def _hear(peers: FailureDetector, heartbeat: Heartbeat, begin: float, end: float) -> None:
+def _receive(peers: FailureDetector, heartbeat: Heartbeat, begin: float, end: float) -> None:
     now = begin
     while now <= end:
         peers.record_heartbeat(heartbeat, now)
         now += HEARTBEAT_INTERVAL_S
 
 
-def test_a_voter_that_another_replica_hears_is_not_gone() -> None:
+def test_a_voter_whose_heartbeats_reach_another_replica_is_not_lost() -> None:
     end = START + 2 * DEAD_TIMEOUT_S
-    for witnessed in (True, False):
+    for received_elsewhere in (True, False):
         peers = FailureDetector(HEAD, START)
-        heard = (HEAD, TAIL) if witnessed else (HEAD,)
-        _hear(peers, _heartbeat(MIDDLE, *heard), START, end)
-        assert peers.is_lost(TAIL.folder_id, end) is not witnessed
+        received = (HEAD, TAIL) if received_elsewhere else (HEAD,)
+        _receive(peers, _heartbeat(MIDDLE, *received), START, end)
+        assert peers.is_lost(TAIL.folder_id, end) is not received_elsewhere
 
 
-def test_a_replica_is_steady_after_a_while_in_reach() -> None:
+def test_a_replica_is_steady_after_a_minimum_time_of_reachability() -> None:
     peers = FailureDetector(HEAD, START)
     peers.record_heartbeat(_heartbeat(MIDDLE, HEAD), START)
     assert not peers.is_steady(MIDDLE.folder_id, START + JOIN_MIN_REACHABLE_S / 2)
-    _hear(peers, _heartbeat(MIDDLE, HEAD), START, START + JOIN_MIN_REACHABLE_S + HEARTBEAT_INTERVAL_S)
+    _receive(peers, _heartbeat(MIDDLE, HEAD), START, START + JOIN_MIN_REACHABLE_S + HEARTBEAT_INTERVAL_S)
     assert peers.is_steady(MIDDLE.folder_id, START + JOIN_MIN_REACHABLE_S + HEARTBEAT_INTERVAL_S)
 
 
-def test_a_replica_in_reach_is_one_that_was_heard_lately_and_hears_us() -> None:
+def test_a_reachable_replica_sends_and_receives_heartbeats() -> None:
     peers = FailureDetector(HEAD, START)
     peers.record_heartbeat(_heartbeat(MIDDLE, HEAD), START)
     peers.record_heartbeat(_heartbeat(TAIL), START)
@@ -60,7 +60,7 @@
     assert not peers.mutually_reachable(TAIL.folder_id, START)
 
 
-def test_the_first_view_waits_for_folders_that_were_made_for_it() -> None:
+def test_the_first_view_waits_for_folders_created_at_the_first_start() -> None:
     seeds = (HEAD.address, MIDDLE.address)
     starting = [_heartbeat(HEAD, bootstrap=True), _heartbeat(MIDDLE, bootstrap=True)]
     assert form_first_view(seeds, starting, min_seeds=2, target_members=3) is not None
@@ -81,7 +81,7 @@
         self.end_store(ErrorCode.STORAGE_FAILED)
 
     def end_store(self, error: ErrorCode | None = None) -> StoreRecords:
-        """The store that is out ends."""
+        """End the store in progress."""
         (store,) = _stores(self.outbox.take_effects())
         self.outbox.store_completed(StoreCompleted(store.token, error))
         return store
@@ -91,7 +91,7 @@
     return [effect for effect in effects if isinstance(effect, StoreRecords)]
 
 
-def test_after_a_failed_store_the_disk_is_bad_until_the_log_is_rewritten() -> None:
+def test_after_a_failed_store_the_disk_is_failed_until_the_log_is_rewritten() -> None:
     disk = FailedDisk()
     assert disk.outbox.disk_failed
     disk.outbox.now += DISK_PROBE_INTERVAL_S
@@ -102,7 +102,7 @@
     assert not disk.outbox.disk_failed
 
 
-def test_a_store_that_hangs_makes_the_disk_bad() -> None:
+def test_a_store_that_stalls_makes_the_disk_count_as_failing() -> None:
     outbox = Outbox(HEAD.address, START, 0)
     outbox.store([ProbeRecord()], lambda error: None)
     outbox.now = START + DISK_STALL_TIMEOUT_S
--- a/tests/control_plane/test_guards_head.py
+++ b/tests/control_plane/test_guards_head.py
@@ -1,4 +1,4 @@
-"""Guards of the head's queue, of its rejections, and of the forwarding of changes, one at a time."""
+"""Guard conditions of the head's queue, its rejections and the forwarding of changes, one test each."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 def _head(view: View = FULL_CHAIN) -> ChainReplica:
-    """A head whose successor has told that it holds the same."""
+    """A head whose successor has reported the same sequence."""
     replica = ChainReplica(HEAD, view)
     successor = view.chain[1]
     state = SuccessorStatus(
@@ -55,11 +55,11 @@
 
 
 def _receive(replica: ChainReplica, request: PutRequest) -> None:
-    replica.head.receive("at-asker", request, majority_reached=True)
+    replica.head.receive("at-forwarder", request, majority_reached=True)
 
 
-def _confirm_refusals(replica: ChainReplica) -> None:
-    """The tail confirms whatever it is asked."""
+def _confirm_rejections(replica: ChainReplica) -> None:
+    """Confirm all rejections in the name of the tail."""
     for message in replica.sent():
         if isinstance(message, GetRequest):
             replica.head.rejections.receive_reply(
@@ -73,7 +73,7 @@
 
 
 @pytest.mark.parametrize("view", [VIEW_NUMBER - 1, VIEW_NUMBER + 1])
-def test_a_change_sent_in_another_view_is_not_taken(view: int) -> None:
+def test_a_change_sent_in_another_view_is_ignored(view: int) -> None:
     head = _head()
     _receive(head, _request("r1", 0, 10, view))
     assert not head.sent()
@@ -81,7 +81,7 @@
 
 
 @pytest.mark.parametrize("member", [MIDDLE, TAIL])
-def test_a_change_sent_to_another_member_is_not_answered(member: Member) -> None:
+def test_a_change_sent_to_a_member_other_than_the_head_is_ignored(member: Member) -> None:
     replica = ChainReplica(member)
     _receive(replica, _request("r1", 10, 5))
     replica.outbox.now = START + ANSWER_LIMIT_S
@@ -90,11 +90,11 @@
     assert not replica.stores
 
 
-def test_a_refused_request_is_refused_again_whatever_has_changed() -> None:
+def test_a_duplicate_of_a_rejected_request_is_rejected_even_after_other_changes() -> None:
     """Also one that names what is not reached yet, where that would not make it right."""
     head = _head()
     _receive(head, _request("r1", 10, 5))
-    _confirm_refusals(head)
+    _confirm_rejections(head)
     assert [reply.error for reply in _replies(head)] == [int(ErrorCode.CONFIGURATION_OLD_GENERATION)]
     _receive(head, _request("r2", 0, 10))
     _commit_next(head)
@@ -104,7 +104,7 @@
     assert not head.stores
 
 
-def test_a_request_that_comes_again_while_it_waits_is_decided_once() -> None:
+def test_a_duplicate_of_a_pending_request_is_decided_once() -> None:
     head = _head()
     for _ in range(2):
         _receive(head, _request("r1", 0, 10))
@@ -120,17 +120,17 @@
     assert not head.stores
 
 
-def test_a_head_of_too_short_a_chain_takes_nothing() -> None:
+def test_a_head_of_a_too_short_chain_accepts_no_change() -> None:
     chain = view_of((HEAD, 1), (TAIL, 1))
-    for tolerated, taken in ((1, 1), (2, 0)):
+    for tolerated, accepted in ((1, 1), (2, 0)):
         head = ChainReplica(HEAD, chain, tolerated=tolerated)
         head.chain.receive(SuccessorStatus(VIEW_NUMBER, TAIL.folder_id, 1, True, 0))
         _receive(head, _request("r1", 0, 10))
         head.sent()
-        assert len(head.stores) == taken
+        assert len(head.stores) == accepted
 
 
-def test_a_head_whose_disk_fails_takes_nothing() -> None:
+def test_a_head_whose_disk_fails_accepts_no_change() -> None:
     head = _head()
     head.outbox.disk_failed = True
     _receive(head, _request("r1", 0, 10))
@@ -138,7 +138,7 @@
     assert not head.stores
 
 
-def test_the_next_change_is_decided_once_the_one_before_is_committed() -> None:
+def test_the_next_change_is_decided_once_the_previous_one_is_committed() -> None:
     head = _head()
     _receive(head, _request("r1", 0, 10))
     _receive(head, _request("r2", 10, 20))
@@ -150,7 +150,7 @@
     assert len(head.stores) == 1
 
 
-def test_a_change_that_is_synced_and_not_committed_is_not_acknowledged_nor_built_upon() -> None:
+def test_a_synced_but_uncommitted_change_is_neither_acknowledged_nor_built_upon() -> None:
     head = _head()
     _receive(head, _request("r1", 0, 10))
     _receive(head, _request("r2", 10, 20))
@@ -160,7 +160,7 @@
     assert not head.stores
 
 
-def test_a_refusal_that_nobody_confirmed_is_not_final() -> None:
+def test_a_rejection_that_is_not_confirmed_is_not_final() -> None:
     head = _head()
     _receive(head, _request("r1", 0, 10))
     _commit_next(head)
@@ -172,7 +172,7 @@
     assert [reply.error for reply in _replies(head)] == [int(ErrorCode.WRITE_UNCLEAR)]
 
 
-def test_a_change_that_is_under_way_expires_as_unclear() -> None:
+def test_a_change_in_flight_expires_as_unclear() -> None:
     head = _head()
     _receive(head, _request("r1", 0, 10))
     head.end_store()
@@ -181,8 +181,8 @@
     assert [reply.error for reply in _replies(head)] == [int(ErrorCode.WRITE_UNCLEAR)]
 
 
-class RefusalUnderWay:
-    """A refusal that waits for the tail of the present view."""
+class PendingConfirmation:
+    """A rejection that waits for a confirmation by the tail of the present view."""
 
     def __init__(self) -> None:
         self.ended: list[bool] = []
@@ -191,13 +191,13 @@
         self.rejections.enter_view(VIEW_NUMBER, TAIL)
         self.rejections.add("r1", START + ANSWER_LIMIT_S, self.ended.append)
         (sent,) = self.outbox.take_effects()
-        asked = sent.message  # type: ignore[union-attr]
-        assert isinstance(asked, GetRequest)
-        self.key = asked.request_id
+        request = sent.message  # type: ignore[union-attr]
+        assert isinstance(request, GetRequest)
+        self.key = request.request_id
 
 
-def test_a_tail_that_is_not_ready_confirms_no_refusal() -> None:
-    pending = RefusalUnderWay()
+def test_a_tail_that_is_not_ready_confirms_no_rejection() -> None:
+    pending = PendingConfirmation()
     pending.rejections.receive_reply(GetReply(VIEW_NUMBER, pending.key, ready=False))
     assert pending.ended == []
     pending.rejections.receive_reply(GetReply(VIEW_NUMBER, pending.key, ready=True))
@@ -205,21 +205,21 @@
 
 
 @pytest.mark.parametrize("view", [VIEW_NUMBER - 1, VIEW_NUMBER + 1])
-def test_the_tail_of_another_view_confirms_no_refusal(view: int) -> None:
-    pending = RefusalUnderWay()
+def test_the_tail_of_another_view_confirms_no_rejection(view: int) -> None:
+    pending = PendingConfirmation()
     pending.rejections.receive_reply(GetReply(view, pending.key, ready=True))
     assert pending.ended == []
 
 
-def test_a_refusal_whose_time_is_over_is_not_confirmed() -> None:
-    pending = RefusalUnderWay()
+def test_a_rejection_is_not_confirmed_at_its_deadline() -> None:
+    pending = PendingConfirmation()
     pending.outbox.now = START + ANSWER_LIMIT_S
     pending.rejections.tick()
     assert pending.ended == [False]
 
 
 @pytest.mark.parametrize(("view", "contact"), [(None, ContactState.NONE), (FULL_CHAIN, ContactState.NONE)])
-def test_a_replica_cut_off_refuses_a_change_at_once(view: View | None, contact: ContactState) -> None:
+def test_a_partitioned_replica_fails_a_change_at_once(view: View | None, contact: ContactState) -> None:
     outbox = Outbox(MIDDLE.address, START, 0)
     puts = PutForwarder("b:1", outbox, ANSWER_LIMIT_S)
     puts.submit(PutSubmitted(1, 0, 10, b"document"), view, contact)
@@ -228,7 +228,7 @@
     assert answer.error is ErrorCode.NO_QUORUM
 
 
-def test_a_change_that_the_head_has_not_answered_is_unclear() -> None:
+def test_a_change_without_a_reply_of_the_head_is_unclear() -> None:
     outbox = Outbox(MIDDLE.address, START, 0)
     puts = PutForwarder("b:1", outbox, ANSWER_LIMIT_S)
     puts.submit(PutSubmitted(1, 0, 10, b"document"), FULL_CHAIN, ContactState.CONFIRMED)
@@ -240,25 +240,25 @@
     ]
 
 
-def test_a_refusal_by_the_head_of_an_earlier_view_answers_nothing() -> None:
+def test_a_rejection_by_the_head_of_an_earlier_view_is_ignored() -> None:
     outbox = Outbox(MIDDLE.address, START, 0)
     puts = PutForwarder("b:1", outbox, ANSWER_LIMIT_S)
     puts.submit(PutSubmitted(1, 0, 10, b"document"), FULL_CHAIN, ContactState.CONFIRMED)
     following = view_of((HEAD, 1), (TAIL, 1), number=VIEW_NUMBER + 1)
     puts.tick(following, ContactState.CONFIRMED)
     outbox.take_effects()
-    refused = int(ErrorCode.CONFIGURATION_STALE_MATCH)
-    puts.receive_reply(PutReply(VIEW_NUMBER, "b:1:1", refused))
+    rejected = int(ErrorCode.CONFIGURATION_STALE_MATCH)
+    puts.receive_reply(PutReply(VIEW_NUMBER, "b:1:1", rejected))
     assert not outbox.take_effects()
-    puts.receive_reply(PutReply(following.number, "b:1:1", refused))
+    puts.receive_reply(PutReply(following.number, "b:1:1", rejected))
     assert len(outbox.take_effects()) == 1
 
 
-def test_documents_that_wait_have_a_bound_in_bytes() -> None:
-    """The one beyond it gets no clear answer at once, and is no break of any promise if it is sent again."""
+def test_pending_documents_are_limited_in_bytes() -> None:
+    """A change beyond the limit gets an unclear answer at once, so that it may be submitted again."""
     replica = _head()
     half = b"d" * (MAX_PENDING_BYTES // 2)
-    for number in range(2):  # they build on a generation that has not come, and are held
+    for number in range(2):  # they build on a future generation, and stay pending
         _receive(replica, PutRequest(VIEW_NUMBER, f"r{number}", 50, 60 + number, half))
     assert _replies(replica) == []
     _receive(replica, PutRequest(VIEW_NUMBER, "beyond", 50, 70, b"d"))
@@ -267,7 +267,7 @@
     assert "Too many changes are pending" in reply.message
 
 
-def test_one_document_alone_is_taken_whatever_its_size() -> None:
+def test_a_single_document_is_queued_whatever_its_size() -> None:
     replica = _head()
     _receive(replica, PutRequest(VIEW_NUMBER, "large", 50, 60, b"d" * (MAX_PENDING_BYTES + 1)))
     assert _replies(replica) == []
--- a/tests/control_plane/test_guards_majority_contact.py
+++ b/tests/control_plane/test_guards_majority_contact.py
@@ -1,4 +1,4 @@
-"""Guards of the contact with a majority of voters, one at a time."""
+"""Guard conditions of the contact with a majority of voters, one test each."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 VOTERS = tuple(Member(folder, f"at-{folder}") for folder in ("a", "b", "c"))
 
 
-def test_a_grant_in_the_view_before_makes_no_majority_with_one_in_this_view() -> None:
+def test_confirmations_of_two_views_make_no_majority() -> None:
     contact = MajorityContact(STARTED)
     contact.record_confirmation("a", STARTED + 3.0, STARTED + 3.0)
     contact.enter_view()
@@ -19,7 +19,7 @@
     assert contact.majority_as_of is None
 
 
-def test_what_was_confirmed_stays_so_after_what_says_less() -> None:
+def test_a_confirmed_time_does_not_go_back() -> None:
     contact = MajorityContact(STARTED)
     for folder_id in ("a", "b"):
         contact.record_confirmation(folder_id, STARTED + 5.0, STARTED + 5.0)
--- a/tests/control_plane/test_guards_next_view.py
+++ b/tests/control_plane/test_guards_next_view.py
@@ -1,4 +1,4 @@
-"""Guards of the choice of the next view, one at a time."""
+"""Guard conditions of the choice of the next view, one test each."""
 
 from __future__ import annotations
 
@@ -16,33 +16,33 @@
     return structs.replace(snapshot, conditions={**snapshot.conditions, name: condition})
 
 
-def test_a_member_whose_disk_fails_leaves_the_chain() -> None:
+def test_a_member_whose_disk_fails_is_removed_from_the_chain() -> None:
     view = view_of("abc")
     snapshot = _changed(snapshot_of("abc"), "b", healthy=False)
     assert chain_names(choose_next_view(view, snapshot)) == "ac"
 
 
-def test_a_joiner_that_has_just_come_waits() -> None:
+def test_a_joiner_that_is_not_steady_is_not_appended() -> None:
     view = view_of("ab", voters="abc")
     snapshot = snapshot_of("ab", joiners=[member_named("c")])
     assert choose_next_view(view, _changed(snapshot, "c", steady=False)) == view
     assert chain_names(choose_next_view(view, snapshot)) == "abc"
 
 
-def test_a_joiner_whose_disk_fails_waits() -> None:
+def test_a_joiner_whose_disk_fails_is_not_appended() -> None:
     view = view_of("ab", voters="abc")
     snapshot = snapshot_of("ab", joiners=[member_named("c")])
     assert choose_next_view(view, _changed(snapshot, "c", healthy=False)) == view
 
 
-def test_one_surplus_voter_goes_at_a_time() -> None:
+def test_one_surplus_voter_is_removed_at_a_time() -> None:
     view = view_of("abc", voters="abcde")
     following = choose_next_view(view, snapshot_of("abc", lost="de"))
     assert voter_names(following) == "abce"
     assert _differing(view, following) == 1
 
 
-def test_a_joiner_takes_the_place_of_one_voter() -> None:
+def test_a_joiner_replaces_one_voter() -> None:
     view = view_of("ab", voters="abcd")
     following = choose_next_view(view, snapshot_of("ab", lost="cd", joiners=[member_named("e")]))
     assert voter_names(following) == "abde"
@@ -56,13 +56,13 @@
     assert voter_names(choose_next_view(view, snapshot_of("abcde"))) == "abcd"
 
 
-def test_a_member_that_is_needed_while_it_drains_gets_no_vote() -> None:
+def test_a_draining_member_that_the_chain_needs_gets_no_vote() -> None:
     view = view_of("axb", voters="ab")
     following = choose_next_view(view, snapshot_of("axb", incomplete="b", draining="x"))
     assert (chain_names(following), voter_names(following)) == ("axb", "ab")
 
 
-def test_a_preferred_tail_that_lacks_something_does_not_stand_alone() -> None:
+def test_an_incomplete_preferred_tail_does_not_form_a_chain_alone() -> None:
     head, tail = view_of("ab").chain
     found = largest_connected_chain([head, tail], lambda one, other: False, lambda link: link is head, tail)
     assert found == (head,)
--- a/tests/control_plane/test_guards_outbox.py
+++ b/tests/control_plane/test_guards_outbox.py
@@ -1,4 +1,4 @@
-"""Guards of the state of the disk, one at a time."""
+"""Guard conditions of the state of the disk, one test each."""
 
 from __future__ import annotations
 
@@ -25,13 +25,13 @@
     return outbox
 
 
-def test_a_disk_that_has_refused_a_write_counts_as_bad() -> None:
+def test_a_disk_counts_as_failed_after_a_failed_store() -> None:
     outbox = _after_a_failed_store()
     assert outbox.disk_failed
     assert not outbox.disk_ok
 
 
-def test_a_disk_counts_as_good_again_once_the_whole_log_has_been_rewritten() -> None:
+def test_a_disk_counts_as_working_once_the_whole_log_has_been_rewritten() -> None:
     outbox = _after_a_failed_store()
     outbox.now = START + DISK_PROBE_INTERVAL_S
     outbox.tick()
--- a/tests/control_plane/test_guards_replica.py
+++ b/tests/control_plane/test_guards_replica.py
@@ -1,4 +1,4 @@
-"""Guards of a whole replica, one at a time: leases, resignations, the first start, and whom it judges."""
+"""Guard conditions of a whole replica, one test each: leases, heartbeats, first start, reachability."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
 
 
 class LoneReplica:
-    """One replica; the others are what the test says they sent."""
+    """A single replica; tests pass in the messages of the others."""
 
     def __init__(
         self,
@@ -79,32 +79,36 @@
         self.tick(0.0)
 
     def receive(self, sender: Member, message: Struct) -> list[Struct]:
-        """What it sends when this comes."""
+        """Pass in a message, and return the messages that the replica sends."""
         return self._carry_out(self.replica.handle(self.now, MessageReceived(sender.address, message)))
 
     def tick(self, seconds: float = TICK_INTERVAL_S) -> list[Struct]:
-        """What it sends when so much time has passed."""
+        """Let time pass, and return the messages that the replica sends."""
         self.now += seconds
         return self._carry_out(self.replica.handle(self.now, Tick()))
 
-    def ping_from(self, member: Member, *, disk_ok: bool = True, hears_us: bool = True) -> list[Struct]:
-        """A sign of life of a complete member in the same view."""
-        heard = (self.own.folder_id,) if hears_us else ()
-        return self.receive(member, Heartbeat(member, self.view_number, heard, disk_ok, 0, 0))
-
-    def lease_asked_by(self, member: Member, *, hears_us: bool = True) -> list[Struct]:
-        """A ping that asks for a read lease."""
-        heard = (self.own.folder_id,) if hears_us else ()
-        ping = Heartbeat(member, self.view_number, heard, True, 0, 0, lease_requested_at=self.now)
-        return self.receive(member, ping)
+    def heartbeat_from(
+        self, member: Member, *, disk_ok: bool = True, receives_us: bool = True
+    ) -> list[Struct]:
+        """Receive a heartbeat of a complete member in the same view."""
+        receives_from = (self.own.folder_id,) if receives_us else ()
+        return self.receive(member, Heartbeat(member, self.view_number, receives_from, disk_ok, 0, 0))
+
+    def request_lease_from(self, member: Member, *, receives_us: bool = True) -> list[Struct]:
+        """Receive a heartbeat that requests a read lease."""
+        receives_from = (self.own.folder_id,) if receives_us else ()
+        heartbeat = Heartbeat(
+            member, self.view_number, receives_from, True, 0, 0, lease_requested_at=self.now
+        )
+        return self.receive(member, heartbeat)
 
-    def run_beside(self, *members: Member, seconds: float, disk_ok: bool = True) -> list[Struct]:
-        """What it sends while these members are in reach."""
+    def run_with(self, *members: Member, seconds: float, disk_ok: bool = True) -> list[Struct]:
+        """Let time pass with these members reachable, and return the messages that the replica sends."""
         sent: list[Struct] = []
         end = self.now + seconds
         while self.now < end:
             for member in members:
-                sent += self.ping_from(member, disk_ok=disk_ok)
+                sent += self.heartbeat_from(member, disk_ok=disk_ok)
             sent += self.tick()
         return sent
 
@@ -133,153 +137,155 @@
     return [message for message in messages if isinstance(message, kind)]
 
 
-def _last_ping(messages: list[Struct]) -> Heartbeat:
-    ping = _of_type(messages, Heartbeat)[-1]
-    assert isinstance(ping, Heartbeat)
-    return ping
+def _last_heartbeat(messages: list[Struct]) -> Heartbeat:
+    heartbeat = _of_type(messages, Heartbeat)[-1]
+    assert isinstance(heartbeat, Heartbeat)
+    return heartbeat
 
 
 # ---- leases of the tail ----
 
 
 @pytest.mark.parametrize(("view", "ready"), [(VIEW_NUMBER - 1, False), (VIEW_NUMBER, True)])
-def test_a_grant_counts_in_its_own_view_alone(view: int, ready: bool) -> None:
+def test_a_lease_grant_counts_only_in_its_own_view(view: int, ready: bool) -> None:
     tail = LoneReplica(TAIL)
     tail.receive(HEAD, ReadLeaseGrant(HEAD.folder_id, view, tail.now))
     assert tail.read_is_answered() is ready
 
 
-def test_a_tail_that_has_resigned_answers_no_read() -> None:
+def test_a_tail_that_has_released_its_lease_answers_no_read() -> None:
     tail = LoneReplica(TAIL)
     tail.receive(HEAD, ReadLeaseGrant(HEAD.folder_id, VIEW_NUMBER, tail.now))
     assert _of_type(tail.receive(MIDDLE, ReadLeaseReleaseRequest(VIEW_NUMBER)), ReadLeaseReleased)
     assert not tail.read_is_answered()
 
 
-def test_a_tail_does_not_resign_for_another_view_s_proposer() -> None:
+def test_a_tail_does_not_release_its_lease_for_another_view() -> None:
     tail = LoneReplica(TAIL)
     assert not _of_type(tail.receive(MIDDLE, ReadLeaseReleaseRequest(VIEW_NUMBER - 1)), ReadLeaseReleased)
 
 
-def test_a_member_before_the_tail_does_not_resign() -> None:
+def test_a_member_before_the_tail_releases_no_lease() -> None:
     assert not _of_type(
         LoneReplica(MIDDLE).receive(HEAD, ReadLeaseReleaseRequest(VIEW_NUMBER)), ReadLeaseReleased
     )
 
 
-def test_an_incomplete_tail_asks_for_no_lease() -> None:
+def test_an_incomplete_tail_requests_no_lease() -> None:
     incomplete = view_of((HEAD, 1), (TAIL, VIEW_NUMBER))
-    assert _last_ping(LoneReplica(TAIL, incomplete).tick(HEARTBEAT_INTERVAL_S)).lease_requested_at is None
-    assert _last_ping(LoneReplica(TAIL).tick(HEARTBEAT_INTERVAL_S)).lease_requested_at is not None
+    assert (
+        _last_heartbeat(LoneReplica(TAIL, incomplete).tick(HEARTBEAT_INTERVAL_S)).lease_requested_at is None
+    )
+    assert _last_heartbeat(LoneReplica(TAIL).tick(HEARTBEAT_INTERVAL_S)).lease_requested_at is not None
 
 
-def test_a_voter_grants_the_tail_in_reach_alone() -> None:
+def test_a_voter_grants_leases_only_to_a_reachable_tail() -> None:
     voter = LoneReplica(HEAD)
-    assert _of_type(voter.lease_asked_by(TAIL), ReadLeaseGrant)
-    assert not _of_type(voter.lease_asked_by(MIDDLE), ReadLeaseGrant)
-    assert not _of_type(voter.lease_asked_by(TAIL, hears_us=False), ReadLeaseGrant)
+    assert _of_type(voter.request_lease_from(TAIL), ReadLeaseGrant)
+    assert not _of_type(voter.request_lease_from(MIDDLE), ReadLeaseGrant)
+    assert not _of_type(voter.request_lease_from(TAIL, receives_us=False), ReadLeaseGrant)
 
 
 def test_a_voter_accepts_no_other_tail_after_a_grant() -> None:
     voter = LoneReplica(HEAD)
     voter.tick(READ_LEASE_TTL_S)
-    voter.lease_asked_by(TAIL)
+    voter.request_lease_from(TAIL)
     accept = AcceptRequest(OTHER_TAIL.number, ProposalNumber(1, "b"), OTHER_TAIL)
     assert not _of_type(voter.receive(MIDDLE, accept), AcceptResponse)
     voter.tick(READ_LEASE_TTL_S)
     assert _of_type(voter.receive(MIDDLE, accept), AcceptResponse)
 
 
-def test_a_voter_grants_nothing_after_it_has_accepted_another_tail() -> None:
+def test_a_voter_grants_no_lease_after_it_has_accepted_another_tail() -> None:
     voter = LoneReplica(HEAD)
     voter.tick(READ_LEASE_TTL_S)
     accept = AcceptRequest(OTHER_TAIL.number, ProposalNumber(1, "b"), OTHER_TAIL)
     assert _of_type(voter.receive(MIDDLE, accept), AcceptResponse)
-    assert not _of_type(voter.lease_asked_by(TAIL), ReadLeaseGrant)
+    assert not _of_type(voter.request_lease_from(TAIL), ReadLeaseGrant)
 
 
-# ---- what it says of itself ----
+# ---- its own heartbeats ----
 
 
-def test_a_member_says_that_it_is_complete_once_its_state_is_on_disk() -> None:
+def test_a_member_reports_completeness_only_once_its_snapshot_is_on_disk() -> None:
     middle = LoneReplica(MIDDLE, view_of((HEAD, 1), (MIDDLE, VIEW_NUMBER), (TAIL, 1)))
     middle.disk_answers = False
     middle.receive(HEAD, InstallSnapshot(VIEW_NUMBER, VIEW_NUMBER, entry(1), b""))
     assert middle.store_count == 1
-    assert _last_ping(middle.tick(HEARTBEAT_INTERVAL_S)).synced_since == 0
+    assert _last_heartbeat(middle.tick(HEARTBEAT_INTERVAL_S)).synced_since == 0
 
 
-def test_a_process_that_was_stopped_still_says_whom_it_heard_before() -> None:
+def test_a_process_that_was_stopped_still_reports_the_replicas_it_received_before() -> None:
     middle = LoneReplica(MIDDLE)
     for other in (HEAD, TAIL):
-        middle.ping_from(other)
-    assert _last_ping(middle.tick(LONG_PAUSE_S)).receives_from == (HEAD.folder_id, TAIL.folder_id)
+        middle.heartbeat_from(other)
+    assert _last_heartbeat(middle.tick(LONG_PAUSE_S)).receives_from == (HEAD.folder_id, TAIL.folder_id)
 
 
 # ---- the first start ----
 
 
-def test_a_folder_that_the_disk_refused_takes_no_part_in_the_first_start() -> None:
+def test_a_seed_whose_disk_fails_takes_no_part_in_the_first_start() -> None:
     starting = LoneReplica(HEAD, None, bootstrap=True)
-    assert _last_ping(starting.tick(HEARTBEAT_INTERVAL_S)).bootstrap_seed
+    assert _last_heartbeat(starting.tick(HEARTBEAT_INTERVAL_S)).bootstrap_seed
     refused = LoneReplica(HEAD, None, bootstrap=True, disk_error=ErrorCode.STORAGE_FULL)
-    assert not _last_ping(refused.tick(HEARTBEAT_INTERVAL_S)).bootstrap_seed
+    assert not _last_heartbeat(refused.tick(HEARTBEAT_INTERVAL_S)).bootstrap_seed
 
 
-def test_an_empty_folder_founds_nothing_unless_it_is_told_to() -> None:
+def test_an_empty_folder_takes_no_part_in_the_first_start_without_bootstrap() -> None:
     joining = LoneReplica(HEAD, None, bootstrap=False)
     assert joining.store_count == 0
-    assert not _last_ping(joining.tick(HEARTBEAT_INTERVAL_S)).bootstrap_seed
+    assert not _last_heartbeat(joining.tick(HEARTBEAT_INTERVAL_S)).bootstrap_seed
 
 
-# ---- whom it judges ----
+# ---- reachability and proposals ----
 
 
 def test_a_replica_alone_reaches_no_majority() -> None:
     assert not LoneReplica(HEAD).replica.majority_reached
 
 
-def test_a_replica_that_is_heard_but_does_not_hear_us_is_not_in_reach() -> None:
+def test_a_replica_that_receives_no_heartbeats_of_ours_is_unreachable() -> None:
     head = LoneReplica(HEAD)
-    head.ping_from(TAIL, hears_us=False)
+    head.heartbeat_from(TAIL, receives_us=False)
     assert not head.replica.majority_reached
-    head.ping_from(TAIL)
+    head.heartbeat_from(TAIL)
     assert head.replica.majority_reached
 
 
-def test_a_replica_that_falls_silent_is_not_in_reach() -> None:
+def test_a_replica_that_sends_no_heartbeats_is_unreachable() -> None:
     head = LoneReplica(HEAD)
-    head.ping_from(TAIL)
+    head.heartbeat_from(TAIL)
     for _ in range(int(REACHABLE_TIMEOUT_S / TICK_INTERVAL_S) + 2):
         head.tick()
     assert not head.replica.majority_reached
 
 
-def test_who_has_just_started_proposes_nobody_s_removal() -> None:
+def test_a_replica_that_has_just_started_proposes_no_removal() -> None:
     head = LoneReplica(HEAD)
-    sent = head.run_beside(MIDDLE, seconds=REACHABLE_TIMEOUT_S - 2 * TICK_INTERVAL_S)
+    sent = head.run_with(MIDDLE, seconds=REACHABLE_TIMEOUT_S - 2 * TICK_INTERVAL_S)
     assert not _of_type(sent, PrepareRequest)
-    assert _of_type(head.run_beside(MIDDLE, seconds=PROPOSED_BY_S), PrepareRequest)
+    assert _of_type(head.run_with(MIDDLE, seconds=PROPOSED_BY_S), PrepareRequest)
 
 
-def test_who_reaches_no_majority_proposes_nothing() -> None:
+def test_a_replica_without_a_majority_proposes_nothing() -> None:
     head = LoneReplica(HEAD, tolerated=0)
-    assert not _of_type(head.run_beside(seconds=PROPOSED_BY_S), PrepareRequest)
+    assert not _of_type(head.run_with(seconds=PROPOSED_BY_S), PrepareRequest)
 
 
 def test_an_incomplete_member_is_not_proposed_as_head() -> None:
     middle = LoneReplica(MIDDLE, view_of((HEAD, 1), (MIDDLE, VIEW_NUMBER), (TAIL, 1)))
-    assert not _of_type(middle.run_beside(TAIL, seconds=PROPOSED_BY_S), PrepareRequest)
+    assert not _of_type(middle.run_with(TAIL, seconds=PROPOSED_BY_S), PrepareRequest)
     complete = LoneReplica(MIDDLE)
-    assert _of_type(complete.run_beside(TAIL, seconds=PROPOSED_BY_S), PrepareRequest)
+    assert _of_type(complete.run_with(TAIL, seconds=PROPOSED_BY_S), PrepareRequest)
 
 
-def test_a_member_whose_disk_fails_is_proposed_to_leave() -> None:
+def test_the_removal_of_a_member_whose_disk_fails_is_proposed() -> None:
     head = LoneReplica(HEAD)
-    head.run_beside(MIDDLE, TAIL, seconds=PROPOSED_BY_S)
+    head.run_with(MIDDLE, TAIL, seconds=PROPOSED_BY_S)
     sent: list[Struct] = []
     for _ in range(int(PROPOSED_BY_S / TICK_INTERVAL_S)):
-        sent += head.ping_from(MIDDLE)
-        sent += head.ping_from(TAIL, disk_ok=False)
+        sent += head.heartbeat_from(MIDDLE)
+        sent += head.heartbeat_from(TAIL, disk_ok=False)
         sent += head.tick()
     assert _of_type(sent, PrepareRequest)
--- a/tests/control_plane/test_guards_tail_reader.py
+++ b/tests/control_plane/test_guards_tail_reader.py
@@ -1,4 +1,4 @@
-"""Guards of the reads, one at a time: who answers, and what an answer is taken for."""
+"""Guard conditions of reads, one test each: which member answers, and how its reply is used."""
 
 from __future__ import annotations
 
@@ -30,10 +30,10 @@
 
 
 def _reply(
-    replica: ChainReplica, view: View = FULL_CHAIN, asked_view: int = VIEW_NUMBER, lease: bool = True
+    replica: ChainReplica, view: View = FULL_CHAIN, request_view: int = VIEW_NUMBER, lease: bool = True
 ) -> GetReply:
     reader = TailReader(replica.outbox, replica.chain, replica.register, lambda: lease)
-    reader.receive("at-asker", GetRequest(asked_view, "r1", known_sequence=0), view)
+    reader.receive("at-forwarder", GetRequest(request_view, "r1", known_sequence=0), view)
     (reply,) = replica.sent()
     assert isinstance(reply, GetReply)
     return reply
@@ -43,9 +43,9 @@
     assert _reply(ChainReplica(TAIL, held=FIRST)) == GetReply(VIEW_NUMBER, "r1", True, 1, FIRST)
 
 
-@pytest.mark.parametrize("asked_view", [VIEW_NUMBER - 1, VIEW_NUMBER + 1])
-def test_a_read_sent_in_another_view_is_not_answered(asked_view: int) -> None:
-    assert not _reply(ChainReplica(TAIL), asked_view=asked_view).ready
+@pytest.mark.parametrize("request_view", [VIEW_NUMBER - 1, VIEW_NUMBER + 1])
+def test_a_read_sent_in_another_view_is_not_answered(request_view: int) -> None:
+    assert not _reply(ChainReplica(TAIL), request_view=request_view).ready
 
 
 @pytest.mark.parametrize("member", [HEAD, MIDDLE])
@@ -61,13 +61,13 @@
     assert not _reply(ChainReplica(TAIL, held=FIRST), lease=False).ready
 
 
-def test_what_is_not_committed_is_not_read() -> None:
+def test_an_uncommitted_entry_is_not_read() -> None:
     too_short_to_commit = view_of((HEAD, 1), (TAIL, 1))
     tail = ChainReplica(TAIL, too_short_to_commit, held=FIRST, tolerated=2)
     assert not _reply(tail, too_short_to_commit).ready
 
 
-def test_what_is_held_here_is_told_only_where_the_tail_holds_the_same() -> None:
+def test_a_local_configuration_is_returned_only_if_the_tail_has_the_same() -> None:
     replica = ChainReplica(MIDDLE, held=FIRST)
     replica.register.commit()
     for sequence, expected in ((1, 10), (2, None)):
--- a/tests/control_plane/test_invariant_checks.py
+++ b/tests/control_plane/test_invariant_checks.py
@@ -1,4 +1,4 @@
-"""Each invariant of the control plane is seen to be broken where the guard before it is gone."""
+"""Each invariant check of the control plane detects a violation."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 def broken_by(doing: Callable[[], object]) -> set[Invariant]:
-    """The invariants that this violates."""
+    """The invariants that an action violates."""
     monitor.reset_violations()
     doing()
     return {violation.invariant for violation in monitor.reset_violations()}
@@ -45,13 +45,13 @@
     return CommittedConfiguration(sequence, sequence, document, 1)
 
 
-def test_a_view_that_goes_back() -> None:
+def test_a_view_number_that_decreases() -> None:
     seen = ReplicaInvariants()
     assert broken_by(lambda: seen.check_after_event(view(4), None, None)) == set()
     assert broken_by(lambda: seen.check_after_event(view(3), None, None)) == {Invariant.VIEW_RISES}
 
 
-def test_a_sequence_that_goes_back() -> None:
+def test_a_committed_sequence_that_decreases() -> None:
     seen = ReplicaInvariants()
     assert broken_by(lambda: seen.check_after_event(None, committed(4), None)) == set()
     assert broken_by(lambda: seen.check_after_event(None, committed(3), None)) == {Invariant.SEQUENCE_RISES}
@@ -72,14 +72,14 @@
     replica = ChainReplica(MIDDLE, held=entry(1))
 
     def act() -> None:
-        replica.register.entry = entry(2)  # as if its store had ended
+        replica.register.entry = entry(2)  # as if its store had succeeded
         replica.chain._send_status()
 
     assert broken_by(act) == {Invariant.ACKNOWLEDGED_IS_SYNCED}
 
 
 class WithoutMajority:
-    """A replica behind which no majority stands."""
+    """A replica without contact with a majority."""
 
     def holds_majority(self, now: float) -> bool:
         return False
@@ -129,7 +129,7 @@
 
 
 class WithoutWorkers:
-    """Published state in which there is no list to send."""
+    """Published state without a worker list."""
 
     membership = None
     workers = None
@@ -139,7 +139,7 @@
 
 
 class NoSessions:
-    """In place of the sessions with data plane nodes."""
+    """Replacement for the sessions with data plane nodes."""
 
     def notify_update(self) -> None:
-        """There is nobody to notify."""
+        """Do nothing, as there are no sessions."""
--- a/tests/control_plane/test_losses_first_start.py
+++ b/tests/control_plane/test_losses_first_start.py
@@ -1,4 +1,4 @@
-"""A seed that loses its disk, or its machine, before the first view is decided."""
+"""Seeds that lose their disk or machine, or start late, before the first view is decided."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
 
 
 @pytest.mark.parametrize("late", [1.0, 2.0, MISSING_SEED_TIMEOUT_S - 0.2])
-def test_a_seed_that_starts_late_is_waited_for(late: float) -> None:
+def test_the_first_start_waits_for_a_seed_that_starts_late(late: float) -> None:
     simulation = _late_start("m3", late)
     assert simulation.newest_view() is None
     simulation.run(1.0)
@@ -59,15 +59,15 @@
     assert view.number == 1
 
 
-def test_a_first_start_goes_on_within_the_time_that_the_rules_allow() -> None:
-    """The bounded rules hold from 3 s on for who runs and is connected, one silent seed or not."""
+def test_a_first_start_without_one_seed_completes_in_time() -> None:
+    """The rules with time bounds hold 3 s after the start even if one seed never started."""
     simulation = _late_start("m3", 10.0, runs=3.0)
     assert simulation.chain() == ["m1", "m2"]
     assert simulation.put_and_wait("m1", 0, 1, b"first") is None
 
 
 @pytest.mark.parametrize("late", [MISSING_SEED_TIMEOUT_S + 0.5, 4.0, 7.0])
-def test_a_seed_that_starts_too_late_joins_what_the_others_have_begun(late: float) -> None:
+def test_a_seed_that_starts_too_late_joins_the_first_view_of_the_others(late: float) -> None:
     simulation = _late_start("m3", late)
     assert simulation.chain() == ["m1", "m2"]
     assert simulation.put_and_wait("m1", 0, 1, b"first") is None
@@ -77,7 +77,7 @@
 
 
 class LateStart(Simulation):
-    """The first start, in which one machine comes later than the others."""
+    """The first start, with one machine that starts later than the others."""
 
     def __init__(self, address: str, late: float) -> None:
         self._late_address = address
@@ -92,7 +92,7 @@
 
 
 def _late_start(address: str, late: float, runs: float | None = None) -> Simulation:
-    """Just when this machine starts, after the others, or after so long."""
+    """A first start, run for `runs` seconds or until the late machine starts."""
     simulation = LateStart(address, late)
     if runs is not None:
         simulation.run(runs)
@@ -112,8 +112,8 @@
 
 @pytest.mark.parametrize("seed", range(4))
 @pytest.mark.parametrize("lost", [("m1", "m2"), ("m2", "m3"), ("m1", "m4"), ("m4", "m5")])
-def test_two_of_five_may_go_as_soon_as_there_is_a_first_view(lost: tuple[str, str], seed: int) -> None:
-    """Before, the seeds alone voted until the others had joined, which took 1.4 s."""
+def test_two_of_five_may_be_lost_as_soon_as_there_is_a_first_view(lost: tuple[str, str], seed: int) -> None:
+    """If only the seeds voted until the others had joined, this would hold only 1.4 s later."""
     simulation = Simulation(seed, machines=5, tolerated=2)
     simulation.run_until(lambda: simulation.newest_view() is not None, CATCH_UP_S)
     view = simulation.newest_view()
--- a/tests/control_plane/test_losses_members.py
+++ b/tests/control_plane/test_losses_members.py
@@ -1,4 +1,4 @@
-"""Members that leave, are replaced or lose their disks one after another, and further losses."""
+"""Members that shut down, are replaced or lose their disks one after another, and further losses."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def _leave_and_wait(simulation: Simulation, address: str) -> None:
-    """SIGTERM, and the end of the process."""
+    """Send SIGTERM, and wait for the end of the process."""
     depart(simulation, address, lambda: None)
     assert simulation.run_until(lambda: simulation.machines[address].replica is None, DEPARTURE_LIMIT_S)
 
@@ -40,7 +40,7 @@
 @pytest.mark.parametrize("planned", [True, False])
 @pytest.mark.parametrize("new_first", [True, False])
 @pytest.mark.parametrize(("machines", "tolerated"), [(3, 1), (5, 2)])
-def test_first_voters_go_one_after_another(
+def test_the_first_voters_are_replaced_one_after_another(
     machines: int, tolerated: int, new_first: bool, planned: bool
 ) -> None:
     simulation = strong_core(machines, machines, tolerated)
@@ -62,8 +62,10 @@
 
 @pytest.mark.parametrize("leaver", [0, 1])
 @pytest.mark.parametrize("after", [0.0, 0.1, 0.2, 0.3, 0.4, 0.6, 1.0])
-def test_a_member_that_leaves_while_the_newest_copies_is_not_the_only_copy(leaver: int, after: float) -> None:
-    """One is replaced, another leaves at that moment, and the disk of the third is lost when it has ended."""
+def test_a_member_that_shuts_down_during_a_snapshot_transfer_is_not_the_only_copy(
+    leaver: int, after: float
+) -> None:
+    """One member is replaced, another shuts down meanwhile, and later the disk of the third is lost."""
     simulation = strong_core(1, 3, 1)
     lost, *others = simulation.chain()[::-1]
     others.reverse()
@@ -81,7 +83,7 @@
     _check_every_loss(simulation, 1)
 
 
-def test_a_member_that_leaves_stays_until_the_copy_has_come_over_a_slow_link() -> None:
+def test_a_draining_member_stays_until_a_snapshot_has_arrived_over_a_slow_link() -> None:
     simulation = strong_core(2, 3, 1)
     head, middle, tail = simulation.chain()
     simulation.lose_power(tail, restart_after=None)
@@ -99,7 +101,7 @@
 
 
 @pytest.mark.parametrize("place", [0, 1, 2])
-def test_reads_go_on_while_a_needed_member_waits_for_its_successor(place: int) -> None:
+def test_reads_are_answered_while_a_draining_member_waits_for_a_replacement(place: int) -> None:
     simulation = strong_core(3, 3, 1)
     lost = simulation.chain()[place]
     simulation.lose_power(lost, restart_after=None)
@@ -119,7 +121,7 @@
 def test_a_voter_that_loses_its_disk_between_promise_and_decision(
     message_type: type, place: int, together: bool
 ) -> None:
-    """Two of five are lost, the second in the middle of the agreement on the view without the first."""
+    """Two of five are lost, the second during the agreement on the view without the first."""
     simulation = strong_core(4, 5, 2)
     lost = simulation.chain()[-1]
     voter = simulation.chain()[place]
@@ -150,7 +152,7 @@
 
 @pytest.mark.parametrize("count", range(1, 41, 3))
 def test_a_machine_appended_while_another_fails(count: int) -> None:
-    """A new machine joins five, one of which is gone; a second one loses its disk at a numbered message."""
+    """A new machine joins five, one of which is lost; another loses its disk at a numbered message."""
     simulation = strong_core(5, 5, 2)
     gone, failing = simulation.chain()[0], simulation.chain()[2]
     simulation.lose_power(gone, restart_after=None)
@@ -170,7 +172,7 @@
 
 @pytest.mark.parametrize("machines", [3, 4])
 def test_a_joiner_that_is_the_only_other_copy_survives_the_loss_of_any_one(machines: int) -> None:
-    """Two members are left and one of them has just been appended."""
+    """Two members remain, and one of them has just been appended."""
     simulation = strong_core(6, 3, 1)
     gone = simulation.chain()[0]
     simulation.lose_power(gone, restart_after=None)
@@ -199,10 +201,8 @@
 
 @pytest.mark.parametrize("after", [0.4, 0.6, 0.9, 1.2, 1.5, 2.0])
 @pytest.mark.parametrize("place", [0, 1, 2])
-def test_a_successor_that_fails_before_it_has_caught_up_takes_no_majority_away(
-    place: int, after: float
-) -> None:
-    """It counts as one loss with the machine that it replaces: the other two of three go on."""
+def test_a_replacement_that_fails_before_it_has_caught_up_costs_no_majority(place: int, after: float) -> None:
+    """It and the machine that it replaces count as one loss, so the other two of three stay in service."""
     simulation = strong_core(7, 3, 1)
     simulation.lose_power(simulation.chain()[place], restart_after=None)
     simulation.add_machine("n1")
@@ -216,7 +216,7 @@
 
 
 @pytest.mark.parametrize("after", [0.4, 0.6, 0.9, 1.2, 1.5, 2.0])
-def test_of_five_a_successor_and_another_may_fail(after: float) -> None:
+def test_of_five_a_replacement_and_another_machine_may_fail(after: float) -> None:
     simulation = strong_core(8, 5, 2)
     first, *_, last = simulation.chain()
     simulation.lose_power(first, restart_after=None)
@@ -229,8 +229,8 @@
 
 
 @pytest.mark.parametrize("places", [(0, 1), (0, 2), (1, 2)])
-def test_two_lost_of_a_chain_as_short_as_may_be(places: tuple[int, int]) -> None:
-    """Of five machines two are out of reach, and back while two others are lost for good."""
+def test_two_losses_in_a_chain_of_minimum_length(places: tuple[int, int]) -> None:
+    """Of five machines two are lost, and return while two others are lost permanently."""
     simulation = strong_core(9, 5, 2)
     away = simulation.chain()[3:]
     for address in away:
--- a/tests/control_plane/test_losses_next_view.py
+++ b/tests/control_plane/test_losses_next_view.py
@@ -1,4 +1,4 @@
-"""The choice of the next view: the search against plain enumeration, members that drain, the voters."""
+"""The choice of the next view: the search compared with an enumeration, draining members, voters."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def _enumerated(links: Links, apart: Pairs, heads: set[str], tail: ChainLink) -> Links:
-    """All parts, the large ones first: what the choice did before, and what the cheap search must equal."""
+    """The largest chain by enumeration of all parts, as a reference for the search."""
     for size in range(len(links), 0, -1):
         candidates = [
             chain
@@ -49,7 +49,7 @@
 
 @pytest.mark.parametrize("size", range(1, 8))
 @pytest.mark.parametrize("share_apart", [0.0, 0.1, 0.3, 0.6, 0.9])
-def test_the_cheap_search_equals_the_enumeration(size: int, share_apart: float) -> None:
+def test_the_search_equals_an_enumeration(size: int, share_apart: float) -> None:
     generator = random.Random(size * 100 + int(share_apart * 10))
     names = [chr(ord("a") + place) for place in range(size)]
     for _ in range(60):
@@ -63,7 +63,7 @@
 
 
 @pytest.mark.parametrize("share_apart", [0.0, 0.2, 0.5, 0.8, 1.0])
-def test_a_choice_among_many_is_quick(share_apart: float) -> None:
+def test_the_search_in_a_large_chain_is_fast(share_apart: float) -> None:
     generator = random.Random(1)
     names = [f"{place:02}" for place in range(LARGE_CHAIN)]
     pairs = map(frozenset, itertools.combinations(names, 2))
@@ -75,27 +75,27 @@
 
 
 @pytest.mark.parametrize("draining", "abc")
-def test_a_member_that_drains_goes_at_once_while_enough_others_are_complete(draining: str) -> None:
+def test_a_draining_member_is_removed_at_once_if_enough_others_are_complete(draining: str) -> None:
     following = choose_next_view(view_of("abc"), snapshot_of("abc", draining=draining))
     assert chain_names(following) == "abc".replace(draining, "")
 
 
 @pytest.mark.parametrize("draining", "ab")
-def test_a_member_that_drains_stays_until_the_newest_is_complete(draining: str) -> None:
+def test_a_draining_member_stays_until_the_newest_member_is_complete(draining: str) -> None:
     view = view_of("abc")
     assert choose_next_view(view, snapshot_of("abc", incomplete="c", draining=draining)) == view
     following = choose_next_view(view, snapshot_of("abc", draining=draining))
     assert chain_names(following) == "abc".replace(draining, "")
 
 
-def test_a_member_that_drains_stays_while_its_successor_is_appended() -> None:
+def test_a_draining_member_stays_while_its_replacement_is_appended() -> None:
     view = view_of("ab", voters="abc")
     following = choose_next_view(view, snapshot_of("abx", incomplete="x", draining="a", lost="c"))
     assert chain_names(following) == "abx"
     assert "a" in voter_names(following)
 
 
-def test_of_two_that_drain_only_as_many_stay_as_are_needed() -> None:
+def test_only_as_many_draining_members_stay_as_are_needed() -> None:
     assert chain_names(choose_next_view(view_of("abc"), snapshot_of("abc", draining="bc"))) == "ab"
     assert (
         chain_names(choose_next_view(view_of("abcde"), snapshot_of("abcde", draining="abc", tolerated=2)))
@@ -103,14 +103,14 @@
     )
 
 
-def test_an_incomplete_member_that_drains_holds_nobody_up() -> None:
+def test_an_incomplete_draining_member_does_not_delay_a_joiner() -> None:
     following = choose_next_view(
         view_of("ax", voters="abx"), snapshot_of("axy", incomplete="xy", draining="x")
     )
     assert chain_names(following) == "ay"
 
 
-def test_several_are_appended_where_one_would_be_too_few() -> None:
+def test_several_members_are_appended_if_one_would_be_too_few() -> None:
     view = view_of("abc", voters="abcde")
     following = choose_next_view(view, snapshot_of("ade", incomplete="de", tolerated=2))
     assert chain_names(following) == "ade"
@@ -127,12 +127,12 @@
     assert choose_next_view(view, snapshot_of("abx", draining="x")) == view
 
 
-def test_a_voter_that_is_lost_is_dropped_before_one_that_drains() -> None:
+def test_a_lost_voter_is_removed_before_a_draining_one() -> None:
     following = choose_next_view(view_of("ab", voters="abcd"), snapshot_of("abc", draining="c", lost="d"))
     assert voter_names(following) == "abc"
 
 
-def test_a_voter_that_the_chain_needs_is_not_dropped_while_it_drains() -> None:
+def test_a_draining_voter_that_the_chain_needs_is_not_removed() -> None:
     view = view_of("abx", voters="abcx")
     assert choose_next_view(view, snapshot_of("abcx", incomplete="x", draining="a")) == view
 
--- a/tests/control_plane/test_losses_random.py
+++ b/tests/control_plane/test_losses_random.py
@@ -1,4 +1,4 @@
-"""Seeded random losses; at each step every further loss that is tolerated is checked. More: `loss_hunt`."""
+"""Seeded random losses; at each step every further tolerated loss is checked. `loss_hunt` runs more."""
 
 from __future__ import annotations
 
--- a/tests/control_plane/test_losses_strength.py
+++ b/tests/control_plane/test_losses_strength.py
@@ -1,4 +1,4 @@
-"""How long in virtual time until a core is at full strength; with bounds inside the time to catch up."""
+"""Virtual time until a core is at full strength again, with bounds below the catch-up time."""
 
 from __future__ import annotations
 
@@ -71,7 +71,7 @@
 
 @pytest.mark.parametrize("machines", [5, 9, 15])
 def test_enough_voters_for_the_losses_soon_after_the_first_start(machines: int) -> None:
-    """Safe long before everyone is in the chain, as machines join one at a time."""
+    """The losses are tolerated long before all machines are in the chain, as they join one at a time."""
     simulation = Simulation(machines, machines=machines, tolerated=2)
 
     def enough() -> bool:
@@ -84,7 +84,7 @@
 @pytest.mark.parametrize("place", PLACES)
 @pytest.mark.parametrize(("machines", "count"), [(4, 1), (5, 1), (7, 2), (9, 2), (9, 4), (15, 2)])
 def test_dead_voters_beyond_the_target_are_removed(machines: int, count: int, place: str) -> None:
-    """Nobody comes in their place; those that are left are as many as the losses ask for."""
+    """They are not replaced; the remaining voters are enough for the tolerated losses."""
     tolerated = 2 if machines >= 7 else 1
     simulation = strong_core(machines, machines, tolerated)
     simulation.run(ESTABLISHED_MIN_REACHABLE_S + 6.0)
--- a/tests/control_plane/test_majority_contact.py
+++ b/tests/control_plane/test_majority_contact.py
@@ -1,4 +1,4 @@
-"""What a replica may hand over as current: only what a majority of voters has lately stood behind."""
+"""A replica delivers state as current only while a majority of voters has lately confirmed its view."""
 
 from __future__ import annotations
 
@@ -21,46 +21,46 @@
 SLACK_S = 0.1  # of a tick and a message
 
 
-def granted(*grants: tuple[str, float], now: float = STARTED + 10.0) -> MajorityContact:
+def contact_with(*confirmations: tuple[str, float], now: float = STARTED + 10.0) -> MajorityContact:
     contact = MajorityContact(STARTED)
-    for folder_id, sent in grants:
+    for folder_id, sent in confirmations:
         contact.record_confirmation(folder_id, sent, now)
     contact.update(VOTERS, committed_until=now)
     return contact
 
 
-def test_one_grant_of_three_is_no_majority() -> None:
-    contact = granted(("a", STARTED + 1.0), ("stranger", STARTED + 2.0))
+def test_one_confirmation_of_three_is_no_majority() -> None:
+    contact = contact_with(("a", STARTED + 1.0), ("non-voter", STARTED + 2.0))
     assert contact.majority_as_of is None
     assert not contact.is_valid(STARTED + 1.0)
 
 
-def test_the_majority_counts_from_the_older_of_two_grants() -> None:
-    contact = granted(("a", STARTED + 1.0), ("b", STARTED + 2.0))
+def test_the_majority_counts_from_the_older_of_two_confirmations() -> None:
+    contact = contact_with(("a", STARTED + 1.0), ("b", STARTED + 2.0))
     assert contact.majority_as_of == STARTED + 1.0
     assert contact.is_valid(STARTED + 1.0 + MAJORITY_CONTACT_TTL_S - 0.01)
     assert not contact.is_valid(STARTED + 1.0 + MAJORITY_CONTACT_TTL_S + 0.01)
 
 
-def test_an_older_grant_that_comes_late_takes_nothing_back() -> None:
-    contact = granted(("a", STARTED + 3.0), ("b", STARTED + 3.0), ("a", STARTED + 1.0))
+def test_an_older_confirmation_that_arrives_late_is_ignored() -> None:
+    contact = contact_with(("a", STARTED + 3.0), ("b", STARTED + 3.0), ("a", STARTED + 1.0))
     assert contact.majority_as_of == STARTED + 3.0
 
 
 @pytest.mark.parametrize("sent", [STARTED - 0.1, STARTED + 10.1])
-def test_a_grant_to_an_earlier_life_counts_for_nothing(sent: float) -> None:
-    assert granted(("a", sent), ("b", sent)).majority_as_of is None
+def test_a_confirmation_for_an_earlier_incarnation_is_ignored(sent: float) -> None:
+    assert contact_with(("a", sent), ("b", sent)).majority_as_of is None
 
 
-def test_a_new_view_takes_back_nothing_and_its_grants_are_counted_anew() -> None:
-    contact = granted(("a", STARTED + 1.0), ("b", STARTED + 1.0))
+def test_a_new_view_keeps_the_confirmed_time_and_starts_a_new_count() -> None:
+    contact = contact_with(("a", STARTED + 1.0), ("b", STARTED + 1.0))
     contact.enter_view()
     contact.record_confirmation("c", STARTED + 5.0, STARTED + 5.0)
     contact.update(VOTERS, committed_until=STARTED + 5.0)
     assert contact.majority_as_of == STARTED + 1.0
 
 
-def test_what_may_have_been_overtaken_is_not_confirmed_as_of_later() -> None:
+def test_a_configuration_is_not_confirmed_beyond_the_known_commit_time() -> None:
     contact = MajorityContact(STARTED)
     contact.record_confirmation("a", STARTED + 5.0, STARTED + 5.0)
     contact.record_confirmation("b", STARTED + 5.0, STARTED + 5.0)
@@ -70,7 +70,7 @@
     assert contact.confirmed_as_of == STARTED + 4.0
 
 
-# ---- a whole core ----
+# ---- a simulated core ----
 
 
 class Acknowledgement(Struct):
@@ -80,8 +80,8 @@
     generation: int
 
 
-class Watcher:
-    """After each step compares what replicas claim with what has been acknowledged."""
+class ConfirmationChecker:
+    """Compares after each step the state that replicas confirm with the acknowledged changes."""
 
     def __init__(self, simulation: Simulation) -> None:
         self._simulation = simulation
@@ -89,13 +89,13 @@
         self.claims = 0
 
     def run(self, seconds: float) -> None:
-        """Let time pass, and look every 20 ms."""
+        """Let time pass, with a check every 20 ms."""
         end = self._simulation.now + seconds
         while self._simulation.now < end:
             self._simulation.run(min(0.02, end - self._simulation.now))
-            self.look()
+            self.check()
 
-    def look(self) -> None:
+    def check(self) -> None:
         newest = self._simulation.judge.newest_acknowledged
         for machine in self._simulation.running():
             replica = machine.replica
@@ -108,19 +108,17 @@
             held = replica.committed.generation if replica.committed else 0
             at_that_time = machine.true_time(as_of)
             wanted = max(each.generation for each in self._acknowledged if each.at < at_that_time)
-            assert held >= wanted, f"{machine.address} hands over {held}, {wanted} was acknowledged"
+            assert held >= wanted, f"{machine.address} delivers {held} after {wanted} was acknowledged"
         if newest > self._acknowledged[-1].generation:
             self._acknowledged.append(Acknowledgement(self._simulation.now, newest))
 
 
 @pytest.mark.parametrize("seed", range(12))
 @pytest.mark.parametrize(("machines", "tolerated"), [(3, 1), (5, 2)])
-def test_what_is_told_as_confirmed_is_never_older_than_it_claims(
-    machines: int, tolerated: int, seed: int
-) -> None:
+def test_confirmed_state_is_never_older_than_its_time(machines: int, tolerated: int, seed: int) -> None:
     simulation = Simulation(seed=700 + seed, machines=machines, tolerated=tolerated)
     simulation.settle()
-    watcher = Watcher(simulation)
+    checker = ConfirmationChecker(simulation)
     operator = Operator(simulation)
     faults = Faults(simulation, tolerated)
     for _ in range(60):
@@ -128,17 +126,15 @@
             faults.act()
         else:
             operator.act()
-        watcher.run(simulation.random.uniform(0.0, 0.5))
-    assert watcher.claims > 300
+        checker.run(simulation.random.uniform(0.0, 0.5))
+    assert checker.claims > 300
 
 
 CUTS = [(3, ("m1",)), (3, ("m2",)), (3, ("m3",)), (5, ("m1", "m2")), (5, ("m2", "m5")), (5, ("m4", "m5"))]
 
 
 @pytest.mark.parametrize(("machines", "cut_off"), CUTS)
-def test_a_minority_hands_over_nothing_soon_after_it_is_cut_off(
-    machines: int, cut_off: tuple[str, ...]
-) -> None:
+def test_a_partitioned_minority_stops_delivering_state(machines: int, cut_off: tuple[str, ...]) -> None:
     simulation = Simulation(seed=5, machines=machines, tolerated=machines // 2)
     simulation.settle()
     assert simulation.put_and_wait("m1", 0, 1, b"first") is None
@@ -153,7 +149,7 @@
 
 
 @pytest.mark.parametrize(("machines", "cut_off"), CUTS)
-def test_the_others_hand_over_again_soon_and_the_minority_once_it_is_back(
+def test_the_majority_delivers_again_soon_and_the_minority_after_the_partition(
     machines: int, cut_off: tuple[str, ...]
 ) -> None:
     simulation = Simulation(seed=6, machines=machines, tolerated=machines // 2)
@@ -169,19 +165,19 @@
     )
 
 
-def test_a_replica_that_was_frozen_hands_over_nothing_when_it_wakes() -> None:
+def test_a_replica_that_was_frozen_delivers_nothing_when_it_continues() -> None:
     simulation = Simulation(seed=8)
     simulation.settle()
     simulation.run(1.0)
     assert _confirmed(simulation, "m2")
     simulation.freeze("m2")
     simulation.run(MAJORITY_CONTACT_TTL_S + SLACK_S)
-    assert not _confirmed(simulation, "m2"), "asked before it has handled anything"
+    assert not _confirmed(simulation, "m2"), "before it has handled any event"
     simulation.thaw("m2")
     assert simulation.run_until(lambda: _confirmed(simulation, "m2"), 4.0)
 
 
-def test_a_voter_that_has_accepted_a_next_view_grants_no_contact() -> None:
+def test_a_voter_that_has_accepted_a_next_view_confirms_no_view() -> None:
     simulation = Simulation(seed=9)
     simulation.settle()
     simulation.run(1.0)
@@ -194,7 +190,7 @@
     proposal_number = ProposalNumber(1, "proposer")
     following = View(view.number + 1, view.voters, view.chain)
     agreement._acceptor._states[following.number] = AcceptorRecord(following.number, proposal_number)
-    assert agreement.may_confirm_view(view.number), "a promise decides nothing"
+    assert agreement.may_confirm_view(view.number), "a promise alone decides nothing"
     accepted = AcceptorRecord(following.number, proposal_number, proposal_number, following)
     agreement._acceptor._states[following.number] = accepted
     assert not agreement.may_confirm_view(view.number), "the next view may have been decided"
@@ -204,7 +200,7 @@
     assert not agreement.may_confirm_view(view.number), "the next view is known, though not on disk yet"
 
 
-def test_a_grant_of_another_view_counts_for_nothing() -> None:
+def test_a_confirmation_of_another_view_is_ignored() -> None:
     simulation = Simulation(seed=10)
     simulation.settle()
     simulation.isolate("m1")
@@ -222,7 +218,7 @@
     assert replica.holds_majority(now)
 
 
-def test_a_replica_outside_the_chain_hands_over_nothing_though_a_majority_hears_it() -> None:
+def test_a_replica_outside_the_chain_delivers_nothing_despite_majority_contact() -> None:
     simulation = Simulation(seed=11)
     simulation.settle()
     simulation.run(1.0)
@@ -233,7 +229,7 @@
     assert not _confirmed(simulation, "m3")
 
 
-def test_a_replica_that_cannot_store_a_newer_view_hands_over_nothing_once_it_has_heard_of_it() -> None:
+def test_a_replica_that_cannot_store_a_learned_view_delivers_nothing() -> None:
     simulation = Simulation(seed=11)
     simulation.settle()
     simulation.run(1.0)
--- a/tests/control_plane/test_next_view.py
+++ b/tests/control_plane/test_next_view.py
@@ -1,4 +1,4 @@
-"""The choice of the next view, for each kind of trouble."""
+"""The choice of the next view for each kind of fault."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from tests.control_plane.view_builders import chain_names, member_named, snapshot_of, view_of, voter_names
 
 
-def test_all_well() -> None:
+def test_the_view_stays_if_all_members_are_healthy() -> None:
     view = view_of("abc")
     assert choose_next_view(view, snapshot_of("abc")) == view
 
 
-def test_each_lost_member_is_dropped_and_the_order_kept() -> None:
+def test_each_lost_member_is_removed_and_the_order_kept() -> None:
     view = view_of("abc")
     for lost in "abc":
         following = choose_next_view(view, snapshot_of("abc".replace(lost, "")))
@@ -75,7 +75,7 @@
     assert voter_names(choose_next_view(view, snapshot_of("ab", joiners=joiner))) == "abd", "one was too few"
 
 
-def test_beside_enough_voters_newcomers_vote_in_pairs_and_only_after_a_while() -> None:
+def test_above_the_target_established_voters_are_added_in_pairs() -> None:
     view = view_of("abc")
     assert voter_names(choose_next_view(view, snapshot_of("abc", joiners=[member_named("d")]))) == "abc"
     view = view_of("abcde", voters="abc")
@@ -83,7 +83,7 @@
     assert voter_names(choose_next_view(view, snapshot_of("abcde"))) == "abcd"
     assert voter_names(choose_next_view(view_of("abcde", voters="abcd"), snapshot_of("abcde"))) == "abcde"
     view = view_of("abcd", voters="abc")
-    assert choose_next_view(view, snapshot_of("abcd")) == view, "four bear no more losses than three"
+    assert choose_next_view(view, snapshot_of("abcd")) == view, "four tolerate no more losses than three"
 
 
 def test_a_joiner_has_no_vote_besides_a_voter_that_may_be_dead() -> None:
@@ -101,7 +101,7 @@
     assert voter_names(choose_next_view(view, snapshot)) == "abcd"
 
 
-def test_surplus_voters_that_drain_or_are_lost_are_dropped() -> None:
+def test_surplus_voters_that_are_draining_or_lost_are_removed() -> None:
     view = view_of("abc", voters="abcd")
     assert voter_names(choose_next_view(view, snapshot_of("abc", lost="d"))) == "abc"
     assert voter_names(choose_next_view(view, snapshot_of("abc", draining="d"))) == "abc"
@@ -119,7 +119,7 @@
     apart=st.sets(st.sampled_from(PAIRS)),
 )
 @settings(max_examples=150, deadline=None, derandomize=True)
-def test_any_choice_is_a_connected_part_in_order_with_a_complete_head(
+def test_any_choice_is_a_connected_subsequence_with_a_complete_head(
     healthy: set[str], incomplete_from: int, apart: set[str]
 ) -> None:
     view = view_of(NAMES)
--- a/tests/control_plane/test_puts_fault_points.py
+++ b/tests/control_plane/test_puts_fault_points.py
@@ -1,4 +1,4 @@
-"""Faults at numbered points of a contest: at each message and each store, while operators send again."""
+"""Faults at each message and each store while competing changes are submitted."""
 
 from __future__ import annotations
 
@@ -29,19 +29,19 @@
     return simulation
 
 
-def _contest(simulation: Simulation) -> CompetingChanges:
+def _competition(simulation: Simulation) -> CompetingChanges:
     """All send, and after a while all send again, whatever they were told."""
-    contest = CompetingChanges(simulation, OPERATORS, MATCH, NUMBER)
+    competition = CompetingChanges(simulation, OPERATORS, MATCH, NUMBER)
     for pause in (0.05, 1.5):
-        contest.send()
+        competition.send()
         simulation.run(pause)
-    return contest
+    return competition
 
 
 def _points() -> tuple[int, int]:
     simulation = _core()
     messages, stores = simulation.message_count, simulation.store_count
-    _contest(simulation)
+    _competition(simulation)
     return simulation.message_count - messages, simulation.store_count - stores
 
 
@@ -93,22 +93,22 @@
 ]
 
 
-def test_the_contest_has_points_and_not_too_many() -> None:
+def test_the_number_of_fault_points_is_within_bounds() -> None:
     assert 15 < MESSAGES < MOST_POINTS
     assert 2 < STORES < MOST_POINTS
 
 
-def _check(simulation: Simulation, contest: CompetingChanges) -> None:
+def _check(simulation: Simulation, competition: CompetingChanges) -> None:
     come_back(simulation, restarts_within=2.1)
-    contest.check()
-    ends = contest.resend_all()
-    assert ends.count(None) == 1
-    assert all(error is None or error in REJECTED for error in ends), ends
+    competition.check()
+    results = competition.resend_all()
+    assert results.count(None) == 1
+    assert all(error is None or error in REJECTED for error in results), results
     simulation.kill(_head(simulation), restart_after=0.1)
     simulation.run(1.0)
     simulation.settle()
-    assert contest.resend_all() == ends
-    contest.check()
+    assert competition.resend_all() == results
+    competition.check()
     check_end(simulation)
 
 
@@ -125,9 +125,9 @@
 def test_a_fault_at_a_message(number: int, fault: Fault) -> None:
     simulation = _core()
     simulation.on_message = _at(simulation.message_count + number, simulation, fault)
-    contest = _contest(simulation)
+    competition = _competition(simulation)
     simulation.on_message = None
-    _check(simulation, contest)
+    _check(simulation, competition)
 
 
 @pytest.mark.parametrize("fault", FAULTS)
@@ -135,17 +135,17 @@
 def test_a_fault_at_a_store(number: int, fault: Fault) -> None:
     simulation = _core()
     simulation.on_store = _at(simulation.store_count + number, simulation, fault)
-    contest = _contest(simulation)
+    competition = _competition(simulation)
     simulation.on_store = None
-    _check(simulation, contest)
+    _check(simulation, competition)
 
 
 @pytest.mark.parametrize("number", range(1, MESSAGES + 1))
 @pytest.mark.parametrize("fault", ["lost_messages", "doubled_messages", "late_messages"])
-def test_a_message_of_a_contest_is_lost_doubled_or_late(number: int, fault: str) -> None:
+def test_a_message_during_competing_changes_is_lost_duplicated_or_late(number: int, fault: str) -> None:
     simulation = _core()
     getattr(simulation, fault).add(simulation.message_count + number)
-    contest = _contest(simulation)
+    competition = _competition(simulation)
     answers = {answer.error for answer in simulation.judge.put_answers.values()}
     assert answers <= REJECTED | {None, ErrorCode.WRITE_UNCLEAR}
-    _check(simulation, contest)
+    _check(simulation, competition)
--- a/tests/control_plane/test_puts_history.py
+++ b/tests/control_plane/test_puts_history.py
@@ -1,4 +1,4 @@
-"""How long accepted changes are remembered, and what an order gets that is older than that."""
+"""The history of accepted changes, and the answers to changes that were evicted from it."""
 
 from __future__ import annotations
 
@@ -55,7 +55,7 @@
         assert core.put(address, 0, LOST, b"another rival") is ErrorCode.CONFIGURATION_STALE_MATCH
 
 
-def test_orders_sent_again_end_as_before_after_many_changes_a_restart_and_a_snapshot() -> None:
+def test_resubmitted_changes_get_the_same_result_after_many_changes_a_restart_and_a_snapshot() -> None:
     core = _core_with_rivals()
     _change(core, LATER_CHANGES, after=FIRST)
     _check_ends(core)
@@ -71,7 +71,7 @@
     _check_ends(core)
 
 
-def test_what_has_fallen_out_of_the_history_gets_no_clear_answer() -> None:
+def test_a_change_evicted_from_the_history_gets_an_unclear_answer() -> None:
     core = _core_with_rivals()
     newest = _change(core, MAX_HISTORY_CHANGES, after=FIRST)
     oldest = newest - MAX_HISTORY_CHANGES + 1
@@ -84,7 +84,7 @@
         core.restart()
 
 
-def test_nothing_is_forgotten_while_the_history_is_not_full() -> None:
+def test_nothing_is_evicted_while_the_history_is_not_full() -> None:
     core = DirectCore()
     assert core.put("m1", 0, 1000, b"the first has a high number") is None
     assert core.put("m1", 0, 10, b"a low number") is ErrorCode.CONFIGURATION_STALE_MATCH
@@ -108,7 +108,7 @@
     assert (len(history), history.oldest_generation, history.newest) == (0, 0, None)
 
 
-def test_a_longer_packed_history_is_cut_at_its_old_end() -> None:
+def test_a_longer_packed_history_loses_its_oldest_changes() -> None:
     packed = b"".join(ROW.pack(generation, bytes(32)) for generation in range(1, MAX_HISTORY_CHANGES + 11))
     history = ChangeHistory(packed)
     assert (len(history), history.oldest_generation) == (MAX_HISTORY_CHANGES, 11)
@@ -123,7 +123,7 @@
     assert state.entry == entry
 
 
-def test_a_history_that_is_not_whole_rows_is_read_from_nowhere() -> None:
+def test_a_history_that_is_not_whole_rows_is_rejected() -> None:
     record = ormsgpack.packb(["packed_history", bytes(ROW.size + 1)])
     with pytest.raises(FleetError, match="unknown record"):
         restore([record])
--- a/tests/control_plane/test_puts_invalid.py
+++ b/tests/control_plane/test_puts_invalid.py
@@ -1,4 +1,4 @@
-"""Invalid and stale documents, sent through the operator's API, reach no disk."""
+"""Invalid and stale documents submitted through the operator API are not stored."""
 
 from __future__ import annotations
 
@@ -119,7 +119,7 @@
 
 
 @pytest.mark.parametrize("name", INVALID)
-def test_an_invalid_document_is_refused_and_on_no_disk(name: str) -> None:
+def test_an_invalid_document_is_rejected_and_not_stored(name: str) -> None:
     core = DirectCore()
     assert _status(core, "0", configuration(1)) == 200
     for _ in range(2):
@@ -129,7 +129,7 @@
     assert _status(core, "1", configuration(2)) == 200
 
 
-def test_a_stale_document_is_refused_and_on_no_disk() -> None:
+def test_a_stale_document_is_rejected_and_not_stored() -> None:
     core = DirectCore()
     assert _status(core, "0", configuration(1)) == 200
     assert _status(core, "1", configuration(2)) == 200
@@ -143,6 +143,6 @@
 
 
 @pytest.mark.parametrize("code", ErrorCode)
-def test_only_what_is_final_looks_final_to_an_operator(code: ErrorCode) -> None:
+def test_only_final_errors_have_a_final_status(code: ErrorCode) -> None:
     if code in OPERATIONS[CONFIGURATION_PATH]["PUT"].errors:
         assert (status_of(code) == 503) == (code not in FINAL)
--- a/tests/control_plane/test_puts_rejected.py
+++ b/tests/control_plane/test_puts_rejected.py
@@ -1,4 +1,4 @@
-"""A refused order is never in force later, and one that might become right is not refused."""
+"""A rejected change is never accepted later, and a change that may become valid is not rejected."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 @pytest.mark.parametrize("order", ["forward", "backward", "mixed"])
-def test_eight_orders_each_on_top_of_the_one_before_are_all_taken(order: str) -> None:
+def test_eight_changes_that_build_on_each_other_are_all_accepted(order: str) -> None:
     simulation = _core()
     generations = list(range(2, 10))
     if order == "backward":
@@ -47,14 +47,14 @@
     assert [_error(simulation, call) for call in calls] == [None] * 8
 
 
-def test_an_order_on_top_of_what_never_comes_gets_no_clear_answer_in_time() -> None:
+def test_a_change_on_a_generation_that_never_comes_gets_an_unclear_answer_in_time() -> None:
     simulation = _core()
     call = simulation.put("m3", 5, 6, b"sixth")
     simulation.run(1.0)
     assert _error(simulation, call) is UNCLEAR
 
 
-def test_a_held_order_keeps_no_other_waiting() -> None:
+def test_a_pending_change_does_not_delay_others() -> None:
     simulation = _core()
     simulation.put("m1", 5, 6, b"sixth")
     simulation.run(0.05)
@@ -62,7 +62,7 @@
 
 
 @pytest.mark.parametrize("restart", [False, True])
-def test_a_late_copy_of_an_order_that_came_too_early_contradicts_no_answer(restart: bool) -> None:
+def test_a_late_duplicate_of_an_early_change_contradicts_no_answer(restart: bool) -> None:
     """The copy that is late may be taken: the first one was not refused."""
     core = DirectCore()
     assert core.put("m2", 0, 1, b"first") is None
@@ -77,7 +77,7 @@
     assert core.put("m3", 2, 3, b"third") is None
 
 
-def test_no_copy_of_a_refused_order_is_taken_later() -> None:
+def test_no_duplicate_of_a_rejected_change_is_accepted_later() -> None:
     core = DirectCore()
     assert core.put("m2", 0, 10, b"tenth") is None
     refused = {
@@ -104,7 +104,7 @@
     return [record for record in records if isinstance(record, EntryRecord)]
 
 
-def test_the_same_document_on_top_of_another_version() -> None:
+def test_the_same_document_with_another_match() -> None:
     """Refused on top of a stale version, it may be sent on top of the newest one, and is then known."""
     core = DirectCore()
     assert core.put("m1", 0, 5, b"fifth") is None
@@ -116,7 +116,7 @@
     assert core.put("m3", 9, 7, b"seventh") is None
 
 
-def test_the_same_number_and_bytes_after_another_change_took_over() -> None:
+def test_a_resubmitted_change_is_acknowledged_after_a_later_one() -> None:
     simulation = _core()
     assert simulation.put_and_wait("m1", 1, 2, b"second") is None
     assert simulation.put_and_wait("m3", 2, 4, b"fourth") is None
@@ -127,7 +127,7 @@
         assert simulation.put_and_wait(address, 1, 2, b"a rival") is STALE
 
 
-def test_a_head_that_gave_up_and_was_started_anew_may_take_a_copy() -> None:
+def test_a_restarted_head_may_accept_a_duplicate_of_an_expired_change() -> None:
     """The answer of its first life must not be a refusal, as its second life knows nothing of it."""
     core = DirectCore()
     head = core.head()
@@ -149,7 +149,7 @@
     assert committed.document == b"third"
 
 
-def test_an_answer_comes_again_for_each_copy_though_its_first_one_is_forgotten() -> None:
+def test_a_duplicate_gets_the_same_answer_though_its_reply_is_not_cached_any_more() -> None:
     """More answers than are kept; each copy of a request then gets an answer that fits its first one."""
     core = DirectCore()
     assert core.put("m2", 0, 1, b"first") is None
@@ -178,7 +178,7 @@
 
 
 @pytest.mark.parametrize("seed", range(6000, 6030))
-def test_orders_that_build_on_one_another_in_any_order_amid_faults(seed: int) -> None:
+def test_changes_that_build_on_each_other_in_any_order_despite_faults(seed: int) -> None:
     simulation = _core(seed)
     faults = Faults(simulation, tolerated=1)
     pending = [(match, match + 1, b"on %d, rival %d" % (match, n)) for match in range(1, 9) for n in (1, 2)]
--- a/tests/control_plane/test_puts_requests.py
+++ b/tests/control_plane/test_puts_requests.py
@@ -1,4 +1,4 @@
-"""Requests between replicas: their names, and answers that are late, doubled or in another order."""
+"""Requests between replicas: unique names, and replies that are late, duplicated or reordered."""
 
 from __future__ import annotations
 
@@ -78,7 +78,7 @@
         """Nothing is done."""
 
 
-def test_each_life_of_a_process_names_its_requests_anew(
+def test_request_names_are_unique_to_each_incarnation(
     monkeypatch: pytest.MonkeyPatch, tmp_path: Path
 ) -> None:
     """The same folder and the same clock, as after a reboot, and yet no name comes again."""
@@ -108,13 +108,13 @@
     assert len(set(names)) == 3
 
 
-def test_a_replica_has_no_incarnation_of_its_own_making() -> None:
+def test_a_replica_does_not_choose_its_own_incarnation() -> None:
     settings = ReplicaSettings("f", "m1", "z", ("m1",), False, 0)
     with pytest.raises(TypeError, match="incarnation"):
         Replica(settings, [], 1.0)  # type: ignore[call-arg]
 
 
-def test_two_lives_with_one_clock_reading_share_no_request() -> None:
+def test_two_incarnations_share_no_request_id() -> None:
     simulation = Simulation(seed=71)
     sent: set[str] = set()
     simulation.spy = lambda effect: _note_request(effect, sent)
@@ -152,7 +152,7 @@
     return effect.message.request_id
 
 
-def test_a_late_confirmation_is_none_for_a_head_that_was_started_anew() -> None:
+def test_a_late_confirmation_does_not_count_after_a_restart_of_the_head() -> None:
     outbox = Outbox("head", 10.0, 0)
     ends: list[bool] = []
     first_life = _refusals("head:1", outbox)
@@ -183,7 +183,7 @@
     assert not rejections.is_pending("asker:1:1")
 
 
-def test_a_refusal_that_nobody_confirms_gets_no_clear_answer() -> None:
+def test_a_rejection_that_is_not_confirmed_becomes_an_unclear_answer() -> None:
     simulation = Simulation(seed=72)
     simulation.settle()
     simulation.run(1.0)
