--- a/tests/control_plane/test_puts_views.py
+++ b/tests/control_plane/test_puts_views.py
@@ -1,4 +1,4 @@
-"""What a head or a member may do in a view that others have left, and a head without a majority."""
+"""Heads and members in a view that others have left, and heads without a majority."""
 
 from __future__ import annotations
 
@@ -60,9 +60,7 @@
 
 @pytest.mark.parametrize("kind", ["commit", "ping"])
 @pytest.mark.parametrize("offset", [-1, 1])
-def test_news_of_commits_in_another_view_commits_nothing_here(
-    core: Simulation, kind: str, offset: int
-) -> None:
+def test_commits_of_another_view_commit_nothing(core: Simulation, kind: str, offset: int) -> None:
     """The entry at that sequence may be another one there."""
     head = core.chain()[0]
     view = core.newest_view()
@@ -84,7 +82,7 @@
     assert committed.sequence == entry.sequence - 1
 
 
-def test_a_lost_race_is_not_delivered_by_the_old_head(core: Simulation) -> None:
+def test_a_change_that_lost_against_another_is_not_delivered_by_the_old_head(core: Simulation) -> None:
     """The others go on with a rival at the same sequence; what the old head hears first is its commit."""
     head = core.chain()[0]
     old_view = _view_number(core)
@@ -113,7 +111,7 @@
     return isinstance(ping, Heartbeat) and ping.view_number > view and ping.committed_sequence == 2
 
 
-def test_a_head_without_a_majority_takes_nothing_and_says_so_at_once(core: Simulation) -> None:
+def test_a_head_without_a_majority_accepts_nothing_and_answers_at_once(core: Simulation) -> None:
     head = core.chain()[0]
     number = _view_number(core)
     core.isolate(head)
@@ -130,7 +128,7 @@
     assert entry.document == b"first"
 
 
-def test_a_head_without_a_majority_refuses_nothing(core: Simulation) -> None:
+def test_a_head_without_a_majority_rejects_nothing(core: Simulation) -> None:
     """What is stale by its register may have been acknowledged by the others."""
     head = core.chain()[0]
     number = _view_number(core)
@@ -142,7 +140,7 @@
     assert not [message for message in messages if isinstance(message, GetReply)]
 
 
-def test_a_head_without_a_majority_that_is_started_anew_may_take_a_copy(core: Simulation) -> None:
+def test_a_head_that_had_no_majority_may_accept_a_duplicate_after_a_restart(core: Simulation) -> None:
     """The new life knows nothing of the answer, which must not have been a refusal."""
     head = core.chain()[0]
     number = _view_number(core)
@@ -164,7 +162,7 @@
 
 
 @pytest.mark.parametrize("offset", [-1, 1])
-def test_a_request_of_another_view_is_neither_taken_nor_answered(core: Simulation, offset: int) -> None:
+def test_a_request_of_another_view_is_neither_accepted_nor_answered(core: Simulation, offset: int) -> None:
     head = core.chain()[0]
     number = _view_number(core) + offset
     for match in (0, 1):
@@ -172,7 +170,7 @@
         assert _handle(core, head, MessageReceived("m9", request)) == []
 
 
-def test_an_old_head_does_not_refuse_what_the_others_took_whatever_its_match(core: Simulation) -> None:
+def test_an_outdated_head_does_not_reject_a_change_that_the_others_accepted(core: Simulation) -> None:
     """By its own register the match is stale, and the document unknown."""
     head = core.chain()[0]
     number = _view_number(core)
--- a/tests/control_plane/test_random_schedules.py
+++ b/tests/control_plane/test_random_schedules.py
@@ -1,4 +1,4 @@
-"""Random schedules with everything on, in a process of their own: a seed is always the same schedule."""
+"""Random schedules of all kinds of faults, in a separate process so that a seed is reproducible."""
 
 from __future__ import annotations
 
--- a/tests/control_plane/test_read_lease.py
+++ b/tests/control_plane/test_read_lease.py
@@ -1,4 +1,4 @@
-"""Read leases: what a voter that has granted one may accept, and until when a tail may use it."""
+"""Read leases: the views that a voter may accept after a grant, and the time for which a tail holds it."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
     assert voter.may_accept(PRESENT, OTHER_TAIL, None, 10.0 + READ_LEASE_TTL_S)
 
 
-def test_a_grant_holds_off_other_tails_and_other_voters() -> None:
+def test_a_grant_prevents_views_with_another_tail_or_other_voters() -> None:
     voter = _voter_without_grants()
     voter.grant(requested_at=20.0, now=20.1)
     end = 20.1 + READ_LEASE_TTL_S
--- a/tests/control_plane/test_replica_answers.py
+++ b/tests/control_plane/test_replica_answers.py
@@ -1,4 +1,4 @@
-"""Answers to an operator: slow disks, refused writes, short chains, stale members, large documents."""
+"""Answers to operators with slow or failing disks, short chains, outdated members and large documents."""
 
 from __future__ import annotations
 
@@ -44,14 +44,14 @@
     assert answer.error is ErrorCode.NO_CONFIGURATION
 
 
-def test_before_any_view_the_answer_comes_at_once() -> None:
+def test_a_change_before_the_first_view_fails_at_once() -> None:
     simulation = Simulation(seed=33)
     simulation.start("m1")
     assert _error(simulation, simulation.put("m1", 0, 1, b"x")) is ErrorCode.NO_QUORUM
 
 
 @pytest.mark.parametrize("address", ["m1", "m2", "m3"])
-def test_stale_matches_are_refused_and_future_ones_get_no_clear_answer(
+def test_stale_matches_are_rejected_and_future_ones_get_an_unclear_answer(
     core: Simulation, address: str
 ) -> None:
     assert core.put_and_wait(address, 0, 2, b"on nothing") is ErrorCode.CONFIGURATION_STALE_MATCH
@@ -59,20 +59,20 @@
     assert core.put_and_wait(address, 1, 1, b"the same number") is ErrorCode.CONFIGURATION_OLD_GENERATION
 
 
-def test_changes_handed_in_at_once_are_taken_in_order(core: Simulation) -> None:
+def test_changes_submitted_at_once_are_accepted_in_order(core: Simulation) -> None:
     calls = [core.put("m1", generation, generation + 1, b"%d" % generation) for generation in range(1, 9)]
     core.run(1.0)
     assert [_error(core, call) for call in calls] == [None] * 8
 
 
-def test_the_same_bytes_while_in_flight_are_acknowledged_with_the_first(core: Simulation) -> None:
+def test_duplicates_of_a_change_in_flight_are_acknowledged_with_it(core: Simulation) -> None:
     calls = [core.put(address, 1, 2, b"second") for address in ("m1", "m2", "m3", "m1")]
     core.run(0.5)
     assert [_error(core, call) for call in calls] == [None] * 4
 
 
 @pytest.mark.parametrize("mode", [DiskMode.FULL, DiskMode.FAILS])
-def test_what_failed_at_the_heads_disk_is_not_passed_on(core: Simulation, mode: DiskMode) -> None:
+def test_an_entry_whose_store_failed_at_the_head_is_not_forwarded(core: Simulation, mode: DiskMode) -> None:
     sent: list[SendMessage] = []
     core.spy = sent.append
     head = core.chain()[0]
@@ -91,7 +91,7 @@
     assert answer.committed.document == b"another"
 
 
-def test_a_stalled_disk_is_answered_within_the_bound(core: Simulation) -> None:
+def test_a_change_is_answered_in_time_despite_a_stalled_disk(core: Simulation) -> None:
     core.set_disk(core.chain()[0], DiskMode.STALLS)
     call = core.put("m3", 1, 2, b"second")
     core.run(ANSWER_LIMIT_S)
@@ -122,7 +122,7 @@
     assert answer.committed is None or answer.committed.generation == 2
 
 
-def test_a_tail_that_was_cut_off_stops_reading_before_the_others_go_on(core: Simulation) -> None:
+def test_a_partitioned_tail_stops_answering_reads_before_a_new_view(core: Simulation) -> None:
     tail = core.chain()[-1]
     core.isolate(tail)
     cut_at = core.now
@@ -133,7 +133,7 @@
     assert core.judge.get_answers[call].error is ErrorCode.NO_QUORUM
 
 
-def test_a_head_that_was_cut_off_does_not_refuse_what_was_acknowledged_meanwhile(core: Simulation) -> None:
+def test_a_partitioned_head_does_not_reject_a_change_acknowledged_by_others(core: Simulation) -> None:
     head = core.chain()[0]
     core.isolate(head)
     core.run(2.0)
@@ -171,7 +171,7 @@
     assert core.put_and_wait("m3", 28, 29, document + b"29") is None
 
 
-def test_the_snapshot_yields_the_state(core: Simulation) -> None:
+def test_the_snapshot_restores_the_state(core: Simulation) -> None:
     assert core.put_and_wait("m2", 1, 2, b"second") is None
     core.run(0.5)
     for address, machine in core.machines.items():
--- a/tests/control_plane/test_replica_fault_points.py
+++ b/tests/control_plane/test_replica_fault_points.py
@@ -1,4 +1,4 @@
-"""Faults at numbered points, each in turn: at every store, at every message, at every step of a repair."""
+"""Faults at each numbered point: at every store, every message and every step of a repair."""
 
 from __future__ import annotations
 
@@ -46,13 +46,13 @@
 MESSAGES, STORES = _counts()
 
 
-def test_the_story_has_points_and_not_too_many() -> None:
+def test_the_number_of_fault_points_is_within_bounds() -> None:
     assert 40 < MESSAGES < MOST_POINTS
     assert 15 < STORES < MOST_POINTS
 
 
 @pytest.mark.parametrize("number", range(1, MESSAGES + 1))
-def test_a_message_is_lost_doubled_or_late(number: int) -> None:
+def test_a_message_is_lost_duplicated_or_late(number: int) -> None:
     for fault in ("lost_messages", "doubled_messages", "late_messages"):
         simulation = Simulation(SEED)
         getattr(simulation, fault).add(number)
@@ -154,7 +154,7 @@
 
 @pytest.mark.parametrize("lost", REPAIRED)
 @pytest.mark.parametrize("number", range(1, 46, 2))
-def test_the_returning_machine_finds_its_disk_lost_at_a_step(lost: str, number: int) -> None:
+def test_the_returning_machine_loses_its_disk_at_a_step(lost: str, number: int) -> None:
     simulation = _with_first_change()
     count = simulation.message_count + number
     simulation.on_message = _once(count, simulation, lambda s, a: s.lose_disk(a, 0.2), lost)
--- a/tests/control_plane/test_replica_membership.py
+++ b/tests/control_plane/test_replica_membership.py
@@ -1,4 +1,4 @@
-"""First start, machines that are replaced, disks that are lost, and who votes."""
+"""First start, replaced machines, lost disks, and the resulting voters."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
 
 
 @pytest.mark.parametrize("moment", [0.05 * step for step in range(1, 16)])
-def test_a_kill_of_all_during_the_first_start_comes_out_the_same(moment: float) -> None:
+def test_a_kill_of_all_processes_during_the_first_start_does_not_change_the_result(moment: float) -> None:
     simulation = Simulation(seed=7)
     simulation.run(moment)
     for address in simulation.machines:
@@ -112,7 +112,7 @@
 
 
 @pytest.mark.parametrize("place", [0, 1, 2])
-def test_unplanned_replacement_old_machine_gone_first(place: int) -> None:
+def test_unplanned_replacement_old_machine_lost_first(place: int) -> None:
     simulation = _with_one_change(seed=5)
     old = simulation.chain()[place]
     simulation.lose_power(old, restart_after=None)
@@ -140,7 +140,7 @@
     check_end(simulation)
 
 
-def test_a_leaving_machine_is_out_of_the_chain_before_it_ends() -> None:
+def test_a_machine_that_shuts_down_is_removed_from_the_chain_before_its_process_ends() -> None:
     simulation = _with_one_change(seed=9)
     for place in (2, 0):
         simulation.run(1.0)
@@ -182,7 +182,7 @@
     check_end(simulation)
 
 
-def test_a_machine_back_after_a_long_time_with_an_old_view_is_taken_in() -> None:
+def test_a_machine_that_returns_with_an_old_view_is_appended_again() -> None:
     simulation = _with_one_change(seed=10)
     simulation.lose_power("m3", restart_after=None)
     simulation.run(2.0)
--- a/tests/control_plane/test_replica_random.py
+++ b/tests/control_plane/test_replica_random.py
@@ -1,4 +1,4 @@
-"""Seeded random schedules of faults and calls; the judge holds each answer and delivery against the rules."""
+"""Seeded random schedules of faults and calls; the judge checks each answer and delivery."""
 
 from __future__ import annotations
 
--- a/tests/control_plane/test_replica_repair.py
+++ b/tests/control_plane/test_replica_repair.py
@@ -1,4 +1,4 @@
-"""After one machine is lost, changes and reads go on within the bound, whichever place it had."""
+"""After the loss of one machine at any place, changes and reads are answered again within the bound."""
 
 from __future__ import annotations
 
@@ -147,7 +147,7 @@
 
 
 @pytest.mark.parametrize("place", [0, 1, 2])
-def test_a_very_short_restart_changes_nothing(place: int) -> None:
+def test_a_very_short_restart_does_not_change_the_view(place: int) -> None:
     simulation = Simulation(seed=4)
     simulation.settle()
     simulation.kill(simulation.chain()[place], restart_after=0.2)
@@ -157,7 +157,7 @@
     assert view.number == 1
 
 
-def test_a_calm_core_keeps_its_view() -> None:
+def test_a_core_without_faults_keeps_its_view() -> None:
     simulation = Simulation(seed=5, machines=5, tolerated=2, seeds=3)
     simulation.settle()
     view = simulation.newest_view()
@@ -165,7 +165,7 @@
     assert simulation.newest_view() == view
 
 
-def test_a_lossy_network_keeps_the_core_in_service() -> None:
+def test_a_core_with_a_lossy_network_stays_in_service() -> None:
     simulation = Simulation(seed=6)
     simulation.settle()
     simulation.network.loss = 0.05
--- a/tests/control_plane/test_replica_stale.py
+++ b/tests/control_plane/test_replica_stale.py
@@ -1,4 +1,4 @@
-"""A replica that lags behind a newer view neither reads, refuses nor takes by what it still believes."""
+"""A replica in an outdated view does not answer reads, or reject or accept changes, by its old state."""
 
 from __future__ import annotations
 
@@ -63,7 +63,7 @@
     assert core.replica(address).majority_reached
 
 
-def test_an_old_tail_does_not_read_without_its_lease(core: Simulation) -> None:
+def test_an_outdated_tail_answers_no_read_without_its_lease(core: Simulation) -> None:
     tail = core.chain()[-1]
     _go_on_without(core, tail)
     _thaw_with_old_pings_alone(core, tail)
@@ -73,7 +73,7 @@
     assert answer.committed is None or answer.committed.generation == 3
 
 
-def test_an_old_head_does_not_refuse_what_was_acknowledged(core: Simulation) -> None:
+def test_an_outdated_head_does_not_reject_an_acknowledged_change(core: Simulation) -> None:
     head = core.chain()[0]
     _go_on_without(core, head)
     _thaw_with_old_pings_alone(core, head)
@@ -82,7 +82,7 @@
     assert core.judge.put_answers[call].error in (None, ErrorCode.NO_QUORUM)
 
 
-def test_chain_messages_of_an_old_view_are_refused(core: Simulation) -> None:
+def test_chain_messages_of_an_old_view_are_ignored(core: Simulation) -> None:
     _go_on_without(core, "m1")
     core.run(0.5)
     replica = core.replica("m3")
@@ -100,7 +100,7 @@
     assert replica.snapshot_records() == before
 
 
-def test_an_acceptance_that_nobody_finishes_is_finished_by_others(core: Simulation) -> None:
+def test_an_unfinished_proposal_is_completed_by_others(core: Simulation) -> None:
     view = core.newest_view()
     assert view is not None
     proposed = View(view.number + 1, view.voters, view.chain[:-1])
@@ -117,7 +117,7 @@
     assert answer.committed is not None
 
 
-def test_no_two_lives_of_a_process_share_a_ballot(core: Simulation) -> None:
+def test_no_two_incarnations_share_a_proposal_number(core: Simulation) -> None:
     proposers: set[str] = set()
 
     def note(effect: SendMessage) -> None:
@@ -138,7 +138,7 @@
     assert len(lives) >= 2
 
 
-def test_a_chain_below_the_minimum_takes_nothing() -> None:
+def test_a_chain_below_the_minimum_length_accepts_nothing() -> None:
     simulation = Simulation(seed=42, machines=1, tolerated=1, seeds=1)
     simulation.settle()
     simulation.run(1.0)
@@ -155,7 +155,7 @@
     return [effect.error for effect in effects if isinstance(effect, PutCompleted)]
 
 
-def test_a_refusal_counts_only_from_the_head_that_was_asked_last() -> None:
+def test_a_rejection_counts_only_from_the_head_of_the_last_request() -> None:
     outbox = Outbox("at-own", 10.0, 0)
     puts = PutForwarder("own:1", outbox, 0.9)
     puts.submit(PutSubmitted(1, 0, 1, b"first"), _view(1, "a"), contact=ContactState.CONFIRMED)
--- a/tests/control_plane/test_unexpected_errors.py
+++ b/tests/control_plane/test_unexpected_errors.py
@@ -1,4 +1,4 @@
-"""An unexpected error does not leave a control scheduler alive without doing its work."""
+"""After an unexpected error a control scheduler continues to work or ends its process."""
 
 from __future__ import annotations
 
@@ -54,14 +54,14 @@
     asyncio.run(run())
 
 
-def test_ticks_go_on_after_an_error_in_one_of_them(tmp_path: Path) -> None:
+def test_ticks_continue_after_an_error_in_one_of_them(tmp_path: Path) -> None:
     surroundings = FailingSurroundings()
     before = unhandled_errors.count
     drive(tmp_path, surroundings, lambda driver: surroundings.ticks >= TICKS)
     assert unhandled_errors.count == before + 1
 
 
-def test_a_replica_that_fails_ends_its_process(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_error_in_the_replica_ends_the_process(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     """Its state is no longer known to be right, and its effects are lost: it starts again from its disk."""
     ended: list[int] = []
     monkeypatch.setattr(driver_module, "end_process", ended.append, raising=False)
@@ -75,7 +75,7 @@
     assert ended[0] == driver_module.REPLICA_FAILED_EXIT
 
 
-def test_a_link_to_a_peer_goes_on_after_an_unexpected_error(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_link_to_a_peer_continues_after_an_unexpected_error(monkeypatch: pytest.MonkeyPatch) -> None:
     failures = [ZeroDivisionError]
 
     async def open_or_fail(address: str, timeout: float) -> Channel:
--- a/tests/control_plane/test_view_agreement.py
+++ b/tests/control_plane/test_view_agreement.py
@@ -1,4 +1,4 @@
-"""Paxos on the next view: any mix of two proposers and three acceptors decides one value."""
+"""Paxos on the next view: any interleaving of proposers and three acceptors decides one value."""
 
 from __future__ import annotations
 
@@ -84,7 +84,7 @@
 
 @given(data=st.data())
 @settings(max_examples=60, deadline=None, derandomize=True)
-def test_one_value_is_decided_whatever_is_lost_doubled_or_restarted(data: st.DataObject) -> None:
+def test_one_value_is_decided_despite_lost_and_duplicated_messages_and_restarts(data: st.DataObject) -> None:
     voters = {member.address: Voter(member) for member in MEMBERS}
     network: list[tuple[str, SendMessage]] = []
     decided: set[View] = set()
@@ -150,11 +150,11 @@
     assert [effect.message for effect in voter.step()] == [ViewDecided(_value("c"))]
 
 
-def test_who_does_not_vote_in_the_present_view_does_not_answer() -> None:
-    stranger = Voter(Member(folder_id="z", address="at-a"))
-    stranger.agreement.receive("at-b", PrepareRequest(2, ProposalNumber(1, "b")))
-    stranger.agreement.receive("at-b", PrepareRequest(3, ProposalNumber(1, "b")))
-    assert stranger.step() == []
+def test_a_replica_that_is_no_voter_of_the_present_view_does_not_answer() -> None:
+    non_voter = Voter(Member(folder_id="z", address="at-a"))
+    non_voter.agreement.receive("at-b", PrepareRequest(2, ProposalNumber(1, "b")))
+    non_voter.agreement.receive("at-b", PrepareRequest(3, ProposalNumber(1, "b")))
+    assert non_voter.step() == []
 
 
 def test_a_decided_view_takes_effect_once_it_is_on_disk() -> None:
@@ -171,7 +171,7 @@
     assert voter.entered == [_value("c")]
 
 
-def test_a_value_that_may_have_been_decided_is_carried_on() -> None:
+def test_a_value_that_may_have_been_decided_is_proposed_again() -> None:
     voters = {member.address: Voter(member) for member in MEMBERS}
     first, second = _value("c"), _value("a")
     for address in ("at-a", "at-b"):
@@ -192,7 +192,7 @@
     assert values == {first}
 
 
-def test_the_records_hold_what_was_promised_and_accepted() -> None:
+def test_the_records_hold_promises_and_acceptances() -> None:
     voter = Voter(MEMBERS[0])
     voter.agreement.receive("at-b", AcceptRequest(2, ProposalNumber(3, "b"), _value("c")))
     voter.step()
--- a/tests/control_plane/test_worst_days_long.py
+++ b/tests/control_plane/test_worst_days_long.py
@@ -1,4 +1,4 @@
-"""After hundreds of changes a member that comes back catches up, and never leads with what it had before."""
+"""After hundreds of changes a returning member catches up before it is used with its old state."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
     scenario.end()
 
 
-def test_all_restarted_after_hundreds_of_changes_go_on_with_the_newest() -> None:
+def test_a_restart_of_all_after_hundreds_of_changes_keeps_the_newest() -> None:
     scenario = fleet_in_service(seed=37)
     _many_changes(scenario)
     newest = scenario.operators.newest()
--- a/tests/control_plane/test_worst_days_losses.py
+++ b/tests/control_plane/test_worst_days_losses.py
@@ -1,4 +1,4 @@
-"""A second loss right after a repair or a replacement, and members that leave while few copies are left."""
+"""A second loss right after a repair or replacement, and members that shut down while few copies exist."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
 
 
 @pytest.mark.parametrize("place", [0, 1, 2])
-def test_disks_lost_one_after_another_as_soon_as_each_machine_has_caught_up(place: int) -> None:
+def test_disks_are_lost_one_after_another_once_each_machine_has_caught_up(place: int) -> None:
     scenario = fleet_in_service(seed=90 + place)
     for turn in range(3):
         address = list(scenario.simulation.machines)[(place + turn) % 3]
@@ -58,7 +58,7 @@
 
 
 @pytest.mark.parametrize("place", [0, 1, 2])
-def test_a_machine_leaves_once_another_with_a_lost_disk_has_caught_up(place: int) -> None:
+def test_a_machine_shuts_down_once_another_with_a_lost_disk_has_caught_up(place: int) -> None:
     scenario = fleet_in_service(seed=95 + place)
     simulation = scenario.simulation
     lost = simulation.chain()[place]
--- a/tests/control_plane/test_worst_days_partition.py
+++ b/tests/control_plane/test_worst_days_partition.py
@@ -1,4 +1,4 @@
-"""A control machine is cut off from the others for twenty seconds; data plane schedulers still reach it."""
+"""A control machine is partitioned for twenty seconds, while data plane schedulers still reach it."""
 
 from __future__ import annotations
 
@@ -28,7 +28,9 @@
 
 @pytest.mark.parametrize("place", [0, 1, 2])
 @pytest.mark.parametrize("direction", list(Direction))
-def test_it_hands_out_nothing_old_and_answers_no_order(place: int, direction: Direction) -> None:
+def test_a_partitioned_machine_delivers_no_outdated_state_and_answers_no_change(
+    place: int, direction: Direction
+) -> None:
     scenario = fleet_in_service(seed=41 + place)
     address = scenario.simulation.chain()[place]
     scenario.simulation.network.holds = direction is not Direction.BOTH
@@ -41,7 +43,7 @@
 
 
 @pytest.mark.parametrize("place", [0, 2])
-def test_restarts_and_seeds_that_begin_with_it_change_nothing(place: int) -> None:
+def test_restarts_and_seeds_that_name_the_partitioned_machine_first_do_no_harm(place: int) -> None:
     scenario = fleet_in_service(seed=51 + place)
     simulation = scenario.simulation
     address = simulation.chain()[place]
@@ -61,7 +63,7 @@
     assert scenario.fleet.judge.looks_in_touch
 
 
-def test_two_of_five_that_reach_each_other_lead_nobody_astray() -> None:
+def test_two_of_five_that_reach_each_other_deliver_no_outdated_state() -> None:
     scenario = fleet_in_service(seed=61, machines=5, tolerated=2)
     simulation = scenario.simulation
     victims = [simulation.chain()[0], simulation.chain()[-1]]
--- a/tests/control_plane/test_worst_days_restart.py
+++ b/tests/control_plane/test_worst_days_restart.py
@@ -1,4 +1,4 @@
-"""Control schedulers come back, all at once or after a cut, while parsing a configuration takes a while."""
+"""Control schedulers restart at once or return from a partition while they parse a large configuration."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 PARSING_S = (0.3, 0.5)  # of a large configuration
 
 
-def test_what_is_not_parsed_yet_is_not_told_as_older_news() -> None:
+def test_an_outdated_version_is_not_confirmed_while_a_newer_one_is_parsed() -> None:
     """A data plane scheduler that missed changes must not be told that what it holds is the newest."""
     for seed in range(101, 105):
         _all_come_back(seed)
@@ -26,7 +26,7 @@
     world.end()
 
 
-def test_who_comes_back_from_a_cut_does_not_tell_old_news_while_it_parses() -> None:
+def test_a_machine_back_from_a_partition_confirms_no_outdated_version_while_it_parses() -> None:
     for place in range(3):
         _one_comes_back(place)
 
@@ -48,7 +48,7 @@
     world.end()
 
 
-def test_a_term_of_the_list_is_not_used_again_once_all_control_schedulers_died() -> None:
+def test_a_worker_list_term_is_not_reused_after_all_control_schedulers_were_killed() -> None:
     """Else a data plane scheduler with the old list takes another one of the same version for its own."""
     world = fleet_in_service(seed=121)
     simulation = world.simulation
--- a/tests/control_plane/view_builders.py
+++ b/tests/control_plane/view_builders.py
@@ -1,4 +1,4 @@
-"""Builders of views and membership snapshots, in which members are named by a letter."""
+"""Builders of views and membership snapshots whose members are named by single letters."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 
 def links_of(names: Iterable[str]) -> tuple[ChainLink, ...]:
-    """Links of a chain that were appended in the first view."""
+    """Chain links of members that were appended in the first view."""
     return tuple(ChainLink(member_named(name), 1) for name in names)
 
 
 def view_of(chain: str, voters: str = "", number: int = 5) -> View:
-    """A view of this chain, whose members vote unless `voters` are given."""
+    """A view with this chain; its members are the voters unless `voters` are given."""
     return View(number, tuple(member_named(name) for name in voters or chain), links_of(chain))
 
 
