--- a/tests/control_plane/features/configuration.feature
+++ b/tests/control_plane/features/configuration.feature
@@ -1,5 +1,5 @@
 Feature: Configuration on a chain of core machines
-  A change is acknowledged once every member of the chain has it on disk, and is then there for good.
+  A change is acknowledged once every member of the chain has it on disk, and is not lost after that.
 
   Background:
     Given a core of 3 machines of which 1 may be lost
@@ -10,25 +10,25 @@
     And generation 1 is read at every machine
     And generation 1 is delivered at every machine
 
-  Scenario: Two changes on top of the same version
+  Scenario: Two competing changes
     Given generation 1 is in force
     When the operator puts generation 2 and generation 3 on top of 1 at m1 and m3 at once
     Then exactly one of them is acknowledged and the other refused with 208
 
-  Scenario: The same bytes again
+  Scenario: A resubmitted change
     Given generation 1 is in force
     And generation 2 is in force
     When the operator puts generation 1 on top of 0 at m3
     Then it is acknowledged
     And generation 2 is read at every machine
 
-  Scenario: The same bytes again after a repair
+  Scenario: A resubmitted change after a repair
     Given generation 1 is in force
     And the head is lost and the chain repaired
     When the operator puts generation 1 on top of 0 at the new head
     Then it is acknowledged
 
-  Scenario: An old number
+  Scenario: An old generation
     Given generation 5 is in force
     When the operator puts generation 4 on top of 5 at m2
     Then it is refused with 207
--- a/tests/control_plane/test_guards_head.py
+++ b/tests/control_plane/test_guards_head.py
@@ -91,7 +91,7 @@
 
 
 def test_a_duplicate_of_a_rejected_request_is_rejected_even_after_other_changes() -> None:
-    """Also one that names what is not reached yet, where that would not make it right."""
+    """A change on a future generation is rejected, too, if it stays invalid once that is in force."""
     head = _head()
     _receive(head, _request("r1", 10, 5))
     _confirm_rejections(head)
--- a/tests/control_plane/test_puts_fault_points.py
+++ b/tests/control_plane/test_puts_fault_points.py
@@ -30,7 +30,7 @@
 
 
 def _competition(simulation: Simulation) -> CompetingChanges:
-    """All send, and after a while all send again, whatever they were told."""
+    """All operators submit their changes, and submit them again later, whatever the answers were."""
     competition = CompetingChanges(simulation, OPERATORS, MATCH, NUMBER)
     for pause in (0.05, 1.5):
         competition.send()
--- a/tests/control_plane/test_puts_features.py
+++ b/tests/control_plane/test_puts_features.py
@@ -17,81 +17,81 @@
 
 
 @dataclass
-class Story:
-    """A core, the operators who compete there, and other calls that the story made."""
+class ScenarioState:
+    """A core, competing changes, and the other calls of a scenario."""
 
     simulation: Simulation
-    contest: CompetingChanges | None = None
+    competition: CompetingChanges | None = None
     calls: list[int] = field(default_factory=list)
-    ends: list[ErrorCode | None] = field(default_factory=list)
+    results: list[ErrorCode | None] = field(default_factory=list)
 
     def put(self, generation: int, match: int, address: str) -> None:
-        """Hand a version to a machine."""
+        """Submit a version to a machine."""
         document = f"version {generation}".encode()
         self.calls.append(self.simulation.put(address, match, generation, document))
 
     def errors(self) -> list[ErrorCode | None]:
-        """The answers to the calls outside the contest."""
+        """The errors of the calls other than the competing changes."""
         self.simulation.run(ANSWER_S)
         return [self.simulation.judge.put_answers[call].error for call in self.calls]
 
-    def rivals(self) -> CompetingChanges:
-        """The operators who compete."""
-        assert self.contest is not None
-        return self.contest
+    def competing(self) -> CompetingChanges:
+        """The competing changes, which must have been submitted."""
+        assert self.competition is not None
+        return self.competition
 
 
 @pytest.fixture
-def story() -> Story:
-    """An empty place for the story."""
-    return Story(Simulation(seed=91))
+def state() -> ScenarioState:
+    """The state of a new scenario."""
+    return ScenarioState(Simulation(seed=91))
 
 
 @given("a core of 3 machines of which 1 may be lost")
-def core(story: Story) -> None:
-    story.simulation.settle()
-    story.simulation.run(1.0)
+def core(state: ScenarioState) -> None:
+    state.simulation.settle()
+    state.simulation.run(1.0)
 
 
 @given(parsers.parse("version {generation:d} is in force"))
-def in_force(story: Story, generation: int) -> None:
+def in_force(state: ScenarioState, generation: int) -> None:
     document = f"version {generation}".encode()
-    assert story.simulation.put_and_wait("m1", 0, generation, document) is None
+    assert state.simulation.put_and_wait("m1", 0, generation, document) is None
 
 
 @when(parsers.parse("{count:d} operators put different versions {generation:d} on top of {match:d} at once"))
-def rivals_put(story: Story, count: int, generation: int, match: int) -> None:
-    story.contest = CompetingChanges(story.simulation, count, match, generation)
-    story.contest.send()
+def competing_put(state: ScenarioState, count: int, generation: int, match: int) -> None:
+    state.competition = CompetingChanges(state.simulation, count, match, generation)
+    state.competition.send()
 
 
 @when("the head is lost before it answers")
-def head_lost(story: Story) -> None:
-    story.simulation.run(0.008)
-    story.simulation.kill(story.simulation.chain()[0], restart_after=3.0)
-    story.simulation.run(ANSWER_S)
+def head_lost(state: ScenarioState) -> None:
+    state.simulation.run(0.008)
+    state.simulation.kill(state.simulation.chain()[0], restart_after=3.0)
+    state.simulation.run(ANSWER_S)
 
 
 @when("all machines lose power and come back")
-def power_lost(story: Story) -> None:
-    story.simulation.run(0.012)
-    for address in story.simulation.machines:
-        story.simulation.lose_power(address)
-    story.simulation.run(ANSWER_S)
-    story.simulation.settle()
+def power_lost(state: ScenarioState) -> None:
+    state.simulation.run(0.012)
+    for address in state.simulation.machines:
+        state.simulation.lose_power(address)
+    state.simulation.run(ANSWER_S)
+    state.simulation.settle()
 
 
-@when("all of them send again")
-def send_again(story: Story) -> None:
-    story.rivals().resend_all()
+@when("all of them submit their changes again")
+def send_again(state: ScenarioState) -> None:
+    state.competing().resend_all()
 
 
 @when(parsers.parse("version {generation:d} is put on top of {match:d}"))
-def put(story: Story, generation: int, match: int) -> None:
-    story.simulation.run(0.5)
-    story.ends = story.rivals().resend_all() if story.contest else []
-    story.put(generation, match, "m2")
-    story.simulation.run(ANSWER_S)
+def put(state: ScenarioState, generation: int, match: int) -> None:
+    state.simulation.run(0.5)
+    state.results = state.competing().resend_all() if state.competition else []
+    state.put(generation, match, "m2")
+    state.simulation.run(ANSWER_S)
 
 
 @when(
@@ -99,41 +99,41 @@
         "version {late:d} is sent on top of {match:d} and at once version {early:d} on top of {base:d}"
     )
 )
-def put_in_wrong_order(story: Story, late: int, match: int, early: int, base: int) -> None:
-    head, *_, tail = story.simulation.chain()
-    story.put(late, match, head)
-    story.put(early, base, tail)
+def put_in_wrong_order(state: ScenarioState, late: int, match: int, early: int, base: int) -> None:
+    head, *_, tail = state.simulation.chain()
+    state.put(late, match, head)
+    state.put(early, base, tail)
 
 
 @then(parsers.parse("exactly one of them is acknowledged and the others are refused with {code:d}"))
-def one_wins(story: Story, code: int) -> None:
-    story.ends = story.rivals().resend_all()
-    assert story.ends.count(None) == 1
-    assert story.ends.count(ErrorCode(code)) == len(story.ends) - 1
-    story.rivals().check()
+def one_wins(state: ScenarioState, code: int) -> None:
+    state.results = state.competing().resend_all()
+    assert state.results.count(None) == 1
+    assert state.results.count(ErrorCode(code)) == len(state.results) - 1
+    state.competing().check()
 
 
-@then("each of them ends the same when it is sent again")
-def same_ends(story: Story) -> None:
-    assert story.ends.count(None) == 1
-    assert story.rivals().resend_all() == story.ends
-    story.rivals().check()
+@then("each of them gets the same result when it is submitted again")
+def same_results(state: ScenarioState) -> None:
+    assert state.results.count(None) == 1
+    assert state.competing().resend_all() == state.results
+    state.competing().check()
 
 
 @then("both are acknowledged")
-def both_acknowledged(story: Story) -> None:
-    assert story.errors() == [None, None]
+def both_acknowledged(state: ScenarioState) -> None:
+    assert state.errors() == [None, None]
 
 
 @then(parsers.parse("it gets {code:d} and no refusal"))
-def no_refusal(story: Story, code: int) -> None:
-    assert story.errors() == [ErrorCode(code)]
+def no_refusal(state: ScenarioState, code: int) -> None:
+    assert state.errors() == [ErrorCode(code)]
 
 
 @then(parsers.parse("version {generation:d} is in force everywhere"))
-def in_force_everywhere(story: Story, generation: int) -> None:
-    for address in story.simulation.machines:
-        answer = story.simulation.get_and_wait(address)
+def in_force_everywhere(state: ScenarioState, generation: int) -> None:
+    for address in state.simulation.machines:
+        answer = state.simulation.get_and_wait(address)
         assert answer is not None
         assert answer.committed is not None
         assert answer.committed.generation == generation
--- a/tests/control_plane/test_puts_history.py
+++ b/tests/control_plane/test_puts_history.py
@@ -26,19 +26,19 @@
 
 LATER_CHANGES = 5000
 FIRST = 5
-LOST = FIRST + 1  # generation of the orders that lost against the first
+REJECTED = FIRST + 1  # generation of a change that was rejected in favour of the first
 
 
 def _document(generation: int) -> bytes:
     return b"generation %d" % generation
 
 
-def _core_with_rivals() -> DirectCore:
-    """Generation 5 wins against a rival of the same number, and one of a higher number."""
+def _core_with_competing_changes() -> DirectCore:
+    """Generation 5 is accepted; competing changes of the same and of a higher generation are rejected."""
     core = DirectCore()
     assert core.put("m2", 0, FIRST, _document(FIRST)) is None
-    assert core.put("m3", 0, FIRST, b"a rival") is ErrorCode.CONFIGURATION_STALE_MATCH
-    assert core.put("m1", 0, LOST, b"another rival") is ErrorCode.CONFIGURATION_STALE_MATCH
+    assert core.put("m3", 0, FIRST, b"a competing change") is ErrorCode.CONFIGURATION_STALE_MATCH
+    assert core.put("m1", 0, REJECTED, b"another competing change") is ErrorCode.CONFIGURATION_STALE_MATCH
     return core
 
 
@@ -48,39 +48,45 @@
     return after + count
 
 
-def _check_ends(core: DirectCore) -> None:
+def _check_results(core: DirectCore) -> None:
     for address in core.addresses:
         assert core.put(address, 0, FIRST, _document(FIRST)) is None
-        assert core.put(address, 0, FIRST, b"a rival") is ErrorCode.CONFIGURATION_STALE_MATCH
-        assert core.put(address, 0, LOST, b"another rival") is ErrorCode.CONFIGURATION_STALE_MATCH
+        assert core.put(address, 0, FIRST, b"a competing change") is ErrorCode.CONFIGURATION_STALE_MATCH
+        assert (
+            core.put(address, 0, REJECTED, b"another competing change") is ErrorCode.CONFIGURATION_STALE_MATCH
+        )
 
 
 def test_resubmitted_changes_get_the_same_result_after_many_changes_a_restart_and_a_snapshot() -> None:
-    core = _core_with_rivals()
+    core = _core_with_competing_changes()
     _change(core, LATER_CHANGES, after=FIRST)
-    _check_ends(core)
+    _check_results(core)
     core.restart()
-    _check_ends(core)
-    for address in core.addresses:  # in the end every copy comes from a snapshot
+    _check_results(core)
+    for address in core.addresses:  # in the end every copy was installed by a snapshot
         core.lose_disk(address)
         core.start(address)
         core.run(5.0)
         assert core.replicas[address].in_chain
-    _check_ends(core)
+    _check_results(core)
     core.restart()
-    _check_ends(core)
+    _check_results(core)
 
 
 def test_a_change_evicted_from_the_history_gets_an_unclear_answer() -> None:
-    core = _core_with_rivals()
+    core = _core_with_competing_changes()
     newest = _change(core, MAX_HISTORY_CHANGES, after=FIRST)
     oldest = newest - MAX_HISTORY_CHANGES + 1
     for _ in range(2):
         assert core.put("m2", 0, FIRST, _document(FIRST)) is ErrorCode.WRITE_UNCLEAR
-        assert core.put("m3", 0, FIRST, b"a rival") is ErrorCode.WRITE_UNCLEAR
+        assert core.put("m3", 0, FIRST, b"a competing change") is ErrorCode.WRITE_UNCLEAR
         assert core.put("m3", oldest - 1, oldest, _document(oldest)) is None
-        assert core.put("m3", oldest - 1, oldest, b"a rival") is ErrorCode.CONFIGURATION_STALE_MATCH
-        assert core.put("m3", newest - 1, newest, b"a rival") is ErrorCode.CONFIGURATION_STALE_MATCH
+        assert (
+            core.put("m3", oldest - 1, oldest, b"a competing change") is ErrorCode.CONFIGURATION_STALE_MATCH
+        )
+        assert (
+            core.put("m3", newest - 1, newest, b"a competing change") is ErrorCode.CONFIGURATION_STALE_MATCH
+        )
         core.restart()
 
 
--- a/tests/control_plane/test_puts_invalid.py
+++ b/tests/control_plane/test_puts_invalid.py
@@ -22,7 +22,7 @@
 from tests.control_plane.direct_core import DirectCore
 from tests.control_plane_process.stand_ins import configuration
 
-FINAL = {  # the errors that end an order; whatever got another one may be in force
+FINAL = {  # a change that gets any other error may be in force
     ErrorCode.CONFIGURATION_UNREADABLE,
     ErrorCode.CONFIGURATION_FIELD,
     ErrorCode.CONFIGURATION_UNKNOWN_UPSTREAM,
@@ -40,7 +40,7 @@
 
 
 class CoreBackend:
-    """Puts operators' changes into a core that is driven directly; reads are not used."""
+    """A backend that submits changes to a `DirectCore`; reads are not used."""
 
     def __init__(self, core: DirectCore) -> None:
         self._core = core
@@ -50,11 +50,11 @@
         return parse_configuration(document)
 
     def holds_majority(self) -> bool:
-        """It does, as nothing fails here."""
+        """True, as there are no faults."""
         return True
 
     async def put(self, match: int, generation: int, document: bytes) -> PutCompleted:
-        """Have the configuration replicated."""
+        """Replicate the configuration."""
         return PutCompleted(1, self._core.put("m2", match, generation, document))
 
     async def get(self) -> GetCompleted:
@@ -78,7 +78,7 @@
         raise NotImplementedError
 
     def call_completed(self, call: CompletedCall) -> None:
-        """Nothing is recorded."""
+        """Do nothing."""
 
 
 def _status(core: DirectCore, match: str, document: bytes) -> int:
--- a/tests/control_plane/test_puts_rejected.py
+++ b/tests/control_plane/test_puts_rejected.py
@@ -13,7 +13,7 @@
 from tests.control_plane.schedule import Faults, check_end, come_back
 from tests.control_plane.simulation import Simulation
 
-ASKER = "asker:1"
+FORWARDER = "forwarder:1"
 STALE = ErrorCode.CONFIGURATION_STALE_MATCH
 OLD = ErrorCode.CONFIGURATION_OLD_GENERATION
 UNCLEAR = ErrorCode.WRITE_UNCLEAR
@@ -63,7 +63,7 @@
 
 @pytest.mark.parametrize("restart", [False, True])
 def test_a_late_duplicate_of_an_early_change_contradicts_no_answer(restart: bool) -> None:
-    """The copy that is late may be taken: the first one was not refused."""
+    """The late duplicate may be accepted, as the first request was not rejected."""
     core = DirectCore()
     assert core.put("m2", 0, 1, b"first") is None
     first_answer = core.put("m2", 2, 3, b"third")
@@ -73,30 +73,30 @@
         core.restart()
     view = core.replicas[core.head()].view
     assert view is not None
-    core.inject(core.head(), MessageReceived("m3", PutRequest(view.number, f"{ASKER}:1", 2, 3, b"third")))
+    core.inject(core.head(), MessageReceived("m3", PutRequest(view.number, f"{FORWARDER}:1", 2, 3, b"third")))
     assert core.put("m3", 2, 3, b"third") is None
 
 
 def test_no_duplicate_of_a_rejected_change_is_accepted_later() -> None:
     core = DirectCore()
     assert core.put("m2", 0, 10, b"tenth") is None
-    refused = {
+    rejected = {
         (0, 11, b"on nothing"): STALE,
         (9, 11, b"on what never was"): STALE,
         (10, 10, b"same number"): OLD,
         (10, 4, b"lower number"): OLD,
         (20, 15, b"below what it builds on"): OLD,
     }
-    for (match, generation, document), error in refused.items():
+    for (match, generation, document), error in rejected.items():
         assert core.put("m3", match, generation, document) is error
     for generation in range(11, 31):
         assert core.put("m1", generation - 1, generation, b"%d" % generation) is None
-        for match, other, document in refused:
+        for match, other, document in rejected:
             assert core.put("m3", match, other, document) in REJECTED
         if generation % 5 == 0:
             core.restart()
     stored = {record.entry.document for record in _stored_entries(core)}
-    assert not stored & {document for _, _, document in refused}
+    assert not stored & {document for _, _, document in rejected}
 
 
 def _stored_entries(core: DirectCore) -> list[EntryRecord]:
@@ -105,7 +105,7 @@
 
 
 def test_the_same_document_with_another_match() -> None:
-    """Refused on top of a stale version, it may be sent on top of the newest one, and is then known."""
+    """After a rejection it may be submitted with the newest match; it is then in the history."""
     core = DirectCore()
     assert core.put("m1", 0, 5, b"fifth") is None
     assert core.put("m2", 3, 7, b"seventh") is STALE
@@ -124,17 +124,17 @@
     simulation.run(2.0)
     for address in simulation.chain():
         assert simulation.put_and_wait(address, 1, 2, b"second") is None
-        assert simulation.put_and_wait(address, 1, 2, b"a rival") is STALE
+        assert simulation.put_and_wait(address, 1, 2, b"a competing change") is STALE
 
 
 def test_a_restarted_head_may_accept_a_duplicate_of_an_expired_change() -> None:
-    """The answer of its first life must not be a refusal, as its second life knows nothing of it."""
+    """The first answer must not be a rejection, as the head does not know it after its restart."""
     core = DirectCore()
     head = core.head()
     assert core.put("m2", 0, 1, b"first") is None
     view = core.replicas[head].view
     assert view is not None
-    request = PutRequest(view.number, f"{ASKER}:1", 2, 3, b"third")
+    request = PutRequest(view.number, f"{FORWARDER}:1", 2, 3, b"third")
     core.sent.clear()
     core.inject(head, MessageReceived("m9", request))
     core.run(1.0)
@@ -150,14 +150,14 @@
 
 
 def test_a_duplicate_gets_the_same_answer_though_its_reply_is_not_cached_any_more() -> None:
-    """More answers than are kept; each copy of a request then gets an answer that fits its first one."""
+    """There are more requests than cached replies; each duplicate still gets the same answer."""
     core = DirectCore()
     assert core.put("m2", 0, 1, b"first") is None
     head = core.head()
     view = core.replicas[head].view
     assert view is not None
-    requests = [PutRequest(view.number, f"{ASKER}:{n}", n, n + 1, b"%d" % (n + 1)) for n in range(1, 701)]
-    requests += [PutRequest(view.number, f"{ASKER}:{n + 700}", n, n + 1, b"rival") for n in range(1, 701)]
+    requests = [PutRequest(view.number, f"{FORWARDER}:{n}", n, n + 1, b"%d" % (n + 1)) for n in range(1, 701)]
+    requests += [PutRequest(view.number, f"{FORWARDER}:{n + 700}", n, n + 1, b"rival") for n in range(1, 701)]
     first = _answers_to(core, head, requests)
     again = _answers_to(core, head, requests)
     assert first == again
--- a/tests/control_plane/test_puts_requests.py
+++ b/tests/control_plane/test_puts_requests.py
@@ -24,12 +24,12 @@
 from tests.control_plane.simulation import Simulation
 
 STEPS = 25
-MOST_EXTRA_DELAY_S = 2.5  # longer than an answer may take and a repair lasts
+MOST_EXTRA_DELAY_S = 2.5  # longer than the limit on an answer and than a repair
 SHUFFLED = (PutRequest, PutReply, GetRequest, GetReply)
 
 
 class ShufflingSimulation(Simulation):
-    """Requests and replies come one to three times, each copy after a delay of its own."""
+    """Delivers requests and replies one to three times, each copy after a delay of its own."""
 
     shuffles = True
 
@@ -59,51 +59,51 @@
     check_end(simulation)
 
 
-# ---- names ----
+# ---- request ids ----
 
 
-class Quiet(ReplicaEnvironment):
-    """A process of which nothing is asked."""
+class EmptyEnvironment(ReplicaEnvironment):
+    """A process environment that does nothing."""
 
     def send(self, effect: SendMessage) -> None:
-        """Nothing is sent."""
+        """Do nothing."""
 
     def deliver(self, committed: CommittedConfiguration) -> None:
-        """Nothing is delivered."""
+        """Do nothing."""
 
     def view_changed(self, view: View) -> None:
-        """Nothing is told."""
+        """Do nothing."""
 
     def ticked(self) -> None:
-        """Nothing is done."""
+        """Do nothing."""
 
 
 def test_request_names_are_unique_to_each_incarnation(
     monkeypatch: pytest.MonkeyPatch, tmp_path: Path
 ) -> None:
-    """The same folder and the same clock, as after a reboot, and yet no name comes again."""
+    """Names are unique even with the same folder and the same clock reading, as after a reboot."""
     names: list[str] = []
 
-    class Noting(Replica):
+    class RecordingReplica(Replica):
         def __init__(
             self, settings: ReplicaSettings, records: Sequence[bytes], now: float, incarnation: str
         ) -> None:
             names.append(f"{settings.folder_id}:{incarnation}")
             super().__init__(settings, records, now, incarnation)
 
-    monkeypatch.setattr(replica_storage, "Replica", Noting)
+    monkeypatch.setattr(replica_storage, "Replica", RecordingReplica)
 
-    async def live() -> None:
+    async def run_process() -> None:
         count = len(names)
         loop = asyncio.get_running_loop()
         monkeypatch.setattr(loop, "time", lambda: 1.0)
         settings = NodeSettings("node", "127.0.0.1", "za", data_dir=str(tmp_path))
-        ReplicaDriver(settings, "127.0.0.1:1", Quiet()).start()
+        ReplicaDriver(settings, "127.0.0.1:1", EmptyEnvironment()).start()
         while len(names) == count:
             await asyncio.sleep(0)
 
     for _ in range(3):
-        asyncio.run(live())
+        asyncio.run(run_process())
     assert len({name.partition(":")[0] for name in names}) == 1
     assert len(set(names)) == 3
 
@@ -119,14 +119,14 @@
     sent: set[str] = set()
     simulation.spy = lambda effect: _note_request(effect, sent)
     simulation.settle()
-    asker = simulation.chain()[-1]
-    assert simulation.put_and_wait(asker, 0, 1, b"first") is None
+    forwarder = simulation.chain()[-1]
+    assert simulation.put_and_wait(forwarder, 0, 1, b"first") is None
     first = set(sent)
-    simulation.kill(asker, restart_after=0.1)
+    simulation.kill(forwarder, restart_after=0.1)
     simulation.run(2.0)
     simulation.settle()
     sent.clear()
-    assert simulation.put_and_wait(asker, 1, 2, b"second") is None
+    assert simulation.put_and_wait(forwarder, 1, 2, b"second") is None
     assert first
     assert sent
     assert not first & sent
@@ -140,7 +140,7 @@
 # ---- confirmations of rejections ----
 
 
-def _refusals(name: str, outbox: Outbox) -> RejectionConfirmer:
+def _confirmer(name: str, outbox: Outbox) -> RejectionConfirmer:
     rejections = RejectionConfirmer(name, outbox)
     rejections.enter_view(1, Member(folder_id="t", address="tail"))
     return rejections
@@ -155,32 +155,32 @@
 def test_a_late_confirmation_does_not_count_after_a_restart_of_the_head() -> None:
     outbox = Outbox("head", 10.0, 0)
     ends: list[bool] = []
-    first_life = _refusals("head:1", outbox)
-    first_life.add("asker:1:1", 11.0, ends.append)
+    first_head = _confirmer("head:1", outbox)
+    first_head.add("forwarder:1:1", 11.0, ends.append)
     late = GetReply(1, _key(outbox), ready=True)
-    second_life = _refusals("head:2", outbox)
-    second_life.add("asker:1:1", 11.0, ends.append)
+    second_head = _confirmer("head:2", outbox)
+    second_head.add("forwarder:1:1", 11.0, ends.append)
     key = _key(outbox)
-    assert second_life.receive_reply(late)
+    assert second_head.receive_reply(late)
     assert ends == []
-    assert second_life.receive_reply(GetReply(1, key, ready=True))
+    assert second_head.receive_reply(GetReply(1, key, ready=True))
     assert ends == [True]
 
 
 def test_a_confirmation_counts_once_in_its_view_and_only_when_ready() -> None:
     outbox = Outbox("head", 10.0, 0)
     ends: list[bool] = []
-    rejections = _refusals("head:1", outbox)
-    rejections.add("asker:1:1", 11.0, ends.append)
+    rejections = _confirmer("head:1", outbox)
+    rejections.add("forwarder:1:1", 11.0, ends.append)
     key = _key(outbox)
     rejections.receive_reply(GetReply(1, key, ready=False))
     rejections.receive_reply(GetReply(2, key, ready=True))
     assert ends == []
-    assert rejections.is_pending("asker:1:1")
+    assert rejections.is_pending("forwarder:1:1")
     rejections.receive_reply(GetReply(1, key, ready=True))
     rejections.receive_reply(GetReply(1, key, ready=True))
     assert ends == [True]
-    assert not rejections.is_pending("asker:1:1")
+    assert not rejections.is_pending("forwarder:1:1")
 
 
 def test_a_rejection_that_is_not_confirmed_becomes_an_unclear_answer() -> None:
--- a/tests/control_plane/test_replica_answers.py
+++ b/tests/control_plane/test_replica_answers.py
@@ -19,7 +19,7 @@
 from tests.control_plane.simulated_parts import DiskMode
 from tests.control_plane.simulation import Simulation
 
-ANSWER_LIMIT_S = 0.9 + 0.1  # the bound on an answer, and two ticks
+ANSWER_LIMIT_S = 0.9 + 0.1  # the limit on an answer plus two ticks
 
 
 @pytest.fixture
--- a/tests/control_plane/test_replica_fault_points.py
+++ b/tests/control_plane/test_replica_fault_points.py
@@ -14,8 +14,8 @@
 MOST_POINTS = 400
 
 
-def _story(simulation: Simulation) -> None:
-    """A first start, two changes, the loss of the head, a change, its return, and a lost disk."""
+def _run_schedule(simulation: Simulation) -> None:
+    """A first start, two changes, the loss and return of the head, and further changes."""
     simulation.run(0.6)
     simulation.put("m2", 0, 1, b"first")
     simulation.run(0.1)
@@ -26,7 +26,7 @@
     simulation.put("m2", 2, 3, b"third")
     simulation.run(0.7)
     simulation.put("m3", 3, 4, b"fourth")
-    simulation.put("m1", 3, 5, b"a rival of the fourth")
+    simulation.put("m1", 3, 5, b"competes with the fourth")
     simulation.run(0.3)
 
 
@@ -39,7 +39,7 @@
 
 def _counts() -> tuple[int, int]:
     simulation = Simulation(SEED)
-    _story(simulation)
+    _run_schedule(simulation)
     return simulation.message_count, simulation.store_count
 
 
@@ -56,7 +56,7 @@
     for fault in ("lost_messages", "doubled_messages", "late_messages"):
         simulation = Simulation(SEED)
         getattr(simulation, fault).add(number)
-        _story(simulation)
+        _run_schedule(simulation)
         _finish(simulation)
 
 
@@ -74,7 +74,7 @@
     for fault in (cut, freeze):
         simulation = Simulation(SEED)
         simulation.on_message = _once(number, simulation, fault, chosen)
-        _story(simulation)
+        _run_schedule(simulation)
         _finish(simulation)
 
 
@@ -96,7 +96,7 @@
     ):
         simulation = Simulation(seed)
         simulation.on_store = _once(number, simulation, fault, address)
-        _story(simulation)
+        _run_schedule(simulation)
         _finish(simulation)
 
 
@@ -114,8 +114,8 @@
 REPAIRED = ["m1", "m2", "m3"]
 
 
-def _repair_story(simulation: Simulation, lost: str) -> None:
-    """One machine is away; the chain goes on without it, and takes it back."""
+def _run_repair(simulation: Simulation, lost: str) -> None:
+    """One machine is frozen; the chain is repaired without it, and it is appended again."""
     simulation.freeze(lost)
     simulation.run(1.8)
     simulation.thaw(lost)
@@ -125,7 +125,7 @@
 def _repair_points(lost: str) -> list[tuple[str, int]]:
     simulation = _with_first_change()
     before = simulation.message_count
-    _repair_story(simulation, lost)
+    _run_repair(simulation, lost)
     return [(lost, number) for number in range(1, simulation.message_count - before + 1, 2)]
 
 
@@ -143,7 +143,7 @@
             simulation = _with_first_change()
             count = simulation.message_count + number
             simulation.on_message = _once(count, simulation, _isolate, other)
-            _repair_story(simulation, lost)
+            _run_repair(simulation, lost)
             _finish(simulation)
             assert simulation.judge.newest_read == 1
 
@@ -158,6 +158,6 @@
     simulation = _with_first_change()
     count = simulation.message_count + number
     simulation.on_message = _once(count, simulation, lambda s, a: s.lose_disk(a, 0.2), lost)
-    _repair_story(simulation, lost)
+    _run_repair(simulation, lost)
     _finish(simulation)
     assert simulation.judge.newest_read == 1
--- a/tests/control_plane/test_replica_membership.py
+++ b/tests/control_plane/test_replica_membership.py
@@ -44,7 +44,7 @@
     simulation = Simulation(seed=1, machines=machines, tolerated=1)
     simulation.settle(8.0)
     assert len(simulation.chain()) == machines
-    assert len(_voters(simulation)) == 3, "enough for one loss"
+    assert len(_voters(simulation)) == 3, "three voters tolerate one loss"
     simulation.run(ESTABLISHED_MIN_REACHABLE_S + 2.0)
     assert len(_voters(simulation)) == (machines if machines % 2 else machines - 1)
 
@@ -101,7 +101,9 @@
     old = simulation.chain()[place]
     simulation.add_machine("n1")
     simulation.settle()
-    assert _voters(simulation) == {"m1", "m2", "m3"}, "it and the one that it replaces count as one loss"
+    assert _voters(simulation) == {"m1", "m2", "m3"}, (
+        "the new machine and the one that it replaces count as one loss"
+    )
     simulation.leave(old)
     simulation.run(1.0)
     del simulation.machines[old]
@@ -117,7 +119,7 @@
     old = simulation.chain()[place]
     simulation.lose_power(old, restart_after=None)
     simulation.run(2.5)
-    assert old in _voters(simulation), "voters are not reduced below what is needed"
+    assert old in _voters(simulation), "voters are not reduced below the target"
     del simulation.machines[old]
     simulation.add_machine("n1")
     simulation.settle()
@@ -165,7 +167,7 @@
 
 
 def _final_fault(machines: int, tolerated: int, lost: tuple[int, ...], seed: int) -> None:
-    """Right after an acknowledgement; the operator reads back."""
+    """The fault strikes right after an acknowledgement, and the change must still be readable."""
     simulation = _with_one_change(seed, machines, tolerated)
     assert simulation.put_and_wait("m3", 1, 2, b"second") is None
     for place, address in enumerate(list(simulation.machines)):
--- a/tests/control_plane/test_replica_repair.py
+++ b/tests/control_plane/test_replica_repair.py
@@ -96,8 +96,8 @@
     simulation.settle()
     assert simulation.put_and_wait("m1", 0, 1, b"first") is None
     lost = simulation.chain()[place]
-    harmed = loss(simulation, lost)
-    others = [address for address in simulation.machines if address not in harmed]
+    affected = loss(simulation, lost)
+    others = [address for address in simulation.machines if address not in affected]
     started = simulation.now
     generation = _change_until_acknowledged(simulation, others)
     assert simulation.now - started <= REPAIR_LIMIT_S
@@ -111,7 +111,7 @@
 
 
 def _change_until_acknowledged(simulation: Simulation, addresses: list[str]) -> int:
-    """An operator's loop: the same bytes again after an unclear answer, each time at the next machine."""
+    """Submit one change until it is acknowledged, after each unclear answer at the next machine."""
     for attempt in range(50):
         address = addresses[attempt % len(addresses)]
         answer = simulation.put_and_wait(address, 1, 2, b"second")
--- a/tests/control_plane/test_replica_stale.py
+++ b/tests/control_plane/test_replica_stale.py
@@ -39,8 +39,8 @@
     return simulation
 
 
-def _go_on_without(core: Simulation, address: str) -> None:
-    """One member is stopped; the others acknowledge two changes."""
+def _change_without(core: Simulation, address: str) -> None:
+    """Stop one member; the others acknowledge two changes."""
     core.freeze(address)
     core.run(2.0)
     other = core.chain()[0]
@@ -48,25 +48,28 @@
     assert core.put_and_wait(other, 2, 3, b"third") is None
 
 
-def _thaw_with_old_pings_alone(core: Simulation, address: str) -> None:
-    """What it finds first makes it believe that all are in reach and nothing has changed."""
-
+def _thaw_with_old_heartbeats_only(core: Simulation, address: str) -> None:
+    """Continue with only the queued heartbeats of the old view, by which all replicas seem reachable."""
     machine = core.machines[address]
     own = machine.disk.folder_id
 
-    def is_old_ping(event: Event) -> bool:
-        ping = event.message if isinstance(event, MessageReceived) else None
-        return isinstance(ping, Heartbeat) and ping.view_number == OLD_VIEW and own in ping.receives_from
+    def is_old_heartbeat(event: Event) -> bool:
+        heartbeat = event.message if isinstance(event, MessageReceived) else None
+        return (
+            isinstance(heartbeat, Heartbeat)
+            and heartbeat.view_number == OLD_VIEW
+            and own in heartbeat.receives_from
+        )
 
-    machine.missed = [event for event in machine.missed if is_old_ping(event)]
+    machine.missed = [event for event in machine.missed if is_old_heartbeat(event)]
     core.thaw(address)
     assert core.replica(address).majority_reached
 
 
 def test_an_outdated_tail_answers_no_read_without_its_lease(core: Simulation) -> None:
     tail = core.chain()[-1]
-    _go_on_without(core, tail)
-    _thaw_with_old_pings_alone(core, tail)
+    _change_without(core, tail)
+    _thaw_with_old_heartbeats_only(core, tail)
     call = core.get(tail)
     core.run(1.5)
     answer = core.judge.get_answers[call]
@@ -75,15 +78,15 @@
 
 def test_an_outdated_head_does_not_reject_an_acknowledged_change(core: Simulation) -> None:
     head = core.chain()[0]
-    _go_on_without(core, head)
-    _thaw_with_old_pings_alone(core, head)
+    _change_without(core, head)
+    _thaw_with_old_heartbeats_only(core, head)
     call = core.put(head, 2, 3, b"third")
     core.run(1.5)
     assert core.judge.put_answers[call].error in (None, ErrorCode.NO_QUORUM)
 
 
 def test_chain_messages_of_an_old_view_are_ignored(core: Simulation) -> None:
-    _go_on_without(core, "m1")
+    _change_without(core, "m1")
     core.run(0.5)
     replica = core.replica("m3")
     stray = Entry(4, OLD_VIEW, 9, b"stray")
@@ -104,9 +107,9 @@
     view = core.newest_view()
     assert view is not None
     proposed = View(view.number + 1, view.voters, view.chain[:-1])
-    message = AcceptRequest(proposed.number, ProposalNumber(50, "gone:1"), proposed, released_at=FAR_LATER)
+    message = AcceptRequest(proposed.number, ProposalNumber(50, "lost:1"), proposed, released_at=FAR_LATER)
     for address in ("m1", "m2"):
-        core.inject(address, MessageReceived("gone", message))
+        core.inject(address, MessageReceived("lost", message))
     core.run(2.5)
     core.settle()
     newest = core.newest_view()
@@ -134,8 +137,8 @@
         core.kill(core.chain()[0], restart_after=0.1)
         core.run(1.0)
         core.settle()
-    lives = [proposer for proposer in proposers if proposer.startswith("0001:")]
-    assert len(lives) >= 2
+    incarnations = [proposer for proposer in proposers if proposer.startswith("0001:")]
+    assert len(incarnations) >= 2
 
 
 def test_a_chain_below_the_minimum_length_accepts_nothing() -> None:
--- a/tests/control_plane/test_unexpected_errors.py
+++ b/tests/control_plane/test_unexpected_errors.py
@@ -62,7 +62,7 @@
 
 
 def test_an_error_in_the_replica_ends_the_process(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Its state is no longer known to be right, and its effects are lost: it starts again from its disk."""
+    """The state may be wrong and effects are lost, so the next process restores the state from disk."""
     ended: list[int] = []
     monkeypatch.setattr(driver_module, "end_process", ended.append, raising=False)
 
--- a/tests/control_plane/test_view_agreement.py
+++ b/tests/control_plane/test_view_agreement.py
@@ -29,7 +29,7 @@
 
 
 class Voter:
-    """One replica's part in the agreement, with a disk that works at once unless told otherwise."""
+    """The view agreement of one replica; its stores end at once, and fail if `disk_works` is False."""
 
     def __init__(self, member: Member, records: list[bytes] | None = None) -> None:
         self.member = member
@@ -40,7 +40,7 @@
         self.start()
 
     def start(self) -> None:
-        """A new process on the same disk, long after the leases of the old one."""
+        """Start a new process on the same disk, after the leases of the old one have expired."""
         self.incarnations += 1
         settings_ = ReplicaSettings(
             folder_id=self.member.folder_id,
@@ -61,7 +61,7 @@
         self.outbox.now = START + READ_LEASE_TTL_S + 1
 
     def step(self) -> list[SendMessage]:
-        """Carry out stores; return what is to be sent, messages to itself among them."""
+        """Carry out stores; return the messages to send, including those to itself."""
         sent = [SendMessage(self.member.address, message) for message in self.outbox.take_own_messages()]
         for effect in self.outbox.take_effects():
             if isinstance(effect, SendMessage):
--- a/tests/control_plane/test_worst_days_losses.py
+++ b/tests/control_plane/test_worst_days_losses.py
@@ -12,7 +12,7 @@
 
 
 def _replace(scenario: FaultScenario, old: str, planned: bool) -> None:
-    """A new machine at a new address with an empty disk; the old one goes before it comes, or after."""
+    """Replace a machine by a new one with an empty disk and another address, added first if `planned`."""
     simulation = scenario.simulation
     if planned:
         simulation.add_machine("n1")
--- a/tests/control_plane/test_worst_days_partition.py
+++ b/tests/control_plane/test_worst_days_partition.py
@@ -10,18 +10,18 @@
 from tests.control_plane.simulated_parts import Direction
 
 CUT_S = 20.0
-DETECTED_S = 2.0  # a machine knows by then that it is cut off
+DETECTED_S = 2.0  # by then a machine has detected that it is cut off
 UNCLEAR = (ErrorCode.NO_QUORUM, ErrorCode.WRITE_UNCLEAR)
 
 
 def _answers_while_cut_off(scenario: FaultScenario, address: str, seconds: float) -> None:
-    """Orders go to the machine that is cut off first; it neither confirms nor refuses any."""
+    """Changes are submitted to the partitioned machine first, which neither accepts nor rejects any."""
     simulation = scenario.simulation
     before = set(simulation.judge.put_answers)
     orders = run_with_orders(scenario, seconds, at=address)
-    asked_there = set(simulation.machines[address].calls.values())
+    calls_there = set(simulation.machines[address].calls.values())
     for call, answer in simulation.judge.put_answers.items():
-        if call in asked_there and call not in before:
+        if call in calls_there and call not in before:
             assert answer.error in UNCLEAR
     assert len(acknowledged(scenario, orders)) > seconds / 4
 
