--- a/tests/control_plane/direct_core.py
+++ b/tests/control_plane/direct_core.py
@@ -66,7 +66,7 @@
             machines_tolerated=self._tolerated,
         )
         records = list(self.disks[address])
-        self.replicas[address] = Replica(settings, records, self.now, f"life-{self._incarnations}")
+        self.replicas[address] = Replica(settings, records, self.now, f"incarnation-{self._incarnations}")
 
     def run(self, duration: float) -> None:
         """Let time pass."""
--- a/tests/control_plane/fault_injection.py
+++ b/tests/control_plane/fault_injection.py
@@ -73,7 +73,7 @@
         for address in self._victims(rng, most=1):
             self._log(f"SIGTERM of {address}")
             gone_after = rng.uniform(0.3, 1.0)
-            self._simulation.leave(address, gone_after)
+            self._simulation.shut_down(address, gone_after)
             self._later(gone_after + rng.uniform(0.1, 1.0), partial(self._start, address))
 
     # ---- disks ----
@@ -133,7 +133,9 @@
         victims = self._victims(rng)
         if not victims or simulation.network.cut:
             return
-        shape = rng.choice(["silent", "holds", "from them", "to them", "both restarted", "new seeds", "meet"])
+        shape = rng.choice(
+            ["lossy", "holds", "from them", "to them", "both restarted", "new seeds", "competing changes"]
+        )
         self._log(f"cut off {', '.join(victims)} for {seconds:.1f} s: {shape}")
         directions = {"from them": Direction.FROM_THEM, "to them": Direction.TO_THEM}
         simulation.network.holds = shape in ("holds", "from them", "to them")
@@ -146,7 +148,7 @@
         elif shape == "new seeds":
             simulation.change_seeds(tuple([*victims, *others][:SEEDS]))
             self._restart_in_turn(rng.sample(others, min(1, len(others))), victims, rng)
-        if shape == "meet":
+        if shape == "competing changes":
             self._order_at(victims, seconds / 2)
             self._order_at(victims, seconds)
         self._later(seconds, self._join)
@@ -188,7 +190,7 @@
     def noise(self, rng: Random) -> None:
         """Messages are lost, duplicated and late."""
         network = self._simulation.network
-        network.loss, network.doubled, network.late = rng.choice([(0.02, 0.1, 0.1), (0.2, 0.0, 0.1)])
+        network.loss, network.duplicated, network.late = rng.choice([(0.02, 0.1, 0.1), (0.2, 0.0, 0.1)])
         self._simulation.disturbances.record(self._simulation.now, *self._simulation.machines)
         self._log(f"noise {network.loss}")
         self._later(rng.uniform(0.5, NOISE_S), self._simulation.end_message_faults)
@@ -199,7 +201,7 @@
         """New machines with empty disks are added at new addresses; then the old ones get SIGTERM."""
         for old in self._replaceable(rng):
             new = self._add_in_place_of(old, rng)
-            self._log(f"{new} comes, {old} leaves")
+            self._log(f"{new} starts, {old} shuts down")
             leaves_after = rng.uniform(0.5, 5.0)
             gone_after = rng.uniform(0.3, 1.0)
             self._later(leaves_after, partial(self._leave_for_good, old, gone_after))
@@ -207,9 +209,9 @@
     def replace_unplanned(self, rng: Random) -> None:
         """Machines are lost permanently; new ones with empty disks are added later at new addresses."""
         for old in self._replaceable(rng):
-            self._log(f"{old} is gone for good")
+            self._log(f"{old} is lost permanently")
             self._simulation.lose_power(old, restart_after=None)
-            self._simulation.machines[old].gone = True
+            self._simulation.machines[old].removed = True
             seconds = rng.uniform(0.3, 3.0)
             self._later(seconds, partial(self._replace_gone, old, rng))
 
@@ -222,7 +224,7 @@
     def _replace_gone(self, old: str, rng: Random) -> None:
         self._simulation.remove_machine(old)
         new = self._add_in_place_of(old, rng)
-        self._log(f"{new} comes in place of {old}")
+        self._log(f"{new} replaces {old}")
 
     def _add_in_place_of(self, old: str, rng: Random) -> str:
         new = next(self._new_names)
@@ -233,7 +235,7 @@
 
     def _leave_for_good(self, old: str, after: float) -> None:
         if old in self._simulation.machines:
-            self._simulation.leave(old, after)
+            self._simulation.shut_down(old, after)
             self._later(after + 0.01, lambda: self._simulation.remove_machine(old))
 
     def _name_seeds(self, rng: Random) -> None:
--- a/tests/control_plane/features/orders.feature
+++ b/tests/control_plane/features/orders.feature
@@ -44,5 +44,5 @@
 
   Scenario: A change on top of an unknown version
     When version 9 is put on top of 8
-    Then it gets 303 and no refusal
+    Then it gets 303 and is not refused
     And version 3 is in force everywhere
--- a/tests/control_plane/fleet_judge.py
+++ b/tests/control_plane/fleet_judge.py
@@ -63,7 +63,7 @@
                 workers = scheduler.workers
                 self._lists.check_known(name, workers.workers if workers else None)
         for machine in self._simulation.running():
-            if self.contact.in_touch(machine.address) and not machine.leaving:
+            if self.contact.in_touch(machine.address) and not machine.shutting_down:
                 workers_here = self._control.running[machine.address].workers()
                 self._lists.check_known(machine.address, workers_here)
 
--- a/tests/control_plane/hunt.py
+++ b/tests/control_plane/hunt.py
@@ -18,7 +18,7 @@
 from tests.control_plane.random_schedule import Step, draw_steps, play_schedule
 
 STEPS_PER_SCHEDULE = 100
-MOST_TRIALS = 400
+MAX_TRIALS = 400
 EXIT_FOUND = 1
 HASH_SEED = "0"
 
@@ -44,9 +44,9 @@
     wanted = _kind(failure(seed, kept, machines, tolerated))
     size = max(1, len(kept) // 2)
     trials = 0
-    while size and trials < MOST_TRIALS:
+    while size and trials < MAX_TRIALS:
         start = 0
-        while start < len(kept) and trials < MOST_TRIALS:
+        while start < len(kept) and trials < MAX_TRIALS:
             trials += 1
             shorter = kept[:start] + kept[start + size :]
             if _kind(failure(seed, shorter, machines, tolerated)) == wanted:
--- a/tests/control_plane/judge.py
+++ b/tests/control_plane/judge.py
@@ -9,7 +9,7 @@
 from reedspoke.control_plane.replication.effects import GetCompleted, PutCompleted
 from reedspoke.control_plane.replication.entry import CommittedConfiguration
 
-REFUSALS = {
+REJECTIONS = {
     ErrorCode.CONFIGURATION_STALE_MATCH,
     ErrorCode.CONFIGURATION_OLD_GENERATION,
     ErrorCode.NO_QUORUM,
@@ -25,12 +25,12 @@
     open_calls: set[int] = field(default_factory=set)
     acknowledged: bool = False
     unclear: bool = False
-    refused: bool = False  # finally, and not only by a machine without a majority
+    rejected: bool = False  # finally, and not only by a machine without a majority
 
     @property
     def may_be_in_force(self) -> bool:
-        """False once it was refused finally, or every call with it was refused."""
-        return not self.refused and (bool(self.open_calls) or self.acknowledged or self.unclear)
+        """False once it was rejected finally, or every call with it was rejected."""
+        return not self.rejected and (bool(self.open_calls) or self.acknowledged or self.unclear)
 
 
 @dataclass
@@ -56,7 +56,9 @@
         """The newest generation that any operator has seen."""
         return max(self.newest_acknowledged, self.newest_read)
 
-    def asked_put(self, address: str, request_id: int, match: int, generation: int, document: bytes) -> None:
+    def put_submitted(
+        self, address: str, request_id: int, match: int, generation: int, document: bytes
+    ) -> None:
         """A change is submitted to a machine."""
         self._calls.setdefault(address, set()).add(request_id)
         change = self.changes.setdefault(document, Change(match, generation))
@@ -66,7 +68,7 @@
         change.open_calls.add(request_id)
         self._documents[request_id] = document
 
-    def answered_put(self, answer: PutCompleted) -> None:
+    def put_answered(self, answer: PutCompleted) -> None:
         """A change is answered."""
         assert answer.request_id not in self.put_answers, "two answers to one call"
         self.put_answers[answer.request_id] = answer
@@ -75,15 +77,15 @@
         change.open_calls.discard(answer.request_id)
         if answer.error is None:
             self._acknowledge(change, document)
-        elif answer.error not in REFUSALS:
+        elif answer.error not in REJECTIONS:
             assert answer.error is ErrorCode.WRITE_UNCLEAR
             change.unclear = True
         else:
             # A machine without a majority cannot know that a change has been acknowledged before.
             known = answer.error is not ErrorCode.NO_QUORUM
-            assert not (known and change.acknowledged), "refused after it was acknowledged"
+            assert not (known and change.acknowledged), "rejected after it was acknowledged"
             # A change that builds on a future generation may be accepted once that is in force.
-            change.refused |= known and change.match <= self.newest_known
+            change.rejected |= known and change.match <= self.newest_known
             self._check_not_committed(change, document)
 
     def stopped(self, address: str) -> None:
@@ -94,11 +96,11 @@
                 change.open_calls.discard(request_id)
                 change.unclear = True
 
-    def asked_get(self, request_id: int) -> None:
+    def get_submitted(self, request_id: int) -> None:
         """A read is submitted; its answer must not be older than the newest generation known now."""
         self._least_for_get[request_id] = self.newest_known
 
-    def answered_get(self, answer: GetCompleted) -> None:
+    def get_answered(self, answer: GetCompleted) -> None:
         """A read is answered."""
         assert answer.request_id not in self.get_answers, "two answers to one call"
         self.get_answers[answer.request_id] = answer
@@ -126,7 +128,7 @@
         return self._delivered.get(address, 0)
 
     def _acknowledge(self, change: Change, document: bytes) -> None:
-        assert not change.refused, "acknowledged after it was refused"
+        assert not change.rejected, "acknowledged after it was rejected"
         change.acknowledged = True
         same_number = self._acknowledged_as.setdefault(change.generation, document)
         assert same_number == document, f"two changes are acknowledged as {change.generation}"
@@ -141,7 +143,7 @@
         assert known == committed, f"two configurations are committed as {committed.sequence}"
         change = self.changes[committed.document]
         assert change.generation == committed.generation
-        assert change.may_be_in_force, f"{committed.generation} was refused and is in force"
+        assert change.may_be_in_force, f"{committed.generation} was rejected and is in force"
 
     def _check_not_committed(self, change: Change, document: bytes) -> None:
         if not change.may_be_in_force:
--- a/tests/control_plane/loss_hunt.py
+++ b/tests/control_plane/loss_hunt.py
@@ -28,7 +28,7 @@
 SIZES = (Size(3, 1, 4.0), Size(5, 2, 6.0), Size(4, 1, 4.0), Size(7, 2, 6.0))
 
 
-def hunt(size: Size, seed: int, steps: int = STEPS_PER_SEED, trial_share: float = 0.05) -> Figures:
+def run_schedule(size: Size, seed: int, steps: int = STEPS_PER_SEED, trial_share: float = 0.05) -> Figures:
     """Run one schedule. Raises AssertionError if a loss would violate a rule."""
     simulation = Simulation(seed, machines=size.machines, tolerated=size.tolerated)
     return LossSchedule(simulation, size.tolerated, size.catch_up_s, trial_share).play(steps)
@@ -48,7 +48,7 @@
     while total.steps < arguments.steps:
         for size in SIZES:
             try:
-                figures = hunt(size, seed, trial_share=arguments.trial_share)
+                figures = run_schedule(size, seed, trial_share=arguments.trial_share)
             except AssertionError as error:
                 faults += 1
                 print(f"fault: seed {seed}, {size}: {error}", flush=True)
--- a/tests/control_plane/loss_schedule.py
+++ b/tests/control_plane/loss_schedule.py
@@ -20,17 +20,17 @@
 from tests.control_plane.simulated_parts import DiskMode
 from tests.control_plane.simulation import Simulation
 
-MOST_PAUSE_S = 0.4
+MAX_PAUSE_S = 0.4
 LOSS_LASTS_S = (0.1, 2.5)
 DEPARTURE_LOOK_S = 0.05
-LEAST_DEPARTURE_S = 0.3
+MIN_DEPARTURE_S = 0.3
 PROPAGATION_S = 0.2  # out of the chain for this long, all others know that view
-MOST_DEPARTURE_S = 7.0  # the longest that a process stays after SIGTERM, as in operation
+MAX_DEPARTURE_S = 7.0  # the longest that a process stays after SIGTERM, as in operation
 FORGOTTEN_AFTER_S = 1.0
 ARMED_MESSAGES = 60
 LOSS_SHARE = 0.12  # of the steps begin with a loss
 AGAIN_SHARE = 0.04  # of the steps begin with another fault of a lost machine
-MOST_NOISE = 0.05  # of the messages come late or twice, as after a new connection
+MAX_NOISE = 0.05  # of the messages come late or twice, as after a new connection
 MESSAGE_CHECK_SHARE = 0.03  # of the messages trigger a check of the records
 FOREVER = float("inf")
 
@@ -96,12 +96,12 @@
         self._armed_for = 0
         self._views = DecidedViews()
         self.figures = Figures()
-        simulation.spy = self._spy
+        simulation.on_send = self._spy
 
     def play(self, steps: int) -> Figures:
         """Run from the first start on; the first loss comes after the catch-up time."""
         network = self._simulation.network
-        network.late = network.doubled = self._random.choice([0.0, MOST_NOISE])
+        network.late = network.duplicated = self._random.choice([0.0, MAX_NOISE])
         end = self._simulation.now + self._catch_up_s
         while self._simulation.now < end:
             self._act()
@@ -269,7 +269,7 @@
 
     def _act(self) -> None:
         self._operator.act()
-        self._simulation.run(self._random.uniform(0.0, MOST_PAUSE_S))
+        self._simulation.run(self._random.uniform(0.0, MAX_PAUSE_S))
 
     def _check(self) -> None:
         self.figures.steps += 1
@@ -303,8 +303,8 @@
         view = machine.replica.view if machine.replica else None
         if view is None or address in [link.member.address for link in view.chain]:
             last_needed = now
-        may_end = now - began >= LEAST_DEPARTURE_S and now - last_needed >= PROPAGATION_S
-        if may_end or now - began >= MOST_DEPARTURE_S:
+        may_end = now - began >= MIN_DEPARTURE_S and now - last_needed >= PROPAGATION_S
+        if may_end or now - began >= MAX_DEPARTURE_S:
             simulation.kill(address, restart_after=None)
             on_end()
         else:
--- a/tests/control_plane/operators.py
+++ b/tests/control_plane/operators.py
@@ -15,15 +15,15 @@
 
 SILENCE_S = 1.0  # an operator without an answer tries another machine after this
 FIRST_PAUSE_S = 0.05
-MOST_PAUSE_S = 0.5
+MAX_PAUSE_S = 0.5
 PAUSE_GROWTH = 1.6
-MOST_ORDERS = 8  # in flight at a time
+MAX_ORDERS = 8  # in flight at a time
 CHECK_INTERVAL_S = 0.1
 SMALL_ACK_S = 4.0
 LARGE_ACK_S = 5.0
 LARGE_CORE = 5
 LARGEST_STEP = 3  # between two generations
-FINAL_REFUSALS = (ErrorCode.CONFIGURATION_STALE_MATCH, ErrorCode.CONFIGURATION_OLD_GENERATION)
+FINAL_REJECTIONS = (ErrorCode.CONFIGURATION_STALE_MATCH, ErrorCode.CONFIGURATION_OLD_GENERATION)
 
 
 @dataclass(eq=False)
@@ -126,7 +126,7 @@
         address = at or self._next_machine(order)
         order.tries[address] = order.tries.get(address, 0) + 1
         machine = simulation.machines[address]
-        if machine.replica is None or machine.leaving:
+        if machine.replica is None or machine.shutting_down:
             self._later(order)
             return
 
@@ -146,7 +146,7 @@
     def _later(self, order: Order) -> None:
         order.call = None
         pause = order.pause * (0.5 + self._random.random())
-        order.pause = min(MOST_PAUSE_S, order.pause * PAUSE_GROWTH)
+        order.pause = min(MAX_PAUSE_S, order.pause * PAUSE_GROWTH)
         self._simulation.at(self._simulation.now + pause, lambda: self._send(order))
 
     def _silent(self, order: Order, call: int) -> None:
@@ -159,7 +159,7 @@
         if order is None or self._random.random() < self.answer_loss:
             return
         del self._by_call[answer.request_id]
-        if answer.error is None or answer.error in FINAL_REFUSALS:
+        if answer.error is None or answer.error in FINAL_REJECTIONS:
             order.ended = True
             order.call = None
         else:
@@ -173,7 +173,7 @@
         settled_from = simulation.settled_since() + STABLE_AFTER_S
         for order in self.open_orders():
             change = simulation.judge.changes.get(order.document)
-            if change is not None and (change.acknowledged or change.refused):
+            if change is not None and (change.acknowledged or change.rejected):
                 continue
             waited = simulation.now - max(order.began, settled_from)
             assert waited <= self._ack_s, (
--- a/tests/control_plane/random_schedule.py
+++ b/tests/control_plane/random_schedule.py
@@ -12,7 +12,7 @@
 from tests.control_plane.disturbances import STABLE_AFTER_S
 from tests.control_plane.fault_injection import CUT_S, FaultInjector
 from tests.control_plane.fleet_fault_injection import FleetFaultInjector
-from tests.control_plane.operators import MOST_ORDERS, Operators
+from tests.control_plane.operators import MAX_ORDERS, Operators
 from tests.control_plane.schedule import SETTLE_LIMIT_S, check_end
 from tests.control_plane.simulated_fleet import SimulatedFleet
 from tests.control_plane.simulation import Simulation
@@ -20,9 +20,9 @@
 ORDER_SHARE = 0.72
 FAULT_SHARE = 0.18
 FLEET_SHARE = 0.1
-CALM_SHARE = 0.15
-MOST_PAUSE_S = 0.7
-MOST_CALM_S = 12.0
+LONG_PAUSE_SHARE = 0.15
+MAX_PAUSE_S = 0.7
+MAX_LONG_PAUSE_S = 12.0
 BEYOND_SHARE = 0.4  # of schedules, in which partitions and stops may exceed the tolerated losses
 LONGEST_FAULT_S = CUT_S[1] + 2.0
 RACES = (2, 2, 2, 4, 8)
@@ -138,9 +138,9 @@
         elif kind == "read":
             operators.read()
         elif kind == "race":
-            count = min(rng.choice(RACES), MOST_ORDERS - len(operators.open_orders()))
+            count = min(rng.choice(RACES), MAX_ORDERS - len(operators.open_orders()))
             operators.race(max(0, count))
-        elif len(operators.open_orders()) < MOST_ORDERS:
+        elif len(operators.open_orders()) < MAX_ORDERS:
             {"order": operators.order_next, "again": operators.again, "stale": operators.stale}[kind]()
 
 
@@ -153,8 +153,8 @@
 def _draw_step(rng: Random, number: int) -> Step:
     kinds = rng.choices([ORDERS, FAULTS, FLEET_FAULTS], [ORDER_SHARE, FAULT_SHARE, FLEET_SHARE])[0]
     kind = rng.choices(list(kinds), list(kinds.values()))[0]
-    calm = kinds is FAULTS and rng.random() < CALM_SHARE
-    return Step(number, kind, rng.uniform(0.0, MOST_CALM_S if calm else MOST_PAUSE_S))
+    is_long = kinds is FAULTS and rng.random() < LONG_PAUSE_SHARE
+    return Step(number, kind, rng.uniform(0.0, MAX_LONG_PAUSE_S if is_long else MAX_PAUSE_S))
 
 
 def play_schedule(seed: int, steps: Sequence[Step], machines: int = 3, tolerated: int = 1) -> FaultScenario:
--- a/tests/control_plane/schedule.py
+++ b/tests/control_plane/schedule.py
@@ -8,7 +8,7 @@
 from tests.control_plane.simulated_parts import DiskMode, Machine
 from tests.control_plane.simulation import Simulation
 
-MOST_PAUSE_S = 0.7
+MAX_PAUSE_S = 0.7
 SETTLE_LIMIT_S = 12.0
 
 
@@ -105,7 +105,7 @@
     def _noise(self) -> None:
         network = self._simulation.network
         network.loss = self._random.choice([0.0, 0.02, 0.2])
-        network.doubled = self._random.choice([0.0, 0.1])
+        network.duplicated = self._random.choice([0.0, 0.1])
         network.late = self._random.choice([0.0, 0.1])
         network.holds = self._random.random() < 0.5
 
@@ -141,7 +141,7 @@
             faults.act()
         else:
             operator.act()
-        simulation.run(simulation.random.uniform(0.0, MOST_PAUSE_S))
+        simulation.run(simulation.random.uniform(0.0, MAX_PAUSE_S))
     come_back(simulation)
     check_end(simulation)
 
--- a/tests/control_plane/simulated_control.py
+++ b/tests/control_plane/simulated_control.py
@@ -188,7 +188,7 @@
         """The term in which this scheduler holds the discovery lease; None if it does not hold it."""
         return self._lease.term if self._lease.is_held(self.loop.time()) else None
 
-    def begin_leave(self) -> None:
+    def begin_shutdown(self) -> None:
         """Release the discovery lease on SIGTERM."""
         self._exchange.release_lease()
 
@@ -265,7 +265,7 @@
         scheduler = self.running.pop(machine.address, None)
         if scheduler is None:
             return
-        if machine.leaving or self._simulation.random.random() < 0.5:
+        if machine.shutting_down or self._simulation.random.random() < 0.5:
             scheduler.end_sessions()
         scheduler.loop.end()
 
@@ -279,9 +279,9 @@
         if machine.address in self.running:
             self.running[machine.address].loop.thaw()
 
-    def leaving(self, machine: Machine) -> None:
+    def shutting_down(self, machine: Machine) -> None:
         """The process got SIGTERM."""
-        self._within(machine, lambda scheduler: scheduler.begin_leave())
+        self._within(machine, lambda scheduler: scheduler.begin_shutdown())
 
     def ticked(self, machine: Machine) -> None:
         """TICK_INTERVAL_S has passed."""
--- a/tests/control_plane/simulated_core.py
+++ b/tests/control_plane/simulated_core.py
@@ -49,8 +49,8 @@
 START_SPREAD_S = 0.3
 HELD_RETRY_S = 0.2
 HELD_S = 1.5  # a connection over a cut link ends after this
-MOST_CLOCK_SKEW_S = 1000.0
-MOST_CLOCK_DRIFT = 1e-3
+MAX_CLOCK_SKEW_S = 1000.0
+MAX_CLOCK_DRIFT = 1e-3
 
 REPLICA_MESSAGES = get_args(ReplicaMessage)
 
@@ -70,9 +70,9 @@
         self.store_count = 0
         self.on_message: Hook | None = None
         self.on_store: Hook | None = None
-        self.spy: Callable[[SendMessage], None] | None = None
+        self.on_send: Callable[[SendMessage], None] | None = None
         self.lost_messages: set[int] = set()
-        self.doubled_messages: set[int] = set()
+        self.duplicated_messages: set[int] = set()
         self.late_messages: set[int] = set()
         self.tolerated = tolerated
         self.disturbances = Disturbances()
@@ -95,8 +95,8 @@
         return Disk(folder_id=f"{next(self._folders):04x}", made_at=self.now)
 
     def _new_machine(self, address: str, bootstrap: bool) -> Machine:
-        skew = self.random.uniform(0.0, MOST_CLOCK_SKEW_S)
-        rate = 1.0 + self._clocks.uniform(-MOST_CLOCK_DRIFT, MOST_CLOCK_DRIFT)
+        skew = self.random.uniform(0.0, MAX_CLOCK_SKEW_S)
+        rate = 1.0 + self._clocks.uniform(-MAX_CLOCK_DRIFT, MAX_CLOCK_DRIFT)
         return Machine(address, f"zone-{address}", self._new_disk(), bootstrap, skew, rate)
 
     def start(self, address: str) -> None:
@@ -108,11 +108,11 @@
 
     def _start(self, address: str) -> None:
         machine = self.machines.get(address)
-        if machine is None or machine.gone or machine.replica is not None:
+        if machine is None or machine.removed or machine.replica is not None:
             return
         machine.incarnation += 1
         machine.frozen = False
-        machine.leaving = False
+        machine.shutting_down = False
         machine.missed = []
         machine.tick_is_due = False
         machine.calls = {}
@@ -127,7 +127,9 @@
             machines_tolerated=self.tolerated,
         )
         records = list(machine.disk.records)
-        machine.replica = Replica(settings, records, machine.clock(self.now), f"life-{machine.incarnation}")
+        machine.replica = Replica(
+            settings, records, machine.clock(self.now), f"incarnation-{machine.incarnation}"
+        )
         for component in self.components:
             component.started(machine)
         self._tick(address, machine.incarnation)
@@ -194,7 +196,7 @@
             case PutCompleted():
                 self._answered_put(address, effect)
             case GetCompleted(request_id=request_id):
-                self.judge.answered_get(
+                self.judge.get_answered(
                     structs.replace(effect, request_id=self._call_of(address, request_id))
                 )
             case DeliverConfiguration(committed=committed):
@@ -209,7 +211,7 @@
 
     def _answered_put(self, address: str, effect: PutCompleted) -> None:
         answer = structs.replace(effect, request_id=self._call_of(address, effect.request_id))
-        self.judge.answered_put(answer)
+        self.judge.put_answered(answer)
         if self.on_put_answer is not None:
             self.on_put_answer(answer)
 
@@ -230,8 +232,8 @@
     def send(self, sender: str, effect: SendMessage) -> None:
         """Send a message from one control scheduler to another."""
         number = self._message_number(effect.message)
-        if self.spy is not None:
-            self.spy(effect)
+        if self.on_send is not None:
+            self.on_send(effect)
         numbers = self._random_for(sender, effect.address, effect.message)
         if number in self.lost_messages or numbers.random() < self.network.loss:
             return
@@ -240,7 +242,7 @@
             message = decode(encode(message), ReplicaMessage)
             assert message == effect.message
         copies = 1
-        if number in self.doubled_messages or numbers.random() < self.network.doubled:
+        if number in self.duplicated_messages or numbers.random() < self.network.duplicated:
             copies = 2
         late = number in self.late_messages or numbers.random() < self.network.late
         for copy in range(copies):
--- a/tests/control_plane/simulated_parts.py
+++ b/tests/control_plane/simulated_parts.py
@@ -59,8 +59,8 @@
     clock_rate: float = 1.0
     replica: Replica | None = None
     frozen: bool = False
-    leaving: bool = False
-    gone: bool = False  # permanently: it is not started again
+    shutting_down: bool = False
+    removed: bool = False  # permanently: it is not started again
     incarnation: int = 0
     tick_is_due: bool = False  # it was due while the process was frozen
     missed: list[Event] = field(default_factory=list)
@@ -89,7 +89,7 @@
     def ticked(self, machine: Machine) -> None:
         """TICK_INTERVAL_S has passed in a process that is not frozen."""
 
-    def leaving(self, machine: Machine) -> None:
+    def shutting_down(self, machine: Machine) -> None:
         """The process got SIGTERM."""
 
     def frozen(self, machine: Machine) -> None:
@@ -115,7 +115,7 @@
     cut: set[tuple[str, str]] = field(default_factory=set)  # between control schedulers
     cut_outside: set[tuple[str, str]] = field(default_factory=set)  # to and from data plane schedulers
     loss: float = 0.0
-    doubled: float = 0.0
+    duplicated: float = 0.0
     late: float = 0.0
     holds: bool = False  # messages on a cut link are delivered once it is restored, instead of lost
     check_encoding: bool = False
@@ -129,7 +129,7 @@
     @property
     def has_message_faults(self) -> bool:
         """Whether any message may be lost, duplicated or late."""
-        return bool(self.loss or self.doubled or self.late)
+        return bool(self.loss or self.duplicated or self.late)
 
     @property
     def is_impaired(self) -> bool:
--- a/tests/control_plane/simulation.py
+++ b/tests/control_plane/simulation.py
@@ -40,14 +40,14 @@
         if on_call is not None:
             on_call(call)
         if self.machines[address].replica is not None:
-            self.judge.asked_put(address, call, match, generation, document)
+            self.judge.put_submitted(address, call, match, generation, document)
             self._handle(address, PutSubmitted(request_id, match, generation, document))
         return call
 
     def get(self, address: str) -> int:
         """Submit a read of the newest configuration to a machine."""
         call, request_id = self._new_call(address)
-        self.judge.asked_get(call)
+        self.judge.get_submitted(call)
         self._handle(address, GetSubmitted(request_id))
         return call
 
@@ -177,15 +177,15 @@
         if machine.tick_is_due and not machine.frozen:
             self._ticked(machine)
 
-    def leave(self, address: str, gone_after: float = 0.5) -> None:
+    def shut_down(self, address: str, gone_after: float = 0.5) -> None:
         """The process gets SIGTERM, announces its shutdown, and ends a little later without a restart."""
         machine = self.machines[address]
-        machine.leaving = True
+        machine.shutting_down = True
         self.disturbances.record(self.now, address)
         incarnation = machine.incarnation
         self._handle(address, ShutdownStarted())
         for component in self.components:
-            component.leaving(machine)
+            component.shutting_down(machine)
 
         def end() -> None:
             if machine.incarnation == incarnation and address in self.machines:
@@ -200,7 +200,7 @@
 
     def remove_machine(self, address: str) -> None:
         """Remove a machine with its disk."""
-        self.machines[address].gone = True
+        self.machines[address].removed = True
         self._stop(address, keep_unsynced=False)
         del self.machines[address]
 
@@ -257,7 +257,7 @@
         """Stop the loss, duplication and delay of messages."""
         if self.network.has_message_faults:
             self.disturbances.record(self.now, *self.machines)
-        self.network.loss = self.network.doubled = self.network.late = 0.0
+        self.network.loss = self.network.duplicated = self.network.late = 0.0
 
     def heal(self) -> None:
         """End all faults: restore links and disks, and continue frozen processes."""
--- a/tests/control_plane/test_change_decision.py
+++ b/tests/control_plane/test_change_decision.py
@@ -22,7 +22,7 @@
 def _register(generations: list[int]) -> ConfigurationRegister:
     """A register that has accepted these generations, each with its own document."""
     entries = [
-        Entry(sequence, 1, generation, b"taken %d" % generation)
+        Entry(sequence, 1, generation, b"accepted %d" % generation)
         for sequence, generation in enumerate(generations, 1)
     ]
     return ConfigurationRegister(
@@ -33,22 +33,22 @@
 def _decide(register: ConfigurationRegister, order: Order) -> ChangeDecision:
     match, generation, document = order
     change: ChangeId = change_id_of(Entry(0, 0, generation, document))
-    return decide_change(PutRequest(1, "asker:1:1", match, generation, document), change, register)
+    return decide_change(PutRequest(1, "forwarder:1:1", match, generation, document), change, register)
 
 
 @pytest.mark.parametrize(
     ("order", "decision"),
     [
         ((5, 9, b"next"), ChangeDecision.ACCEPT),
-        ((0, 3, b"taken 3"), ChangeDecision.ACKNOWLEDGE),
-        ((3, 5, b"taken 5"), ChangeDecision.ACKNOWLEDGE),
-        ((7, 5, b"taken 5"), ChangeDecision.ACKNOWLEDGE),
-        ((3, 5, b"rival"), ChangeDecision.STALE_MATCH),
-        ((0, 9, b"rival"), ChangeDecision.STALE_MATCH),
+        ((0, 3, b"accepted 3"), ChangeDecision.ACKNOWLEDGE),
+        ((3, 5, b"accepted 5"), ChangeDecision.ACKNOWLEDGE),
+        ((7, 5, b"accepted 5"), ChangeDecision.ACKNOWLEDGE),
+        ((3, 5, b"competing"), ChangeDecision.STALE_MATCH),
+        ((0, 9, b"competing"), ChangeDecision.STALE_MATCH),
         ((4, 9, b"between"), ChangeDecision.STALE_MATCH),
-        ((5, 5, b"rival"), ChangeDecision.OLD_GENERATION),
-        ((5, 4, b"rival"), ChangeDecision.OLD_GENERATION),
-        ((9, 7, b"rival"), ChangeDecision.OLD_GENERATION),
+        ((5, 5, b"competing"), ChangeDecision.OLD_GENERATION),
+        ((5, 4, b"competing"), ChangeDecision.OLD_GENERATION),
+        ((9, 7, b"competing"), ChangeDecision.OLD_GENERATION),
         ((6, 9, b"early"), ChangeDecision.WAIT),
     ],
 )
@@ -73,16 +73,16 @@
     st.booleans(),
 )
 def test_a_rejected_change_is_never_accepted_later(
-    generations: list[int], match: int, generation: int, rival: bool
+    generations: list[int], match: int, generation: int, competing: bool
 ) -> None:
-    document = b"a rival" if rival else b"taken %d" % generation
+    document = b"competing" if competing else b"accepted %d" % generation
     decisions = [
         _decide(_register(generations[:count]), (match, generation, document))
         for count in range(len(generations) + 1)
     ]
     for index, decision in enumerate(decisions):
         later = decisions[index:]
-        if decision in REJECTED and rival:
+        if decision in REJECTED and competing:
             assert set(later) <= NOT_ACCEPTED
         if decision is ChangeDecision.ACKNOWLEDGE:
             assert set(later) <= {ChangeDecision.ACKNOWLEDGE}
--- a/tests/control_plane/test_guards_agreement.py
+++ b/tests/control_plane/test_guards_agreement.py
@@ -109,9 +109,11 @@
     """They vote up to the target and in odd number; a folder of an earlier start takes no part."""
     seeds = [Heartbeat(member, 0, (), True, 0, 0, bootstrap_seed=True) for member in MEMBERS]
     others = [Member(f"folder-{number}", f"other-{number}", "z") for number in range(joiners)]
-    pings = [Heartbeat(member, 0, (), True, 0, 0, bootstrap_joiner=True) for member in others]
+    joiners_heartbeats = [Heartbeat(member, 0, (), True, 0, 0, bootstrap_joiner=True) for member in others]
     older = Heartbeat(Member("folder-old", "at-old", "z"), 0, (), True, 0, 0)
-    view = form_first_view(tuple(member.address for member in MEMBERS), [older, *pings, *seeds], 3, target)
+    view = form_first_view(
+        tuple(member.address for member in MEMBERS), [older, *joiners_heartbeats, *seeds], 3, target
+    )
     assert view is not None
     assert len(view.voters) == voters
     assert view.voters == tuple(link.member for link in view.chain)
--- a/tests/control_plane/test_guards_replica.py
+++ b/tests/control_plane/test_guards_replica.py
@@ -75,7 +75,7 @@
         self.disk_error = disk_error
         self.disk_answers = True
         self.store_count = 0
-        self.replica = Replica(settings, records, START, "life-1")
+        self.replica = Replica(settings, records, START, "incarnation-1")
         self.tick(0.0)
 
     def receive(self, sender: Member, message: Struct) -> list[Struct]:
--- a/tests/control_plane/test_losses_members.py
+++ b/tests/control_plane/test_losses_members.py
@@ -127,7 +127,7 @@
     voter = simulation.chain()[place]
     seen: list[SendMessage] = []
 
-    def spy(effect: SendMessage) -> None:
+    def on_send(effect: SendMessage) -> None:
         if isinstance(effect.message, message_type) and not seen:
             seen.append(effect)
             simulation.at(simulation.now, lambda: simulation.lose_disk(voter, restart_after=0.3))
@@ -136,7 +136,7 @@
                     if address not in (lost, voter):
                         simulation.at(simulation.now, _power_loss(simulation, address))
 
-    simulation.spy = spy
+    simulation.on_send = on_send
     simulation.lose_power(lost, restart_after=0.8)
     simulation.run(1.0)
     assert seen
@@ -154,8 +154,8 @@
 def test_a_machine_appended_while_another_fails(count: int) -> None:
     """A new machine joins five, one of which is lost; another loses its disk at a numbered message."""
     simulation = strong_core(5, 5, 2)
-    gone, failing = simulation.chain()[0], simulation.chain()[2]
-    simulation.lose_power(gone, restart_after=None)
+    lost, failing = simulation.chain()[0], simulation.chain()[2]
+    simulation.lose_power(lost, restart_after=None)
     simulation.add_machine("n1")
     target = simulation.message_count + count
 
@@ -174,11 +174,11 @@
 def test_a_joiner_that_is_the_only_other_copy_survives_the_loss_of_any_one(machines: int) -> None:
     """Two members remain, and one of them has just been appended."""
     simulation = strong_core(6, 3, 1)
-    gone = simulation.chain()[0]
-    simulation.lose_power(gone, restart_after=None)
+    lost = simulation.chain()[0]
+    simulation.lose_power(lost, restart_after=None)
     simulation.run(1.5)
     copied: list[SendMessage] = []
-    simulation.spy = lambda effect: (
+    simulation.on_send = lambda effect: (
         copied.append(effect) if isinstance(effect.message, InstallSnapshot) else None
     )
     for number in range(machines - 2):
--- a/tests/control_plane/test_puts_fault_points.py
+++ b/tests/control_plane/test_puts_fault_points.py
@@ -15,7 +15,7 @@
 OPERATORS = 4
 MATCH = 3
 NUMBER = 7
-MOST_POINTS = 150
+MAX_POINTS = 150
 
 Fault = Callable[[Simulation], None]
 
@@ -94,8 +94,8 @@
 
 
 def test_the_number_of_fault_points_is_within_bounds() -> None:
-    assert 15 < MESSAGES < MOST_POINTS
-    assert 2 < STORES < MOST_POINTS
+    assert 15 < MESSAGES < MAX_POINTS
+    assert 2 < STORES < MAX_POINTS
 
 
 def _check(simulation: Simulation, competition: CompetingChanges) -> None:
@@ -141,7 +141,7 @@
 
 
 @pytest.mark.parametrize("number", range(1, MESSAGES + 1))
-@pytest.mark.parametrize("fault", ["lost_messages", "doubled_messages", "late_messages"])
+@pytest.mark.parametrize("fault", ["lost_messages", "duplicated_messages", "late_messages"])
 def test_a_message_during_competing_changes_is_lost_duplicated_or_late(number: int, fault: str) -> None:
     simulation = _core()
     getattr(simulation, fault).add(simulation.message_count + number)
--- a/tests/control_plane/test_puts_features.py
+++ b/tests/control_plane/test_puts_features.py
@@ -125,7 +125,7 @@
     assert state.errors() == [None, None]
 
 
-@then(parsers.parse("it gets {code:d} and no refusal"))
+@then(parsers.parse("it gets {code:d} and is not refused"))
 def no_refusal(state: ScenarioState, code: int) -> None:
     assert state.errors() == [ErrorCode(code)]
 
--- a/tests/control_plane/test_puts_rejected.py
+++ b/tests/control_plane/test_puts_rejected.py
@@ -157,7 +157,9 @@
     view = core.replicas[head].view
     assert view is not None
     requests = [PutRequest(view.number, f"{FORWARDER}:{n}", n, n + 1, b"%d" % (n + 1)) for n in range(1, 701)]
-    requests += [PutRequest(view.number, f"{FORWARDER}:{n + 700}", n, n + 1, b"rival") for n in range(1, 701)]
+    requests += [
+        PutRequest(view.number, f"{FORWARDER}:{n + 700}", n, n + 1, b"competing") for n in range(1, 701)
+    ]
     first = _answers_to(core, head, requests)
     again = _answers_to(core, head, requests)
     assert first == again
@@ -181,7 +183,9 @@
 def test_changes_that_build_on_each_other_in_any_order_despite_faults(seed: int) -> None:
     simulation = _core(seed)
     faults = Faults(simulation, tolerated=1)
-    pending = [(match, match + 1, b"on %d, rival %d" % (match, n)) for match in range(1, 9) for n in (1, 2)]
+    pending = [
+        (match, match + 1, b"on %d, operator %d" % (match, n)) for match in range(1, 9) for n in (1, 2)
+    ]
     for _ in range(12):
         for match, generation, document in simulation.random.sample(pending, 5):
             simulation.put(simulation.random.choice(list(simulation.machines)), match, generation, document)
--- a/tests/control_plane/test_puts_requests.py
+++ b/tests/control_plane/test_puts_requests.py
@@ -24,7 +24,7 @@
 from tests.control_plane.simulation import Simulation
 
 STEPS = 25
-MOST_EXTRA_DELAY_S = 2.5  # longer than the limit on an answer and than a repair
+MAX_EXTRA_DELAY_S = 2.5  # longer than the limit on an answer and than a repair
 SHUFFLED = (PutRequest, PutReply, GetRequest, GetReply)
 
 
@@ -38,7 +38,7 @@
             super()._transmit(sender, receiver, message, extra)
             return
         for _ in range(self.random.randint(1, 3)):
-            delay = self.random.choice([0.001, 0.02, 0.3, MOST_EXTRA_DELAY_S]) * self.random.random()
+            delay = self.random.choice([0.001, 0.02, 0.3, MAX_EXTRA_DELAY_S]) * self.random.random()
             super()._transmit(sender, receiver, message, delay)
 
 
@@ -54,7 +54,7 @@
         faults.act() if simulation.random.random() < 0.2 else operator.act()
         simulation.run(simulation.random.uniform(0.0, 0.4))
     come_back(simulation)
-    simulation.run(MOST_EXTRA_DELAY_S)
+    simulation.run(MAX_EXTRA_DELAY_S)
     simulation.shuffles = False
     check_end(simulation)
 
@@ -117,7 +117,7 @@
 def test_two_incarnations_share_no_request_id() -> None:
     simulation = Simulation(seed=71)
     sent: set[str] = set()
-    simulation.spy = lambda effect: _note_request(effect, sent)
+    simulation.on_send = lambda effect: _note_request(effect, sent)
     simulation.settle()
     forwarder = simulation.chain()[-1]
     assert simulation.put_and_wait(forwarder, 0, 1, b"first") is None
--- a/tests/control_plane/test_puts_views.py
+++ b/tests/control_plane/test_puts_views.py
@@ -156,7 +156,7 @@
     core.kill(head, restart_after=0.02)
     core.run(0.4)
     assert (core.chain()[0], _view_number(core)) == (head, number)
-    core.judge.asked_put(head, EXTRA_CALL, 1, 2, b"second")
+    core.judge.put_submitted(head, EXTRA_CALL, 1, 2, b"second")
     core.inject(head, copy)
     core.run(0.3)
     committed = core.replica(head).committed
@@ -183,7 +183,7 @@
     assert core.put_and_wait(core.chain()[0], 1, 2, b"second") is None
     _thaw_with_old_heartbeats_only(core, head, number)
     replies: list[PutReply] = []
-    core.spy = lambda effect: _note_reply(effect, replies)
+    core.on_send = lambda effect: _note_reply(effect, replies)
     core.inject(head, MessageReceived("m9", PutRequest(number, "forwarder:1:1", 0, 2, b"second")))
     core.run(1.5)
     assert [reply for reply in replies if reply.error != ErrorCode.WRITE_UNCLEAR] == []
--- a/tests/control_plane/test_replica_answers.py
+++ b/tests/control_plane/test_replica_answers.py
@@ -74,7 +74,7 @@
 @pytest.mark.parametrize("mode", [DiskMode.FULL, DiskMode.FAILS])
 def test_an_entry_whose_store_failed_at_the_head_is_not_forwarded(core: Simulation, mode: DiskMode) -> None:
     sent: list[SendMessage] = []
-    core.spy = sent.append
+    core.on_send = sent.append
     head = core.chain()[0]
     core.set_disk(head, mode)
     call = core.put(head, 1, 2, b"second")
@@ -82,7 +82,7 @@
     assert _error(core, call) is ErrorCode.WRITE_UNCLEAR
     core.run(3.0)
     assert not [effect for effect in sent if isinstance(effect.message, AppendRequest)]
-    core.spy = None
+    core.on_send = None
     assert core.put_and_wait(core.chain()[0], 1, 3, b"another") is None
     come_back(core)
     answer = core.get_and_wait(head)
@@ -149,7 +149,7 @@
 
 def test_a_large_document_is_sent_once_to_each_successor(core: Simulation) -> None:
     sent: list[SendMessage] = []
-    core.spy = sent.append
+    core.on_send = sent.append
     document = b"x" * 4_000_000
     core.network.check_encoding = False
     assert core.put_and_wait("m2", 1, 2, document) is None
--- a/tests/control_plane/test_replica_fault_points.py
+++ b/tests/control_plane/test_replica_fault_points.py
@@ -11,7 +11,7 @@
 from tests.control_plane.simulation import Simulation
 
 SEED = 11
-MOST_POINTS = 400
+MAX_POINTS = 400
 
 
 def _run_schedule(simulation: Simulation) -> None:
@@ -47,13 +47,13 @@
 
 
 def test_the_number_of_fault_points_is_within_bounds() -> None:
-    assert 40 < MESSAGES < MOST_POINTS
-    assert 15 < STORES < MOST_POINTS
+    assert 40 < MESSAGES < MAX_POINTS
+    assert 15 < STORES < MAX_POINTS
 
 
 @pytest.mark.parametrize("number", range(1, MESSAGES + 1))
 def test_a_message_is_lost_duplicated_or_late(number: int) -> None:
-    for fault in ("lost_messages", "doubled_messages", "late_messages"):
+    for fault in ("lost_messages", "duplicated_messages", "late_messages"):
         simulation = Simulation(SEED)
         getattr(simulation, fault).add(number)
         _run_schedule(simulation)
--- a/tests/control_plane/test_replica_membership.py
+++ b/tests/control_plane/test_replica_membership.py
@@ -104,7 +104,7 @@
     assert _voters(simulation) == {"m1", "m2", "m3"}, (
         "the new machine and the one that it replaces count as one loss"
     )
-    simulation.leave(old)
+    simulation.shut_down(old)
     simulation.run(1.0)
     del simulation.machines[old]
     assert simulation.run_until(lambda: old not in _voters(simulation), 2.0)
@@ -132,7 +132,7 @@
     for number, old in enumerate(["m1", "m2", "m3"], start=1):
         simulation.add_machine(f"n{number}")
         simulation.settle()
-        simulation.leave(old)
+        simulation.shut_down(old)
         simulation.run(1.5)
         del simulation.machines[old]
         simulation.change_seeds(tuple(sorted(simulation.machines))[-3:])
@@ -147,7 +147,7 @@
     for place in (2, 0):
         simulation.run(1.0)
         leaving = simulation.chain()[place]
-        simulation.leave(leaving, gone_after=3.0)
+        simulation.shut_down(leaving, gone_after=3.0)
         simulation.run(0.6)
         assert leaving not in simulation.chain()
         simulation.run(2.5)
--- a/tests/control_plane/test_replica_repair.py
+++ b/tests/control_plane/test_replica_repair.py
@@ -169,7 +169,7 @@
     simulation = Simulation(seed=6)
     simulation.settle()
     simulation.network.loss = 0.05
-    simulation.network.doubled = 0.1
+    simulation.network.duplicated = 0.1
     simulation.network.late = 0.05
     for generation in range(1, 21):
         answer: ErrorCode | None = ErrorCode.NO_QUORUM
--- a/tests/control_plane/test_replica_stale.py
+++ b/tests/control_plane/test_replica_stale.py
@@ -127,7 +127,7 @@
         if isinstance(effect.message, PrepareRequest):
             proposers.add(effect.message.proposal_number.proposer)
 
-    core.spy = note
+    core.on_send = note
     for _ in range(2):
         core.run(1.0)
         tail = core.chain()[-1]
--- a/tests/control_plane/test_worst_days_losses.py
+++ b/tests/control_plane/test_worst_days_losses.py
@@ -17,7 +17,7 @@
     if planned:
         simulation.add_machine("n1")
         run_with_orders(scenario, WHILE_REPLACED_S)
-        simulation.leave(old, gone_after=1.0)
+        simulation.shut_down(old, gone_after=1.0)
         run_with_orders(scenario, WHILE_REPLACED_S)
         simulation.remove_machine(old)
     else:
@@ -65,7 +65,7 @@
     simulation.lose_disk(lost, restart_after=0.3)
     run_with_orders(scenario, 0.3 + CATCH_UP_S)
     leaving = next(address for address in simulation.machines if address != lost)
-    simulation.leave(leaving, gone_after=1.0)
+    simulation.shut_down(leaving, gone_after=1.0)
     run_with_orders(scenario, 1.5)
     simulation.start(leaving)
     scenario.end()
--- a/tests/control_plane/test_worst_days_operators.py
+++ b/tests/control_plane/test_worst_days_operators.py
@@ -99,7 +99,7 @@
     won = acknowledged(state.scenario, state.orders)
     changes = state.scenario.simulation.judge.changes
     assert len(won) == 1
-    assert all(changes[order.document].refused for order in state.orders if order not in won)
+    assert all(changes[order.document].rejected for order in state.orders if order not in won)
 
 
 @then("the acknowledged change is read at every machine")
