--- a/reedspoke/control_plane/replication/chain.py
+++ b/reedspoke/control_plane/replication/chain.py
@@ -101,7 +101,8 @@
         self._position = position_of(self._own, view)
         self._successor.enter_view()
         if self._position is None:
-            self._outbox.synced_state_lost = False  # before it is complete again it installs a snapshot
+            # This replica installs a snapshot before it is complete again.
+            self._outbox.synced_state_lost = False
         self._send_status()
         self._forward_or_commit()
 
--- a/reedspoke/control_plane/replication/chain_repair.py
+++ b/reedspoke/control_plane/replication/chain_repair.py
@@ -58,7 +58,8 @@
     def enter_view(self, view: View) -> None:
         """Start over, as a better view is now one that is better than this one."""
         self._better_view_since = None
-        if view.number == FIRST_VIEW_NUMBER:  # its members may not have received each other's heartbeats yet
+        # Members of the first view may not have received each other's heartbeats yet.
+        if view.number == FIRST_VIEW_NUMBER:
             self._timeouts_valid_from = max(self._timeouts_valid_from, self._outbox.now + REACHABLE_TIMEOUT_S)
 
     def majority_reached(self) -> bool:
--- a/reedspoke/control_plane/replication/configuration_register.py
+++ b/reedspoke/control_plane/replication/configuration_register.py
@@ -36,7 +36,8 @@
         self.committed: CommittedConfiguration | None = None
         self.installing_snapshot = False
         self.synced_since = restored.synced_since
-        self._synced_at: float | None = None  # of `entry`, if the entry before it is known to be committed
+        # When `entry` was synced; None if the entry before it is not known to be committed.
+        self._synced_at: float | None = None
         self._history = restored.history
         outbox.synced_sequence = self.sequence
 
--- a/reedspoke/control_plane/replication/driver.py
+++ b/reedspoke/control_plane/replication/driver.py
@@ -134,9 +134,8 @@
         self.handle(Tick())
 
     def _tick(self) -> None:
-        self._loop.call_later(
-            TICK_INTERVAL_S, self._tick
-        )  # first, so that an error in this tick does not stop the ticks
+        # The next tick is scheduled first, so that an error in this one does not stop the ticks.
+        self._loop.call_later(TICK_INTERVAL_S, self._tick)
         if self._replica is not None:
             self.handle(Tick())
         try:
--- a/reedspoke/control_plane/replication/head_queue.py
+++ b/reedspoke/control_plane/replication/head_queue.py
@@ -24,7 +24,8 @@
 # Limit on the documents of pending changes: six of the largest size. Further changes get an unclear answer,
 # and their submitters may retry them.
 MAX_PENDING_BYTES = 24 * 1024 * 1024
-PENDING_TIME_FRACTION = 0.9  # of the forwarder's time limit, so that the answer still arrives within it
+# A pending change expires after this fraction of the forwarder's time limit, so that the reply is in time.
+PENDING_TIME_FRACTION = 0.9
 
 
 class PendingPut(Struct, eq=False):
--- a/reedspoke/control_plane/replication/outbox.py
+++ b/reedspoke/control_plane/replication/outbox.py
@@ -31,7 +31,7 @@
     size: int
     replace: bool
     on_end: StoreEnd
-    newest_sequence: int  # of the entries in the store; 0 if it has none
+    newest_sequence: int  # the newest sequence among the stored entries; 0 if there is none
 
 
 class Outbox(EffectBuffer):
@@ -46,7 +46,7 @@
         self.disk_failed = False
         self.synced_state_lost = False
         self.snapshot_records: SnapshotRecords = tuple
-        self.synced_sequence = 0  # of the newest entry stored successfully since the start, or restored
+        self.synced_sequence = 0  # sequence of the newest entry that was restored or stored successfully
         self._pending: dict[int, PendingStore] = {}
         self._next_token = 1
         self._log_size = COPIES * restored_size
--- a/reedspoke/control_plane/replication/settings.py
+++ b/reedspoke/control_plane/replication/settings.py
@@ -47,7 +47,8 @@
 # ---- messages of the chain and of calls ----
 
 GET_RETRY_INTERVAL_S = 0.1
-RESEND_INTERVAL_S = 0.4  # before a message is resent, in addition to the time for its size
+# A message is resent after this interval and the time that its size takes at RESEND_BYTES_PER_S.
+RESEND_INTERVAL_S = 0.4
 RESEND_BYTES_PER_S = 4_000_000
 # Each repetition multiplies the interval by this, so that repeated messages do not fill a slow link.
 RESEND_BACKOFF_FACTOR = 2
@@ -62,7 +63,7 @@
 DISK_PROBE_INTERVAL_S = 0.3  # interval of the probes of a failed disk
 # The log is rewritten when more of it than this is obsolete.
 LOG_REWRITE_THRESHOLD_BYTES = 16 * 1024 * 1024
-MAX_HISTORY_CHANGES = 8192  # of 40 bytes each
+MAX_HISTORY_CHANGES = 8192  # each change takes 40 bytes
 
 
 class ReplicaSettings(Struct, frozen=True):
--- a/reedspoke/control_plane/views/agreement.py
+++ b/reedspoke/control_plane/views/agreement.py
@@ -53,7 +53,7 @@
 from reedspoke.control_plane.views.proposer import Proposer, acceptor_key
 from reedspoke.control_plane.views.read_lease import ReadLeaseVoter, preserves_read_lease, tail_member
 
-PROPOSER_NAME_SEPARATOR = ":"  # between folder id and incarnation
+PROPOSER_NAME_SEPARATOR = ":"  # separates folder id and incarnation
 
 
 class ViewAgreement:
--- a/reedspoke/control_plane/views/proposer.py
+++ b/reedspoke/control_plane/views/proposer.py
@@ -48,7 +48,7 @@
     acceptors: dict[str, str]
     started_at: float
     sent_at: float = NEVER
-    released_at: float | None = None  # when the present tail released its read lease, by its own clock
+    released_at: float | None = None  # time of the read lease release, on the tail's clock
     promises: dict[str, PrepareResponse] = field(default_factory=dict)
     accepted_by: set[str] = field(default_factory=set)
 
--- a/reedspoke/control_plane/views/read_lease.py
+++ b/reedspoke/control_plane/views/read_lease.py
@@ -45,7 +45,7 @@
 
     def __init__(self, now: float) -> None:
         self._granted_until = now + READ_LEASE_TTL_S
-        self._unknown_grants_until = now + READ_LEASE_TTL_S  # for leases granted by an earlier process
+        self._unknown_grants_until = now + READ_LEASE_TTL_S  # leases of an earlier process end by then
         self._newest_request_at = NEVER
         self._grants_paused_until = NEVER
 
@@ -92,7 +92,7 @@
     """The read leases that voters have granted to this replica as tail."""
 
     def __init__(self) -> None:
-        self._requested_at: dict[str, float] = {}  # of the newest grant, by the voter's folder id
+        self._requested_at: dict[str, float] = {}  # request time of the newest grant, by voter
         self._released_at = NEVER
         self._requests_paused_until = NEVER
 
--- a/tests/control_plane/contact.py
+++ b/tests/control_plane/contact.py
@@ -16,9 +16,8 @@
         self._began = self._majority_since = simulation.now
         self._connected_since: dict[str, float] = {}
         self._lost_until: dict[str, float] = {}
-        self._voters_lost_beyond = (
-            False  # the voters' majority was lost while more machines were lost than tolerated
-        )
+        # The majority of voters was lost while more machines were lost than tolerated.
+        self._voters_lost_beyond = False
         self._has_begun = False  # whether more than half of the core has had a view in force
 
     def look(self, outside: list[str]) -> None:
--- a/tests/control_plane/fault_injection.py
+++ b/tests/control_plane/fault_injection.py
@@ -239,7 +239,7 @@
             self._later(after + 0.01, lambda: self._simulation.remove_machine(old))
 
     def _name_seeds(self, rng: Random) -> None:
-        """From a list that may lag: at least one of the machines named is there and running."""
+        """Choose the seeds from a list that may be outdated; at least one of them is running."""
         running = [machine.address for machine in self._simulation.running()]
         machines = list(self._simulation.machines)
         rng.shuffle(machines)
--- a/tests/control_plane/loss_check.py
+++ b/tests/control_plane/loss_check.py
@@ -26,9 +26,8 @@
 
 ORDERS_LIMIT_S = 8.0
 STARTS_WITHIN_S = 0.5
-ALL_REACHABLE_AFTER_S = (
-    STARTS_WITHIN_S + REACHABLE_TIMEOUT_S
-)  # by then every machine has received heartbeats of the others
+# By then every machine has received heartbeats of the others.
+ALL_REACHABLE_AFTER_S = STARTS_WITHIN_S + REACHABLE_TIMEOUT_S
 FIRST_FREE_ID = 1_000_000  # for folders and requests of a copy, so that none is used twice
 
 
--- a/tests/control_plane/loss_schedule.py
+++ b/tests/control_plane/loss_schedule.py
@@ -24,14 +24,14 @@
 LOSS_LASTS_S = (0.1, 2.5)
 DEPARTURE_LOOK_S = 0.05
 MIN_DEPARTURE_S = 0.3
-PROPAGATION_S = 0.2  # out of the chain for this long, all others know that view
+PROPAGATION_S = 0.2  # time by which a new view has reached all replicas
 MAX_DEPARTURE_S = 7.0  # the longest that a process stays after SIGTERM, as in operation
 FORGOTTEN_AFTER_S = 1.0
 ARMED_MESSAGES = 60
-LOSS_SHARE = 0.12  # of the steps begin with a loss
-AGAIN_SHARE = 0.04  # of the steps begin with another fault of a lost machine
-MAX_NOISE = 0.05  # of the messages come late or twice, as after a new connection
-MESSAGE_CHECK_SHARE = 0.03  # of the messages trigger a check of the records
+LOSS_SHARE = 0.12  # share of steps that begin with a loss
+AGAIN_SHARE = 0.04  # share of steps that begin with another fault of a lost machine
+MAX_NOISE = 0.05  # share of messages that are late or duplicated, as after a reconnect
+MESSAGE_CHECK_SHARE = 0.03  # share of messages that trigger a check of the records
 FOREVER = float("inf")
 
 
--- a/tests/control_plane/operators.py
+++ b/tests/control_plane/operators.py
@@ -17,12 +17,12 @@
 FIRST_PAUSE_S = 0.05
 MAX_PAUSE_S = 0.5
 PAUSE_GROWTH = 1.6
-MAX_ORDERS = 8  # in flight at a time
+MAX_ORDERS = 8  # number of changes in flight at a time
 CHECK_INTERVAL_S = 0.1
 SMALL_ACK_S = 4.0
 LARGE_ACK_S = 5.0
 LARGE_CORE = 5
-LARGEST_STEP = 3  # between two generations
+LARGEST_STEP = 3  # largest difference between successive generations
 FINAL_REJECTIONS = (ErrorCode.CONFIGURATION_STALE_MATCH, ErrorCode.CONFIGURATION_OLD_GENERATION)
 
 
@@ -36,7 +36,7 @@
     began: float
     pause: float = FIRST_PAUSE_S
     tries: dict[str, int] = field(default_factory=dict)
-    call: int | None = None  # in flight
+    call: int | None = None  # the call in flight
     ended: bool = False
 
 
--- a/tests/control_plane/simulated_parts.py
+++ b/tests/control_plane/simulated_parts.py
@@ -64,9 +64,8 @@
     incarnation: int = 0
     tick_is_due: bool = False  # it was due while the process was frozen
     missed: list[Event] = field(default_factory=list)
-    calls: dict[int, int] = field(
-        default_factory=dict
-    )  # numbers of operator calls in the simulation, by their number in this process
+    # Numbers of operator calls in the simulation, by their number in this process.
+    calls: dict[int, int] = field(default_factory=dict)
 
     def clock(self, now: float) -> float:
         """The machine's steady clock, which keeps running while its process is stopped."""
--- a/tests/control_plane/test_majority_contact.py
+++ b/tests/control_plane/test_majority_contact.py
@@ -18,7 +18,7 @@
 
 STARTED = 100.0
 VOTERS = tuple(Member(folder, f"at-{folder}") for folder in ("a", "b", "c"))
-SLACK_S = 0.1  # of a tick and a message
+SLACK_S = 0.1  # the time of a tick and a message
 
 
 def contact_with(*confirmations: tuple[str, float], now: float = STARTED + 10.0) -> MajorityContact:
--- a/tests/control_plane/test_puts_views.py
+++ b/tests/control_plane/test_puts_views.py
@@ -175,7 +175,7 @@
 
 
 def test_an_outdated_head_does_not_reject_a_change_that_the_others_accepted(core: Simulation) -> None:
-    """By its own register the match is stale, and the document unknown."""
+    """By its own register, the match is stale and the document unknown."""
     head = core.chain()[0]
     number = _view_number(core)
     core.freeze(head)
