--- a/tests/control_plane/operators.py
+++ b/tests/control_plane/operators.py
@@ -13,10 +13,10 @@
 from tests.control_plane.disturbances import STABLE_AFTER_S
 from tests.control_plane.simulation import Simulation
 
-SILENCE_S = 1.0  # an operator without an answer tries another machine after this
-FIRST_PAUSE_S = 0.05
-MAX_PAUSE_S = 0.5
-PAUSE_GROWTH = 1.6
+ANSWER_TIMEOUT_S = 1.0  # an operator without an answer attempts another machine after this
+FIRST_BACKOFF_S = 0.05
+MAX_BACKOFF_S = 0.5
+BACKOFF_FACTOR = 1.6
 MAX_ORDERS = 8  # number of changes in flight at a time
 CHECK_INTERVAL_S = 0.1
 SMALL_ACK_S = 4.0
@@ -34,8 +34,8 @@
     generation: int
     document: bytes
     began: float
-    pause: float = FIRST_PAUSE_S
-    tries: dict[str, int] = field(default_factory=dict)
+    backoff_s: float = FIRST_BACKOFF_S
+    attempts: dict[str, int] = field(default_factory=dict)
     call: int | None = None  # the call in flight
     ended: bool = False
 
@@ -124,16 +124,16 @@
             return
         simulation = self._simulation
         address = at or self._next_machine(order)
-        order.tries[address] = order.tries.get(address, 0) + 1
+        order.attempts[address] = order.attempts.get(address, 0) + 1
         machine = simulation.machines[address]
         if machine.replica is None or machine.shutting_down:
-            self._later(order)
+            self._retry_later(order)
             return
 
         def begin(call: int) -> None:
             order.call = call
             self._by_call[call] = order
-            simulation.at(simulation.now + SILENCE_S, lambda: self._silent(order, call))
+            simulation.at(simulation.now + ANSWER_TIMEOUT_S, lambda: self._time_out(order, call))
 
         simulation.put(address, order.match, order.generation, order.document, on_call=begin)
 
@@ -141,18 +141,18 @@
         """A machine with the fewest submissions of this change."""
         addresses = list(self._simulation.machines)
         self._random.shuffle(addresses)
-        return min(addresses, key=lambda address: order.tries.get(address, 0))
+        return min(addresses, key=lambda address: order.attempts.get(address, 0))
 
-    def _later(self, order: Order) -> None:
+    def _retry_later(self, order: Order) -> None:
         order.call = None
-        pause = order.pause * (0.5 + self._random.random())
-        order.pause = min(MAX_PAUSE_S, order.pause * PAUSE_GROWTH)
+        pause = order.backoff_s * (0.5 + self._random.random())
+        order.backoff_s = min(MAX_BACKOFF_S, order.backoff_s * BACKOFF_FACTOR)
         self._simulation.at(self._simulation.now + pause, lambda: self._send(order))
 
-    def _silent(self, order: Order, call: int) -> None:
+    def _time_out(self, order: Order, call: int) -> None:
         if order.call == call and not order.ended:
             del self._by_call[call]
-            self._later(order)
+            self._retry_later(order)
 
     def _answered(self, answer: PutCompleted) -> None:
         order = self._by_call.get(answer.request_id)
@@ -163,7 +163,7 @@
             order.ended = True
             order.call = None
         else:
-            self._later(order)
+            self._retry_later(order)
 
     # ---- the bound on acknowledgements ----
 
