--- a/tests/control_plane/random_schedule.py
+++ b/tests/control_plane/random_schedule.py
@@ -1,6 +1,6 @@
-"""Random schedules of troubles and orders: lists of steps, each with random choices of its own.
+"""Random schedules of faults and operator calls: lists of steps, each with a random generator of its own.
 
-So a step does the same whichever other steps are taken out, and a schedule that fails can be made shorter.
+So a step makes the same choices if other steps are removed, and a failing schedule can be shortened.
 """
 
 from __future__ import annotations
@@ -9,10 +9,10 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from tests.control_plane.calm import CONTACT_S
+from tests.control_plane.disturbances import STABLE_AFTER_S
 from tests.control_plane.fault_injection import CUT_S, FaultInjector
 from tests.control_plane.fleet_fault_injection import FleetFaultInjector
-from tests.control_plane.operators import MOST_ORDERS, Operators
+from tests.control_plane.operators import MAX_ORDERS, Operators
 from tests.control_plane.schedule import SETTLE_LIMIT_S, check_end
 from tests.control_plane.simulated_fleet import SimulatedFleet
 from tests.control_plane.simulation import Simulation
@@ -20,10 +20,10 @@
 ORDER_SHARE = 0.72
 FAULT_SHARE = 0.18
 FLEET_SHARE = 0.1
-CALM_SHARE = 0.15
-MOST_PAUSE_S = 0.7
-MOST_CALM_S = 12.0
-BEYOND_SHARE = 0.4  # of schedules, in which cuts and stops may strike more machines than are tolerated
+LONG_PAUSE_SHARE = 0.15
+MAX_PAUSE_S = 0.7
+MAX_LONG_PAUSE_S = 12.0
+BEYOND_SHARE = 0.4  # share of schedules whose partitions and stops may exceed the tolerated losses
 LONGEST_FAULT_S = CUT_S[1] + 2.0
 RACES = (2, 2, 2, 4, 8)
 ACK_LOSS = 0.7
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True)
 class Step:
-    """One step, and how long nothing else is begun after it."""
+    """One step, and the pause after it."""
 
     number: int
     kind: str
@@ -70,8 +70,8 @@
 
 
 @dataclass
-class World:
-    """A simulation with operators and troubles, and what has happened to it."""
+class FaultScenario:
+    """A simulation with operators, fault injection and a log of the faults."""
 
     seed: int
     simulation: Simulation
@@ -91,10 +91,10 @@
         self.faults.on_join = self.fleet.data_plane.heal_partitions
 
     def log(self, text: str) -> None:
-        """Note what happens."""
+        """Add a line to the log."""
         self.lines.append(f"{self.simulation.now:8.3f} {text}")
 
-    def take(self, step: Step) -> None:
+    def run_step(self, step: Step) -> None:
         """Carry out one step."""
         rng = Random(f"step {self.seed} {step.number}")
         if step.kind in FAULTS:
@@ -106,7 +106,7 @@
         self.simulation.run(step.pause)
 
     def end(self) -> None:
-        """All troubles end, all orders get their answers, and the last checks are made."""
+        """End all faults, wait for all answers, and check the final state."""
         simulation = self.simulation
         self.operators.answer_loss = 0.0
         self.faults.stop()
@@ -117,11 +117,11 @@
         assert simulation.run_until(lambda: not self.operators.open_orders(), SETTLE_LIMIT_S)
         simulation.run(1.0)
         check_end(simulation)
-        simulation.run(2 * CONTACT_S)
+        simulation.run(2 * STABLE_AFTER_S)
         self.fleet.check_end()
 
     def _cut_outside(self, victims: list[str], rng: Random) -> None:
-        """Control schedulers that are cut off from each other still reach data plane schedulers, or not."""
+        """Cut the links between partitioned control schedulers and no, some or all data plane schedulers."""
         shape = rng.choice(["core only", "core only", "all", "near"])
         self.log(f"and from data plane schedulers: {shape}")
         zones = {self.simulation.machines[address].zone for address in victims}
@@ -138,14 +138,14 @@
         elif kind == "read":
             operators.read()
         elif kind == "race":
-            count = min(rng.choice(RACES), MOST_ORDERS - len(operators.open_orders()))
+            count = min(rng.choice(RACES), MAX_ORDERS - len(operators.open_orders()))
             operators.race(max(0, count))
-        elif len(operators.open_orders()) < MOST_ORDERS:
+        elif len(operators.open_orders()) < MAX_ORDERS:
             {"order": operators.order_next, "again": operators.again, "stale": operators.stale}[kind]()
 
 
 def draw_steps(seed: int, count: int) -> list[Step]:
-    """A schedule."""
+    """Draw the steps of a schedule."""
     rng = Random(f"schedule {seed}")
     return [_draw_step(rng, number) for number in range(count)]
 
@@ -153,14 +153,14 @@
 def _draw_step(rng: Random, number: int) -> Step:
     kinds = rng.choices([ORDERS, FAULTS, FLEET_FAULTS], [ORDER_SHARE, FAULT_SHARE, FLEET_SHARE])[0]
     kind = rng.choices(list(kinds), list(kinds.values()))[0]
-    calm = kinds is FAULTS and rng.random() < CALM_SHARE
-    return Step(number, kind, rng.uniform(0.0, MOST_CALM_S if calm else MOST_PAUSE_S))
+    is_long = kinds is FAULTS and rng.random() < LONG_PAUSE_SHARE
+    return Step(number, kind, rng.uniform(0.0, MAX_LONG_PAUSE_S if is_long else MAX_PAUSE_S))
 
 
-def play_schedule(seed: int, steps: Sequence[Step], machines: int = 3, tolerated: int = 1) -> World:
-    """Carry out a schedule from the first start on. Raises AssertionError where a rule is broken."""
-    world = World(seed, Simulation(seed, machines, tolerated))
+def play_schedule(seed: int, steps: Sequence[Step], machines: int = 3, tolerated: int = 1) -> FaultScenario:
+    """Run a schedule from the first start on. Raises AssertionError if a rule is violated."""
+    scenario = FaultScenario(seed, Simulation(seed, machines, tolerated))
     for step in steps:
-        world.take(step)
-    world.end()
-    return world
+        scenario.run_step(step)
+    scenario.end()
+    return scenario
--- a/tests/control_plane/simulated_core.py
+++ b/tests/control_plane/simulated_core.py
@@ -1,7 +1,7 @@
-"""Machinery of the simulation: processes of control schedulers, their disks, and the network between them.
+"""Simulated core: processes of control schedulers, their disks, and the network between them.
 
-Everything random comes from one seeded generator. A fault can be placed at a numbered point: before the n-th
-message is sent, or when the n-th store is asked for.
+All random choices come from generators derived from one seed. A fault can be injected at a numbered point:
+before the n-th message is sent, or when the n-th store is requested.
 """
 
 from __future__ import annotations
@@ -31,8 +31,8 @@
     ReplicaMessage,
     ViewConfirmation,
 )
-from reedspoke.control_plane.replication.replica import TICK_S, Replica, ReplicaSettings
-from tests.control_plane.calm import Calm
+from reedspoke.control_plane.replication.replica import TICK_INTERVAL_S, Replica, ReplicaSettings
+from tests.control_plane.disturbances import Disturbances
 from tests.control_plane.judge import Judge
 from tests.control_plane.simulated_parts import (
     STORE_ERRORS,
@@ -48,9 +48,9 @@
 DISK_DELAY_S = (0.001, 0.008)
 START_SPREAD_S = 0.3
 HELD_RETRY_S = 0.2
-HELD_S = 1.5  # a connection that a cut holds up ends after that
-MOST_CLOCK_SKEW_S = 1000.0
-MOST_CLOCK_DRIFT = 1e-3
+HELD_S = 1.5  # a connection over a cut link ends after this
+MAX_CLOCK_SKEW_S = 1000.0
+MAX_CLOCK_DRIFT = 1e-3
 
 REPLICA_MESSAGES = get_args(ReplicaMessage)
 
@@ -70,12 +70,12 @@
         self.store_count = 0
         self.on_message: Hook | None = None
         self.on_store: Hook | None = None
-        self.spy: Callable[[SendMessage], None] | None = None
+        self.on_send: Callable[[SendMessage], None] | None = None
         self.lost_messages: set[int] = set()
-        self.doubled_messages: set[int] = set()
+        self.duplicated_messages: set[int] = set()
         self.late_messages: set[int] = set()
         self.tolerated = tolerated
-        self.calm = Calm()
+        self.disturbances = Disturbances()
         self.components: list[Component] = []
         self.on_put_answer: Callable[[PutCompleted], None] | None = None
         self._seed = seed
@@ -95,8 +95,8 @@
         return Disk(folder_id=f"{next(self._folders):04x}", made_at=self.now)
 
     def _new_machine(self, address: str, bootstrap: bool) -> Machine:
-        skew = self.random.uniform(0.0, MOST_CLOCK_SKEW_S)
-        rate = 1.0 + self._clocks.uniform(-MOST_CLOCK_DRIFT, MOST_CLOCK_DRIFT)
+        skew = self.random.uniform(0.0, MAX_CLOCK_SKEW_S)
+        rate = 1.0 + self._clocks.uniform(-MAX_CLOCK_DRIFT, MAX_CLOCK_DRIFT)
         return Machine(address, f"zone-{address}", self._new_disk(), bootstrap, skew, rate)
 
     def start(self, address: str) -> None:
@@ -108,15 +108,15 @@
 
     def _start(self, address: str) -> None:
         machine = self.machines.get(address)
-        if machine is None or machine.gone or machine.replica is not None:
+        if machine is None or machine.removed or machine.replica is not None:
             return
         machine.incarnation += 1
         machine.frozen = False
-        machine.leaving = False
+        machine.shutting_down = False
         machine.missed = []
         machine.tick_is_due = False
         machine.calls = {}
-        self.calm.disturbed(self.now, address)
+        self.disturbances.record(self.now, address)
         self.judge.started(address)
         settings = ReplicaSettings(
             folder_id=machine.disk.folder_id,
@@ -127,7 +127,9 @@
             machines_tolerated=self.tolerated,
         )
         records = list(machine.disk.records)
-        machine.replica = Replica(settings, records, machine.clock(self.now), f"life-{machine.incarnation}")
+        machine.replica = Replica(
+            settings, records, machine.clock(self.now), f"incarnation-{machine.incarnation}"
+        )
         for component in self.components:
             component.started(machine)
         self._tick(address, machine.incarnation)
@@ -138,7 +140,7 @@
             return
         machine.replica = None
         machine.incarnation += 1
-        self.calm.disturbed(self.now, address)
+        self.disturbances.record(self.now, address)
         self.judge.stopped(address)
         for component in self.components:
             component.stopped(machine)
@@ -159,7 +161,7 @@
             machine.tick_is_due = True
         else:
             self._ticked(machine)
-        self.at(self.now + TICK_S, lambda: self._tick(address, incarnation))
+        self.at(self.now + TICK_INTERVAL_S, lambda: self._tick(address, incarnation))
 
     def _ticked(self, machine: Machine) -> None:
         machine.tick_is_due = False
@@ -182,7 +184,7 @@
         incarnation = machine.incarnation
         for effect in machine.replica.handle(machine.clock(self.now), event):
             if machine.incarnation != incarnation:
-                return  # a fault at a numbered point has ended this process
+                return  # a fault injected at a numbered point has ended this process
             self._carry_out(address, effect)
 
     def _carry_out(self, address: str, effect: Effect) -> None:
@@ -194,7 +196,7 @@
             case PutCompleted():
                 self._answered_put(address, effect)
             case GetCompleted(request_id=request_id):
-                self.judge.answered_get(
+                self.judge.get_answered(
                     structs.replace(effect, request_id=self._call_of(address, request_id))
                 )
             case DeliverConfiguration(committed=committed):
@@ -209,12 +211,12 @@
 
     def _answered_put(self, address: str, effect: PutCompleted) -> None:
         answer = structs.replace(effect, request_id=self._call_of(address, effect.request_id))
-        self.judge.answered_put(answer)
+        self.judge.put_answered(answer)
         if self.on_put_answer is not None:
             self.on_put_answer(answer)
 
     def _new_call(self, address: str) -> tuple[int, int]:
-        """Number of a call in the simulation, and in the process that gets it (each counts anew)."""
+        """Number of a new call in the simulation, and its number in the process that gets it."""
         machine = self.machines[address]
         call = next(self._requests)
         in_process = len(machine.calls) + 1
@@ -222,16 +224,16 @@
         return call, in_process
 
     def _call_of(self, address: str, request_id: int) -> int:
-        """The call that a process answers."""
+        """The number in the simulation of a call that a process answers."""
         calls = self.machines[address].calls
-        assert request_id in calls, f"{address} answers a call that it never got"
+        assert request_id in calls, f"{address} answered a call that it never got"
         return calls[request_id]
 
     def send(self, sender: str, effect: SendMessage) -> None:
-        """Carry a message of one control scheduler to another."""
+        """Send a message from one control scheduler to another."""
         number = self._message_number(effect.message)
-        if self.spy is not None:
-            self.spy(effect)
+        if self.on_send is not None:
+            self.on_send(effect)
         numbers = self._random_for(sender, effect.address, effect.message)
         if number in self.lost_messages or numbers.random() < self.network.loss:
             return
@@ -240,14 +242,16 @@
             message = decode(encode(message), ReplicaMessage)
             assert message == effect.message
         copies = 1
-        if number in self.doubled_messages or numbers.random() < self.network.doubled:
+        if number in self.duplicated_messages or numbers.random() < self.network.duplicated:
             copies = 2
         late = number in self.late_messages or numbers.random() < self.network.late
         for copy in range(copies):
             self._transmit(sender, effect.address, message, 0.4 if late or copy else 0.0)
 
     def _random_for(self, sender: str, receiver: str, message: Struct) -> random.Random:
-        """Messages that are not between replicas leave in no fixed order: each link has its own numbers."""
+        """Generator for a message. Messages other than those between replicas have no fixed order, so each of
+        their links has a generator of its own.
+        """
         if isinstance(message, REPLICA_MESSAGES):
             return self.random
         link = (sender, receiver)
@@ -256,7 +260,7 @@
         return self._link_random[link]
 
     def _message_number(self, message: Struct) -> int:
-        """Numbers what happens once; signs of life, which are repeated all the time, get none."""
+        """Number a message; 0 for heartbeats and grants, which are repeated all the time."""
         if isinstance(message, Heartbeat | ReadLeaseGrant | ViewConfirmation):
             return 0
         self.message_count += 1
@@ -265,7 +269,7 @@
         return self.message_count
 
     def _transmit(self, sender: str, receiver: str, message: Struct, extra: float) -> None:
-        """Deliver after the link's delay, in order unless `extra` sets the message apart."""
+        """Deliver after the link's delay; in order, unless there is an `extra` delay."""
         numbers = self._random_for(sender, receiver, message)
         arrival = self.now + numbers.uniform(*LINK_DELAY_S) + extra
         if not extra:
@@ -273,7 +277,7 @@
             self._link_free[(sender, receiver)] = arrival
 
         given_up_at = arrival + HELD_S
-        forever = isinstance(message, REPLICA_MESSAGES)  # they bear that, whatever a connection does
+        forever = isinstance(message, REPLICA_MESSAGES)  # the replication protocol tolerates any delay
 
         def arrive() -> None:
             if (sender, receiver) not in self.network.cut:
@@ -297,7 +301,7 @@
             self._start_store(address, store)
 
     def _start_store(self, address: str, store: StoreRecords) -> None:
-        """Stores end in their order; while the disk hangs they wait."""
+        """Start a store; stores end in order, and wait while the disk stalls."""
         machine = self.machines[address]
         incarnation = machine.incarnation
         machine.disk.waiting.append(store)
--- a/tests/control_plane/simulated_data_plane.py
+++ b/tests/control_plane/simulated_data_plane.py
@@ -210,7 +210,7 @@
 
     def _record_event(self, name: str) -> None:
         """Record an event of a data plane node. It does not affect whether the control plane is stable."""
-        self._simulation.calm.disk_changed(self._simulation.now, name)
+        self._simulation.disturbances.record_disk_change(self._simulation.now, name)
 
     # ---- connections ----
 
--- a/tests/control_plane/test_puts_history.py
+++ b/tests/control_plane/test_puts_history.py
@@ -1,4 +1,4 @@
-"""How long accepted changes are remembered, and what an order gets that is older than that."""
+"""The history of accepted changes, and the answers to changes that were evicted from it."""
 
 from __future__ import annotations
 
@@ -21,24 +21,24 @@
     restore,
 )
 from reedspoke.control_plane.replication.messages import InstallSnapshot, ReplicaMessage
-from reedspoke.control_plane.replication.settings import HISTORY_LIMIT
+from reedspoke.control_plane.replication.settings import MAX_HISTORY_CHANGES
 from tests.control_plane.direct_core import DirectCore
 
 LATER_CHANGES = 5000
 FIRST = 5
-LOST = FIRST + 1  # generation of the orders that lost against the first
+REJECTED = FIRST + 1  # generation of a change that was rejected in favour of the first
 
 
 def _document(generation: int) -> bytes:
     return b"generation %d" % generation
 
 
-def _core_with_rivals() -> DirectCore:
-    """Generation 5 wins against a rival of the same number, and one of a higher number."""
+def _core_with_competing_changes() -> DirectCore:
+    """Generation 5 is accepted; competing changes of the same and of a higher generation are rejected."""
     core = DirectCore()
     assert core.put("m2", 0, FIRST, _document(FIRST)) is None
-    assert core.put("m3", 0, FIRST, b"a rival") is ErrorCode.CONFIGURATION_STALE_MATCH
-    assert core.put("m1", 0, LOST, b"another rival") is ErrorCode.CONFIGURATION_STALE_MATCH
+    assert core.put("m3", 0, FIRST, b"a competing change") is ErrorCode.CONFIGURATION_STALE_MATCH
+    assert core.put("m1", 0, REJECTED, b"another competing change") is ErrorCode.CONFIGURATION_STALE_MATCH
     return core
 
 
@@ -48,43 +48,49 @@
     return after + count
 
 
-def _check_ends(core: DirectCore) -> None:
+def _check_results(core: DirectCore) -> None:
     for address in core.addresses:
         assert core.put(address, 0, FIRST, _document(FIRST)) is None
-        assert core.put(address, 0, FIRST, b"a rival") is ErrorCode.CONFIGURATION_STALE_MATCH
-        assert core.put(address, 0, LOST, b"another rival") is ErrorCode.CONFIGURATION_STALE_MATCH
+        assert core.put(address, 0, FIRST, b"a competing change") is ErrorCode.CONFIGURATION_STALE_MATCH
+        assert (
+            core.put(address, 0, REJECTED, b"another competing change") is ErrorCode.CONFIGURATION_STALE_MATCH
+        )
 
 
-def test_orders_sent_again_end_as_before_after_many_changes_a_restart_and_a_snapshot() -> None:
-    core = _core_with_rivals()
+def test_resubmitted_changes_get_the_same_result_after_many_changes_a_restart_and_a_snapshot() -> None:
+    core = _core_with_competing_changes()
     _change(core, LATER_CHANGES, after=FIRST)
-    _check_ends(core)
+    _check_results(core)
     core.restart()
-    _check_ends(core)
-    for address in core.addresses:  # in the end every copy comes from a snapshot
+    _check_results(core)
+    for address in core.addresses:  # in the end every copy was installed by a snapshot
         core.lose_disk(address)
         core.start(address)
         core.run(5.0)
         assert core.replicas[address].in_chain
-    _check_ends(core)
+    _check_results(core)
     core.restart()
-    _check_ends(core)
+    _check_results(core)
 
 
-def test_what_has_fallen_out_of_the_history_gets_no_clear_answer() -> None:
-    core = _core_with_rivals()
-    newest = _change(core, HISTORY_LIMIT, after=FIRST)
-    oldest = newest - HISTORY_LIMIT + 1
+def test_a_change_evicted_from_the_history_gets_an_unclear_answer() -> None:
+    core = _core_with_competing_changes()
+    newest = _change(core, MAX_HISTORY_CHANGES, after=FIRST)
+    oldest = newest - MAX_HISTORY_CHANGES + 1
     for _ in range(2):
         assert core.put("m2", 0, FIRST, _document(FIRST)) is ErrorCode.WRITE_UNCLEAR
-        assert core.put("m3", 0, FIRST, b"a rival") is ErrorCode.WRITE_UNCLEAR
+        assert core.put("m3", 0, FIRST, b"a competing change") is ErrorCode.WRITE_UNCLEAR
         assert core.put("m3", oldest - 1, oldest, _document(oldest)) is None
-        assert core.put("m3", oldest - 1, oldest, b"a rival") is ErrorCode.CONFIGURATION_STALE_MATCH
-        assert core.put("m3", newest - 1, newest, b"a rival") is ErrorCode.CONFIGURATION_STALE_MATCH
+        assert (
+            core.put("m3", oldest - 1, oldest, b"a competing change") is ErrorCode.CONFIGURATION_STALE_MATCH
+        )
+        assert (
+            core.put("m3", newest - 1, newest, b"a competing change") is ErrorCode.CONFIGURATION_STALE_MATCH
+        )
         core.restart()
 
 
-def test_nothing_is_forgotten_while_the_history_is_not_full() -> None:
+def test_nothing_is_evicted_while_the_history_is_not_full() -> None:
     core = DirectCore()
     assert core.put("m1", 0, 1000, b"the first has a high number") is None
     assert core.put("m1", 0, 10, b"a low number") is ErrorCode.CONFIGURATION_STALE_MATCH
@@ -108,10 +114,10 @@
     assert (len(history), history.oldest_generation, history.newest) == (0, 0, None)
 
 
-def test_a_longer_packed_history_is_cut_at_its_old_end() -> None:
-    packed = b"".join(ROW.pack(generation, bytes(32)) for generation in range(1, HISTORY_LIMIT + 11))
+def test_a_longer_packed_history_loses_its_oldest_changes() -> None:
+    packed = b"".join(ROW.pack(generation, bytes(32)) for generation in range(1, MAX_HISTORY_CHANGES + 11))
     history = ChangeHistory(packed)
-    assert (len(history), history.oldest_generation) == (HISTORY_LIMIT, 11)
+    assert (len(history), history.oldest_generation) == (MAX_HISTORY_CHANGES, 11)
 
 
 def test_a_log_of_an_earlier_version_is_read() -> None:
@@ -123,7 +129,7 @@
     assert state.entry == entry
 
 
-def test_a_history_that_is_not_whole_rows_is_read_from_nowhere() -> None:
+def test_a_history_that_is_not_whole_rows_is_rejected() -> None:
     record = ormsgpack.packb(["packed_history", bytes(ROW.size + 1)])
     with pytest.raises(FleetError, match="unknown record"):
         restore([record])
@@ -135,5 +141,5 @@
 
 
 def test_a_full_history_stays_small_on_disk() -> None:
-    full = HistoryRecord(ROW.pack(2**62, bytes(32)) * HISTORY_LIMIT)
+    full = HistoryRecord(ROW.pack(2**62, bytes(32)) * MAX_HISTORY_CHANGES)
     assert len(ormsgpack.packb(to_builtins(full, builtin_types=(bytes,)))) < 330_000
--- a/tests/control_plane/test_puts_invalid.py
+++ b/tests/control_plane/test_puts_invalid.py
@@ -1,4 +1,4 @@
-"""Invalid and stale documents, sent through the operator's API, reach no disk."""
+"""Invalid and stale documents submitted through the operator API are not stored."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 from tests.control_plane.direct_core import DirectCore
 from tests.control_plane_process.stand_ins import configuration_document
 
-FINAL = {  # the errors that end an order; whatever got another one may be in force
+FINAL = {  # a change that gets any other error may be in force
     ErrorCode.CONFIGURATION_UNREADABLE,
     ErrorCode.CONFIGURATION_FIELD,
     ErrorCode.CONFIGURATION_UNKNOWN_UPSTREAM,
@@ -40,7 +40,7 @@
 
 
 class CoreBackend:
-    """Puts operators' changes into a core that is driven directly; reads are not used."""
+    """A backend that submits changes to a `DirectCore`; reads are not used."""
 
     def __init__(self, core: DirectCore) -> None:
         self._core = core
@@ -50,11 +50,11 @@
         return parse_configuration(document)
 
     def holds_majority(self) -> bool:
-        """It does, as nothing fails here."""
+        """True, as there are no faults."""
         return True
 
     async def put(self, match: int, generation: int, document: bytes) -> PutCompleted:
-        """Have the configuration replicated."""
+        """Replicate the configuration."""
         return PutCompleted(1, self._core.put("m2", match, generation, document))
 
     async def get(self) -> GetCompleted:
@@ -78,7 +78,7 @@
         raise NotImplementedError
 
     def call_completed(self, call: CompletedCall) -> None:
-        """Nothing is recorded."""
+        """Do nothing."""
 
 
 def _status(core: DirectCore, match: str, document: bytes) -> int:
@@ -119,7 +119,7 @@
 
 
 @pytest.mark.parametrize("name", INVALID)
-def test_an_invalid_document_is_refused_and_on_no_disk(name: str) -> None:
+def test_an_invalid_document_is_rejected_and_not_stored(name: str) -> None:
     core = DirectCore()
     assert _status(core, "0", configuration_document(1)) == 200
     for _ in range(2):
@@ -129,7 +129,7 @@
     assert _status(core, "1", configuration_document(2)) == 200
 
 
-def test_a_stale_document_is_refused_and_on_no_disk() -> None:
+def test_a_stale_document_is_rejected_and_not_stored() -> None:
     core = DirectCore()
     assert _status(core, "0", configuration_document(1)) == 200
     assert _status(core, "1", configuration_document(2)) == 200
@@ -143,6 +143,6 @@
 
 
 @pytest.mark.parametrize("code", ErrorCode)
-def test_only_what_is_final_looks_final_to_an_operator(code: ErrorCode) -> None:
+def test_only_final_errors_have_a_final_status(code: ErrorCode) -> None:
     if code in OPERATIONS[CONFIGURATION_PATH]["PUT"].errors:
         assert (http_status_of(code) == 503) == (code not in FINAL)
--- a/tests/control_plane/test_replica_answers.py
+++ b/tests/control_plane/test_replica_answers.py
@@ -1,4 +1,4 @@
-"""Answers to an operator: slow disks, refused writes, short chains, stale members, large documents."""
+"""Answers to operators with slow or failing disks, short chains, outdated members and large documents."""
 
 from __future__ import annotations
 
@@ -9,13 +9,17 @@
 from reedspoke.control_plane.replication.entry import ChangeId
 from reedspoke.control_plane.replication.log_records import restore
 from reedspoke.control_plane.replication.messages import AppendRequest
-from reedspoke.control_plane.replication.settings import HISTORY_LIMIT, READ_LEASE_TTL_S, REWRITE_BYTES
+from reedspoke.control_plane.replication.settings import (
+    LOG_REWRITE_THRESHOLD_BYTES,
+    MAX_HISTORY_CHANGES,
+    READ_LEASE_TTL_S,
+)
 from reedspoke.control_plane.storage.log_format import BATCH_COPIES
 from tests.control_plane.schedule import come_back
 from tests.control_plane.simulated_parts import DiskMode
 from tests.control_plane.simulation import Simulation
 
-ANSWER_LIMIT_S = 0.9 + 0.1  # the bound on an answer, and two ticks
+ANSWER_LIMIT_S = 0.9 + 0.1  # the limit on an answer plus two ticks
 
 
 @pytest.fixture
@@ -40,14 +44,14 @@
     assert answer.error is ErrorCode.NO_CONFIGURATION
 
 
-def test_before_any_view_the_answer_comes_at_once() -> None:
+def test_a_change_before_the_first_view_fails_at_once() -> None:
     simulation = Simulation(seed=33)
     simulation.start("m1")
     assert _error(simulation, simulation.put("m1", 0, 1, b"x")) is ErrorCode.NO_QUORUM
 
 
 @pytest.mark.parametrize("address", ["m1", "m2", "m3"])
-def test_stale_matches_are_refused_and_future_ones_get_no_clear_answer(
+def test_stale_matches_are_rejected_and_future_ones_get_an_unclear_answer(
     core: Simulation, address: str
 ) -> None:
     assert core.put_and_wait(address, 0, 2, b"on nothing") is ErrorCode.CONFIGURATION_STALE_MATCH
@@ -55,22 +59,22 @@
     assert core.put_and_wait(address, 1, 1, b"the same number") is ErrorCode.CONFIGURATION_OLD_GENERATION
 
 
-def test_changes_handed_in_at_once_are_taken_in_order(core: Simulation) -> None:
+def test_changes_submitted_at_once_are_accepted_in_order(core: Simulation) -> None:
     calls = [core.put("m1", generation, generation + 1, b"%d" % generation) for generation in range(1, 9)]
     core.run(1.0)
     assert [_error(core, call) for call in calls] == [None] * 8
 
 
-def test_the_same_bytes_while_in_flight_are_acknowledged_with_the_first(core: Simulation) -> None:
+def test_duplicates_of_a_change_in_flight_are_acknowledged_with_it(core: Simulation) -> None:
     calls = [core.put(address, 1, 2, b"second") for address in ("m1", "m2", "m3", "m1")]
     core.run(0.5)
     assert [_error(core, call) for call in calls] == [None] * 4
 
 
 @pytest.mark.parametrize("mode", [DiskMode.FULL, DiskMode.FAILS])
-def test_what_failed_at_the_heads_disk_is_not_passed_on(core: Simulation, mode: DiskMode) -> None:
+def test_an_entry_whose_store_failed_at_the_head_is_not_forwarded(core: Simulation, mode: DiskMode) -> None:
     sent: list[SendMessage] = []
-    core.spy = sent.append
+    core.on_send = sent.append
     head = core.chain()[0]
     core.set_disk(head, mode)
     call = core.put(head, 1, 2, b"second")
@@ -78,7 +82,7 @@
     assert _error(core, call) is ErrorCode.WRITE_UNCLEAR
     core.run(3.0)
     assert not [effect for effect in sent if isinstance(effect.message, AppendRequest)]
-    core.spy = None
+    core.on_send = None
     assert core.put_and_wait(core.chain()[0], 1, 3, b"another") is None
     come_back(core)
     answer = core.get_and_wait(head)
@@ -87,7 +91,7 @@
     assert answer.committed.document == b"another"
 
 
-def test_a_stalled_disk_is_answered_within_the_bound(core: Simulation) -> None:
+def test_a_change_is_answered_in_time_despite_a_stalled_disk(core: Simulation) -> None:
     core.set_disk(core.chain()[0], DiskMode.STALLS)
     call = core.put("m3", 1, 2, b"second")
     core.run(ANSWER_LIMIT_S)
@@ -118,7 +122,7 @@
     assert answer.committed is None or answer.committed.generation == 2
 
 
-def test_a_tail_that_was_cut_off_stops_reading_before_the_others_go_on(core: Simulation) -> None:
+def test_a_partitioned_tail_stops_answering_reads_before_a_new_view(core: Simulation) -> None:
     tail = core.chain()[-1]
     core.isolate(tail)
     cut_at = core.now
@@ -129,7 +133,7 @@
     assert core.judge.get_answers[call].error is ErrorCode.NO_QUORUM
 
 
-def test_a_head_that_was_cut_off_does_not_refuse_what_was_acknowledged_meanwhile(core: Simulation) -> None:
+def test_a_partitioned_head_does_not_reject_a_change_acknowledged_by_others(core: Simulation) -> None:
     head = core.chain()[0]
     core.isolate(head)
     core.run(2.0)
@@ -145,7 +149,7 @@
 
 def test_a_large_document_is_sent_once_to_each_successor(core: Simulation) -> None:
     sent: list[SendMessage] = []
-    core.spy = sent.append
+    core.on_send = sent.append
     document = b"x" * 4_000_000
     core.network.check_encoding = False
     assert core.put_and_wait("m2", 1, 2, document) is None
@@ -159,7 +163,7 @@
         assert core.put_and_wait("m1", generation - 1, generation, document + b"%d" % generation) is None
     for machine in core.machines.values():
         size = sum(map(len, machine.disk.records))
-        assert BATCH_COPIES * size < REWRITE_BYTES + 4 * 2_000_000
+        assert BATCH_COPIES * size < LOG_REWRITE_THRESHOLD_BYTES + 4 * 2_000_000
     for address in core.machines:
         core.lose_power(address)
     core.run(1.0)
@@ -167,7 +171,7 @@
     assert core.put_and_wait("m3", 28, 29, document + b"29") is None
 
 
-def test_the_snapshot_yields_the_state(core: Simulation) -> None:
+def test_the_snapshot_restores_the_state(core: Simulation) -> None:
     assert core.put_and_wait("m2", 1, 2, b"second") is None
     core.run(0.5)
     for address, machine in core.machines.items():
@@ -181,9 +185,9 @@
 
 
 def test_the_history_is_bounded() -> None:
-    assert HISTORY_LIMIT == 8192
+    assert MAX_HISTORY_CHANGES == 8192
     history = restore([]).history
-    for generation in range(1, HISTORY_LIMIT + 2):
+    for generation in range(1, MAX_HISTORY_CHANGES + 2):
         history.add(ChangeId(generation, bytes(32)))
-    assert len(history) == HISTORY_LIMIT
+    assert len(history) == MAX_HISTORY_CHANGES
     assert history.oldest_generation == 2
--- a/tests/control_plane/test_replica_membership.py
+++ b/tests/control_plane/test_replica_membership.py
@@ -1,4 +1,4 @@
-"""First start, machines that are replaced, disks that are lost, and who votes."""
+"""First start, replaced machines, lost disks, and the resulting voters."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 import pytest
 
 from reedspoke.common.errors import ErrorCode
-from reedspoke.control_plane.replication.settings import ESTABLISHED_AFTER_S
+from reedspoke.control_plane.replication.settings import ESTABLISHED_MIN_REACHABLE_S
 from tests.control_plane.schedule import check_end
 from tests.control_plane.simulation import Simulation
 
@@ -44,13 +44,13 @@
     simulation = Simulation(seed=1, machines=machines, tolerated=1)
     simulation.settle(8.0)
     assert len(simulation.chain()) == machines
-    assert len(_voters(simulation)) == 3, "enough for one loss"
-    simulation.run(ESTABLISHED_AFTER_S + 2.0)
+    assert len(_voters(simulation)) == 3, "three voters tolerate one loss"
+    simulation.run(ESTABLISHED_MIN_REACHABLE_S + 2.0)
     assert len(_voters(simulation)) == (machines if machines % 2 else machines - 1)
 
 
 @pytest.mark.parametrize("moment", [0.05 * step for step in range(1, 16)])
-def test_a_kill_of_all_during_the_first_start_comes_out_the_same(moment: float) -> None:
+def test_a_kill_of_all_processes_during_the_first_start_does_not_change_the_result(moment: float) -> None:
     simulation = Simulation(seed=7)
     simulation.run(moment)
     for address in simulation.machines:
@@ -101,8 +101,10 @@
     old = simulation.chain()[place]
     simulation.add_machine("n1")
     simulation.settle()
-    assert _voters(simulation) == {"m1", "m2", "m3"}, "it and the one that it replaces count as one loss"
-    simulation.leave(old)
+    assert _voters(simulation) == {"m1", "m2", "m3"}, (
+        "the new machine and the one that it replaces count as one loss"
+    )
+    simulation.shut_down(old)
     simulation.run(1.0)
     del simulation.machines[old]
     assert simulation.run_until(lambda: old not in _voters(simulation), 2.0)
@@ -112,12 +114,12 @@
 
 
 @pytest.mark.parametrize("place", [0, 1, 2])
-def test_unplanned_replacement_old_machine_gone_first(place: int) -> None:
+def test_unplanned_replacement_old_machine_lost_first(place: int) -> None:
     simulation = _with_one_change(seed=5)
     old = simulation.chain()[place]
     simulation.lose_power(old, restart_after=None)
     simulation.run(2.5)
-    assert old in _voters(simulation), "voters are not reduced below what is needed"
+    assert old in _voters(simulation), "voters are not reduced below the target"
     del simulation.machines[old]
     simulation.add_machine("n1")
     simulation.settle()
@@ -130,7 +132,7 @@
     for number, old in enumerate(["m1", "m2", "m3"], start=1):
         simulation.add_machine(f"n{number}")
         simulation.settle()
-        simulation.leave(old)
+        simulation.shut_down(old)
         simulation.run(1.5)
         del simulation.machines[old]
         simulation.change_seeds(tuple(sorted(simulation.machines))[-3:])
@@ -140,12 +142,12 @@
     check_end(simulation)
 
 
-def test_a_leaving_machine_is_out_of_the_chain_before_it_ends() -> None:
+def test_a_machine_that_shuts_down_is_removed_from_the_chain_before_its_process_ends() -> None:
     simulation = _with_one_change(seed=9)
     for place in (2, 0):
         simulation.run(1.0)
         leaving = simulation.chain()[place]
-        simulation.leave(leaving, gone_after=3.0)
+        simulation.shut_down(leaving, gone_after=3.0)
         simulation.run(0.6)
         assert leaving not in simulation.chain()
         simulation.run(2.5)
@@ -165,7 +167,7 @@
 
 
 def _final_fault(machines: int, tolerated: int, lost: tuple[int, ...], seed: int) -> None:
-    """Right after an acknowledgement; the operator reads back."""
+    """The fault strikes right after an acknowledgement, and the change must still be readable."""
     simulation = _with_one_change(seed, machines, tolerated)
     assert simulation.put_and_wait("m3", 1, 2, b"second") is None
     for place, address in enumerate(list(simulation.machines)):
@@ -182,7 +184,7 @@
     check_end(simulation)
 
 
-def test_a_machine_back_after_a_long_time_with_an_old_view_is_taken_in() -> None:
+def test_a_machine_that_returns_with_an_old_view_is_appended_again() -> None:
     simulation = _with_one_change(seed=10)
     simulation.lose_power("m3", restart_after=None)
     simulation.run(2.0)
--- a/tests/control_plane/test_replica_stale.py
+++ b/tests/control_plane/test_replica_stale.py
@@ -1,4 +1,4 @@
-"""A replica that lags behind a newer view neither reads, refuses nor takes by what it still believes."""
+"""A replica in an outdated view does not answer reads, or reject or accept changes, by its old state."""
 
 from __future__ import annotations
 
@@ -39,8 +39,8 @@
     return simulation
 
 
-def _go_on_without(core: Simulation, address: str) -> None:
-    """One member is stopped; the others acknowledge two changes."""
+def _change_without(core: Simulation, address: str) -> None:
+    """Stop one member; the others acknowledge two changes."""
     core.freeze(address)
     core.run(2.0)
     other = core.chain()[0]
@@ -48,42 +48,45 @@
     assert core.put_and_wait(other, 2, 3, b"third") is None
 
 
-def _thaw_with_old_pings_alone(core: Simulation, address: str) -> None:
-    """What it finds first makes it believe that all are in reach and nothing has changed."""
-
+def _thaw_with_old_heartbeats_only(core: Simulation, address: str) -> None:
+    """Continue with only the queued heartbeats of the old view, by which all replicas seem reachable."""
     machine = core.machines[address]
     own = machine.disk.folder_id
 
-    def is_old_ping(event: Event) -> bool:
-        ping = event.message if isinstance(event, MessageReceived) else None
-        return isinstance(ping, Heartbeat) and ping.view_number == OLD_VIEW and own in ping.heard
+    def is_old_heartbeat(event: Event) -> bool:
+        heartbeat = event.message if isinstance(event, MessageReceived) else None
+        return (
+            isinstance(heartbeat, Heartbeat)
+            and heartbeat.view_number == OLD_VIEW
+            and own in heartbeat.receives_from
+        )
 
-    machine.missed = [event for event in machine.missed if is_old_ping(event)]
+    machine.missed = [event for event in machine.missed if is_old_heartbeat(event)]
     core.thaw(address)
     assert core.replica(address).majority_reached
 
 
-def test_an_old_tail_does_not_read_without_its_lease(core: Simulation) -> None:
+def test_an_outdated_tail_answers_no_read_without_its_lease(core: Simulation) -> None:
     tail = core.chain()[-1]
-    _go_on_without(core, tail)
-    _thaw_with_old_pings_alone(core, tail)
+    _change_without(core, tail)
+    _thaw_with_old_heartbeats_only(core, tail)
     call = core.get(tail)
     core.run(1.5)
     answer = core.judge.get_answers[call]
     assert answer.committed is None or answer.committed.generation == 3
 
 
-def test_an_old_head_does_not_refuse_what_was_acknowledged(core: Simulation) -> None:
+def test_an_outdated_head_does_not_reject_an_acknowledged_change(core: Simulation) -> None:
     head = core.chain()[0]
-    _go_on_without(core, head)
-    _thaw_with_old_pings_alone(core, head)
+    _change_without(core, head)
+    _thaw_with_old_heartbeats_only(core, head)
     call = core.put(head, 2, 3, b"third")
     core.run(1.5)
     assert core.judge.put_answers[call].error in (None, ErrorCode.NO_QUORUM)
 
 
-def test_chain_messages_of_an_old_view_are_refused(core: Simulation) -> None:
-    _go_on_without(core, "m1")
+def test_chain_messages_of_an_old_view_are_ignored(core: Simulation) -> None:
+    _change_without(core, "m1")
     core.run(0.5)
     replica = core.replica("m3")
     stray = Entry(4, OLD_VIEW, 9, b"stray")
@@ -100,13 +103,13 @@
     assert replica.snapshot_records() == before
 
 
-def test_an_acceptance_that_nobody_finishes_is_finished_by_others(core: Simulation) -> None:
+def test_an_unfinished_proposal_is_completed_by_others(core: Simulation) -> None:
     view = core.newest_view()
     assert view is not None
     proposed = View(view.number + 1, view.voters, view.chain[:-1])
-    message = AcceptRequest(proposed.number, ProposalNumber(50, "gone:1"), proposed, released_at=FAR_LATER)
+    message = AcceptRequest(proposed.number, ProposalNumber(50, "lost:1"), proposed, released_at=FAR_LATER)
     for address in ("m1", "m2"):
-        core.inject(address, MessageReceived("gone", message))
+        core.inject(address, MessageReceived("lost", message))
     core.run(2.5)
     core.settle()
     newest = core.newest_view()
@@ -117,14 +120,14 @@
     assert answer.committed is not None
 
 
-def test_no_two_lives_of_a_process_share_a_ballot(core: Simulation) -> None:
+def test_no_two_incarnations_share_a_proposal_number(core: Simulation) -> None:
     proposers: set[str] = set()
 
     def note(effect: SendMessage) -> None:
         if isinstance(effect.message, PrepareRequest):
             proposers.add(effect.message.proposal_number.proposer)
 
-    core.spy = note
+    core.on_send = note
     for _ in range(2):
         core.run(1.0)
         tail = core.chain()[-1]
@@ -134,11 +137,11 @@
         core.kill(core.chain()[0], restart_after=0.1)
         core.run(1.0)
         core.settle()
-    lives = [proposer for proposer in proposers if proposer.startswith("0001:")]
-    assert len(lives) >= 2
+    incarnations = [proposer for proposer in proposers if proposer.startswith("0001:")]
+    assert len(incarnations) >= 2
 
 
-def test_a_chain_below_the_minimum_takes_nothing() -> None:
+def test_a_chain_below_the_minimum_length_accepts_nothing() -> None:
     simulation = Simulation(seed=42, machines=1, tolerated=1, seeds=1)
     simulation.settle()
     simulation.run(1.0)
@@ -155,19 +158,19 @@
     return [effect.error for effect in effects if isinstance(effect, PutCompleted)]
 
 
-def test_a_refusal_counts_only_from_the_head_that_was_asked_last() -> None:
+def test_a_rejection_counts_only_from_the_head_of_the_last_request() -> None:
     outbox = Outbox("at-own", 10.0, 0)
     puts = PutForwarder("own:1", outbox, 0.9)
     puts.submit(PutSubmitted(1, 0, 1, b"first"), _view(1, "a"), contact=ContactState.CONFIRMED)
     puts.tick(_view(2, "b"), ContactState.CONFIRMED)
-    sent = [effect for effect in outbox.take() if isinstance(effect, SendMessage)]
+    sent = [effect for effect in outbox.take_effects() if isinstance(effect, SendMessage)]
     assert [effect.address for effect in sent] == ["at-a", "at-b"]
     stale = int(ErrorCode.CONFIGURATION_STALE_MATCH)
     puts.receive_reply(PutReply(1, "own:1:1", stale))
-    assert _answers(outbox.take()) == []
+    assert _answers(outbox.take_effects()) == []
     puts.receive_reply(PutReply(2, "own:1:1", stale))
     puts.receive_reply(PutReply(2, "own:1:1", 0))
-    assert _answers(outbox.take()) == [ErrorCode.CONFIGURATION_STALE_MATCH]
+    assert _answers(outbox.take_effects()) == [ErrorCode.CONFIGURATION_STALE_MATCH]
 
 
 def test_an_acknowledgement_counts_from_any_head() -> None:
@@ -175,6 +178,6 @@
     puts = PutForwarder("own:1", outbox, 0.9)
     puts.submit(PutSubmitted(1, 0, 1, b"first"), _view(1, "a"), contact=ContactState.CONFIRMED)
     puts.tick(_view(2, "b"), ContactState.CONFIRMED)
-    outbox.take()
+    outbox.take_effects()
     puts.receive_reply(PutReply(1, "own:1:1", 0))
-    assert _answers(outbox.take()) == [None]
+    assert _answers(outbox.take_effects()) == [None]
--- a/tests/control_plane/test_storage_changes.py
+++ b/tests/control_plane/test_storage_changes.py
@@ -84,7 +84,7 @@
         machine = self.simulation.machines[address]
         if machine.replica is None or machine.frozen:
             return False
-        return self.simulation.whole() and self._held(address) == self.generation
+        return self.simulation.all_in_chain() and self._held(address) == self.generation
 
     def _check_ends_of_chain(self) -> None:
         """Check that the head and the tail of the newest chain have the newest acknowledged change."""
@@ -107,7 +107,7 @@
 @pytest.fixture
 def fleet(monkeypatch: pytest.MonkeyPatch) -> Fleet:
     """A fleet of three machines whose logs are rewritten often."""
-    monkeypatch.setattr(replica_outbox, "REWRITE_BYTES", SMALL_REWRITE_BYTES)
+    monkeypatch.setattr(replica_outbox, "LOG_REWRITE_THRESHOLD_BYTES", SMALL_REWRITE_BYTES)
     return Fleet(StorageSimulation(monkeypatch, seed=SEED))
 
 
--- a/tests/control_plane/test_storage_lost_state.py
+++ b/tests/control_plane/test_storage_lost_state.py
@@ -62,7 +62,7 @@
         for asked in simulation.machines:
             simulation.get(asked)
         simulation.run(0.02)
-    assert simulation.run_until(simulation.whole, CATCH_UP_S)
+    assert simulation.run_until(simulation.all_in_chain, CATCH_UP_S)
     for asked in simulation.machines:
         answer = simulation.get_and_wait(asked)
         assert answer is not None
@@ -82,7 +82,7 @@
     assert view is not None
     link = view.chain[1]
     messages: dict[str, Struct] = {
-        "successor": SuccessorStatus(view.number, link.member.folder_id, link.joined, True, CHANGES + 1),
+        "successor": SuccessorStatus(view.number, link.member.folder_id, link.joined_view, True, CHANGES + 1),
         "tail": CommitNotification(view.number, CHANGES + 1),
         "ping": Heartbeat(link.member, view.number, (), True, 0, CHANGES + 1),
     }
--- a/tests/control_plane/test_storage_size.py
+++ b/tests/control_plane/test_storage_size.py
@@ -14,7 +14,7 @@
 from reedspoke.control_plane.replication.effects import StoreRecords
 from reedspoke.control_plane.replication.events import StoreCompleted
 from reedspoke.control_plane.replication.outbox import Outbox
-from reedspoke.control_plane.replication.settings import REWRITE_BYTES
+from reedspoke.control_plane.replication.settings import LOG_REWRITE_THRESHOLD_BYTES
 from reedspoke.control_plane.storage.log_format import BATCH_COPIES, encode_batch, encoded_size
 from tests.control_plane.storage_simulation import StorageSimulation
 
@@ -45,18 +45,20 @@
 
 
 def test_the_log_is_bounded_with_large_documents(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The bound: REWRITE_BYTES of outdated records, the current document, a new one and the rewritten log."""
+    """The bound: LOG_REWRITE_THRESHOLD_BYTES of outdated records, the current document, a new one and
+    the rewritten log.
+    """
     largest = 4 * MEGABYTE
     sizes = [largest, MEGABYTE, largest, 2 * MEGABYTE]
     documents = [b"%06d" % number + b"x" * sizes[number % 4] for number in range(LARGE_CHANGES)]
     log_bytes = _max_log_bytes(_single_machine(monkeypatch), documents)
-    assert log_bytes < REWRITE_BYTES + 4 * BATCH_COPIES * largest + MEGABYTE
+    assert log_bytes < LOG_REWRITE_THRESHOLD_BYTES + 4 * BATCH_COPIES * largest + MEGABYTE
     assert log_bytes < 64 * MEGABYTE
 
 
 def test_the_log_is_bounded_with_many_small_documents(monkeypatch: pytest.MonkeyPatch) -> None:
     limit = 20_000
-    monkeypatch.setattr(replica_outbox, "REWRITE_BYTES", limit)
+    monkeypatch.setattr(replica_outbox, "LOG_REWRITE_THRESHOLD_BYTES", limit)
     documents = [b"%06d" % number + b"x" * SMALL_DOCUMENT for number in range(SMALL_CHANGES)]
     log_bytes = _max_log_bytes(_single_machine(monkeypatch), documents)
     history = 2 * BATCH_COPIES * SMALL_CHANGES * 45
@@ -70,7 +72,7 @@
 
 def test_a_log_that_is_long_at_the_start_is_rewritten_after_the_first_store() -> None:
     """The outdated part of a restored log is unknown; without the rewrite it could grow at each restart."""
-    outbox = Outbox("at-own", 10.0, REWRITE_BYTES // BATCH_COPIES + 1)
+    outbox = Outbox("at-own", 10.0, LOG_REWRITE_THRESHOLD_BYTES // BATCH_COPIES + 1)
     outbox.snapshot_records = lambda: (b"state",)
     assert _replaces_after_one_store(outbox)
     assert not _replaces_after_one_store(Outbox("at-own", 10.0, 1000))
@@ -78,7 +80,7 @@
 
 def _replaces_after_one_store(outbox: Outbox) -> bool:
     outbox.store([], lambda _: None)
-    (store,) = outbox.take()
+    (store,) = outbox.take_effects()
     assert isinstance(store, StoreRecords)
     outbox.store_completed(StoreCompleted(store.token))
-    return any(isinstance(effect, StoreRecords) and effect.replace for effect in outbox.take())
+    return any(isinstance(effect, StoreRecords) and effect.replace for effect in outbox.take_effects())
