--- a/reedspoke/data_plane/answer_reader.py
+++ b/reedspoke/data_plane/answer_reader.py
@@ -11,7 +11,7 @@
 
 from msgspec import Struct
 
-from reedspoke.data_plane.headers import ATTEMPT_ID, text_of
+from reedspoke.data_plane.headers import ATTEMPT_ID, field_text
 from reedspoke.net.http import STATUS_LINE, Answers, Buffer, End, Head, MalformedError
 
 ANSWER_START = b"HTTP/1."
@@ -132,7 +132,7 @@
             raise MalformedError(502, "the first line is malformed")
 
     def _take_head(self, head: Head) -> Effect | None:
-        named = text_of(head, ATTEMPT_ID)
+        named = field_text(head, ATTEMPT_ID)
         if not named and head.status not in SUCCESS_STATUS:
             if self._requests > 1:  # its proof of not having run may be about an earlier request
                 return self._give_up(Reason.UNNAMED)
--- a/reedspoke/data_plane/client_connection.py
+++ b/reedspoke/data_plane/client_connection.py
@@ -11,7 +11,7 @@
 from reedspoke.common.configuration import RequestLimits
 from reedspoke.common.errors import ErrorCode
 from reedspoke.common.lingering_close import LingeringClose
-from reedspoke.data_plane.answers import WholeAnswer, own_answer
+from reedspoke.data_plane.answers import CompleteAnswer, error_answer
 from reedspoke.net.http import Buffer, Head, MalformedError, Requests
 from reedspoke.telemetry.invariants import Invariant, check
 
@@ -33,15 +33,15 @@
 
     head: Head
     body: bytes
-    began: float  # when its first bytes came, on the loop's clock: its time limits run from there
+    first_byte_at: float  # when its first bytes came, on the loop's clock: its time limits run from there
 
 
 class Exchange(Protocol):
     """What handles a request, from the moment it was read."""
 
-    def client_gone(self) -> None: ...
+    def client_disconnected(self) -> None: ...
 
-    def writable(self, on: bool) -> None: ...
+    def set_writable(self, writable: bool) -> None: ...
 
 
 class Frontend(Protocol):
@@ -49,15 +49,15 @@
 
     def limits(self) -> RequestLimits: ...
 
-    def closing(self) -> bool: ...
+    def is_shutting_down(self) -> bool: ...
 
-    def begin(self, request: ClientRequest, connection: ClientConnection) -> Exchange: ...
+    def handle_request(self, request: ClientRequest, connection: ClientConnection) -> Exchange: ...
 
-    def opened(self, connection: ClientConnection) -> None: ...
+    def connection_opened(self, connection: ClientConnection) -> None: ...
 
-    def closed(self, connection: ClientConnection) -> None: ...
+    def connection_closed(self, connection: ClientConnection) -> None: ...
 
-    def unreadable(self, status: int, message: str, peer: str) -> None: ...
+    def request_unreadable(self, status: int, message: str, peer: str) -> None: ...
 
 
 class ClientConnection(asyncio.BufferedProtocol):
@@ -90,7 +90,7 @@
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         transport.get_extra_info("socket").setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self._frontend.opened(self)
+        self._frontend.connection_opened(self)
         self._wait(self._idle_timeout())
 
     def get_buffer(self, sizehint: int) -> memoryview:
@@ -120,16 +120,16 @@
         self._exchange = None
         self._transport = None
         if exchange is not None:
-            exchange.client_gone()
-        self._frontend.closed(self)
+            exchange.client_disconnected()
+        self._frontend.connection_closed(self)
 
     def pause_writing(self) -> None:
         if self._exchange is not None:
-            self._exchange.writable(False)
+            self._exchange.set_writable(False)
 
     def resume_writing(self) -> None:
         if self._exchange is not None:
-            self._exchange.writable(True)
+            self._exchange.set_writable(True)
 
     # ---- requests ----
 
@@ -160,7 +160,7 @@
         self._keep_alive = request.head.keeps_alive()
         self._older = request.head.version == 0
         self._head_only = request.head.method == b"HEAD"
-        exchange = self._frontend.begin(request, self)
+        exchange = self._frontend.handle_request(request, self)
         if self._answering:
             self._exchange = exchange
 
@@ -194,12 +194,12 @@
         self._keep_alive = self._head_only = False
         too_large = error.status in (413, 431)
         code = ErrorCode.REQUEST_TOO_LARGE if too_large else ErrorCode.MALFORMED_REQUEST
-        self._frontend.unreadable(error.status, str(error), self._peer())
-        self.answer_whole(own_answer(error.status, code, str(error)))
+        self._frontend.request_unreadable(error.status, str(error), self._peer())
+        self.send_answer(error_answer(error.status, code, str(error)))
 
     # ---- answers ----
 
-    def answer_whole(self, answer: WholeAnswer) -> None:
+    def send_answer(self, answer: CompleteAnswer) -> None:
         """Write an answer with its whole body."""
         self._check_answered_once("whole")
         fields, body = answer.fields, answer.body
@@ -251,7 +251,7 @@
             self._transport.write(data)
 
     def _connection_field(self) -> bytes:
-        if self._keep_alive and not self._frontend.closing():
+        if self._keep_alive and not self._frontend.is_shutting_down():
             return b"Connection: keep-alive\r\n" if self._older else b""
         self._keep_alive = False
         return b"Connection: close\r\n"
@@ -272,7 +272,7 @@
         self._chunked = False
         if self._transport is None:
             return
-        if not self._keep_alive or (self._frontend.closing() and not len(self._buffer)):
+        if not self._keep_alive or (self._frontend.is_shutting_down() and not len(self._buffer)):
             self._close()
             return
         self._transport.resume_reading()
@@ -322,8 +322,8 @@
         self._answering = self._refused = True
         self._keep_alive = False
         message = "the request came too slowly"
-        self._frontend.unreadable(408, message, self._peer())
-        self.answer_whole(own_answer(408, ErrorCode.MALFORMED_REQUEST, message))
+        self._frontend.request_unreadable(408, message, self._peer())
+        self.send_answer(error_answer(408, ErrorCode.MALFORMED_REQUEST, message))
 
 
 def chunk(piece: bytes) -> bytes:
--- a/reedspoke/data_plane/client_response.py
+++ b/reedspoke/data_plane/client_response.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from reedspoke.data_plane.answers import WholeAnswer
+from reedspoke.data_plane.answers import CompleteAnswer
 from reedspoke.data_plane.client_connection import ClientConnection
 from reedspoke.data_plane.headers import status_line
 
@@ -44,11 +44,11 @@
         """The stream is not whole, and is seen to be so."""
         self._finish(lambda client: client.abort())
 
-    def answer(self, answer: WholeAnswer) -> None:
+    def answer(self, answer: CompleteAnswer) -> None:
         """The whole answer."""
-        self._finish(lambda client: client.answer_whole(answer))
+        self._finish(lambda client: client.send_answer(answer))
 
-    def client_gone(self) -> None:
+    def client_disconnected(self) -> None:
         """The client has left: nothing more is written."""
         self._client = None
 
--- a/reedspoke/data_plane/exchange.py
+++ b/reedspoke/data_plane/exchange.py
@@ -11,13 +11,13 @@
 from reedspoke.common.unhandled_errors import unhandled_errors
 from reedspoke.data_plane.answer_reader import SUCCESS_STATUS
 from reedspoke.data_plane.answers import (
-    WholeAnswer,
+    CompleteAnswer,
     expired,
     failed,
-    key_in_doubt,
     process_ends,
     refused,
     status_of,
+    unconfirmed_key_answer,
     worker_failed,
 )
 from reedspoke.data_plane.attempt import Attempt
@@ -77,7 +77,7 @@
         self._response = ClientResponse(client, self._request.last_event_id)
         self._attempt: Attempt | None = None
         self._attempts = 0
-        self._answer: WholeAnswer | None = None  # a worker's error, kept while other workers are tried
+        self._answer: CompleteAnswer | None = None  # a worker's error, kept while other workers are tried
         self._ran = False  # whether an attempt that has ended may have run
         self._client_full = False  # its end takes no more for now
         self.trace = RequestTrace(self._request.attempt_id) if trace is None else trace
@@ -157,19 +157,19 @@
     # ---- the client's connection ----
 
     @isolated
-    def client_gone(self) -> None:
-        self._response.client_gone()
+    def client_disconnected(self) -> None:
+        self._response.client_disconnected()
         self._call_off()
         self._ended(RequestOutcome.CLIENT_LEFT, 0, "")
         self._owner.called_off(self)
 
     @isolated
-    def writable(self, on: bool) -> None:
-        self._client_full = not on
+    def set_writable(self, writable: bool) -> None:
+        self._client_full = not writable
         attempt = self._attempt
         if attempt is None or attempt.connection is None:
             return
-        if on:
+        if writable:
             attempt.heard_at = self._loop.time()
             attempt.connection.resume()
         else:
@@ -218,13 +218,13 @@
         """The request's key has been taken away, or may have been, since it came."""
         ran = self._may_have_run()
         self._call_off()
-        answer = worker_failed() if ran else key_in_doubt()
+        answer = worker_failed() if ran else unconfirmed_key_answer()
         self._conclude(answer, RequestOutcome.REFUSED, KEY_IN_DOUBT)
         self._owner.called_off(self)
 
     def _check_drain(self, attempt: Attempt) -> None:
         instance_id = attempt.worker.instance_id
-        since = self._owner.known_to_leave_since(instance_id)
+        since = self._owner.unavailable_since(instance_id)
         known_s = 0.0 if since is None else self._loop.time() - since
         check_drain(self._request.attempt_id, instance_id, known_s)
 
@@ -324,7 +324,7 @@
 
     def _end_of_body(self, attempt: Attempt) -> None:
         evidence = attempt.evidence(Ending.COMPLETE)
-        answer = WholeAnswer(status_line(attempt.status), attempt.fields, bytes(attempt.body or b""))
+        answer = CompleteAnswer(status_line(attempt.status), attempt.fields, bytes(attempt.body or b""))
         if is_wrong_instance(evidence):
             self._pool.forget(attempt.worker.instance_id)  # they all lead to another worker
         use = action_for_answer(evidence, self.job.repeat, self._response.begun)
@@ -337,7 +337,7 @@
             self._attempt_over(Evidence(Ending.COMPLETE, True, attempt.status))
             self._end_with_worker_s(answer, use)
 
-    def _end_with_worker_s(self, answer: WholeAnswer, use: AnswerAction) -> None:
+    def _end_with_worker_s(self, answer: CompleteAnswer, use: AnswerAction) -> None:
         if use is AnswerAction.FORWARD:
             check_success(self._request.attempt_id, status_of(answer), answer.fields)
             self._end_with(answer, RequestOutcome.SERVED, "")
@@ -369,12 +369,12 @@
 
     # ---- the end ----
 
-    def _end_with(self, answer: WholeAnswer, outcome: RequestOutcome, reason: str) -> None:
+    def _end_with(self, answer: CompleteAnswer, outcome: RequestOutcome, reason: str) -> None:
         """This answer, and the end of the request."""
         self._conclude(answer, outcome, reason)
         self._owner.finished(self)
 
-    def _conclude(self, answer: WholeAnswer, outcome: RequestOutcome, reason: str) -> None:
+    def _conclude(self, answer: CompleteAnswer, outcome: RequestOutcome, reason: str) -> None:
         """This answer, unless a stream has begun: that is broken off."""
         status = status_of(answer)
         if self._response.begun:
@@ -394,7 +394,7 @@
         self._owner.called_off(self)
 
     def _ended(self, outcome: RequestOutcome, status: int, reason: str) -> None:
-        self.trace.ended(outcome, status, reason, self._age_ms())
+        self.trace.request_ended(outcome, status, reason, self._age_ms())
 
     def _age_ms(self) -> float:
         return round((self._loop.time() - self.job.arrived) * 1000, 1)
--- a/reedspoke/data_plane/exchange_invariants.py
+++ b/reedspoke/data_plane/exchange_invariants.py
@@ -4,7 +4,7 @@
 
 from reedspoke.data_plane.attempt import Attempt
 from reedspoke.data_plane.event_stream import Events, first_event_id
-from reedspoke.data_plane.headers import API_KEY, ATTEMPT_ID, RESPONSE_SEAL, TENANT_NAME, text_of
+from reedspoke.data_plane.headers import API_KEY, ATTEMPT_ID, RESPONSE_SEAL, TENANT_NAME, field_text
 from reedspoke.data_plane.request_trace import RequestTrace
 from reedspoke.data_plane.upstream_request import UpstreamRequest
 from reedspoke.decision.attempt_fate import NOT_EXECUTED_STATUSES, Fate
@@ -62,7 +62,7 @@
 
 def check_answer_head(attempt_id: str, head: Head) -> None:
     """The head of an answer that was found to belong to the request."""
-    named = text_of(head, ATTEMPT_ID)
+    named = field_text(head, ATTEMPT_ID)
     success = head.status in SUCCESS_STATUS
     own = named == attempt_id if success else named in ("", attempt_id)
     check(Invariant.ANSWER_IS_OWN, own, attempt_id=attempt_id, named=named, status=head.status)
--- a/reedspoke/data_plane/forwarder.py
+++ b/reedspoke/data_plane/forwarder.py
@@ -98,7 +98,7 @@
         leaving = (draining | gone | kept.keys()) - listed
         self._leaving_since = {name: kept.get(name, now) for name in leaving}
 
-    def known_to_leave_since(self, instance_id: str) -> float | None:
+    def unavailable_since(self, instance_id: str) -> float | None:
         """Since when the list has shown here that this worker drains or is gone; None: it does neither."""
         return self._leaving_since.get(instance_id)
 
@@ -139,11 +139,11 @@
 
     # ---- requests ----
 
-    def open_exchanges(self) -> int:
+    def open_exchange_count(self) -> int:
         """Requests without a whole answer."""
         return len(self._exchanges)
 
-    def begin(
+    def forward(
         self,
         request: ClientRequest,
         client: ClientConnection,
@@ -153,7 +153,7 @@
         permit: Permit | None = None,
     ) -> Exchange:
         """Take a request that has a route. `trace` has what is known of it by now."""
-        permit = Permit(request.began) if permit is None else permit
+        permit = Permit(request.first_byte_at) if permit is None else permit
         self._next_job_id += 1
         job = build_job(self._next_job_id, request.head, route, upstream, permit)
         exchange = Exchange(self, self._loop, self._pool, request, client, route, job, trace, permit)
@@ -163,7 +163,7 @@
         self._apply(self._dispatcher.job_arrived(job, self._loop.time()))
         return exchange
 
-    def break_off_all(self) -> None:
+    def abort_all(self) -> None:
         """End what is left, for the end of the process: streams are seen to be incomplete."""
         for exchange in list(self._exchanges.values()):
             exchange.shut_down()
--- a/reedspoke/data_plane/headers.py
+++ b/reedspoke/data_plane/headers.py
@@ -55,15 +55,15 @@
     return f"HTTP/1.1 {status} {phrase}\r\n".encode()
 
 
-def text_of(head: Head, name: bytes) -> str:
+def field_text(head: Head, name: bytes) -> str:
     """The value of a field as text, empty where it is missing."""
     value = head.get(name)
     return "" if value is None else value.decode("latin-1")
 
 
-def number_of(head: Head, name: bytes) -> float | None:
+def field_number(head: Head, name: bytes) -> float | None:
     """The value of a field as a number; None where it is missing or no number."""
-    text = text_of(head, name)
+    text = field_text(head, name)
     try:
         return float(text) if text else None
     except ValueError:
--- a/reedspoke/data_plane/job_builder.py
+++ b/reedspoke/data_plane/job_builder.py
@@ -10,8 +10,8 @@
     MODEL_NAME,
     PROMPT_PREFIX,
     TOKEN_COUNT,
-    number_of,
-    text_of,
+    field_number,
+    field_text,
 )
 from reedspoke.data_plane.permit import Permit
 from reedspoke.data_plane.route_table import CompiledRoute
@@ -51,9 +51,9 @@
     return Repeat.IDEMPOTENT if route.repeatable else Repeat.NEVER
 
 
-def time_limit(head: Head, route: CompiledRoute) -> float:
+def request_timeout_s(head: Head, route: CompiledRoute) -> float:
     """Seconds that the request may take: what the client waits, and what the operator wants it held."""
-    told = number_of(head, DEADLINE_MS)
+    told = field_number(head, DEADLINE_MS)
     if told is None or not math.isfinite(told):
         return route.timeout
     return min(route.timeout, max(0.0, told / 1000))
@@ -62,8 +62,8 @@
 def build_job(job_id: int, head: Head, route: CompiledRoute, upstream: str, permit: Permit) -> Job:
     """The request as decisions see it."""
     arrived = permit.arrived
-    parts = parse_parts(text_of(head, PROMPT_PREFIX))
-    tokens_in, tokens_out = parse_token_count(text_of(head, TOKEN_COUNT))
+    parts = parse_parts(field_text(head, PROMPT_PREFIX))
+    tokens_in, tokens_out = parse_token_count(field_text(head, TOKEN_COUNT))
     return Job(
         job_id=job_id,
         route=route.name,
@@ -73,12 +73,12 @@
         tenant_priority=permit.priority,
         repeat=repeat_of(route),
         streaming=route.streaming,
-        model=text_of(head, MODEL_NAME),
+        model=field_text(head, MODEL_NAME),
         parts=parts,
         prompt_tokens=tokens_in or sum(part.tokens for part in parts),
         output_tokens=tokens_out,
         latency_target_s=route.target,
-        deadline=arrived + time_limit(head, route),
+        deadline=arrived + request_timeout_s(head, route),
         max_attempts=route.max_attempts,
         arrived=arrived,
     )
--- a/reedspoke/data_plane/process.py
+++ b/reedspoke/data_plane/process.py
@@ -60,7 +60,7 @@
         self._registry = Registry()
         self._request_log = RequestLog(self._registry, LogRateLimiter(self._loop.time))
         add_process_figures(self._registry, self)
-        self._forwarder = Forwarder(self._loop, self._pool, self._dispatcher, self._request_log.ended)
+        self._forwarder = Forwarder(self._loop, self._pool, self._dispatcher, self._request_log.record)
         listener = Listener(
             on_configuration=self._on_configuration,
             on_workers=self._on_workers,
@@ -222,19 +222,19 @@
         configuration = self._entry.routes.configuration
         return EMPTY_LIMITS if configuration is None else configuration.limits
 
-    def closing(self) -> bool:
+    def is_shutting_down(self) -> bool:
         return self._closing
 
-    def opened(self, connection: ClientConnection) -> None:
+    def connection_opened(self, connection: ClientConnection) -> None:
         self._connections.add(connection)
 
-    def closed(self, connection: ClientConnection) -> None:
+    def connection_closed(self, connection: ClientConnection) -> None:
         self._connections.discard(connection)
 
-    def unreadable(self, status: int, message: str, peer: str) -> None:
-        self._request_log.unreadable(status, message, peer)
+    def request_unreadable(self, status: int, message: str, peer: str) -> None:
+        self._request_log.record_unreadable(status, message, peer)
 
-    def begin(self, request: ClientRequest, connection: ClientConnection) -> Exchange:
+    def handle_request(self, request: ClientRequest, connection: ClientConnection) -> Exchange:
         return self._entry.begin(request, connection)
 
     # ---- what the figures are read from ----
--- a/reedspoke/data_plane/quota_wait.py
+++ b/reedspoke/data_plane/quota_wait.py
@@ -33,18 +33,18 @@
         """Whether there is no decision yet."""
         return self._exchange is None and not self._is_over
 
-    def client_gone(self) -> None:
+    def client_disconnected(self) -> None:
         """The client has left."""
         if self._exchange is not None:
-            self._exchange.client_gone()
+            self._exchange.client_disconnected()
         elif self._cancel():
             self._gone()
 
-    def writable(self, on: bool) -> None:
+    def set_writable(self, writable: bool) -> None:
         """The client takes bytes, or takes none for now."""
-        self._writable = on
+        self._writable = writable
         if self._exchange is not None:
-            self._exchange.writable(on)
+            self._exchange.set_writable(writable)
 
     def break_off(self) -> None:
         """The process ends before the decision."""
@@ -66,4 +66,4 @@
             return
         self._exchange = self._begin()
         if not self._writable:
-            self._exchange.writable(False)
+            self._exchange.set_writable(False)
--- a/reedspoke/data_plane/request_entry.py
+++ b/reedspoke/data_plane/request_entry.py
@@ -10,12 +10,12 @@
 from reedspoke.common.errors import ErrorCode
 from reedspoke.common.messages import Version
 from reedspoke.common.node_settings import Bounds
-from reedspoke.data_plane.answers import WholeAnswer, key_in_doubt, own_answer, status_of
+from reedspoke.data_plane.answers import CompleteAnswer, error_answer, status_of, unconfirmed_key_answer
 from reedspoke.data_plane.client_connection import ClientConnection, ClientRequest, Exchange
 from reedspoke.data_plane.confirmation import Confirmation
 from reedspoke.data_plane.forwarder import Forwarder
-from reedspoke.data_plane.headers import API_KEY, ATTEMPT_ID, TOKEN_COUNT, text_of
-from reedspoke.data_plane.job_builder import parse_token_count, time_limit
+from reedspoke.data_plane.headers import API_KEY, ATTEMPT_ID, TOKEN_COUNT, field_text
+from reedspoke.data_plane.job_builder import parse_token_count, request_timeout_s
 from reedspoke.data_plane.key_check import Certainty, KeyCheck, KeyVerdict, check_key, most_age_s
 from reedspoke.data_plane.permit import Permit
 from reedspoke.data_plane.quota_client import QuotaClient, QuotaDecision
@@ -36,10 +36,10 @@
 class NoExchange:
     """Stands for a request that was answered at once."""
 
-    def client_gone(self) -> None:
+    def client_disconnected(self) -> None:
         """Nothing is left to do."""
 
-    def writable(self, on: bool) -> None:
+    def set_writable(self, writable: bool) -> None:
         """Nothing is being written."""
 
 
@@ -77,7 +77,7 @@
         trace = self._trace(request)
         if self.routes.configuration is None:
             message = "no configuration has come yet"
-            answer = own_answer(503, ErrorCode.NOT_READY, message, NOT_READY_RETRY_S)
+            answer = error_answer(503, ErrorCode.NOT_READY, message, NOT_READY_RETRY_S)
             return self._answer(connection, answer, trace, message)
         host, path = place_of(request)
         route = self.routes.find(host, path)
@@ -87,15 +87,15 @@
         trace.route = route.name
         match checked.verdict:
             case KeyVerdict.UNKNOWN:
-                answer = own_answer(401, ErrorCode.UNKNOWN_KEY, "no tenant holds the key")
+                answer = error_answer(401, ErrorCode.UNKNOWN_KEY, "no tenant holds the key")
                 return self._answer(connection, answer, trace, "unknown key")
             case KeyVerdict.IN_DOUBT:
-                return self._answer(connection, key_in_doubt(), trace, "key in doubt")
+                return self._answer(connection, unconfirmed_key_answer(), trace, "key in doubt")
         return self._take(request, connection, route, checked.holder, trace)
 
     def open_requests(self) -> int:
         """Requests without a whole answer."""
-        return self._forwarder.open_exchanges() + len(self._waits)
+        return self._forwarder.open_exchange_count() + len(self._waits)
 
     def in_doubt(self) -> bool:
         """Whether the configuration that is held may be an old one."""
@@ -105,25 +105,25 @@
         """The process ends: what is left gets its final answer."""
         for wait in list(self._waits):
             wait.break_off()
-        self._forwarder.break_off_all()
+        self._forwarder.abort_all()
 
     # ---- routes and keys ----
 
     def _trace(self, request: ClientRequest) -> RequestTrace:
         configuration = self.routes.configuration
         return RequestTrace(
-            text_of(request.head, ATTEMPT_ID),
+            field_text(request.head, ATTEMPT_ID),
             generation=0 if configuration is None else configuration.generation,
             version=self.routes.version,
             in_doubt=self.in_doubt(),
         )
 
-    def _no_route(self) -> WholeAnswer:
+    def _no_route(self) -> CompleteAnswer:
         """Final only while it is certain that no route has come for the request."""
         if self.in_doubt():
             message = "the configuration that is held may be an old one"
-            return own_answer(503, ErrorCode.CONFIGURATION_IN_DOUBT, message, IN_DOUBT_RETRY_S)
-        return own_answer(404, ErrorCode.NO_ROUTE, "no route for this host and path")
+            return error_answer(503, ErrorCode.CONFIGURATION_IN_DOUBT, message, IN_DOUBT_RETRY_S)
+        return error_answer(404, ErrorCode.NO_ROUTE, "no route for this host and path")
 
     def _check_key(self, head: Head, route: CompiledRoute) -> KeyCheck:
         key = head.get(API_KEY) or b""
@@ -164,17 +164,17 @@
         trace: RequestTrace,
     ) -> Exchange:
         upstream = route.upstream_for(request.head.get(ATTEMPT_ID) or b"")
-        permit = self._permit(request.head, route, holder, request.began)
+        permit = self._permit(request.head, route, holder, request.first_byte_at)
         self._check_certain(holder, trace)
 
         def begin() -> Exchange:
-            return self._forwarder.begin(request, connection, route, upstream, trace, permit)
+            return self._forwarder.forward(request, connection, route, upstream, trace, permit)
 
         if holder is None or holder.quota is None:
             return begin()
-        units = holder.quota.units(sum(parse_token_count(text_of(request.head, TOKEN_COUNT))))
+        units = holder.quota.units(sum(parse_token_count(field_text(request.head, TOKEN_COUNT))))
         trace.tenant, trace.units = holder.name, units
-        left_s = permit.arrived + time_limit(request.head, route) - self._loop.time()
+        left_s = permit.arrived + request_timeout_s(request.head, route) - self._loop.time()
         wait_s = max(0.0, min(MOST_QUOTA_WAIT_S, QUOTA_WAIT_PART * route.target, left_s))
         return self._wait_for_quota(holder.name, units, wait_s, connection, trace, begin)
 
@@ -200,8 +200,10 @@
 
         def gone() -> None:
             self._waits.discard(wait)
-            trace.ended(RequestOutcome.CLIENT_LEFT, 0, "", round(1000 * (self._loop.time() - arrived), 1))
-            self._request_log.ended(trace)
+            trace.request_ended(
+                RequestOutcome.CLIENT_LEFT, 0, "", round(1000 * (self._loop.time() - arrived), 1)
+            )
+            self._request_log.record(trace)
 
         wait = QuotaWait(self._quota, begin_granted, refuse, gone)
         self._waits.add(wait)
@@ -213,30 +215,30 @@
     def _answer(
         self,
         connection: ClientConnection,
-        answer: WholeAnswer,
+        answer: CompleteAnswer,
         trace: RequestTrace,
         reason: str,
         after_s: float = 0.0,
     ) -> Exchange:
-        connection.answer_whole(answer)
-        trace.ended(RequestOutcome.NOT_ROUTED, status_of(answer), reason, round(after_s * 1000, 1))
-        self._request_log.ended(trace)
+        connection.send_answer(answer)
+        trace.request_ended(RequestOutcome.NOT_ROUTED, status_of(answer), reason, round(after_s * 1000, 1))
+        self._request_log.record(trace)
         return NoExchange()
 
 
-def quota_refusal(decision: QuotaDecision) -> WholeAnswer:
+def quota_refusal(decision: QuotaDecision) -> CompleteAnswer:
     """The tenant's quota is spent, or nobody could be asked; nothing has run."""
     if decision.spent:
         message = "the tenant's quota is spent"
-        return own_answer(429, ErrorCode.QUOTA_SPENT, message, decision.retry_after_s)
+        return error_answer(429, ErrorCode.QUOTA_SPENT, message, decision.retry_after_s)
     message = "no control scheduler told of the tenant's quota"
-    return own_answer(503, ErrorCode.QUOTA_UNAVAILABLE, message, decision.retry_after_s)
+    return error_answer(503, ErrorCode.QUOTA_UNAVAILABLE, message, decision.retry_after_s)
 
 
 def place_of(request: ClientRequest) -> tuple[str, str]:
     """Host and path; a target that names its host goes before the field."""
     target = bytes(request.head.target).decode("latin-1")
     if not target.lower().startswith("http://"):
-        return text_of(request.head, b"host"), target
+        return field_text(request.head, b"host"), target
     host, slash, path = target[len("http://") :].partition("/")
     return host, slash + path
--- a/reedspoke/data_plane/request_log.py
+++ b/reedspoke/data_plane/request_log.py
@@ -25,7 +25,7 @@
     """Takes the traces of requests that have ended."""
 
     def __init__(self, registry: Registry, lines: LogRateLimiter) -> None:
-        self.kept: deque[RequestTrace] = deque(maxlen=MOST_KEPT)
+        self.recent: deque[RequestTrace] = deque(maxlen=MOST_KEPT)
         self._lines = lines
         self._suppressed_told = 0
         self._requests = registry.counter(
@@ -58,13 +58,13 @@
             "reedspoke_suppressed_lines", "Log lines on requests that were left out.", self._suppressed
         )
 
-    def ended(self, trace: RequestTrace) -> None:
+    def record(self, trace: RequestTrace) -> None:
         """A request has ended."""
         self._requests.add(trace.route, trace.outcome, str(trace.status))
         self._count_attempts(trace)
         if trace.went_well:
             return
-        self.kept.append(trace)
+        self.recent.append(trace)
         failed = trace.outcome != RequestOutcome.SERVED.value or trace.status >= LEAST_FAILURE
         if self._lines.allows():
             log(
@@ -73,7 +73,7 @@
                 **self._fields(trace),
             )
 
-    def unreadable(self, status: int, message: str, peer: str) -> None:
+    def record_unreadable(self, status: int, message: str, peer: str) -> None:
         """What a client sent was no request, or did not come in time."""
         self._unreadable.add(str(status))
         if self._lines.allows():
@@ -81,7 +81,7 @@
 
     def find(self, attempt_id: str) -> RequestTrace | None:
         """The newest kept trace of an attempt id."""
-        return next((trace for trace in reversed(self.kept) if trace.attempt_id == attempt_id), None)
+        return next((trace for trace in reversed(self.recent) if trace.attempt_id == attempt_id), None)
 
     def _fields(self, trace: RequestTrace) -> dict[str, object]:
         fields = trace.fields()
--- a/reedspoke/data_plane/request_trace.py
+++ b/reedspoke/data_plane/request_trace.py
@@ -96,7 +96,7 @@
             attempt.not_executed = evidence.not_executed
             attempt.fate = fate_of(evidence).name.lower()
 
-    def ended(self, outcome: RequestOutcome, status: int, reason: str, at_ms: float) -> None:
+    def request_ended(self, outcome: RequestOutcome, status: int, reason: str, at_ms: float) -> None:
         """The request has its final answer, or will get none."""
         self.outcome = outcome.value
         self.status = status
--- a/reedspoke/data_plane/upstream_request.py
+++ b/reedspoke/data_plane/upstream_request.py
@@ -7,8 +7,8 @@
     ATTEMPT_ID,
     EXPECT_VERSION,
     LAST_EVENT_ID,
+    field_text,
     forwarded_request_fields,
-    text_of,
 )
 
 WITHOUT_LENGTH = (b"GET", b"HEAD")  # methods whose empty body needs no length
@@ -18,8 +18,8 @@
     """What all attempts of one request have in common."""
 
     def __init__(self, request: ClientRequest, tenant: str = "") -> None:
-        self.attempt_id = text_of(request.head, ATTEMPT_ID)
-        self.last_event_id = text_of(request.head, LAST_EVENT_ID)
+        self.attempt_id = field_text(request.head, ATTEMPT_ID)
+        self.last_event_id = field_text(request.head, LAST_EVENT_ID)
         self.head_only = request.head.method == b"HEAD"
         self.version_asked = request.head.get(EXPECT_VERSION) is not None
         self._request = request
--- a/tests/data_plane/loopback.py
+++ b/tests/data_plane/loopback.py
@@ -147,7 +147,7 @@
         return answers[0] if answers else None
 
     def close(self) -> None:
-        self.forwarder.break_off_all()
+        self.forwarder.abort_all()
         for server in self.servers:
             server.close()
         for task in self.tasks:
--- a/tests/data_plane/test_attempts_connections.py
+++ b/tests/data_plane/test_attempts_connections.py
@@ -223,7 +223,7 @@
     ran = world.asked(path, "a1")
     world.network.plan = ["hang"]
     connecting = world.asked(path, "a2")
-    world.forwarder.break_off_all()
+    world.forwarder.abort_all()
     world.loop.settle()
     assert (ran.answer().status, connecting.answer().status) == (502, 503)
 
@@ -233,7 +233,7 @@
     client = world.asked(ONCE)
     world.network.plan = ["hang"]
     world.arrival().worker.say(world.arrival().full())
-    world.forwarder.break_off_all()
+    world.forwarder.abort_all()
     world.loop.settle()
     assert client.answer().status == 503
 
--- a/tests/data_plane/test_attempts_table.py
+++ b/tests/data_plane/test_attempts_table.py
@@ -217,7 +217,7 @@
     if path in (ONCE, STREAM) and (expected in ("502", "504", PASSED, BROKEN_OFF)):
         most = 0 if case.prepare is reset_unread else 1  # there the first worker reads nothing
         assert len(stage.requests) <= most, where
-    assert stage.forwarder.open_exchanges() == 0, where
+    assert stage.forwarder.open_exchange_count() == 0, where
 
 
 async def play(case: Case, path: str, expected: str, workers: int) -> None:
--- a/tests/data_plane/test_broken_transports.py
+++ b/tests/data_plane/test_broken_transports.py
@@ -62,7 +62,7 @@
         plane.learn((DRAINING,))
         broken = plane.asked("/once/", "a1")
         connection = next(iter(plane.plane._connections))
-        connection.answer_whole = fail  # type: ignore[assignment,method-assign]
+        connection.send_answer = fail  # type: ignore[assignment,method-assign]
         others = [plane.asked("/once/", f"b{number}") for number in range(3)]
         before = unhandled_errors.count
         plane.loop.run_for(WAIT_S)
--- a/tests/data_plane/test_exchange_leaving.py
+++ b/tests/data_plane/test_exchange_leaving.py
@@ -127,19 +127,19 @@
     stream = world.asked(STREAM, "a1")
     arrival = world.arrival()
     arrival.worker.say(arrival.stream_head() + chunked(event(1), last=False))
-    world.forwarder.break_off_all()
+    world.forwarder.abort_all()
     world.loop.settle()
     assert stream.broken_off
     assert not stream.answer().whole
     assert arrival.worker.over
-    assert world.forwarder.open_exchanges() == 0
+    assert world.forwarder.open_exchange_count() == 0
 
 
 @pytest.mark.parametrize(("path", "status"), [(ONCE, 502), (AGAIN, 502), (STREAM, 502)])
 def test_the_end_of_the_process_answers_what_has_no_answer_yet(world: World, path: str, status: int) -> None:
     """A request that was read ends with a whole answer, also where that has to be an error."""
     client = world.asked(path)
-    world.forwarder.break_off_all()
+    world.forwarder.abort_all()
     world.loop.settle()
     assert client.answer().status == status
     assert client.answer().whole
@@ -149,6 +149,6 @@
     world = worlds(workers=1, capacity=1)
     world.asked(ONCE, "a1")
     waiting = world.asked(ONCE, "a2")
-    world.forwarder.break_off_all()
+    world.forwarder.abort_all()
     world.loop.settle()
     assert waiting.answer().status == 503
--- a/tests/data_plane/test_guards_exchange.py
+++ b/tests/data_plane/test_guards_exchange.py
@@ -9,7 +9,7 @@
 
 from reedspoke.common.errors import ErrorCode
 from reedspoke.data_plane import exchange
-from reedspoke.data_plane.answers import WholeAnswer
+from reedspoke.data_plane.answers import CompleteAnswer
 from reedspoke.data_plane.client_connection import ClientRequest
 from reedspoke.data_plane.exchange import Exchange
 from reedspoke.data_plane.route_table import CompiledRoute, Target
@@ -44,11 +44,11 @@
     """Notes what the exchange writes."""
 
     def __init__(self) -> None:
-        self.answers: list[WholeAnswer] = []
+        self.answers: list[CompleteAnswer] = []
         self.pieces: list[bytes] = []
         self.aborted = False
 
-    def answer_whole(self, answer: WholeAnswer) -> None:
+    def send_answer(self, answer: CompleteAnswer) -> None:
         self.answers.append(answer)
 
     def begin_stream(self, status_line: bytes, fields: bytes, first: bytes) -> None:
@@ -82,7 +82,7 @@
     def called_off(self, exchange: Exchange) -> None:
         """The test sees it at the client."""
 
-    def known_to_leave_since(self, instance_id: str) -> float | None:
+    def unavailable_since(self, instance_id: str) -> float | None:
         """No worker leaves."""
         return None
 
@@ -209,11 +209,11 @@
     return scenes(Repeat.RESUMABLE)
 
 
-def _status(answer: WholeAnswer) -> int:
+def _status(answer: CompleteAnswer) -> int:
     return int(answer.status_line.split()[1])
 
 
-def _error_code(answer: WholeAnswer) -> int:
+def _error_code(answer: CompleteAnswer) -> int:
     code = json.loads(answer.body)["error"]["code"]
     assert isinstance(code, int)
     return code
--- a/tests/data_plane/test_headers.py
+++ b/tests/data_plane/test_headers.py
@@ -5,11 +5,11 @@
 import pytest
 
 from reedspoke.data_plane.headers import (
+    field_number,
+    field_text,
     forwarded_answer_fields,
     forwarded_request_fields,
-    number_of,
     status_line,
-    text_of,
 )
 from reedspoke.net.http import Buffer, Head, parse_head
 
@@ -106,13 +106,13 @@
     [(b"5", 5.0), (b"1.5", 1.5), (b"", None), (b"soon", None), (b"\xb2", None), (b"0x10", None)],
 )
 def test_a_number_is_read_or_missing(text: bytes, number: float | None) -> None:
-    assert number_of(request(b"X-N: " + text), b"x-n") == number
-    assert number_of(request(), b"x-n") is None
+    assert field_number(request(b"X-N: " + text), b"x-n") == number
+    assert field_number(request(), b"x-n") is None
 
 
 def test_a_text_is_read_or_empty() -> None:
-    assert text_of(request(b"X-T: \xe9a"), b"x-t") == "éa"
-    assert text_of(request(), b"x-t") == ""
+    assert field_text(request(b"X-T: \xe9a"), b"x-t") == "éa"
+    assert field_text(request(), b"x-t") == ""
 
 
 def test_a_status_line_of_any_status() -> None:
--- a/tests/data_plane/test_invariant_checks.py
+++ b/tests/data_plane/test_invariant_checks.py
@@ -8,7 +8,7 @@
 
 from reedspoke.common.errors import ErrorCode
 from reedspoke.common.messages import WorkerList
-from reedspoke.data_plane.answers import own_answer
+from reedspoke.data_plane.answers import error_answer
 from reedspoke.data_plane.exchange_invariants import check_success
 from reedspoke.data_plane.headers import RESPONSE_SEAL
 from reedspoke.decision.dispatcher import Dispatcher
@@ -139,20 +139,20 @@
 
 def test_a_worker_that_has_long_been_leaving() -> None:
     scene = Scene()
-    scene.owner.known_to_leave_since = lambda instance_id: scene.loop.time() - LONG_S  # type: ignore[method-assign]
+    scene.owner.unavailable_since = lambda instance_id: scene.loop.time() - LONG_S  # type: ignore[method-assign]
     assert broken_by(lambda: sent(scene)) == {Invariant.DRAIN_OBEYED}
 
 
 def test_two_answers_to_one_request() -> None:
-    answer = own_answer(503, ErrorCode.OVERLOADED, "no")
+    answer = error_answer(503, ErrorCode.OVERLOADED, "no")
 
     def play() -> None:
         with fresh_plane() as plane:
             plane.learn()
             plane.asked("/once/")
             connection = next(iter(plane.plane._connections))
-            connection.answer_whole(answer)
-            connection.answer_whole(answer)
+            connection.send_answer(answer)
+            connection.send_answer(answer)
 
     assert broken_by(play) == {Invariant.ONE_FINAL_ANSWER}
 
--- a/tests/data_plane/test_job_builder.py
+++ b/tests/data_plane/test_job_builder.py
@@ -9,7 +9,13 @@
 from hypothesis import strategies as st
 
 from reedspoke.common.messages import WatchRequest, encode
-from reedspoke.data_plane.job_builder import build_job, parse_parts, parse_token_count, repeat_of, time_limit
+from reedspoke.data_plane.job_builder import (
+    build_job,
+    parse_parts,
+    parse_token_count,
+    repeat_of,
+    request_timeout_s,
+)
 from reedspoke.data_plane.permit import Permit
 from reedspoke.data_plane.route_table import CompiledRoute, Target
 from reedspoke.decision.messages import Job, PromptPart, Repeat
@@ -77,12 +83,12 @@
 )
 def test_the_shorter_of_the_clients_and_the_routes_time_counts(told: bytes, seconds: float) -> None:
     head = request(b"Reedspoke-Deadline-Ms: " + told)
-    assert time_limit(head, route()) == pytest.approx(seconds)
+    assert request_timeout_s(head, route()) == pytest.approx(seconds)
 
 
 @pytest.mark.parametrize("told", [b"nan", b"inf", b"-inf", b"1e400", b"-nan"])
 def test_a_deadline_that_is_no_finite_number_still_gives_one(told: bytes) -> None:
-    seconds = time_limit(request(b"Reedspoke-Deadline-Ms: " + told), route())
+    seconds = request_timeout_s(request(b"Reedspoke-Deadline-Ms: " + told), route())
     assert math.isfinite(seconds)
     assert 0 <= seconds <= 3.0
 
--- a/tests/data_plane/test_request_log.py
+++ b/tests/data_plane/test_request_log.py
@@ -145,10 +145,10 @@
     now = [0.0]
     made = RequestLog(Registry(), LogRateLimiter(lambda: now[0], burst=2, per_s=1))
     for number in range(5):
-        made.ended(refused(f"a{number}"))
+        made.record(refused(f"a{number}"))
     assert [line["attempt_id"] for _, line in told] == ["a0", "a1"]
     now[0] = 1.0
-    made.ended(refused("a9"))
+    made.record(refused("a9"))
     assert about(told, "a9")["suppressed_before"] == 3
     found = made.find("a3")
     assert found is not None
@@ -158,7 +158,7 @@
 def refused(attempt_id: str) -> RequestTrace:
     """A trace of a refused request."""
     trace = RequestTrace(attempt_id, route="r")
-    trace.ended(RequestOutcome.REFUSED, 503, "OVERLOAD", 1.0)
+    trace.request_ended(RequestOutcome.REFUSED, 503, "OVERLOAD", 1.0)
     return trace
 
 
--- a/tests/data_plane/world.py
+++ b/tests/data_plane/world.py
@@ -14,10 +14,10 @@
 from reedspoke.common.configuration_parsing import parse_configuration
 from reedspoke.common.errors import ErrorCode
 from reedspoke.common.messages import WorkerEntry, WorkerList
-from reedspoke.data_plane.answers import own_answer
+from reedspoke.data_plane.answers import error_answer
 from reedspoke.data_plane.client_connection import ClientConnection, ClientRequest, Exchange
 from reedspoke.data_plane.forwarder import Forwarder
-from reedspoke.data_plane.headers import ATTEMPT_ID, text_of
+from reedspoke.data_plane.headers import ATTEMPT_ID, field_text
 from reedspoke.data_plane.request_entry import NoExchange
 from reedspoke.data_plane.route_table import RouteTable
 from reedspoke.data_plane.upstream_pool import UpstreamPool
@@ -188,27 +188,27 @@
         configuration = self.routes.configuration
         return RequestLimits() if configuration is None else configuration.limits
 
-    def closing(self) -> bool:
+    def is_shutting_down(self) -> bool:
         return self.is_closing
 
-    def opened(self, connection: ClientConnection) -> None:
+    def connection_opened(self, connection: ClientConnection) -> None:
         self.connections.add(connection)
 
-    def closed(self, connection: ClientConnection) -> None:
+    def connection_closed(self, connection: ClientConnection) -> None:
         self.connections.discard(connection)
 
-    def unreadable(self, status: int, message: str, peer: str) -> None:
+    def request_unreadable(self, status: int, message: str, peer: str) -> None:
         """The test sees it at the client."""
 
-    def begin(self, request: ClientRequest, connection: ClientConnection) -> Exchange:
+    def handle_request(self, request: ClientRequest, connection: ClientConnection) -> Exchange:
         self.requests.append(request)
         target = bytes(request.head.target).decode("latin-1")
-        route = self.routes.find(text_of(request.head, b"host"), target)
+        route = self.routes.find(field_text(request.head, b"host"), target)
         if route is None:
-            connection.answer_whole(own_answer(404, ErrorCode.NO_ROUTE, "no route"))
+            connection.send_answer(error_answer(404, ErrorCode.NO_ROUTE, "no route"))
             return NoExchange()
         upstream = route.upstream_for(request.head.get(ATTEMPT_ID) or b"")
-        return self.forwarder.begin(request, connection, route, upstream)
+        return self.forwarder.forward(request, connection, route, upstream)
 
 
 class Client:
@@ -299,7 +299,7 @@
     def settled(self) -> bool:
         """Whether nothing of any request is left."""
         return (
-            self.forwarder.open_exchanges() == 0
+            self.forwarder.open_exchange_count() == 0
             and self.dispatcher.job_count == 0
             and not self.forwarder.own_load()
         )
