--- a/reedspoke/data_plane/client_connection.py
+++ b/reedspoke/data_plane/client_connection.py
@@ -36,7 +36,7 @@
     first_byte_at: float  # when its first bytes came, on the loop's clock: its time limits run from there
 
 
-class Exchange(Protocol):
+class RequestHandler(Protocol):
     """What handles a request, from the moment it was read."""
 
     def client_disconnected(self) -> None: ...
@@ -51,7 +51,7 @@
 
     def is_shutting_down(self) -> bool: ...
 
-    def handle_request(self, request: ClientRequest, connection: ClientConnection) -> Exchange: ...
+    def handle_request(self, request: ClientRequest, connection: ClientConnection) -> RequestHandler: ...
 
     def connection_opened(self, connection: ClientConnection) -> None: ...
 
@@ -71,7 +71,7 @@
         self._requests = Requests(self._buffer, DEFAULT_BODY_BYTES)
         self._transport: asyncio.Transport | None = None
         self._head: Head | None = None
-        self._exchange: Exchange | None = None
+        self._exchange: RequestHandler | None = None
         self._keep_alive = True
         self._chunked = False
         self._streaming = False  # the head of a stream has been written, and its end has not
--- a/reedspoke/data_plane/forwarder.py
+++ b/reedspoke/data_plane/forwarder.py
@@ -107,11 +107,11 @@
         loads = {name: Load(requests, tokens) for name, (requests, tokens) in running.items()}
         self._apply(self._dispatcher.set_others_load(loads, self._loop.time()))
 
-    def set_others_suspects(self, suspects: dict[str, int]) -> None:
+    def set_others_suspicions(self, suspects: dict[str, int]) -> None:
         """How many other schedulers suspect each worker."""
         self._dispatcher.set_others_suspicions(suspects, self._loop.time())
 
-    def own_suspects(self) -> tuple[str, ...]:
+    def suspected_workers(self) -> tuple[str, ...]:
         """The workers that this scheduler suspects, for the others."""
         return self._dispatcher.suspected_workers(self._loop.time())
 
--- a/reedspoke/data_plane/process.py
+++ b/reedspoke/data_plane/process.py
@@ -17,7 +17,7 @@
 from reedspoke.common.messages import CONFIGURATION, NO_VERSION, WORKERS, MemberList, Version, WorkerList
 from reedspoke.common.metrics_endpoint import serve_metrics
 from reedspoke.common.node_settings import NodeSettings, load_settings, split_address
-from reedspoke.data_plane.client_connection import ClientConnection, ClientRequest, Exchange
+from reedspoke.data_plane.client_connection import ClientConnection, ClientRequest, RequestHandler
 from reedspoke.data_plane.confirmation import Confirmation
 from reedspoke.data_plane.control_session import ControlSessions
 from reedspoke.data_plane.conversation import OwnState, SessionPace
@@ -66,7 +66,7 @@
             on_workers=self._on_workers,
             on_members=self._on_members,
             on_running=self._forwarder.set_others_load,
-            on_suspects=self._forwarder.set_others_suspects,
+            on_suspects=self._forwarder.set_others_suspicions,
         )
         self._confirmation = Confirmation(settings.bounds.apply_ms / 1000, started=self._loop.time())
         self._subscription = Subscription(listener, self._confirmation)
@@ -181,7 +181,7 @@
             self._settings.zone,
             self._closing,
             self._forwarder.own_load(),
-            self._forwarder.own_suspects(),
+            self._forwarder.suspected_workers(),
         )
 
     # ---- what the control plane tells ----
@@ -234,7 +234,7 @@
     def request_unreadable(self, status: int, message: str, peer: str) -> None:
         self._request_log.record_unreadable(status, message, peer)
 
-    def handle_request(self, request: ClientRequest, connection: ClientConnection) -> Exchange:
+    def handle_request(self, request: ClientRequest, connection: ClientConnection) -> RequestHandler:
         return self._entry.begin(request, connection)
 
     # ---- what the figures are read from ----
--- a/reedspoke/data_plane/quota_wait.py
+++ b/reedspoke/data_plane/quota_wait.py
@@ -4,10 +4,10 @@
 
 from collections.abc import Callable
 
-from reedspoke.data_plane.client_connection import Exchange
+from reedspoke.data_plane.client_connection import RequestHandler
 from reedspoke.data_plane.quota_client import QuotaClient, QuotaDecision
 
-Begin = Callable[[], Exchange]
+Begin = Callable[[], RequestHandler]
 Refuse = Callable[[QuotaDecision], None]
 
 
@@ -20,7 +20,7 @@
         self._refuse = refuse
         self._gone = gone  # the client has left before the decision
         self._request_id: int | None = None
-        self._exchange: Exchange | None = None
+        self._exchange: RequestHandler | None = None
         self._is_over = False
         self._writable = True
 
--- a/reedspoke/data_plane/request_entry.py
+++ b/reedspoke/data_plane/request_entry.py
@@ -11,7 +11,7 @@
 from reedspoke.common.messages import Version
 from reedspoke.common.node_settings import Bounds
 from reedspoke.data_plane.answers import CompleteAnswer, error_answer, status_of, unconfirmed_key_answer
-from reedspoke.data_plane.client_connection import ClientConnection, ClientRequest, Exchange
+from reedspoke.data_plane.client_connection import ClientConnection, ClientRequest, RequestHandler
 from reedspoke.data_plane.confirmation import Confirmation
 from reedspoke.data_plane.forwarder import Forwarder
 from reedspoke.data_plane.headers import API_KEY, ATTEMPT_ID, TOKEN_COUNT, field_text
@@ -72,7 +72,7 @@
         self.tenants = TenantDirectory(configuration)
         self._forwarder.configure(configuration)
 
-    def begin(self, request: ClientRequest, connection: ClientConnection) -> Exchange:
+    def begin(self, request: ClientRequest, connection: ClientConnection) -> RequestHandler:
         """Take a request that was read whole."""
         trace = self._trace(request)
         if self.routes.configuration is None:
@@ -162,12 +162,12 @@
         route: CompiledRoute,
         holder: KeyHolder | None,
         trace: RequestTrace,
-    ) -> Exchange:
+    ) -> RequestHandler:
         upstream = route.upstream_for(request.head.get(ATTEMPT_ID) or b"")
         permit = self._permit(request.head, route, holder, request.first_byte_at)
         self._check_certain(holder, trace)
 
-        def begin() -> Exchange:
+        def begin() -> RequestHandler:
             return self._forwarder.forward(request, connection, route, upstream, trace, permit)
 
         if holder is None or holder.quota is None:
@@ -185,11 +185,11 @@
         wait_s: float,
         connection: ClientConnection,
         trace: RequestTrace,
-        begin: Callable[[], Exchange],
-    ) -> Exchange:
+        begin: Callable[[], RequestHandler],
+    ) -> RequestHandler:
         arrived = self._loop.time()
 
-        def begin_granted() -> Exchange:
+        def begin_granted() -> RequestHandler:
             self._waits.discard(wait)
             return begin()
 
@@ -219,7 +219,7 @@
         trace: RequestTrace,
         reason: str,
         after_s: float = 0.0,
-    ) -> Exchange:
+    ) -> RequestHandler:
         connection.send_answer(answer)
         trace.request_ended(RequestOutcome.NOT_ROUTED, status_of(answer), reason, round(after_s * 1000, 1))
         self._request_log.record(trace)
--- a/tests/data_plane/fleet_model.py
+++ b/tests/data_plane/fleet_model.py
@@ -47,18 +47,18 @@
         self.closed = False
         self.watch: WatchRequest | None = None
         self.watched_at = 0.0
-        self.told_unconfirmed = False
-        self.members_told = False
+        self.unconfirmed_sent = False
+        self.members_sent = False
         self._model = model
         self._control = control
         self._incoming: asyncio.Queue[Struct] = asyncio.Queue()
 
     def send(self, message: Struct) -> None:
-        if self._model.passes(self._control):
+        if self._model.is_reachable(self._control):
             self._model.loop.call_later(LATENCY_S, self._control.received, self, message)
 
     def answer(self, message: Struct) -> None:
-        if self._model.passes(self._control) and not self.closed:
+        if self._model.is_reachable(self._control) and not self.closed:
             self._model.loop.call_later(LATENCY_S, self._incoming.put_nowait, message)
 
     async def receive(self, expected: Any) -> Struct:
@@ -94,11 +94,11 @@
         """When what is known here was certainly the newest."""
         now = self._model.loop.time()
         if self.in_majority and now - self._joined_at >= CATCH_UP_S:
-            self.learn(self._model.committed[-1][1])
+            self.set_version(self._model.committed[-1][1])
             self._as_of = now - GRANT_AGE_S
         return self._as_of
 
-    def learn(self, version: Version) -> None:
+    def set_version(self, version: Version) -> None:
         """This is the newest configuration."""
         self.version = version
 
@@ -129,7 +129,7 @@
         if not self.is_confirmed() and not fetch.allow_unconfirmed:
             channel.answer(self._unconfirmed(0))
         elif fetch.source == MEMBERS:
-            channel.members_told = True
+            channel.members_sent = True
             channel.answer(MemberList((0, 1), self._model.members_seen_by(self), ()))
         elif fetch.source == CONFIGURATION:
             channel.answer(ConfigurationSnapshot(self.version, document(self.version[1])))
@@ -141,14 +141,14 @@
         now = self._model.loop.time()
         waited = now - channel.watched_at
         confirmed = self.is_confirmed()
-        has_news = not channel.told_unconfirmed
+        has_news = not channel.unconfirmed_sent
         if confirmed:
             newer = self.version > watch.versions[CONFIGURATION]
-            has_news = channel.told_unconfirmed or newer or not channel.members_told
+            has_news = channel.unconfirmed_sent or newer or not channel.members_sent
         if not has_news and waited < HOLD_S:
             return
         channel.watch = None
-        channel.told_unconfirmed = not confirmed
+        channel.unconfirmed_sent = not confirmed
         if not confirmed:
             channel.answer(self._unconfirmed(watch.request_id))
             return
@@ -169,13 +169,13 @@
         self.committed: list[tuple[float, Version]] = [(self.loop.time(), (1, 1))]
         make = control_type or ModelControl
         self.controls = [make(self, f"c{number}:1", f"z{number % 3}") for number in range(size)]
-        self.reached = set(range(size))
-        self.parts: list[set[int]] = [set(range(size))]
-        self.made, self.heard = subscription()
+        self.reachable = set(range(size))
+        self.partitions: list[set[int]] = [set(range(size))]
+        self.subscription, self.delivered = subscription()
         seeds = tuple(control.member.address for control in self.controls)
-        self.sessions = ControlSessions(self.made, lambda: OWN, lambda: seeds, Random(seed))
+        self.sessions = ControlSessions(self.subscription, lambda: OWN, lambda: seeds, Random(seed))
         self.running = self.loop.create_task(self.sessions.run())
-        self.dials = 0
+        self.connect_count = 0
 
     def close(self) -> None:
         """End all sessions."""
@@ -185,38 +185,38 @@
 
     # ---- the network ----
 
-    def passes(self, control: ModelControl) -> bool:
-        return self.controls.index(control) in self.reached
+    def is_reachable(self, control: ModelControl) -> bool:
+        return self.controls.index(control) in self.reachable
 
-    def cut(self, part: set[int]) -> None:
+    def partition(self, part: set[int]) -> None:
         """These and the others do not hear each other."""
         others = set(range(len(self.controls))) - part
-        self.parts = [part, others]
+        self.partitions = [part, others]
         for number, control in enumerate(self.controls):
             own = part if number in part else others
             control.set_in_majority(len(own) > len(self.controls) // 2)
 
-    def reach(self, numbers: set[int]) -> None:
+    def set_reachable(self, numbers: set[int]) -> None:
         """The data plane scheduler has a path to these only."""
-        self.reached = numbers
+        self.reachable = numbers
 
     def members_seen_by(self, control: ModelControl) -> tuple[ControlMember, ...]:
         number = self.controls.index(control)
-        own = next(part for part in self.parts if number in part)
+        own = next(part for part in self.partitions if number in part)
         return tuple(self.controls[other].member for other in sorted(own))
 
-    def sound_numbers(self) -> set[int]:
+    def reachable_majority(self) -> set[int]:
         """Control schedulers with a majority and a path."""
         return {
             number
             for number, control in enumerate(self.controls)
-            if number in self.reached and control.in_majority
+            if number in self.reachable and control.in_majority
         }
 
     async def open(self, address: str) -> Any:
-        self.dials += 1
+        self.connect_count += 1
         control = next(one for one in self.controls if one.member.address == address)
-        if not self.passes(control):
+        if not self.is_reachable(control):
             await asyncio.sleep(CONNECT_TIMEOUT_S)
             raise TimeoutError
         await asyncio.sleep(2 * LATENCY_S)
@@ -233,13 +233,13 @@
             for control in takers:
                 control.step()
 
-    def due_version(self) -> Version:
+    def required_version(self) -> Version:
         """What has to be in force now."""
         limit = self.loop.time() - APPLY_S
         return max((version for at, version in self.committed if at <= limit), default=(0, 0))
 
     def in_doubt(self) -> bool:
-        return self.made.confirmation.in_doubt(self.loop.time())
+        return self.subscription.confirmation.in_doubt(self.loop.time())
 
     # ---- time ----
 
@@ -259,4 +259,4 @@
     def check(self) -> None:
         """While there is no doubt, all that has to be in force is in force."""
         if not self.in_doubt():
-            assert self.made.version(CONFIGURATION) >= self.due_version()
+            assert self.subscription.version(CONFIGURATION) >= self.required_version()
--- a/tests/data_plane/judge.py
+++ b/tests/data_plane/judge.py
@@ -66,7 +66,7 @@
         if 200 <= answer.status < 300:
             self.check_success(asked, answer)
             return
-        assert asked.left or answer.whole, f"{asked.attempt_id}: an error was cut off"
+        assert asked.left or answer.is_complete, f"{asked.attempt_id}: an error was cut off"
         if answer.status in PROMISES and asked.path in NEVER_REPEATED:
             assert all(run.proven_not_run for run in runs), f"{asked.attempt_id} was promised not to run"
 
@@ -75,8 +75,8 @@
         assert answer.get("reedspoke-response-seal") == SEAL
         assert answer.get("reedspoke-attempt-id") == asked.attempt_id
         whole = {run.body for run in runs if run.status == answer.status}
-        if answer.whole:
+        if answer.is_complete:
             assert answer.body in whole, f"{asked.attempt_id} got another body as whole"
         else:
-            assert asked.left or asked.client.broken_off, f"{asked.attempt_id}: cut off, and not seen to be"
+            assert asked.left or asked.client.was_reset, f"{asked.attempt_id}: cut off, and not seen to be"
             assert any(body.startswith(answer.body) for body in whole)
--- a/tests/data_plane/loopback.py
+++ b/tests/data_plane/loopback.py
@@ -19,13 +19,13 @@
 from reedspoke.data_plane.upstream_pool import ConnectResult, UpstreamPool
 from reedspoke.decision.dispatcher import Dispatcher, RetryBudgetRule
 from tests.data_plane.wire import SeenAnswer, SeenRequest, chunked, events, read_answers, read_requests
-from tests.data_plane.world import HOST, KINDS, SEAL, Frontend, request_bytes
+from tests.data_plane.world import HOST, ROUTE_FIELDS, SEAL, Frontend, request_bytes
 
-AIM_MS = 100
+LATENCY_TARGET_MS = 100
 LAST_EVENT = 3  # of every whole stream
 CLIENT_WAITS_S = 8.0
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER: on, for no time
-STREAMING = ("/stream/", "/resume/")
+STREAM_PREFIXES = ("/stream/", "/resume/")
 
 
 class WorkerSide:
@@ -35,9 +35,9 @@
         self._writer = writer
         self.request = request
         self.attempt_id = request.get("reedspoke-attempt-id") or ""
-        self.streaming = request.target.startswith(STREAMING)
+        self.streaming = request.target.startswith(STREAM_PREFIXES)
 
-    def say(self, data: bytes) -> None:
+    def send(self, data: bytes) -> None:
         self._writer.write(data)
 
     def close(self) -> None:
@@ -60,13 +60,15 @@
             lines.append(f"Reedspoke-Response-Seal: {SEAL}")
         return "\r\n".join([*lines, ""]).encode()
 
-    def whole(self, status: str = "200 OK", body: bytes = b"why", *more: str, seal: bool = True) -> bytes:
+    def complete_answer(
+        self, status: str = "200 OK", body: bytes = b"why", *more: str, seal: bool = True
+    ) -> bytes:
         return self.head(status, *more, seal=seal) + b"Content-Length: %d\r\n\r\n" % len(body) + body
 
-    def success(self) -> bytes:
+    def success_answer(self) -> bytes:
         """The whole answer that this request is to get: a stream goes on where it was left."""
         if not self.streaming:
-            return self.whole(body=b"the answer")
+            return self.complete_answer(body=b"the answer")
         first = int(self.request.get("last-event-id") or 0) + 1
         return self.head() + b"Transfer-Encoding: chunked\r\n\r\n" + chunked(events(first, LAST_EVENT))
 
@@ -126,9 +128,9 @@
         if len(self.requests) == 1:
             await self.script(side)
         else:
-            side.say(side.success())
+            side.send(side.success_answer())
 
-    async def ask(
+    async def request(
         self, path: str, attempt_id: str = "a1", body: bytes = b"the question", **more: str
     ) -> SeenAnswer | None:
         """What a client of its own gets; None where its connection ends without any byte."""
@@ -161,12 +163,12 @@
             "hostname": HOST,
             "path_prefix": prefix,
             "timeout_ms": 20_000,
-            "target_ms": AIM_MS,
+            "target_ms": LATENCY_TARGET_MS,
             "upstream": "u1",
             "max_attempts": 3,
         }
         | kind
-        for prefix, kind in KINDS.items()
+        for prefix, kind in ROUTE_FIELDS.items()
     ]
     return json.dumps({"generation": 1, "routes": routes, "upstreams": [{"name": "u1"}]}).encode()
 
--- a/tests/data_plane/plane.py
+++ b/tests/data_plane/plane.py
@@ -39,7 +39,7 @@
     plane: DataPlane
     server: ServerStandIn
 
-    def learn(self, workers: tuple[WorkerEntry, ...] = (WORKER,)) -> None:
+    def receive_state(self, workers: tuple[WorkerEntry, ...] = (WORKER,)) -> None:
         """A control scheduler, confirmed by a majority, tells of a configuration and of workers."""
         self.network.names |= {worker.address: worker.instance_id for worker in workers}
         self.plane._confirmation.told((1, 0), self.loop.time())
@@ -51,7 +51,7 @@
         self.network.transports.append(transport)
         return transport
 
-    def asked(self, path: str, attempt_id: str = "a1") -> TransportStandIn:
+    def new_request(self, path: str, attempt_id: str = "a1") -> TransportStandIn:
         transport = self.connect()
         transport.arrive(request_bytes(path, attempt_id))
         self.loop.settle()
@@ -60,7 +60,7 @@
     def arrival(self) -> Arrival:
         return self.network.arrivals[-1]
 
-    def finish(self) -> asyncio.Task[None]:
+    def shut_down(self) -> asyncio.Task[None]:
         """SIGTERM has come."""
         task = self.loop.create_task(self.plane._finish(self.server))  # type: ignore[arg-type]
         self.loop.settle()
--- a/tests/data_plane/stage.py
+++ b/tests/data_plane/stage.py
@@ -11,7 +11,14 @@
 
 from tests.control_plane_process.fleet import defects_in
 from tests.control_plane_process.stand_ins import until
-from tests.data_plane.stand_ins import UP_S, Background, ControlStandIn, EdgeProcess, WorkerStandIn, call
+from tests.data_plane.stand_ins import (
+    WAIT_TIMEOUT_S,
+    Background,
+    ControlStandIn,
+    EdgeProcess,
+    WorkerStandIn,
+    call,
+)
 from tests.ports import free_port
 
 HOSTS = ("127.0.0.1", "127.0.0.2")
@@ -42,20 +49,20 @@
     worker: WorkerStandIn
     edge: EdgeProcess
 
-    def tell(self, sequence: int, *prefixes: str, control: int = 0) -> None:
+    def publish(self, sequence: int, *prefixes: str, control: int = 0) -> None:
         known = document(sequence, *prefixes)
-        self.controls[control].tell(sequence, known, (self.worker.entry(),))
+        self.controls[control].publish(sequence, known, (self.worker.entry(),))
 
-    def ask(self, path: str, attempt_id: str = "a1") -> tuple[int, bytes]:
+    def request(self, path: str, attempt_id: str = "a1") -> tuple[int, bytes]:
         return call(self.edge.frontend, "GET", path, HOST, attempt_id)
 
     def until_status(self, path: str, status: int) -> None:
-        until(lambda: self.ask(path)[0] == status, UP_S, f"{path} gives {status}")
+        until(lambda: self.request(path)[0] == status, WAIT_TIMEOUT_S, f"{path} gives {status}")
 
     def start(self) -> None:
         """With one control scheduler that knows a route to /one/."""
         self.controls[0].start()
-        self.tell(3, "/one/")
+        self.publish(3, "/one/")
         self.edge.write_settings([HOSTS[0]])
         self.edge.start()
         self.edge.until_ready()
--- a/tests/data_plane/stand_ins.py
+++ b/tests/data_plane/stand_ins.py
@@ -37,8 +37,8 @@
 
 ROOT = Path(__file__).resolve().parents[2]
 HEARTBEAT_S = 0.3
-UP_S = 5.0
-CALL_S = 3.0
+WAIT_TIMEOUT_S = 5.0
+CALL_TIMEOUT_S = 3.0
 SEAL = "1.2.3"
 Result = TypeVar("Result")
 
@@ -53,11 +53,11 @@
 
     def run(self, work: Coroutine[Any, Any, Result]) -> Result:
         future: Future[Result] = asyncio.run_coroutine_threadsafe(work, self.loop)
-        return future.result(CALL_S)
+        return future.result(CALL_TIMEOUT_S)
 
     def close(self) -> None:
         self.loop.call_soon_threadsafe(self.loop.stop)
-        self._thread.join(CALL_S)
+        self._thread.join(CALL_TIMEOUT_S)
 
 
 class ControlStandIn:
@@ -91,7 +91,7 @@
         """All that wait are told at once."""
         self.background.run(self._set_confirmed(True))
 
-    def tell(self, sequence: int, document: bytes, workers: tuple[WorkerEntry, ...]) -> None:
+    def publish(self, sequence: int, document: bytes, workers: tuple[WorkerEntry, ...]) -> None:
         """What it knows from now on, each source in version (sequence, 0)."""
         self.background.run(self._tell(sequence, document, workers))
 
@@ -183,7 +183,7 @@
     def start(self) -> None:
         self.address = self.background.run(self._start())
 
-    def go_on(self) -> None:
+    def resume_stream(self) -> None:
         self.background.loop.call_soon_threadsafe(self._going_on.set)
 
     def entry(self) -> WorkerEntry:
@@ -259,9 +259,9 @@
     def kill(self) -> None:
         if self.process is not None and self.process.poll() is None:
             self.process.kill()
-            self.process.wait(CALL_S)
+            self.process.wait(CALL_TIMEOUT_S)
 
-    def is_ready(self) -> int:
+    def readiness_status(self) -> int:
         """The status of its readiness; 0 where nothing answers."""
         try:
             return call(self.readiness, "GET", "/reedspoke/readiness", "x", "")[0]
@@ -269,13 +269,17 @@
             return 0
 
     def until_ready(self) -> None:
-        until(lambda: self.is_ready() == 200, UP_S, f"ready; its log: {self.log_file.read_text()}")
+        until(
+            lambda: self.readiness_status() == 200,
+            WAIT_TIMEOUT_S,
+            f"ready; its log: {self.log_file.read_text()}",
+        )
 
 
 def call(address: str, method: str, path: str, host: str, attempt_id: str) -> tuple[int, bytes]:
     """Status and body of one request on a connection of its own."""
     name, port = split_address(address)
-    connection = http.client.HTTPConnection(name, port, timeout=CALL_S)
+    connection = http.client.HTTPConnection(name, port, timeout=CALL_TIMEOUT_S)
     try:
         connection.request(method, path, headers={"Host": host, "Reedspoke-Attempt-Id": attempt_id})
         response = connection.getresponse()
--- a/tests/data_plane/test_attempts_client_end.py
+++ b/tests/data_plane/test_attempts_client_end.py
@@ -26,7 +26,7 @@
 
 
 async def answer(side: WorkerSide) -> None:
-    side.say(side.success())
+    side.send(side.success_answer())
 
 
 def send_all_then_read(address: tuple[str, int], data: bytes) -> SeenAnswer:
@@ -54,7 +54,7 @@
 def test_a_refusal_arrives_at_a_client_that_goes_on_sending(name: str) -> None:
     data, status = REFUSED[name]
     found, stage = with_client(data)
-    assert (found.status, found.whole) == (status, True)
+    assert (found.status, found.is_complete) == (status, True)
     assert stage.requests == []
 
 
--- a/tests/data_plane/test_attempts_connections.py
+++ b/tests/data_plane/test_attempts_connections.py
@@ -8,7 +8,17 @@
 
 from reedspoke.common.messages import WorkerEntry, WorkerList
 from tests.data_plane.wire import HIGH_WATER, chunked, event
-from tests.data_plane.world import AGAIN, ONCE, RESUME, STREAM, TIMEOUT_S, Arrival, Client, World, fresh_world
+from tests.data_plane.world import (
+    IDEMPOTENT,
+    NON_IDEMPOTENT,
+    RESUMABLE,
+    STREAMING,
+    TIMEOUT_S,
+    Arrival,
+    Client,
+    World,
+    fresh_world,
+)
 
 Worlds = Callable[..., World]
 LARGE = b"x" * (HIGH_WATER + 1)
@@ -21,11 +31,11 @@
     return worlds(workers=1)
 
 
-def answered(world: World, attempt_id: str, path: str = ONCE) -> Arrival:
+def answered(world: World, attempt_id: str, path: str = NON_IDEMPOTENT) -> Arrival:
     """A request that was answered whole."""
-    client = world.asked(path, attempt_id)
+    client = world.new_request(path, attempt_id)
     arrival = world.arrival()
-    arrival.worker.say(arrival.whole(f"to {attempt_id}".encode()))
+    arrival.worker.send(arrival.complete_answer(f"to {attempt_id}".encode()))
     assert client.answer().body == f"to {attempt_id}".encode()
     return arrival
 
@@ -47,14 +57,14 @@
     world = worlds(workers=1, limits=LARGE_LIMITS)
     client = world.client()
     first = answered(world, "a0")
-    first.worker.transport.stop_taking()
-    client.ask(ONCE, "a1", LARGE)
+    first.worker.transport.stop_peer_reading()
+    client.send_request(NON_IDEMPOTENT, "a1", LARGE)
     early = world.arrival()
     assert early.worker is first.worker
-    early.worker.say(early.full() if refused else early.whole(b"early"))
+    early.worker.send(early.overload_answer() if refused else early.complete_answer(b"early"))
     assert client.answer().status == (503 if refused else 200)
     written = bytes(first.worker.transport.written)
-    assert first.worker.over
+    assert first.worker.is_closed
     world.run_for(5)
     assert answered(world, "a2").worker is not first.worker
     assert bytes(first.worker.transport.written) == written
@@ -75,35 +85,35 @@
 ) -> None:
     world = worlds(workers=1)
     first = answered(world, "a1")
-    client = world.asked(ONCE, "a2")
+    client = world.new_request(NON_IDEMPOTENT, "a2")
     second = world.arrival()
     assert second.worker is first.worker
     world.set_workers(["i-1", "i-2"])
-    second.worker.say(unnamed(*proof))
+    second.worker.send(unnamed(*proof))
     assert client.answer().status == 502
     assert len(world.arrivals) == 2, "it was not sent a second time"
-    assert second.worker.over
+    assert second.worker.is_closed
 
 
 @pytest.mark.parametrize("proof", PROOFS)
 def test_on_a_new_connection_a_proof_can_only_be_about_its_request(world: World, proof: list[str]) -> None:
-    client = world.asked(ONCE)
-    world.arrival().worker.say(unnamed(*proof))
+    client = world.new_request(NON_IDEMPOTENT)
+    world.arrival().worker.send(unnamed(*proof))
     assert len(world.arrivals) == 2
-    world.arrival().worker.say(world.arrival().whole())
+    world.arrival().worker.send(world.arrival().complete_answer())
     assert client.answer().body == b"the answer"
 
 
 def test_an_error_that_names_no_request_is_that_of_the_first_request(world: World) -> None:
-    client = world.asked(ONCE)
-    world.arrival().worker.say(unnamed("500 Internal Server Error"))
+    client = world.new_request(NON_IDEMPOTENT)
+    world.arrival().worker.send(unnamed("500 Internal Server Error"))
     assert client.answer().status == 500
 
 
 def test_a_success_that_says_that_it_never_ran_is_not_sent_again(world: World) -> None:
-    client = world.asked(ONCE)
+    client = world.new_request(NON_IDEMPOTENT)
     arrival = world.arrival()
-    arrival.worker.say(arrival.whole(Reedspoke_Not_Executed="1"))
+    arrival.worker.send(arrival.complete_answer(Reedspoke_Not_Executed="1"))
     assert len(world.arrivals) == 1
     assert client.answer().status == 200
 
@@ -112,54 +122,54 @@
 
 
 def test_all_connections_to_an_address_that_another_worker_has_are_closed(single: World) -> None:
-    clients = [single.asked(ONCE, f"a{number}") for number in range(2)]
+    clients = [single.new_request(NON_IDEMPOTENT, f"a{number}") for number in range(2)]
     idle, second = single.arrivals
-    idle.worker.say(idle.whole())
-    second.worker.say(second.wrong_instance())
+    idle.worker.send(idle.complete_answer())
+    second.worker.send(second.wrong_instance_answer())
     single.run_for(3)
     assert clients[1].answer().status == 503
-    assert idle.worker.over
-    assert second.worker.over
-    refused = single.asked(ONCE, "a9")
+    assert idle.worker.is_closed
+    assert second.worker.is_closed
+    refused = single.new_request(NON_IDEMPOTENT, "a9")
     single.run_for(3)
     assert refused.answer().status == 503
     assert len(single.arrivals) == 2, "nothing more is sent there while the list has not changed"
 
 
 def test_a_421_to_a_request_that_names_its_weights_says_nothing_of_the_instance(single: World) -> None:
-    client = single.asked(ONCE, Expect_Version="7")
-    single.arrival().worker.say(single.arrival().wrong_instance())
+    client = single.new_request(NON_IDEMPOTENT, Expect_Version="7")
+    single.arrival().worker.send(single.arrival().wrong_instance_answer())
     assert client.answer().status == 503
     answered(single, "a2")
 
 
 def test_a_connection_that_comes_up_for_a_worker_that_left_the_list_is_not_kept(single: World) -> None:
     single.network.plan = ["slow"]
-    single.asked(ONCE).leave()
+    single.new_request(NON_IDEMPOTENT).disconnect()
     single.set_workers(["i-2"])
     single.run_for(2)
     (end,) = single.network.connections
-    assert end.over
+    assert end.is_closed
 
 
 # ---- workers out of reach, and workers that leave ----
 
 
-@pytest.mark.parametrize("path", [ONCE, STREAM])
+@pytest.mark.parametrize("path", [NON_IDEMPOTENT, STREAMING])
 def test_bytes_that_are_not_acknowledged_in_time_are_no_proof(world: World, path: str) -> None:
     """So a connection ends whose worker was cut off: the system gives up with ETIMEDOUT."""
-    client = world.asked(path)
+    client = world.new_request(path)
     world.arrival().worker.transport.arrive_timeout()
     world.run_for(TIMEOUT_S + 1)
     assert client.answer().status == 502
     assert len(world.arrivals) == 1
 
 
-@pytest.mark.parametrize("path", [ONCE, STREAM])
+@pytest.mark.parametrize("path", [NON_IDEMPOTENT, STREAMING])
 def test_a_silent_worker_keeps_an_unsafe_request_until_its_deadline_and_nobody_else_gets_it(
     world: World, path: str
 ) -> None:
-    client = world.asked(path)
+    client = world.new_request(path)
     world.run_for(TIMEOUT_S - 0.5)
     assert client.answers() == []
     world.run_for(1)
@@ -167,33 +177,33 @@
     assert len(world.arrivals) == 1
 
 
-@pytest.mark.parametrize("path", [ONCE, AGAIN, STREAM, RESUME])
+@pytest.mark.parametrize("path", [NON_IDEMPOTENT, IDEMPOTENT, STREAMING, RESUMABLE])
 @pytest.mark.parametrize("listed", [["i-9"], []])
 def test_a_request_under_way_at_a_worker_that_leaves_the_list_is_answered_there(
     worlds: Worlds, path: str, listed: list[str]
 ) -> None:
     world = worlds(workers=1)
-    client = world.asked(path)
+    client = world.new_request(path)
     arrival = world.arrival()
     world.set_workers(listed)
     world.run_for(1)
     assert len(world.arrivals) == 1
-    arrival.worker.say(arrival.whole(event(1)))
+    arrival.worker.send(arrival.complete_answer(event(1)))
     assert (client.answer().status, client.answer().body) == (200, event(1))
-    assert arrival.worker.over, "its connection is not kept"
+    assert arrival.worker.is_closed, "its connection is not kept"
 
 
-@pytest.mark.parametrize("path", [ONCE, AGAIN, STREAM, RESUME])
+@pytest.mark.parametrize("path", [NON_IDEMPOTENT, IDEMPOTENT, STREAMING, RESUMABLE])
 def test_a_request_under_way_at_a_worker_that_drains_is_answered_there(worlds: Worlds, path: str) -> None:
     world = worlds(workers=1)
-    client = world.asked(path)
+    client = world.new_request(path)
     arrival = world.arrival()
     drains = WorkerEntry("i-1", "u1", "10.0.0.1:80", "za", "v1", 8, True)
     world.forwarder.set_workers(WorkerList((2, 0), (drains,)))
-    refused = world.asked(path, "a2")
+    refused = world.new_request(path, "a2")
     world.run_for(3)
     assert refused.answer().status == 503
-    arrival.worker.say(arrival.whole(event(1)))
+    arrival.worker.send(arrival.complete_answer(event(1)))
     assert (client.answer().status, client.answer().body) == (200, event(1))
     assert len(world.arrivals) == 1
 
@@ -203,26 +213,26 @@
 
 def test_what_was_never_sent_by_its_deadline_is_promised_not_to_run(single: World) -> None:
     single.network.plan = ["hang"]
-    client = single.asked(ONCE, Reedspoke_Deadline_Ms="400")
+    client = single.new_request(NON_IDEMPOTENT, Reedspoke_Deadline_Ms="400")
     single.run_for(0.7)
     assert client.answer().status == 503
     assert single.arrivals == []
-    assert single.settled()
+    assert single.is_idle()
 
 
 def test_what_was_sent_and_is_silent_at_its_deadline_gets_no_promise(single: World) -> None:
-    client = single.asked(ONCE, Reedspoke_Deadline_Ms="400")
+    client = single.new_request(NON_IDEMPOTENT, Reedspoke_Deadline_Ms="400")
     single.run_for(0.7)
     assert client.answer().status == 504
     assert len(single.arrivals) == 1
 
 
-@pytest.mark.parametrize("path", [ONCE, STREAM])
+@pytest.mark.parametrize("path", [NON_IDEMPOTENT, STREAMING])
 def test_at_the_end_of_the_process_only_what_may_have_run_gets_no_promise(worlds: Worlds, path: str) -> None:
     world = worlds(workers=1)
-    ran = world.asked(path, "a1")
+    ran = world.new_request(path, "a1")
     world.network.plan = ["hang"]
-    connecting = world.asked(path, "a2")
+    connecting = world.new_request(path, "a2")
     world.forwarder.abort_all()
     world.loop.settle()
     assert (ran.answer().status, connecting.answer().status) == (502, 503)
@@ -230,9 +240,9 @@
 
 def test_a_proven_refusal_before_the_end_of_the_process_leaves_the_promise(worlds: Worlds) -> None:
     world = worlds(workers=2)
-    client = world.asked(ONCE)
+    client = world.new_request(NON_IDEMPOTENT)
     world.network.plan = ["hang"]
-    world.arrival().worker.say(world.arrival().full())
+    world.arrival().worker.send(world.arrival().overload_answer())
     world.forwarder.abort_all()
     world.loop.settle()
     assert client.answer().status == 503
@@ -243,60 +253,60 @@
 
 def test_a_stream_whose_events_have_no_id_is_not_gone_on_with(world: World) -> None:
     """Another run would begin with the first event again."""
-    client = world.asked(RESUME)
+    client = world.new_request(RESUMABLE)
     first = world.arrival()
-    first.worker.say(first.stream_head() + chunked(b"data: one\n\n", last=False))
+    first.worker.send(first.stream_head() + chunked(b"data: one\n\n", last=False))
     first.worker.reset()
     assert client.answer().body == b"data: one\n\n"
-    assert not client.answer().whole
-    assert client.broken_off
+    assert not client.answer().is_complete
+    assert client.was_reset
     assert len(world.arrivals) == 1
-    assert world.settled()
+    assert world.is_idle()
 
 
 def test_a_stream_without_a_length_is_whole_at_its_end(world: World) -> None:
-    client = world.asked(STREAM)
+    client = world.new_request(STREAMING)
     arrival = world.arrival()
-    arrival.worker.say(b"HTTP/1.1 200 OK\r\n" + arrival.fields() + b"\r\n" + event(1) + event(2))
-    assert not client.answer().whole
+    arrival.worker.send(b"HTTP/1.1 200 OK\r\n" + arrival.fields() + b"\r\n" + event(1) + event(2))
+    assert not client.answer().is_complete
     arrival.worker.end()
-    assert (client.answer().body, client.answer().whole) == (event(1) + event(2), True)
+    assert (client.answer().body, client.answer().is_complete) == (event(1) + event(2), True)
 
 
-@pytest.mark.parametrize("path", [STREAM, RESUME])
+@pytest.mark.parametrize("path", [STREAMING, RESUMABLE])
 def test_a_stream_without_a_length_that_is_reset_is_not_whole(world: World, path: str) -> None:
-    client = world.asked(path)
+    client = world.new_request(path)
     arrival = world.arrival()
-    arrival.worker.say(b"HTTP/1.1 200 OK\r\n" + arrival.fields() + b"\r\n" + event(1))
+    arrival.worker.send(b"HTTP/1.1 200 OK\r\n" + arrival.fields() + b"\r\n" + event(1))
     arrival.worker.reset()
-    assert not client.answer().whole
-    assert len(world.arrivals) == (2 if path == RESUME else 1)
+    assert not client.answer().is_complete
+    assert len(world.arrivals) == (2 if path == RESUMABLE else 1)
 
 
-@pytest.mark.parametrize("path", [STREAM, RESUME])
+@pytest.mark.parametrize("path", [STREAMING, RESUMABLE])
 def test_a_stream_without_a_length_that_ends_inside_an_event_is_not_whole(world: World, path: str) -> None:
-    client = world.asked(path)
+    client = world.new_request(path)
     arrival = world.arrival()
-    arrival.worker.say(b"HTTP/1.1 200 OK\r\n" + arrival.fields() + b"\r\n" + event(1) + event(2)[:-4])
+    arrival.worker.send(b"HTTP/1.1 200 OK\r\n" + arrival.fields() + b"\r\n" + event(1) + event(2)[:-4])
     arrival.worker.end()
-    assert (client.answer().body, client.answer().whole) == (event(1), False)
-    assert len(world.arrivals) == (2 if path == RESUME else 1)
+    assert (client.answer().body, client.answer().is_complete) == (event(1), False)
+    assert len(world.arrivals) == (2 if path == RESUMABLE else 1)
 
 
 def test_a_first_line_that_is_none_is_told_before_its_head_ends(world: World) -> None:
-    client = world.asked(AGAIN)
+    client = world.new_request(IDEMPOTENT)
     first = world.arrival()
-    first.worker.say(b"HTTP/1.1 nonsense\r\n")
-    assert first.worker.over
-    world.arrival().worker.say(world.arrival().whole())
+    first.worker.send(b"HTTP/1.1 nonsense\r\n")
+    assert first.worker.is_closed
+    world.arrival().worker.send(world.arrival().complete_answer())
     assert client.answer().status == 200
 
 
 def silent_stream(world: World) -> tuple[Client, Arrival]:
     """A stream whose worker is silent after the first event, for longer than it is usually given."""
-    client = world.asked(RESUME, Reedspoke_Deadline_Ms="9000")
+    client = world.new_request(RESUMABLE, Reedspoke_Deadline_Ms="9000")
     first = world.arrival()
-    first.worker.say(first.stream_head() + chunked(event(1), last=False))
+    first.worker.send(first.stream_head() + chunked(event(1), last=False))
     world.run_for(6)
     return client, first
 
@@ -307,9 +317,9 @@
 ) -> None:
     world = worlds(**settings)
     client, first = silent_stream(world)
-    assert not client.broken_off
-    first.worker.say(chunked(event(2)))
-    assert (client.answer().body, client.answer().whole) == (event(1) + event(2), True)
+    assert not client.was_reset
+    first.worker.send(chunked(event(2)))
+    assert (client.answer().body, client.answer().is_complete) == (event(1) + event(2), True)
     assert len(world.arrivals) == 1
 
 
@@ -321,17 +331,17 @@
     second = world.arrival()
     assert second is not first
     assert second.request.get("last-event-id") == "1"
-    second.worker.say(second.stream_head() + chunked(event(2)))
-    assert (client.answer().body, client.answer().whole) == (event(1) + event(2), True)
+    second.worker.send(second.stream_head() + chunked(event(2)))
+    assert (client.answer().body, client.answer().is_complete) == (event(1) + event(2), True)
 
 
 def test_a_silent_stream_ends_at_its_deadline(worlds: Worlds) -> None:
     world = worlds(workers=1)
     client, _ = silent_stream(world)
     world.run_for(4)
-    assert client.broken_off
-    assert not client.answer().whole
-    assert world.settled()
+    assert client.was_reset
+    assert not client.answer().is_complete
+    assert world.is_idle()
 
 
 # ---- clients that leave, and silence, at each byte of an answer ----
@@ -340,58 +350,58 @@
 
 
 def raw_answer(arrival: Arrival, path: str) -> bytes:
-    if path in (STREAM, RESUME):
+    if path in (STREAMING, RESUMABLE):
         return arrival.stream_head() + chunked(event(1), event(2))
-    return arrival.whole(body_to(arrival))
+    return arrival.complete_answer(body_to(arrival))
 
 
 def body_to(arrival: Arrival) -> bytes:
     return b"to " + arrival.attempt_id.encode()
 
 
-@pytest.mark.parametrize("path", [ONCE, RESUME])
+@pytest.mark.parametrize("path", [NON_IDEMPOTENT, RESUMABLE])
 def test_a_client_may_leave_at_any_byte_and_the_next_one_gets_its_own_answer(path: str) -> None:
     length, most = 0, 1
     while length < most:
         with fresh_world(workers=1) as world:
-            client = world.asked(path, "a1")
+            client = world.new_request(path, "a1")
             first = world.arrival()
             raw = raw_answer(first, path)
             most = len(raw)
-            first.worker.say(raw[:length])
-            client.leave()
-            assert first.worker.over, length
-            later = world.asked(ONCE, "a2")
-            first.worker.say(raw[length:])
+            first.worker.send(raw[:length])
+            client.disconnect()
+            assert first.worker.is_closed, length
+            later = world.new_request(NON_IDEMPOTENT, "a2")
+            first.worker.send(raw[length:])
             second = world.arrival()
             assert second.worker is not first.worker, length
             assert later.answers() == [], length
-            second.worker.say(second.whole(body_to(second)))
+            second.worker.send(second.complete_answer(body_to(second)))
             assert later.answer().body == b"to a2", length
             assert len(world.arrivals) == 2, length
-            assert world.settled(), length
+            assert world.is_idle(), length
         length += 1
 
 
-@pytest.mark.parametrize("path", [ONCE, STREAM])
+@pytest.mark.parametrize("path", [NON_IDEMPOTENT, STREAMING])
 def test_silence_from_any_byte_on_never_sends_an_unsafe_request_again(path: str) -> None:
     length, most = 0, 1
     while length < most:
         with fresh_world(workers=2) as world:
-            client = world.asked(path, "a1", Reedspoke_Deadline_Ms="3000")
+            client = world.new_request(path, "a1", Reedspoke_Deadline_Ms="3000")
             first = world.arrival()
             raw = raw_answer(first, path)
             most = len(raw)
-            first.worker.say(raw[:length])
+            first.worker.send(raw[:length])
             world.run_for(4)
-            first.worker.say(raw[length:])
+            first.worker.send(raw[length:])
             assert len(world.arrivals) == 1, length
-            assert first.worker.over, length
+            assert first.worker.is_closed, length
             (answer,) = client.answers()
-            if path == STREAM and event(1) in raw[:length]:
-                assert not answer.whole, length
+            if path == STREAMING and event(1) in raw[:length]:
+                assert not answer.is_complete, length
                 assert STREAM_EVENTS.startswith(answer.body), length
             else:
-                assert (answer.status, answer.whole) == (504, True), length
-            assert world.settled(), length
+                assert (answer.status, answer.is_complete) == (504, True), length
+            assert world.is_idle(), length
         length += 1
--- a/tests/data_plane/test_attempts_early.py
+++ b/tests/data_plane/test_attempts_early.py
@@ -48,11 +48,11 @@
         server = await asyncio.start_server(worker.serve, "127.0.0.1", 0, limit=PIECE)
         stage = await start(unused, 1)
         stage.pool.first_address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
-        answer = await stage.ask("/once/", "a1", BODY)
+        answer = await stage.request("/once/", "a1", BODY)
         assert answer is not None
         assert (answer.status, answer.body) == (200, b"early")
         stage.pool.first_address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
-        later = await stage.ask("/once/", "a2", b"other bytes")
+        later = await stage.request("/once/", "a2", b"other bytes")
         assert later is not None
         assert (later.status, later.body) == (200, b"early")
         worker.read_on.set()
--- a/tests/data_plane/test_attempts_process.py
+++ b/tests/data_plane/test_attempts_process.py
@@ -17,9 +17,9 @@
 from reedspoke.common.messages import WorkerEntry
 from tests.control_plane_process.stand_ins import until
 from tests.data_plane.stand_ins import (
-    CALL_S,
+    CALL_TIMEOUT_S,
     SEAL,
-    UP_S,
+    WAIT_TIMEOUT_S,
     Background,
     ControlStandIn,
     EdgeProcess,
@@ -103,7 +103,7 @@
 
     def start(self, *entries: WorkerEntry) -> None:
         self.control.start()
-        self.control.tell(3, document(), entries)
+        self.control.publish(3, document(), entries)
         self.edge.write_settings([HOSTS[0]])
         settings = json.loads(self.edge.settings_file.read_text()) | {"bounds": BOUNDS}
         self.edge.settings_file.write_text(json.dumps(settings))
@@ -121,7 +121,11 @@
 
     def ask_and_wait_for_arrival(self, *actions: str) -> dict[str, Call]:
         asked = {action: self.ask(action) for action in actions}
-        until(lambda: all(self.workers.count(action) for action in actions), UP_S, "all are at workers")
+        until(
+            lambda: all(self.workers.count(action) for action in actions),
+            WAIT_TIMEOUT_S,
+            "all are at workers",
+        )
         return asked
 
     def go_on(self) -> None:
@@ -149,13 +153,13 @@
     stage.start(stage.worker("i-1").entry(), stage.worker("i-2").entry())
     asked = stage.ask_and_wait_for_arrival("answer", "reset", "refuse", "silence")
     stage.edge.signal(signal.SIGTERM)
-    until(lambda: stage.edge.is_ready() == 503, UP_S, "it is leaving")
+    until(lambda: stage.edge.readiness_status() == 503, WAIT_TIMEOUT_S, "it is leaving")
     stage.go_on()
-    assert asked["answer"].result(CALL_S) == (200, b"ok")
-    assert asked["reset"].result(CALL_S)[0] == 502
-    assert asked["refuse"].result(CALL_S) == (200, b"ok")
-    assert asked["silence"].result(CALL_S + GRACE_S)[0] == 502
-    assert stage.edge.wait(UP_S) == 0
+    assert asked["answer"].result(CALL_TIMEOUT_S) == (200, b"ok")
+    assert asked["reset"].result(CALL_TIMEOUT_S)[0] == 502
+    assert asked["refuse"].result(CALL_TIMEOUT_S) == (200, b"ok")
+    assert asked["silence"].result(CALL_TIMEOUT_S + GRACE_S)[0] == 502
+    assert stage.edge.wait(WAIT_TIMEOUT_S) == 0
     counts = {action: stage.workers.count(action) for action in asked}
     assert counts == {"answer": 1, "reset": 1, "refuse": 2, "silence": 1}
 
@@ -166,11 +170,11 @@
     asked = stage.ask_and_wait_for_arrival("answer", "reset", "refuse")
     for _ in range(3):
         stage.edge.signal(signal.SIGHUP)
-    assert stage.edge.is_ready() == 200
+    assert stage.edge.readiness_status() == 200
     stage.go_on()
-    assert asked["answer"].result(CALL_S) == (200, b"ok")
-    assert asked["reset"].result(CALL_S)[0] == 502
-    assert asked["refuse"].result(CALL_S) == (200, b"ok")
+    assert asked["answer"].result(CALL_TIMEOUT_S) == (200, b"ok")
+    assert asked["reset"].result(CALL_TIMEOUT_S)[0] == 502
+    assert asked["refuse"].result(CALL_TIMEOUT_S) == (200, b"ok")
     counts = {action: stage.workers.count(action) for action in asked}
     assert counts == {"answer": 1, "reset": 1, "refuse": 2}
 
@@ -184,22 +188,22 @@
     stage.go_on()
     stage.start(old_entry, other.entry())
     first = [stage.ask(f"a{number}") for number in range(6)]
-    assert {asked.result(CALL_S) for asked in first} == {(200, b"ok")}
+    assert {asked.result(CALL_TIMEOUT_S) for asked in first} == {(200, b"ok")}
     if during is not None:
         stage.edge.signal(during)
     if during is signal.SIGTERM:  # a connection that is idle at that moment is closed unread
-        until(lambda: stage.edge.is_ready() == 503, UP_S, "it is leaving")
-    assert stage.ask("later").result(CALL_S) == (200, b"ok")
+        until(lambda: stage.edge.readiness_status() == 503, WAIT_TIMEOUT_S, "it is leaving")
+    assert stage.ask("later").result(CALL_TIMEOUT_S) == (200, b"ok")
     refused = [attempt for name, attempt in stage.workers.arrived if name == "i-2"]
     served = [attempt for name, attempt in stage.workers.arrived if name == "i-3"]
     assert sorted(served) == sorted([f"a{number}" for number in range(6)] + ["later"])
     assert refused, "some went to the old address first"
     assert set(refused) < set(served)
     if during is not signal.SIGTERM:
-        stage.control.tell(5, document(), (new.entry(),))
+        stage.control.publish(5, document(), (new.entry(),))
         until(
-            lambda: stage.ask("new").result(CALL_S) == (200, b"ok") and "i-2" in last(stage),
-            UP_S,
+            lambda: stage.ask("new").result(CALL_TIMEOUT_S) == (200, b"ok") and "i-2" in last(stage),
+            WAIT_TIMEOUT_S,
             "i-2 serves",
         )
 
--- a/tests/data_plane/test_attempts_random.py
+++ b/tests/data_plane/test_attempts_random.py
@@ -47,7 +47,7 @@
             return
         self.open_runs.remove(run)
         raw = b"HTTP/1.1 200 OK\r\n" + run.arrival.fields() + b"\r\n" + self.whole_body(run)
-        run.arrival.worker.say(raw[: self.random.randrange(len(raw) + 1)])
+        run.arrival.worker.send(raw[: self.random.randrange(len(raw) + 1)])
         run.arrival.worker.reset()
 
     def unnamed_refusal(self) -> None:
@@ -65,7 +65,7 @@
         if run is None or self.ledger.asked[run.arrival.attempt_id].path in STREAMS:
             return
         self.open_runs.remove(run)
-        self.say(run, run.arrival.whole(run.body, Reedspoke_Not_Executed="1"))
+        self.say(run, run.arrival.complete_answer(run.body, Reedspoke_Not_Executed="1"))
 
     def half_close(self) -> None:
         """The worker writes no more, though it may read and run."""
@@ -85,7 +85,7 @@
         """A worker that does not read for now: what is sent to it waits at our end."""
         run = self.some_run()
         if run is not None:
-            run.arrival.worker.transport.stop_taking()
+            run.arrival.worker.transport.stop_peer_reading()
 
 
 LOOSE: list[Callable[[LooseDay], None]] = [
--- a/tests/data_plane/test_attempts_table.py
+++ b/tests/data_plane/test_attempts_table.py
@@ -14,10 +14,10 @@
 from reedspoke.decision import attempt_timeout
 from tests.data_plane.loopback import LAST_EVENT, DeafListener, Loopback, Script, WorkerSide, start
 from tests.data_plane.wire import SeenAnswer, chunked, event, events
-from tests.data_plane.world import AGAIN, ONCE, RESUME, SEAL, STREAM
+from tests.data_plane.world import IDEMPOTENT, NON_IDEMPOTENT, RESUMABLE, SEAL, STREAMING
 
 PAGE = Path(__file__).resolve().parents[2] / "docs" / "attempts.md"
-KINDS = (AGAIN, ONCE, RESUME, STREAM)  # in the order of the columns
+PATHS = (IDEMPOTENT, NON_IDEMPOTENT, RESUMABLE, STREAMING)  # in the order of the columns
 PROMISES = (408, 421, 429, 503)
 NOT_EXECUTED = "Reedspoke-Not-Executed: 1"
 CONNECT_TIMEOUT_S = 0.2
@@ -58,7 +58,7 @@
 
 
 async def answer(side: WorkerSide) -> None:
-    side.say(side.success())
+    side.send(side.success_answer())
 
 
 def says(make: Callable[[WorkerSide], bytes], then: str = "") -> Script:
@@ -67,7 +67,7 @@
     async def script(side: WorkerSide) -> None:
         data = make(side)
         if data:
-            side.say(data)
+            side.send(data)
         if then:
             await asyncio.sleep(0)
             getattr(side, then)()
@@ -79,7 +79,7 @@
     """An answer with a length or in chunks, cut in its body; of a stream the first event has come."""
     if side.streaming:
         return side.head() + b"Transfer-Encoding: chunked\r\n\r\n" + chunked(event(1), last=False)
-    return side.whole(body=b"the answer")[:-3]
+    return side.complete_answer(body=b"the answer")[:-3]
 
 
 def unframed(side: WorkerSide) -> bytes:
@@ -92,24 +92,24 @@
 
 def not_run_success(side: WorkerSide) -> bytes:
     """It contradicts itself."""
-    return side.whole("200 OK", side.body(), NOT_EXECUTED)
+    return side.complete_answer("200 OK", side.body(), NOT_EXECUTED)
 
 
 def other_then_ours(side: WorkerSide) -> bytes:
-    return of_another(side) + side.success()
+    return of_another(side) + side.success_answer()
 
 
 def of_another(side: WorkerSide) -> bytes:
-    return side.success().replace(side.attempt_id.encode(), b"another")
+    return side.success_answer().replace(side.attempt_id.encode(), b"another")
 
 
 def status(line: str, *more: str) -> Script:
-    return says(lambda side: side.whole(line, b"why", *more))
+    return says(lambda side: side.complete_answer(line, b"why", *more))
 
 
 async def end_the_idle_connection(side: WorkerSide) -> None:
     """After the first answer, and before the second request."""
-    side.say(side.success())
+    side.send(side.success_answer())
     side.close()
 
 
@@ -160,8 +160,8 @@
     Case("reset after the whole request", says(lambda side: b"", "reset"), *MAY_HAVE_RUN),
     Case("closed after the whole request", says(lambda side: b"", "close"), *MAY_HAVE_RUN),
     Case("half-closed after the whole request", says(lambda side: b"", "half_close"), *MAY_HAVE_RUN),
-    Case("reset in the head", says(lambda side: side.success()[:30], "reset"), *MAY_HAVE_RUN),
-    Case("closed in the head", says(lambda side: side.success()[:30], "close"), *MAY_HAVE_RUN),
+    Case("reset in the head", says(lambda side: side.success_answer()[:30], "reset"), *MAY_HAVE_RUN),
+    Case("closed in the head", says(lambda side: side.success_answer()[:30], "close"), *MAY_HAVE_RUN),
     Case("reset in the body", says(begun, "reset"), *AFTER_EVENTS),
     Case("closed in the body", says(begun, "close"), *AFTER_EVENTS),
     Case("no length, reset", says(unframed_begun, "reset"), *AFTER_EVENTS),
@@ -177,12 +177,12 @@
     Case("500", status("500 Internal Server Error"), *WORKER_ERROR),
     Case("504 of the worker", status("504 Gateway Timeout"), *ANSWERED),
     Case("404", status("404 Not Found"), *ANSWERED),
-    Case("2xx without seal", says(lambda side: side.whole(seal=False)), *MAY_HAVE_RUN),
+    Case("2xx without seal", says(lambda side: side.complete_answer(seal=False)), *MAY_HAVE_RUN),
     Case("2xx with Not-Executed", says(not_run_success), *ANSWERED),
     Case("bytes that are no answer", says(lambda side: b"garbage\r\n"), *MAY_HAVE_RUN),
     Case("answer to another request, then the end", says(of_another, "close"), *MAY_HAVE_RUN),
     Case("answer to another request, then ours", says(other_then_ours), *ANSWERED),
-    Case("bytes behind the whole answer", says(lambda side: side.success() + b"surplus"), *ANSWERED),
+    Case("bytes behind the whole answer", says(lambda side: side.success_answer() + b"surplus"), *ANSWERED),
 ]  # fmt: skip
 
 
@@ -193,8 +193,8 @@
 
 
 def is_whole_success(path: str, answer: SeenAnswer) -> bool:
-    body = events(1, LAST_EVENT) if path in (STREAM, RESUME) else b"the answer"
-    return (answer.status, answer.body, answer.whole) == (200, body, True)
+    body = events(1, LAST_EVENT) if path in (STREAMING, RESUMABLE) else b"the answer"
+    return (answer.status, answer.body, answer.is_complete) == (200, body, True)
 
 
 def check(path: str, case: Case, expected: str, stage: Loopback, answer: SeenAnswer | None) -> None:
@@ -204,17 +204,17 @@
         assert is_whole_success(path, answer), where
         assert answer.get("reedspoke-response-seal") == SEAL
     elif expected == PASSED:
-        assert answer.whole, where
+        assert answer.is_complete, where
         assert answer.get("reedspoke-response-seal") == SEAL
         assert answer.status in (200, 400, 404, 500, 504)
         assert answer.status >= 400 or is_whole_success(path, answer)
     elif expected == BROKEN_OFF:
-        assert not answer.whole, where
+        assert not answer.is_complete, where
         assert answer.body == event(1)
     else:
-        assert (answer.status, answer.whole) == (int(expected), True), where
+        assert (answer.status, answer.is_complete) == (int(expected), True), where
         assert answer.get("reedspoke-response-seal") is None
-    if path in (ONCE, STREAM) and (expected in ("502", "504", PASSED, BROKEN_OFF)):
+    if path in (NON_IDEMPOTENT, STREAMING) and (expected in ("502", "504", PASSED, BROKEN_OFF)):
         most = 0 if case.prepare is reset_unread else 1  # there the first worker reads nothing
         assert len(stage.requests) <= most, where
     assert stage.forwarder.open_exchange_count() == 0, where
@@ -224,9 +224,9 @@
     stage = await start(case.script, workers)
     try:
         if case.asked_before:
-            assert await stage.ask(path, "a0") is not None
+            assert await stage.request(path, "a0") is not None
         listener = case.prepare(stage) if case.prepare is not None else None
-        answer = await stage.ask(path, "a1", case.body, Reedspoke_Deadline_Ms=case.deadline_ms)
+        answer = await stage.request(path, "a1", case.body, Reedspoke_Deadline_Ms=case.deadline_ms)
         check(path, case, expected, stage, answer)
         if listener is not None:
             listener.close()
@@ -237,8 +237,8 @@
 @pytest.mark.parametrize("case", CASES, ids=lambda case: case.seen.replace(" ", "_"))
 def test_what_is_done(case: Case) -> None:
     async def all_kinds() -> None:
-        plays = [play(case, path, case.with_other[at], 2) for at, path in enumerate(KINDS)]
-        plays += [play(case, path, case.alone[at], 1) for at, path in enumerate(KINDS)]
+        plays = [play(case, path, case.with_other[at], 2) for at, path in enumerate(PATHS)]
+        plays += [play(case, path, case.alone[at], 1) for at, path in enumerate(PATHS)]
         await asyncio.gather(*plays)
 
     asyncio.run(all_kinds())
@@ -246,10 +246,10 @@
 
 def test_no_case_promises_what_may_have_run() -> None:
     for case in CASES:
-        for at, path in enumerate(KINDS):
+        for at, path in enumerate(PATHS):
             outcomes = (case.with_other[at], case.alone[at])
             promised = any(outcome.isdigit() and int(outcome) in PROMISES for outcome in outcomes)
-            if path in (ONCE, STREAM) and promised:
+            if path in (NON_IDEMPOTENT, STREAMING) and promised:
                 proven = SENT_AGAIN in outcomes or case.prepare is hang
                 assert proven, f"{case.seen}: {path}"
 
--- a/tests/data_plane/test_broken_transports.py
+++ b/tests/data_plane/test_broken_transports.py
@@ -38,9 +38,9 @@
 
 def test_a_request_whose_client_s_socket_fails_is_not_held() -> None:
     with fresh_plane() as plane:
-        plane.learn()
+        plane.receive_state()
         broken = ask_and_break(plane, "a1")
-        plane.arrival().worker.say(plane.arrival().whole())
+        plane.arrival().worker.send(plane.arrival().complete_answer())
         assert broken.is_closing()
         assert plane.plane.open_requests() == 0
         assert plane.plane.open_connections() == 0
@@ -48,9 +48,9 @@
 
 def test_the_others_that_are_answered_at_that_moment_get_their_answers() -> None:
     with fresh_plane() as plane:
-        plane.learn((DRAINING,))
+        plane.receive_state((DRAINING,))
         ask_and_break(plane, "a1")
-        others = [plane.asked("/once/", f"b{number}") for number in range(3)]
+        others = [plane.new_request("/once/", f"b{number}") for number in range(3)]
         ask_and_break(plane, "a2")
         plane.loop.run_for(WAIT_S)
         assert [answer(other).status for other in others] == [503, 503, 503]
@@ -59,11 +59,11 @@
 
 def test_an_unexpected_error_inside_one_request_ends_that_one_alone() -> None:
     with fresh_plane() as plane:
-        plane.learn((DRAINING,))
-        broken = plane.asked("/once/", "a1")
+        plane.receive_state((DRAINING,))
+        broken = plane.new_request("/once/", "a1")
         connection = next(iter(plane.plane._connections))
         connection.send_answer = fail  # type: ignore[assignment,method-assign]
-        others = [plane.asked("/once/", f"b{number}") for number in range(3)]
+        others = [plane.new_request("/once/", f"b{number}") for number in range(3)]
         before = unhandled_errors.count
         plane.loop.run_for(WAIT_S)
         assert [answer(other).status for other in others] == [503, 503, 503]
@@ -79,13 +79,13 @@
 
 def test_nothing_is_written_to_a_connection_that_is_being_closed() -> None:
     with fresh_plane() as plane:
-        plane.learn()
-        client = plane.asked("/stream/")
+        plane.receive_state()
+        client = plane.new_request("/stream/")
         worker = plane.arrival().worker
-        worker.say(plane.arrival().stream_head() + b"c\r\nid: 1\ndata\n\n\r\n")
+        worker.send(plane.arrival().stream_head() + b"c\r\nid: 1\ndata\n\n\r\n")
         writes: list[bytes] = []
         client.write = writes.append  # type: ignore[assignment,method-assign]
         client.is_closing = lambda: True  # type: ignore[method-assign]
-        worker.say(b"".join(b"c\r\nid: %d\ndata\n\n\r\n" % number for number in range(2, 8)))
+        worker.send(b"".join(b"c\r\nid: %d\ndata\n\n\r\n" % number for number in range(2, 8)))
         assert writes == []
         del client.write, client.is_closing
--- a/tests/data_plane/test_client_requests.py
+++ b/tests/data_plane/test_client_requests.py
@@ -11,12 +11,21 @@
 from reedspoke.common.errors import ErrorCode
 from reedspoke.data_plane.client_connection import LINGER_S
 from tests.data_plane.wire import chunked
-from tests.data_plane.world import AGAIN, LIMITS, ONCE, STREAM, Client, World, fresh_world, request_bytes
+from tests.data_plane.world import (
+    IDEMPOTENT,
+    LIMITS,
+    NON_IDEMPOTENT,
+    STREAMING,
+    Client,
+    World,
+    fresh_world,
+    request_bytes,
+)
 
 Worlds = Callable[..., World]
 HEAD = b"POST /once/ HTTP/1.1\r\nHost: a.example\r\nReedspoke-Attempt-Id: a1\r\n"
 IN_CHUNKS = HEAD + b"Transfer-Encoding: chunked\r\n\r\n"
-WITH_LENGTH = request_bytes(ONCE)
+WITH_LENGTH = request_bytes(NON_IDEMPOTENT)
 WHOLE = {
     "length": WITH_LENGTH,
     "chunks": IN_CHUNKS + chunked(b"the ", b"question"),
@@ -27,18 +36,18 @@
 
 def serve(world: World, body: bytes = b"the answer") -> None:
     """The worker answers its latest request."""
-    world.arrival().worker.say(world.arrival().whole(body))
+    world.arrival().worker.send(world.arrival().complete_answer(body))
 
 
 def refused(client: Client, status: int) -> None:
     """The client has got this status on a connection that ends then, without a reset: what the client still
     sends is not read as a request."""
     answer = client.answer()
-    assert (answer.status, answer.whole) == (status, True)
+    assert (answer.status, answer.is_complete) == (status, True)
     assert answer.get("connection") == "close"
-    assert client.transport.ended_writing
+    assert client.transport.eof_written
     known = len(client.world.frontend.requests)
-    client.say(HIDDEN)
+    client.send(HIDDEN)
     client.world.run_for(LINGER_S + 0.1)
     assert client.transport.closed
     assert len(client.world.frontend.requests) == known
@@ -51,10 +60,10 @@
     for cut in range(1, len(raw)):
         with fresh_world(workers=1) as world:
             client = world.client()
-            client.say(raw[:cut])
+            client.send(raw[:cut])
             assert world.arrivals == [], cut
             assert client.answers() == [], cut
-            client.say(raw[cut:])
+            client.send(raw[cut:])
             assert [arrival.request.body for arrival in world.arrivals] == [b"the question"], cut
             serve(world)
             assert client.answer().body == b"the answer", cut
@@ -64,7 +73,7 @@
 def test_a_request_byte_by_byte_is_one_request(world: World, form: str) -> None:
     client = world.client()
     for byte in WHOLE[form]:
-        client.say(bytes([byte]))
+        client.send(bytes([byte]))
     assert [arrival.request.body for arrival in world.arrivals] == [b"the question"]
     serve(world)
     assert client.answer().body == b"the answer"
@@ -78,9 +87,9 @@
         pieces += [body[at : at + size]] if body[at : at + size] else []
         at += size
     pieces += [body[at:]] if body[at:] else []
-    raw = IN_CHUNKS + chunked(*pieces) if in_chunks else request_bytes(ONCE, body=body)
+    raw = IN_CHUNKS + chunked(*pieces) if in_chunks else request_bytes(NON_IDEMPOTENT, body=body)
     with fresh_world() as world:
-        world.client().say(raw)
+        world.client().send(raw)
         assert world.arrival().request.body == body
 
 
@@ -88,9 +97,9 @@
     world = worlds(limits=LIMITS | {"max_body_bytes": 3_000_000})
     body = bytes(range(256)) * 8000
     client = world.client()
-    raw = request_bytes(ONCE, body=body)
+    raw = request_bytes(NON_IDEMPOTENT, body=body)
     for start in range(0, len(raw), 50_000):
-        client.say(raw[start : start + 50_000])
+        client.send(raw[start : start + 50_000])
     assert world.arrival().request.body == body
     serve(world, body)
     assert client.answer().body == body
@@ -102,7 +111,7 @@
 def test_requests_one_after_another_use_one_connection(world: World) -> None:
     client = world.client()
     for number in range(1, 6):
-        client.ask(ONCE, f"a{number}", body=b"q%d" % number)
+        client.send_request(NON_IDEMPOTENT, f"a{number}", body=b"q%d" % number)
         serve(world, b"to a%d" % number)
     assert [answer.body for answer in client.answers()] == [b"to a%d" % number for number in range(1, 6)]
     assert [arrival.request.body for arrival in world.arrivals] == [b"q%d" % number for number in range(1, 6)]
@@ -112,10 +121,10 @@
 @pytest.mark.parametrize("cut", [0, 1, 30, len(WITH_LENGTH) - 1, len(WITH_LENGTH)])
 def test_a_second_request_that_comes_early_waits_for_its_turn(world: World, cut: int) -> None:
     client = world.client()
-    second = request_bytes(ONCE, "a2", b"the second")
-    client.say(WITH_LENGTH + second[:cut])
+    second = request_bytes(NON_IDEMPOTENT, "a2", b"the second")
+    client.send(WITH_LENGTH + second[:cut])
     assert [arrival.attempt_id for arrival in world.arrivals] == ["a1"]
-    client.say(second[cut:])
+    client.send(second[cut:])
     assert [arrival.attempt_id for arrival in world.arrivals] == ["a1"]
     serve(world, b"to a1")
     assert [arrival.attempt_id for arrival in world.arrivals] == ["a1", "a2"]
@@ -126,7 +135,7 @@
 
 def test_many_requests_at_once_are_answered_in_order(world: World) -> None:
     client = world.client()
-    client.say(b"".join(request_bytes("/nowhere/" if n % 2 else ONCE, f"a{n}") for n in range(8)))
+    client.send(b"".join(request_bytes("/nowhere/" if n % 2 else NON_IDEMPOTENT, f"a{n}") for n in range(8)))
     for _ in range(4):
         serve(world)
     assert [answer.status for answer in client.answers()] == [200, 404] * 4
@@ -134,47 +143,47 @@
 
 def test_a_large_second_request_does_not_end_the_first(world: World) -> None:
     client = world.client()
-    client.say(WITH_LENGTH)
-    client.say(b"".join(request_bytes(ONCE, f"a{number}", b"x" * 8000) for number in range(2, 14)))
+    client.send(WITH_LENGTH)
+    client.send(b"".join(request_bytes(NON_IDEMPOTENT, f"a{number}", b"x" * 8000) for number in range(2, 14)))
     serve(world, b"to a1")
     assert client.answers()[0].body == b"to a1"
 
 
 def test_a_client_that_sends_without_end_is_left_and_its_request_called_off(world: World) -> None:
     client = world.client()
-    client.say(WITH_LENGTH)
+    client.send(WITH_LENGTH)
     for _ in range(40):
-        client.say(b"x" * 50_000)
-    assert client.transport.reads_paused or (world.arrival().worker.over and world.settled())
+        client.send(b"x" * 50_000)
+    assert client.transport.reads_paused or (world.arrival().worker.is_closed and world.is_idle())
 
 
 def test_the_bytes_of_a_request_stay_as_they_are_until_its_answer(worlds: Worlds) -> None:
     """Its head lies in the buffer into which later bytes are read."""
     world = worlds(workers=2)
     client = world.client()
-    client.say(request_bytes(AGAIN, "a1", b"the first", X_Own="1" * 500))
+    client.send(request_bytes(IDEMPOTENT, "a1", b"the first", X_Own="1" * 500))
     for _ in range(20):
-        client.say(b"Z" * 1000)
+        client.send(b"Z" * 1000)
     world.arrival().worker.reset()
     request = world.arrival().request
     assert request.get("reedspoke-attempt-id") == "a1"
     assert request.get("x-own") == "1" * 500
-    assert (request.target, request.body) == (AGAIN, b"the first")
+    assert (request.target, request.body) == (IDEMPOTENT, b"the first")
 
 
 # ---- limits ----
 
 
 def test_a_head_within_the_limit_is_taken(world: World) -> None:
-    room = LIMITS["max_header_bytes"] - len(request_bytes(ONCE, X_Fill=""))
-    world.asked(ONCE, X_Fill="x" * (room - 20))
+    room = LIMITS["max_header_bytes"] - len(request_bytes(NON_IDEMPOTENT, X_Fill=""))
+    world.new_request(NON_IDEMPOTENT, X_Fill="x" * (room - 20))
     assert len(world.arrivals) == 1
 
 
 @pytest.mark.parametrize("ended", [True, False])
 def test_a_head_beyond_the_limit_is_refused(world: World, ended: bool) -> None:
     client = world.client()
-    client.say(HEAD + b"X-Fill: " + b"x" * LIMITS["max_header_bytes"] + (b"\r\n\r\n" if ended else b""))
+    client.send(HEAD + b"X-Fill: " + b"x" * LIMITS["max_header_bytes"] + (b"\r\n\r\n" if ended else b""))
     refused(client, 431)
     assert world.arrivals == []
     assert f'"code":{int(ErrorCode.REQUEST_TOO_LARGE)}'.encode() in client.answer().body
@@ -182,37 +191,37 @@
 
 def test_a_head_beyond_the_limit_in_pieces_is_refused(world: World) -> None:
     client = world.client()
-    client.say(HEAD)
+    client.send(HEAD)
     for number in range(300):
-        client.say(b"X-%d: 12345678901234567890\r\n" % number)
+        client.send(b"X-%d: 12345678901234567890\r\n" % number)
     refused(client, 431)
 
 
 @pytest.mark.parametrize("most", [20_000, 60_000])
 def test_the_operators_limit_on_heads_is_the_only_one(worlds: Worlds, most: int) -> None:
     world = worlds(limits=LIMITS | {"max_header_bytes": most})
-    client = world.asked(ONCE, X_Fill="x" * (most - 1000))
+    client = world.new_request(NON_IDEMPOTENT, X_Fill="x" * (most - 1000))
     assert len(world.arrivals) == 1
     serve(world)
     assert client.answer().status == 200
 
 
 def test_a_body_within_the_limit_is_taken(world: World) -> None:
-    world.asked(ONCE, body=b"x" * LIMITS["max_body_bytes"])
+    world.new_request(NON_IDEMPOTENT, body=b"x" * LIMITS["max_body_bytes"])
     assert len(world.arrivals) == 1
 
 
 def test_a_body_beyond_the_limit_is_refused_before_it_comes(world: World) -> None:
     client = world.client()
-    client.say(HEAD + b"Content-Length: %d\r\n\r\n" % (LIMITS["max_body_bytes"] + 1))
+    client.send(HEAD + b"Content-Length: %d\r\n\r\n" % (LIMITS["max_body_bytes"] + 1))
     refused(client, 413)
 
 
 def test_a_body_in_chunks_beyond_the_limit_is_refused(world: World) -> None:
     client = world.client()
-    client.say(IN_CHUNKS)
+    client.send(IN_CHUNKS)
     for _ in range(9):
-        client.say(chunked(b"x" * 1000, last=False))
+        client.send(chunked(b"x" * 1000, last=False))
     refused(client, 413)
     assert world.arrivals == []
 
@@ -220,7 +229,7 @@
 def test_without_a_configuration_there_are_limits_too(world: World) -> None:
     world.frontend.routes = type(world.frontend.routes)()
     client = world.client()
-    client.say(HEAD + b"X-Fill: " + b"x" * 100_000)
+    client.send(HEAD + b"X-Fill: " + b"x" * 100_000)
     refused(client, 431)
 
 
@@ -229,9 +238,9 @@
 
 def test_a_client_that_asks_is_told_to_go_on(world: World) -> None:
     client = world.client()
-    client.say(HEAD + b"Content-Length: 12\r\nExpect: 100-continue\r\n\r\n")
+    client.send(HEAD + b"Content-Length: 12\r\nExpect: 100-continue\r\n\r\n")
     assert bytes(client.transport.written) == b"HTTP/1.1 100 Continue\r\n\r\n"
-    client.say(b"the question")
+    client.send(b"the question")
     assert world.arrival().request.get("expect") is None
     serve(world)
     assert client.answer().body == b"the answer"
@@ -239,7 +248,7 @@
 
 def test_a_client_whose_body_is_too_large_is_not_told_to_go_on(world: World) -> None:
     client = world.client()
-    client.say(HEAD + b"Content-Length: 99999\r\nExpect: 100-continue\r\n\r\n")
+    client.send(HEAD + b"Content-Length: 99999\r\nExpect: 100-continue\r\n\r\n")
     refused(client, 413)
     assert b"100 Continue" not in client.transport.written
 
@@ -289,10 +298,10 @@
 @pytest.mark.parametrize("name", MALFORMED)
 def test_what_is_malformed_is_refused_and_nothing_behind_it_is_read(world: World, name: str) -> None:
     client = world.client()
-    client.say(MALFORMED[name])
+    client.send(MALFORMED[name])
     assert client.answer().status in (400, 501, 505)
     refused(client, client.answer().status)
-    client.say(HIDDEN)
+    client.send(HIDDEN)
     world.run_for(1)
     assert world.arrivals == []
     assert world.frontend.requests == []
@@ -303,13 +312,13 @@
     with fresh_world() as world:
         client = world.client()
         for byte in MALFORMED[name]:
-            client.say(bytes([byte]))
+            client.send(bytes([byte]))
         assert client.answer().status in (400, 501, 505)
         assert world.frontend.requests == []
 
 
 def test_a_request_inside_a_body_is_no_request(world: World) -> None:
-    client = world.asked(ONCE, body=HIDDEN)
+    client = world.new_request(NON_IDEMPOTENT, body=HIDDEN)
     assert [arrival.request.body for arrival in world.arrivals] == [HIDDEN]
     serve(world)
     assert len(client.answers()) == 1
@@ -317,15 +326,15 @@
 
 
 def test_a_body_of_get_reaches_the_worker_as_a_body(world: World) -> None:
-    raw = request_bytes(ONCE, body=HIDDEN).replace(b"POST", b"GET", 1)
-    world.client().say(raw)
+    raw = request_bytes(NON_IDEMPOTENT, body=HIDDEN).replace(b"POST", b"GET", 1)
+    world.client().send(raw)
     assert [arrival.request.body for arrival in world.arrivals] == [HIDDEN]
 
 
 @pytest.mark.parametrize("length", ["5", "0"])
 def test_an_empty_coding_leaves_the_length(world: World, length: str) -> None:
     client = world.client()
-    client.say(
+    client.send(
         HEAD
         + b"Transfer-Encoding: \r\nContent-Length: %b\r\n\r\n" % length.encode()
         + b"12345"[: int(length)]
@@ -341,8 +350,8 @@
 def test_no_bytes_make_it_raise(raw: bytes) -> None:
     with fresh_world() as world:
         client = world.client()
-        client.say(raw)
-        client.say(b"\r\n\r\n")
+        client.send(raw)
+        client.send(b"\r\n\r\n")
         assert world.arrivals == []
 
 
@@ -356,8 +365,8 @@
 @settings(max_examples=100, deadline=None)
 @given(st.lists(FIELDS, max_size=6), st.sampled_from([b"", b"abc", b"3\r\nabc\r\n0\r\n\r\n"]), st.booleans())
 def test_any_fields_give_one_request_at_most(fields: list[bytes], body: bytes, stream: bool) -> None:
-    path = STREAM if stream else ONCE
+    path = STREAMING if stream else NON_IDEMPOTENT
     with fresh_world() as world:
         client = world.client()
-        client.say(b"\r\n".join([b"POST %b HTTP/1.1" % path.encode(), *fields, b"", body]))
+        client.send(b"\r\n".join([b"POST %b HTTP/1.1" % path.encode(), *fields, b"", body]))
         assert len(world.arrivals) + len(client.answers()) <= 1
--- a/tests/data_plane/test_connect_timeout.py
+++ b/tests/data_plane/test_connect_timeout.py
@@ -15,18 +15,18 @@
     UpstreamPool,
 )
 from tests.data_plane.plane import Plane, answer
-from tests.data_plane.world import AGAIN, ONCE
+from tests.data_plane.world import IDEMPOTENT, NON_IDEMPOTENT
 
 
 def test_a_connection_that_came_up_while_the_process_stood_still_counts(plane: Plane) -> None:
     """Seen in CI beside load: the time limit and the connection came in the same pass of the event loop."""
-    plane.learn()
+    plane.receive_state()
     plane.network.plan.append("slow")
-    client = plane.asked(ONCE)
+    client = plane.new_request(NON_IDEMPOTENT)
     assert plane.network.arrivals == []
     plane.loop._virtual.now += 5.0  # less than the request may take
     plane.loop.settle()
-    plane.arrival().worker.say(plane.arrival().whole())
+    plane.arrival().worker.send(plane.arrival().complete_answer())
     assert answer(client).status == 200
 
 
@@ -58,9 +58,9 @@
 
 
 def test_a_connection_that_never_comes_up_is_given_up(plane: Plane) -> None:
-    plane.learn()
+    plane.receive_state()
     plane.network.plan.append("hang")
-    plane.asked(AGAIN)
+    plane.new_request(IDEMPOTENT)
     plane.loop.run_for(CONNECT_TIMEOUT_S * 0.9)
     assert plane.plane._forwarder._exchanges[1].worker() is not None
     plane.loop.run_for(CONNECT_TIMEOUT_S * 0.2)
--- a/tests/data_plane/test_data_plane.py
+++ b/tests/data_plane/test_data_plane.py
@@ -12,7 +12,7 @@
 from reedspoke.data_plane.readiness import ReadinessConnection
 from tests.data_plane.plane import GRACE_S, Plane, answer
 from tests.data_plane.wire import chunked, event, events
-from tests.data_plane.world import LIMITS, ONCE, STREAM, document
+from tests.data_plane.world import LIMITS, NON_IDEMPOTENT, STREAMING, document
 
 # ---- readiness ----
 
@@ -43,17 +43,17 @@
     assert ask_readiness(plane, ASK).startswith(b"HTTP/1.1 503 ")
     plane.plane._subscription.take(ConfigurationSnapshot((1, 0), document(2, LIMITS)))
     assert ask_readiness(plane, ASK).startswith(b"HTTP/1.1 503 ")
-    plane.learn()
+    plane.receive_state()
     assert ask_readiness(plane, ASK).startswith(b"HTTP/1.1 200 ")
 
 
 def test_it_is_not_ready_without_any_worker(plane: Plane) -> None:
-    plane.learn(workers=())
+    plane.receive_state(workers=())
     assert ask_readiness(plane, ASK).startswith(b"HTTP/1.1 503 ")
 
 
 def test_readiness_is_told_on_one_connection_again_and_again(plane: Plane) -> None:
-    plane.learn()
+    plane.receive_state()
     told = ask_readiness(plane, ASK[:10], ASK[10:] + ASK, ASK)
     assert told.count(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n") == 3
 
@@ -66,7 +66,7 @@
 
 
 def test_before_there_is_a_configuration_requests_are_refused_for_a_moment(plane: Plane) -> None:
-    refused = answer(plane.asked(ONCE))
+    refused = answer(plane.new_request(NON_IDEMPOTENT))
     assert refused.status == 503
     assert 0 < float(refused.get("retry-after") or 0) <= 1
     assert f'"code":{int(ErrorCode.NOT_READY)}'.encode() in refused.body
@@ -74,19 +74,19 @@
 
 @pytest.mark.parametrize("path", ["/nowhere/", "/once", "/"])
 def test_a_request_without_a_route_is_told_so(plane: Plane, path: str) -> None:
-    plane.learn()
-    assert answer(plane.asked(path)).status == 404
+    plane.receive_state()
+    assert answer(plane.new_request(path)).status == 404
     assert plane.network.arrivals == []
 
 
 def test_a_request_whose_target_names_its_host_takes_the_same_route(plane: Plane) -> None:
-    plane.learn()
-    plane.asked("http://a.example/once/x")
+    plane.receive_state()
+    plane.new_request("http://a.example/once/x")
     assert len(plane.network.arrivals) == 1
 
 
 def test_the_limits_of_the_configuration_hold(plane: Plane) -> None:
-    plane.learn()
+    plane.receive_state()
     assert plane.plane.limits() == LIMITS
 
 
@@ -94,27 +94,27 @@
 
 
 def test_from_the_signal_on_it_is_not_ready(plane: Plane) -> None:
-    plane.learn()
-    plane.finish()
+    plane.receive_state()
+    plane.shut_down()
     assert not plane.plane.is_ready()
     assert plane.plane._own_state().draining
 
 
 def test_connections_without_a_request_are_closed_at_once(plane: Plane) -> None:
-    plane.learn()
+    plane.receive_state()
     idle = plane.connect()
-    plane.finish()
+    plane.shut_down()
     assert idle.closed
     assert not idle.written
 
 
 def test_connections_still_come_until_the_platform_knows(plane: Plane) -> None:
-    plane.learn()
-    ending = plane.finish()
+    plane.receive_state()
+    ending = plane.shut_down()
     plane.loop.run_for(LINGER_S - 0.2)
     assert plane.server.closed_at == 0.0
-    late = plane.asked(ONCE)
-    plane.arrival().worker.say(plane.arrival().whole())
+    late = plane.new_request(NON_IDEMPOTENT)
+    plane.arrival().worker.send(plane.arrival().complete_answer())
     assert (answer(late).status, answer(late).get("connection")) == (200, "close")
     plane.loop.run_for(0.5)
     assert plane.server.closed_at > 0
@@ -122,50 +122,50 @@
 
 
 def test_a_stream_ends_whole_before_the_process_does(plane: Plane) -> None:
-    plane.learn()
-    client = plane.asked(STREAM)
+    plane.receive_state()
+    client = plane.new_request(STREAMING)
     arrival = plane.arrival()
-    arrival.worker.say(arrival.stream_head() + chunked(event(1), last=False))
-    ending = plane.finish()
+    arrival.worker.send(arrival.stream_head() + chunked(event(1), last=False))
+    ending = plane.shut_down()
     for number in range(2, 7):
         plane.loop.run_for(1)
         assert not ending.done()
-        arrival.worker.say(chunked(event(number), last=False))
-    arrival.worker.say(b"0\r\n\r\n")
-    assert (answer(client).body, answer(client).whole) == (events(1, 6), True)
+        arrival.worker.send(chunked(event(number), last=False))
+    arrival.worker.send(b"0\r\n\r\n")
+    assert (answer(client).body, answer(client).is_complete) == (events(1, 6), True)
     plane.loop.run_for(0.2)
     assert ending.done()
 
 
 def test_a_request_that_is_late_is_answered_before_the_process_is_killed(plane: Plane) -> None:
-    plane.learn()
-    client = plane.asked(ONCE)
-    ending = plane.finish()
+    plane.receive_state()
+    client = plane.new_request(NON_IDEMPOTENT)
+    ending = plane.shut_down()
     plane.loop.run_for(GRACE_S - 1)
     assert not ending.done()
     plane.loop.run_for(0.9)
     assert ending.done()
     assert answer(client).status in (502, 504)
-    assert answer(client).whole
+    assert answer(client).is_complete
 
 
 def test_a_stream_that_is_late_is_broken_off_before_the_process_is_killed(plane: Plane) -> None:
-    plane.learn()
-    client = plane.asked(STREAM)
+    plane.receive_state()
+    client = plane.new_request(STREAMING)
     arrival = plane.arrival()
-    arrival.worker.say(arrival.stream_head() + chunked(event(1), last=False))
-    ending = plane.finish()
+    arrival.worker.send(arrival.stream_head() + chunked(event(1), last=False))
+    ending = plane.shut_down()
     plane.loop.run_for(GRACE_S - 0.1)
     assert ending.done()
     assert client.aborted
-    assert not answer(client).whole
+    assert not answer(client).is_complete
 
 
 def test_a_request_that_waits_is_refused_in_time_while_the_process_ends(plane: Plane) -> None:
-    plane.learn()
-    plane.asked(ONCE, "a1")
-    waiting = plane.asked(ONCE, "a2")
-    plane.finish()
+    plane.receive_state()
+    plane.new_request(NON_IDEMPOTENT, "a1")
+    waiting = plane.new_request(NON_IDEMPOTENT, "a2")
+    plane.shut_down()
     plane.loop.run_for(1)
     assert answer(waiting).status == 503
     assert waiting.closed
--- a/tests/data_plane/test_deadlines.py
+++ b/tests/data_plane/test_deadlines.py
@@ -8,10 +8,10 @@
 import pytest
 
 from tests.data_plane.world import (
-    AGAIN,
-    ONCE,
-    RESUME,
-    STREAM,
+    IDEMPOTENT,
+    NON_IDEMPOTENT,
+    RESUMABLE,
+    STREAMING,
     TIMEOUT_S,
     Arrival,
     Client,
@@ -25,7 +25,7 @@
 SLOW_BODY_S = 1.5
 PAUSE_S = 0.9
 BODY = b"the question"
-PATHS = (ONCE, AGAIN, STREAM, RESUME)
+PATHS = (NON_IDEMPOTENT, IDEMPOTENT, STREAMING, RESUMABLE)
 
 Stage = Callable[[World, Client], None]
 
@@ -50,9 +50,9 @@
     """A client whose body comes SLOW_BODY_S behind its head."""
     client = world.client()
     raw = request_bytes(path, "a1", BODY, **more)
-    client.say(raw[: -len(BODY)])
+    client.send(raw[: -len(BODY)])
     world.run_for(SLOW_BODY_S)
-    client.say(raw[-len(BODY) :])
+    client.send(raw[-len(BODY) :])
     return client
 
 
@@ -78,13 +78,13 @@
 def test_a_request_that_waited_behind_another_has_waited() -> None:
     """It came while the answer before it was on its way."""
     with fresh_world() as world:
-        client = world.asked(AGAIN, "a1")
+        client = world.new_request(IDEMPOTENT, "a1")
         first = world.arrival()
         world.run_for(PAUSE_S)
         came = world.loop.time()
-        client.say(request_bytes(AGAIN, "a2", Reedspoke_Deadline_Ms=str(int(1000 * DEADLINE_S))))
+        client.send(request_bytes(IDEMPOTENT, "a2", Reedspoke_Deadline_Ms=str(int(1000 * DEADLINE_S))))
         world.run_for(PAUSE_S)
-        first.worker.say(first.whole())
+        first.worker.send(first.complete_answer())
         second = world.arrival()
         assert second.attempt_id == "a2"
         assert ends_at(world, second) == pytest.approx(came + DEADLINE_S, abs=0.01)
@@ -94,10 +94,10 @@
 def test_a_repeat_is_handed_what_is_left(path: str) -> None:
     with fresh_world() as world:
         began = world.loop.time()
-        world.asked(path, Reedspoke_Deadline_Ms=str(int(1000 * DEADLINE_S)))
+        world.new_request(path, Reedspoke_Deadline_Ms=str(int(1000 * DEADLINE_S)))
         first = world.arrival()
         world.run_for(PAUSE_S)
-        first.worker.say(first.full())
+        first.worker.send(first.overload_answer())
         until_arrivals(world, 2)
         assert ends_at(world, world.arrival()) <= began + DEADLINE_S + 0.01
 
@@ -105,10 +105,10 @@
 def test_a_resumed_stream_is_handed_what_is_left() -> None:
     with fresh_world() as world:
         began = world.loop.time()
-        world.asked(RESUME, Reedspoke_Deadline_Ms=str(int(1000 * DEADLINE_S)))
+        world.new_request(RESUMABLE, Reedspoke_Deadline_Ms=str(int(1000 * DEADLINE_S)))
         first = world.arrival()
         event = b"id: 1\ndata: x\n\n"
-        first.worker.say(first.stream_head() + b"%x\r\n%b\r\n" % (len(event), event))
+        first.worker.send(first.stream_head() + b"%x\r\n%b\r\n" % (len(event), event))
         world.run_for(PAUSE_S)
         first.worker.reset()
         until_arrivals(world, 2)
@@ -132,14 +132,14 @@
 
 
 def is_answered_in_part(world: World, client: Client) -> None:
-    whole = world.arrival().whole()
-    world.arrival().worker.say(whole[:-4])
+    whole = world.arrival().complete_answer()
+    world.arrival().worker.send(whole[:-4])
 
 
 def is_streaming(world: World, client: Client) -> None:
     event = b"id: 1\ndata: x\n\n"
     arrival = world.arrival()
-    arrival.worker.say(arrival.stream_head() + b"%x\r\n%b\r\n" % (len(event), event))
+    arrival.worker.send(arrival.stream_head() + b"%x\r\n%b\r\n" % (len(event), event))
 
 
 def is_resumed(world: World, client: Client) -> None:
@@ -149,20 +149,20 @@
 
 
 def is_repeated(world: World, client: Client) -> None:
-    world.arrival().worker.say(world.arrival().full())
+    world.arrival().worker.send(world.arrival().overload_answer())
     until_arrivals(world, 2)
 
 
 STAGES: dict[str, tuple[str, int, list[str], Stage]] = {
-    "queued": (AGAIN, 0, [], is_queued),
-    "connecting": (AGAIN, 3, ["hang"] * 50, is_connecting),
-    "sent, never repeated": (ONCE, 3, [], is_sent),
-    "sent": (AGAIN, 3, [], is_sent),
-    "answered in part": (AGAIN, 3, [], is_answered_in_part),
-    "streaming": (STREAM, 3, [], is_streaming),
-    "streaming, resumable": (RESUME, 3, [], is_streaming),
-    "resumed": (RESUME, 3, [], is_resumed),
-    "repeated": (AGAIN, 3, [], is_repeated),
+    "queued": (IDEMPOTENT, 0, [], is_queued),
+    "connecting": (IDEMPOTENT, 3, ["hang"] * 50, is_connecting),
+    "sent, never repeated": (NON_IDEMPOTENT, 3, [], is_sent),
+    "sent": (IDEMPOTENT, 3, [], is_sent),
+    "answered in part": (IDEMPOTENT, 3, [], is_answered_in_part),
+    "streaming": (STREAMING, 3, [], is_streaming),
+    "streaming, resumable": (RESUMABLE, 3, [], is_streaming),
+    "resumed": (RESUMABLE, 3, [], is_resumed),
+    "repeated": (IDEMPOTENT, 3, [], is_repeated),
 }
 
 
@@ -177,14 +177,14 @@
         world.network.plan = list(plan)
         more: Any = {} if deadline is None else {"Reedspoke_Deadline_Ms": str(int(1000 * deadline))}
         began = world.loop.time()
-        client = asked_slowly(world, path, **more) if slowly else world.asked(path, **more)
+        client = asked_slowly(world, path, **more) if slowly else world.new_request(path, **more)
         play(world, client)
         limit = TIMEOUT_S if deadline is None else deadline
         world.run_for(began + limit + LATE_S - world.loop.time())
-        assert client.broken_off or any(found.whole for found in client.answers())
+        assert client.was_reset or any(found.is_complete for found in client.answers())
         world.run_for(1.0)
-        assert world.settled()
-        assert all(arrival.worker.over for arrival in world.arrivals[-1:])
+        assert world.is_idle()
+        assert all(arrival.worker.is_closed for arrival in world.arrivals[-1:])
 
 
 # ---- what is left behind by clients that go ----
@@ -195,11 +195,11 @@
     path, workers, plan, play = STAGES[stage]
     with fresh_world(workers=workers) as world:
         world.network.plan = list(plan)
-        client = world.asked(path)
+        client = world.new_request(path)
         play(world, client)
         before = len(world.arrivals)
-        client.leave()
+        client.disconnect()
         world.run_for(LATE_S)
-        assert all(arrival.worker.over for arrival in world.arrivals[-1:])
+        assert all(arrival.worker.is_closed for arrival in world.arrivals[-1:])
         assert len(world.arrivals) == before
-        assert world.settled()
+        assert world.is_idle()
--- a/tests/data_plane/test_endings.py
+++ b/tests/data_plane/test_endings.py
@@ -9,11 +9,16 @@
 from pytest_bdd import given, parsers, scenarios, then, when
 
 from tests.data_plane.wire import chunked, event, events
-from tests.data_plane.world import AGAIN, ONCE, RESUME, STREAM, Arrival, Client, World
+from tests.data_plane.world import IDEMPOTENT, NON_IDEMPOTENT, RESUMABLE, STREAMING, Arrival, Client, World
 
 scenarios("features/endings.feature")
 
-PATHS = {"non-idempotent": ONCE, "idempotent": AGAIN, "streaming": STREAM, "resumable": RESUME}
+PATHS = {
+    "non-idempotent": NON_IDEMPOTENT,
+    "idempotent": IDEMPOTENT,
+    "streaming": STREAMING,
+    "resumable": RESUMABLE,
+}
 BODY = b"the answer to %b"
 
 
@@ -22,7 +27,7 @@
 
     world: World
     client: Client | None = None
-    path: str = ONCE
+    path: str = NON_IDEMPOTENT
     headed: int = 0  # number of arrivals that have got the head of a stream
 
     def asker(self) -> Client:
@@ -33,10 +38,10 @@
         return self.world.arrival()
 
     def say(self, data: bytes) -> None:
-        self.arrival().worker.say(data)
+        self.arrival().worker.send(data)
 
     def whole(self, arrival: Arrival) -> bytes:
-        return arrival.whole(BODY % arrival.attempt_id.encode())
+        return arrival.complete_answer(BODY % arrival.attempt_id.encode())
 
 
 @given(parsers.parse("{count:d} workers"), target_fixture="story")
@@ -47,7 +52,7 @@
 @given(parsers.re(r"a client has sent an? (?P<kind>[a-z-]+) request"))
 def asked(story: Story, kind: str) -> None:
     story.path = PATHS[kind]
-    story.client = story.world.asked(story.path)
+    story.client = story.world.new_request(story.path)
 
 
 @when("the worker answers whole")
@@ -67,18 +72,18 @@
 
 @when("the worker says that it has no room")
 def is_full(story: Story) -> None:
-    story.say(story.arrival().full())
+    story.say(story.arrival().overload_answer())
     story.world.run_for(0.1)
 
 
 @when("the worker says that it is another instance")
 def is_another(story: Story) -> None:
-    story.say(story.arrival().wrong_instance())
+    story.say(story.arrival().wrong_instance_answer())
 
 
 @when("the worker answers 503 without proof")
 def refuses_without_proof(story: Story) -> None:
-    story.say(story.arrival().whole(b"", "503 Service Unavailable", Retry_After="1"))
+    story.say(story.arrival().complete_answer(b"", "503 Service Unavailable", Retry_After="1"))
 
 
 @when(parsers.parse("the worker sends events {first:d} to {last:d}"))
@@ -101,14 +106,14 @@
 
 @when("the client leaves")
 def leaves(story: Story) -> None:
-    story.asker().leave()
+    story.asker().disconnect()
 
 
 @when("the client sends its next request on the same connections")
 def asks_again(story: Story) -> None:
     story.world.set_workers([story.arrival().worker.instance_id])
     before = story.arrival().worker
-    story.asker().ask(story.path, "a2")
+    story.asker().send_request(story.path, "a2")
     assert story.arrival().worker is before
 
 
@@ -120,7 +125,7 @@
 @then("the client has the worker's whole answer")
 def has_answer(story: Story) -> None:
     answer = story.asker().answer()
-    assert (answer.status, answer.body, answer.whole) == (200, BODY % b"a1", True)
+    assert (answer.status, answer.body, answer.is_complete) == (200, BODY % b"a1", True)
 
 
 @then("the client has two answers, each to its own request")
@@ -131,12 +136,12 @@
 
 @then("the client is told that the request failed")
 def is_told_of_failure(story: Story) -> None:
-    assert (story.asker().answer().status, story.asker().answer().whole) == (502, True)
+    assert (story.asker().answer().status, story.asker().answer().is_complete) == (502, True)
 
 
 @then("the client is told that its time is over")
 def is_told_of_deadline(story: Story) -> None:
-    assert (story.asker().answer().status, story.asker().answer().whole) == (504, True)
+    assert (story.asker().answer().status, story.asker().answer().is_complete) == (504, True)
 
 
 @then("the client is told to come back")
@@ -149,14 +154,14 @@
 @then(parsers.parse("the client has the events 1 to {last:d} and their end"))
 def has_whole_stream(story: Story, last: int) -> None:
     answer = story.asker().answer()
-    assert (answer.body, answer.whole) == (events(1, last), True)
+    assert (answer.body, answer.is_complete) == (events(1, last), True)
 
 
 @then(parsers.parse("the client has the events 1 to {last:d} and no end"))
 def has_cut_stream(story: Story, last: int) -> None:
     answer = story.asker().answer()
-    assert (answer.body, answer.whole) == (events(1, last), False)
-    assert story.asker().broken_off
+    assert (answer.body, answer.is_complete) == (events(1, last), False)
+    assert story.asker().was_reset
 
 
 @then(parsers.re(r"the request was sent (?P<count>\d+) times?"), converters={"count": int})
@@ -171,14 +176,14 @@
 
 @then("the worker's connection is over")
 def connection_is_over(story: Story) -> None:
-    assert story.arrival().worker.over
+    assert story.arrival().worker.is_closed
 
 
 @then("nothing of the request is left")
 def nothing_is_left(story: Story) -> None:
-    assert story.world.settled()
+    assert story.world.is_idle()
 
 
 @pytest.mark.parametrize("kind", PATHS)
 def test_every_kind_of_request_has_a_route(worlds: Callable[..., World], kind: str) -> None:
-    assert len(worlds().asked(PATHS[kind]).world.arrivals) == 1
+    assert len(worlds().new_request(PATHS[kind]).world.arrivals) == 1
--- a/tests/data_plane/test_exchange_random.py
+++ b/tests/data_plane/test_exchange_random.py
@@ -13,11 +13,11 @@
 from tests.data_plane.judge import Asked, Ledger, Run
 from tests.data_plane.wire import chunked, event, events
 from tests.data_plane.world import (
-    AGAIN,
-    KINDS,
-    ONCE,
-    RESUME,
-    STREAM,
+    IDEMPOTENT,
+    NON_IDEMPOTENT,
+    RESUMABLE,
+    ROUTE_FIELDS,
+    STREAMING,
     TIMEOUT_S,
     World,
     fresh_world,
@@ -26,7 +26,7 @@
 
 STEPS = 120
 CONNECTING = ("accept", "accept", "accept", "slow", "refuse", "hang", "reset at once")
-STREAMS = (STREAM, RESUME)
+STREAMS = (STREAMING, RESUMABLE)
 
 
 class Day:
@@ -52,13 +52,13 @@
             self.world.run_for(0.5)
         self.world.run_for(TIMEOUT_S)
         self.ledger.check()
-        assert self.world.settled()
+        assert self.world.is_idle()
 
     # ---- clients ----
 
     def ask(self) -> None:
         attempt_id = f"a{len(self.ledger.asked)}"
-        path = self.random.choice(list(KINDS))
+        path = self.random.choice(list(ROUTE_FIELDS))
         body = b"question %d" % len(self.ledger.asked) * self.random.randrange(1, 30)
         client = self.world.client()
         asked = Asked(attempt_id, path, body, client, self.random.randrange(1, 6))
@@ -67,8 +67,8 @@
         more = {"Reedspoke_Deadline_Ms": "3000"} if self.random.random() < 0.2 else {}
         raw = request_bytes(path, attempt_id, body, Connection="close", **more)
         cut = self.random.randrange(len(raw))
-        client.say(raw[:cut])
-        client.say(raw[cut:])
+        client.send(raw[:cut])
+        client.send(raw[cut:])
 
     def leave(self) -> None:
         staying = [
@@ -77,7 +77,7 @@
         if staying:
             asked = self.random.choice(staying)
             asked.left = True
-            asked.client.leave()
+            asked.client.disconnect()
 
     # ---- workers ----
 
@@ -96,7 +96,7 @@
         self.seen = len(self.world.arrivals)
 
     def some_run(self) -> Run | None:
-        self.open_runs = [run for run in self.open_runs if not run.arrival.worker.over]
+        self.open_runs = [run for run in self.open_runs if not run.arrival.worker.is_closed]
         return self.random.choice(self.open_runs) if self.open_runs else None
 
     def answer(self, run: Run, surplus: bytes = b"") -> None:
@@ -105,7 +105,7 @@
         if asked.path in STREAMS:
             raw = self.head(run) + chunked(*(event(n) for n in range(run.next_event, asked.pieces + 1)))
         else:
-            raw = run.arrival.whole(run.body)
+            raw = run.arrival.complete_answer(run.body)
         self.say(run, raw + surplus)
         self.open_runs.remove(run)
 
@@ -119,7 +119,7 @@
         run.arrival.worker.transport.arrive(raw[:cut])
         if self.random.random() < 0.5:
             self.world.loop.settle()
-        run.arrival.worker.say(raw[cut:])
+        run.arrival.worker.send(raw[cut:])
 
     def answer_some(self) -> None:
         run = self.some_run()
@@ -129,14 +129,16 @@
     def answer_with_surplus(self) -> None:
         run = self.some_run()
         if run is not None:
-            self.answer(run, self.random.choice([b"x", run.arrival.whole(b"again"), b"\r\n"]))
+            self.answer(run, self.random.choice([b"x", run.arrival.complete_answer(b"again"), b"\r\n"]))
 
     def surplus_later(self) -> None:
         """An answer that was whole comes again, wherever its connection is by now."""
         old = [run for runs in self.ledger.runs.values() for run in runs if run not in self.open_runs]
         if old:
             run = self.random.choice(old)
-            run.arrival.worker.say(run.arrival.whole(b"again", self.random.choice(["200 OK", "500 Oh"])))
+            run.arrival.worker.send(
+                run.arrival.complete_answer(b"again", self.random.choice(["200 OK", "500 Oh"]))
+            )
 
     def some_events(self) -> None:
         run = self.some_run()
@@ -153,7 +155,7 @@
             return
         run.proven_not_run = True
         self.open_runs.remove(run)
-        refusal = self.random.choice([run.arrival.full, run.arrival.wrong_instance])
+        refusal = self.random.choice([run.arrival.overload_answer, run.arrival.wrong_instance_answer])
         self.say(run, refusal())
 
     def fail(self) -> None:
@@ -163,7 +165,7 @@
         self.open_runs.remove(run)
         run.status = self.random.choice([500, 503, 504])
         run.body = b"why"
-        self.say(run, run.arrival.whole(b"why", f"{run.status} Failed"))
+        self.say(run, run.arrival.complete_answer(b"why", f"{run.status} Failed"))
 
     def cut(self) -> None:
         run = self.some_run()
@@ -171,15 +173,15 @@
             return
         self.open_runs.remove(run)
         if self.random.random() < 0.5 and run not in self.begun:
-            raw = run.arrival.whole(b"never whole")
-            run.arrival.worker.say(raw[: self.random.randrange(len(raw))])
+            raw = run.arrival.complete_answer(b"never whole")
+            run.arrival.worker.send(raw[: self.random.randrange(len(raw))])
         self.random.choice([run.arrival.worker.reset, run.arrival.worker.end])()
 
     def garbage(self) -> None:
         run = self.some_run()
         if run is not None:
             self.open_runs.remove(run)
-            run.arrival.worker.say(b"garbage\r\n\r\n")
+            run.arrival.worker.send(b"garbage\r\n\r\n")
 
     # ---- the rest ----
 
@@ -214,4 +216,4 @@
 
 
 def test_the_kinds_of_requests_are_all_played() -> None:
-    assert set(KINDS) == {ONCE, AGAIN, STREAM, RESUME}
+    assert set(ROUTE_FIELDS) == {NON_IDEMPOTENT, IDEMPOTENT, STREAMING, RESUMABLE}
--- a/tests/data_plane/test_exchange_refusals.py
+++ b/tests/data_plane/test_exchange_refusals.py
@@ -7,10 +7,19 @@
 import pytest
 
 from tests.data_plane.wire import SeenAnswer
-from tests.data_plane.world import AGAIN, NEVER_REPEATED, ONCE, RESUME, STREAM, Arrival, World, fresh_world
+from tests.data_plane.world import (
+    IDEMPOTENT,
+    NEVER_REPEATED,
+    NON_IDEMPOTENT,
+    RESUMABLE,
+    STREAMING,
+    Arrival,
+    World,
+    fresh_world,
+)
 
 PROMISES = (408, 421, 429, 503)
-KINDS = (ONCE, AGAIN, STREAM, RESUME)
+PATHS = (NON_IDEMPOTENT, IDEMPOTENT, STREAMING, RESUMABLE)
 
 
 def reset(arrival: Arrival) -> None:
@@ -22,30 +31,32 @@
 
 
 def garbage(arrival: Arrival) -> None:
-    arrival.worker.say(b"garbage\r\n\r\n")
+    arrival.worker.send(b"garbage\r\n\r\n")
 
 
 def head_then_reset(arrival: Arrival) -> None:
-    arrival.worker.say(arrival.whole()[:-3])
+    arrival.worker.send(arrival.complete_answer()[:-3])
     arrival.worker.reset()
 
 
 def full(arrival: Arrival) -> None:
-    arrival.worker.say(arrival.full())
+    arrival.worker.send(arrival.overload_answer())
 
 
 def wrong_instance(arrival: Arrival) -> None:
-    arrival.worker.say(arrival.wrong_instance())
+    arrival.worker.send(arrival.wrong_instance_answer())
 
 
 def bare(status: str) -> Callable[[Arrival], None]:
     """A worker's answer of this status, without proof that it has not run the request."""
-    return lambda arrival: arrival.worker.say(arrival.whole(b"why", status))
+    return lambda arrival: arrival.worker.send(arrival.complete_answer(b"why", status))
 
 
 def told(status: str) -> Callable[[Arrival], None]:
     """A worker's answer that proves that it has not run the request."""
-    return lambda arrival: arrival.worker.say(arrival.whole(b"", status, Reedspoke_Not_Executed="1"))
+    return lambda arrival: arrival.worker.send(
+        arrival.complete_answer(b"", status, Reedspoke_Not_Executed="1")
+    )
 
 
 CONNECTING = ("refuse", "hang", "reset at once")  # no connection comes up, or none that could carry a request
@@ -71,25 +82,25 @@
 def play(world: World, path: str, fates: tuple[str, ...]) -> tuple[SeenAnswer, list[str]]:
     """The answer to a request whose attempts end so, and the fates that came to pass."""
     world.network.plan = [fate if fate in CONNECTING else "accept" for fate in fates]
-    client = world.asked(path)
+    client = world.new_request(path)
     seen = 0
     for _ in range(40):
         for arrival in world.arrivals[seen:]:
             seen += 1
             ENDINGS[fates[len(fates) - len(world.network.plan) - 1]](arrival)
-        if world.settled():
+        if world.is_idle():
             break
         world.run_for(0.1)
-    assert world.settled()
+    assert world.is_idle()
     return client.answer(), list(fates[: len(fates) - len(world.network.plan)])
 
 
-@pytest.mark.parametrize("path", KINDS)
+@pytest.mark.parametrize("path", PATHS)
 @pytest.mark.parametrize("fate", FATES)
 def test_the_only_attempt_decides_what_may_be_promised(path: str, fate: str) -> None:
     with fresh_world(workers=1) as world:
         answer, _ = play(world, path, (fate,))
-    assert answer.whole
+    assert answer.is_complete
     if fate not in MAY_HAVE_RUN:
         assert answer.status == 503
         assert float(answer.get("retry-after") or -1) >= 0
@@ -100,7 +111,7 @@
         assert answer.status in (502, 503)
 
 
-@pytest.mark.parametrize("path", KINDS)
+@pytest.mark.parametrize("path", PATHS)
 @pytest.mark.parametrize("first", FATES)
 def test_no_promise_after_a_run_that_may_not_be_repeated(path: str, first: str) -> None:
     for second in FATES:
@@ -109,7 +120,7 @@
             arrivals = len(world.arrivals)
         may_have_run = sum(fate in MAY_HAVE_RUN for fate in happened)
         assert arrivals == sum(fate not in CONNECTING for fate in happened), second
-        assert answer.whole, second
+        assert answer.is_complete, second
         assert answer.get("reedspoke-response-seal") is None, second
         if path in NEVER_REPEATED:
             assert may_have_run <= 1, second
@@ -117,39 +128,39 @@
             assert (answer.status in PROMISES) is (may_have_run == 0), second
 
 
-@pytest.mark.parametrize("path", KINDS)
+@pytest.mark.parametrize("path", PATHS)
 @pytest.mark.parametrize("before", [fate for fate in FATES if fate not in MAY_HAVE_RUN])
 def test_a_success_after_a_worker_that_did_not_run_it_is_passed_on(path: str, before: str) -> None:
     with fresh_world(workers=2, attempts=2) as world:
         world.network.plan = [before if before in CONNECTING else "accept"]
-        client = world.asked(path)
+        client = world.new_request(path)
         if before in ENDINGS:
             ENDINGS[before](world.arrival())
         world.run_for(1)
         arrival = world.arrival()
-        arrival.worker.say(arrival.whole(b"id: 1\ndata: x\n\n"))
-        assert (client.answer().status, client.answer().whole) == (200, True)
+        arrival.worker.send(arrival.complete_answer(b"id: 1\ndata: x\n\n"))
+        assert (client.answer().status, client.answer().is_complete) == (200, True)
         assert client.answer().body == b"id: 1\ndata: x\n\n"
-        assert world.settled()
+        assert world.is_idle()
 
 
-@pytest.mark.parametrize("path", KINDS)
+@pytest.mark.parametrize("path", PATHS)
 @pytest.mark.parametrize("status", ["500 Internal Server Error", "502 Bad Gateway", "504 Gateway Timeout"])
 def test_the_last_workers_own_error_is_returned(path: str, status: str) -> None:
     with fresh_world(workers=1) as world:
-        client = world.asked(path)
-        world.arrival().worker.say(world.arrival().whole(b"why", status))
+        client = world.new_request(path)
+        world.arrival().worker.send(world.arrival().complete_answer(b"why", status))
         world.run_for(3)
         assert (client.answer().status, client.answer().body) == (int(status[:3]), b"why")
-        assert world.settled()
+        assert world.is_idle()
 
 
 @pytest.mark.parametrize("path", NEVER_REPEATED)
 @pytest.mark.parametrize("status", ["500 Internal Server Error", "502 Bad Gateway", "504 Gateway Timeout"])
 def test_a_worker_error_is_no_reason_to_run_once_again_what_may_run_once(path: str, status: str) -> None:
     with fresh_world() as world:
-        client = world.asked(path)
-        world.arrival().worker.say(world.arrival().whole(b"why", status))
+        client = world.new_request(path)
+        world.arrival().worker.send(world.arrival().complete_answer(b"why", status))
         world.run_for(3)
         assert client.answer().status == int(status[:3])
         assert len(world.arrivals) == 1
@@ -158,9 +169,9 @@
 def test_a_workers_own_timeout_is_passed_on_and_costs_no_further_attempt() -> None:
     """It comes at the deadline: a further attempt would have no time, and would draw on the budget."""
     with fresh_world() as world:
-        client = world.asked(AGAIN, Reedspoke_Deadline_Ms="3000")
+        client = world.new_request(IDEMPOTENT, Reedspoke_Deadline_Ms="3000")
         world.run_for(2.99)
-        world.arrival().worker.say(world.arrival().whole(b"late", "504 Gateway Timeout"))
+        world.arrival().worker.send(world.arrival().complete_answer(b"late", "504 Gateway Timeout"))
         world.run_for(1)
         assert client.answer().status == 504
         assert len(world.arrivals) == 1
@@ -169,17 +180,17 @@
 def test_a_request_that_the_worker_calls_bad_is_not_tried_elsewhere() -> None:
     """No worker would take it: its 400 is the answer, also where it proves that it did not run it."""
     with fresh_world() as world:
-        client = world.asked(ONCE)
+        client = world.new_request(NON_IDEMPOTENT)
         told("400 Bad Request")(world.arrival())
         world.run_for(3)
         assert client.answer().status == 400
         assert len(world.arrivals) == 1
 
 
-@pytest.mark.parametrize("path", KINDS)
+@pytest.mark.parametrize("path", PATHS)
 def test_the_route_bounds_the_number_of_attempts(path: str) -> None:
     with fresh_world(workers=3, attempts=2) as world:
-        client = world.asked(path)
+        client = world.new_request(path)
         for number in range(2):
             full(world.arrivals[number])
             world.run_for(0.2)
@@ -188,30 +199,30 @@
         assert client.answer().status == 503
 
 
-@pytest.mark.parametrize("path", KINDS)
+@pytest.mark.parametrize("path", PATHS)
 def test_no_second_attempt_without_budget(path: str) -> None:
     with fresh_world(slack=0.0) as world:
-        client = world.asked(path)
+        client = world.new_request(path)
         full(world.arrival())
         world.run_for(3)
         assert len(world.arrivals) == 1
         assert client.answer().status == 503
 
 
-@pytest.mark.parametrize("path", KINDS)
+@pytest.mark.parametrize("path", PATHS)
 def test_without_workers_a_request_is_refused_in_time(path: str) -> None:
     with fresh_world(workers=0) as world:
-        client = world.asked(path)
+        client = world.new_request(path)
         world.run_for(0.5)
         assert client.answer().status == 503
         assert client.answer().get("retry-after") is not None
-        assert world.settled()
+        assert world.is_idle()
 
 
 def test_a_request_at_its_deadline_is_told_whether_it_may_have_run() -> None:
     with fresh_world(workers=1, capacity=1) as world:
-        world.asked(ONCE, "a1")
-        waiting = world.asked(ONCE, "a2", Reedspoke_Deadline_Ms="300")
+        world.new_request(NON_IDEMPOTENT, "a1")
+        waiting = world.new_request(NON_IDEMPOTENT, "a2", Reedspoke_Deadline_Ms="300")
         world.run_for(1)
         assert waiting.answer().status == 503
         assert len(world.arrivals) == 1
@@ -222,8 +233,8 @@
     """As workers do beyond their most connections."""
     with fresh_world(workers=2) as world:
         world.network.plan = ["reset at once"]
-        client = world.asked(path)
+        client = world.new_request(path)
         world.run_for(1)
         arrival = world.arrival()
-        arrival.worker.say(arrival.whole(b"id: 1\n\n"))
+        arrival.worker.send(arrival.complete_answer(b"id: 1\n\n"))
         assert client.answer().status == 200
--- a/tests/data_plane/test_exchange_whole.py
+++ b/tests/data_plane/test_exchange_whole.py
@@ -9,14 +9,23 @@
 from reedspoke.common.errors import ErrorCode
 from reedspoke.decision.messages import Decision
 from tests.data_plane.wire import chunked, event
-from tests.data_plane.world import AGAIN, ONCE, SEAL, STREAM, TIMEOUT_S, Arrival, World, fresh_world
+from tests.data_plane.world import (
+    IDEMPOTENT,
+    NON_IDEMPOTENT,
+    SEAL,
+    STREAMING,
+    TIMEOUT_S,
+    Arrival,
+    World,
+    fresh_world,
+)
 
 Worlds = Callable[..., World]
-PLAIN = [ONCE, AGAIN]
+PLAIN = [NON_IDEMPOTENT, IDEMPOTENT]
 
 
 def test_a_request_reaches_the_worker_as_it_was_sent(world: World) -> None:
-    world.asked("/once/x?y=/1&z", X_Own="kept", Reedspoke_Deadline_Ms="5000", Connection="keep-alive")
+    world.new_request("/once/x?y=/1&z", X_Own="kept", Reedspoke_Deadline_Ms="5000", Connection="keep-alive")
     request = world.arrival().request
     assert (request.method, request.target, request.body) == ("POST", "/once/x?y=/1&z", b"the question")
     assert request.get("reedspoke-attempt-id") == "a1"
@@ -29,7 +38,7 @@
 
 def test_a_body_in_chunks_reaches_the_worker_with_its_length(world: World) -> None:
     head = b"POST /once/ HTTP/1.1\r\nHost: a.example\r\nReedspoke-Attempt-Id: a1\r\n"
-    world.client().say(head + b"Transfer-Encoding: chunked\r\n\r\n" + chunked(b"the ", b"question"))
+    world.client().send(head + b"Transfer-Encoding: chunked\r\n\r\n" + chunked(b"the ", b"question"))
     request = world.arrival().request
     assert request.body == b"the question"
     assert request.get("content-length") == "12"
@@ -39,24 +48,24 @@
 @pytest.mark.parametrize("method", ["GET", "DELETE", "PUT", "OPTIONS"])
 def test_every_method_is_passed_on(world: World, method: str) -> None:
     client = world.client()
-    client.say(f"{method} /again/ HTTP/1.1\r\nHost: a.example\r\nReedspoke-Attempt-Id: a1\r\n\r\n".encode())
+    client.send(f"{method} /again/ HTTP/1.1\r\nHost: a.example\r\nReedspoke-Attempt-Id: a1\r\n\r\n".encode())
     assert world.arrival().request.method == method
-    world.arrival().worker.say(world.arrival().whole())
+    world.arrival().worker.send(world.arrival().complete_answer())
     assert client.answer().body == b"the answer"
 
 
 @pytest.mark.parametrize("path", PLAIN)
 def test_an_answer_is_returned_unchanged(world: World, path: str) -> None:
-    client = world.asked(path)
+    client = world.new_request(path)
     body = bytes(range(256)) * 40
-    world.arrival().worker.say(world.arrival().whole(body, Content_Type="a/b", Versions="3"))
+    world.arrival().worker.send(world.arrival().complete_answer(body, Content_Type="a/b", Versions="3"))
     answer = client.answer()
-    assert (answer.status, answer.body, answer.whole) == (200, body, True)
+    assert (answer.status, answer.body, answer.is_complete) == (200, body, True)
     assert answer.get("reedspoke-response-seal") == SEAL
     assert answer.get("reedspoke-attempt-id") == "a1"
     assert answer.get("content-type") == "a/b"
     assert answer.get("versions") == "3"
-    assert world.settled()
+    assert world.is_idle()
 
 
 @pytest.mark.parametrize(
@@ -66,22 +75,22 @@
 def test_a_worker_answer_of_another_status_is_returned_unchanged(
     world: World, path: str, status: str
 ) -> None:
-    client = world.asked(path)
-    world.arrival().worker.say(world.arrival().whole(b"why", status, Location="/x"))
+    client = world.new_request(path)
+    world.arrival().worker.send(world.arrival().complete_answer(b"why", status, Location="/x"))
     answer = client.answer()
     assert (str(answer.status), answer.body, answer.get("location")) == (status[:3], b"why", "/x")
     assert len(world.arrivals) == 1
 
 
 def test_an_answer_in_chunks_is_returned_whole(world: World) -> None:
-    client = world.asked(ONCE)
+    client = world.new_request(NON_IDEMPOTENT)
     arrival = world.arrival()
     head = b"HTTP/1.1 200 OK\r\n" + arrival.fields() + b"Transfer-Encoding: chunked\r\n\r\n"
-    arrival.worker.say(head + chunked(b"one ", b"two"))
-    assert (client.answer().body, client.answer().whole) == (b"one two", True)
+    arrival.worker.send(head + chunked(b"one ", b"two"))
+    assert (client.answer().body, client.answer().is_complete) == (b"one two", True)
 
 
-@pytest.mark.parametrize("path", [*PLAIN, STREAM])
+@pytest.mark.parametrize("path", [*PLAIN, STREAMING])
 def test_the_dispatcher_learns_when_an_answer_begins(
     world: World, path: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
@@ -94,38 +103,38 @@
         return told(job_id, now)
 
     monkeypatch.setattr(world.dispatcher, "first_event_received", first_event_received)
-    world.asked(path)
+    world.new_request(path)
     world.run_for(0.3)
     arrival = world.arrival()
-    raw = arrival.whole(event(1) + event(2))
-    arrival.worker.say(raw[: -len(event(2))])
+    raw = arrival.complete_answer(event(1) + event(2))
+    arrival.worker.send(raw[: -len(event(2))])
     expected = world.loop.time()
     world.run_for(0.3)
-    arrival.worker.say(raw[-len(event(2)) :])
+    arrival.worker.send(raw[-len(event(2)) :])
     assert len(begun) == 1
     assert begun[0] == pytest.approx(expected, abs=0.01)
 
 
 def test_interim_answers_are_passed_over(world: World) -> None:
-    client = world.asked(ONCE)
-    world.arrival().worker.say(b"HTTP/1.1 100 Continue\r\n\r\n" + world.arrival().whole())
+    client = world.new_request(NON_IDEMPOTENT)
+    world.arrival().worker.send(b"HTTP/1.1 100 Continue\r\n\r\n" + world.arrival().complete_answer())
     assert client.answer().body == b"the answer"
 
 
 @pytest.mark.parametrize("size", [1, 7])
 def test_an_answer_in_pieces_of_any_size_is_returned_whole(world: World, size: int) -> None:
-    client = world.asked(ONCE)
-    raw = world.arrival().whole()
+    client = world.new_request(NON_IDEMPOTENT)
+    raw = world.arrival().complete_answer()
     for start in range(0, len(raw), size):
         assert client.answers() == []
-        world.arrival().worker.say(raw[start : start + size])
+        world.arrival().worker.send(raw[start : start + size])
     assert client.answer().body == b"the answer"
 
 
 def whole_answer(arrival: Arrival, coding: str) -> bytes:
     """The same answer with its length or in chunks."""
     if coding == "length":
-        return arrival.whole()
+        return arrival.complete_answer()
     head = b"HTTP/1.1 200 OK\r\n" + arrival.fields() + b"Transfer-Encoding: chunked\r\n\r\n"
     return head + chunked(b"the ", b"answer")
 
@@ -136,57 +145,61 @@
     length, most = 0, 1
     while length < most:
         with fresh_world(workers=1) as world:
-            client = world.asked(ONCE)
+            client = world.new_request(NON_IDEMPOTENT)
             arrival = world.arrival()
             raw = whole_answer(arrival, coding)
             most = len(raw)
-            arrival.worker.say(raw[:length])
+            arrival.worker.send(raw[:length])
             getattr(arrival.worker, ending)()
             assert client.answer().status == 502, length
             assert client.answer().get("reedspoke-response-seal") is None, length
-            assert arrival.worker.over, length
-            assert world.settled(), length
+            assert arrival.worker.is_closed, length
+            assert world.is_idle(), length
         length += 1
 
 
 @pytest.mark.parametrize("coding", ["length", "chunks"])
 def test_a_whole_answer_is_a_success_whatever_follows(world: World, coding: str) -> None:
-    client = world.asked(ONCE)
-    world.arrival().worker.say(whole_answer(world.arrival(), coding))
+    client = world.new_request(NON_IDEMPOTENT)
+    world.arrival().worker.send(whole_answer(world.arrival(), coding))
     world.arrival().worker.reset()
     assert (client.answer().status, client.answer().body) == (200, b"the answer")
 
 
 @pytest.mark.parametrize("length", [0, 1, 60, -1])
 def test_an_answer_cut_off_is_asked_for_again_where_that_is_harmless(world: World, length: int) -> None:
-    client = world.asked(AGAIN)
+    client = world.new_request(IDEMPOTENT)
     first = world.arrival()
-    first.worker.say(first.whole(b"of the first")[:length])
+    first.worker.send(first.complete_answer(b"of the first")[:length])
     first.worker.reset()
     second = world.arrival()
     assert second is not first
     assert second.worker.instance_id != first.worker.instance_id
     assert second.attempt_id == first.attempt_id
-    second.worker.say(second.whole(b"of the second"))
+    second.worker.send(second.complete_answer(b"of the second"))
     assert client.answer().body == b"of the second"
-    assert world.settled()
+    assert world.is_idle()
 
 
 def test_an_answer_without_a_length_is_whole_when_its_worker_ends_the_connection(world: World) -> None:
-    client = world.asked(ONCE)
+    client = world.new_request(NON_IDEMPOTENT)
     arrival = world.arrival()
-    arrival.worker.say(b"HTTP/1.1 200 OK\r\n" + arrival.fields() + b"\r\nthe answer")
+    arrival.worker.send(b"HTTP/1.1 200 OK\r\n" + arrival.fields() + b"\r\nthe answer")
     assert client.answers() == []
     arrival.worker.end()
-    assert (client.answer().status, client.answer().body, client.answer().whole) == (200, b"the answer", True)
-    assert arrival.worker.over
+    assert (client.answer().status, client.answer().body, client.answer().is_complete) == (
+        200,
+        b"the answer",
+        True,
+    )
+    assert arrival.worker.is_closed
 
 
 @pytest.mark.parametrize("body", [b"", b"the answer"])
 def test_an_answer_without_a_length_that_is_reset_is_not_whole(world: World, body: bytes) -> None:
-    client = world.asked(ONCE)
+    client = world.new_request(NON_IDEMPOTENT)
     arrival = world.arrival()
-    arrival.worker.say(b"HTTP/1.1 200 OK\r\n" + arrival.fields() + b"\r\n" + body)
+    arrival.worker.send(b"HTTP/1.1 200 OK\r\n" + arrival.fields() + b"\r\n" + body)
     arrival.worker.reset()
     assert client.answer().status == 502
 
@@ -205,67 +218,67 @@
 
 @pytest.mark.parametrize("garbage", GARBAGE)
 def test_bytes_that_are_no_answer_end_the_attempt(world: World, garbage: bytes) -> None:
-    client = world.asked(ONCE)
-    world.arrival().worker.say(garbage)
+    client = world.new_request(NON_IDEMPOTENT)
+    world.arrival().worker.send(garbage)
     assert client.answer().status == 502
-    assert world.arrival().worker.over
+    assert world.arrival().worker.is_closed
 
 
 @pytest.mark.parametrize("garbage", [b"nonsense\r\n", b"\x80\x81\x82\n", b"<html>\r\n"])
 def test_garbage_is_told_at_its_first_line(world: World, garbage: bytes) -> None:
     """Its sender may never send the blank line that ends a head: the client would wait in vain."""
-    client = world.asked(ONCE)
-    world.arrival().worker.say(garbage)
+    client = world.new_request(NON_IDEMPOTENT)
+    world.arrival().worker.send(garbage)
     assert client.answer().status == 502
 
 
 @pytest.mark.parametrize("path", PLAIN)
 def test_garbage_inside_a_body_in_chunks_is_no_answer(world: World, path: str) -> None:
-    client = world.asked(path)
+    client = world.new_request(path)
     arrival = world.arrival()
     head = b"HTTP/1.1 200 OK\r\n" + arrival.fields() + b"Transfer-Encoding: chunked\r\n\r\n"
-    arrival.worker.say(head + b"4\r\nthe \r\nzz\r\n")
-    assert arrival.worker.over
-    if path == AGAIN:
-        world.arrival().worker.say(world.arrival().whole())
+    arrival.worker.send(head + b"4\r\nthe \r\nzz\r\n")
+    assert arrival.worker.is_closed
+    if path == IDEMPOTENT:
+        world.arrival().worker.send(world.arrival().complete_answer())
         assert client.answer().body == b"the answer"
     else:
         assert client.answer().status == 502
 
 
 def test_an_answer_without_its_stamp_is_no_success(world: World) -> None:
-    client = world.asked(ONCE)
+    client = world.new_request(NON_IDEMPOTENT)
     echo = b"Reedspoke-Attempt-Id: a1\r\nContent-Length: 2\r\n\r\nok"
-    world.arrival().worker.say(b"HTTP/1.1 200 OK\r\n" + echo)
+    world.arrival().worker.send(b"HTTP/1.1 200 OK\r\n" + echo)
     assert client.answer().status == 502
 
 
 def test_a_worker_that_never_answers_holds_the_request_to_its_deadline_only(world: World) -> None:
-    client = world.asked(ONCE, Reedspoke_Deadline_Ms="5000")
+    client = world.new_request(NON_IDEMPOTENT, Reedspoke_Deadline_Ms="5000")
     world.run_for(4.5)
     assert client.answers() == []
     world.run_for(1.5)
     answer = client.answer()
     assert answer.status == 504
     assert f'"code":{int(ErrorCode.DEADLINE)}'.encode() in answer.body
-    assert world.arrival().worker.over
-    assert world.settled()
+    assert world.arrival().worker.is_closed
+    assert world.is_idle()
 
 
 def test_the_routes_time_ends_a_request_of_a_patient_client(world: World) -> None:
-    client = world.asked(ONCE, Reedspoke_Deadline_Ms="600000")
+    client = world.new_request(NON_IDEMPOTENT, Reedspoke_Deadline_Ms="600000")
     world.run_for(TIMEOUT_S + 1)
     assert client.answer().status == 504
-    assert world.settled()
+    assert world.is_idle()
 
 
 def test_a_request_whose_time_is_over_when_it_comes_is_refused_unsent(world: World) -> None:
-    client = world.asked(ONCE, Reedspoke_Deadline_Ms="0")
+    client = world.new_request(NON_IDEMPOTENT, Reedspoke_Deadline_Ms="0")
     assert client.answer().status == 503
     assert world.arrivals == []
-    assert world.settled()
+    assert world.is_idle()
 
 
 def test_an_unknown_route_is_refused(world: World) -> None:
-    assert world.asked("/nowhere/").answer().status == 404
+    assert world.new_request("/nowhere/").answer().status == 404
     assert world.arrivals == []
--- a/tests/data_plane/test_guards_client.py
+++ b/tests/data_plane/test_guards_client.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from tests.data_plane.world import LIMITS, ONCE, World, request_bytes
+from tests.data_plane.world import LIMITS, NON_IDEMPOTENT, World, request_bytes
 
 MOST_HEAD_BYTES = LIMITS["max_header_bytes"]
 HEAD_TOO_LARGE = 431
@@ -11,25 +11,25 @@
 
 def _request_with_head_of(size: int) -> bytes:
     """A request without body whose head has this many bytes, its last blank line included."""
-    shortest = len(request_bytes(ONCE, body=b"", X_Padding="x"))
-    return request_bytes(ONCE, body=b"", X_Padding="x" * (1 + size - shortest))
+    shortest = len(request_bytes(NON_IDEMPOTENT, body=b"", X_Padding="x"))
+    return request_bytes(NON_IDEMPOTENT, body=b"", X_Padding="x" * (1 + size - shortest))
 
 
 def test_a_head_of_the_largest_size_is_read(world: World) -> None:
     request = _request_with_head_of(MOST_HEAD_BYTES)
     assert len(request) == MOST_HEAD_BYTES
-    world.client().say(request)
+    world.client().send(request)
     assert len(world.arrivals) == 1
 
 
 def test_a_head_that_comes_at_once_and_is_a_byte_too_large_is_refused(world: World) -> None:
     client = world.client()
-    client.say(_request_with_head_of(MOST_HEAD_BYTES + 1))
+    client.send(_request_with_head_of(MOST_HEAD_BYTES + 1))
     assert client.answer().status == HEAD_TOO_LARGE
     assert world.arrivals == []
 
 
 def test_blank_lines_before_a_request_count_as_its_head(world: World) -> None:
     client = world.client()
-    client.say(BLANK_LINE * (MOST_HEAD_BYTES // len(BLANK_LINE) + 1))
+    client.send(BLANK_LINE * (MOST_HEAD_BYTES // len(BLANK_LINE) + 1))
     assert client.answer().status == HEAD_TOO_LARGE
--- a/tests/data_plane/test_guards_pool.py
+++ b/tests/data_plane/test_guards_pool.py
@@ -10,7 +10,7 @@
 from reedspoke.data_plane.upstream_pool import UpstreamPool
 from tests.data_plane.virtual_loop import VirtualLoop
 from tests.data_plane.wire import TransportStandIn
-from tests.data_plane.world import ONCE, World
+from tests.data_plane.world import NON_IDEMPOTENT, World
 
 INSTANCE = "i-1"
 
@@ -74,8 +74,8 @@
 
 
 def test_a_connection_that_its_worker_is_about_to_end_carries_no_further_request(world: World) -> None:
-    client = world.asked(ONCE)
+    client = world.new_request(NON_IDEMPOTENT)
     arrival = world.arrival()
-    arrival.worker.say(arrival.whole(Connection="close"))
+    arrival.worker.send(arrival.complete_answer(Connection="close"))
     assert client.answer().status == 200
-    assert arrival.worker.over
+    assert arrival.worker.is_closed
--- a/tests/data_plane/test_invariant_checks.py
+++ b/tests/data_plane/test_invariant_checks.py
@@ -148,8 +148,8 @@
 
     def play() -> None:
         with fresh_plane() as plane:
-            plane.learn()
-            plane.asked("/once/")
+            plane.receive_state()
+            plane.new_request("/once/")
             connection = next(iter(plane.plane._connections))
             connection.send_answer(answer)
             connection.send_answer(answer)
@@ -159,8 +159,8 @@
 
 def test_a_job_is_left_of_a_client_that_has_gone(monkeypatch: pytest.MonkeyPatch) -> None:
     with fresh_plane() as plane:
-        plane.learn()
-        client = plane.asked("/once/")
+        plane.receive_state()
+        client = plane.new_request("/once/")
         monkeypatch.setattr(Dispatcher, "attempt_ended", lambda *_: [])
 
         def play() -> None:
@@ -172,13 +172,13 @@
 
 def test_a_position_is_left_behind(monkeypatch: pytest.MonkeyPatch) -> None:
     with fresh_plane() as plane:
-        plane.learn()
-        plane.asked("/once/")
+        plane.receive_state()
+        plane.new_request("/once/")
         arrival = plane.arrival()
         monkeypatch.setattr("reedspoke.decision.worker_state.WorkerState.end", lambda *_: None)
 
         def play() -> None:
-            arrival.worker.say(arrival.whole())
+            arrival.worker.send(arrival.complete_answer())
             plane.loop.run_for(1)
 
         assert broken_by(play) == {Invariant.IDLE_HOLDS_NOTHING}
@@ -186,7 +186,7 @@
 
 def test_an_older_list_of_workers_is_taken() -> None:
     with fresh_plane() as plane:
-        plane.learn()
+        plane.receive_state()
 
         def play() -> None:
             plane.plane._on_workers(WorkerList((1, 0), (WORKER,)))
@@ -196,7 +196,7 @@
 
 def test_an_older_configuration_is_taken() -> None:
     with fresh_plane() as plane:
-        plane.learn()
+        plane.receive_state()
         held = plane.plane._entry.routes.configuration
         assert held is not None
         assert broken_by(lambda: plane.plane._on_configuration(held, (0, 9))) == {Invariant.DELIVERY_RISES}
--- a/tests/data_plane/test_process.py
+++ b/tests/data_plane/test_process.py
@@ -13,8 +13,8 @@
 from tests.control_plane_process.stand_ins import until
 from tests.data_plane.stage import HOST, HOSTS, Stage
 from tests.data_plane.stand_ins import (
-    CALL_S,
-    UP_S,
+    CALL_TIMEOUT_S,
+    WAIT_TIMEOUT_S,
 )
 from tests.data_plane.wire import event, events
 
@@ -25,34 +25,34 @@
 def test_it_becomes_ready_serves_and_follows_its_control_scheduler(stage: Stage) -> None:
     stage.edge.write_settings([HOSTS[0]])
     stage.edge.start()
-    until(lambda: stage.edge.is_ready() == 503, UP_S, "it listens, and is not ready")
+    until(lambda: stage.edge.readiness_status() == 503, WAIT_TIMEOUT_S, "it listens, and is not ready")
     stage.controls[0].start()
-    stage.tell(3, "/one/")
+    stage.publish(3, "/one/")
     stage.edge.until_ready()
-    assert stage.ask("/one/x?y=1") == (200, b"i-1 ran /one/x?y=1")
+    assert stage.request("/one/x?y=1") == (200, b"i-1 ran /one/x?y=1")
     assert stage.worker.requests[-1].get("reedspoke-target-instance") == "i-1"
-    assert stage.ask("/two/")[0] == 404
-    stage.tell(5, "/two/")
+    assert stage.request("/two/")[0] == 404
+    stage.publish(5, "/two/")
     stage.until_status("/two/", 200)
-    assert stage.ask("/one/")[0] == 404
+    assert stage.request("/one/")[0] == 404
 
 
 def test_it_goes_on_serving_without_any_control_scheduler(stage: Stage) -> None:
     stage.start()
     stage.controls[0].stop()
-    connection = http.client.HTTPConnection(*split_address(stage.edge.frontend), timeout=CALL_S)
+    connection = http.client.HTTPConnection(*split_address(stage.edge.frontend), timeout=CALL_TIMEOUT_S)
     for number in range(20):
         connection.request("GET", "/one/", headers={"Host": HOST, "Reedspoke-Attempt-Id": f"a{number}"})
         assert connection.getresponse().read() == b"i-1 ran /one/"
     connection.close()
-    assert stage.edge.is_ready() == 200
+    assert stage.edge.readiness_status() == 200
 
 
 def test_an_old_control_scheduler_never_brings_the_configuration_back(stage: Stage) -> None:
     stage.controls[1].start()
-    stage.tell(2, "/old/", control=1)
+    stage.publish(2, "/old/", control=1)
     stage.controls[0].start()
-    stage.tell(5, "/new/")
+    stage.publish(5, "/new/")
     stage.edge.write_settings(list(HOSTS))
     stage.edge.start()
     stage.edge.until_ready()
@@ -60,27 +60,27 @@
     stage.controls[0].stop()
     old = stage.controls[1]
     seen = len(old.watches)
-    until(lambda: len(old.watches) > seen + 2, UP_S, "the old one has told its versions again")
+    until(lambda: len(old.watches) > seen + 2, WAIT_TIMEOUT_S, "the old one has told its versions again")
     assert old.watches[-1].versions[CONFIGURATION] == (5, 0)
-    assert stage.ask("/new/")[0] == 200
-    assert stage.ask("/old/")[0] == 404
+    assert stage.request("/new/")[0] == 200
+    assert stage.request("/old/")[0] == 404
 
 
 def test_a_stream_that_runs_at_sigterm_ends_whole(stage: Stage) -> None:
     stage.start()
-    idle = http.client.HTTPConnection(*split_address(stage.edge.frontend), timeout=CALL_S)
+    idle = http.client.HTTPConnection(*split_address(stage.edge.frontend), timeout=CALL_TIMEOUT_S)
     idle.connect()
-    stream = http.client.HTTPConnection(*split_address(stage.edge.frontend), timeout=CALL_S)
+    stream = http.client.HTTPConnection(*split_address(stage.edge.frontend), timeout=CALL_TIMEOUT_S)
     stream.request("GET", "/stream/", headers={"Host": HOST, "Reedspoke-Attempt-Id": "a1"})
     response = stream.getresponse()
     assert response.read(len(event(1))) == event(1)
     stage.edge.signal(signal.SIGTERM)
-    until(lambda: stage.edge.is_ready() == 503, UP_S, "it is not ready any more")
+    until(lambda: stage.edge.readiness_status() == 503, WAIT_TIMEOUT_S, "it is not ready any more")
     assert idle.sock.recv(1) == b""
-    assert stage.ask("/one/") == (200, b"i-1 ran /one/")
-    stage.worker.go_on()
+    assert stage.request("/one/") == (200, b"i-1 ran /one/")
+    stage.worker.resume_stream()
     assert response.read() == events(2, 3)
-    assert stage.edge.wait(UP_S) == 0
+    assert stage.edge.wait(WAIT_TIMEOUT_S) == 0
     assert any(watch.draining for watch in stage.controls[0].watches)
     stream.close()
     idle.close()
@@ -117,7 +117,7 @@
     stage.start()
     stage.controls[0].stop()
     stage.controls[1].start()
-    stage.tell(7, "/seven/", control=1)
+    stage.publish(7, "/seven/", control=1)
     stage.edge.write_settings([HOSTS[1]])
     stage.edge.signal(signal.SIGHUP)
     stage.until_status("/seven/", 200)
@@ -128,7 +128,7 @@
     settings = json.loads(stage.edge.settings_file.read_text())
     stage.edge.settings_file.write_text(json.dumps(settings | {"bind": {"frontend": stage.edge.frontend}}))
     stage.edge.start()
-    assert stage.edge.wait(UP_S) == 2
+    assert stage.edge.wait(WAIT_TIMEOUT_S) == 2
     line = json.loads(stage.edge.log_file.read_text())
     assert (line["code"], line["name"]) == (102, "settings_invalid")
     assert "bind.readiness" in line["message"]
--- a/tests/data_plane/test_request_keys.py
+++ b/tests/data_plane/test_request_keys.py
@@ -15,7 +15,7 @@
 from tests.data_plane import plane as plane_module
 from tests.data_plane.plane import Plane, answer, fresh_plane
 from tests.data_plane.wire import TransportStandIn
-from tests.data_plane.world import AGAIN, LIMITS, ONCE, RESUME, document, request_bytes
+from tests.data_plane.world import IDEMPOTENT, LIMITS, NON_IDEMPOTENT, RESUMABLE, document, request_bytes
 
 REVOKE_S = 5.0
 STRICT = NodeSettings(
@@ -51,12 +51,12 @@
     """A data plane that knows tenants, with strict revocation."""
     monkeypatch.setattr(plane_module, "settings", lambda: STRICT)
     with fresh_plane() as plane:
-        plane.learn()
+        plane.receive_state()
         teach(plane, TENANTS)
         yield plane
 
 
-def ask(plane: Plane, path: str = ONCE, attempt_id: str = "a1", **fields: str) -> TransportStandIn:
+def ask(plane: Plane, path: str = NON_IDEMPOTENT, attempt_id: str = "a1", **fields: str) -> TransportStandIn:
     transport = plane.connect()
     transport.arrive(request_bytes(path, attempt_id, b"the question", **fields))
     plane.loop.settle()
@@ -82,7 +82,7 @@
 
 
 def test_without_tenants_a_key_is_withheld_too(plane: Plane) -> None:
-    plane.learn()
+    plane.receive_state()
     ask(plane, Reedspoke_Key="k1", Reedspoke_Tenant_Name="forged")
     assert b"reedspoke-key" not in head_at_worker(plane)
     assert b"tenant" not in head_at_worker(plane)
@@ -100,7 +100,7 @@
 
 
 def test_a_public_route_needs_no_key(keyed: Plane) -> None:
-    teach(keyed, TENANTS, 2, public=(ONCE,))
+    teach(keyed, TENANTS, 2, public=(NON_IDEMPOTENT,))
     ask(keyed)
     assert b"tenant" not in head_at_worker(keyed)
 
@@ -122,7 +122,7 @@
 def test_a_process_that_was_stopped_serves_no_key_when_it_wakes(keyed: Plane) -> None:
     client = keyed.connect()
     keyed.loop._virtual.now += 30.0
-    client.arrive(request_bytes(ONCE, Reedspoke_Key="k1"))
+    client.arrive(request_bytes(NON_IDEMPOTENT, Reedspoke_Key="k1"))
     keyed.loop.settle()
     assert code_of(client) == (503, ErrorCode.KEY_IN_DOUBT)
     assert keyed.network.arrivals == []
@@ -166,10 +166,10 @@
 
 
 def test_a_stream_that_was_cut_is_not_resumed_with_a_revoked_key(keyed: Plane) -> None:
-    ask(keyed, RESUME, Reedspoke_Key="k1")
+    ask(keyed, RESUMABLE, Reedspoke_Key="k1")
     first = keyed.arrival()
     event = b"id: 1\ndata: x\n\n"
-    first.worker.say(first.stream_head() + b"%x\r\n%b\r\n" % (len(event), event))
+    first.worker.send(first.stream_head() + b"%x\r\n%b\r\n" % (len(event), event))
     revoke(keyed)
     first.worker.reset()
     keyed.loop.run_for(1.0)
@@ -228,7 +228,7 @@
 
 
 def test_without_an_answer_it_is_503_in_time(keyed: Plane, controller: Controller) -> None:
-    client = ask(keyed, AGAIN, Reedspoke_Key="k3")
+    client = ask(keyed, IDEMPOTENT, Reedspoke_Key="k3")
     keyed.loop.run_for(0.27)
     assert code_of(client) == (503, ErrorCode.QUOTA_UNAVAILABLE)
 
@@ -258,7 +258,7 @@
     keyed.loop.run_for(30.0)
     ask(keyed, Reedspoke_Key="k1")
     assert monitor.violated[Invariant.KEY_IS_CERTAIN] == 1
-    keyed.arrival().worker.say(keyed.arrival().whole())
+    keyed.arrival().worker.send(keyed.arrival().complete_answer())
     monitor.reset_violations()
     monkeypatch.setattr("reedspoke.data_plane.headers.WITHHELD", frozenset())
     ask(keyed, Reedspoke_Key="k2")
--- a/tests/data_plane/test_request_log.py
+++ b/tests/data_plane/test_request_log.py
@@ -42,8 +42,8 @@
 
 def test_a_silent_worker(told: Lines) -> None:
     with fresh_plane() as plane:
-        plane.learn()
-        plane.asked("/once/", "a7")
+        plane.receive_state()
+        plane.new_request("/once/", "a7")
         plane.loop.run_for(LONG_S)
     line = about(told, "a7")
     assert line["outcome"] in ("failed", "expired")
@@ -59,8 +59,8 @@
 
 def test_a_worker_that_resets_after_the_request(told: Lines) -> None:
     with fresh_plane() as plane:
-        plane.learn()
-        plane.asked("/once/", "a7")
+        plane.receive_state()
+        plane.new_request("/once/", "a7")
         plane.arrival().worker.reset()
         plane.loop.run_for(1)
     line = about(told, "a7")
@@ -70,8 +70,8 @@
 
 def test_no_worker_in_time(told: Lines) -> None:
     with fresh_plane() as plane:
-        plane.learn(())
-        plane.asked("/once/", "a7")
+        plane.receive_state(())
+        plane.new_request("/once/", "a7")
         plane.loop.run_for(SOON_S)
     line = about(told, "a7")
     assert (line["outcome"], line["status"], line["reason"]) == ("refused", 503, "NO_WORKER")
@@ -82,13 +82,15 @@
 def test_a_request_that_was_sent_again_and_served(told: Lines) -> None:
     with fresh_plane() as plane:
         other = type(WORKER)("i-2", "u1", "10.0.0.2:80", "za", "v1", 1, False)
-        plane.learn((WORKER, other))
+        plane.receive_state((WORKER, other))
         for number in range(EARLIER):  # each grants a part of a repeat
-            plane.asked("/once/", f"b{number}")
-            plane.arrival().worker.say(plane.arrival().whole())
-        plane.asked("/once/", "a7")
-        plane.arrival().worker.say(plane.arrival().whole(b"", "503 Full", Reedspoke_Not_Executed="1"))
-        plane.arrival().worker.say(plane.arrival().whole())
+            plane.new_request("/once/", f"b{number}")
+            plane.arrival().worker.send(plane.arrival().complete_answer())
+        plane.new_request("/once/", "a7")
+        plane.arrival().worker.send(
+            plane.arrival().complete_answer(b"", "503 Full", Reedspoke_Not_Executed="1")
+        )
+        plane.arrival().worker.send(plane.arrival().complete_answer())
     ((event, line),) = told
     assert event == "request sent again"
     assert [attempt["fate"] for attempt in line["attempts"]] == ["never_ran", "answered"]
@@ -97,8 +99,8 @@
 
 def test_a_client_that_leaves(told: Lines) -> None:
     with fresh_plane() as plane:
-        plane.learn()
-        client = plane.asked("/once/", "a7")
+        plane.receive_state()
+        client = plane.new_request("/once/", "a7")
         client.arrive_end()
         plane.loop.run_for(1)
     line = about(told, "a7")
@@ -108,10 +110,10 @@
 
 def test_a_request_without_a_route_tells_the_generation_and_the_doubt(told: Lines) -> None:
     with fresh_plane() as plane:
-        plane.learn()
-        plane.asked("/nowhere/", "a7")
+        plane.receive_state()
+        plane.new_request("/nowhere/", "a7")
         plane.loop.run_for(LONG_S)
-        plane.asked("/nowhere/", "a8")
+        plane.new_request("/nowhere/", "a8")
     certain, doubtful = about(told, "a7"), about(told, "a8")
     assert (certain["status"], certain["generation"], certain.get("in_doubt")) == (404, 1, None)
     assert (doubtful["status"], doubtful["in_doubt"]) == (503, True)
@@ -120,7 +122,7 @@
 
 def test_what_is_no_request(told: Lines) -> None:
     with fresh_plane() as plane:
-        plane.learn()
+        plane.receive_state()
         plane.connect().arrive(b"nonsense\r\n\r\n")
         plane.loop.settle()
     ((event, line),) = told
@@ -130,9 +132,9 @@
 
 def test_what_goes_well_is_counted_and_not_written(told: Lines) -> None:
     with fresh_plane() as plane:
-        plane.learn()
-        plane.asked("/once/", "a7")
-        plane.arrival().worker.say(plane.arrival().whole())
+        plane.receive_state()
+        plane.new_request("/once/", "a7")
+        plane.arrival().worker.send(plane.arrival().complete_answer())
         text = figures(plane)
     assert told == []
     assert 'reedspoke_requests_total{route="ronce",outcome="served",status="200"} 1' in text
--- a/tests/data_plane/test_session_model.py
+++ b/tests/data_plane/test_session_model.py
@@ -63,11 +63,11 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_calm_times_know_no_doubt(models: Models, seed: int) -> None:
     model = models(seed=seed)
-    dials = model.dials
+    dials = model.connect_count
     for _ in range(40):
         model.run_for(0.5)
         assert not model.in_doubt()
-    assert model.dials == dials
+    assert model.connect_count == dials
 
 
 @pytest.mark.parametrize("seed", SEEDS)
@@ -75,7 +75,7 @@
     model = models(seed=seed)
     model.commit()
     model.run_for(SOON_S)
-    assert model.made.version(CONFIGURATION) == model.committed[-1][1]
+    assert model.subscription.version(CONFIGURATION) == model.committed[-1][1]
     assert not model.in_doubt()
 
 
@@ -85,10 +85,10 @@
 ) -> None:
     """The case that users met. A change comes at once behind the cut, and others later."""
     model = models(seed=seed)
-    model.cut(followed(model))
+    model.partition(followed(model))
     model.commit()
     committed_at = model.loop.time()
-    while model.made.version(CONFIGURATION) < model.committed[-1][1]:
+    while model.subscription.version(CONFIGURATION) < model.committed[-1][1]:
         model.run_for(0.02)
         assert model.loop.time() - committed_at < APPLY_S
     until_certain(model, SOON_S)
@@ -96,9 +96,9 @@
         model.run_for(1)
         model.commit()
         model.run_for(SOON_S)
-        assert model.made.version(CONFIGURATION) == model.committed[-1][1]
+        assert model.subscription.version(CONFIGURATION) == model.committed[-1][1]
         assert not model.in_doubt()
-    model.cut(set())
+    model.partition(set())
     model.run_for(10)
     assert not model.in_doubt()
     assert len(followed(model)) == SESSIONS
@@ -108,10 +108,10 @@
 def test_one_session_leads_to_one_that_is_cut_off(models: Models, seed: int) -> None:
     model = models(seed=seed)
     cut, _ = sorted(followed(model))
-    model.cut({cut})
+    model.partition({cut})
     model.commit()
     model.run_for(SOON_S)
-    assert model.made.version(CONFIGURATION) == model.committed[-1][1]
+    assert model.subscription.version(CONFIGURATION) == model.committed[-1][1]
     model.run_for(CONTACT_S + 0.5)
     assert cut not in followed(model)
     assert len(followed(model)) == SESSIONS
@@ -122,16 +122,16 @@
     models: Models, seed: int
 ) -> None:
     model = models(seed=seed)
-    held = model.made.version(CONFIGURATION)
-    model.cut({0, 1})
-    model.reach({0, 1})
+    held = model.subscription.version(CONFIGURATION)
+    model.partition({0, 1})
+    model.set_reachable({0, 1})
     model.commit()
     model.run_for(APPLY_S)
     for _ in range(40):
         model.run_for(0.5)
         assert model.in_doubt()
-    assert model.made.version(CONFIGURATION) == held
-    model.reach(set(range(5)))
+    assert model.subscription.version(CONFIGURATION) == held
+    model.set_reachable(set(range(5)))
     assert until_certain(model, APPLY_S) < APPLY_S
 
 
@@ -139,10 +139,10 @@
 @pytest.mark.parametrize("lost", [{0, 1}, {0, 2}, {3, 4}, {0}])
 def test_the_ways_to_some_are_dark(models: Models, lost: set[int], seed: int) -> None:
     model = models(seed=seed)
-    model.reach(set(range(5)) - lost)
+    model.set_reachable(set(range(5)) - lost)
     model.commit()
     committed_at = model.loop.time()
-    while model.made.version(CONFIGURATION) < model.committed[-1][1]:
+    while model.subscription.version(CONFIGURATION) < model.committed[-1][1]:
         model.run_for(0.02)
         assert model.loop.time() - committed_at < APPLY_S - 0.5
 
@@ -153,18 +153,18 @@
     model.stop_process_for(5)
     assert model.in_doubt()
     until_certain(model, 1.0)
-    assert model.made.version(CONFIGURATION) == model.committed[-1][1]
+    assert model.subscription.version(CONFIGURATION) == model.committed[-1][1]
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 @pytest.mark.parametrize("lost", [{0, 1}, {2, 4}, {1, 3}])
 def test_a_start_while_a_minority_of_the_seeds_is_cut_off(models: Models, lost: set[int], seed: int) -> None:
     model = models(seed=seed, calm_s=0.0)
-    model.cut(lost)
+    model.partition(lost)
     model.commit()
     model.run_for(CONTACT_S + 0.2)
     assert not model.in_doubt()
-    assert model.made.version(CONFIGURATION) == model.committed[-1][1]
+    assert model.subscription.version(CONFIGURATION) == model.committed[-1][1]
     assert not followed(model) & lost
 
 
@@ -173,21 +173,21 @@
 def test_a_start_with_a_path_to_one_seed_only(models: Models, reached: int, seed: int) -> None:
     """Connections to the others take their time to fail: they must not keep it from being tried."""
     model = models(seed=seed, calm_s=0.0)
-    model.reach({reached})
+    model.set_reachable({reached})
     assert until_certain(model, APPLY_S) <= 1.0
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_majorities_that_come_and_go(models: Models, seed: int) -> None:
     model = models(seed=seed)
-    dials, began = model.dials, model.loop.time()
+    dials, began = model.connect_count, model.loop.time()
     for turn in range(30):
-        model.cut({turn % 5, (turn + 2) % 5})
+        model.partition({turn % 5, (turn + 2) % 5})
         model.commit()
         model.run_for(0.7)
     passed = model.loop.time() - began
-    assert model.dials - dials <= DIAL_BURST + passed * DIALS_PER_S
-    model.cut(set())
+    assert model.connect_count - dials <= DIAL_BURST + passed * DIALS_PER_S
+    model.partition(set())
     until_certain(model, APPLY_S)
 
 
@@ -205,9 +205,9 @@
     kind, numbers = event
     match kind:
         case "cut":
-            model.cut(numbers)
+            model.partition(numbers)
         case "reach":
-            model.reach(numbers)
+            model.set_reachable(numbers)
         case "commit":
             model.commit()
         case "stop":
@@ -229,14 +229,14 @@
         for event, passed in events:
             happen(model, event)
             model.run_for(passed)
-        versions = [version for _, version in model.heard.configurations]
+        versions = [version for _, version in model.delivered.configurations]
         assert versions == sorted(set(versions))
-        model.cut(set())
-        model.reach(set(range(5)))
+        model.partition(set())
+        model.set_reachable(set(range(5)))
         model.run_for(CATCH_UP_S)
         until_certain(model, 1.25 * APPLY_S)
         model.run_for(APPLY_S)
         assert not model.in_doubt()
-        assert model.made.version(CONFIGURATION) == model.committed[-1][1]
+        assert model.subscription.version(CONFIGURATION) == model.committed[-1][1]
     finally:
         model.close()
--- a/tests/data_plane/test_session_wire.py
+++ b/tests/data_plane/test_session_wire.py
@@ -82,7 +82,7 @@
         self._later(self._incoming.put_nowait, frame)
 
     def _later(self, call: Callable[..., object], *arguments: object) -> None:
-        if self._model.passes(self._control):
+        if self._model.is_reachable(self._control):
             self._model.loop.call_later(LATENCY_S, call, *arguments)
 
 
@@ -129,8 +129,8 @@
         as_of = self.as_of()
         return as_of if self._model.loop.time() - as_of < CONTACT_S else None
 
-    def learn(self, version: Version) -> None:
-        super().learn(version)
+    def set_version(self, version: Version) -> None:
+        super().set_version(version)
         if version > self._cache.version:
             view, sequence = version
             committed = CommittedConfiguration(sequence, sequence, document(sequence), view)
@@ -175,31 +175,31 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_in_calm_times_there_is_no_doubt_and_changes_come_at_once(models: Models, seed: int) -> None:
     model = models(seed)
-    dials = model.dials
+    dials = model.connect_count
     for _ in range(10):
         model.commit()
         model.run_for(SOON_S)
-        assert model.made.version(CONFIGURATION) == model.committed[-1][1]
+        assert model.subscription.version(CONFIGURATION) == model.committed[-1][1]
         assert not model.in_doubt()
         model.run_for(1)
     assert len(followed(model)) == SESSIONS
-    assert model.dials == dials
+    assert model.connect_count == dials
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_both_sessions_lead_to_a_minority_that_is_cut_off(models: Models, seed: int) -> None:
     model = models(seed)
     cut = followed(model)
-    model.cut(cut)
+    model.partition(cut)
     model.commit()
     model.run_for(CONTACT_S + SOON_S)
     for _ in range(20):
-        assert model.made.version(CONFIGURATION) == model.committed[-1][1]
+        assert model.subscription.version(CONFIGURATION) == model.committed[-1][1]
         assert not model.in_doubt()
         assert not followed(model) & cut
         model.commit()
         model.run_for(1)
-    model.cut(set())
+    model.partition(set())
     model.run_for(3)
     assert len(followed(model)) == SESSIONS
 
@@ -207,19 +207,19 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_nobody_has_a_majority_for_a_while(models: Models, seed: int) -> None:
     model = models(seed)
-    held = model.made.version(CONFIGURATION)
-    dials, began = model.dials, model.loop.time()
+    held = model.subscription.version(CONFIGURATION)
+    dials, began = model.connect_count, model.loop.time()
     for control in model.controls:
         control.set_in_majority(False)
     model.run_for(20)
     assert model.in_doubt()
-    assert model.made.version(CONFIGURATION) == held
-    assert model.dials - dials <= DIAL_BURST + (model.loop.time() - began) * DIALS_PER_S
-    model.cut(set())
+    assert model.subscription.version(CONFIGURATION) == held
+    assert model.connect_count - dials <= DIAL_BURST + (model.loop.time() - began) * DIALS_PER_S
+    model.partition(set())
     model.commit()
     model.run_for(APPLY_S)
     assert not model.in_doubt()
-    assert model.made.version(CONFIGURATION) == model.committed[-1][1]
+    assert model.subscription.version(CONFIGURATION) == model.committed[-1][1]
 
 
 @pytest.mark.parametrize("seed", SEEDS)
@@ -227,15 +227,15 @@
     """It holds nothing for a while, then what there is, in doubt; and is without doubt soon after the cut."""
     model = models(seed, calm_s=0.0)
     for control in model.controls:
-        control.learn(model.committed[-1][1])
+        control.set_version(model.committed[-1][1])
         control.set_in_majority(False)
         control._as_of -= 2 * CONTACT_S
     model.run_for(UNCONFIRMED_AFTER_S - 0.2)
-    assert model.heard.configurations == []
+    assert model.delivered.configurations == []
     model.run_for(1)
-    assert model.made.version(CONFIGURATION) == (1, 1)
+    assert model.subscription.version(CONFIGURATION) == (1, 1)
     assert model.in_doubt()
-    model.cut(set())
+    model.partition(set())
     model.run_for(APPLY_S)
     assert not model.in_doubt()
 
@@ -244,12 +244,12 @@
 def test_it_comes_and_goes(models: Models, seed: int) -> None:
     model = models(seed)
     for turn in range(40):
-        model.cut({turn % 5, (turn + 1 + seed) % 5})
+        model.partition({turn % 5, (turn + 1 + seed) % 5})
         model.commit()
         model.run_for(0.3 + 0.1 * (turn % 7))
         if turn % 10 == 9:
             model.stop_process_for(4)
-    model.cut(set())
+    model.partition(set())
     model.run_for(2 * APPLY_S)
     assert not model.in_doubt()
-    assert model.made.version(CONFIGURATION) == model.committed[-1][1]
+    assert model.subscription.version(CONFIGURATION) == model.committed[-1][1]
--- a/tests/data_plane/wire.py
+++ b/tests/data_plane/wire.py
@@ -49,7 +49,7 @@
         self.written = bytearray()
         self.aborted = False
         self.closed = False
-        self.ended_writing = False
+        self.eof_written = False
         self.reads_paused = False
         self.socket = SocketStandIn()
         self.on_write: Callable[[], None] = lambda: None
@@ -71,7 +71,7 @@
     def write(self, data: bytes | bytearray | memoryview) -> None:
         if self.is_closing():
             return
-        assert not self.ended_writing, "written behind the end"
+        assert not self.eof_written, "written behind the end"
         self.written += data
         if not self._taken:
             self._waiting += len(data)
@@ -93,7 +93,7 @@
             self.loop.call_soon(self._deliver, piece)
 
     def write_eof(self) -> None:
-        self.ended_writing = True
+        self.eof_written = True
 
     def close(self) -> None:
         if not self.is_closing():
@@ -123,11 +123,11 @@
         """The system gives the connection up, as nothing that was sent is acknowledged."""
         self.loop.call_soon(self._lose, TimeoutError())
 
-    def stop_taking(self) -> None:
+    def stop_peer_reading(self) -> None:
         """The other end reads no more."""
         self._taken = False
 
-    def take_again(self) -> None:
+    def resume_peer_reading(self) -> None:
         """The other end reads all that waits for it, and goes on reading."""
         self._taken = True
         self._waiting = 0
@@ -191,7 +191,7 @@
     status: int
     fields: list[tuple[str, str]]
     body: bytes
-    whole: bool
+    is_complete: bool
 
     def get(self, name: str) -> str | None:
         values = [value for key, value in self.fields if key == name.lower()]
--- a/tests/data_plane/world.py
+++ b/tests/data_plane/world.py
@@ -15,7 +15,7 @@
 from reedspoke.common.errors import ErrorCode
 from reedspoke.common.messages import WorkerEntry, WorkerList
 from reedspoke.data_plane.answers import error_answer
-from reedspoke.data_plane.client_connection import ClientConnection, ClientRequest, Exchange
+from reedspoke.data_plane.client_connection import ClientConnection, ClientRequest, RequestHandler
 from reedspoke.data_plane.forwarder import Forwarder
 from reedspoke.data_plane.headers import ATTEMPT_ID, field_text
 from reedspoke.data_plane.request_entry import NoExchange
@@ -34,15 +34,15 @@
 HOST = "a.example"
 SEAL = "3e1b.07.5a2.600.0.c9f2a4d1"
 TIMEOUT_S = 20.0  # of every route
-AIM_S = 2.0
-SLOW_S = 0.5  # a connection that comes up slowly
-ONCE, AGAIN, STREAM, RESUME = "/once/", "/again/", "/stream/", "/resume/"
-NEVER_REPEATED = (ONCE, STREAM)
-KINDS: dict[str, dict[str, object]] = {
-    ONCE: {"route_type": "non_idempotent"},
-    AGAIN: {"route_type": "idempotent"},
-    STREAM: {"route_type": "streaming"},
-    RESUME: {"route_type": "streaming", "stream_resume": True},
+LATENCY_TARGET_S = 2.0
+SLOW_CONNECT_S = 0.5  # a connection that comes up slowly
+NON_IDEMPOTENT, IDEMPOTENT, STREAMING, RESUMABLE = "/once/", "/again/", "/stream/", "/resume/"
+NEVER_REPEATED = (NON_IDEMPOTENT, STREAMING)
+ROUTE_FIELDS: dict[str, dict[str, object]] = {
+    NON_IDEMPOTENT: {"route_type": "non_idempotent"},
+    IDEMPOTENT: {"route_type": "idempotent"},
+    STREAMING: {"route_type": "streaming"},
+    RESUMABLE: {"route_type": "streaming", "stream_resume": True},
 }
 ENGINE = {"capacity": 8, "kv_tokens": 200_000}
 LIMITS = {
@@ -63,12 +63,12 @@
             "hostname": HOST,
             "path_prefix": prefix,
             "timeout_ms": TIMEOUT_S * 1000,
-            "target_ms": AIM_S * 1000,
+            "target_ms": LATENCY_TARGET_S * 1000,
             "upstream": "u1",
             "max_attempts": attempts,
         }
         | kind
-        for prefix, kind in KINDS.items()
+        for prefix, kind in ROUTE_FIELDS.items()
     ]
     upstreams: list[dict[str, object]] = [{"name": "u1", "max_connections": most_connections}]
     if engine:
@@ -82,7 +82,7 @@
     instance_id: str
     transport: TransportStandIn
 
-    def say(self, data: bytes) -> None:
+    def send(self, data: bytes) -> None:
         self.transport.arrive(data)
         self.transport.loop.settle()
 
@@ -98,7 +98,7 @@
         return read_requests(bytes(self.transport.written))
 
     @property
-    def over(self) -> bool:
+    def is_closed(self) -> bool:
         """Whether the connection has ended."""
         return self.transport.is_closing()
 
@@ -121,7 +121,7 @@
         named |= {name.replace("_", "-"): value for name, value in more.items()}
         return "".join(f"{name}: {value}\r\n" for name, value in named.items()).encode()
 
-    def whole(self, body: bytes = b"the answer", status: str = "200 OK", **more: str) -> bytes:
+    def complete_answer(self, body: bytes = b"the answer", status: str = "200 OK", **more: str) -> bytes:
         """An answer with its length."""
         length = f"Content-Length: {len(body)}\r\n".encode()
         return b"HTTP/1.1 %b\r\n" % status.encode() + self.fields(**more) + length + b"\r\n" + body
@@ -130,13 +130,13 @@
         coding = b"Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
         return b"HTTP/1.1 200 OK\r\n" + self.fields(**more) + coding
 
-    def full(self, **more: str) -> bytes:
+    def overload_answer(self, **more: str) -> bytes:
         """The answer of a worker that has no room."""
         more |= {"Reedspoke_Not_Executed": "1", "Retry_After": "1"}
-        return self.whole(b"", "503 Service Unavailable", **more)
+        return self.complete_answer(b"", "503 Service Unavailable", **more)
 
-    def wrong_instance(self) -> bytes:
-        return self.whole(b"", "421 Misdirected Request", Reedspoke_Not_Executed="1")
+    def wrong_instance_answer(self) -> bytes:
+        return self.complete_answer(b"", "421 Misdirected Request", Reedspoke_Not_Executed="1")
 
 
 class Network:
@@ -155,7 +155,7 @@
         if behaviour == "hang":
             await self.loop.create_future()
         if "slow" in behaviour:
-            await asyncio.sleep(SLOW_S)
+            await asyncio.sleep(SLOW_CONNECT_S)
         if behaviour.startswith("refuse"):
             raise ConnectionRefusedError
         assert isinstance(protocol, asyncio.BufferedProtocol)
@@ -200,7 +200,7 @@
     def request_unreadable(self, status: int, message: str, peer: str) -> None:
         """The test sees it at the client."""
 
-    def handle_request(self, request: ClientRequest, connection: ClientConnection) -> Exchange:
+    def handle_request(self, request: ClientRequest, connection: ClientConnection) -> RequestHandler:
         self.requests.append(request)
         target = bytes(request.head.target).decode("latin-1")
         route = self.routes.find(field_text(request.head, b"host"), target)
@@ -220,15 +220,17 @@
         self.transport = TransportStandIn(world.loop, self.connection)
         world.network.transports.append(self.transport)
 
-    def say(self, data: bytes) -> None:
+    def send(self, data: bytes) -> None:
         self.transport.arrive(data)
         self.world.loop.settle()
 
-    def ask(self, path: str, attempt_id: str = "a1", body: bytes = b"the question", **more: str) -> None:
+    def send_request(
+        self, path: str, attempt_id: str = "a1", body: bytes = b"the question", **more: str
+    ) -> None:
         """Send a request."""
-        self.say(request_bytes(path, attempt_id, body, **more))
+        self.send(request_bytes(path, attempt_id, body, **more))
 
-    def leave(self) -> None:
+    def disconnect(self) -> None:
         self.transport.arrive_reset()
         self.world.loop.settle()
 
@@ -241,7 +243,7 @@
         return found
 
     @property
-    def broken_off(self) -> bool:
+    def was_reset(self) -> bool:
         """Whether the program has broken the connection off, so that the client sees a reset."""
         return self.transport.aborted
 
@@ -270,10 +272,12 @@
         self.clients.append(made)
         return made
 
-    def asked(self, path: str, attempt_id: str = "a1", body: bytes = b"the question", **more: str) -> Client:
+    def new_request(
+        self, path: str, attempt_id: str = "a1", body: bytes = b"the question", **more: str
+    ) -> Client:
         """A new client that has sent a request."""
         made = self.client()
-        made.ask(path, attempt_id, body, **more)
+        made.send_request(path, attempt_id, body, **more)
         return made
 
     @property
@@ -296,7 +300,7 @@
         self.network.names |= {entry.address: entry.instance_id for entry in entries}
         self.forwarder.set_workers(WorkerList((1, len(self.arrivals)), tuple(entries)))
 
-    def settled(self) -> bool:
+    def is_idle(self) -> bool:
         """Whether nothing of any request is left."""
         return (
             self.forwarder.open_exchange_count() == 0
