--- a/reedspoke/data_plane/answers.py
+++ b/reedspoke/data_plane/answers.py
@@ -1,4 +1,7 @@
-"""Answers that this program gives itself: JSON with a result code."""
+"""Final answers that the scheduler generates itself: JSON with an error code.
+
+Status 503 tells the client that its request has not run, or may be repeated; 502 and 504 do not.
+"""
 
 from __future__ import annotations
 
@@ -11,11 +14,11 @@
 from reedspoke.data_plane.headers import status_line
 from reedspoke.decision.messages import Fail, FailReason, Refuse
 
-KEY_IN_DOUBT_RETRY_S = 0.3
+UNCONFIRMED_KEY_RETRY_S = 0.3
 
 
 class CompleteAnswer(Struct, frozen=True):
-    """An answer with its whole body; `fields` are header lines, each with its line end."""
+    """An answer with its complete body; `fields` are header lines, each with its line end."""
 
     status_line: bytes
     fields: bytes
@@ -25,7 +28,7 @@
 def error_answer(
     status: int, code: ErrorCode, message: str, retry_after: float | None = None
 ) -> CompleteAnswer:
-    """An answer of this program. `retry_after` is in seconds."""
+    """An error answer of the scheduler. `retry_after` is in seconds; None omits the field."""
     body = msgspec.json.encode({"error": {"code": int(code), "name": code.name.lower(), "message": message}})
     fields = b"Content-Type: application/json\r\n"
     if retry_after is not None:
@@ -34,50 +37,47 @@
 
 
 def status_of(answer: CompleteAnswer) -> int:
-    """The status of an answer."""
+    """The status code of an answer."""
     return int(answer.status_line[9:12])
 
 
 def format_seconds(seconds: float) -> bytes:
-    """Seconds rounded up to hundredths."""
+    """Formats seconds, rounded up to hundredths."""
     return f"{math.ceil(seconds * 100) / 100:.2f}".encode()
 
 
-# ---- final answers to requests without one of a worker: 503 promises that it has not run, 502 and 504 don't
-
-
-def refused(decision: Refuse) -> CompleteAnswer:
-    """No worker took it, or it is harmless to repeat."""
+def refused_answer(decision: Refuse) -> CompleteAnswer:
+    """The answer to a request that has not run, or that may be repeated."""
     message = f"not served: {decision.reason.name.lower()}"
     return error_answer(503, ErrorCode.OVERLOADED, message, decision.retry_after_s)
 
 
-def failed(decision: Fail) -> CompleteAnswer:
-    """Its last attempt may have run."""
+def failed_answer(decision: Fail) -> CompleteAnswer:
+    """The answer to a request whose last attempt may have run."""
     code = ErrorCode.RETRY_BUDGET if decision.reason is FailReason.BUDGET else ErrorCode.WORKER_FAILED
     return error_answer(502, code, "the worker failed")
 
 
-def worker_failed() -> CompleteAnswer:
-    """The worker's answer cannot be passed on."""
+def worker_failed_answer() -> CompleteAnswer:
+    """The answer in place of a worker's answer that must not be forwarded."""
     return error_answer(502, ErrorCode.WORKER_FAILED, "the worker failed")
 
 
-def expired(*, ran: bool) -> CompleteAnswer:
-    """Its time is over."""
-    if ran:
+def expired_answer(*, may_have_run: bool) -> CompleteAnswer:
+    """The answer to a request whose deadline has passed."""
+    if may_have_run:
         return error_answer(504, ErrorCode.DEADLINE, "no answer in time")
     return error_answer(503, ErrorCode.DEADLINE, "no worker in time", 0.0)
 
 
 def unconfirmed_key_answer() -> CompleteAnswer:
-    """Its key may have been taken away; it has not run."""
-    message = "whether the key still counts is not certain"
-    return error_answer(503, ErrorCode.KEY_IN_DOUBT, message, KEY_IN_DOUBT_RETRY_S)
+    """The answer to a request that has not run and whose key may have been revoked."""
+    message = "the scheduler cannot confirm that the key is still valid"
+    return error_answer(503, ErrorCode.KEY_IN_DOUBT, message, UNCONFIRMED_KEY_RETRY_S)
 
 
-def process_ends(*, ran: bool) -> CompleteAnswer:
-    """This process ends first."""
-    if ran:
-        return error_answer(502, ErrorCode.SHUTTING_DOWN, "the scheduler ends")
-    return error_answer(503, ErrorCode.SHUTTING_DOWN, "the scheduler ends", 0.0)
+def shutdown_answer(*, may_have_run: bool) -> CompleteAnswer:
+    """The answer to a request that is unfinished when the process ends."""
+    if may_have_run:
+        return error_answer(502, ErrorCode.SHUTTING_DOWN, "the scheduler is shutting down")
+    return error_answer(503, ErrorCode.SHUTTING_DOWN, "the scheduler is shutting down", 0.0)
--- a/reedspoke/data_plane/client_connection.py
+++ b/reedspoke/data_plane/client_connection.py
@@ -1,4 +1,4 @@
-"""One connection of a client: reads requests one after another and writes their answers."""
+"""One connection of a client: reads one request at a time and writes its answer."""
 
 from __future__ import annotations
 
@@ -17,52 +17,65 @@
 
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 LAST_CHUNK = b"0\r\n\r\n"
-WITHOUT_BODY = (b"204", b"304")  # statuses
+STATUSES_WITHOUT_BODY = (b"204", b"304")
 DEFAULT_HEADER_BYTES = 16 * 1024
 DEFAULT_BODY_BYTES = 4 * 1024 * 1024
 DEFAULT_HEADER_TIMEOUT_MS = 10_000.0
 DEFAULT_IDLE_TIMEOUT_MS = 60_000.0
 BODY_TIMEOUT_S = 30.0
-MOST_UNREAD_BEHIND = 64 * 1024  # bytes that may come behind a request before its answer has ended
-LINGER_S = 1.0  # what a client still sends after its last answer is read and forgotten for so long,
-MOST_DISCARDED = 16 * 1024 * 1024  # and so much of it: a reset at once could destroy that answer
+MAX_PIPELINED_BYTES = 64 * 1024  # Beyond so many bytes after a request, reading pauses until its answer ends.
+# After the last answer, what the client still sends is read and discarded up to these limits: an immediate
+# reset could destroy that answer.
+LINGER_S = 1.0
+MAX_DISCARDED_BYTES = 16 * 1024 * 1024
 
 
 class ClientRequest(Struct, frozen=True):
-    """A whole request, as it was read."""
+    """A complete request."""
 
     head: Head
     body: bytes
-    first_byte_at: float  # when its first bytes came, on the loop's clock: its time limits run from there
+    first_byte_at: float  # On the loop's clock; the time limits of the request start here.
 
 
 class RequestHandler(Protocol):
-    """What handles a request, from the moment it was read."""
+    """Handles a request that was read completely."""
 
-    def client_disconnected(self) -> None: ...
+    def client_disconnected(self) -> None:
+        """The client has disconnected before the end of the answer."""
 
-    def set_writable(self, writable: bool) -> None: ...
+    def set_writable(self, writable: bool) -> None:
+        """The write buffer of the connection is full, or has space again."""
 
 
 class Frontend(Protocol):
-    """What the connections of clients belong to."""
+    """The owner of all client connections."""
 
-    def limits(self) -> RequestLimits: ...
+    def limits(self) -> RequestLimits:
+        """The limits of requests in the configuration in force."""
 
-    def is_shutting_down(self) -> bool: ...
+    def is_shutting_down(self) -> bool:
+        """Whether the process is shutting down, so that connections close after their answer."""
 
-    def handle_request(self, request: ClientRequest, connection: ClientConnection) -> RequestHandler: ...
+    def handle_request(self, request: ClientRequest, connection: ClientConnection) -> RequestHandler:
+        """Starts to handle a complete request."""
 
-    def connection_opened(self, connection: ClientConnection) -> None: ...
+    def connection_opened(self, connection: ClientConnection) -> None:
+        """A client has connected."""
 
-    def connection_closed(self, connection: ClientConnection) -> None: ...
+    def connection_closed(self, connection: ClientConnection) -> None:
+        """The connection has ended."""
 
-    def request_unreadable(self, status: int, message: str, peer: str) -> None: ...
+    def request_unreadable(self, status: int, message: str, peer: str) -> None:
+        """A request was refused with `status` before it was read completely."""
 
 
 class ClientConnection(asyncio.BufferedProtocol):
-    """States: waiting for a request, reading one, answering one, and, where unread bytes are left behind the
-    last answer, discarding them. What comes behind a request waits in the buffer."""
+    """A connection of a client.
+
+    It waits for a request, reads it, answers it, and starts again. If unread bytes follow the last request,
+    it discards them before it closes. Bytes of pipelined requests stay in the buffer until the answer ends.
+    """
 
     def __init__(self, frontend: Frontend, loop: asyncio.AbstractEventLoop) -> None:
         self._frontend = frontend
@@ -71,34 +84,37 @@
         self._requests = Requests(self._buffer, DEFAULT_BODY_BYTES)
         self._transport: asyncio.Transport | None = None
         self._head: Head | None = None
-        self._exchange: RequestHandler | None = None
+        self._handler: RequestHandler | None = None
         self._keep_alive = True
         self._chunked = False
-        self._streaming = False  # the head of a stream has been written, and its end has not
+        self._streaming = False  # The head of a stream was written, but not its end.
         self._answering = False
-        self._older = False  # the request is of HTTP/1.0: its client knows no chunks
-        self._head_only = False  # it is a HEAD: its answer has no body
-        self._first_byte_at = loop.time()  # of the request that is read, or that waits behind an answer
-        self._head_begun = False  # the time limit for a head runs from its first bytes
-        self._refused = False  # the rest of the request that was refused is still on its way
-        self._closing: LingeringClose | None = None  # the last answer is written
+        self._is_http_1_0 = False  # A client that does not support chunked coding.
+        self._head_only = False  # A HEAD request: its answer has no body.
+        self._first_byte_at = loop.time()  # Of the request being read, or pipelined after it.
+        self._head_started = False  # Whether the time limit of the head has started.
+        self._request_unread = False  # A request was refused before it was read completely.
+        self._closing: LingeringClose | None = None  # Set once the last answer is written.
         self._timer: asyncio.TimerHandle | None = None
 
     # ---- asyncio ----
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Sets the options of the socket, and waits for the first request."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         transport.get_extra_info("socket").setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self._frontend.connection_opened(self)
-        self._wait(self._idle_timeout())
+        self._start_timer(self._idle_timeout())
 
     def get_buffer(self, sizehint: int) -> memoryview:
+        """The space for the next received bytes."""
         if self._head is not None and not self._answering:
             return self._buffer.room(self._requests.wanted())
         return self._buffer.room()
 
     def buffer_updated(self, nbytes: int) -> None:
+        """Parses the received bytes. While an answer is being written, they stay in the buffer."""
         if self._closing is not None:
             self._closing.discard(nbytes)
             return
@@ -106,35 +122,39 @@
             self._first_byte_at = self._loop.time()
         self._buffer.filled(nbytes)
         if self._answering:
-            if len(self._buffer) > MOST_UNREAD_BEHIND and self._transport is not None:
+            if len(self._buffer) > MAX_PIPELINED_BYTES and self._transport is not None:
                 self._transport.pause_reading()
             return
         self._read()
 
     def eof_received(self) -> bool:
+        """Closes the connection, as a client that closed its side counts as disconnected."""
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Handles the end of the connection."""
         self._stop_timer()
-        exchange = self._exchange
-        self._exchange = None
+        handler = self._handler
+        self._handler = None
         self._transport = None
-        if exchange is not None:
-            exchange.client_disconnected()
+        if handler is not None:
+            handler.client_disconnected()
         self._frontend.connection_closed(self)
 
     def pause_writing(self) -> None:
-        if self._exchange is not None:
-            self._exchange.set_writable(False)
+        """Notifies the request handler that the write buffer is full."""
+        if self._handler is not None:
+            self._handler.set_writable(False)
 
     def resume_writing(self) -> None:
-        if self._exchange is not None:
-            self._exchange.set_writable(True)
+        """Notifies the request handler that the write buffer has space again."""
+        if self._handler is not None:
+            self._handler.set_writable(True)
 
     # ---- requests ----
 
     def is_idle(self) -> bool:
-        """Whether nothing of a request has been read."""
+        """Whether the connection waits for a request of which nothing was read yet."""
         reading = self._head is not None or len(self._buffer) > 0
         return not (reading or self._answering or self._closing is not None)
 
@@ -153,44 +173,44 @@
         if body is None:
             return
         request = ClientRequest(self._head, bytes(body), self._first_byte_at)
-        self._first_byte_at = self._loop.time()  # what is left in the buffer came just now
+        self._first_byte_at = self._loop.time()  # Bytes left in the buffer have just arrived.
         self._stop_timer()
         self._head = None
         self._answering = True
         self._keep_alive = request.head.keeps_alive()
-        self._older = request.head.version == 0
+        self._is_http_1_0 = request.head.version == 0
         self._head_only = request.head.method == b"HEAD"
-        exchange = self._frontend.handle_request(request, self)
+        handler = self._frontend.handle_request(request, self)
         if self._answering:
-            self._exchange = exchange
+            self._handler = handler
 
     def _read_head(self) -> None:
         limit = self._frontend.limits().get("max_header_bytes", DEFAULT_HEADER_BYTES)
         self._requests.most_head = limit
-        first_bytes = len(self._buffer)
+        unread_bytes = len(self._buffer)
         head = self._requests.head()
         if head is None:
-            if first_bytes > limit:
+            if unread_bytes > limit:
                 raise MalformedError(431, "the head is too large")
-            if first_bytes and not self._head_begun:
-                self._head_begun = True
-                self._wait(self._header_timeout())
+            if unread_bytes and not self._head_started:
+                self._head_started = True
+                self._start_timer(self._header_timeout())
             return
-        self._head_begun = False
-        if first_bytes - len(self._buffer) > limit:
+        self._head_started = False
+        if unread_bytes - len(self._buffer) > limit:
             raise MalformedError(431, "the head is too large")
         if head.get(b"host") is None:
-            raise MalformedError(400, "there is no host field")
+            raise MalformedError(400, "the Host field is missing")
         length = head.length()
         self._requests.most_body = self._frontend.limits().get("max_body_bytes", DEFAULT_BODY_BYTES)
         self._requests.expect(0 if length is None else length)
         self._head = head
-        self._wait(BODY_TIMEOUT_S)
+        self._start_timer(BODY_TIMEOUT_S)
         if head.tokens(b"expect") == [b"100-continue"] and self._transport is not None:
             self._transport.write(CONTINUE)
 
     def _refuse_malformed(self, error: MalformedError) -> None:
-        self._answering = self._refused = True
+        self._answering = self._request_unread = True
         self._keep_alive = self._head_only = False
         too_large = error.status in (413, 431)
         code = ErrorCode.REQUEST_TOO_LARGE if too_large else ErrorCode.MALFORMED_REQUEST
@@ -200,49 +220,51 @@
     # ---- answers ----
 
     def send_answer(self, answer: CompleteAnswer) -> None:
-        """Write an answer with its whole body."""
+        """Writes a complete answer."""
         self._check_answered_once("whole")
         fields, body = answer.fields, answer.body
-        if self._head_only or answer.status_line[9:12] in WITHOUT_BODY:
+        if self._head_only or answer.status_line[9:12] in STATUSES_WITHOUT_BODY:
             body = b""
         else:
             fields += b"Content-Length: %d\r\n" % len(body)
         self._write(answer.status_line + fields + self._connection_field() + b"\r\n" + body)
-        self._end_answer()
+        self._finish_answer()
 
-    def begin_stream(self, status_line: bytes, fields: bytes, first: bytes) -> None:
-        """Write the head of an answer whose body comes in pieces, with its first piece."""
+    def start_stream(self, status_line: bytes, fields: bytes, first: bytes) -> None:
+        """Writes the head of an answer whose body follows in pieces, and the first piece."""
         self._check_answered_once("stream")
         self._streaming = True
-        self._chunked = not (self._older or self._head_only)
-        if self._older:
-            self._keep_alive = False  # its body ends with the connection
+        self._chunked = not (self._is_http_1_0 or self._head_only)
+        if self._is_http_1_0:
+            self._keep_alive = False  # The end of the connection delimits the body.
         coding = b"Transfer-Encoding: chunked\r\n" if self._chunked else b""
-        self._write(status_line + fields + coding + self._connection_field() + b"\r\n" + self._coded(first))
+        self._write(
+            status_line + fields + coding + self._connection_field() + b"\r\n" + self._encode_piece(first)
+        )
 
     def write_piece(self, piece: bytes) -> None:
-        """Write a piece of the body."""
-        self._write(self._coded(piece))
+        """Writes a piece of the body."""
+        self._write(self._encode_piece(piece))
 
     def end_stream(self) -> None:
-        """The body is whole."""
+        """Ends the body of a stream that is complete."""
         if self._chunked:
             self._write(LAST_CHUNK)
-        self._end_answer()
+        self._finish_answer()
 
-    def _coded(self, piece: bytes) -> bytes:
+    def _encode_piece(self, piece: bytes) -> bytes:
         if self._head_only or not piece:
             return b""
         return chunk(piece) if self._chunked else piece
 
     def abort(self) -> None:
-        """Break the connection off: an answer that has begun is seen to be not whole."""
-        self._exchange = None
+        """Resets the connection, so that the client sees that a started answer is incomplete."""
+        self._handler = None
         if self._transport is not None:
             self._transport.abort()
 
     def close_if_idle(self) -> None:
-        """For the end of the process: close where no request has been read."""
+        """Closes the connection at process shutdown, unless a request is being read or answered."""
         if self.is_idle() and self._transport is not None:
             self._transport.close()
 
@@ -252,7 +274,7 @@
 
     def _connection_field(self) -> bytes:
         if self._keep_alive and not self._frontend.is_shutting_down():
-            return b"Connection: keep-alive\r\n" if self._older else b""
+            return b"Connection: keep-alive\r\n" if self._is_http_1_0 else b""
         self._keep_alive = False
         return b"Connection: close\r\n"
 
@@ -261,13 +283,13 @@
         check(Invariant.ONE_FINAL_ANSWER, once, form=form, answering=self._answering)
 
     def _peer(self) -> str:
-        """Address of the client, as far as it is known."""
+        """The address of the client; empty if unknown."""
         found = None if self._transport is None else self._transport.get_extra_info("peername")
         return "" if found is None else f"{found[0]}:{found[1]}"
 
-    def _end_answer(self) -> None:
+    def _finish_answer(self) -> None:
         self._streaming = False
-        self._exchange = None
+        self._handler = None
         self._answering = False
         self._chunked = False
         if self._transport is None:
@@ -277,18 +299,18 @@
             return
         self._transport.resume_reading()
         self._buffer.recycle()
-        self._wait(self._idle_timeout())
+        self._start_timer(self._idle_timeout())
         if len(self._buffer):
             self._loop.call_soon(self._read_next)
 
     def _close(self) -> None:
-        """End the connection so that the client can read its answer, whatever it still sends."""
+        """Closes the connection so that the client can read its answer, whatever it still sends."""
         assert self._transport is not None
-        if not (self._refused or len(self._buffer)):
+        if not (self._request_unread or len(self._buffer)):
             self._transport.close()
             return
-        self._wait(LINGER_S)
-        self._closing = LingeringClose(self._transport, MOST_DISCARDED)
+        self._start_timer(LINGER_S)
+        self._closing = LingeringClose(self._transport, MAX_DISCARDED_BYTES)
         self._closing.begin()
 
     def _read_next(self) -> None:
@@ -303,7 +325,7 @@
     def _header_timeout(self) -> float:
         return self._frontend.limits().get("header_timeout_ms", DEFAULT_HEADER_TIMEOUT_MS) / 1000
 
-    def _wait(self, seconds: float) -> None:
+    def _start_timer(self, seconds: float) -> None:
         self._stop_timer()
         self._timer = self._loop.call_later(seconds, self._timed_out)
 
@@ -319,13 +341,13 @@
         if self.is_idle() or self._closing is not None:
             self._transport.close()
             return
-        self._answering = self._refused = True
+        self._answering = self._request_unread = True
         self._keep_alive = False
-        message = "the request came too slowly"
+        message = "the request was not received in time"
         self._frontend.request_unreadable(408, message, self._peer())
         self.send_answer(error_answer(408, ErrorCode.MALFORMED_REQUEST, message))
 
 
 def chunk(piece: bytes) -> bytes:
-    """A piece of a body in the chunked transfer coding."""
+    """Encodes a piece of a body in the chunked transfer coding."""
     return b"%x\r\n%b\r\n" % (len(piece), piece)
--- a/reedspoke/data_plane/client_response.py
+++ b/reedspoke/data_plane/client_response.py
@@ -1,4 +1,4 @@
-"""What the client of one request gets: a whole answer, or a stream that several attempts may write to."""
+"""The answer to one client request: a complete answer, or a stream that several attempts may continue."""
 
 from __future__ import annotations
 
@@ -10,50 +10,50 @@
 
 
 class ClientResponse:
-    """Writes to the client's connection as long as there is one, and ends only once."""
+    """Writes the answer to the client's connection while the client is connected, and ends it only once."""
 
     def __init__(self, client: ClientConnection, last_event_id: str) -> None:
-        self.begun = False  # a stream's head has been written
-        self.last_event_id = last_event_id  # a worker that goes on with the stream begins behind it
+        self.started = False  # Whether the head of a stream has been written.
+        self.last_event_id = last_event_id  # A resumed stream continues after this event.
         self._client: ClientConnection | None = client
-        self._has_event_id = False  # of an event that was passed on
+        self._has_event_id = False  # Whether a forwarded event had an id.
 
     @property
     def resumable(self) -> bool:
-        """Whether another run can be told where to go on."""
-        return not self.begun or self._has_event_id
+        """Whether another attempt can continue the answer: nothing was forwarded, or events with an id."""
+        return not self.started or self._has_event_id
 
-    def pass_on(self, status: int, fields: bytes, events: bytes, last_id: str) -> None:
-        """Whole events; the first ones bring their answer's head along."""
+    def forward_events(self, status: int, fields: bytes, events: bytes, last_id: str) -> None:
+        """Writes complete events; the first call also writes the head of the answer."""
         if last_id:
             self.last_event_id = last_id
             self._has_event_id = True
-        if self.begun:
+        if self.started:
             if self._client is not None:
                 self._client.write_piece(events)
             return
-        self.begun = True
+        self.started = True
         if self._client is not None:
-            self._client.begin_stream(status_line(status), fields, events)
+            self._client.start_stream(status_line(status), fields, events)
 
     def end_stream(self) -> None:
-        """The stream is whole."""
+        """Ends a stream that is complete."""
         self._finish(lambda client: client.end_stream())
 
-    def break_off(self) -> None:
-        """The stream is not whole, and is seen to be so."""
+    def abort(self) -> None:
+        """Aborts the connection, so that the client sees that the stream is incomplete."""
         self._finish(lambda client: client.abort())
 
-    def answer(self, answer: CompleteAnswer) -> None:
-        """The whole answer."""
+    def send_answer(self, answer: CompleteAnswer) -> None:
+        """Writes a complete answer."""
         self._finish(lambda client: client.send_answer(answer))
 
     def client_disconnected(self) -> None:
-        """The client has left: nothing more is written."""
+        """Discards all further output, as the client has disconnected."""
         self._client = None
 
     def _finish(self, write: Callable[[ClientConnection], None]) -> None:
-        """Write the last of it. A client that could not be given it must not wait for it either."""
+        """Makes the last write. If it fails, the connection is aborted, so that the client does not wait."""
         client = self._client
         self._client = None
         if client is None:
--- a/reedspoke/data_plane/event_stream.py
+++ b/reedspoke/data_plane/event_stream.py
@@ -1,4 +1,4 @@
-"""Cuts a server-sent event stream into whole events: what reaches a client ends between two of them."""
+"""Splits a stream of server-sent events, so that only complete events are forwarded to clients."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 
 SEPARATOR = b"\n\n"
 ID_FIELD = b"id:"
-MOST_PENDING = 1024 * 1024  # bytes of one event
+MAX_EVENT_BYTES = 1024 * 1024
 
 
 class EventTooLargeError(FleetError):
-    """An event is longer than MOST_PENDING."""
+    """An event of a stream is longer than MAX_EVENT_BYTES."""
 
     def __init__(self) -> None:
-        super().__init__(ErrorCode.EVENT_TOO_LARGE, f"an event of more than {MOST_PENDING} bytes")
+        super().__init__(ErrorCode.EVENT_TOO_LARGE, f"an event is longer than {MAX_EVENT_BYTES} bytes")
 
 
 class Events(Struct, frozen=True):
-    """Whole events, as bytes to pass on, their number and the id of the last one that has an id."""
+    """Complete events: their bytes, their number, and the last event id among them; empty if none has one."""
 
     data: bytes
     count: int
@@ -27,34 +27,37 @@
 
 
 class EventSplitter:
-    """Takes the pieces of a body as they come."""
+    """Collects the pieces of a body and returns the events that they complete."""
 
     def __init__(self) -> None:
         self._pending = bytearray()
 
     def feed(self, piece: bytes | memoryview) -> Events | None:
-        """The events that are whole by now; None where there is no new one."""
+        """Adds a piece; returns the newly complete events, or None without one.
+
+        Raises EventTooLargeError if an incomplete event is too long.
+        """
         self._pending += piece
         end = self._pending.rfind(SEPARATOR)
         if end < 0:
-            if len(self._pending) > MOST_PENDING:
+            if len(self._pending) > MAX_EVENT_BYTES:
                 raise EventTooLargeError
             return None
-        whole = bytes(self._pending[: end + len(SEPARATOR)])
+        complete = bytes(self._pending[: end + len(SEPARATOR)])
         del self._pending[: end + len(SEPARATOR)]
-        return Events(whole, whole.count(SEPARATOR), last_event_id(whole))
+        return Events(complete, complete.count(SEPARATOR), last_event_id(complete))
 
-    def pending(self) -> int:
-        """Bytes of an event that is not whole."""
+    def pending_bytes(self) -> int:
+        """The number of bytes of the incomplete event."""
         return len(self._pending)
 
-    def rest(self) -> bytes:
-        """What stands behind the last whole event."""
+    def remainder(self) -> bytes:
+        """The bytes after the last complete event."""
         return bytes(self._pending)
 
 
 def first_event_id(events: bytes) -> str:
-    """The id of the first event that has one, else an empty text."""
+    """The id of the first event that has one; empty without one."""
     for line in events.split(b"\n"):
         if line.startswith(ID_FIELD):
             return line[len(ID_FIELD) :].strip().decode("latin-1")
@@ -62,7 +65,7 @@
 
 
 def last_event_id(events: bytes) -> str:
-    """The id of the last event that has one, else an empty text."""
+    """The id of the last event that has one; empty without one."""
     found = events.rfind(b"\n" + ID_FIELD)
     start = found + 1 if found >= 0 else (0 if events.startswith(ID_FIELD) else -1)
     if start < 0:
--- a/reedspoke/data_plane/exchange.py
+++ b/reedspoke/data_plane/exchange.py
@@ -1,7 +1,7 @@
-"""One request of a client, from the moment it was read until its answer has ended.
+"""One client request and its attempts at workers, from the read request to the end of its answer.
 
-An exchange does what the dispatcher decides and reports what it sees. What was seen becomes an `Evidence`,
-and `decision.attempt_fate` alone says what that proves.
+An exchange executes the decisions of the dispatcher and reports what it observes of each attempt as an
+`Evidence`. Only `decision.attempt_fate` decides what an evidence proves.
 """
 
 from __future__ import annotations
@@ -12,13 +12,13 @@
 from reedspoke.data_plane.answer_reader import SUCCESS_STATUS
 from reedspoke.data_plane.answers import (
     CompleteAnswer,
-    expired,
-    failed,
-    process_ends,
-    refused,
+    expired_answer,
+    failed_answer,
+    refused_answer,
+    shutdown_answer,
     status_of,
     unconfirmed_key_answer,
-    worker_failed,
+    worker_failed_answer,
 )
 from reedspoke.data_plane.attempt import Attempt
 from reedspoke.data_plane.client_connection import ClientConnection, ClientRequest
@@ -33,7 +33,7 @@
     check_success,
     check_tenant,
 )
-from reedspoke.data_plane.exchange_owner import Owner, isolated
+from reedspoke.data_plane.exchange_owner import ExchangeOwner, contain_errors
 from reedspoke.data_plane.headers import NOT_EXECUTED, RESPONSE_SEAL, forwarded_answer_fields, status_line
 from reedspoke.data_plane.permit import Permit
 from reedspoke.data_plane.request_trace import RequestOutcome, RequestTrace
@@ -47,17 +47,17 @@
 from reedspoke.decision.messages import Expire, Fail, Job, Refuse, WorkerEntry
 from reedspoke.net.http import Head
 
-MOST_WHOLE_ANSWER = 8 * 1024 * 1024  # bytes of an answer that is read whole before it is passed on
-SUCCESS = 200
-KEY_IN_DOUBT = "key in doubt"
+MAX_BUFFERED_ANSWER_BYTES = 8 * 1024 * 1024  # Answers other than streams are buffered before forwarding.
+STATUS_OK = 200
+KEY_IN_DOUBT_REASON = "key in doubt"
 
 
 class Exchange:
-    """Listens to the worker's answer, and has the client's written."""
+    """Sends a request to workers, one attempt at a time, and forwards a worker's answer to the client."""
 
     def __init__(
         self,
-        owner: Owner,
+        owner: ExchangeOwner,
         loop: asyncio.AbstractEventLoop,
         pool: UpstreamPool,
         request: ClientRequest,
@@ -77,25 +77,30 @@
         self._response = ClientResponse(client, self._request.last_event_id)
         self._attempt: Attempt | None = None
         self._attempts = 0
-        self._answer: CompleteAnswer | None = None  # a worker's error, kept while other workers are tried
-        self._ran = False  # whether an attempt that has ended may have run
-        self._client_full = False  # its end takes no more for now
+        # The latest worker error that may be forwarded, kept in case all further attempts fail.
+        self._last_error_answer: CompleteAnswer | None = None
+        self._earlier_may_have_run = False  # Whether an attempt that has ended may have run.
+        self._client_paused = False  # The write buffer towards the client is full.
         self.trace = RequestTrace(self._request.attempt_id) if trace is None else trace
 
-    # ---- what the dispatcher decides ----
+    # ---- decisions of the dispatcher ----
 
-    @isolated
+    @contain_errors
     def send(self, worker: WorkerEntry, urgency: int | None = None, avoided: tuple[str, ...] = ()) -> None:
-        """Begin an attempt at a worker, chosen while these others were avoided."""
-        if not self._response.resumable:  # another run would begin at the first event again
-            self._response.break_off()
-            self._ended(RequestOutcome.BROKEN_OFF, 0, "its events have no ids to go on behind")
-            self._owner.called_off(self)
+        """Starts an attempt at a worker.
+
+        `avoided` are the suspected workers that the choice avoided. A stream that cannot be resumed is
+        aborted, because another run would start again at the first event.
+        """
+        if not self._response.resumable:
+            self._response.abort()
+            self._record_end(RequestOutcome.BROKEN_OFF, 0, "the stream has no event ids to resume after")
+            self._owner.exchange_aborted(self)
             return
         self._attempts += 1
         now = self._loop.time()
-        self.trace.began(worker.instance_id, worker.address, self._age_ms(), avoided)
-        self._attempt = Attempt(worker, self._attempts, urgency, self._request.version_asked, now, now)
+        self.trace.attempt_started(worker.instance_id, worker.address, self._age_ms(), avoided)
+        self._attempt = Attempt(worker, self._attempts, urgency, self._request.version_requested, now, now)
         connection = self._pool.take_idle(worker.instance_id)
         if connection is not None:
             self._transmit(connection)
@@ -103,93 +108,107 @@
         number = self._attempts
         self._pool.connect(worker.address, lambda result: self._connected(number, worker, result))
 
-    @isolated
+    @contain_errors
     def refuse(self, decision: Refuse) -> None:
-        """Give a final answer: not run, or harmless to repeat."""
-        self._end_with(self._answer or refused(decision), RequestOutcome.REFUSED, decision.reason.name)
+        """Sends the final answer to a request that has not run or may be repeated."""
+        self._finish_with(
+            self._last_error_answer or refused_answer(decision), RequestOutcome.REFUSED, decision.reason.name
+        )
 
-    @isolated
+    @contain_errors
     def fail(self, decision: Fail) -> None:
-        """Give a final answer that promises nothing."""
-        self._end_with(self._answer or failed(decision), RequestOutcome.FAILED, decision.reason.name)
+        """Sends the final answer to a request that may have run and must not be repeated."""
+        self._finish_with(
+            self._last_error_answer or failed_answer(decision), RequestOutcome.FAILED, decision.reason.name
+        )
 
-    @isolated
+    @contain_errors
     def expire(self, decision: Expire) -> None:
-        """The time for the request is over."""
-        self._call_off()
-        self._end_with(expired(ran=decision.may_have_run), RequestOutcome.EXPIRED, "deadline")
-
-    @isolated
-    def give_up_attempt(self) -> None:
-        """The worker is silent: call the attempt off, and say so."""
+        """Cancels the attempt and sends the final answer, as the deadline has passed."""
+        self._cancel_attempt()
+        self._finish_with(
+            expired_answer(may_have_run=decision.may_have_run), RequestOutcome.EXPIRED, "deadline"
+        )
+
+    @contain_errors
+    def time_out_attempt(self) -> None:
+        """Ends the attempt in flight, which has timed out without data from the worker."""
         if self._attempt is not None:
-            self._end_attempt(Ending.SILENCE)
+            self._abort_attempt(Ending.SILENCE)
 
     @property
-    def stream_begun(self) -> bool:
-        """Whether the client has got a part of a stream."""
-        return self._response.begun
+    def stream_started(self) -> bool:
+        """Whether a part of a stream has been forwarded to the client."""
+        return self._response.started
 
     def worker(self) -> WorkerEntry | None:
-        """The worker of the attempt that is out."""
+        """The worker of the attempt in flight; None without one."""
         return None if self._attempt is None else self._attempt.worker
 
     def open_attempt(self) -> OpenAttempt | None:
-        """What tells whether the attempt that is out is overdue, or has gone silent."""
+        """The attempt in flight, for the checks of time-outs and deadlines; None without one.
+
+        While the client's buffer is full nothing is read from the worker, so the attempt does not time out.
+        """
         attempt = self._attempt
         if attempt is None:
             return None
-        heard_at = self._loop.time() if self._client_full else attempt.heard_at
-        return attempt.open(self.job, self.route.pause, heard_at, may_have_run=self._may_have_run())
+        last_received_at = self._loop.time() if self._client_paused else attempt.last_received_at
+        return attempt.as_open_attempt(
+            self.job, self.route.pause, last_received_at, may_have_run=self._may_have_run()
+        )
 
-    @isolated
+    @contain_errors
     def shut_down(self) -> None:
-        """The process ends: a request without an answer gets one, a stream is broken off."""
-        ran = self._may_have_run()
-        self._call_off()
-        answer = self._answer or process_ends(ran=ran)
-        self._end_with(answer, RequestOutcome.PROCESS_ENDED, "shutting down")
+        """Ends the request at process shutdown: sends a final answer, or aborts a stream that has started."""
+        may_have_run = self._may_have_run()
+        self._cancel_attempt()
+        answer = self._last_error_answer or shutdown_answer(may_have_run=may_have_run)
+        self._finish_with(answer, RequestOutcome.PROCESS_ENDED, "shutting down")
 
     def _may_have_run(self) -> bool:
         attempt = self._attempt
-        return self._ran or attempt is not None and attempt.bytes_sent
+        return self._earlier_may_have_run or attempt is not None and attempt.bytes_sent
 
-    # ---- the client's connection ----
+    # ---- events of the client's connection ----
 
-    @isolated
+    @contain_errors
     def client_disconnected(self) -> None:
+        """Cancels the request."""
         self._response.client_disconnected()
-        self._call_off()
-        self._ended(RequestOutcome.CLIENT_LEFT, 0, "")
-        self._owner.called_off(self)
+        self._cancel_attempt()
+        self._record_end(RequestOutcome.CLIENT_LEFT, 0, "")
+        self._owner.exchange_aborted(self)
 
-    @isolated
+    @contain_errors
     def set_writable(self, writable: bool) -> None:
-        self._client_full = not writable
+        """Pauses reading from the worker while the client's write buffer is full."""
+        self._client_paused = not writable
         attempt = self._attempt
         if attempt is None or attempt.connection is None:
             return
         if writable:
-            attempt.heard_at = self._loop.time()
+            attempt.last_received_at = self._loop.time()
             attempt.connection.resume()
         else:
             attempt.connection.pause()
 
     # ---- the attempt ----
 
-    @isolated
+    @contain_errors
     def _connected(self, number: int, worker: WorkerEntry, result: ConnectResult) -> None:
         attempt = self._attempt
         if attempt is None or attempt.number != number:
             if isinstance(result, UpstreamConnection):
-                self._pool.give_back(worker.instance_id, result)
+                self._pool.release(worker.instance_id, result)
             return
         if isinstance(result, ConnectFailure):
-            self._end_attempt(Ending.CONNECT_FAILED)
+            self._abort_attempt(Ending.CONNECT_FAILED)
             return
-        if not result.is_quiet():  # reset as it came up: nothing was sent on it, nor would its end be told
+        # It was reset while it was opened: nothing was sent, and no later event would report the end.
+        if not result.is_healthy():
             result.close()
-            self._end_attempt(Ending.CONNECT_FAILED)
+            self._abort_attempt(Ending.CONNECT_FAILED)
             return
         self._transmit(result)
 
@@ -197,30 +216,30 @@
         attempt = self._attempt
         assert attempt is not None
         if not self._permit.still_holds():
-            self._pool.give_back(attempt.worker.instance_id, connection)
-            self._withdraw()
+            self._pool.release(attempt.worker.instance_id, connection)
+            self._refuse_unconfirmed_key()
             return
         check_tenant(self._request, self._permit.tenant)
-        check_send(self.job, self.trace, attempt, ran=self._ran)
+        check_send(self.job, self.trace, attempt, may_have_run=self._earlier_may_have_run)
         self._check_drain(attempt)
         attempt.connection = connection
         attempt.bytes_sent = True
-        self.trace.sent(self._age_ms())
-        now = attempt.sent_at = attempt.heard_at = self._loop.time()
-        left_ms = max(1, int((self.job.deadline - now) * 1000))
+        self.trace.attempt_sent(self._age_ms())
+        now = attempt.sent_at = attempt.last_received_at = self._loop.time()
+        remaining_ms = max(1, int((self.job.deadline - now) * 1000))
         instance_id, urgency = attempt.worker.instance_id, attempt.urgency
-        raw = self._request.render(instance_id, left_ms, self._response.last_event_id, urgency)
+        raw = self._request.render(instance_id, remaining_ms, self._response.last_event_id, urgency)
         connection.send(raw, self._request.attempt_id, self, head_only=self._request.head_only)
-        if self._client_full:
+        if self._client_paused:
             connection.pause()
 
-    def _withdraw(self) -> None:
-        """The request's key has been taken away, or may have been, since it came."""
-        ran = self._may_have_run()
-        self._call_off()
-        answer = worker_failed() if ran else unconfirmed_key_answer()
-        self._conclude(answer, RequestOutcome.REFUSED, KEY_IN_DOUBT)
-        self._owner.called_off(self)
+    def _refuse_unconfirmed_key(self) -> None:
+        """Refuses a request whose key has been, or may have been, revoked since the request arrived."""
+        may_have_run = self._may_have_run()
+        self._cancel_attempt()
+        answer = worker_failed_answer() if may_have_run else unconfirmed_key_answer()
+        self._answer_or_abort(answer, RequestOutcome.REFUSED, KEY_IN_DOUBT_REASON)
+        self._owner.exchange_aborted(self)
 
     def _check_drain(self, attempt: Attempt) -> None:
         instance_id = attempt.worker.instance_id
@@ -228,172 +247,184 @@
         known_s = 0.0 if since is None else self._loop.time() - since
         check_drain(self._request.attempt_id, instance_id, known_s)
 
-    # ---- the worker's answer ----
+    # ---- events of the worker's answer ----
 
-    @isolated
+    @contain_errors
     def on_head(self, head: Head) -> None:
+        """Handles the head of the answer; a success without a worker's seal ends the attempt."""
         attempt = self._attempt
         assert attempt is not None
-        self._heard(attempt)
+        self._note_received(attempt)
         check_answer_head(self._request.attempt_id, head)
         attempt.status = head.status
         attempt.not_executed = head.get(NOT_EXECUTED) is not None
         attempt.fields = forwarded_answer_fields(head)
         if head.status in SUCCESS_STATUS and head.get(RESPONSE_SEAL) is None:
-            self._end_attempt(Ending.MALFORMED)  # no worker has sealed it: it may be anybody's answer
+            self._abort_attempt(Ending.MALFORMED)  # Without the seal it may not come from a worker.
             return
-        if head.status == SUCCESS and self.route.streaming:
+        if head.status == STATUS_OK and self.route.streaming:
             attempt.splitter = EventSplitter()
             return
         attempt.body = bytearray()
         if head.status in SUCCESS_STATUS:
-            self._started()
+            self._note_answer_started()
 
-    @isolated
+    @contain_errors
     def on_body(self, piece: memoryview) -> None:
+        """Forwards complete events of a stream; buffers any other body up to its limit."""
         attempt = self._attempt
         assert attempt is not None
-        self._heard(attempt)
+        self._note_received(attempt)
         if attempt.splitter is not None:
-            self._pass_events(attempt, attempt.splitter, piece)
+            self._forward_events(attempt, attempt.splitter, piece)
             return
         assert attempt.body is not None
         attempt.body += piece
-        if len(attempt.body) > MOST_WHOLE_ANSWER:
-            self._end_attempt(Ending.MALFORMED)
+        if len(attempt.body) > MAX_BUFFERED_ANSWER_BYTES:
+            self._abort_attempt(Ending.MALFORMED)
 
-    @isolated
+    @contain_errors
     def on_end(self, *, framed: bool) -> None:
+        """Handles a complete body.
+
+        `framed` is false if only the end of the connection delimits the body; a stream must then end at the
+        end of an event.
+        """
         attempt = self._attempt
         assert attempt is not None
         if attempt.connection is not None:
-            self._pool.give_back(attempt.worker.instance_id, attempt.connection)
+            self._pool.release(attempt.worker.instance_id, attempt.connection)
             attempt.connection = None
         if attempt.splitter is None:
-            self._end_of_body(attempt)
-        elif framed or not attempt.splitter.pending():
-            self._end_of_events(attempt, attempt.splitter)
+            self._handle_complete_body(attempt)
+        elif framed or not attempt.splitter.pending_bytes():
+            self._finish_stream(attempt, attempt.splitter)
         else:
-            self._end_attempt(Ending.CLOSED)  # in the middle of an event
+            self._abort_attempt(Ending.CLOSED)
 
-    @isolated
+    @contain_errors
     def on_failure(self, failure: Failure) -> None:
+        """Handles a connection that failed before the answer was complete."""
         attempt = self._attempt
         if attempt is None:
             return
         attempt.connection = None
-        self._end_attempt(Ending.MALFORMED if failure is Failure.MALFORMED else Ending.CLOSED)
+        self._abort_attempt(Ending.MALFORMED if failure is Failure.MALFORMED else Ending.CLOSED)
 
-    def _heard(self, attempt: Attempt) -> None:
-        attempt.heard_at = self._loop.time()
-        self._owner.progress(self)
+    def _note_received(self, attempt: Attempt) -> None:
+        attempt.last_received_at = self._loop.time()
+        self._owner.data_received(self)
 
-    def _started(self) -> None:
+    def _note_answer_started(self) -> None:
         attempt = self._attempt
         if attempt is not None and not attempt.started:
             attempt.started = True
-            self.trace.first_byte(self._age_ms())
-            self._owner.first_event(self)
+            self.trace.answer_started(self._age_ms())
+            self._owner.answer_started(self)
 
-    def _pass_events(self, attempt: Attempt, splitter: EventSplitter, piece: memoryview) -> None:
+    def _forward_events(self, attempt: Attempt, splitter: EventSplitter, piece: memoryview) -> None:
         try:
             events = splitter.feed(piece)
         except EventTooLargeError:
-            self._end_attempt(Ending.MALFORMED)
+            self._abort_attempt(Ending.MALFORMED)
             return
         if events is not None:
             self._check_events(attempt, events)
             check_success(self._request.attempt_id, attempt.status, attempt.fields)
-            self._response.pass_on(attempt.status, attempt.fields, events.data, events.last_id)
-            self._started()
+            self._response.forward_events(attempt.status, attempt.fields, events.data, events.last_id)
+            self._note_answer_started()
 
     def _check_events(self, attempt: Attempt, events: Events) -> None:
-        check_events(self._request.attempt_id, self._response.last_event_id, events, goes_on=attempt.started)
+        check_events(
+            self._request.attempt_id, self._response.last_event_id, events, same_attempt=attempt.started
+        )
         self.trace.last_event_id = events.last_id
 
-    def _end_of_events(self, attempt: Attempt, splitter: EventSplitter) -> None:
-        rest = splitter.rest()
-        if rest or not self._response.begun:
-            self._response.pass_on(attempt.status, attempt.fields, rest, last_event_id(rest))
-        if rest:
-            self._started()
+    def _finish_stream(self, attempt: Attempt, splitter: EventSplitter) -> None:
+        remainder = splitter.remainder()
+        if remainder or not self._response.started:
+            self._response.forward_events(attempt.status, attempt.fields, remainder, last_event_id(remainder))
+        if remainder:
+            self._note_answer_started()
         self._response.end_stream()
-        self._attempt_over(attempt.evidence(Ending.COMPLETE))
-        self._ended(RequestOutcome.SERVED, attempt.status, "")
-        self._owner.finished(self)
+        self._record_attempt_end(attempt.evidence(Ending.COMPLETE))
+        self._record_end(RequestOutcome.SERVED, attempt.status, "")
+        self._owner.exchange_finished(self)
 
-    def _end_of_body(self, attempt: Attempt) -> None:
+    def _handle_complete_body(self, attempt: Attempt) -> None:
         evidence = attempt.evidence(Ending.COMPLETE)
         answer = CompleteAnswer(status_line(attempt.status), attempt.fields, bytes(attempt.body or b""))
         if is_wrong_instance(evidence):
-            self._pool.forget(attempt.worker.instance_id)  # they all lead to another worker
-        use = action_for_answer(evidence, self.job.repeat, self._response.begun)
-        if use is AnswerAction.NOT_RUN:
-            self._attempt_over(evidence)
-        elif use is AnswerAction.RETRY:
-            self._answer = answer if may_forward(attempt.status) else self._answer
-            self._attempt_over(Evidence(Ending.MALFORMED, True, attempt.status))
+            self._pool.close_idle(attempt.worker.instance_id)  # They lead to another instance as well.
+        action = action_for_answer(evidence, self.job.repeat, self._response.started)
+        if action is AnswerAction.NOT_RUN:
+            self._record_attempt_end(evidence)
+        elif action is AnswerAction.RETRY:
+            self._last_error_answer = answer if may_forward(attempt.status) else self._last_error_answer
+            self._record_attempt_end(Evidence(Ending.MALFORMED, True, attempt.status))
         else:
-            self._attempt_over(Evidence(Ending.COMPLETE, True, attempt.status))
-            self._end_with_worker_s(answer, use)
+            self._record_attempt_end(Evidence(Ending.COMPLETE, True, attempt.status))
+            self._finish_with_worker_answer(answer, action)
 
-    def _end_with_worker_s(self, answer: CompleteAnswer, use: AnswerAction) -> None:
-        if use is AnswerAction.FORWARD:
+    def _finish_with_worker_answer(self, answer: CompleteAnswer, action: AnswerAction) -> None:
+        if action is AnswerAction.FORWARD:
             check_success(self._request.attempt_id, status_of(answer), answer.fields)
-            self._end_with(answer, RequestOutcome.SERVED, "")
+            self._finish_with(answer, RequestOutcome.SERVED, "")
         else:
-            self._end_with(worker_failed(), RequestOutcome.FAILED, "the worker's answer cannot be passed on")
+            self._finish_with(
+                worker_failed_answer(), RequestOutcome.FAILED, "the worker's answer must not be forwarded"
+            )
 
-    def _end_attempt(self, ending: Ending) -> None:
+    def _abort_attempt(self, ending: Ending) -> None:
         attempt = self._attempt
         assert attempt is not None
         if attempt.connection is not None:
             attempt.connection.close()
-        self._attempt_over(attempt.evidence(ending))
+        self._record_attempt_end(attempt.evidence(ending))
 
-    def _attempt_over(self, evidence: Evidence) -> None:
+    def _record_attempt_end(self, evidence: Evidence) -> None:
         self._attempt = None
         self.trace.attempt_ended(evidence, self._age_ms())
-        self._ran = self._ran or fate_of(evidence) is not Fate.NEVER_RAN
+        self._earlier_may_have_run = self._earlier_may_have_run or fate_of(evidence) is not Fate.NEVER_RAN
         self._owner.attempt_ended(self, evidence)
 
-    def _call_off(self) -> None:
+    def _cancel_attempt(self) -> None:
         attempt = self._attempt
         self._attempt = None
         if attempt is None:
             return
-        self._ran = self._ran or attempt.bytes_sent
+        self._earlier_may_have_run = self._earlier_may_have_run or attempt.bytes_sent
         self.trace.attempt_ended(attempt.evidence(Ending.ABANDONED), self._age_ms())
         if attempt.connection is not None:
             attempt.connection.close()
 
-    # ---- the end ----
+    # ---- the end of the request ----
 
-    def _end_with(self, answer: CompleteAnswer, outcome: RequestOutcome, reason: str) -> None:
-        """This answer, and the end of the request."""
-        self._conclude(answer, outcome, reason)
-        self._owner.finished(self)
+    def _finish_with(self, answer: CompleteAnswer, outcome: RequestOutcome, reason: str) -> None:
+        """Sends the final answer and reports the end of the request."""
+        self._answer_or_abort(answer, outcome, reason)
+        self._owner.exchange_finished(self)
 
-    def _conclude(self, answer: CompleteAnswer, outcome: RequestOutcome, reason: str) -> None:
-        """This answer, unless a stream has begun: that is broken off."""
+    def _answer_or_abort(self, answer: CompleteAnswer, outcome: RequestOutcome, reason: str) -> None:
+        """Sends the answer, or aborts a stream that has started, and records the end of the request."""
         status = status_of(answer)
-        if self._response.begun:
-            self._response.break_off()
-            self._ended(RequestOutcome.BROKEN_OFF, 0, reason)
+        if self._response.started:
+            self._response.abort()
+            self._record_end(RequestOutcome.BROKEN_OFF, 0, reason)
         else:
-            check_final_answer(self.job, self.trace, status, ran=self._ran)
-            self._response.answer(answer)
-            self._ended(outcome, status, reason)
-
-    def end_broken(self, error: Exception) -> None:
-        """Something in here has failed: the client gets no answer, or no more of it."""
-        unhandled_errors.record("a request is given up", error, attempt_id=self._request.attempt_id)
-        self._call_off()
-        self._response.break_off()
-        self._ended(RequestOutcome.FAILED, 0, repr(error))
-        self._owner.called_off(self)
-
-    def _ended(self, outcome: RequestOutcome, status: int, reason: str) -> None:
+            check_final_answer(self.job, self.trace, status, may_have_run=self._earlier_may_have_run)
+            self._response.send_answer(answer)
+            self._record_end(outcome, status, reason)
+
+    def abort_on_error(self, error: Exception) -> None:
+        """Ends the request after an unexpected error; the client's connection is aborted."""
+        unhandled_errors.record("a request is aborted", error, attempt_id=self._request.attempt_id)
+        self._cancel_attempt()
+        self._response.abort()
+        self._record_end(RequestOutcome.FAILED, 0, repr(error))
+        self._owner.exchange_aborted(self)
+
+    def _record_end(self, outcome: RequestOutcome, status: int, reason: str) -> None:
         self.trace.request_ended(outcome, status, reason, self._age_ms())
 
     def _age_ms(self) -> float:
--- a/reedspoke/data_plane/exchange_invariants.py
+++ b/reedspoke/data_plane/exchange_invariants.py
@@ -1,4 +1,4 @@
-"""Invariants of one request, evaluated on the trace of its attempts, not on the state of the guards."""
+"""Invariants of one request, evaluated on the trace of its attempts and not on the state of the guards."""
 
 from __future__ import annotations
 
@@ -12,20 +12,21 @@
 from reedspoke.net.http import Head
 from reedspoke.telemetry.invariants import Invariant, check
 
-LEAVING_BOUND_S = 1.0  # a connection that was being opened as the worker left may still come up
+# A connection that was being opened when the worker started to drain may still be established and used.
+MAX_SEND_DELAY_S = 1.0
 NEVER_RAN = Fate.NEVER_RAN.name.lower()
 SUCCESS_STATUS = range(200, 300)
-KEY_FIELDS = (API_KEY, TENANT_NAME)
+TENANT_FIELDS = (API_KEY, TENANT_NAME)
 
 
-def may_have_run(trace: RequestTrace) -> bool:
-    """Whether some attempt may have run, or still may."""
+def trace_may_have_run(trace: RequestTrace) -> bool:
+    """Whether an attempt of the trace may have run, or may still run."""
     return any(attempt.sent_ms is not None and attempt.fate != NEVER_RAN for attempt in trace.attempts)
 
 
-def check_send(job: Job, trace: RequestTrace, attempt: Attempt, *, ran: bool) -> None:
-    """A request is about to be handed to a connection; its trace does not count that yet."""
-    earlier = ran or may_have_run(trace)
+def check_send(job: Job, trace: RequestTrace, attempt: Attempt, *, may_have_run: bool) -> None:
+    """Checks a request that is about to be sent; its trace does not contain this sending yet."""
+    earlier = may_have_run or trace_may_have_run(trace)
     check(
         Invariant.NOT_SENT_AGAIN,
         job.repeat is not Repeat.NEVER or not earlier,
@@ -35,7 +36,7 @@
     )
     check(
         Invariant.ATTEMPTS_BOUNDED,
-        trace.arrivals < job.max_attempts,
+        trace.sent_attempts < job.max_attempts,
         attempt_id=trace.attempt_id,
         most=job.max_attempts,
         trace=trace,
@@ -43,17 +44,20 @@
 
 
 def check_tenant(request: UpstreamRequest, tenant: str) -> None:
-    """A request is about to be sent for this tenant (empty: for none)."""
-    lines = [line for line in request.fields.lower().split(b"\r\n") if line.startswith(KEY_FIELDS)]
+    """Checks the tenant of a request that is about to be sent; empty for a request without a key."""
+    lines = [line for line in request.fields.lower().split(b"\r\n") if line.startswith(TENANT_FIELDS)]
     named = [b"%b: %b" % (TENANT_NAME, tenant.lower().encode())] if tenant else []
     check(Invariant.TENANT_IS_KEY_HOLDER, lines == named, attempt_id=request.attempt_id, tenant=tenant)
 
 
 def check_drain(attempt_id: str, instance_id: str, known_s: float) -> None:
-    """A request is about to be sent to a worker that is known to leave since `known_s` seconds (0: not)."""
+    """Checks the worker of a request that is about to be sent.
+
+    `known_s` is for how long the worker has been known to drain or to be gone; 0 if it is available.
+    """
     check(
         Invariant.DRAIN_OBEYED,
-        known_s <= LEAVING_BOUND_S,
+        known_s <= MAX_SEND_DELAY_S,
         attempt_id=attempt_id,
         worker=instance_id,
         known_s=known_s,
@@ -61,7 +65,7 @@
 
 
 def check_answer_head(attempt_id: str, head: Head) -> None:
-    """The head of an answer that was found to belong to the request."""
+    """Checks the head of an answer that was assigned to the request."""
     named = field_text(head, ATTEMPT_ID)
     success = head.status in SUCCESS_STATUS
     own = named == attempt_id if success else named in ("", attempt_id)
@@ -69,25 +73,28 @@
 
 
 def check_success(attempt_id: str, status: int, fields: bytes) -> None:
-    """A success of a worker is about to be passed on, with these header lines."""
+    """Checks a worker's success that is about to be forwarded with the header lines `fields`."""
     sealed = status not in SUCCESS_STATUS or RESPONSE_SEAL in fields.lower()
     check(Invariant.SUCCESS_IS_SEALED, sealed, attempt_id=attempt_id, status=status)
 
 
-def check_events(attempt_id: str, passed_id: str, events: Events, *, goes_on: bool) -> None:
-    """Events are about to be passed on behind the one of `passed_id`; `goes_on`: more of the same attempt."""
-    first = events.last_id if goes_on else first_event_id(events.data)
-    if not (passed_id.isdecimal() and first.isdecimal()):
+def check_events(attempt_id: str, forwarded_id: str, events: Events, *, same_attempt: bool) -> None:
+    """Checks events that are about to be forwarded after the event `forwarded_id`.
+
+    `same_attempt` tells whether the same attempt has already delivered events.
+    """
+    first = events.last_id if same_attempt else first_event_id(events.data)
+    if not (forwarded_id.isdecimal() and first.isdecimal()):
         return
-    rises = int(first) > int(passed_id)
-    check(Invariant.EVENTS_RISE, rises, attempt_id=attempt_id, passed=passed_id, next=first)
+    rises = int(first) > int(forwarded_id)
+    check(Invariant.EVENTS_RISE, rises, attempt_id=attempt_id, passed=forwarded_id, next=first)
 
 
-def check_final_answer(job: Job, trace: RequestTrace, status: int, *, ran: bool) -> None:
-    """An answer of this status is about to be the request's final one."""
+def check_final_answer(job: Job, trace: RequestTrace, status: int, *, may_have_run: bool) -> None:
+    """Checks the status of the final answer that is about to be sent."""
     allowed = (
         job.repeat is not Repeat.NEVER
         or status not in NOT_EXECUTED_STATUSES
-        or not (ran or may_have_run(trace))
+        or not (may_have_run or trace_may_have_run(trace))
     )
     check(Invariant.REFUSED_HAS_NOT_RUN, allowed, attempt_id=trace.attempt_id, status=status, trace=trace)
--- a/reedspoke/data_plane/exchange_owner.py
+++ b/reedspoke/data_plane/exchange_owner.py
@@ -1,4 +1,4 @@
-"""What an exchange needs of whoever holds it, and how an error inside one is kept from the others."""
+"""The owner of exchanges as an exchange sees it, and the containment of errors inside one exchange."""
 
 from __future__ import annotations
 
@@ -12,35 +12,41 @@
     from reedspoke.data_plane.exchange import Exchange
 
 
-class Owner(Protocol):
-    """Who holds the exchanges and asks the dispatcher."""
+class ExchangeOwner(Protocol):
+    """Holds the exchanges and passes their events to the dispatcher."""
 
-    def progress(self, exchange: Exchange) -> None: ...
+    def data_received(self, exchange: Exchange) -> None:
+        """Data of an answer arrived from the worker."""
 
-    def first_event(self, exchange: Exchange) -> None: ...
+    def answer_started(self, exchange: Exchange) -> None:
+        """The first event of a stream, or the body of another success, has started."""
 
-    def attempt_ended(self, exchange: Exchange, evidence: Evidence) -> None: ...
+    def attempt_ended(self, exchange: Exchange, evidence: Evidence) -> None:
+        """An attempt ended without being cancelled by the exchange."""
 
-    def finished(self, exchange: Exchange) -> None: ...
+    def exchange_finished(self, exchange: Exchange) -> None:
+        """The final answer has been written."""
 
-    def unavailable_since(self, instance_id: str) -> float | None: ...
+    def unavailable_since(self, instance_id: str) -> float | None:
+        """When the worker was first seen to drain or to be gone; None if it is available."""
 
-    def called_off(self, exchange: Exchange) -> None: ...
+    def exchange_aborted(self, exchange: Exchange) -> None:
+        """The request ended without a complete answer; its attempt has been cancelled."""
 
 
 Arguments = ParamSpec("Arguments")
 
 
-def isolated(
+def contain_errors(
     method: Callable[Concatenate[Exchange, Arguments], None],
 ) -> Callable[Concatenate[Exchange, Arguments], None]:
-    """An error inside ends this request alone: not the work for others that its caller goes on with."""
+    """Ends only this request on an unexpected error, so that the caller continues with other requests."""
 
     @wraps(method)
     def call(self: Exchange, /, *arguments: Arguments.args, **named: Arguments.kwargs) -> None:
         try:
             method(self, *arguments, **named)
         except Exception as error:
-            self.end_broken(error)
+            self.abort_on_error(error)
 
     return call
--- a/reedspoke/data_plane/forwarder_invariants.py
+++ b/reedspoke/data_plane/forwarder_invariants.py
@@ -1,4 +1,4 @@
-"""Invariants over all requests of a process: nothing is held for whom nobody waits."""
+"""Invariants over all requests of a process: resources are held only for open requests."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 from reedspoke.telemetry.invariants import Invariant, check
 
 
-def check_forgotten(trace: RequestTrace, job_id: int, dispatcher: Dispatcher) -> None:
-    """The request's client has left, and the dispatcher was told."""
+def check_released(trace: RequestTrace, job_id: int, dispatcher: Dispatcher) -> None:
+    """Checks that the dispatcher holds no job of a request that was aborted."""
     forgotten = not dispatcher.has_job(job_id)
     check(Invariant.GONE_CLIENT_HOLDS_NOTHING, forgotten, attempt_id=trace.attempt_id, trace=trace)
 
 
 def check_idle(dispatcher: Dispatcher) -> None:
-    """No request is open any more."""
+    """Checks that the dispatcher holds nothing while no request is open."""
     residue = dispatcher.unreleased()
     check(
         Invariant.IDLE_HOLDS_NOTHING,
--- a/reedspoke/data_plane/headers.py
+++ b/reedspoke/data_plane/headers.py
@@ -1,4 +1,4 @@
-"""Names of header fields, and the heads of messages that are passed on."""
+"""Names of header fields, and the header fields that are forwarded between clients and workers."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 EXPECT_VERSION = b"expect-version"
 PRIORITY = b"priority"
 
-# Fields that concern one connection only (RFC 9110, 7.6.1), and those that are written anew.
+# Fields of a single connection (RFC 9110, section 7.6.1), and those that the scheduler generates itself.
 HOP_BY_HOP = frozenset(
     (
         b"connection", b"keep-alive", b"proxy-connection", b"proxy-authenticate", b"proxy-authorization",
@@ -29,25 +29,25 @@
     )
 )  # fmt: skip
 REPLACED = frozenset((DEADLINE_MS, TARGET_INSTANCE, LAST_EVENT_ID, PRIORITY, TENANT_NAME))
-WITHHELD = frozenset((API_KEY,))  # from workers
+WITHHELD = frozenset((API_KEY,))  # Workers never receive the key.
 
 
 def forwarded_request_fields(head: Head) -> bytes:
-    """The fields of a client's request that go to the worker unchanged, each with its line end."""
+    """The header lines of a client's request to forward to the worker, each with its line end."""
     dropped = HOP_BY_HOP | REPLACED | WITHHELD | frozenset(head.tokens(b"connection"))
     lines = [b"%b: %b\r\n" % (name, bytes(value)) for name, value in head.fields if name not in dropped]
     return b"".join(lines)
 
 
 def forwarded_answer_fields(head: Head) -> bytes:
-    """The fields of a worker's answer that go to the client unchanged, each with its line end."""
+    """The header lines of a worker's answer to forward to the client, each with its line end."""
     dropped = HOP_BY_HOP | frozenset(head.tokens(b"connection"))
     lines = [b"%b: %b\r\n" % (name, bytes(value)) for name, value in head.fields if name not in dropped]
     return b"".join(lines)
 
 
 def status_line(status: int) -> bytes:
-    """The first line of an answer."""
+    """The status line of an answer, with its line end."""
     try:
         phrase = HTTPStatus(status).phrase
     except ValueError:
@@ -56,13 +56,13 @@
 
 
 def field_text(head: Head, name: bytes) -> str:
-    """The value of a field as text, empty where it is missing."""
+    """The value of a field as text; empty if the field is missing."""
     value = head.get(name)
     return "" if value is None else value.decode("latin-1")
 
 
 def field_number(head: Head, name: bytes) -> float | None:
-    """The value of a field as a number; None where it is missing or no number."""
+    """The value of a field as a number; None if the field is missing or not a number."""
     text = field_text(head, name)
     try:
         return float(text) if text else None
--- a/reedspoke/data_plane/job_builder.py
+++ b/reedspoke/data_plane/job_builder.py
@@ -1,4 +1,4 @@
-"""Reads out of a client's request what decisions need to know of it."""
+"""Builds the dispatcher's job from the header fields of a client's request."""
 
 from __future__ import annotations
 
@@ -18,51 +18,52 @@
 from reedspoke.decision.messages import Job, PromptPart, Repeat
 from reedspoke.net.http import Head
 
-MOST_PARTS = 64
-COUNT = re.compile(r"[0-9]{1,9}")  # `isdigit` would take other digits too, and `int` has no bound
+MAX_PROMPT_PARTS = 64
+# `str.isdigit` accepts other digits as well, and `int` has no bound.
+COUNT_PATTERN = re.compile(r"[0-9]{1,9}")
 
 
-def parse_parts(text: str) -> tuple[PromptPart, ...]:
-    """The parts of a prompt, written as `ID:TOKENS` with commas between; what is malformed ends the list."""
+def parse_prompt_parts(text: str) -> tuple[PromptPart, ...]:
+    """Parses prompt parts, written as `ID:TOKENS,ID:TOKENS`. The first malformed part ends the list."""
     parts = []
-    for item in text.split(",")[:MOST_PARTS]:
+    for item in text.split(",")[:MAX_PROMPT_PARTS]:
         part_id, _, tokens = item.strip().partition(":")
-        if not part_id or COUNT.fullmatch(tokens) is None:
+        if not part_id or COUNT_PATTERN.fullmatch(tokens) is None:
             break
         parts.append(PromptPart(part_id, int(tokens)))
     return tuple(parts)
 
 
 def parse_token_count(text: str) -> tuple[int, int]:
-    """Tokens in, and at most out; 0 where they are not told."""
+    """Parses the number of prompt tokens and the maximum of output tokens; 0 for one that is missing."""
     first, _, second = text.partition(",")
-    return _whole(first), _whole(second)
+    return _parse_count(first), _parse_count(second)
 
 
-def _whole(text: str) -> int:
+def _parse_count(text: str) -> int:
     stripped = text.strip()
-    return int(stripped) if COUNT.fullmatch(stripped) else 0
+    return int(stripped) if COUNT_PATTERN.fullmatch(stripped) else 0
 
 
 def repeat_of(route: CompiledRoute) -> Repeat:
-    """What may be done with a request of the route that may have run."""
+    """How a request of the route may be repeated after an attempt that may have run."""
     if route.resumable:
         return Repeat.RESUMABLE
     return Repeat.IDEMPOTENT if route.repeatable else Repeat.NEVER
 
 
 def request_timeout_s(head: Head, route: CompiledRoute) -> float:
-    """Seconds that the request may take: what the client waits, and what the operator wants it held."""
-    told = field_number(head, DEADLINE_MS)
-    if told is None or not math.isfinite(told):
+    """The timeout of the request in seconds: that of the client or of the route, whichever is shorter."""
+    deadline_ms = field_number(head, DEADLINE_MS)
+    if deadline_ms is None or not math.isfinite(deadline_ms):
         return route.timeout
-    return min(route.timeout, max(0.0, told / 1000))
+    return min(route.timeout, max(0.0, deadline_ms / 1000))
 
 
 def build_job(job_id: int, head: Head, route: CompiledRoute, upstream: str, permit: Permit) -> Job:
-    """The request as decisions see it."""
+    """The job of a request, for the dispatcher."""
     arrived = permit.arrived
-    parts = parse_parts(field_text(head, PROMPT_PREFIX))
+    parts = parse_prompt_parts(field_text(head, PROMPT_PREFIX))
     tokens_in, tokens_out = parse_token_count(field_text(head, TOKEN_COUNT))
     return Job(
         job_id=job_id,
--- a/reedspoke/data_plane/request_trace.py
+++ b/reedspoke/data_plane/request_trace.py
@@ -1,6 +1,7 @@
-"""What became of one request: its attempts, what was seen of each, and its end.
+"""The trace of one request for the request log: its attempts, what was observed of each, and its outcome.
 
-All times are ms since the request was read whole.
+All times are in ms since the first byte of the request arrived; `after_ms` of a request that never got a job
+counts from when it was read completely.
 """
 
 from __future__ import annotations
@@ -16,16 +17,16 @@
 
 
 class RequestOutcome(Enum):
-    """How a request ended, as its client sees it."""
+    """How a request ended, from the point of view of its client."""
 
-    SERVED = "served"  # a worker's answer, whole, whatever its status
-    REFUSED = "refused"  # 503: it has not run, or may be repeated
+    SERVED = "served"  # A complete answer of a worker, of any status.
+    REFUSED = "refused"  # 503: the request has not run, or may be repeated.
     FAILED = "failed"  # 502
-    EXPIRED = "expired"  # 503 or 504: its time was over
-    BROKEN_OFF = "broken_off"  # inside a stream
+    EXPIRED = "expired"  # 503 or 504: the deadline passed.
+    BROKEN_OFF = "broken_off"  # A stream was aborted before its end.
     CLIENT_LEFT = "client_left"
-    PROCESS_ENDED = "process_ended"  # 502 or 503, or broken off, as this process ends
-    NOT_ROUTED = "not_routed"  # 404, 401 or 429, or 503 where there is no certain configuration or quota
+    PROCESS_ENDED = "process_ended"  # 502, 503 or an aborted stream, as this process ended.
+    NOT_ROUTED = "not_routed"  # 404, 401 or 429; 503 without a confirmed configuration or quota.
 
 
 class AttemptTrace(Struct, omit_defaults=True):
@@ -33,15 +34,15 @@
 
     worker: str
     address: str
-    chosen_ms: float  # decided on; the request waited in the queue until then
-    sent_ms: float | None = None  # handed to a connection; None: none came up
-    first_ms: float | None = None  # the first event or byte of the answer's body
+    chosen_ms: float  # When the worker was chosen; until then the request was queued.
+    sent_ms: float | None = None  # When the request was sent; None without a connection.
+    first_ms: float | None = None  # When the first event or byte of the answer's body arrived.
     ended_ms: float | None = None
     ending: str = ""
     status: int = 0
     not_executed: bool = False
     fate: str = ""
-    avoided: tuple[str, ...] = ()  # workers that several schedulers suspected as this one was chosen
+    avoided: tuple[str, ...] = ()  # Suspected workers that the choice avoided.
 
 
 class RequestTrace(Struct, omit_defaults=True):
@@ -51,43 +52,43 @@
     route: str = ""
     upstream: str = ""
     repeat: str = ""
-    generation: int = 0  # of the configuration under which it was taken
+    generation: int = 0  # Generation of the configuration that routed the request.
     version: Version = NO_VERSION
-    in_doubt: bool = False  # whether that configuration may have been an old one
+    in_doubt: bool = False  # Whether that configuration may have been outdated.
     deadline_ms: float = 0.0
     tenant: str = ""
-    units: float = 0.0  # of the tenant's quota; 0: it has none
+    units: float = 0.0  # Units of the tenant's quota; 0 without a quota.
     attempts: list[AttemptTrace] = field(default_factory=list)
-    last_event_id: str = ""  # of the newest event that was passed on
+    last_event_id: str = ""  # The id of the latest event that was forwarded.
     outcome: str = ""
-    status: int = 0  # of the final answer; 0: none, or a stream that had begun
+    status: int = 0  # Status of the final answer; 0 without one, or for an aborted stream.
     reason: str = ""
     after_ms: float = 0.0
 
-    def taken(self, job: Job) -> None:
-        """The request has a route and waits in the queue."""
+    def routed(self, job: Job) -> None:
+        """Records the job of a request that has a route and enters the queue."""
         self.route = job.route
         self.upstream = job.upstream
         self.repeat = job.repeat.name.lower()
         self.tenant = job.tenant
         self.deadline_ms = round((job.deadline - job.arrived) * 1000, 1)
 
-    def began(self, worker: str, address: str, at_ms: float, avoided: tuple[str, ...] = ()) -> None:
-        """An attempt was decided on, while these workers were avoided."""
+    def attempt_started(self, worker: str, address: str, at_ms: float, avoided: tuple[str, ...] = ()) -> None:
+        """Records the start of an attempt, and which suspected workers its choice avoided."""
         self.attempts.append(AttemptTrace(worker, address, at_ms, avoided=avoided))
 
-    def sent(self, at_ms: float) -> None:
-        """The attempt's request was handed to a connection."""
+    def attempt_sent(self, at_ms: float) -> None:
+        """Records that the request of the attempt was sent."""
         if self.attempts:
             self.attempts[-1].sent_ms = at_ms
 
-    def first_byte(self, at_ms: float) -> None:
-        """The answer has begun."""
+    def answer_started(self, at_ms: float) -> None:
+        """Records that the body of the answer started."""
         if self.attempts:
             self.attempts[-1].first_ms = at_ms
 
     def attempt_ended(self, evidence: Evidence, at_ms: float) -> None:
-        """The attempt has ended by itself, or was given up."""
+        """Records the end of the attempt."""
         if self.attempts:
             attempt = self.attempts[-1]
             attempt.ended_ms = at_ms
@@ -97,30 +98,34 @@
             attempt.fate = fate_of(evidence).name.lower()
 
     def request_ended(self, outcome: RequestOutcome, status: int, reason: str, at_ms: float) -> None:
-        """The request has its final answer, or will get none."""
+        """Records the end of the request."""
         self.outcome = outcome.value
         self.status = status
         self.reason = reason
         self.after_ms = at_ms
 
     @property
-    def arrivals(self) -> int:
-        """Attempts of which something was handed to a connection."""
+    def sent_attempts(self) -> int:
+        """The number of attempts whose request was sent."""
         return sum(attempt.sent_ms is not None for attempt in self.attempts)
 
     @property
-    def went_well(self) -> bool:
-        """Whether the first worker that was asked has answered with something else than an error."""
+    def succeeded_at_first_attempt(self) -> bool:
+        """Whether the first attempt returned an answer that is not an error."""
         return (
             self.outcome == RequestOutcome.SERVED.value
-            and self.status < LEAST_ERROR
+            and self.status < MIN_ERROR_STATUS
             and not self.attempts[1:]
         )
 
-    def fields(self) -> dict[str, Any]:
-        """For a line of the log."""
-        return {name: value for name in self.__struct_fields__ if (value := getattr(self, name)) not in EMPTY}
+    def log_fields(self) -> dict[str, Any]:
+        """The fields of the log line, without empty values."""
+        return {
+            name: value
+            for name in self.__struct_fields__
+            if (value := getattr(self, name)) not in OMITTED_VALUES
+        }
 
 
-LEAST_ERROR = 400
-EMPTY: tuple[object, ...] = ("", NO_VERSION, [], 0)
+MIN_ERROR_STATUS = 400
+OMITTED_VALUES: tuple[object, ...] = ("", NO_VERSION, [], 0)
--- a/tests/data_plane/features/endings.feature
+++ b/tests/data_plane/features/endings.feature
@@ -1,61 +1,61 @@
 Feature: How requests end
-  A request that was read gets one answer. No answer promises what is not proven, looks whole where it is not,
-  or belongs to another request.
+  Each complete request gets one answer. No answer claims more than is proven, looks complete if it is not, or
+  belongs to another request.
 
   Background:
     Given 3 workers
 
   Scenario: A worker answers
     Given a client has sent a non-idempotent request
-    When the worker answers whole
-    Then the client has the worker's whole answer
+    When the worker sends its complete answer
+    Then the client has the worker's complete answer
     And the request was sent 1 time
 
-  Scenario: A worker is full
+  Scenario: A worker has no capacity
     Given a client has sent a non-idempotent request
-    When the worker says that it has no room
-    And the worker answers whole
-    Then the client has the worker's whole answer
+    When the worker refuses for lack of capacity
+    And the worker sends its complete answer
+    Then the client has the worker's complete answer
     And the request was sent 2 times
 
   Scenario: Another worker has taken over the address
     Given a client has sent a non-idempotent request
-    When the worker says that it is another instance
-    And the worker answers whole
-    Then the client has the worker's whole answer
+    When the worker answers that it is another instance
+    And the worker sends its complete answer
+    Then the client has the worker's complete answer
     And the request was sent 2 times
 
-  Scenario: A worker breaks off a request that must not run again
+  Scenario: A connection is reset under a request that must not be repeated
     Given a client has sent a non-idempotent request
-    When the worker breaks off
-    Then the client is told that the request failed
+    When the worker resets the connection
+    Then the client gets a 502
     And the request was sent 1 time
 
-  Scenario: A worker breaks off a request that may run again
+  Scenario: A connection is reset under a request that may be repeated
     Given a client has sent an idempotent request
-    When the worker breaks off
-    And the worker answers whole
-    Then the client has the worker's whole answer
+    When the worker resets the connection
+    And the worker sends its complete answer
+    Then the client has the worker's complete answer
     And the request was sent 2 times
 
-  Scenario: A worker breaks off in the middle of its answer
+  Scenario: A connection is reset in the middle of an answer
     Given a client has sent a non-idempotent request
     When the worker sends a part of its answer
-    And the worker breaks off
-    Then the client is told that the request failed
+    And the worker resets the connection
+    Then the client gets a 502
 
   Scenario: A worker refuses without proof
     Given a client has sent a non-idempotent request
-    When the worker answers 503 without proof
-    Then the client is told that the request failed
+    When the worker answers 503 without proof that it did not run the request
+    Then the client gets a 502
     And the request was sent 1 time
 
-  Scenario: All workers are full
+  Scenario: No worker has capacity
     Given a client has sent a non-idempotent request
-    When the worker says that it has no room
-    And the worker says that it has no room
-    And the worker says that it has no room
-    Then the client is told to come back
+    When the worker refuses for lack of capacity
+    And the worker refuses for lack of capacity
+    And the worker refuses for lack of capacity
+    Then the client gets a 503 with Retry-After
     And the request was sent 3 times
 
   Scenario: A stream
@@ -64,22 +64,22 @@
     And the worker ends the stream
     Then the client has the events 1 to 3 and their end
 
-  Scenario: A worker breaks off a stream that cannot be resumed
+  Scenario: A connection is reset under a stream that cannot be resumed
     Given a client has sent a streaming request
     When the worker sends events 1 to 3
-    And the worker breaks off
-    Then the client has the events 1 to 3 and no end
+    And the worker resets the connection
+    Then the client has the events 1 to 3 without an end
     And the request was sent 1 time
 
-  Scenario Outline: A worker breaks off a stream that can be resumed
+  Scenario Outline: A connection is reset under a stream that can be resumed
     Given a client has sent a resumable request
     When the worker sends events 1 to <last>
-    And the worker breaks off
+    And the worker resets the connection
     And the worker sends events <next> to 6
     And the worker ends the stream
     Then the client has the events 1 to 6 and their end
     And the request was sent 2 times
-    And the latest worker was asked to go on after event <last>
+    And the latest worker was asked to resume after event <last>
 
     Examples:
       | last | next |
@@ -87,7 +87,7 @@
       | 3    | 4    |
       | 5    | 6    |
 
-  Scenario: A worker goes silent in a stream that can be resumed
+  Scenario: A stream that can be resumed times out
     Given a client has sent a resumable request
     When the worker sends events 1 to 2
     And 3 seconds pass
@@ -98,13 +98,13 @@
     Then the client has the events 1 to 4 and their end
     And the request was sent 2 times
 
-  Scenario Outline: The client leaves
+  Scenario Outline: The client disconnects
     Given a client has sent <a request>
-    When the client leaves
+    When the client disconnects
     And 5 seconds pass
-    Then the worker's connection is over
+    Then the worker's connection is closed
     And the request was sent 1 time
-    And nothing of the request is left
+    And no resource is held for the request
 
     Examples:
       | a request                |
@@ -113,26 +113,26 @@
       | a streaming request      |
       | a resumable request      |
 
-  Scenario: The client leaves in the middle of a stream
+  Scenario: The client disconnects in the middle of a stream
     Given a client has sent a resumable request
     When the worker sends events 1 to 2
-    And the client leaves
+    And the client disconnects
     And 5 seconds pass
-    Then the worker's connection is over
+    Then the worker's connection is closed
     And the request was sent 1 time
-    And nothing of the request is left
+    And no resource is held for the request
 
   Scenario: The deadline passes
     Given a client has sent a non-idempotent request
     When 25 seconds pass
-    Then the client is told that its time is over
-    And the worker's connection is over
-    And nothing of the request is left
+    Then the client gets a 504
+    And the worker's connection is closed
+    And no resource is held for the request
 
-  Scenario: A late answer arrives in the place of the next one
+  Scenario: A late answer arrives in place of the next one
     Given a client has sent a non-idempotent request
-    When the worker answers whole
+    When the worker sends its complete answer
     And the client sends its next request on the same connections
     And the worker sends its first answer again
-    And the worker answers whole
+    And the worker sends its complete answer
     Then the client has two answers, each to its own request
--- a/tests/data_plane/fleet_model.py
+++ b/tests/data_plane/fleet_model.py
@@ -1,7 +1,7 @@
-"""A small control plane in virtual time, for the sessions of one data plane scheduler.
+"""A model of the control plane in virtual time, for the sessions of one data plane scheduler.
 
-It knows the truth: which configuration was acknowledged when. A control scheduler in the larger part of a cut
-is confirmed; one outside goes on for `CONTACT_S` on the grants that it has, and then says
+It records when each configuration was acknowledged. A control scheduler in the majority partition is
+confirmed; one outside stays confirmed for `CONTACT_S` by its latest grants, and then answers with
 `UnconfirmedResponse`.
 """
 
@@ -34,13 +34,13 @@
 HOLD_S = 0.4
 GRANT_AGE_S = 0.15
 CONTACT_S = 0.8
-CATCH_UP_S = 0.3  # after a cut, until a control scheduler knows what it missed
+CATCH_UP_S = 0.3  # Until a control scheduler has caught up after a partition.
 CONNECT_TIMEOUT_S = 0.7
 APPLY_S = 2.0
 
 
 class ModelChannel:
-    """The data plane's end of a session; what does not come through is lost."""
+    """A session as the data plane sees it; messages on an unreachable path are lost."""
 
     def __init__(self, model: FleetModel, control: ModelControl) -> None:
         self.idle_timeout_s: float | None = None
@@ -91,7 +91,7 @@
         self.in_majority = in_majority
 
     def as_of(self) -> float:
-        """When what is known here was certainly the newest."""
+        """The latest time at which the version here was certainly the newest."""
         now = self._model.loop.time()
         if self.in_majority and now - self._joined_at >= CATCH_UP_S:
             self.set_version(self._model.committed[-1][1])
@@ -99,21 +99,21 @@
         return self._as_of
 
     def set_version(self, version: Version) -> None:
-        """This is the newest configuration."""
+        """Sets the newest version that is known here."""
         self.version = version
 
     async def connect(self) -> Any:
-        """The data plane's end of a new session."""
+        """Opens a session and returns the data plane's side."""
         return ModelChannel(self._model, self)
 
     def is_confirmed(self) -> bool:
         return self._model.loop.time() - self.as_of() < CONTACT_S
 
     def step(self) -> None:
-        """Some time has passed."""
+        """Updates the state after time has passed."""
         self.as_of()
         for channel in list(self.channels):
-            self._look_at(channel)
+            self._answer_if_due(channel)
 
     def received(self, channel: ModelChannel, message: Struct) -> None:
         if channel.closed:
@@ -121,7 +121,7 @@
         self.channels.add(channel)
         if isinstance(message, WatchRequest):
             channel.watch, channel.watched_at = message, self._model.loop.time()
-            self._look_at(channel)
+            self._answer_if_due(channel)
         elif isinstance(message, FetchRequest):
             self._fetched(channel, message)
 
@@ -134,18 +134,18 @@
         elif fetch.source == CONFIGURATION:
             channel.answer(ConfigurationSnapshot(self.version, document(self.version[1])))
 
-    def _look_at(self, channel: ModelChannel) -> None:
+    def _answer_if_due(self, channel: ModelChannel) -> None:
         watch = channel.watch
         if watch is None:
             return
         now = self._model.loop.time()
         waited = now - channel.watched_at
         confirmed = self.is_confirmed()
-        has_news = not channel.unconfirmed_sent
+        has_update = not channel.unconfirmed_sent
         if confirmed:
             newer = self.version > watch.versions[CONFIGURATION]
-            has_news = channel.unconfirmed_sent or newer or not channel.members_sent
-        if not has_news and waited < HOLD_S:
+            has_update = channel.unconfirmed_sent or newer or not channel.members_sent
+        if not has_update and waited < HOLD_S:
             return
         channel.watch = None
         channel.unconfirmed_sent = not confirmed
@@ -162,7 +162,10 @@
 
 
 class FleetModel:
-    """All of it. `cut` and `reach` change the network, `commit` the configuration."""
+    """All control schedulers and one data plane scheduler.
+
+    `partition` and `set_reachable` change the network, `commit` the configuration.
+    """
 
     def __init__(self, size: int, seed: int, control_type: type[ModelControl] | None = None) -> None:
         self.loop = VirtualLoop()
@@ -178,7 +181,7 @@
         self.connect_count = 0
 
     def close(self) -> None:
-        """End all sessions."""
+        """Ends all sessions."""
         self.running.cancel()
         self.loop.settle()
         self.loop.close()
@@ -189,7 +192,7 @@
         return self.controls.index(control) in self.reachable
 
     def partition(self, part: set[int]) -> None:
-        """These and the others do not hear each other."""
+        """Partitions the control schedulers into these and the others."""
         others = set(range(len(self.controls))) - part
         self.partitions = [part, others]
         for number, control in enumerate(self.controls):
@@ -197,7 +200,7 @@
             control.set_in_majority(len(own) > len(self.controls) // 2)
 
     def set_reachable(self, numbers: set[int]) -> None:
-        """The data plane scheduler has a path to these only."""
+        """Limits the network paths of the data plane scheduler to these control schedulers."""
         self.reachable = numbers
 
     def members_seen_by(self, control: ModelControl) -> tuple[ControlMember, ...]:
@@ -206,7 +209,7 @@
         return tuple(self.controls[other].member for other in sorted(own))
 
     def reachable_majority(self) -> set[int]:
-        """Control schedulers with a majority and a path."""
+        """Control schedulers that are in the majority and reachable."""
         return {
             number
             for number, control in enumerate(self.controls)
@@ -225,16 +228,16 @@
     # ---- the configuration ----
 
     def commit(self) -> None:
-        """A change is acknowledged, if some part of the cut can take one; its members know it then."""
-        takers = [control for control in self.controls if control.in_majority]
-        if takers:
+        """Acknowledges a change if a partition has a majority; its members then know the new version."""
+        majority = [control for control in self.controls if control.in_majority]
+        if majority:
             version = (1, self.committed[-1][1][1] + 1)
             self.committed.append((self.loop.time(), version))
-            for control in takers:
+            for control in majority:
                 control.step()
 
     def required_version(self) -> Version:
-        """What has to be in force now."""
+        """The version that has to be in force by now."""
         limit = self.loop.time() - APPLY_S
         return max((version for at, version in self.committed if at <= limit), default=(0, 0))
 
@@ -251,12 +254,12 @@
             self.check()
 
     def stop_process_for(self, seconds: float) -> None:
-        """The data plane's process does nothing for so long, and a change is acknowledged at once."""
+        """Stalls the data plane process, while a change is acknowledged."""
         self.commit()
         self.loop._virtual.now += seconds
         self.check()
 
     def check(self) -> None:
-        """While there is no doubt, all that has to be in force is in force."""
+        """Checks that the required version is in force unless the configuration is in doubt."""
         if not self.in_doubt():
             assert self.subscription.version(CONFIGURATION) >= self.required_version()
--- a/tests/data_plane/loopback.py
+++ b/tests/data_plane/loopback.py
@@ -1,4 +1,4 @@
-"""A data plane in this process between real sockets: workers that follow a script, and a client."""
+"""A data plane in this process with real sockets: scripted workers and a client."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
 from tests.data_plane.world import HOST, ROUTE_FIELDS, SEAL, Frontend, request_bytes
 
 LATENCY_TARGET_MS = 100
-LAST_EVENT = 3  # of every whole stream
-CLIENT_WAITS_S = 8.0
-RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER: on, for no time
+LAST_EVENT = 3  # The last event of every complete stream.
+CLIENT_TIMEOUT_S = 8.0
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER on, with a time-out of 0.
 STREAM_PREFIXES = ("/stream/", "/resume/")
 
 
 class WorkerSide:
-    """A worker's end of a connection on which a request has come."""
+    """A connection as its worker sees it, with the request that arrived on it."""
 
     def __init__(self, writer: asyncio.StreamWriter, request: SeenRequest) -> None:
         self._writer = writer
@@ -41,11 +41,11 @@
         self._writer.write(data)
 
     def close(self) -> None:
-        """Write no more: what was written arrives, then the end."""
+        """Closes the connection after the written data."""
         self._writer.close()
 
     def half_close(self) -> None:
-        """Write no more, and go on reading."""
+        """Closes the write side only."""
         self._writer.write_eof()
 
     def reset(self) -> None:
@@ -54,7 +54,7 @@
         self._writer.transport.abort()
 
     def head(self, status: str = "200 OK", *more: str, seal: bool = True) -> bytes:
-        """A head without the fields that tell the body's length."""
+        """A head without the fields that delimit the body."""
         lines = [f"HTTP/1.1 {status}", f"Reedspoke-Attempt-Id: {self.attempt_id}", *more]
         if seal:
             lines.append(f"Reedspoke-Response-Seal: {SEAL}")
@@ -66,14 +66,14 @@
         return self.head(status, *more, seal=seal) + b"Content-Length: %d\r\n\r\n" % len(body) + body
 
     def success_answer(self) -> bytes:
-        """The whole answer that this request is to get: a stream goes on where it was left."""
+        """The complete expected answer to this request: a stream continues after the last event id."""
         if not self.streaming:
             return self.complete_answer(body=b"the answer")
         first = int(self.request.get("last-event-id") or 0) + 1
         return self.head() + b"Transfer-Encoding: chunked\r\n\r\n" + chunked(events(first, LAST_EVENT))
 
     def body(self) -> bytes:
-        """The whole body of a first answer."""
+        """The complete body of a first answer."""
         return events(1, LAST_EVENT) if self.streaming else b"the answer"
 
 
@@ -81,22 +81,22 @@
 
 
 class RedirectedPool(UpstreamPool):
-    """Leads the first connection elsewhere, and calls `came_up` on each one before it is used."""
+    """Opens the next connection to `first_address` if set; calls `on_connected` before each one is used."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         super().__init__(loop)
         self.first_address: str | None = None
-        self.came_up: Callable[[], None] = lambda: None
+        self.on_connected: Callable[[], None] = lambda: None
 
     async def _open(self, address: str) -> ConnectResult:
         address, self.first_address = self.first_address or address, None
         result = await super()._open(address)
-        self.came_up()
+        self.on_connected()
         return result
 
 
 class Loopback(Struct, eq=False):
-    """A data plane with workers. The first request follows the script, later ones are answered."""
+    """A data plane with workers. The script handles the first request; all others get a success."""
 
     pool: RedirectedPool
     forwarder: Forwarder
@@ -133,12 +133,12 @@
     async def request(
         self, path: str, attempt_id: str = "a1", body: bytes = b"the question", **more: str
     ) -> SeenAnswer | None:
-        """What a client of its own gets; None where its connection ends without any byte."""
+        """The answer that a new client receives; None if its connection ends without any byte."""
         reader, writer = await asyncio.open_connection(*self.address)
         writer.write(request_bytes(path, attempt_id, body, Connection="close", **more))
         raw = b""
         try:
-            async with asyncio.timeout(CLIENT_WAITS_S):
+            async with asyncio.timeout(CLIENT_TIMEOUT_S):
                 while piece := await reader.read(65536):
                     raw += piece
         except ConnectionError:
@@ -174,7 +174,7 @@
 
 
 async def start(script: Script, workers: int) -> Loopback:
-    """A data plane that has run for long."""
+    """Starts a data plane that counts as running for some time, and its workers."""
     loop = asyncio.get_running_loop()
     started = loop.time() - 500
     budget = RetryBudgetRule(window_s=10, ratio=0.2, slack=50)
@@ -199,8 +199,8 @@
     return made
 
 
-class DeafListener:
-    """A port at which connections come up, or none does, and nobody reads."""
+class UnreadListener:
+    """A port whose connections are established but never read, or with `full` never established."""
 
     def __init__(self, *, full: bool = False) -> None:
         self._listener = socket.socket()
@@ -217,7 +217,7 @@
         return client
 
     def close(self) -> None:
-        """Connections that nobody has accepted are reset."""
+        """Closes the port; connections that were not accepted are reset."""
         self._listener.close()
         for client in self._waiting:
             client.close()
--- a/tests/data_plane/plane.py
+++ b/tests/data_plane/plane.py
@@ -1,4 +1,4 @@
-"""A whole data plane without listening sockets, in virtual time."""
+"""A complete data plane without listening sockets, in virtual time."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class ServerStandIn:
-    """What accepts connections."""
+    """The server that accepts connections."""
 
     def __init__(self, loop: VirtualLoop) -> None:
         self.loop = loop
@@ -40,7 +40,7 @@
     server: ServerStandIn
 
     def receive_state(self, workers: tuple[WorkerEntry, ...] = (WORKER,)) -> None:
-        """A control scheduler, confirmed by a majority, tells of a configuration and of workers."""
+        """Delivers a configuration and workers, as from a control scheduler that a majority confirms."""
         self.network.names |= {worker.address: worker.instance_id for worker in workers}
         self.plane._confirmation.told((1, 0), self.loop.time())
         self.plane._subscription.take(ConfigurationSnapshot((1, 0), document(2, LIMITS)))
@@ -61,7 +61,7 @@
         return self.network.arrivals[-1]
 
     def shut_down(self) -> asyncio.Task[None]:
-        """SIGTERM has come."""
+        """Starts the shutdown, as after SIGTERM."""
         task = self.loop.create_task(self.plane._finish(self.server))  # type: ignore[arg-type]
         self.loop.settle()
         return task
@@ -92,5 +92,6 @@
 
 
 def answer(transport: TransportStandIn) -> SeenAnswer:
+    """The only answer that was written to a client."""
     (found,) = read_answers(bytes(transport.written))
     return found
--- a/tests/data_plane/stage.py
+++ b/tests/data_plane/stage.py
@@ -26,7 +26,7 @@
 
 
 def document(generation: int, *prefixes: str) -> bytes:
-    """A configuration with these prefixes, besides the stream."""
+    """A configuration with routes for these prefixes and for the stream."""
     routes = [
         {
             "name": f"r{prefix}",
@@ -42,7 +42,7 @@
 
 
 class Stage(Struct, eq=False):
-    """Everything together."""
+    """A data plane process with its control schedulers and a worker."""
 
     background: Background
     controls: list[ControlStandIn]
@@ -60,7 +60,7 @@
         until(lambda: self.request(path)[0] == status, WAIT_TIMEOUT_S, f"{path} gives {status}")
 
     def start(self) -> None:
-        """With one control scheduler that knows a route to /one/."""
+        """Starts the process with one control scheduler that serves a route to /one/."""
         self.controls[0].start()
         self.publish(3, "/one/")
         self.edge.write_settings([HOSTS[0]])
@@ -70,7 +70,7 @@
 
 @contextmanager
 def fresh_stage(folder: Path) -> Iterator[Stage]:
-    """All of it, until the block ends."""
+    """A stage until the block ends."""
     background = Background()
     port = free_port(HOSTS)
     frontend, readiness = (f"127.0.0.1:{free_port(HOSTS)}" for _ in range(2))
--- a/tests/data_plane/stand_ins.py
+++ b/tests/data_plane/stand_ins.py
@@ -61,7 +61,7 @@
 
 
 class ControlStandIn:
-    """A control scheduler that knows what it was told."""
+    """A control scheduler that serves the state set by the test."""
 
     def __init__(self, background: Background, host: str, port: int) -> None:
         self.background = background
@@ -70,29 +70,29 @@
         self.versions: dict[str, Version] = {CONFIGURATION: (0, 0), WORKERS: (0, 0), MEMBERS: (0, 0)}
         self.workers: tuple[WorkerEntry, ...] = ()
         self.watches: list[WatchRequest] = []
-        self.confirmed = True  # whether a majority stands behind it
+        self.confirmed = True  # Whether a majority confirms it.
         self._channels: set[Channel] = set()
         self._waiting: list[tuple[Channel, WatchRequest]] = []
-        self._told_unconfirmed: set[Channel] = set()
+        self._sent_unconfirmed: set[Channel] = set()
         self._server: asyncio.Server | None = None
 
     def start(self) -> None:
         self.background.run(self._start())
 
     def stop(self) -> None:
-        """All connections break at once, and none comes up again."""
+        """Closes all connections and accepts no more."""
         self.background.run(self._stop())
 
     def lose_majority(self) -> None:
-        """It knows no more and says so, as soon as it is asked; a second time only after the heartbeat."""
+        """Answers watches as unconfirmed: the first on each connection at once, then after the heartbeat."""
         self.background.run(self._set_confirmed(False))
 
     def regain_majority(self) -> None:
-        """All that wait are told at once."""
+        """Confirms again, and answers all waiting watches at once."""
         self.background.run(self._set_confirmed(True))
 
     def publish(self, sequence: int, document: bytes, workers: tuple[WorkerEntry, ...]) -> None:
-        """What it knows from now on, each source in version (sequence, 0)."""
+        """Sets the state to serve, with version (sequence, 0) for each source."""
         self.background.run(self._tell(sequence, document, workers))
 
     async def _start(self) -> None:
@@ -106,7 +106,7 @@
 
     async def _set_confirmed(self, confirmed: bool) -> None:
         self.confirmed = confirmed
-        self._told_unconfirmed.clear()
+        self._sent_unconfirmed.clear()
         self._answer_all()
 
     def _answer_all(self) -> None:
@@ -136,15 +136,15 @@
             channel.send(self._state(message.source) if served else self._unconfirmed(0))
             return
         self.watches.append(message)
-        if self._has_news(channel, message):
+        if self._has_update(channel, message):
             self._answer(channel, message)
             return
         self._waiting.append((channel, message))
         self.background.loop.call_later(HEARTBEAT_S, self._heartbeat, channel, message)
 
-    def _has_news(self, channel: Channel, watch: WatchRequest) -> bool:
+    def _has_update(self, channel: Channel, watch: WatchRequest) -> bool:
         if not self.confirmed:
-            return channel not in self._told_unconfirmed
+            return channel not in self._sent_unconfirmed
         return any(version > watch.versions[source] for source, version in self.versions.items())
 
     def _heartbeat(self, channel: Channel, watch: WatchRequest) -> None:
@@ -154,7 +154,7 @@
 
     def _answer(self, channel: Channel, watch: WatchRequest) -> None:
         if not self.confirmed:
-            self._told_unconfirmed.add(channel)
+            self._sent_unconfirmed.add(channel)
             channel.send(self._unconfirmed(watch.request_id))
             return
         channel.send(WatchResponse(watch.request_id, f"core-{self.host}", self.versions))
@@ -171,20 +171,20 @@
 
 
 class WorkerStandIn:
-    """A worker. A stream stops after its first event until `go_on` is called."""
+    """A worker. A stream pauses after its first event until `resume_stream` is called."""
 
     def __init__(self, background: Background, name: str) -> None:
         self.background = background
         self.name = name
         self.requests: list[SeenRequest] = []
         self.address = ""
-        self._going_on = asyncio.Event()
+        self._may_resume = asyncio.Event()
 
     def start(self) -> None:
         self.address = self.background.run(self._start())
 
     def resume_stream(self) -> None:
-        self.background.loop.call_soon_threadsafe(self._going_on.set)
+        self.background.loop.call_soon_threadsafe(self._may_resume.set)
 
     def entry(self) -> WorkerEntry:
         return WorkerEntry(self.name, "u1", self.address, "za", "v1", 8, False)
@@ -211,7 +211,7 @@
             writer.write(head + b"Content-Length: %d\r\n\r\n" % len(body) + body)
             return
         writer.write(head + b"Transfer-Encoding: chunked\r\n\r\n" + chunked(event(1), last=False))
-        await self._going_on.wait()
+        await self._may_resume.wait()
         writer.write(chunked(event(2), event(3)))
 
 
@@ -262,7 +262,7 @@
             self.process.wait(CALL_TIMEOUT_S)
 
     def readiness_status(self) -> int:
-        """The status of its readiness; 0 where nothing answers."""
+        """The status of the readiness endpoint; 0 if nothing answers."""
         try:
             return call(self.readiness, "GET", "/reedspoke/readiness", "x", "")[0]
         except OSError:
@@ -277,7 +277,7 @@
 
 
 def call(address: str, method: str, path: str, host: str, attempt_id: str) -> tuple[int, bytes]:
-    """Status and body of one request on a connection of its own."""
+    """Sends one request on a new connection; returns status and body."""
     name, port = split_address(address)
     connection = http.client.HTTPConnection(name, port, timeout=CALL_TIMEOUT_S)
     try:
--- a/tests/data_plane/test_attempts_client_end.py
+++ b/tests/data_plane/test_attempts_client_end.py
@@ -65,6 +65,6 @@
 
 
 def test_a_client_that_never_ends_is_cut_off(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(client_connection, "MOST_DISCARDED", 1024 * 1024)
+    monkeypatch.setattr(client_connection, "MAX_DISCARDED_BYTES", 1024 * 1024)
     with pytest.raises(ConnectionError):
         with_client(REFUSED["no HTTP"][0] * 40)
--- a/tests/data_plane/test_attempts_connections.py
+++ b/tests/data_plane/test_attempts_connections.py
@@ -7,7 +7,7 @@
 import pytest
 
 from reedspoke.common.messages import WorkerEntry, WorkerList
-from tests.data_plane.wire import HIGH_WATER, chunked, event
+from tests.data_plane.wire import HIGH_WATER_BYTES, chunked, event
 from tests.data_plane.world import (
     IDEMPOTENT,
     NON_IDEMPOTENT,
@@ -21,7 +21,7 @@
 )
 
 Worlds = Callable[..., World]
-LARGE = b"x" * (HIGH_WATER + 1)
+LARGE = b"x" * (HIGH_WATER_BYTES + 1)
 LARGE_LIMITS = {"max_header_bytes": 2048, "max_body_bytes": 4 * len(LARGE)}
 
 
--- a/tests/data_plane/test_attempts_random.py
+++ b/tests/data_plane/test_attempts_random.py
@@ -25,9 +25,9 @@
         return None if run is None or run in self.begun else run
 
     def whole_body(self, run: Run) -> bytes:
-        asked = self.ledger.asked[run.arrival.attempt_id]
-        if asked.path in STREAMS:
-            return b"".join(event(number) for number in range(run.next_event, asked.pieces + 1))
+        sent = self.ledger.sent[run.arrival.attempt_id]
+        if sent.path in STREAMS:
+            return b"".join(event(number) for number in range(run.next_event, sent.event_count + 1))
         return run.body
 
     def unframed(self) -> None:
@@ -62,7 +62,7 @@
     def contradiction(self) -> None:
         """A success that says that it was not run."""
         run = self.untouched_run()
-        if run is None or self.ledger.asked[run.arrival.attempt_id].path in STREAMS:
+        if run is None or self.ledger.sent[run.arrival.attempt_id].path in STREAMS:
             return
         self.open_runs.remove(run)
         self.say(run, run.arrival.complete_answer(run.body, Reedspoke_Not_Executed="1"))
--- a/tests/data_plane/test_attempts_reader.py
+++ b/tests/data_plane/test_attempts_reader.py
@@ -44,7 +44,7 @@
 
     def ask(self, name: str, *, head_only: bool = False) -> None:
         assert not self.unusable
-        self.reader.begin(name, head_only=head_only)
+        self.reader.expect_answer(name, head_only=head_only)
         self.requests.append(Seen())
 
     @property
@@ -195,7 +195,7 @@
     assert seen.whole == (by_end or (coding != "none" and length == len(raw)))
     assert seen.framed == (not by_end)
     assert body_of("a0").startswith(seen.body)
-    assert (seen.failed is Reason.ENDED) == (not seen.whole)
+    assert (seen.failed is Reason.CONNECTION_ENDED) == (not seen.whole)
 
 
 @settings(max_examples=EXAMPLES, deadline=None, derandomize=True)
@@ -232,7 +232,7 @@
     for piece in pieces(data, cuts):
         observer.receive(piece)
     if not asked:
-        assert observer.stray == [Unusable(Reason.SURPLUS)]
+        assert observer.stray == [Unusable(Reason.UNSOLICITED)]
         assert observer.reader.state is State.UNUSABLE
     observer.end(orderly=True)
     assert asked is False or observer.requests[0].whole is False
@@ -255,7 +255,7 @@
     if first:
         assert (seen.status, seen.body, seen.whole) == (status, b"why", True)
     else:
-        assert (seen.status, seen.failed, observer.unusable) == (0, Reason.UNNAMED, True)
+        assert (seen.status, seen.failed, observer.unusable) == (0, Reason.UNIDENTIFIED, True)
 
 
 def test_a_success_without_an_id_is_nobodys() -> None:
--- a/tests/data_plane/test_attempts_table.py
+++ b/tests/data_plane/test_attempts_table.py
@@ -12,7 +12,7 @@
 
 from reedspoke.data_plane import upstream_pool
 from reedspoke.decision import attempt_timeout
-from tests.data_plane.loopback import LAST_EVENT, DeafListener, Loopback, Script, WorkerSide, start
+from tests.data_plane.loopback import LAST_EVENT, Loopback, Script, UnreadListener, WorkerSide, start
 from tests.data_plane.wire import SeenAnswer, chunked, event, events
 from tests.data_plane.world import IDEMPOTENT, NON_IDEMPOTENT, RESUMABLE, SEAL, STREAMING
 
@@ -40,7 +40,7 @@
     script: Script
     with_other: tuple[str, str, str, str]
     alone: tuple[str, str, str, str]
-    prepare: Callable[[Loopback], DeafListener | None] | None = None
+    prepare: Callable[[Loopback], UnreadListener | None] | None = None
     deadline_ms: str = DEADLINE_MS
     asked_before: bool = False  # an earlier request leaves an idle connection behind
     body: bytes = b"the question"
@@ -113,36 +113,36 @@
     side.close()
 
 
-def refuse(stage: Loopback) -> DeafListener | None:
-    listener = DeafListener()
+def refuse(stage: Loopback) -> UnreadListener | None:
+    listener = UnreadListener()
     listener.close()
     stage.pool.first_address = listener.address
     return None
 
 
-def hang(stage: Loopback) -> DeafListener | None:
-    listener = DeafListener(full=True)
+def hang(stage: Loopback) -> UnreadListener | None:
+    listener = UnreadListener(full=True)
     stage.pool.first_address = listener.address
     return listener
 
 
-def reset_as_it_came_up(stage: Loopback) -> DeafListener | None:
-    listener = DeafListener()
+def reset_as_it_came_up(stage: Loopback) -> UnreadListener | None:
+    listener = UnreadListener()
     stage.pool.first_address = listener.address
-    stage.pool.came_up = listener.close
+    stage.pool.on_connected = listener.close
     return listener
 
 
-def reset_unread(stage: Loopback) -> DeafListener | None:
+def reset_unread(stage: Loopback) -> UnreadListener | None:
     """The system has taken all bytes of the request, and the worker has read none."""
-    listener = DeafListener()
+    listener = UnreadListener()
     stage.pool.first_address = listener.address
     loop = asyncio.get_running_loop()
 
     def close_soon() -> None:
         loop.call_later(UNREAD_S, listener.close)
 
-    stage.pool.came_up = close_soon
+    stage.pool.on_connected = close_soon
     return listener
 
 
--- a/tests/data_plane/test_event_stream.py
+++ b/tests/data_plane/test_event_stream.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from reedspoke.data_plane.event_stream import (
-    MOST_PENDING,
+    MAX_EVENT_BYTES,
     EventSplitter,
     EventTooLargeError,
     last_event_id,
@@ -33,8 +33,8 @@
 def test_two_pieces_cut_anywhere_give_the_same_events(cut: int) -> None:
     data, count, last, splitter = passed([STREAM[:cut], STREAM[cut:]])
     assert (data, count, last) == (STREAM, 4, "3")
-    assert splitter.pending() == 0
-    assert splitter.rest() == b""
+    assert splitter.pending_bytes() == 0
+    assert splitter.remainder() == b""
 
 
 @pytest.mark.parametrize("length", range(len(STREAM) + 1))
@@ -43,8 +43,8 @@
     assert data == STREAM[: STREAM.rfind(b"\n\n", 0, length) + 2 if b"\n\n" in STREAM[:length] else 0]
     assert count == data.count(b"\n\n")
     assert last == last_event_id(data)
-    assert data + splitter.rest() == STREAM[:length]
-    assert splitter.pending() == length - len(data)
+    assert data + splitter.remainder() == STREAM[:length]
+    assert splitter.pending_bytes() == length - len(data)
 
 
 def test_bytes_one_by_one_give_each_event_when_it_is_whole() -> None:
@@ -65,12 +65,12 @@
     pieces = [whole[start:end] for start, end in zip([0, *cuts], [*cuts, len(whole)], strict=True)]
     out, count, last, splitter = passed(pieces)
     assert (out, count, last) == (whole, len(texts), str(len(texts)) if texts else "")
-    assert splitter.pending() == 0
+    assert splitter.pending_bytes() == 0
 
 
 def test_an_event_without_end_is_not_kept_for_ever() -> None:
     splitter = EventSplitter()
-    assert splitter.feed(b"x" * MOST_PENDING) is None
+    assert splitter.feed(b"x" * MAX_EVENT_BYTES) is None
     with pytest.raises(EventTooLargeError):
         splitter.feed(b"x")
 
--- a/tests/data_plane/test_exchange_random.py
+++ b/tests/data_plane/test_exchange_random.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from tests.data_plane.judge import Asked, Ledger, Run
+from tests.data_plane.judge import Ledger, Run, SentRequest
 from tests.data_plane.wire import chunked, event, events
 from tests.data_plane.world import (
     IDEMPOTENT,
@@ -57,12 +57,12 @@
     # ---- clients ----
 
     def ask(self) -> None:
-        attempt_id = f"a{len(self.ledger.asked)}"
+        attempt_id = f"a{len(self.ledger.sent)}"
         path = self.random.choice(list(ROUTE_FIELDS))
-        body = b"question %d" % len(self.ledger.asked) * self.random.randrange(1, 30)
+        body = b"question %d" % len(self.ledger.sent) * self.random.randrange(1, 30)
         client = self.world.client()
-        asked = Asked(attempt_id, path, body, client, self.random.randrange(1, 6))
-        self.ledger.asked[attempt_id] = asked
+        sent = SentRequest(attempt_id, path, body, client, self.random.randrange(1, 6))
+        self.ledger.sent[attempt_id] = sent
         self.world.network.plan = [self.random.choice(CONNECTING) for _ in range(3)]
         more = {"Reedspoke_Deadline_Ms": "3000"} if self.random.random() < 0.2 else {}
         raw = request_bytes(path, attempt_id, body, Connection="close", **more)
@@ -72,24 +72,24 @@
 
     def leave(self) -> None:
         staying = [
-            asked for asked in self.ledger.asked.values() if not asked.left and not asked.client.answers()
+            sent for sent in self.ledger.sent.values() if not sent.disconnected and not sent.client.answers()
         ]
         if staying:
-            asked = self.random.choice(staying)
-            asked.left = True
-            asked.client.disconnect()
+            sent = self.random.choice(staying)
+            sent.disconnected = True
+            sent.client.disconnect()
 
     # ---- workers ----
 
     def note_arrivals(self) -> None:
         for arrival in self.world.arrivals[self.seen :]:
             run = Run(arrival)
-            asked = self.ledger.asked[arrival.attempt_id]
+            sent = self.ledger.sent[arrival.attempt_id]
             resumed = int(arrival.request.get("last-event-id") or 0)
             run.next_event = resumed + 1
             run.status = 200
             run.body = (
-                events(1, asked.pieces) if asked.path in STREAMS else b"to %b" % asked.attempt_id.encode()
+                events(1, sent.event_count) if sent.path in STREAMS else b"to %b" % sent.attempt_id.encode()
             )
             self.ledger.runs[arrival.attempt_id].append(run)
             self.open_runs.append(run)
@@ -101,9 +101,9 @@
 
     def answer(self, run: Run, surplus: bytes = b"") -> None:
         """The rest of a whole answer."""
-        asked = self.ledger.asked[run.arrival.attempt_id]
-        if asked.path in STREAMS:
-            raw = self.head(run) + chunked(*(event(n) for n in range(run.next_event, asked.pieces + 1)))
+        sent = self.ledger.sent[run.arrival.attempt_id]
+        if sent.path in STREAMS:
+            raw = self.head(run) + chunked(*(event(n) for n in range(run.next_event, sent.event_count + 1)))
         else:
             raw = run.arrival.complete_answer(run.body)
         self.say(run, raw + surplus)
@@ -144,8 +144,8 @@
         run = self.some_run()
         if run is None:
             return
-        asked = self.ledger.asked[run.arrival.attempt_id]
-        if asked.path in STREAMS and run.next_event <= asked.pieces:
+        sent = self.ledger.sent[run.arrival.attempt_id]
+        if sent.path in STREAMS and run.next_event <= sent.event_count:
             self.say(run, self.head(run) + chunked(event(run.next_event), last=False))
             run.next_event += 1
 
--- a/tests/data_plane/test_exchange_surplus.py
+++ b/tests/data_plane/test_exchange_surplus.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from tests.data_plane.wire import HIGH_WATER, chunked, event
+from tests.data_plane.wire import HIGH_WATER_BYTES, chunked, event
 from tests.data_plane.world import IDEMPOTENT, NON_IDEMPOTENT, RESUMABLE, STREAMING, Arrival, World
 
 Worlds = Callable[..., World]
@@ -196,7 +196,7 @@
     slow = single.new_request(STREAMING, "a1")
     slow.transport.stop_peer_reading()
     first = single.arrival()
-    large = b"id: 1\ndata: %b\n\n" % (b"x" * (HIGH_WATER + 1))
+    large = b"id: 1\ndata: %b\n\n" % (b"x" * (HIGH_WATER_BYTES + 1))
     first.worker.send(first.stream_head() + chunked(large))
     assert single.is_idle()
     client = single.new_request(NON_IDEMPOTENT, "a2")
@@ -209,7 +209,7 @@
     slow = single.new_request(STREAMING, "a1")
     slow.transport.stop_peer_reading()
     arrival = single.arrival()
-    large = b"id: 1\ndata: %b\n\n" % (b"x" * (HIGH_WATER + 1))
+    large = b"id: 1\ndata: %b\n\n" % (b"x" * (HIGH_WATER_BYTES + 1))
     arrival.worker.send(arrival.stream_head() + chunked(large, last=False))
     assert arrival.worker.transport.reads_paused
     arrival.worker.send(chunked(event(2)))
@@ -224,7 +224,7 @@
     slow = world.new_request(RESUMABLE, "a1")
     slow.transport.stop_peer_reading()
     arrival = world.arrival()
-    large = b"id: 1\ndata: %b\n\n" % (b"x" * (HIGH_WATER + 1))
+    large = b"id: 1\ndata: %b\n\n" % (b"x" * (HIGH_WATER_BYTES + 1))
     arrival.worker.send(arrival.stream_head() + chunked(large, last=False))
     arrival.worker.send(chunked(event(2), last=False))
     world.run_for(3)
--- a/tests/data_plane/test_guards_exchange.py
+++ b/tests/data_plane/test_guards_exchange.py
@@ -51,7 +51,7 @@
     def send_answer(self, answer: CompleteAnswer) -> None:
         self.answers.append(answer)
 
-    def begin_stream(self, status_line: bytes, fields: bytes, first: bytes) -> None:
+    def start_stream(self, status_line: bytes, fields: bytes, first: bytes) -> None:
         self.pieces.append(first)
 
     def write_piece(self, piece: bytes) -> None:
@@ -67,19 +67,19 @@
     def __init__(self) -> None:
         self.ended: list[Evidence] = []
 
-    def progress(self, exchange: Exchange) -> None:
+    def data_received(self, exchange: Exchange) -> None:
         """Nothing is timed."""
 
-    def first_event(self, exchange: Exchange) -> None:
+    def answer_started(self, exchange: Exchange) -> None:
         """Nothing is learned of workers."""
 
     def attempt_ended(self, exchange: Exchange, evidence: Evidence) -> None:
         self.ended.append(evidence)
 
-    def finished(self, exchange: Exchange) -> None:
+    def exchange_finished(self, exchange: Exchange) -> None:
         """The test sees it at the client."""
 
-    def called_off(self, exchange: Exchange) -> None:
+    def exchange_aborted(self, exchange: Exchange) -> None:
         """The test sees it at the client."""
 
     def unavailable_since(self, instance_id: str) -> float | None:
@@ -94,7 +94,7 @@
         super().__init__(loop)
         self.sent: list[bytes] = []
 
-    def is_quiet(self) -> bool:
+    def is_healthy(self) -> bool:
         return True
 
     def send(
@@ -120,10 +120,10 @@
     def connect(self, address: str, done: Callable[[ConnectResult], None]) -> None:
         self.connecting.append(done)
 
-    def forget(self, instance_id: str) -> None:
+    def close_idle(self, instance_id: str) -> None:
         self.forgotten.append(instance_id)
 
-    def give_back(self, instance_id: str, connection: UpstreamConnection) -> None:
+    def release(self, instance_id: str, connection: UpstreamConnection) -> None:
         self.given_back.append(instance_id)
 
 
@@ -187,7 +187,7 @@
         ]
         self.exchange.on_head(Head(1, status=200, fields=sealed))
         self.exchange.on_body(memoryview(b"id: 1\ndata: x\n\n"))
-        self.exchange.give_up_attempt()
+        self.exchange.time_out_attempt()
         assert self.client.pieces == [b"id: 1\ndata: x\n\n"]
 
 
@@ -255,7 +255,7 @@
 
 def test_a_connection_that_comes_up_late_is_kept_for_its_own_worker(scene: Scene) -> None:
     scene.exchange.send(FIRST)
-    scene.exchange.give_up_attempt()
+    scene.exchange.time_out_attempt()
     scene.exchange.send(SECOND)
     late = scene.connected()
     assert late.sent == []
@@ -268,12 +268,12 @@
     attempt = scene.exchange.open_attempt()
     assert attempt is not None
     assert not attempt.connected
-    scene.exchange.give_up_attempt()
+    scene.exchange.time_out_attempt()
     assert not scene.owner.ended[0].bytes_sent
 
 
 def test_an_answer_that_is_too_long_ends_its_attempt(scene: Scene, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(exchange, "MOST_WHOLE_ANSWER", 10)
+    monkeypatch.setattr(exchange, "MAX_BUFFERED_ANSWER_BYTES", 10)
     scene.exchange.send(FIRST)
     scene.connected()
     scene.exchange.on_head(Head(1, status=500))
--- a/tests/data_plane/test_guards_pool.py
+++ b/tests/data_plane/test_guards_pool.py
@@ -45,32 +45,32 @@
 
 def test_a_connection_that_has_ended_takes_no_place_among_the_idle(connections: Connections) -> None:
     pool = connections.pool
-    pool.most_idle = {INSTANCE: 1}
+    pool.max_idle = {INSTANCE: 1}
     ended, idle = connections.up(), connections.up()
     ended.close()
-    pool.give_back(INSTANCE, ended)
-    pool.give_back(INSTANCE, idle)
+    pool.release(INSTANCE, ended)
+    pool.release(INSTANCE, idle)
     assert pool.take_idle(INSTANCE) is idle
     assert pool.take_idle(INSTANCE) is None
 
 
 def test_no_more_connections_are_kept_than_the_share(connections: Connections) -> None:
     pool = connections.pool
-    pool.most_idle = {INSTANCE: 1}
+    pool.max_idle = {INSTANCE: 1}
     first, second = connections.up(), connections.up()
     for connection in (first, second):
-        pool.give_back(INSTANCE, connection)
+        pool.release(INSTANCE, connection)
     assert pool.take_idle(INSTANCE) is first
-    assert not second.open
+    assert not second.is_open
 
 
 def test_a_connection_whose_time_is_over_is_not_used(connections: Connections) -> None:
     pool = connections.pool
     connection = connections.up()
-    pool.give_back(INSTANCE, connection)
+    pool.release(INSTANCE, connection)
     connections.loop.run_for(connection.usable_until - connections.loop.time())
     assert pool.take_idle(INSTANCE) is None
-    assert not connection.open
+    assert not connection.is_open
 
 
 def test_a_connection_that_its_worker_is_about_to_end_carries_no_further_request(world: World) -> None:
--- a/tests/data_plane/test_invariant_checks.py
+++ b/tests/data_plane/test_invariant_checks.py
@@ -38,7 +38,7 @@
 def silent(scene: Scene) -> None:
     """It has been sent, and was given up for silence."""
     sent(scene)
-    scene.exchange.give_up_attempt()
+    scene.exchange.time_out_attempt()
 
 
 def begun(scene: Scene, attempt_id: str = "a1", number: int = 3) -> None:
@@ -131,7 +131,7 @@
 
     def play() -> None:
         begun(scene)
-        scene.exchange.give_up_attempt()
+        scene.exchange.time_out_attempt()
         begun(scene, number=second)
 
     assert broken_by(play) == ({Invariant.EVENTS_RISE} if broken else set())
--- a/tests/data_plane/test_job_builder.py
+++ b/tests/data_plane/test_job_builder.py
@@ -11,7 +11,7 @@
 from reedspoke.common.messages import WatchRequest, encode
 from reedspoke.data_plane.job_builder import (
     build_job,
-    parse_parts,
+    parse_prompt_parts,
     parse_token_count,
     repeat_of,
     request_timeout_s,
@@ -108,7 +108,7 @@
     ],
 )
 def test_what_is_malformed_ends_the_list_of_parts(text: str, parts: tuple[PromptPart, ...]) -> None:
-    assert parse_parts(text) == parts
+    assert parse_prompt_parts(text) == parts
 
 
 @pytest.mark.parametrize(
--- a/tests/data_plane/test_request_log.py
+++ b/tests/data_plane/test_request_log.py
@@ -92,7 +92,7 @@
         )
         plane.arrival().worker.send(plane.arrival().complete_answer())
     ((event, line),) = told
-    assert event == "request sent again"
+    assert event == "request retried"
     assert [attempt["fate"] for attempt in line["attempts"]] == ["never_ran", "answered"]
     assert line["attempts"][0]["not_executed"]
 
--- a/tests/data_plane/virtual_loop.py
+++ b/tests/data_plane/virtual_loop.py
@@ -1,4 +1,4 @@
-"""An event loop in virtual time: waiting costs nothing, and connections lead to stand-ins, not to sockets."""
+"""An event loop in virtual time: waiting takes no real time, and connections lead to stand-ins of sockets."""
 
 from __future__ import annotations
 
@@ -7,18 +7,18 @@
 from collections.abc import Awaitable, Callable
 from typing import Any, TypeVar
 
-STARTED_AT = 1000.0  # seconds on the clock of a new loop
+STARTED_AT = 1000.0  # Seconds on the clock of a new loop.
 TICK_S = 0.001
-Answer = TypeVar("Answer")
+Result = TypeVar("Result")
 Connector = Callable[[asyncio.BaseProtocol, str], Awaitable[asyncio.Transport]]
 
 
 class DeadlockError(Exception):
-    """Nothing will ever happen again, yet somebody waits."""
+    """The loop has no timer left while a task is still waiting."""
 
 
 class VirtualSelector(selectors.SelectSelector):
-    """Has no news of any file, and lets the clock jump instead of waiting."""
+    """Reports no file as ready, and advances the clock instead of waiting."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -32,7 +32,7 @@
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """`connector` answers `create_connection`; errors that nobody handles are kept in `errors`."""
+    """`connector` handles `create_connection`; unhandled errors are collected in `errors`."""
 
     def __init__(self) -> None:
         self._virtual = VirtualSelector()
@@ -42,6 +42,7 @@
         self.set_exception_handler(lambda _, context: self.errors.append(context))
 
     def time(self) -> float:
+        """The virtual time in seconds."""
         return self._virtual.now
 
     async def create_connection(  # type: ignore[override]
@@ -52,9 +53,9 @@
         return await self.connector(protocol, f"{host}:{port}"), protocol
 
     def run_for(self, seconds: float) -> None:
-        """Let this time pass."""
+        """Lets virtual time pass."""
         self.run_until_complete(asyncio.sleep(seconds))
 
     def settle(self) -> None:
-        """Let everything happen that needs no time."""
+        """Runs all callbacks that are due without waiting."""
         self.run_for(TICK_S)
--- a/tests/data_plane/wire.py
+++ b/tests/data_plane/wire.py
@@ -1,4 +1,4 @@
-"""Stand-ins for connections: transports whose other end is the test, and readers of what went over them."""
+"""Stand-ins of connections: transports whose peer is the test, and parsers of what was written to them."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 from tests.data_plane.virtual_loop import VirtualLoop
 
-HIGH_WATER = 64 * 1024  # bytes that wait to be sent, beyond which a writer is asked to pause
+HIGH_WATER_BYTES = 64 * 1024  # Beyond so many unsent bytes, the writer is asked to pause.
 
 
 class SocketStandIn:
-    """What connections ask of a socket: options, and a file that shows whether something is unread."""
+    """The parts of a socket that connections use: options, and a file whose readiness shows unread data."""
 
     def __init__(self) -> None:
         self.options: list[tuple[int, int, int]] = []
@@ -28,7 +28,7 @@
         return self._file
 
     def has_unread(self) -> None:
-        """From now on a poll finds something to read."""
+        """Makes a poll report unread data from now on."""
         os.eventfd_write(self._file, 1)
 
     def close(self) -> None:
@@ -36,10 +36,10 @@
 
 
 class TransportStandIn(asyncio.Transport):
-    """The program's end of a connection. What the program writes is in `written`.
+    """The transport of the code under test. What it writes is in `written`.
 
-    `aborted` and `closed` tell how the program ended it: an abort is seen by the other end as a reset, and
-    `ended_writing` that it writes no more, while it may still read.
+    `aborted` and `closed` tell how the code under test ended the connection: the peer sees an abort as a
+    reset. `eof_written` tells that only the write side is closed.
     """
 
     def __init__(self, loop: VirtualLoop, protocol: asyncio.BufferedProtocol) -> None:
@@ -53,14 +53,14 @@
         self.reads_paused = False
         self.socket = SocketStandIn()
         self.on_write: Callable[[], None] = lambda: None
-        self._taken = True  # whether the other end takes what is written
-        self._waiting = 0
+        self._peer_reads = True  # Whether the peer reads what is written.
+        self._unsent_bytes = 0
         self._writer_paused = False
         self._unread: list[bytes] = []
         self._lost = False
         protocol.connection_made(self)
 
-    # ---- what the program calls ----
+    # ---- calls of the code under test ----
 
     def get_extra_info(self, name: str, default: Any = None) -> Any:
         return self.socket if name == "socket" else default
@@ -71,17 +71,17 @@
     def write(self, data: bytes | bytearray | memoryview) -> None:
         if self.is_closing():
             return
-        assert not self.eof_written, "written behind the end"
+        assert not self.eof_written, "data was written after the end"
         self.written += data
-        if not self._taken:
-            self._waiting += len(data)
-            if self._waiting > HIGH_WATER and not self._writer_paused:
+        if not self._peer_reads:
+            self._unsent_bytes += len(data)
+            if self._unsent_bytes > HIGH_WATER_BYTES and not self._writer_paused:
                 self._writer_paused = True
                 self.protocol.pause_writing()
         self.on_write()
 
     def get_write_buffer_size(self) -> int:
-        return 0 if self._taken else self._waiting
+        return 0 if self._peer_reads else self._unsent_bytes
 
     def pause_reading(self) -> None:
         self.reads_paused = True
@@ -105,32 +105,32 @@
             self.aborted = True
             self._lose(None)
 
-    # ---- what the other end does ----
+    # ---- actions of the peer ----
 
     def arrive(self, data: bytes) -> None:
-        """Bytes come from the other end."""
+        """The peer sends data."""
         self.loop.call_soon(self._deliver, data)
 
     def arrive_end(self) -> None:
-        """The other end writes no more."""
+        """The peer closes its write side."""
         self.loop.call_soon(self._end)
 
     def arrive_reset(self) -> None:
-        """The other end resets the connection."""
+        """The peer resets the connection."""
         self.loop.call_soon(self._reset)
 
     def arrive_timeout(self) -> None:
-        """The system gives the connection up, as nothing that was sent is acknowledged."""
+        """The kernel ends the connection because sent data is not acknowledged."""
         self.loop.call_soon(self._lose, TimeoutError())
 
     def stop_peer_reading(self) -> None:
-        """The other end reads no more."""
-        self._taken = False
+        """The peer stops reading."""
+        self._peer_reads = False
 
     def resume_peer_reading(self) -> None:
-        """The other end reads all that waits for it, and goes on reading."""
-        self._taken = True
-        self._waiting = 0
+        """The peer reads all pending data and continues to read."""
+        self._peer_reads = True
+        self._unsent_bytes = 0
         if self._writer_paused:
             self._writer_paused = False
             self.protocol.resume_writing()
@@ -143,7 +143,7 @@
             return
         try:
             self._fill(data)
-        except Exception as error:  # as asyncio does: the connection ends, the handler of the loop is told
+        except Exception as error:  # As asyncio does: the loop's exception handler is called.
             self.loop.call_exception_handler({"message": "buffer_updated raised", "exception": error})
             self._lose(error)
 
@@ -152,7 +152,7 @@
         while left and not self.is_closing():
             room = memoryview(self.protocol.get_buffer(-1))
             count = min(len(room), len(left))
-            assert count, "no room to read to"
+            assert count, "the receive buffer has no space"
             room[:count] = left[:count]
             self.protocol.buffer_updated(count)
             left = left[count:]
@@ -172,7 +172,7 @@
 
 
 class SeenRequest(Struct, frozen=True):
-    """A request as a worker reads it."""
+    """A request as a worker receives it."""
 
     method: str
     target: str
@@ -181,12 +181,12 @@
 
     def get(self, name: str) -> str | None:
         values = [value for key, value in self.fields if key == name.lower()]
-        assert len(values) <= 1, f"{name} stands there {len(values)} times"
+        assert len(values) <= 1, f"{name} occurs {len(values)} times"
         return values[0] if values else None
 
 
 class SeenAnswer(Struct, frozen=True):
-    """An answer as a client reads it; `whole` tells whether all of its body has come."""
+    """An answer as a client receives it; `is_complete` tells whether its whole body arrived."""
 
     status: int
     fields: list[tuple[str, str]]
@@ -195,16 +195,16 @@
 
     def get(self, name: str) -> str | None:
         values = [value for key, value in self.fields if key == name.lower()]
-        assert len(values) <= 1, f"{name} stands there {len(values)} times"
+        assert len(values) <= 1, f"{name} occurs {len(values)} times"
         return values[0] if values else None
 
 
 class NotHttpError(AssertionError):
-    """What was written is not HTTP/1.1."""
+    """The written bytes are not valid HTTP/1.1."""
 
 
 def split_head(raw: bytes) -> tuple[str, list[tuple[str, str]], bytes] | None:
-    """First line, fields and what stands behind the head; None until it is whole."""
+    """Start line, fields and the bytes after the head; None if the head is incomplete."""
     head, blank, rest = raw.partition(b"\r\n\r\n")
     if not blank:
         return None
@@ -219,7 +219,7 @@
 
 
 def read_requests(raw: bytes) -> list[SeenRequest]:
-    """The whole requests at the front of `raw`."""
+    """The complete requests at the start of `raw`."""
     found = []
     while (parts := split_head(raw)) is not None:
         first, fields, rest = parts
@@ -255,7 +255,7 @@
 
 
 def read_body(fields: list[tuple[str, str]], rest: bytes, status: int) -> tuple[bytes, bool, bytes]:
-    """The body, whether it is whole, and what stands behind it."""
+    """The body, whether it is complete, and the bytes after it."""
     if 100 <= status < 200 or status in (204, 304):
         return b"", True, rest
     names = dict(fields)
@@ -264,12 +264,13 @@
             raise NotHttpError(str(fields))
         return read_chunks(rest)
     if "content-length" not in names:
-        raise NotHttpError(f"nothing tells the length of the body: {fields}")
+        raise NotHttpError(f"no field delimits the body: {fields}")
     length = int(names["content-length"])
     return rest[:length], len(rest) >= length, rest[length:]
 
 
 def read_chunks(rest: bytes) -> tuple[bytes, bool, bytes]:
+    """A body in chunks, whether it is complete, and the bytes after it."""
     body = b""
     while True:
         line, newline, behind = rest.partition(b"\r\n")
@@ -279,20 +280,20 @@
         if len(behind) < size + 2:
             return body + behind[:size], False, b""
         if behind[size : size + 2] != b"\r\n":
-            raise NotHttpError("a chunk has no end")
+            raise NotHttpError("a chunk is not followed by CRLF")
         body, rest = body + behind[:size], behind[size + 2 :]
         if size == 0:
             return body, True, rest
 
 
 def chunked(*pieces: bytes, last: bool = True) -> bytes:
-    """Pieces in the chunked transfer coding."""
+    """Encodes pieces in the chunked transfer coding."""
     coded = b"".join(b"%x\r\n%b\r\n" % (len(piece), piece) for piece in pieces)
     return coded + (b"0\r\n\r\n" if last else b"")
 
 
 def event(number: int) -> bytes:
-    """The event of this id."""
+    """The event with this id."""
     return b"id: %d\ndata: piece %d\n\n" % (number, number)
 
 
--- a/tests/data_plane/world.py
+++ b/tests/data_plane/world.py
@@ -1,4 +1,4 @@
-"""A data plane without sockets: its parts are real, clients and workers are the test."""
+"""A data plane without sockets: the modules are real, the test acts as clients and workers."""
 
 from __future__ import annotations
 
@@ -33,9 +33,9 @@
 
 HOST = "a.example"
 SEAL = "3e1b.07.5a2.600.0.c9f2a4d1"
-TIMEOUT_S = 20.0  # of every route
+TIMEOUT_S = 20.0  # Timeout of every route.
 LATENCY_TARGET_S = 2.0
-SLOW_CONNECT_S = 0.5  # a connection that comes up slowly
+SLOW_CONNECT_S = 0.5  # Delay of a connection that is established slowly.
 NON_IDEMPOTENT, IDEMPOTENT, STREAMING, RESUMABLE = "/once/", "/again/", "/stream/", "/resume/"
 NEVER_REPEATED = (NON_IDEMPOTENT, STREAMING)
 ROUTE_FIELDS: dict[str, dict[str, object]] = {
@@ -77,7 +77,7 @@
 
 
 class WorkerEnd(Struct, eq=False):
-    """The worker's end of a connection."""
+    """A connection as its worker sees it."""
 
     instance_id: str
     transport: TransportStandIn
@@ -99,12 +99,12 @@
 
     @property
     def is_closed(self) -> bool:
-        """Whether the connection has ended."""
+        """Whether the connection is closed."""
         return self.transport.is_closing()
 
 
 class Arrival(Struct, eq=False):
-    """A request that has reached a worker."""
+    """A request that arrived at a worker."""
 
     worker: WorkerEnd
     request: SeenRequest
@@ -116,13 +116,13 @@
         return found
 
     def fields(self, **more: str) -> bytes:
-        """The fields of the worker's answer: echo and stamp."""
+        """The header lines of the worker's answer: the attempt id and the seal."""
         named = {"Reedspoke-Attempt-Id": self.attempt_id, "Reedspoke-Response-Seal": SEAL}
         named |= {name.replace("_", "-"): value for name, value in more.items()}
         return "".join(f"{name}: {value}\r\n" for name, value in named.items()).encode()
 
     def complete_answer(self, body: bytes = b"the answer", status: str = "200 OK", **more: str) -> bytes:
-        """An answer with its length."""
+        """A complete answer with a Content-Length."""
         length = f"Content-Length: {len(body)}\r\n".encode()
         return b"HTTP/1.1 %b\r\n" % status.encode() + self.fields(**more) + length + b"\r\n" + body
 
@@ -131,7 +131,7 @@
         return b"HTTP/1.1 200 OK\r\n" + self.fields(**more) + coding
 
     def overload_answer(self, **more: str) -> bytes:
-        """The answer of a worker that has no room."""
+        """The answer of a worker that has no free capacity."""
         more |= {"Reedspoke_Not_Executed": "1", "Retry_After": "1"}
         return self.complete_answer(b"", "503 Service Unavailable", **more)
 
@@ -140,12 +140,12 @@
 
 
 class Network:
-    """Leads connections to workers. `plan` has what happens to the next ones; without it they come up."""
+    """Opens connections to workers. `plan` has the outcomes of the next ones; all others are accepted."""
 
     def __init__(self, loop: VirtualLoop) -> None:
         self.loop = loop
-        self.names: dict[str, str] = {}  # instance ids by address
-        self.plan: list[str] = []  # each one of accept, slow, refuse, refuse slowly, hang, reset at once
+        self.names: dict[str, str] = {}  # Instance ids by address.
+        self.plan: list[str] = []  # Of accept, slow, refuse, refuse slowly, hang, reset at once.
         self.connections: list[WorkerEnd] = []
         self.arrivals: list[Arrival] = []
         self.transports: list[TransportStandIn] = []
@@ -175,7 +175,7 @@
 
 
 class Frontend:
-    """What client connections belong to; stands for the process."""
+    """The owner of client connections, in place of the process."""
 
     def __init__(self, forwarder: Forwarder) -> None:
         self.forwarder = forwarder
@@ -198,7 +198,7 @@
         self.connections.discard(connection)
 
     def request_unreadable(self, status: int, message: str, peer: str) -> None:
-        """The test sees it at the client."""
+        """Does nothing: tests check what the client receives."""
 
     def handle_request(self, request: ClientRequest, connection: ClientConnection) -> RequestHandler:
         self.requests.append(request)
@@ -212,7 +212,7 @@
 
 
 class Client:
-    """A client and its connection."""
+    """A client with one connection."""
 
     def __init__(self, world: World) -> None:
         self.world = world
@@ -227,7 +227,7 @@
     def send_request(
         self, path: str, attempt_id: str = "a1", body: bytes = b"the question", **more: str
     ) -> None:
-        """Send a request."""
+        """Sends a request."""
         self.send(request_bytes(path, attempt_id, body, **more))
 
     def disconnect(self) -> None:
@@ -238,18 +238,18 @@
         return read_answers(bytes(self.transport.written))
 
     def answer(self) -> SeenAnswer:
-        """The only answer."""
+        """The only answer that was received."""
         (found,) = self.answers()
         return found
 
     @property
     def was_reset(self) -> bool:
-        """Whether the program has broken the connection off, so that the client sees a reset."""
+        """Whether the data plane aborted the connection, so that the client sees a reset."""
         return self.transport.aborted
 
 
 def request_bytes(path: str, attempt_id: str = "a1", body: bytes = b"the question", **more: str) -> bytes:
-    """A client's request with its body."""
+    """The bytes of a request."""
     named = {"Host": HOST, "Reedspoke-Attempt-Id": attempt_id, "Content-Length": str(len(body))}
     named |= {name.replace("_", "-"): value for name, value in more.items()}
     lines = "".join(f"{name}: {value}\r\n" for name, value in named.items())
@@ -257,7 +257,7 @@
 
 
 class World(Struct, eq=False):
-    """Everything together."""
+    """A data plane with its network and its clients."""
 
     loop: VirtualLoop
     network: Network
@@ -275,7 +275,7 @@
     def new_request(
         self, path: str, attempt_id: str = "a1", body: bytes = b"the question", **more: str
     ) -> Client:
-        """A new client that has sent a request."""
+        """Creates a client that sends a request."""
         made = self.client()
         made.send_request(path, attempt_id, body, **more)
         return made
@@ -285,14 +285,14 @@
         return self.network.arrivals
 
     def arrival(self) -> Arrival:
-        """The latest request at a worker."""
+        """The latest request that arrived at a worker."""
         return self.network.arrivals[-1]
 
     def run_for(self, seconds: float) -> None:
         self.loop.run_for(seconds)
 
     def set_workers(self, names: Iterable[str], capacity: int = 8) -> None:
-        """The list of workers from now on."""
+        """Replaces the list of workers."""
         entries = [
             WorkerEntry(name, "u1", f"10.0.0.{name.rpartition('-')[2]}:80", "za", "v1", capacity, False)
             for name in names
@@ -301,7 +301,7 @@
         self.forwarder.set_workers(WorkerList((1, len(self.arrivals)), tuple(entries)))
 
     def is_idle(self) -> bool:
-        """Whether nothing of any request is left."""
+        """Whether no request holds any resource."""
         return (
             self.forwarder.open_exchange_count() == 0
             and self.dispatcher.job_count == 0
@@ -327,7 +327,7 @@
     most_connections: int = 100,
     engine: bool = False,
 ) -> World:
-    """A data plane that has run for long, with a configuration and workers."""
+    """A data plane that has been running for some time, with a configuration and workers."""
     loop = VirtualLoop()
     network = Network(loop)
     loop.connector = network.connect
@@ -348,7 +348,7 @@
 
 @contextmanager
 def fresh_world(**settings: Any) -> Iterator[World]:
-    """A data plane for a while; at the end no error may be unhandled."""
+    """A data plane until the block ends; then no error may be unhandled."""
     world = make_world(**settings)
     try:
         yield world
