--- a/reedspoke/data_plane/exchange_owner.py
+++ b/reedspoke/data_plane/exchange_owner.py
@@ -31,7 +31,7 @@
         """When the worker was first seen to drain or to be gone; None if it is available."""
 
     def exchange_aborted(self, exchange: Exchange) -> None:
-        """The request ended without a complete answer; its attempt has been cancelled."""
+        """The exchange ended the request without a decision of the dispatcher, and cancelled its attempt."""
 
 
 Arguments = ParamSpec("Arguments")
--- a/reedspoke/data_plane/forwarder.py
+++ b/reedspoke/data_plane/forwarder.py
@@ -191,7 +191,7 @@
         self._apply(self._dispatcher.attempt_ended(exchange.job.job_id, end, self._loop.time()))
 
     def exchange_aborted(self, exchange: Exchange) -> None:
-        """Releases a request that ended without a complete answer, and logs it.
+        """Releases and logs a request that its exchange ended without a decision of the dispatcher.
 
         Its client has disconnected, its stream cannot be resumed, its key is unconfirmed, or an unexpected
         error occurred. An attempt in flight has been cancelled.
--- a/reedspoke/data_plane/upstream_pool.py
+++ b/reedspoke/data_plane/upstream_pool.py
@@ -56,7 +56,7 @@
         connecting = self._loop.create_task(self._create(address))
         try:
             await asyncio.wait({connecting}, timeout=CONNECT_TIMEOUT_S)
-            for _ in range(YIELDS_WHEN_LATE):  # It may have been established while the process was stalled.
+            for _ in range(YIELDS_WHEN_LATE):  # The connection may have been opened during a stall.
                 if connecting.done():
                     break
                 await asyncio.sleep(0)
--- a/tests/data_plane/judge.py
+++ b/tests/data_plane/judge.py
@@ -79,9 +79,9 @@
         runs = self.runs[sent.attempt_id]
         assert answer.get("reedspoke-response-seal") == SEAL
         assert answer.get("reedspoke-attempt-id") == sent.attempt_id
-        whole = {run.body for run in runs if run.status == answer.status}
+        complete_bodies = {run.body for run in runs if run.status == answer.status}
         if answer.is_complete:
-            assert answer.body in whole, f"{sent.attempt_id} got a wrong complete body"
+            assert answer.body in complete_bodies, f"{sent.attempt_id} got a wrong complete body"
         else:
             assert sent.disconnected or sent.client.was_reset, f"{sent.attempt_id}: looks complete"
-            assert any(body.startswith(answer.body) for body in whole)
+            assert any(body.startswith(answer.body) for body in complete_bodies)
--- a/tests/data_plane/test_attempt_timeout.py
+++ b/tests/data_plane/test_attempt_timeout.py
@@ -1,4 +1,4 @@
-"""Which attempts are given up because their worker is silent."""
+"""Which attempts time out because their worker sends no data."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from reedspoke.decision.messages import Repeat
 
 SENT = 100.0
-LONG = 60.0
+LONG_S = 60.0
 
 
 def attempt(
@@ -18,8 +18,8 @@
     streaming: bool = True,
     latency_target_s: float = 2.0,
     event_gap_target_s: float = 0.0,
-    heard_after: float = 0.0,
-    time_s: float = LONG,
+    received_after: float = 0.0,
+    deadline_after_s: float = LONG_S,
 ) -> OpenAttempt:
     return OpenAttempt(
         job_id=job_id,
@@ -29,55 +29,55 @@
         latency_target_s=latency_target_s,
         event_gap_target_s=event_gap_target_s,
         sent_at=SENT,
-        last_received_at=SENT + heard_after,
-        deadline=SENT + time_s,
+        last_received_at=SENT + received_after,
+        deadline=SENT + deadline_after_s,
     )
 
 
-def given_up(made: OpenAttempt, after: float, worker_heard_after: float | None = None) -> bool:
-    heard_from = {} if worker_heard_after is None else {"i-1": SENT + worker_heard_after}
-    return timed_out_attempts([made], heard_from, SENT + after) == [made.job_id]
+def is_timed_out(made: OpenAttempt, after: float, worker_received_after: float | None = None) -> bool:
+    last_received_from = {} if worker_received_after is None else {"i-1": SENT + worker_received_after}
+    return timed_out_attempts([made], last_received_from, SENT + after) == [made.job_id]
 
 
 @pytest.mark.parametrize(
     ("latency_target_s", "event_gap_target_s", "expected"),
     [(2.0, 0.1, 4.0), (0.1, 0.1, 1.0), (0.1, 0.6, 2.4), (1.0, 0.0, 2.0)],
 )
-def test_a_stream_is_given_half_of_the_silence_that_its_client_bears(
+def test_a_stream_times_out_at_half_of_its_clients_timeout(
     latency_target_s: float, event_gap_target_s: float, expected: float
 ) -> None:
     made = attempt(latency_target_s=latency_target_s, event_gap_target_s=event_gap_target_s)
     assert attempt_timeout_s(made) == pytest.approx(expected)
-    assert not given_up(made, expected - 0.01)
-    assert given_up(made, expected + 0.01)
+    assert not is_timed_out(made, expected - 0.01)
+    assert is_timed_out(made, expected + 0.01)
 
 
-def test_silence_counts_from_the_last_event_of_a_stream() -> None:
-    started = attempt(latency_target_s=0.5, heard_after=0.5)
-    assert not given_up(started, 1.4)
-    assert given_up(started, 1.5)
+def test_a_streams_timeout_starts_at_its_last_event() -> None:
+    started = attempt(latency_target_s=0.5, received_after=0.5)
+    assert not is_timed_out(started, 1.4)
+    assert is_timed_out(started, 1.5)
 
 
-def test_a_plain_request_is_given_twice_its_aim() -> None:
+def test_a_plain_request_times_out_at_twice_its_latency_target() -> None:
     plain = attempt(repeat=Repeat.IDEMPOTENT, streaming=False, latency_target_s=2.0)
-    assert not given_up(plain, 3.9)
-    assert given_up(plain, 4.0)
+    assert not is_timed_out(plain, 3.9)
+    assert is_timed_out(plain, 4.0)
 
 
-def test_a_worker_that_answers_others_is_not_silent() -> None:
-    assert not given_up(attempt(), 6.5, worker_heard_after=2.6)
-    assert given_up(attempt(), 6.7, worker_heard_after=2.6)
+def test_data_from_the_worker_on_another_connection_restarts_the_timeout() -> None:
+    assert not is_timed_out(attempt(), 6.5, worker_received_after=2.6)
+    assert is_timed_out(attempt(), 6.7, worker_received_after=2.6)
 
 
-def test_what_was_heard_before_the_attempt_proves_nothing() -> None:
-    assert given_up(attempt(), 4.0, worker_heard_after=-50.0)
+def test_data_received_before_the_attempt_does_not_count() -> None:
+    assert is_timed_out(attempt(), 4.0, worker_received_after=-50.0)
 
 
-@pytest.mark.parametrize("after", [3.0, 10.0, LONG - 0.1])
-def test_a_request_that_may_run_once_is_never_given_up_for_silence(after: float) -> None:
-    assert not given_up(attempt(repeat=Repeat.NEVER), after)
+@pytest.mark.parametrize("after", [3.0, 10.0, LONG_S - 0.1])
+def test_a_request_that_must_not_be_repeated_never_times_out(after: float) -> None:
+    assert not is_timed_out(attempt(repeat=Repeat.NEVER), after)
 
 
-def test_only_the_silent_ones_are_given_up() -> None:
-    attempts = [attempt(1), attempt(2, heard_after=2.9), attempt(3, repeat=Repeat.NEVER), attempt(4)]
+def test_only_attempts_without_data_time_out() -> None:
+    attempts = [attempt(1), attempt(2, received_after=2.9), attempt(3, repeat=Repeat.NEVER), attempt(4)]
     assert timed_out_attempts(attempts, {}, SENT + 4.5) == [1, 4]
--- a/tests/data_plane/test_attempts_client_end.py
+++ b/tests/data_plane/test_attempts_client_end.py
@@ -1,4 +1,4 @@
-"""The last answer on a client's connection arrives, whatever the client still sends; over real sockets."""
+"""The last answer on a client's connection arrives whatever the client still sends, over real sockets."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 HEAD = b"POST /once/ HTTP/1.1\r\nHost: a.example\r\nReedspoke-Attempt-Id: a1\r\n"
 TOO_LARGE = 5 * 1024 * 1024
-REFUSED = {
+REFUSED_REQUESTS = {
     "a body by length": (HEAD + b"Content-Length: %d\r\n\r\n" % TOO_LARGE + b"x" * TOO_LARGE, 413),
     "a body in chunks": (
         HEAD + b"Transfer-Encoding: chunked\r\n\r\n%x\r\n" % TOO_LARGE + b"x" * TOO_LARGE,
@@ -22,7 +22,7 @@
     "a head": (HEAD + b"X: y\r\n" * 200_000, 431),
     "no HTTP": (b"nonsense\r\n" * 100_000, 400),
 }
-WHOLE = HEAD + b"Connection: close\r\nContent-Length: 0\r\n\r\n"
+COMPLETE_REQUEST = HEAD + b"Connection: close\r\nContent-Length: 0\r\n\r\n"
 
 
 async def answer(side: WorkerSide) -> None:
@@ -30,7 +30,7 @@
 
 
 def send_all_then_read(address: tuple[str, int], data: bytes) -> SeenAnswer:
-    """A client that reads only when it has sent everything."""
+    """A client that reads only after it has sent everything."""
     with socket.create_connection(address, timeout=5) as client:
         client.sendall(data)
         raw = b""
@@ -50,21 +50,21 @@
     return asyncio.run(run())
 
 
-@pytest.mark.parametrize("name", REFUSED)
-def test_a_refusal_arrives_at_a_client_that_goes_on_sending(name: str) -> None:
-    data, status = REFUSED[name]
+@pytest.mark.parametrize("name", REFUSED_REQUESTS)
+def test_a_refusal_reaches_a_client_that_continues_to_send(name: str) -> None:
+    data, status = REFUSED_REQUESTS[name]
     found, stage = with_client(data)
     assert (found.status, found.is_complete) == (status, True)
     assert stage.requests == []
 
 
-def test_the_last_answer_arrives_though_more_was_sent_behind_its_request() -> None:
-    found, stage = with_client(WHOLE + b"y" * 300_000)
+def test_the_last_answer_arrives_despite_bytes_after_its_request() -> None:
+    found, stage = with_client(COMPLETE_REQUEST + b"y" * 300_000)
     assert (found.status, found.body) == (200, b"the answer")
     assert len(stage.requests) == 1
 
 
-def test_a_client_that_never_ends_is_cut_off(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_client_that_never_stops_sending_is_reset(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(client_connection, "MAX_DISCARDED_BYTES", 1024 * 1024)
     with pytest.raises(ConnectionError):
-        with_client(REFUSED["no HTTP"][0] * 40)
+        with_client(REFUSED_REQUESTS["no HTTP"][0] * 40)
--- a/tests/data_plane/test_attempts_connections.py
+++ b/tests/data_plane/test_attempts_connections.py
@@ -1,4 +1,4 @@
-"""Connections to workers around attempts: early answers, answers without an id, addresses used again."""
+"""Connections to workers during attempts: early answers, answers without an attempt id, reused addresses."""
 
 from __future__ import annotations
 
@@ -26,13 +26,13 @@
 
 
 @pytest.fixture
-def single(worlds: Worlds) -> World:
-    """A world with one worker, so that connections are used again."""
+def single_worker(worlds: Worlds) -> World:
+    """A world with one worker, so that connections are reused."""
     return worlds(workers=1)
 
 
 def answered(world: World, attempt_id: str, path: str = NON_IDEMPOTENT) -> Arrival:
-    """A request that was answered whole."""
+    """A request that got its complete answer."""
     client = world.new_request(path, attempt_id)
     arrival = world.arrival()
     arrival.worker.send(arrival.complete_answer(f"to {attempt_id}".encode()))
@@ -40,8 +40,8 @@
     return arrival
 
 
-def unnamed(status: str, *fields: str) -> bytes:
-    """An answer of a worker that does not say which request it belongs to."""
+def answer_without_id(status: str, *fields: str) -> bytes:
+    """An answer without an attempt id."""
     lines = "".join(f"{field}\r\n" for field in ("Content-Length: 0", *fields))
     return f"HTTP/1.1 {status}\r\n{lines}\r\n".encode()
 
@@ -50,10 +50,8 @@
 
 
 @pytest.mark.parametrize("refused", [False, True])
-def test_a_connection_with_a_request_that_has_not_left_is_not_used_again(
-    worlds: Worlds, refused: bool
-) -> None:
-    """The worker answered before it read the body, and reads on later: it gets the rest of it or nothing."""
+def test_a_connection_with_an_unsent_part_of_a_request_is_not_reused(worlds: Worlds, refused: bool) -> None:
+    """The worker answers before it reads the body. Later it receives the rest of that body or nothing."""
     world = worlds(workers=1, limits=LARGE_LIMITS)
     client = world.client()
     first = answered(world, "a0")
@@ -70,18 +68,18 @@
     assert bytes(first.worker.transport.written) == written
 
 
-# ---- answers that name no request ----
+# ---- answers without an attempt id ----
 
-PROOFS = [
+REFUSALS = [
     ("503 Service Unavailable", "Reedspoke-Not-Executed: 1"),
     ("429 Too Many Requests", "Reedspoke-Not-Executed: 1"),
     ("421 Misdirected Request",),
 ]
 
 
-@pytest.mark.parametrize("proof", PROOFS)
-def test_a_proof_that_may_be_about_an_earlier_request_proves_nothing(
-    worlds: Worlds, proof: list[str]
+@pytest.mark.parametrize("refusal", REFUSALS)
+def test_a_refusal_that_may_be_about_an_earlier_request_proves_nothing(
+    worlds: Worlds, refusal: list[str]
 ) -> None:
     world = worlds(workers=1)
     first = answered(world, "a1")
@@ -89,16 +87,16 @@
     second = world.arrival()
     assert second.worker is first.worker
     world.set_workers(["i-1", "i-2"])
-    second.worker.send(unnamed(*proof))
+    second.worker.send(answer_without_id(*refusal))
     assert client.answer().status == 502
-    assert len(world.arrivals) == 2, "it was not sent a second time"
+    assert len(world.arrivals) == 2, "it was retried"
     assert second.worker.is_closed
 
 
-@pytest.mark.parametrize("proof", PROOFS)
-def test_on_a_new_connection_a_proof_can_only_be_about_its_request(world: World, proof: list[str]) -> None:
+@pytest.mark.parametrize("refusal", REFUSALS)
+def test_on_a_new_connection_a_refusal_is_about_its_request(world: World, refusal: list[str]) -> None:
     client = world.new_request(NON_IDEMPOTENT)
-    world.arrival().worker.send(unnamed(*proof))
+    world.arrival().worker.send(answer_without_id(*refusal))
     assert len(world.arrivals) == 2
     world.arrival().worker.send(world.arrival().complete_answer())
     assert client.answer().body == b"the answer"
@@ -106,7 +104,7 @@
 
 def test_an_error_that_names_no_request_is_that_of_the_first_request(world: World) -> None:
     client = world.new_request(NON_IDEMPOTENT)
-    world.arrival().worker.send(unnamed("500 Internal Server Error"))
+    world.arrival().worker.send(answer_without_id("500 Internal Server Error"))
     assert client.answer().status == 500
 
 
@@ -118,46 +116,46 @@
     assert client.answer().status == 200
 
 
-# ---- addresses that are used again ----
+# ---- reused addresses ----
 
 
-def test_all_connections_to_an_address_that_another_worker_has_are_closed(single: World) -> None:
-    clients = [single.new_request(NON_IDEMPOTENT, f"a{number}") for number in range(2)]
-    idle, second = single.arrivals
+def test_all_connections_to_an_address_that_another_worker_has_are_closed(single_worker: World) -> None:
+    clients = [single_worker.new_request(NON_IDEMPOTENT, f"a{number}") for number in range(2)]
+    idle, second = single_worker.arrivals
     idle.worker.send(idle.complete_answer())
     second.worker.send(second.wrong_instance_answer())
-    single.run_for(3)
+    single_worker.run_for(3)
     assert clients[1].answer().status == 503
     assert idle.worker.is_closed
     assert second.worker.is_closed
-    refused = single.new_request(NON_IDEMPOTENT, "a9")
-    single.run_for(3)
+    refused = single_worker.new_request(NON_IDEMPOTENT, "a9")
+    single_worker.run_for(3)
     assert refused.answer().status == 503
-    assert len(single.arrivals) == 2, "nothing more is sent there while the list has not changed"
+    assert len(single_worker.arrivals) == 2, "no request is sent there until the list changes"
 
 
-def test_a_421_to_a_request_that_names_its_weights_says_nothing_of_the_instance(single: World) -> None:
-    client = single.new_request(NON_IDEMPOTENT, Expect_Version="7")
-    single.arrival().worker.send(single.arrival().wrong_instance_answer())
+def test_a_421_to_a_request_with_a_version_does_not_mean_another_instance(single_worker: World) -> None:
+    client = single_worker.new_request(NON_IDEMPOTENT, Expect_Version="7")
+    single_worker.arrival().worker.send(single_worker.arrival().wrong_instance_answer())
     assert client.answer().status == 503
-    answered(single, "a2")
+    answered(single_worker, "a2")
 
 
-def test_a_connection_that_comes_up_for_a_worker_that_left_the_list_is_not_kept(single: World) -> None:
-    single.network.plan = ["slow"]
-    single.new_request(NON_IDEMPOTENT).disconnect()
-    single.set_workers(["i-2"])
-    single.run_for(2)
-    (end,) = single.network.connections
+def test_a_connection_established_to_a_delisted_worker_is_closed(single_worker: World) -> None:
+    single_worker.network.plan = ["slow"]
+    single_worker.new_request(NON_IDEMPOTENT).disconnect()
+    single_worker.set_workers(["i-2"])
+    single_worker.run_for(2)
+    (end,) = single_worker.network.connections
     assert end.is_closed
 
 
-# ---- workers out of reach, and workers that leave ----
+# ---- unreachable, draining and delisted workers ----
 
 
 @pytest.mark.parametrize("path", [NON_IDEMPOTENT, STREAMING])
 def test_bytes_that_are_not_acknowledged_in_time_are_no_proof(world: World, path: str) -> None:
-    """So a connection ends whose worker was cut off: the system gives up with ETIMEDOUT."""
+    """The kernel ends a connection to an unreachable worker with ETIMEDOUT."""
     client = world.new_request(path)
     world.arrival().worker.transport.arrive_timeout()
     world.run_for(TIMEOUT_S + 1)
@@ -166,7 +164,7 @@
 
 
 @pytest.mark.parametrize("path", [NON_IDEMPOTENT, STREAMING])
-def test_a_silent_worker_keeps_an_unsafe_request_until_its_deadline_and_nobody_else_gets_it(
+def test_a_non_idempotent_request_stays_at_an_unresponsive_worker_until_its_deadline(
     world: World, path: str
 ) -> None:
     client = world.new_request(path)
@@ -179,7 +177,7 @@
 
 @pytest.mark.parametrize("path", [NON_IDEMPOTENT, IDEMPOTENT, STREAMING, RESUMABLE])
 @pytest.mark.parametrize("listed", [["i-9"], []])
-def test_a_request_under_way_at_a_worker_that_leaves_the_list_is_answered_there(
+def test_a_request_in_flight_at_a_worker_that_is_delisted_is_answered_there(
     worlds: Worlds, path: str, listed: list[str]
 ) -> None:
     world = worlds(workers=1)
@@ -190,11 +188,11 @@
     assert len(world.arrivals) == 1
     arrival.worker.send(arrival.complete_answer(event(1)))
     assert (client.answer().status, client.answer().body) == (200, event(1))
-    assert arrival.worker.is_closed, "its connection is not kept"
+    assert arrival.worker.is_closed, "its connection is closed"
 
 
 @pytest.mark.parametrize("path", [NON_IDEMPOTENT, IDEMPOTENT, STREAMING, RESUMABLE])
-def test_a_request_under_way_at_a_worker_that_drains_is_answered_there(worlds: Worlds, path: str) -> None:
+def test_a_request_in_flight_at_a_draining_worker_is_answered_there(worlds: Worlds, path: str) -> None:
     world = worlds(workers=1)
     client = world.new_request(path)
     arrival = world.arrival()
@@ -208,27 +206,27 @@
     assert len(world.arrivals) == 1
 
 
-# ---- ends that promise ----
+# ---- final statuses that claim that a request has not run ----
 
 
-def test_what_was_never_sent_by_its_deadline_is_promised_not_to_run(single: World) -> None:
-    single.network.plan = ["hang"]
-    client = single.new_request(NON_IDEMPOTENT, Reedspoke_Deadline_Ms="400")
-    single.run_for(0.7)
+def test_a_request_unsent_at_its_deadline_gets_a_503(single_worker: World) -> None:
+    single_worker.network.plan = ["hang"]
+    client = single_worker.new_request(NON_IDEMPOTENT, Reedspoke_Deadline_Ms="400")
+    single_worker.run_for(0.7)
     assert client.answer().status == 503
-    assert single.arrivals == []
-    assert single.is_idle()
+    assert single_worker.arrivals == []
+    assert single_worker.is_idle()
 
 
-def test_what_was_sent_and_is_silent_at_its_deadline_gets_no_promise(single: World) -> None:
-    client = single.new_request(NON_IDEMPOTENT, Reedspoke_Deadline_Ms="400")
-    single.run_for(0.7)
+def test_a_request_sent_but_unanswered_at_its_deadline_gets_a_504(single_worker: World) -> None:
+    client = single_worker.new_request(NON_IDEMPOTENT, Reedspoke_Deadline_Ms="400")
+    single_worker.run_for(0.7)
     assert client.answer().status == 504
-    assert len(single.arrivals) == 1
+    assert len(single_worker.arrivals) == 1
 
 
 @pytest.mark.parametrize("path", [NON_IDEMPOTENT, STREAMING])
-def test_at_the_end_of_the_process_only_what_may_have_run_gets_no_promise(worlds: Worlds, path: str) -> None:
+def test_at_shutdown_only_requests_that_may_have_run_get_a_502(worlds: Worlds, path: str) -> None:
     world = worlds(workers=1)
     ran = world.new_request(path, "a1")
     world.network.plan = ["hang"]
@@ -238,7 +236,7 @@
     assert (ran.answer().status, connecting.answer().status) == (502, 503)
 
 
-def test_a_proven_refusal_before_the_end_of_the_process_leaves_the_promise(worlds: Worlds) -> None:
+def test_at_shutdown_a_request_that_was_provably_refused_gets_a_503(worlds: Worlds) -> None:
     world = worlds(workers=2)
     client = world.new_request(NON_IDEMPOTENT)
     world.network.plan = ["hang"]
@@ -251,8 +249,8 @@
 # ---- streams ----
 
 
-def test_a_stream_whose_events_have_no_id_is_not_gone_on_with(world: World) -> None:
-    """Another run would begin with the first event again."""
+def test_a_stream_without_event_ids_is_not_resumed(world: World) -> None:
+    """Another run would start at the first event again."""
     client = world.new_request(RESUMABLE)
     first = world.arrival()
     first.worker.send(first.stream_head() + chunked(b"data: one\n\n", last=False))
@@ -264,7 +262,7 @@
     assert world.is_idle()
 
 
-def test_a_stream_without_a_length_is_whole_at_its_end(world: World) -> None:
+def test_a_stream_without_a_length_is_complete_at_its_end(world: World) -> None:
     client = world.new_request(STREAMING)
     arrival = world.arrival()
     arrival.worker.send(b"HTTP/1.1 200 OK\r\n" + arrival.fields() + b"\r\n" + event(1) + event(2))
@@ -274,7 +272,7 @@
 
 
 @pytest.mark.parametrize("path", [STREAMING, RESUMABLE])
-def test_a_stream_without_a_length_that_is_reset_is_not_whole(world: World, path: str) -> None:
+def test_a_stream_without_a_length_that_is_reset_is_incomplete(world: World, path: str) -> None:
     client = world.new_request(path)
     arrival = world.arrival()
     arrival.worker.send(b"HTTP/1.1 200 OK\r\n" + arrival.fields() + b"\r\n" + event(1))
@@ -284,7 +282,7 @@
 
 
 @pytest.mark.parametrize("path", [STREAMING, RESUMABLE])
-def test_a_stream_without_a_length_that_ends_inside_an_event_is_not_whole(world: World, path: str) -> None:
+def test_a_stream_without_a_length_that_ends_inside_an_event_is_incomplete(world: World, path: str) -> None:
     client = world.new_request(path)
     arrival = world.arrival()
     arrival.worker.send(b"HTTP/1.1 200 OK\r\n" + arrival.fields() + b"\r\n" + event(1) + event(2)[:-4])
@@ -293,7 +291,7 @@
     assert len(world.arrivals) == (2 if path == RESUMABLE else 1)
 
 
-def test_a_first_line_that_is_none_is_told_before_its_head_ends(world: World) -> None:
+def test_a_malformed_status_line_is_detected_before_its_head_ends(world: World) -> None:
     client = world.new_request(IDEMPOTENT)
     first = world.arrival()
     first.worker.send(b"HTTP/1.1 nonsense\r\n")
@@ -302,8 +300,8 @@
     assert client.answer().status == 200
 
 
-def silent_stream(world: World) -> tuple[Client, Arrival]:
-    """A stream whose worker is silent after the first event, for longer than it is usually given."""
+def timed_out_stream(world: World) -> tuple[Client, Arrival]:
+    """A stream whose worker sends nothing after the first event, for longer than the timeout."""
     client = world.new_request(RESUMABLE, Reedspoke_Deadline_Ms="9000")
     first = world.arrival()
     first.worker.send(first.stream_head() + chunked(event(1), last=False))
@@ -312,20 +310,20 @@
 
 
 @pytest.mark.parametrize("settings", [{"workers": 1}, {"attempts": 1}, {"slack": 0.0}])
-def test_a_silent_stream_that_cannot_go_elsewhere_is_not_ended_sooner(
+def test_a_timed_out_stream_that_cannot_be_moved_is_not_aborted(
     worlds: Worlds, settings: dict[str, float]
 ) -> None:
     world = worlds(**settings)
-    client, first = silent_stream(world)
+    client, first = timed_out_stream(world)
     assert not client.was_reset
     first.worker.send(chunked(event(2)))
     assert (client.answer().body, client.answer().is_complete) == (event(1) + event(2), True)
     assert len(world.arrivals) == 1
 
 
-def test_a_silent_stream_goes_elsewhere_as_soon_as_it_can(worlds: Worlds) -> None:
+def test_a_timed_out_stream_is_moved_as_soon_as_possible(worlds: Worlds) -> None:
     world = worlds(workers=1)
-    client, first = silent_stream(world)
+    client, first = timed_out_stream(world)
     world.set_workers(["i-1", "i-2"])
     world.run_for(0.2)
     second = world.arrival()
@@ -335,16 +333,16 @@
     assert (client.answer().body, client.answer().is_complete) == (event(1) + event(2), True)
 
 
-def test_a_silent_stream_ends_at_its_deadline(worlds: Worlds) -> None:
+def test_a_timed_out_stream_ends_at_its_deadline(worlds: Worlds) -> None:
     world = worlds(workers=1)
-    client, _ = silent_stream(world)
+    client, _ = timed_out_stream(world)
     world.run_for(4)
     assert client.was_reset
     assert not client.answer().is_complete
     assert world.is_idle()
 
 
-# ---- clients that leave, and silence, at each byte of an answer ----
+# ---- clients that disconnect, and answers that stop, at each byte ----
 
 STREAM_EVENTS = event(1) + event(2)
 
@@ -360,7 +358,7 @@
 
 
 @pytest.mark.parametrize("path", [NON_IDEMPOTENT, RESUMABLE])
-def test_a_client_may_leave_at_any_byte_and_the_next_one_gets_its_own_answer(path: str) -> None:
+def test_after_a_client_disconnects_at_any_byte_the_next_one_gets_its_own_answer(path: str) -> None:
     length, most = 0, 1
     while length < most:
         with fresh_world(workers=1) as world:
@@ -384,7 +382,7 @@
 
 
 @pytest.mark.parametrize("path", [NON_IDEMPOTENT, STREAMING])
-def test_silence_from_any_byte_on_never_sends_an_unsafe_request_again(path: str) -> None:
+def test_an_answer_that_stops_at_any_byte_never_repeats_a_non_idempotent_request(path: str) -> None:
     length, most = 0, 1
     while length < most:
         with fresh_world(workers=2) as world:
--- a/tests/data_plane/test_attempts_process.py
+++ b/tests/data_plane/test_attempts_process.py
@@ -1,4 +1,4 @@
-"""The real process: signals in the middle of attempts, and an address that another incarnation has."""
+"""A real process: signals during attempts, and an address that another instance has taken over."""
 
 from __future__ import annotations
 
@@ -32,8 +32,8 @@
 HOSTS = ("127.0.0.1",)
 HOST = "a.example"
 GRACE_S = 2.5
-BOUNDS = {"grace_s": GRACE_S, "retry_ratio": 4}  # a new process has none of the slack yet
-RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER: on, for no time
+BOUNDS = {"grace_s": GRACE_S, "retry_ratio": 4}  # A new process has no retry slack yet.
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER on, with a time-out of 0.
 Call = Future[tuple[int, bytes]]
 
 
@@ -52,18 +52,18 @@
 
 
 class Workers:
-    """What the workers of a test share: the order of arrivals, and when they may go on."""
+    """State that all workers of a test share: the order of arrivals, and when they may answer."""
 
     def __init__(self) -> None:
-        self.arrived: list[tuple[str, str]] = []  # worker and attempt id
-        self.go_on = asyncio.Event()
+        self.arrived: list[tuple[str, str]] = []  # Worker and attempt id.
+        self.may_answer = asyncio.Event()
 
     def count(self, attempt_id: str) -> int:
         return sum(known == attempt_id for _, known in self.arrived)
 
 
 class Worker(WorkerStandIn):
-    """Does what the path says, once it may go on."""
+    """Does what the path says, once it may answer."""
 
     def __init__(self, background: Background, name: str, workers: Workers) -> None:
         super().__init__(background, name)
@@ -79,7 +79,7 @@
         action = request.target.rpartition("/")[2]
         if action == "silence":
             await asyncio.sleep(60)
-        await self.workers.go_on.wait()
+        await self.workers.may_answer.wait()
         if action == "reset":
             raw = writer.get_extra_info("socket")
             raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
@@ -93,7 +93,7 @@
 
 
 class Stage(Struct, eq=False):
-    """Everything together."""
+    """A data plane process with a control scheduler and workers."""
 
     background: Background
     control: ControlStandIn
@@ -115,21 +115,21 @@
         made.start()
         return made
 
-    def ask(self, action: str) -> Call:
-        """A request whose attempt id is the action."""
+    def send_request(self, action: str) -> Call:
+        """Sends a request whose attempt id is the action."""
         return self.calls.submit(call, self.edge.frontend, "POST", f"/once/{action}", HOST, action)
 
-    def ask_and_wait_for_arrival(self, *actions: str) -> dict[str, Call]:
-        asked = {action: self.ask(action) for action in actions}
+    def send_and_wait_for_arrival(self, *actions: str) -> dict[str, Call]:
+        calls = {action: self.send_request(action) for action in actions}
         until(
             lambda: all(self.workers.count(action) for action in actions),
             WAIT_TIMEOUT_S,
             "all are at workers",
         )
-        return asked
+        return calls
 
-    def go_on(self) -> None:
-        self.background.loop.call_soon_threadsafe(self.workers.go_on.set)
+    def let_workers_answer(self) -> None:
+        self.background.loop.call_soon_threadsafe(self.workers.may_answer.set)
 
 
 @pytest.fixture
@@ -149,65 +149,67 @@
 
 
 def test_sigterm_in_the_middle_of_attempts(stage: Stage) -> None:
-    """What was answered arrives; what may have run is neither sent again nor promised not to have run."""
+    """Answers arrive. A request that may have run is neither retried nor answered as not run."""
     stage.start(stage.worker("i-1").entry(), stage.worker("i-2").entry())
-    asked = stage.ask_and_wait_for_arrival("answer", "reset", "refuse", "silence")
+    calls = stage.send_and_wait_for_arrival("answer", "reset", "refuse", "silence")
     stage.edge.signal(signal.SIGTERM)
-    until(lambda: stage.edge.readiness_status() == 503, WAIT_TIMEOUT_S, "it is leaving")
-    stage.go_on()
-    assert asked["answer"].result(CALL_TIMEOUT_S) == (200, b"ok")
-    assert asked["reset"].result(CALL_TIMEOUT_S)[0] == 502
-    assert asked["refuse"].result(CALL_TIMEOUT_S) == (200, b"ok")
-    assert asked["silence"].result(CALL_TIMEOUT_S + GRACE_S)[0] == 502
+    until(lambda: stage.edge.readiness_status() == 503, WAIT_TIMEOUT_S, "it is draining")
+    stage.let_workers_answer()
+    assert calls["answer"].result(CALL_TIMEOUT_S) == (200, b"ok")
+    assert calls["reset"].result(CALL_TIMEOUT_S)[0] == 502
+    assert calls["refuse"].result(CALL_TIMEOUT_S) == (200, b"ok")
+    assert calls["silence"].result(CALL_TIMEOUT_S + GRACE_S)[0] == 502
     assert stage.edge.wait(WAIT_TIMEOUT_S) == 0
-    counts = {action: stage.workers.count(action) for action in asked}
+    counts = {action: stage.workers.count(action) for action in calls}
     assert counts == {"answer": 1, "reset": 1, "refuse": 2, "silence": 1}
 
 
 def test_sighup_in_the_middle_of_attempts(stage: Stage) -> None:
-    """It changes nothing for requests that are under way."""
+    """It changes nothing for requests in flight."""
     stage.start(stage.worker("i-1").entry(), stage.worker("i-2").entry())
-    asked = stage.ask_and_wait_for_arrival("answer", "reset", "refuse")
+    calls = stage.send_and_wait_for_arrival("answer", "reset", "refuse")
     for _ in range(3):
         stage.edge.signal(signal.SIGHUP)
     assert stage.edge.readiness_status() == 200
-    stage.go_on()
-    assert asked["answer"].result(CALL_TIMEOUT_S) == (200, b"ok")
-    assert asked["reset"].result(CALL_TIMEOUT_S)[0] == 502
-    assert asked["refuse"].result(CALL_TIMEOUT_S) == (200, b"ok")
-    counts = {action: stage.workers.count(action) for action in asked}
+    stage.let_workers_answer()
+    assert calls["answer"].result(CALL_TIMEOUT_S) == (200, b"ok")
+    assert calls["reset"].result(CALL_TIMEOUT_S)[0] == 502
+    assert calls["refuse"].result(CALL_TIMEOUT_S) == (200, b"ok")
+    counts = {action: stage.workers.count(action) for action in calls}
     assert counts == {"answer": 1, "reset": 1, "refuse": 2}
 
 
 @pytest.mark.parametrize("during", [None, signal.SIGHUP, signal.SIGTERM])
-def test_an_address_that_another_incarnation_has(stage: Stage, during: signal.Signals | None) -> None:
-    """A request for the old one never runs at the new one, and goes elsewhere; with a list that names the new
-    one, connections to the old one are not used."""
+def test_an_address_that_another_instance_has_taken_over(stage: Stage, during: signal.Signals | None) -> None:
+    """A request for the old instance never runs at the new one and is retried at another worker.
+
+    Once the list names the new instance, connections for the old one are not used.
+    """
     new, other = stage.worker("i-2"), stage.worker("i-3")
     old_entry = WorkerEntry("i-1", "u1", new.address, "za", "v1", 8, False)
-    stage.go_on()
+    stage.let_workers_answer()
     stage.start(old_entry, other.entry())
-    first = [stage.ask(f"a{number}") for number in range(6)]
-    assert {asked.result(CALL_TIMEOUT_S) for asked in first} == {(200, b"ok")}
+    first = [stage.send_request(f"a{number}") for number in range(6)]
+    assert {call.result(CALL_TIMEOUT_S) for call in first} == {(200, b"ok")}
     if during is not None:
         stage.edge.signal(during)
-    if during is signal.SIGTERM:  # a connection that is idle at that moment is closed unread
-        until(lambda: stage.edge.readiness_status() == 503, WAIT_TIMEOUT_S, "it is leaving")
-    assert stage.ask("later").result(CALL_TIMEOUT_S) == (200, b"ok")
+    if during is signal.SIGTERM:  # An idle connection is closed unread.
+        until(lambda: stage.edge.readiness_status() == 503, WAIT_TIMEOUT_S, "it is draining")
+    assert stage.send_request("later").result(CALL_TIMEOUT_S) == (200, b"ok")
     refused = [attempt for name, attempt in stage.workers.arrived if name == "i-2"]
     served = [attempt for name, attempt in stage.workers.arrived if name == "i-3"]
     assert sorted(served) == sorted([f"a{number}" for number in range(6)] + ["later"])
-    assert refused, "some went to the old address first"
+    assert refused, "some requests went to the old address first"
     assert set(refused) < set(served)
     if during is not signal.SIGTERM:
         stage.control.publish(5, document(), (new.entry(),))
         until(
-            lambda: stage.ask("new").result(CALL_TIMEOUT_S) == (200, b"ok") and "i-2" in last(stage),
+            lambda: stage.send_request("new").result(CALL_TIMEOUT_S) == (200, b"ok") and "i-2" in last(stage),
             WAIT_TIMEOUT_S,
             "i-2 serves",
         )
 
 
 def last(stage: Stage) -> str:
-    """Where the latest request arrived."""
+    """The worker of the latest request."""
     return stage.workers.arrived[-1][0]
--- a/tests/data_plane/test_attempts_reader.py
+++ b/tests/data_plane/test_attempts_reader.py
@@ -1,4 +1,4 @@
-"""The reader of answers with generated sequences, cut anywhere: an answer goes to its request or to none."""
+"""The answer reader with generated sequences cut anywhere: an answer goes to its request or to none."""
 
 from __future__ import annotations
 
@@ -24,32 +24,32 @@
 CODINGS = ("length", "chunks", "none")
 
 
-class Seen(Struct):
-    """What became of one request."""
+class SeenByRequest(Struct):
+    """What the reader returned for one request."""
 
     status: int = 0
     body: bytes = b""
-    whole: bool = False
+    complete: bool = False
     framed: bool = True
     failed: Reason | None = None
 
 
 class Observer(Struct):
-    """Feeds a reader and keeps what it says of each request."""
+    """Feeds a reader and collects its effects per request."""
 
     reader: AnswerReader = field(default_factory=AnswerReader)
-    requests: list[Seen] = field(default_factory=list)
-    stray: list[Effect] = field(default_factory=list)  # effects while no request is out
+    requests: list[SeenByRequest] = field(default_factory=list)
+    stray: list[Effect] = field(default_factory=list)  # Effects while no request is in flight.
     unusable: bool = False
 
-    def ask(self, name: str, *, head_only: bool = False) -> None:
+    def expect(self, name: str, *, head_only: bool = False) -> None:
         assert not self.unusable
         self.reader.expect_answer(name, head_only=head_only)
-        self.requests.append(Seen())
+        self.requests.append(SeenByRequest())
 
     @property
     def waiting(self) -> bool:
-        return bool(self.requests) and not (self.requests[-1].whole or self.requests[-1].failed)
+        return bool(self.requests) and not (self.requests[-1].complete or self.requests[-1].failed)
 
     def receive(self, data: bytes) -> None:
         while data and not self.unusable:
@@ -83,13 +83,13 @@
             assert request.status, "a body before its head"
             request.body += effect
         elif isinstance(effect, AnswerEnd):
-            request.whole, request.framed = True, effect.framed
+            request.complete, request.framed = True, effect.framed
         else:
             request.failed = effect.reason
 
 
 def answer(name: str, body: bytes, coding: str, status: int = 200) -> bytes:
-    """A worker's answer to the request of this name; an empty name is left out."""
+    """A worker's answer with this attempt id; an empty one is omitted."""
     named = f"Reedspoke-Attempt-Id: {name}\r\n".encode() if name else b""
     head = b"HTTP/1.1 %d X\r\n%b" % (status, named)
     if coding == "length":
@@ -106,13 +106,13 @@
 
 
 class Turn(Struct, frozen=True):
-    """One request on the connection and what the worker sends from then on."""
+    """One request on the connection and what the worker sends afterwards."""
 
-    before: tuple[bytes, ...]  # ahead of the answer: interim and late answers
+    before: tuple[bytes, ...]  # Interim and late answers before the answer.
     coding: str
     status: int
     head_only: bool
-    behind: bytes  # right behind the answer
+    after: bytes  # Bytes directly after the answer.
 
 
 def late(number: int) -> st.SearchStrategy[bytes]:
@@ -156,19 +156,19 @@
         if observer.unusable:
             break
         name = f"a{number}"
-        observer.ask(name, head_only=item.head_only)
-        whole = answer(name, body_of(name), item.coding, item.status)
+        observer.expect(name, head_only=item.head_only)
+        raw = answer(name, body_of(name), item.coding, item.status)
         if item.head_only:
-            whole = whole[: whole.index(b"\r\n\r\n") + 4]
-            item = Turn((), item.coding, item.status, True, item.behind)
-        for piece in pieces(b"".join(item.before) + whole + item.behind, cuts):
+            raw = raw[: raw.index(b"\r\n\r\n") + 4]
+            item = Turn((), item.coding, item.status, True, item.after)
+        for piece in pieces(b"".join(item.before) + raw + item.after, cuts):
             observer.receive(piece)
         seen = observer.requests[number]
         expected = b"" if item.head_only else body_of(name)
-        assert (seen.status, seen.body, seen.whole) == (item.status, expected, True)
-        foreign = any(raw != INTERIM for raw in item.before)
-        if foreign or item.behind:
-            assert observer.unusable, "it may bring bytes that belong to nobody"
+        assert (seen.status, seen.body, seen.complete) == (item.status, expected, True)
+        foreign = any(earlier != INTERIM for earlier in item.before)
+        if foreign or item.after:
+            assert observer.unusable, "further bytes may belong to another request"
         else:
             assert not observer.unusable
     assert all(isinstance(effect, Unusable) for effect in observer.stray)
@@ -185,17 +185,17 @@
     raw = answer("a0", body_of("a0"), coding)
     length = min(length, len(raw))
     observer = Observer()
-    observer.ask("a0")
+    observer.expect("a0")
     for piece in pieces(raw[:length], cuts):
         observer.receive(piece)
     observer.end(orderly=ending == "orderly")
     seen = observer.requests[0]
-    head_is_whole = length >= raw.index(b"\r\n\r\n") + 4
-    by_end = coding == "none" and ending == "orderly" and head_is_whole
-    assert seen.whole == (by_end or (coding != "none" and length == len(raw)))
+    head_is_complete = length >= raw.index(b"\r\n\r\n") + 4
+    by_end = coding == "none" and ending == "orderly" and head_is_complete
+    assert seen.complete == (by_end or (coding != "none" and length == len(raw)))
     assert seen.framed == (not by_end)
     assert body_of("a0").startswith(seen.body)
-    assert (seen.failed is Reason.CONNECTION_ENDED) == (not seen.whole)
+    assert (seen.failed is Reason.CONNECTION_ENDED) == (not seen.complete)
 
 
 @settings(max_examples=EXAMPLES, deadline=None, derandomize=True)
@@ -211,78 +211,78 @@
     raw = answer("a0", body_of("a0"), coding)
     at = min(at, len(raw))
     observer = Observer()
-    observer.ask("a0")
+    observer.expect("a0")
     for piece in pieces(raw[:at] + garbage + raw[at:], cuts):
         observer.receive(piece)
     seen = observer.requests[0]
     if at == 0:
         assert seen.failed is Reason.MALFORMED
     if at == len(raw) and coding != "none":
-        assert (seen.body, seen.whole, observer.unusable) == (body_of("a0"), True, True)
+        assert (seen.body, seen.complete, observer.unusable) == (body_of("a0"), True, True)
     assert len(observer.stray) <= 1
     assert seen.status in (0, 200)
 
 
 @settings(max_examples=EXAMPLES, deadline=None, derandomize=True)
 @given(st.binary(min_size=1, max_size=200), st.lists(st.integers(0, 200), max_size=4), st.booleans())
-def test_any_bytes_end_in_some_state(data: bytes, cuts: list[int], asked: bool) -> None:
+def test_any_bytes_end_in_some_state(data: bytes, cuts: list[int], expected_answer: bool) -> None:
     observer = Observer()
-    if asked:
-        observer.ask("a0")
+    if expected_answer:
+        observer.expect("a0")
     for piece in pieces(data, cuts):
         observer.receive(piece)
-    if not asked:
+    if not expected_answer:
         assert observer.stray == [Unusable(Reason.UNSOLICITED)]
         assert observer.reader.state is State.UNUSABLE
     observer.end(orderly=True)
-    assert asked is False or observer.requests[0].whole is False
+    assert expected_answer is False or observer.requests[0].complete is False
 
 
 @settings(max_examples=EXAMPLES, deadline=None, derandomize=True)
 @given(st.integers(0, 300), st.sampled_from((400, 421, 429, 500, 503)), st.booleans())
-def test_an_error_without_an_id_is_taken_for_the_first_request_only(
+def test_an_error_without_an_id_is_accepted_only_on_the_first_request(
     cut: int, status: int, first: bool
 ) -> None:
     observer = Observer()
     if not first:
-        observer.ask("a0")
+        observer.expect("a0")
         observer.receive(answer("a0", b"", "length"))
-    observer.ask("a1")
+    observer.expect("a1")
     raw = answer("", b"why", "length", status)
     observer.receive(raw[:cut])
     observer.receive(raw[cut:])
     seen = observer.requests[-1]
     if first:
-        assert (seen.status, seen.body, seen.whole) == (status, b"why", True)
+        assert (seen.status, seen.body, seen.complete) == (status, b"why", True)
     else:
         assert (seen.status, seen.failed, observer.unusable) == (0, Reason.UNIDENTIFIED, True)
 
 
-def test_a_success_without_an_id_is_nobodys() -> None:
+def test_a_success_without_an_id_is_discarded() -> None:
     observer = Observer()
-    observer.ask("a0")
+    observer.expect("a0")
     observer.receive(answer("", b"whose?", "length"))
-    assert observer.requests[0] == Seen()
+    assert observer.requests[0] == SeenByRequest()
     observer.receive(answer("a0", b"mine", "length"))
     assert observer.requests[0].body == b"mine"
     assert observer.unusable
 
 
 @pytest.mark.parametrize("garbage", [*GARBAGE, b"HTTP/1.1 200 OK\n", b"HTTP/1.1 20 OK\r\nX: y\r\n"])
-def test_what_begins_no_answer_is_told_before_its_head_ends(garbage: bytes) -> None:
+def test_bytes_that_start_no_answer_are_detected_before_the_head_ends(garbage: bytes) -> None:
     observer = Observer()
-    observer.ask("a0")
+    observer.expect("a0")
     observer.receive(garbage)
     assert observer.requests[0].failed is Reason.MALFORMED
 
 
 @pytest.mark.parametrize("version", [b"HTTP/1.0", b"HTTP/1.1"])
-def test_a_connection_that_its_worker_closes_is_not_used_again(version: bytes) -> None:
+def test_a_connection_that_its_worker_closes_is_not_reused(version: bytes) -> None:
     observer = Observer()
-    observer.ask("a0")
+    observer.expect("a0")
     raw = answer("a0", b"mine", "length").replace(b"HTTP/1.1", version)
     observer.receive(
         raw if version == b"HTTP/1.0" else raw.replace(b" X\r\n", b" X\r\nConnection: close\r\n")
     )
-    assert observer.requests[0].whole
+    assert observer.requests[0].complete
     assert observer.unusable
--- a/tests/data_plane/test_broken_transports.py
+++ b/tests/data_plane/test_broken_transports.py
@@ -1,4 +1,4 @@
-"""A client whose socket fails as it is answered costs no other request anything, and is not held."""
+"""A client whose socket fails while it is answered affects no other request, and its request is released."""
 
 from __future__ import annotations
 
@@ -12,23 +12,23 @@
 from tests.data_plane.wire import TransportStandIn
 from tests.data_plane.world import request_bytes
 
-WAIT_S = 5.0  # longer than any request waits for a worker
+QUEUE_WAIT_S = 5.0  # Longer than any request is queued.
 DRAINING = WorkerEntry("i-1", "u1", "10.0.0.1:80", "za", "v1", 1, True)
-BEHIND = b"POST /"  # bytes behind a request: its connection is half-closed behind the last answer
+SURPLUS = b"POST /"  # Bytes after a request: its connection is half-closed after the last answer.
 
 
 def without_peer() -> None:
-    """As `write_eof` of a socket whose other end has gone, before the loop has noticed."""
+    """Fails like `write_eof` on a socket whose peer has disconnected before the loop has noticed."""
     raise OSError(errno.ENOTCONN, os.strerror(errno.ENOTCONN))
 
 
 def last_request(path: str, attempt_id: str) -> bytes:
-    """A request that is the last one on its connection, with bytes behind it."""
-    return request_bytes(path, attempt_id, Connection="close") + BEHIND
+    """The last request on a connection, with bytes after it."""
+    return request_bytes(path, attempt_id, Connection="close") + SURPLUS
 
 
-def ask_and_break(plane: Plane, attempt_id: str) -> TransportStandIn:
-    """A request whose client's socket fails as it is answered."""
+def send_and_break(plane: Plane, attempt_id: str) -> TransportStandIn:
+    """Sends a request whose client's socket fails while it is answered."""
     transport = plane.connect()
     transport.write_eof = without_peer  # type: ignore[method-assign]
     transport.arrive(last_request("/once/", attempt_id))
@@ -36,28 +36,28 @@
     return transport
 
 
-def test_a_request_whose_client_s_socket_fails_is_not_held() -> None:
+def test_a_request_whose_clients_socket_fails_is_released() -> None:
     with fresh_plane() as plane:
         plane.receive_state()
-        broken = ask_and_break(plane, "a1")
+        broken = send_and_break(plane, "a1")
         plane.arrival().worker.send(plane.arrival().complete_answer())
         assert broken.is_closing()
         assert plane.plane.open_requests() == 0
         assert plane.plane.open_connections() == 0
 
 
-def test_the_others_that_are_answered_at_that_moment_get_their_answers() -> None:
+def test_other_requests_answered_at_the_same_time_get_their_answers() -> None:
     with fresh_plane() as plane:
         plane.receive_state((DRAINING,))
-        ask_and_break(plane, "a1")
+        send_and_break(plane, "a1")
         others = [plane.new_request("/once/", f"b{number}") for number in range(3)]
-        ask_and_break(plane, "a2")
-        plane.loop.run_for(WAIT_S)
+        send_and_break(plane, "a2")
+        plane.loop.run_for(QUEUE_WAIT_S)
         assert [answer(other).status for other in others] == [503, 503, 503]
         assert plane.plane.open_requests() == 0
 
 
-def test_an_unexpected_error_inside_one_request_ends_that_one_alone() -> None:
+def test_an_unexpected_error_inside_one_request_ends_only_that_request() -> None:
     with fresh_plane() as plane:
         plane.receive_state((DRAINING,))
         broken = plane.new_request("/once/", "a1")
@@ -65,7 +65,7 @@
         connection.send_answer = fail  # type: ignore[assignment,method-assign]
         others = [plane.new_request("/once/", f"b{number}") for number in range(3)]
         before = unhandled_errors.count
-        plane.loop.run_for(WAIT_S)
+        plane.loop.run_for(QUEUE_WAIT_S)
         assert [answer(other).status for other in others] == [503, 503, 503]
         assert broken.aborted
         assert unhandled_errors.count == before + 1
@@ -73,7 +73,7 @@
 
 
 def fail(*_: object) -> NoReturn:
-    """What nobody expected."""
+    """Raises an unexpected error."""
     raise ZeroDivisionError
 
 
--- a/tests/data_plane/test_client_lifetime.py
+++ b/tests/data_plane/test_client_lifetime.py
@@ -1,4 +1,4 @@
-"""How long a client's connection lasts: kept for more requests, ended by time, by the client or by us."""
+"""Lifetime of client connections: kept alive, or closed by time limits, by the client or at shutdown."""
 
 from __future__ import annotations
 
@@ -11,28 +11,30 @@
 IDLE_S = LIMITS["idle_timeout_ms"] / 1000
 HEADER_S = LIMITS["header_timeout_ms"] / 1000
 BODY_S = 30.0
-RAW = request_bytes(NON_IDEMPOTENT)
+REQUEST = request_bytes(NON_IDEMPOTENT)
 
 
 def serve(world: World) -> None:
     world.arrival().worker.send(world.arrival().complete_answer())
 
 
-# ---- keeping a connection ----
+# ---- keep-alive ----
 
 
-@pytest.mark.parametrize("told", [None, "keep-alive", "Keep-Alive, X-Other"])
-def test_a_connection_is_kept(world: World, told: str | None) -> None:
+@pytest.mark.parametrize("connection_field", [None, "keep-alive", "Keep-Alive, X-Other"])
+def test_a_connection_is_kept_alive(world: World, connection_field: str | None) -> None:
     client = world.client()
-    client.send(RAW if told is None else request_bytes(NON_IDEMPOTENT, Connection=told))
+    client.send(
+        REQUEST if connection_field is None else request_bytes(NON_IDEMPOTENT, Connection=connection_field)
+    )
     serve(world)
     assert client.answer().get("connection") is None
     assert not client.transport.is_closing()
 
 
-@pytest.mark.parametrize("told", ["close", "Close", "keep-alive, close"])
-def test_a_connection_is_closed_as_the_client_asks(world: World, told: str) -> None:
-    client = world.new_request(NON_IDEMPOTENT, Connection=told)
+@pytest.mark.parametrize("connection_field", ["close", "Close", "keep-alive, close"])
+def test_a_connection_is_closed_as_the_client_asks(world: World, connection_field: str) -> None:
+    client = world.new_request(NON_IDEMPOTENT, Connection=connection_field)
     serve(world)
     assert client.answer().get("connection") == "close"
     assert client.transport.closed
@@ -47,15 +49,15 @@
     assert client.transport.closed
 
 
-def test_an_older_client_gets_its_answer_and_the_end(world: World) -> None:
+def test_an_http_1_0_client_gets_its_answer_and_the_connection_closes(world: World) -> None:
     client = world.client()
-    client.send(RAW.replace(b"HTTP/1.1", b"HTTP/1.0", 1))
+    client.send(REQUEST.replace(b"HTTP/1.1", b"HTTP/1.0", 1))
     serve(world)
     assert client.answer().body == b"the answer"
     assert client.transport.closed
 
 
-def test_an_older_client_that_wants_to_keep_its_connection_is_told_so(world: World) -> None:
+def test_an_http_1_0_client_that_asks_for_keep_alive_gets_the_field(world: World) -> None:
     client = world.client()
     client.send(request_bytes(NON_IDEMPOTENT, Connection="keep-alive").replace(b"HTTP/1.1", b"HTTP/1.0", 1))
     serve(world)
@@ -63,8 +65,8 @@
     assert (client.answer().get("connection") == "keep-alive") is kept
 
 
-def test_an_older_client_gets_a_stream_without_chunks(world: World) -> None:
-    """It does not know them: for it the body ends with the connection."""
+def test_an_http_1_0_client_gets_a_stream_without_chunks(world: World) -> None:
+    """HTTP/1.0 has no chunked coding: the end of the connection delimits the body."""
     client = world.client()
     client.send(request_bytes(STREAMING).replace(b"HTTP/1.1", b"HTTP/1.0", 1))
     arrival = world.arrival()
@@ -75,7 +77,7 @@
     assert client.transport.closed
 
 
-def test_an_older_client_sees_that_a_stream_was_cut(world: World) -> None:
+def test_an_http_1_0_client_sees_that_a_stream_is_incomplete(world: World) -> None:
     client = world.client()
     client.send(request_bytes(STREAMING).replace(b"HTTP/1.1", b"HTTP/1.0", 1))
     arrival = world.arrival()
@@ -84,7 +86,7 @@
     assert client.was_reset
 
 
-# ---- time ----
+# ---- time limits ----
 
 
 def test_a_connection_without_a_request_ends_after_its_idle_time(world: World) -> None:
@@ -119,10 +121,10 @@
     assert client.answer().status == 200
 
 
-@pytest.mark.parametrize("cut", [1, 20, len(RAW) - len(b"the question") - 1])
-def test_a_head_that_comes_too_slowly_is_refused(world: World, cut: int) -> None:
+@pytest.mark.parametrize("length", [1, 20, len(REQUEST) - len(b"the question") - 1])
+def test_a_head_that_arrives_too_slowly_is_refused(world: World, length: int) -> None:
     client = world.client()
-    client.send(RAW[:cut])
+    client.send(REQUEST[:length])
     world.run_for(HEADER_S - 0.5)
     assert client.answers() == []
     world.run_for(1)
@@ -132,38 +134,38 @@
     assert client.transport.closed
 
 
-def test_a_head_that_comes_byte_by_byte_has_the_same_time(world: World) -> None:
+def test_a_head_that_arrives_byte_by_byte_has_the_same_time_limit(world: World) -> None:
     client = world.client()
-    for byte in RAW[:40]:
+    for byte in REQUEST[:40]:
         client.send(bytes([byte]))
         world.run_for(0.1)
     assert client.answer().status == 408
 
 
-def test_the_time_of_a_head_begins_with_its_first_byte(world: World) -> None:
+def test_the_time_limit_of_a_head_starts_at_its_first_byte(world: World) -> None:
     client = world.client()
     world.run_for(IDLE_S - 1)
-    client.send(RAW[:10])
+    client.send(REQUEST[:10])
     world.run_for(HEADER_S - 0.5)
-    client.send(RAW[10:])
+    client.send(REQUEST[10:])
     assert len(world.arrivals) == 1
 
 
-def test_a_later_head_has_its_own_time(world: World) -> None:
+def test_a_later_head_has_its_own_time_limit(world: World) -> None:
     client = world.client()
-    client.send(RAW)
+    client.send(REQUEST)
     serve(world)
     world.run_for(2)
-    client.send(RAW[:10])
+    client.send(REQUEST[:10])
     world.run_for(HEADER_S - 0.5)
     assert len(client.answers()) == 1
     world.run_for(1)
     assert [answer.status for answer in client.answers()] == [200, 408]
 
 
-def test_a_body_that_never_comes_is_refused(world: World) -> None:
+def test_a_body_that_never_arrives_is_refused(world: World) -> None:
     client = world.client()
-    client.send(RAW[:-1])
+    client.send(REQUEST[:-1])
     world.run_for(HEADER_S + 1)
     assert client.answers() == []
     world.run_for(BODY_S)
@@ -171,9 +173,9 @@
     assert world.arrivals == []
 
 
-def test_a_request_behind_another_has_the_time_of_a_head(world: World) -> None:
+def test_a_pipelined_request_has_the_time_limit_of_a_head(world: World) -> None:
     client = world.client()
-    client.send(RAW + RAW[:10])
+    client.send(REQUEST + REQUEST[:10])
     world.run_for(HEADER_S + 1)
     assert client.answers() == []
     serve(world)
@@ -181,13 +183,13 @@
     assert [answer.status for answer in client.answers()] == [200, 408]
 
 
-# ---- the client's end ----
+# ---- clients that close ----
 
 
-@pytest.mark.parametrize("cut", [0, 10, len(RAW) - 1])
-def test_a_client_that_ends_before_its_request_is_whole_gets_nothing(world: World, cut: int) -> None:
+@pytest.mark.parametrize("length", [0, 10, len(REQUEST) - 1])
+def test_a_client_that_closes_before_its_request_is_complete_gets_nothing(world: World, length: int) -> None:
     client = world.client()
-    client.send(RAW[:cut])
+    client.send(REQUEST[:length])
     client.transport.arrive_end()
     world.loop.settle()
     assert client.transport.is_closing()
@@ -195,7 +197,7 @@
     assert world.frontend.connections == set()
 
 
-def test_a_client_that_ends_its_side_is_taken_to_have_left(world: World) -> None:
+def test_a_client_that_half_closes_counts_as_disconnected(world: World) -> None:
     client = world.new_request(NON_IDEMPOTENT)
     client.transport.arrive_end()
     world.loop.settle()
@@ -204,7 +206,7 @@
     assert world.is_idle()
 
 
-# ---- the end of the process ----
+# ---- shutdown ----
 
 
 def close_idle(world: World) -> None:
@@ -214,14 +216,14 @@
     world.loop.settle()
 
 
-def idle_again(world: World) -> Client:
+def answered_client(world: World) -> Client:
     client = world.new_request(NON_IDEMPOTENT)
     serve(world)
     return client
 
 
 def test_a_connection_without_a_request_is_closed_unread(world: World) -> None:
-    fresh, used = world.client(), idle_again(world)
+    fresh, used = world.client(), answered_client(world)
     close_idle(world)
     assert fresh.transport.closed
     assert used.transport.closed
@@ -229,19 +231,19 @@
     assert len(used.answers()) == 1
 
 
-@pytest.mark.parametrize("cut", [1, 30, len(RAW) - 1])
-def test_a_request_that_is_being_read_is_read_and_answered(world: World, cut: int) -> None:
+@pytest.mark.parametrize("length", [1, 30, len(REQUEST) - 1])
+def test_a_request_that_is_being_read_is_read_and_answered(world: World, length: int) -> None:
     client = world.client()
-    client.send(RAW[:cut])
+    client.send(REQUEST[:length])
     close_idle(world)
     assert not client.transport.is_closing()
-    client.send(RAW[cut:])
+    client.send(REQUEST[length:])
     serve(world)
     assert (client.answer().status, client.answer().get("connection")) == (200, "close")
     assert client.transport.closed
 
 
-def test_a_request_on_a_connection_that_came_up_late_is_answered(world: World) -> None:
+def test_a_request_on_a_connection_opened_during_shutdown_is_answered(world: World) -> None:
     close_idle(world)
     client = world.new_request(NON_IDEMPOTENT)
     serve(world)
@@ -249,7 +251,7 @@
     assert client.transport.closed
 
 
-def test_a_request_at_work_is_answered(world: World) -> None:
+def test_a_request_in_flight_is_answered(world: World) -> None:
     client = world.new_request(NON_IDEMPOTENT)
     close_idle(world)
     world.run_for(3)
@@ -258,7 +260,7 @@
     assert client.transport.closed
 
 
-def test_a_stream_at_work_ends_whole(world: World) -> None:
+def test_a_stream_in_flight_ends_complete(world: World) -> None:
     client = world.new_request(STREAMING)
     arrival = world.arrival()
     arrival.worker.send(arrival.stream_head() + chunked(event(1), last=False))
@@ -268,8 +270,8 @@
     assert client.transport.closed
 
 
-def test_a_request_that_was_read_behind_another_is_answered_too(world: World) -> None:
-    """Its bytes have been read: the client could not tell whether it runs."""
+def test_a_pipelined_request_that_was_read_is_answered_too(world: World) -> None:
+    """Its bytes have been read, so the client could not know whether it runs."""
     client = world.client()
     client.send(request_bytes(STREAMING) + request_bytes(NON_IDEMPOTENT, "a2"))
     arrival = world.arrival()
--- a/tests/data_plane/test_client_requests.py
+++ b/tests/data_plane/test_client_requests.py
@@ -1,4 +1,4 @@
-"""How a client's bytes become requests: cut anywhere, one behind another, too large or malformed."""
+"""Parsing of a client's bytes: cut anywhere, pipelined, too large or malformed."""
 
 from __future__ import annotations
 
@@ -24,24 +24,27 @@
 
 Worlds = Callable[..., World]
 HEAD = b"POST /once/ HTTP/1.1\r\nHost: a.example\r\nReedspoke-Attempt-Id: a1\r\n"
-IN_CHUNKS = HEAD + b"Transfer-Encoding: chunked\r\n\r\n"
-WITH_LENGTH = request_bytes(NON_IDEMPOTENT)
-WHOLE = {
-    "length": WITH_LENGTH,
-    "chunks": IN_CHUNKS + chunked(b"the ", b"question"),
-    "chunks with more": IN_CHUNKS + b"4;a=b\r\nthe \r\n8 \r\nquestion\r\n0;c\r\nX-Sum: 1\r\nX-Two: 2\r\n\r\n",
-    "blank lines before": b"\r\n\r\n" + WITH_LENGTH,
+CHUNKED_HEAD = HEAD + b"Transfer-Encoding: chunked\r\n\r\n"
+REQUEST_WITH_LENGTH = request_bytes(NON_IDEMPOTENT)
+COMPLETE_REQUESTS = {
+    "length": REQUEST_WITH_LENGTH,
+    "chunks": CHUNKED_HEAD + chunked(b"the ", b"question"),
+    "chunks with more": CHUNKED_HEAD
+    + b"4;a=b\r\nthe \r\n8 \r\nquestion\r\n0;c\r\nX-Sum: 1\r\nX-Two: 2\r\n\r\n",
+    "blank lines before": b"\r\n\r\n" + REQUEST_WITH_LENGTH,
 }
 
 
 def serve(world: World, body: bytes = b"the answer") -> None:
-    """The worker answers its latest request."""
+    """Sends a complete answer to the latest request."""
     world.arrival().worker.send(world.arrival().complete_answer(body))
 
 
-def refused(client: Client, status: int) -> None:
-    """The client has got this status on a connection that ends then, without a reset: what the client still
-    sends is not read as a request."""
+def check_refused(client: Client, status: int) -> None:
+    """Checks that the client got this status and the connection closes without a reset.
+
+    What the client still sends is not parsed as a request.
+    """
     answer = client.answer()
     assert (answer.status, answer.is_complete) == (status, True)
     assert answer.get("connection") == "close"
@@ -54,9 +57,9 @@
     assert client.answer() == answer
 
 
-@pytest.mark.parametrize("form", WHOLE)
+@pytest.mark.parametrize("form", COMPLETE_REQUESTS)
 def test_a_request_cut_anywhere_is_one_request(form: str) -> None:
-    raw = WHOLE[form]
+    raw = COMPLETE_REQUESTS[form]
     for cut in range(1, len(raw)):
         with fresh_world(workers=1) as world:
             client = world.client()
@@ -69,10 +72,10 @@
             assert client.answer().body == b"the answer", cut
 
 
-@pytest.mark.parametrize("form", WHOLE)
+@pytest.mark.parametrize("form", COMPLETE_REQUESTS)
 def test_a_request_byte_by_byte_is_one_request(world: World, form: str) -> None:
     client = world.client()
-    for byte in WHOLE[form]:
+    for byte in COMPLETE_REQUESTS[form]:
         client.send(bytes([byte]))
     assert [arrival.request.body for arrival in world.arrivals] == [b"the question"]
     serve(world)
@@ -87,7 +90,7 @@
         pieces += [body[at : at + size]] if body[at : at + size] else []
         at += size
     pieces += [body[at:]] if body[at:] else []
-    raw = IN_CHUNKS + chunked(*pieces) if in_chunks else request_bytes(NON_IDEMPOTENT, body=body)
+    raw = CHUNKED_HEAD + chunked(*pieces) if in_chunks else request_bytes(NON_IDEMPOTENT, body=body)
     with fresh_world() as world:
         world.client().send(raw)
         assert world.arrival().request.body == body
@@ -105,7 +108,7 @@
     assert client.answer().body == body
 
 
-# ---- one behind another ----
+# ---- several requests on a connection ----
 
 
 def test_requests_one_after_another_use_one_connection(world: World) -> None:
@@ -118,11 +121,11 @@
     assert not client.transport.is_closing()
 
 
-@pytest.mark.parametrize("cut", [0, 1, 30, len(WITH_LENGTH) - 1, len(WITH_LENGTH)])
-def test_a_second_request_that_comes_early_waits_for_its_turn(world: World, cut: int) -> None:
+@pytest.mark.parametrize("cut", [0, 1, 30, len(REQUEST_WITH_LENGTH) - 1, len(REQUEST_WITH_LENGTH)])
+def test_a_pipelined_second_request_waits_for_its_turn(world: World, cut: int) -> None:
     client = world.client()
     second = request_bytes(NON_IDEMPOTENT, "a2", b"the second")
-    client.send(WITH_LENGTH + second[:cut])
+    client.send(REQUEST_WITH_LENGTH + second[:cut])
     assert [arrival.attempt_id for arrival in world.arrivals] == ["a1"]
     client.send(second[cut:])
     assert [arrival.attempt_id for arrival in world.arrivals] == ["a1"]
@@ -143,22 +146,22 @@
 
 def test_a_large_second_request_does_not_end_the_first(world: World) -> None:
     client = world.client()
-    client.send(WITH_LENGTH)
+    client.send(REQUEST_WITH_LENGTH)
     client.send(b"".join(request_bytes(NON_IDEMPOTENT, f"a{number}", b"x" * 8000) for number in range(2, 14)))
     serve(world, b"to a1")
     assert client.answers()[0].body == b"to a1"
 
 
-def test_a_client_that_sends_without_end_is_left_and_its_request_called_off(world: World) -> None:
+def test_reading_from_a_client_that_sends_without_end_stops(world: World) -> None:
     client = world.client()
-    client.send(WITH_LENGTH)
+    client.send(REQUEST_WITH_LENGTH)
     for _ in range(40):
         client.send(b"x" * 50_000)
     assert client.transport.reads_paused or (world.arrival().worker.is_closed and world.is_idle())
 
 
 def test_the_bytes_of_a_request_stay_as_they_are_until_its_answer(worlds: Worlds) -> None:
-    """Its head lies in the buffer into which later bytes are read."""
+    """Its head is a view of the buffer that receives later bytes."""
     world = worlds(workers=2)
     client = world.client()
     client.send(request_bytes(IDEMPOTENT, "a1", b"the first", X_Own="1" * 500))
@@ -174,7 +177,7 @@
 # ---- limits ----
 
 
-def test_a_head_within_the_limit_is_taken(world: World) -> None:
+def test_a_head_within_the_limit_is_accepted(world: World) -> None:
     room = LIMITS["max_header_bytes"] - len(request_bytes(NON_IDEMPOTENT, X_Fill=""))
     world.new_request(NON_IDEMPOTENT, X_Fill="x" * (room - 20))
     assert len(world.arrivals) == 1
@@ -184,7 +187,7 @@
 def test_a_head_beyond_the_limit_is_refused(world: World, ended: bool) -> None:
     client = world.client()
     client.send(HEAD + b"X-Fill: " + b"x" * LIMITS["max_header_bytes"] + (b"\r\n\r\n" if ended else b""))
-    refused(client, 431)
+    check_refused(client, 431)
     assert world.arrivals == []
     assert f'"code":{int(ErrorCode.REQUEST_TOO_LARGE)}'.encode() in client.answer().body
 
@@ -194,7 +197,7 @@
     client.send(HEAD)
     for number in range(300):
         client.send(b"X-%d: 12345678901234567890\r\n" % number)
-    refused(client, 431)
+    check_refused(client, 431)
 
 
 @pytest.mark.parametrize("most", [20_000, 60_000])
@@ -206,23 +209,23 @@
     assert client.answer().status == 200
 
 
-def test_a_body_within_the_limit_is_taken(world: World) -> None:
+def test_a_body_within_the_limit_is_accepted(world: World) -> None:
     world.new_request(NON_IDEMPOTENT, body=b"x" * LIMITS["max_body_bytes"])
     assert len(world.arrivals) == 1
 
 
-def test_a_body_beyond_the_limit_is_refused_before_it_comes(world: World) -> None:
+def test_a_body_beyond_the_limit_is_refused_before_it_arrives(world: World) -> None:
     client = world.client()
     client.send(HEAD + b"Content-Length: %d\r\n\r\n" % (LIMITS["max_body_bytes"] + 1))
-    refused(client, 413)
+    check_refused(client, 413)
 
 
 def test_a_body_in_chunks_beyond_the_limit_is_refused(world: World) -> None:
     client = world.client()
-    client.send(IN_CHUNKS)
+    client.send(CHUNKED_HEAD)
     for _ in range(9):
         client.send(chunked(b"x" * 1000, last=False))
-    refused(client, 413)
+    check_refused(client, 413)
     assert world.arrivals == []
 
 
@@ -230,13 +233,13 @@
     world.frontend.routes = type(world.frontend.routes)()
     client = world.client()
     client.send(HEAD + b"X-Fill: " + b"x" * 100_000)
-    refused(client, 431)
+    check_refused(client, 431)
 
 
-# ---- expectations ----
+# ---- Expect: 100-continue ----
 
 
-def test_a_client_that_asks_is_told_to_go_on(world: World) -> None:
+def test_a_client_that_expects_100_continue_gets_it(world: World) -> None:
     client = world.client()
     client.send(HEAD + b"Content-Length: 12\r\nExpect: 100-continue\r\n\r\n")
     assert bytes(client.transport.written) == b"HTTP/1.1 100 Continue\r\n\r\n"
@@ -246,20 +249,20 @@
     assert client.answer().body == b"the answer"
 
 
-def test_a_client_whose_body_is_too_large_is_not_told_to_go_on(world: World) -> None:
+def test_a_client_whose_body_is_too_large_gets_no_100_continue(world: World) -> None:
     client = world.client()
     client.send(HEAD + b"Content-Length: 99999\r\nExpect: 100-continue\r\n\r\n")
-    refused(client, 413)
+    check_refused(client, 413)
     assert b"100 Continue" not in client.transport.written
 
 
-# ---- malformed, and requests hidden in others ----
+# ---- malformed requests, and request smuggling ----
 
 HIDDEN = b"GET /once/hidden HTTP/1.1\r\nHost: a.example\r\nReedspoke-Attempt-Id: h\r\n\r\n"
 MALFORMED = {
     "no host": b"POST /once/ HTTP/1.1\r\nContent-Length: 0\r\n\r\n",
     "two hosts": HEAD + b"Host: b.example\r\n\r\n",
-    "both length and chunks": IN_CHUNKS[:-2] + b"Content-Length: 5\r\n\r\n0\r\n\r\n" + HIDDEN,
+    "both length and chunks": CHUNKED_HEAD[:-2] + b"Content-Length: 5\r\n\r\n0\r\n\r\n" + HIDDEN,
     "length before chunks": HEAD
     + b"Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"
     + HIDDEN,
@@ -274,19 +277,19 @@
     "a folded field": HEAD + b"X-A: 1\r\n Transfer-Encoding: chunked\r\n\r\n" + HIDDEN,
     "a field without a name": HEAD + b": 1\r\n\r\n" + HIDDEN,
     "a field without a colon": HEAD + b"nonsense\r\n\r\n" + HIDDEN,
-    "an odd name": HEAD + b"X(A): 1\r\n\r\n" + HIDDEN,
+    "an invalid field name": HEAD + b"X(A): 1\r\n\r\n" + HIDDEN,
     "a nul in a value": HEAD + b"X-A: \x00\r\n\r\n" + HIDDEN,
     "a lone carriage return": HEAD + b"X-A: 1\rTransfer-Encoding: chunked\r\n\r\n" + HIDDEN,
     "a lone line feed": HEAD + b"X-A: 1\nTransfer-Encoding: chunked\r\n\r\n" + HIDDEN,
     "two codings": HEAD + b"Transfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n" + HIDDEN,
     "chunked twice": HEAD + b"Transfer-Encoding: chunked, chunked\r\n\r\n0\r\n\r\n" + HIDDEN,
     "another coding": HEAD + b"Transfer-Encoding: xchunked\r\n\r\n0\r\n\r\n" + HIDDEN,
-    "chunks in HTTP/1.0": IN_CHUNKS.replace(b"HTTP/1.1", b"HTTP/1.0") + b"0\r\n\r\n" + HIDDEN,
-    "a chunk's size that is none": IN_CHUNKS + b"x\r\n" + HIDDEN,
-    "a signed size of a chunk": IN_CHUNKS + b"-1\r\n" + HIDDEN,
-    "a size of a chunk beyond bounds": IN_CHUNKS + b"FFFFFFFFFFFFFFFFF\r\n" + HIDDEN,
-    "a chunk that is longer than told": IN_CHUNKS + b"2\r\nabc\r\n0\r\n\r\n" + HIDDEN,
-    "a line feed behind a chunk's size": IN_CHUNKS + b"1\na\r\n0\r\n\r\n" + HIDDEN,
+    "chunks in HTTP/1.0": CHUNKED_HEAD.replace(b"HTTP/1.1", b"HTTP/1.0") + b"0\r\n\r\n" + HIDDEN,
+    "a malformed chunk size": CHUNKED_HEAD + b"x\r\n" + HIDDEN,
+    "a signed chunk size": CHUNKED_HEAD + b"-1\r\n" + HIDDEN,
+    "a chunk size beyond the limit": CHUNKED_HEAD + b"FFFFFFFFFFFFFFFFF\r\n" + HIDDEN,
+    "a chunk that is longer than its size": CHUNKED_HEAD + b"2\r\nabc\r\n0\r\n\r\n" + HIDDEN,
+    "a line feed after a chunk size": CHUNKED_HEAD + b"1\na\r\n0\r\n\r\n" + HIDDEN,
     "no version": b"GET /once/\r\n\r\n" + HIDDEN,
     "another protocol": b"GET /once/ HTTP/2.0\r\nHost: a.example\r\n\r\n" + HIDDEN,
     "a blank in the target": b"GET /once/ x HTTP/1.1\r\nHost: a.example\r\n\r\n" + HIDDEN,
@@ -296,11 +299,11 @@
 
 
 @pytest.mark.parametrize("name", MALFORMED)
-def test_what_is_malformed_is_refused_and_nothing_behind_it_is_read(world: World, name: str) -> None:
+def test_a_malformed_request_is_refused_and_nothing_after_it_is_read(world: World, name: str) -> None:
     client = world.client()
     client.send(MALFORMED[name])
     assert client.answer().status in (400, 501, 505)
-    refused(client, client.answer().status)
+    check_refused(client, client.answer().status)
     client.send(HIDDEN)
     world.run_for(1)
     assert world.arrivals == []
@@ -308,7 +311,7 @@
 
 
 @pytest.mark.parametrize("name", MALFORMED)
-def test_what_is_malformed_in_pieces_never_becomes_a_request(name: str) -> None:
+def test_a_malformed_request_in_pieces_never_becomes_a_request(name: str) -> None:
     with fresh_world() as world:
         client = world.client()
         for byte in MALFORMED[name]:
--- a/tests/data_plane/test_connect_timeout.py
+++ b/tests/data_plane/test_connect_timeout.py
@@ -1,4 +1,4 @@
-"""How long a connection to a worker may take."""
+"""The timeout of connections to workers."""
 
 from __future__ import annotations
 
@@ -18,46 +18,46 @@
 from tests.data_plane.world import IDEMPOTENT, NON_IDEMPOTENT
 
 
-def test_a_connection_that_came_up_while_the_process_stood_still_counts(plane: Plane) -> None:
-    """Seen in CI beside load: the time limit and the connection came in the same pass of the event loop."""
+def test_a_connection_established_while_the_process_stalled_is_used(plane: Plane) -> None:
+    """In CI under load, the timeout and the connection became due in the same iteration of the event loop."""
     plane.receive_state()
     plane.network.plan.append("slow")
     client = plane.new_request(NON_IDEMPOTENT)
     assert plane.network.arrivals == []
-    plane.loop._virtual.now += 5.0  # less than the request may take
+    plane.loop._virtual.now += 5.0  # Less than the timeout of the request.
     plane.loop.settle()
     plane.arrival().worker.send(plane.arrival().complete_answer())
     assert answer(client).status == 200
 
 
-class PoolOfPasses(UpstreamPool):
-    """Its connections come up after so many passes of the event loop."""
+class SlowPool(UpstreamPool):
+    """Its connections are established after `iterations` iterations of the event loop."""
 
-    passes = 0
+    iterations = 0
 
     async def _create(self, address: str) -> ConnectResult:
-        for _ in range(self.passes):
+        for _ in range(self.iterations):
             await asyncio.sleep(0)
         return UpstreamConnection(self._loop)
 
 
-@pytest.mark.parametrize(("passes", "comes_up"), [(5, True), (60, False)])
-def test_a_connection_that_is_nearly_up_at_the_time_limit_is_waited_for(
-    monkeypatch: pytest.MonkeyPatch, passes: int, comes_up: bool
+@pytest.mark.parametrize(("iterations", "is_established"), [(5, True), (60, False)])
+def test_a_connection_nearly_established_at_the_timeout_is_awaited(
+    monkeypatch: pytest.MonkeyPatch, iterations: int, is_established: bool
 ) -> None:
     monkeypatch.setattr(upstream_pool, "CONNECT_TIMEOUT_S", 0.0)
-    monkeypatch.setattr(PoolOfPasses, "passes", passes)
+    monkeypatch.setattr(SlowPool, "iterations", iterations)
 
     async def play() -> ConnectResult:
-        pool = PoolOfPasses(asyncio.get_running_loop())
+        pool = SlowPool(asyncio.get_running_loop())
         result: asyncio.Future[ConnectResult] = asyncio.get_running_loop().create_future()
         pool.connect("127.0.0.1:1", result.set_result)
         return await result
 
-    assert isinstance(asyncio.run(play()), ConnectFailure) is not comes_up
+    assert isinstance(asyncio.run(play()), ConnectFailure) is not is_established
 
 
-def test_a_connection_that_never_comes_up_is_given_up(plane: Plane) -> None:
+def test_a_connection_that_is_never_established_times_out(plane: Plane) -> None:
     plane.receive_state()
     plane.network.plan.append("hang")
     plane.new_request(IDEMPOTENT)
--- a/tests/data_plane/test_deadlines.py
+++ b/tests/data_plane/test_deadlines.py
@@ -1,4 +1,4 @@
-"""The time limits of requests: what workers are handed, and when clients have their final answers."""
+"""Deadlines: the time that workers get, and when clients get their final answers."""
 
 from __future__ import annotations
 
@@ -20,25 +20,25 @@
     request_bytes,
 )
 
-LATE_S = 0.5  # allowed by the rules beyond a time limit
+MAX_LATE_S = 0.5  # Allowed delay of the final answer after the deadline.
 DEADLINE_S = 4.0
 SLOW_BODY_S = 1.5
 PAUSE_S = 0.9
 BODY = b"the question"
 PATHS = (NON_IDEMPOTENT, IDEMPOTENT, STREAMING, RESUMABLE)
 
-Stage = Callable[[World, Client], None]
+Play = Callable[[World, Client], None]
 
 
 def ends_at(world: World, arrival: Arrival) -> float:
-    """When the worker's time is over, if the request has just come to it."""
-    told = arrival.request.get("reedspoke-deadline-ms")
-    assert told is not None
-    return world.loop.time() + int(told) / 1000
+    """The deadline that the worker got, if the request arrived just now."""
+    deadline_ms = arrival.request.get("reedspoke-deadline-ms")
+    assert deadline_ms is not None
+    return world.loop.time() + int(deadline_ms) / 1000
 
 
 def until_arrivals(world: World, count: int) -> None:
-    """Let time pass until so many attempts have come to workers."""
+    """Lets time pass until so many attempts have arrived at workers."""
     for _ in range(1000):
         if len(world.arrivals) >= count:
             return
@@ -46,8 +46,8 @@
     pytest.fail("no further attempt")
 
 
-def asked_slowly(world: World, path: str, **more: str) -> Client:
-    """A client whose body comes SLOW_BODY_S behind its head."""
+def request_with_slow_body(world: World, path: str, **more: str) -> Client:
+    """A client whose body arrives SLOW_BODY_S after its head."""
     client = world.client()
     raw = request_bytes(path, "a1", BODY, **more)
     client.send(raw[: -len(BODY)])
@@ -56,55 +56,55 @@
     return client
 
 
-# ---- what workers are handed ----
+# ---- the time that workers get ----
 
 
 @pytest.mark.parametrize("path", PATHS)
-def test_the_time_that_a_body_took_is_not_handed_on(path: str) -> None:
+def test_the_time_that_a_body_took_is_deducted_from_the_deadline(path: str) -> None:
     with fresh_world() as world:
-        began = world.loop.time()
-        asked_slowly(world, path, Reedspoke_Deadline_Ms=str(int(1000 * DEADLINE_S)))
-        assert ends_at(world, world.arrival()) <= began + DEADLINE_S + 0.01
+        started_at = world.loop.time()
+        request_with_slow_body(world, path, Reedspoke_Deadline_Ms=str(int(1000 * DEADLINE_S)))
+        assert ends_at(world, world.arrival()) <= started_at + DEADLINE_S + 0.01
 
 
 @pytest.mark.parametrize("path", PATHS)
 def test_without_a_deadline_the_time_limit_of_the_route_runs_from_the_first_byte(path: str) -> None:
     with fresh_world() as world:
-        began = world.loop.time()
-        asked_slowly(world, path)
-        assert ends_at(world, world.arrival()) <= began + TIMEOUT_S + 0.01
+        started_at = world.loop.time()
+        request_with_slow_body(world, path)
+        assert ends_at(world, world.arrival()) <= started_at + TIMEOUT_S + 0.01
 
 
-def test_a_request_that_waited_behind_another_has_waited() -> None:
-    """It came while the answer before it was on its way."""
+def test_the_deadline_of_a_pipelined_request_includes_its_wait() -> None:
+    """It arrived while the previous request was being answered."""
     with fresh_world() as world:
         client = world.new_request(IDEMPOTENT, "a1")
         first = world.arrival()
         world.run_for(PAUSE_S)
-        came = world.loop.time()
+        arrived_at = world.loop.time()
         client.send(request_bytes(IDEMPOTENT, "a2", Reedspoke_Deadline_Ms=str(int(1000 * DEADLINE_S))))
         world.run_for(PAUSE_S)
         first.worker.send(first.complete_answer())
         second = world.arrival()
         assert second.attempt_id == "a2"
-        assert ends_at(world, second) == pytest.approx(came + DEADLINE_S, abs=0.01)
+        assert ends_at(world, second) == pytest.approx(arrived_at + DEADLINE_S, abs=0.01)
 
 
 @pytest.mark.parametrize("path", PATHS)
-def test_a_repeat_is_handed_what_is_left(path: str) -> None:
+def test_a_retry_gets_the_remaining_time(path: str) -> None:
     with fresh_world() as world:
-        began = world.loop.time()
+        started_at = world.loop.time()
         world.new_request(path, Reedspoke_Deadline_Ms=str(int(1000 * DEADLINE_S)))
         first = world.arrival()
         world.run_for(PAUSE_S)
         first.worker.send(first.overload_answer())
         until_arrivals(world, 2)
-        assert ends_at(world, world.arrival()) <= began + DEADLINE_S + 0.01
+        assert ends_at(world, world.arrival()) <= started_at + DEADLINE_S + 0.01
 
 
-def test_a_resumed_stream_is_handed_what_is_left() -> None:
+def test_a_resumed_stream_gets_the_remaining_time() -> None:
     with fresh_world() as world:
-        began = world.loop.time()
+        started_at = world.loop.time()
         world.new_request(RESUMABLE, Reedspoke_Deadline_Ms=str(int(1000 * DEADLINE_S)))
         first = world.arrival()
         event = b"id: 1\ndata: x\n\n"
@@ -113,10 +113,10 @@
         first.worker.reset()
         until_arrivals(world, 2)
         assert world.arrival().request.get("last-event-id") == "1"
-        assert ends_at(world, world.arrival()) <= began + DEADLINE_S + 0.01
+        assert ends_at(world, world.arrival()) <= started_at + DEADLINE_S + 0.01
 
 
-# ---- when clients have their final answers ----
+# ---- when clients get their final answers ----
 
 
 def is_queued(world: World, client: Client) -> None:
@@ -132,8 +132,8 @@
 
 
 def is_answered_in_part(world: World, client: Client) -> None:
-    whole = world.arrival().complete_answer()
-    world.arrival().worker.send(whole[:-4])
+    complete = world.arrival().complete_answer()
+    world.arrival().worker.send(complete[:-4])
 
 
 def is_streaming(world: World, client: Client) -> None:
@@ -148,12 +148,12 @@
     until_arrivals(world, 2)
 
 
-def is_repeated(world: World, client: Client) -> None:
+def is_retried(world: World, client: Client) -> None:
     world.arrival().worker.send(world.arrival().overload_answer())
     until_arrivals(world, 2)
 
 
-STAGES: dict[str, tuple[str, int, list[str], Stage]] = {
+STAGES: dict[str, tuple[str, int, list[str], Play]] = {
     "queued": (IDEMPOTENT, 0, [], is_queued),
     "connecting": (IDEMPOTENT, 3, ["hang"] * 50, is_connecting),
     "sent, never repeated": (NON_IDEMPOTENT, 3, [], is_sent),
@@ -162,7 +162,7 @@
     "streaming": (STREAMING, 3, [], is_streaming),
     "streaming, resumable": (RESUMABLE, 3, [], is_streaming),
     "resumed": (RESUMABLE, 3, [], is_resumed),
-    "repeated": (IDEMPOTENT, 3, [], is_repeated),
+    "repeated": (IDEMPOTENT, 3, [], is_retried),
 }
 
 
@@ -176,22 +176,22 @@
             world.set_workers([])
         world.network.plan = list(plan)
         more: Any = {} if deadline is None else {"Reedspoke_Deadline_Ms": str(int(1000 * deadline))}
-        began = world.loop.time()
-        client = asked_slowly(world, path, **more) if slowly else world.new_request(path, **more)
+        started_at = world.loop.time()
+        client = request_with_slow_body(world, path, **more) if slowly else world.new_request(path, **more)
         play(world, client)
         limit = TIMEOUT_S if deadline is None else deadline
-        world.run_for(began + limit + LATE_S - world.loop.time())
+        world.run_for(started_at + limit + MAX_LATE_S - world.loop.time())
         assert client.was_reset or any(found.is_complete for found in client.answers())
         world.run_for(1.0)
         assert world.is_idle()
         assert all(arrival.worker.is_closed for arrival in world.arrivals[-1:])
 
 
-# ---- what is left behind by clients that go ----
+# ---- clients that disconnect ----
 
 
 @pytest.mark.parametrize("stage", [name for name in STAGES if name != "queued"])
-def test_nothing_is_at_work_for_a_client_that_has_left(stage: str) -> None:
+def test_nothing_is_in_flight_for_a_client_that_disconnected(stage: str) -> None:
     path, workers, plan, play = STAGES[stage]
     with fresh_world(workers=workers) as world:
         world.network.plan = list(plan)
@@ -199,7 +199,7 @@
         play(world, client)
         before = len(world.arrivals)
         client.disconnect()
-        world.run_for(LATE_S)
+        world.run_for(MAX_LATE_S)
         assert all(arrival.worker.is_closed for arrival in world.arrivals[-1:])
         assert len(world.arrivals) == before
         assert world.is_idle()
--- a/tests/data_plane/test_event_stream.py
+++ b/tests/data_plane/test_event_stream.py
@@ -1,4 +1,4 @@
-"""Streams of events, cut into pieces at any place."""
+"""Event streams cut into pieces at any byte."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 STREAM = b"id: 1\ndata: a\n\nid: 2\nversions: 7\ndata: b\n\ndata: without id\n\nid: 3\ndata: c\n\n"
 
 
-def passed(pieces: list[bytes]) -> tuple[bytes, int, str, EventSplitter]:
-    """What comes out of these pieces: bytes, number of events, the last id."""
+def split(pieces: list[bytes]) -> tuple[bytes, int, str, EventSplitter]:
+    """The output for these pieces: bytes, number of events, the last id, and the splitter."""
     splitter = EventSplitter()
     data, count, last = b"", 0, ""
     for piece in pieces:
@@ -31,15 +31,15 @@
 
 @pytest.mark.parametrize("cut", range(len(STREAM) + 1))
 def test_two_pieces_cut_anywhere_give_the_same_events(cut: int) -> None:
-    data, count, last, splitter = passed([STREAM[:cut], STREAM[cut:]])
+    data, count, last, splitter = split([STREAM[:cut], STREAM[cut:]])
     assert (data, count, last) == (STREAM, 4, "3")
     assert splitter.pending_bytes() == 0
     assert splitter.remainder() == b""
 
 
 @pytest.mark.parametrize("length", range(len(STREAM) + 1))
-def test_a_stream_cut_off_anywhere_gives_whole_events_only(length: int) -> None:
-    data, count, last, splitter = passed([STREAM[:length]])
+def test_a_stream_cut_anywhere_gives_complete_events_only(length: int) -> None:
+    data, count, last, splitter = split([STREAM[:length]])
     assert data == STREAM[: STREAM.rfind(b"\n\n", 0, length) + 2 if b"\n\n" in STREAM[:length] else 0]
     assert count == data.count(b"\n\n")
     assert last == last_event_id(data)
@@ -47,7 +47,7 @@
     assert splitter.pending_bytes() == length - len(data)
 
 
-def test_bytes_one_by_one_give_each_event_when_it_is_whole() -> None:
+def test_bytes_one_by_one_give_each_event_when_it_is_complete() -> None:
     splitter = EventSplitter()
     found = [events for byte in STREAM if (events := splitter.feed(bytes([byte]))) is not None]
     assert [events.last_id for events in found] == ["1", "2", "", "3"]
@@ -57,18 +57,18 @@
 
 @settings(max_examples=100, deadline=None)
 @given(st.lists(st.text(alphabet="ab :é", max_size=8), max_size=6), st.data())
-def test_any_events_cut_anyhow_come_out_as_they_went_in(texts: list[str], data: st.DataObject) -> None:
-    whole = b"".join(
+def test_any_events_in_any_pieces_are_unchanged(texts: list[str], data: st.DataObject) -> None:
+    complete = b"".join(
         b"id: %d\ndata: %b\n\n" % (number, text.encode()) for number, text in enumerate(texts, 1)
     )
-    cuts = sorted(data.draw(st.lists(st.integers(0, len(whole)), max_size=5)))
-    pieces = [whole[start:end] for start, end in zip([0, *cuts], [*cuts, len(whole)], strict=True)]
-    out, count, last, splitter = passed(pieces)
-    assert (out, count, last) == (whole, len(texts), str(len(texts)) if texts else "")
+    cuts = sorted(data.draw(st.lists(st.integers(0, len(complete)), max_size=5)))
+    pieces = [complete[start:end] for start, end in zip([0, *cuts], [*cuts, len(complete)], strict=True)]
+    out, count, last, splitter = split(pieces)
+    assert (out, count, last) == (complete, len(texts), str(len(texts)) if texts else "")
     assert splitter.pending_bytes() == 0
 
 
-def test_an_event_without_end_is_not_kept_for_ever() -> None:
+def test_an_event_without_end_is_rejected() -> None:
     splitter = EventSplitter()
     assert splitter.feed(b"x" * MAX_EVENT_BYTES) is None
     with pytest.raises(EventTooLargeError):
--- a/tests/data_plane/test_exchange_leaving.py
+++ b/tests/data_plane/test_exchange_leaving.py
@@ -1,4 +1,4 @@
-"""A client that leaves: its attempt is called off, and none begins after."""
+"""A client that disconnects: its attempt is cancelled, and no other one starts."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 
 
 @pytest.mark.parametrize("path", PATHS)
-def test_while_it_waits_for_a_worker(worlds: Worlds, path: str) -> None:
+def test_a_client_disconnects_while_its_request_is_queued(worlds: Worlds, path: str) -> None:
     world = worlds(workers=1, capacity=1)
     world.new_request(NON_IDEMPOTENT, "a1")
-    waiting = world.new_request(path, "a2")
-    waiting.disconnect()
+    queued = world.new_request(path, "a2")
+    queued.disconnect()
     world.arrival().worker.send(world.arrival().complete_answer())
     world.run_for(5)
     assert [arrival.attempt_id for arrival in world.arrivals] == ["a1"]
@@ -28,7 +28,7 @@
 
 @pytest.mark.parametrize("path", PATHS)
 @pytest.mark.parametrize("behaviour", ["slow", "refuse slowly", "hang"])
-def test_while_a_connection_comes_up(world: World, path: str, behaviour: str) -> None:
+def test_a_client_disconnects_while_a_connection_is_opened(world: World, path: str, behaviour: str) -> None:
     world.network.plan = [behaviour]
     client = world.new_request(path)
     client.disconnect()
@@ -37,7 +37,7 @@
     assert world.is_idle()
 
 
-def test_a_connection_that_comes_up_too_late_serves_the_next_request(worlds: Worlds) -> None:
+def test_a_connection_established_too_late_serves_the_next_request(worlds: Worlds) -> None:
     world = worlds(workers=1)
     world.network.plan = ["slow"]
     world.new_request(NON_IDEMPOTENT, "a1").disconnect()
@@ -48,11 +48,13 @@
 
 
 @pytest.mark.parametrize("path", PATHS)
-@pytest.mark.parametrize("said", [0, 1, 40, None])
-def test_while_the_worker_is_at_work(world: World, path: str, said: int | None) -> None:
+@pytest.mark.parametrize("sent_bytes", [0, 1, 40, None])
+def test_a_client_disconnects_while_the_worker_answers(
+    world: World, path: str, sent_bytes: int | None
+) -> None:
     client = world.new_request(path)
     arrival = world.arrival()
-    arrival.worker.send(arrival.stream_head()[:said])
+    arrival.worker.send(arrival.stream_head()[:sent_bytes])
     client.disconnect()
     assert arrival.worker.is_closed
     world.run_for(5)
@@ -61,7 +63,7 @@
 
 
 @pytest.mark.parametrize("path", STREAMS)
-def test_in_the_middle_of_a_stream(world: World, path: str) -> None:
+def test_a_client_disconnects_in_the_middle_of_a_stream(world: World, path: str) -> None:
     client = world.new_request(path)
     arrival = world.arrival()
     arrival.worker.send(arrival.stream_head() + chunked(event(1), last=False))
@@ -73,7 +75,7 @@
 
 
 @pytest.mark.parametrize("path", [IDEMPOTENT, RESUMABLE])
-def test_between_two_attempts(worlds: Worlds, path: str) -> None:
+def test_a_client_disconnects_between_two_attempts(worlds: Worlds, path: str) -> None:
     world = worlds(workers=1)
     client = world.new_request(path)
     world.arrival().worker.reset()
@@ -85,7 +87,7 @@
 
 
 @pytest.mark.parametrize("path", PATHS)
-def test_in_the_same_moment_as_the_answer(world: World, path: str) -> None:
+def test_a_client_disconnects_as_the_answer_arrives(world: World, path: str) -> None:
     client = world.new_request(path)
     arrival = world.arrival()
     client.transport.arrive_reset()
@@ -96,7 +98,7 @@
 
 
 @pytest.mark.parametrize("path", PATHS)
-def test_in_the_same_moment_as_the_worker_fails(world: World, path: str) -> None:
+def test_a_client_disconnects_as_the_worker_fails(world: World, path: str) -> None:
     client = world.new_request(path)
     arrival = world.arrival()
     client.transport.arrive_reset()
@@ -106,7 +108,7 @@
     assert world.is_idle()
 
 
-def test_the_place_of_a_request_whose_client_has_left_is_free(worlds: Worlds) -> None:
+def test_the_capacity_of_a_request_whose_client_disconnected_is_released(worlds: Worlds) -> None:
     world = worlds(workers=1, capacity=1)
     first = world.new_request(NON_IDEMPOTENT, "a1")
     world.new_request(NON_IDEMPOTENT, "a2")
@@ -115,7 +117,7 @@
     assert [arrival.attempt_id for arrival in world.arrivals] == ["a1", "a2"]
 
 
-def test_a_connection_whose_attempt_was_called_off_is_not_used_again(worlds: Worlds) -> None:
+def test_the_connection_of_a_cancelled_attempt_is_not_reused(worlds: Worlds) -> None:
     world = worlds(workers=1)
     first = world.new_request(NON_IDEMPOTENT, "a1")
     first.disconnect()
@@ -123,7 +125,7 @@
     assert world.arrivals[1].worker is not world.arrivals[0].worker
 
 
-def test_the_end_of_the_process_breaks_off_what_is_late(world: World) -> None:
+def test_shutdown_aborts_open_streams(world: World) -> None:
     stream = world.new_request(STREAMING, "a1")
     arrival = world.arrival()
     arrival.worker.send(arrival.stream_head() + chunked(event(1), last=False))
@@ -136,8 +138,8 @@
 
 
 @pytest.mark.parametrize(("path", "status"), [(NON_IDEMPOTENT, 502), (IDEMPOTENT, 502), (STREAMING, 502)])
-def test_the_end_of_the_process_answers_what_has_no_answer_yet(world: World, path: str, status: int) -> None:
-    """A request that was read ends with a whole answer, also where that has to be an error."""
+def test_shutdown_answers_requests_without_an_answer(world: World, path: str, status: int) -> None:
+    """A complete request gets a complete answer, even if that is an error."""
     client = world.new_request(path)
     world.forwarder.abort_all()
     world.loop.settle()
@@ -145,10 +147,10 @@
     assert client.answer().is_complete
 
 
-def test_the_end_of_the_process_refuses_what_was_not_sent(worlds: Worlds) -> None:
+def test_shutdown_refuses_requests_that_were_not_sent(worlds: Worlds) -> None:
     world = worlds(workers=1, capacity=1)
     world.new_request(NON_IDEMPOTENT, "a1")
-    waiting = world.new_request(NON_IDEMPOTENT, "a2")
+    queued = world.new_request(NON_IDEMPOTENT, "a2")
     world.forwarder.abort_all()
     world.loop.settle()
-    assert waiting.answer().status == 503
+    assert queued.answer().status == 503
--- a/tests/data_plane/test_exchange_random.py
+++ b/tests/data_plane/test_exchange_random.py
@@ -1,6 +1,6 @@
-"""Days of random events: answers, refusals, cuts and surplus, clients that leave, lists that change.
+"""Random events: answers, refusals, cuts, surplus bytes, clients that disconnect, lists that change.
 
-Each day is judged by the rules; a day that fails is played again by its seed.
+The results are checked against the rules; a failure is reproduced with its seed.
 """
 
 from __future__ import annotations
@@ -29,8 +29,8 @@
 STREAMS = (STREAMING, RESUMABLE)
 
 
-class Day:
-    """One day: everything that happens follows from its seed."""
+class RandomEvents:
+    """A sequence of random events, determined by its seed."""
 
     def __init__(self, world: World, seed: int) -> None:
         self.world = world
@@ -38,14 +38,14 @@
         self.ledger = Ledger()
         self.seen = 0
         self.open_runs: list[Run] = []
-        self.begun: set[Run] = set()  # streams whose head was sent
+        self.started_streams: set[Run] = set()  # Streams whose head was sent.
         self.names = ["i-1", "i-2", "i-3", "i-4"]
 
     def play(self) -> None:
         for _ in range(STEPS):
             self.random.choice(EVENTS)(self)
             self.note_arrivals()
-        for _ in range(60):  # the evening: every worker answers what is left
+        for _ in range(60):  # Finally every worker answers all open requests.
             self.note_arrivals()
             for run in list(self.open_runs):
                 self.answer(run)
@@ -56,7 +56,7 @@
 
     # ---- clients ----
 
-    def ask(self) -> None:
+    def send_request(self) -> None:
         attempt_id = f"a{len(self.ledger.sent)}"
         path = self.random.choice(list(ROUTE_FIELDS))
         body = b"question %d" % len(self.ledger.sent) * self.random.randrange(1, 30)
@@ -70,12 +70,12 @@
         client.send(raw[:cut])
         client.send(raw[cut:])
 
-    def leave(self) -> None:
-        staying = [
+    def disconnect(self) -> None:
+        connected = [
             sent for sent in self.ledger.sent.values() if not sent.disconnected and not sent.client.answers()
         ]
-        if staying:
-            sent = self.random.choice(staying)
+        if connected:
+            sent = self.random.choice(connected)
             sent.disconnected = True
             sent.client.disconnect()
 
@@ -100,21 +100,21 @@
         return self.random.choice(self.open_runs) if self.open_runs else None
 
     def answer(self, run: Run, surplus: bytes = b"") -> None:
-        """The rest of a whole answer."""
+        """The remainder of a complete answer."""
         sent = self.ledger.sent[run.arrival.attempt_id]
         if sent.path in STREAMS:
             raw = self.head(run) + chunked(*(event(n) for n in range(run.next_event, sent.event_count + 1)))
         else:
             raw = run.arrival.complete_answer(run.body)
-        self.say(run, raw + surplus)
+        self.send(run, raw + surplus)
         self.open_runs.remove(run)
 
     def head(self, run: Run) -> bytes:
-        begun = run in self.begun
-        self.begun.add(run)
-        return b"" if begun else run.arrival.stream_head()
+        started = run in self.started_streams
+        self.started_streams.add(run)
+        return b"" if started else run.arrival.stream_head()
 
-    def say(self, run: Run, raw: bytes) -> None:
+    def send(self, run: Run, raw: bytes) -> None:
         cut = self.random.randrange(len(raw) + 1)
         run.arrival.worker.transport.arrive(raw[:cut])
         if self.random.random() < 0.5:
@@ -132,7 +132,7 @@
             self.answer(run, self.random.choice([b"x", run.arrival.complete_answer(b"again"), b"\r\n"]))
 
     def surplus_later(self) -> None:
-        """An answer that was whole comes again, wherever its connection is by now."""
+        """Repeats a complete answer on its connection, whatever the state of the connection."""
         old = [run for runs in self.ledger.runs.values() for run in runs if run not in self.open_runs]
         if old:
             run = self.random.choice(old)
@@ -146,33 +146,33 @@
             return
         sent = self.ledger.sent[run.arrival.attempt_id]
         if sent.path in STREAMS and run.next_event <= sent.event_count:
-            self.say(run, self.head(run) + chunked(event(run.next_event), last=False))
+            self.send(run, self.head(run) + chunked(event(run.next_event), last=False))
             run.next_event += 1
 
     def refuse(self) -> None:
         run = self.some_run()
-        if run is None or run in self.begun:
+        if run is None or run in self.started_streams:
             return
         run.proven_not_run = True
         self.open_runs.remove(run)
         refusal = self.random.choice([run.arrival.overload_answer, run.arrival.wrong_instance_answer])
-        self.say(run, refusal())
+        self.send(run, refusal())
 
     def fail(self) -> None:
         run = self.some_run()
-        if run is None or run in self.begun:
+        if run is None or run in self.started_streams:
             return
         self.open_runs.remove(run)
         run.status = self.random.choice([500, 503, 504])
         run.body = b"why"
-        self.say(run, run.arrival.complete_answer(b"why", f"{run.status} Failed"))
+        self.send(run, run.arrival.complete_answer(b"why", f"{run.status} Failed"))
 
     def cut(self) -> None:
         run = self.some_run()
         if run is None:
             return
         self.open_runs.remove(run)
-        if self.random.random() < 0.5 and run not in self.begun:
+        if self.random.random() < 0.5 and run not in self.started_streams:
             raw = run.arrival.complete_answer(b"never whole")
             run.arrival.worker.send(raw[: self.random.randrange(len(raw))])
         self.random.choice([run.arrival.worker.reset, run.arrival.worker.end])()
@@ -183,7 +183,7 @@
             self.open_runs.remove(run)
             run.arrival.worker.send(b"garbage\r\n\r\n")
 
-    # ---- the rest ----
+    # ---- lists and time ----
 
     def change_list(self) -> None:
         self.world.set_workers(self.random.sample(self.names, self.random.randrange(1, 5)))
@@ -192,28 +192,28 @@
         self.world.run_for(self.random.choice([0.01, 0.1, 0.5, 2.0]))
 
 
-Event = Callable[[Day], None]
+Event = Callable[[RandomEvents], None]
 EVENTS: list[Event] = [
-    *[Day.ask] * 6,
-    *[Day.answer_some] * 4,
-    *[Day.some_events] * 4,
-    *[Day.wait] * 3,
-    Day.leave,
-    Day.answer_with_surplus,
-    Day.surplus_later,
-    Day.refuse,
-    Day.fail,
-    Day.cut,
-    Day.garbage,
-    Day.change_list,
+    *[RandomEvents.send_request] * 6,
+    *[RandomEvents.answer_some] * 4,
+    *[RandomEvents.some_events] * 4,
+    *[RandomEvents.wait] * 3,
+    RandomEvents.disconnect,
+    RandomEvents.answer_with_surplus,
+    RandomEvents.surplus_later,
+    RandomEvents.refuse,
+    RandomEvents.fail,
+    RandomEvents.cut,
+    RandomEvents.garbage,
+    RandomEvents.change_list,
 ]
 
 
 @pytest.mark.parametrize("seed", range(15))
-def test_a_random_day_breaks_no_rule(seed: int) -> None:
+def test_random_events_violate_no_rule(seed: int) -> None:
     with fresh_world(workers=4, capacity=3) as world:
-        Day(world, seed).play()
+        RandomEvents(world, seed).play()
 
 
-def test_the_kinds_of_requests_are_all_played() -> None:
+def test_all_kinds_of_requests_are_covered() -> None:
     assert set(ROUTE_FIELDS) == {NON_IDEMPOTENT, IDEMPOTENT, STREAMING, RESUMABLE}
--- a/tests/data_plane/test_exchange_refusals.py
+++ b/tests/data_plane/test_exchange_refusals.py
@@ -1,4 +1,4 @@
-"""What a client is told after attempts that failed, for each kind of request and fate of attempts."""
+"""The final answer after failed attempts, for each kind of request and fate of attempts."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     fresh_world,
 )
 
-PROMISES = (408, 421, 429, 503)
+NOT_RUN_STATUSES = (408, 421, 429, 503)
 PATHS = (NON_IDEMPOTENT, IDEMPOTENT, STREAMING, RESUMABLE)
 
 
@@ -39,7 +39,7 @@
     arrival.worker.reset()
 
 
-def full(arrival: Arrival) -> None:
+def overloaded(arrival: Arrival) -> None:
     arrival.worker.send(arrival.overload_answer())
 
 
@@ -47,40 +47,44 @@
     arrival.worker.send(arrival.wrong_instance_answer())
 
 
-def bare(status: str) -> Callable[[Arrival], None]:
-    """A worker's answer of this status, without proof that it has not run the request."""
+def unproven(status: str) -> Callable[[Arrival], None]:
+    """Sends an answer of this status without proof that the request has not run."""
     return lambda arrival: arrival.worker.send(arrival.complete_answer(b"why", status))
 
 
-def told(status: str) -> Callable[[Arrival], None]:
-    """A worker's answer that proves that it has not run the request."""
+def proven(status: str) -> Callable[[Arrival], None]:
+    """Sends an answer that proves that the request has not run."""
     return lambda arrival: arrival.worker.send(
         arrival.complete_answer(b"", status, Reedspoke_Not_Executed="1")
     )
 
 
-CONNECTING = ("refuse", "hang", "reset at once")  # no connection comes up, or none that could carry a request
+CONNECTING = (
+    "refuse",
+    "hang",
+    "reset at once",
+)  # No connection is established, or none that could carry a request.
 NOT_RUN = {
-    "full": full,
+    "overloaded": overloaded,
     "wrong instance": wrong_instance,
-    "told 429": told("429 Too Many Requests"),
-    "told 408": told("408 Request Timeout"),
+    "proven 429": proven("429 Too Many Requests"),
+    "proven 408": proven("408 Request Timeout"),
 }
 MAY_HAVE_RUN = {
     "reset": reset,
     "closed": closed,
     "garbage": garbage,
     "head then reset": head_then_reset,
-    "bare 503": bare("503 Service Unavailable"),
-    "bare 429": bare("429 Too Many Requests"),
-    "bare 408": bare("408 Request Timeout"),
+    "unproven 503": unproven("503 Service Unavailable"),
+    "unproven 429": unproven("429 Too Many Requests"),
+    "unproven 408": unproven("408 Request Timeout"),
 }
 ENDINGS = NOT_RUN | MAY_HAVE_RUN
 FATES = (*CONNECTING, *ENDINGS)
 
 
 def play(world: World, path: str, fates: tuple[str, ...]) -> tuple[SeenAnswer, list[str]]:
-    """The answer to a request whose attempts end so, and the fates that came to pass."""
+    """The answer to a request whose attempts have these fates, and the fates that occurred."""
     world.network.plan = [fate if fate in CONNECTING else "accept" for fate in fates]
     client = world.new_request(path)
     seen = 0
@@ -97,7 +101,7 @@
 
 @pytest.mark.parametrize("path", PATHS)
 @pytest.mark.parametrize("fate", FATES)
-def test_the_only_attempt_decides_what_may_be_promised(path: str, fate: str) -> None:
+def test_the_only_attempt_decides_the_final_status(path: str, fate: str) -> None:
     with fresh_world(workers=1) as world:
         answer, _ = play(world, path, (fate,))
     assert answer.is_complete
@@ -113,24 +117,24 @@
 
 @pytest.mark.parametrize("path", PATHS)
 @pytest.mark.parametrize("first", FATES)
-def test_no_promise_after_a_run_that_may_not_be_repeated(path: str, first: str) -> None:
+def test_no_not_run_status_after_an_attempt_that_may_have_run(path: str, first: str) -> None:
     for second in FATES:
         with fresh_world(workers=2, attempts=2) as world:
-            answer, happened = play(world, path, (first, second))
+            answer, occurred = play(world, path, (first, second))
             arrivals = len(world.arrivals)
-        may_have_run = sum(fate in MAY_HAVE_RUN for fate in happened)
-        assert arrivals == sum(fate not in CONNECTING for fate in happened), second
+        may_have_run = sum(fate in MAY_HAVE_RUN for fate in occurred)
+        assert arrivals == sum(fate not in CONNECTING for fate in occurred), second
         assert answer.is_complete, second
         assert answer.get("reedspoke-response-seal") is None, second
         if path in NEVER_REPEATED:
             assert may_have_run <= 1, second
-            assert len(happened) == (1 if first in MAY_HAVE_RUN else 2), second
-            assert (answer.status in PROMISES) is (may_have_run == 0), second
+            assert len(occurred) == (1 if first in MAY_HAVE_RUN else 2), second
+            assert (answer.status in NOT_RUN_STATUSES) is (may_have_run == 0), second
 
 
 @pytest.mark.parametrize("path", PATHS)
 @pytest.mark.parametrize("before", [fate for fate in FATES if fate not in MAY_HAVE_RUN])
-def test_a_success_after_a_worker_that_did_not_run_it_is_passed_on(path: str, before: str) -> None:
+def test_a_success_after_an_attempt_that_did_not_run_is_forwarded(path: str, before: str) -> None:
     with fresh_world(workers=2, attempts=2) as world:
         world.network.plan = [before if before in CONNECTING else "accept"]
         client = world.new_request(path)
@@ -157,7 +161,7 @@
 
 @pytest.mark.parametrize("path", NEVER_REPEATED)
 @pytest.mark.parametrize("status", ["500 Internal Server Error", "502 Bad Gateway", "504 Gateway Timeout"])
-def test_a_worker_error_is_no_reason_to_run_once_again_what_may_run_once(path: str, status: str) -> None:
+def test_a_worker_error_does_not_repeat_a_request_that_must_not_be_repeated(path: str, status: str) -> None:
     with fresh_world() as world:
         client = world.new_request(path)
         world.arrival().worker.send(world.arrival().complete_answer(b"why", status))
@@ -166,8 +170,8 @@
         assert len(world.arrivals) == 1
 
 
-def test_a_workers_own_timeout_is_passed_on_and_costs_no_further_attempt() -> None:
-    """It comes at the deadline: a further attempt would have no time, and would draw on the budget."""
+def test_a_workers_own_timeout_is_forwarded_without_a_further_attempt() -> None:
+    """It arrives at the deadline: another attempt would have no time, and would use up retry budget."""
     with fresh_world() as world:
         client = world.new_request(IDEMPOTENT, Reedspoke_Deadline_Ms="3000")
         world.run_for(2.99)
@@ -177,11 +181,11 @@
         assert len(world.arrivals) == 1
 
 
-def test_a_request_that_the_worker_calls_bad_is_not_tried_elsewhere() -> None:
-    """No worker would take it: its 400 is the answer, also where it proves that it did not run it."""
+def test_a_400_of_a_worker_is_not_retried() -> None:
+    """No worker would accept the request: the 400 is forwarded even if it proves that it has not run."""
     with fresh_world() as world:
         client = world.new_request(NON_IDEMPOTENT)
-        told("400 Bad Request")(world.arrival())
+        proven("400 Bad Request")(world.arrival())
         world.run_for(3)
         assert client.answer().status == 400
         assert len(world.arrivals) == 1
@@ -192,7 +196,7 @@
     with fresh_world(workers=3, attempts=2) as world:
         client = world.new_request(path)
         for number in range(2):
-            full(world.arrivals[number])
+            overloaded(world.arrivals[number])
             world.run_for(0.2)
         world.run_for(3)
         assert len(world.arrivals) == 2
@@ -203,7 +207,7 @@
 def test_no_second_attempt_without_budget(path: str) -> None:
     with fresh_world(slack=0.0) as world:
         client = world.new_request(path)
-        full(world.arrival())
+        overloaded(world.arrival())
         world.run_for(3)
         assert len(world.arrivals) == 1
         assert client.answer().status == 503
@@ -219,7 +223,7 @@
         assert world.is_idle()
 
 
-def test_a_request_at_its_deadline_is_told_whether_it_may_have_run() -> None:
+def test_a_queued_request_gets_a_503_at_its_deadline() -> None:
     with fresh_world(workers=1, capacity=1) as world:
         world.new_request(NON_IDEMPOTENT, "a1")
         waiting = world.new_request(NON_IDEMPOTENT, "a2", Reedspoke_Deadline_Ms="300")
@@ -229,8 +233,8 @@
 
 
 @pytest.mark.parametrize("path", NEVER_REPEATED)
-def test_a_connection_that_is_reset_as_it_comes_up_has_carried_nothing(path: str) -> None:
-    """As workers do beyond their most connections."""
+def test_a_connection_that_is_reset_while_it_is_opened_carried_nothing(path: str) -> None:
+    """Workers do so beyond their maximum of connections."""
     with fresh_world(workers=2) as world:
         world.network.plan = ["reset at once"]
         client = world.new_request(path)
--- a/tests/data_plane/test_exchange_streams.py
+++ b/tests/data_plane/test_exchange_streams.py
@@ -1,4 +1,4 @@
-"""Streams: passed on as they come, complete only when their worker says so, taken up elsewhere."""
+"""Streams: forwarded as they arrive, complete only if their worker ends them, resumed at another worker."""
 
 from __future__ import annotations
 
@@ -23,13 +23,13 @@
 EVENTS = 5
 
 
-def pass_events(arrival: Arrival, first: int, last: int) -> None:
-    """The worker sends these events, behind the head of its answer."""
+def send_events(arrival: Arrival, first: int, last: int) -> None:
+    """The worker sends the head of its answer and these events."""
     pieces = [event(number) for number in range(first, last + 1)]
     arrival.worker.send(arrival.stream_head() + chunked(*pieces, last=False))
 
 
-def test_events_are_passed_on_as_they_come(world: World) -> None:
+def test_events_are_forwarded_as_they_arrive(world: World) -> None:
     client = world.new_request(STREAMING)
     arrival = world.arrival()
     arrival.worker.send(arrival.stream_head(Versions="3"))
@@ -47,7 +47,7 @@
     assert world.is_idle()
 
 
-def test_an_event_in_pieces_is_passed_on_when_it_is_whole(world: World) -> None:
+def test_an_event_in_pieces_is_forwarded_when_it_is_complete(world: World) -> None:
     client = world.new_request(STREAMING)
     arrival = world.arrival()
     arrival.worker.send(arrival.stream_head() + chunked(event(1)[:5], last=False))
@@ -56,7 +56,7 @@
     assert client.answer().body == event(1)
 
 
-def test_what_stands_behind_the_last_event_is_passed_on_at_the_end(world: World) -> None:
+def test_bytes_after_the_last_event_are_forwarded_at_the_end(world: World) -> None:
     client = world.new_request(STREAMING)
     arrival = world.arrival()
     arrival.worker.send(arrival.stream_head() + chunked(event(1), b"data: no blank line"))
@@ -71,7 +71,7 @@
     assert world.is_idle()
 
 
-def test_a_stream_with_its_length_is_passed_on(world: World) -> None:
+def test_a_stream_with_its_length_is_forwarded(world: World) -> None:
     client = world.new_request(STREAMING)
     arrival = world.arrival()
     arrival.worker.send(arrival.complete_answer(events(1, 3)))
@@ -79,19 +79,19 @@
 
 
 @pytest.mark.parametrize("path", STREAMS)
-def test_a_workers_error_is_passed_on_whole(world: World, path: str) -> None:
+def test_a_workers_error_is_forwarded_completely(world: World, path: str) -> None:
     client = world.new_request(path)
     world.arrival().worker.send(world.arrival().complete_answer(b"why", "400 Bad Request"))
     assert (client.answer().status, client.answer().body) == (400, b"why")
 
 
-def test_a_clients_own_priority_is_not_passed_on(world: World) -> None:
-    """Which request a worker lets in first is decided here; a worker without an engine is told nothing."""
+def test_a_clients_own_priority_is_not_forwarded(world: World) -> None:
+    """The scheduler decides the priority at the worker; a worker without an engine gets none."""
     world.new_request(STREAMING, Priority="9")
     assert world.arrival().request.get("priority") is None
 
 
-def test_a_worker_with_an_engine_is_told_short_prompts_first(worlds: Worlds) -> None:
+def test_a_worker_with_an_engine_gets_a_priority_for_short_prompts(worlds: Worlds) -> None:
     world = worlds(engine=True)
     world.new_request(STREAMING, "a1", Reedspoke_Token_Count="100,10")
     short = world.arrival().request.get("priority")
@@ -121,10 +121,10 @@
         length += 1
 
 
-def check_cut(client: Client, begun: bool, length: int) -> None:
-    """What the client has got of a stream of three events."""
+def check_cut(client: Client, started: bool, length: int) -> None:
+    """Checks what the client received of a stream of three events."""
     answer = client.answer()
-    if not begun:
+    if not started:
         assert (answer.status, answer.is_complete) == (502, True), length
         return
     assert client.was_reset, length
@@ -133,9 +133,9 @@
     assert answer.body.endswith(b"\n\n"), length
 
 
-def test_a_broken_off_stream_has_no_last_chunk(world: World) -> None:
+def test_an_aborted_stream_has_no_last_chunk(world: World) -> None:
     client = world.new_request(STREAMING)
-    pass_events(world.arrival(), 1, 2)
+    send_events(world.arrival(), 1, 2)
     world.arrival().worker.reset()
     assert client.was_reset
     assert not client.transport.written.endswith(b"0\r\n\r\n")
@@ -143,32 +143,32 @@
     assert world.is_idle()
 
 
-def test_garbage_in_a_stream_breaks_it_off(world: World) -> None:
+def test_garbage_in_a_stream_aborts_it(world: World) -> None:
     client = world.new_request(STREAMING)
-    pass_events(world.arrival(), 1, 2)
+    send_events(world.arrival(), 1, 2)
     world.arrival().worker.send(b"garbage\r\n")
     assert client.was_reset
     assert client.answer().body == events(1, 2)
 
 
-def test_an_event_beyond_all_bounds_breaks_the_stream_off(world: World) -> None:
+def test_an_event_beyond_the_limit_aborts_the_stream(world: World) -> None:
     client = world.new_request(STREAMING)
-    pass_events(world.arrival(), 1, 1)
+    send_events(world.arrival(), 1, 1)
     world.arrival().worker.send(chunked(b"data: " + b"x" * 1_100_000, last=False))
     assert client.was_reset
     assert world.arrival().worker.is_closed
     assert world.is_idle()
 
 
-# ---- taken up at another worker ----
+# ---- resumed at another worker ----
 
 
 @pytest.mark.parametrize("ending", ["end", "reset"])
 @pytest.mark.parametrize("after", range(EVENTS + 1))
-def test_a_cut_stream_goes_on_at_another_worker(world: World, after: int, ending: str) -> None:
+def test_a_cut_stream_is_resumed_at_another_worker(world: World, after: int, ending: str) -> None:
     client = world.new_request(RESUMABLE)
     first = world.arrival()
-    pass_events(first, 1, after)
+    send_events(first, 1, after)
     first.worker.send(chunked(event(after + 1)[:-1], last=False))
     getattr(first.worker, ending)()
     second = world.arrival()
@@ -184,12 +184,12 @@
     assert world.is_idle()
 
 
-def test_a_stream_cut_twice_goes_on_each_time(world: World) -> None:
+def test_a_stream_cut_twice_is_resumed_twice(world: World) -> None:
     client = world.new_request(RESUMABLE)
     for number in range(1, 4):
         arrival = world.arrival()
         assert arrival.request.get("last-event-id") == (str(number - 1) if number > 1 else None)
-        pass_events(arrival, number, number)
+        send_events(arrival, number, number)
         if number < 3:
             arrival.worker.reset()
     world.arrival().worker.send(b"0\r\n\r\n")
@@ -197,22 +197,22 @@
     assert len({arrival.worker.instance_id for arrival in world.arrivals}) == 3
 
 
-def test_the_clients_own_last_event_id_is_passed_on_until_there_is_a_later_one(world: World) -> None:
+def test_the_clients_last_event_id_is_forwarded_until_there_is_a_later_one(world: World) -> None:
     client = world.new_request(RESUMABLE, Last_Event_Id="12")
     assert world.arrival().request.get("last-event-id") == "12"
     world.arrival().worker.reset()
     assert world.arrival().request.get("last-event-id") == "12"
-    pass_events(world.arrival(), 13, 14)
+    send_events(world.arrival(), 13, 14)
     world.arrival().worker.reset()
     assert world.arrival().request.get("last-event-id") == "14"
     world.arrival().worker.send(world.arrival().stream_head() + chunked(event(15)))
     assert client.answer().body == events(13, 15)
 
 
-def test_a_stream_is_broken_off_when_no_worker_is_left(worlds: Worlds) -> None:
+def test_a_stream_is_aborted_without_another_worker(worlds: Worlds) -> None:
     world = worlds(workers=1)
     client = world.new_request(RESUMABLE)
-    pass_events(world.arrival(), 1, 2)
+    send_events(world.arrival(), 1, 2)
     world.arrival().worker.reset()
     world.run_for(5)
     assert client.was_reset
@@ -221,10 +221,10 @@
     assert world.is_idle()
 
 
-def test_a_stream_is_broken_off_when_the_budget_is_spent(worlds: Worlds) -> None:
+def test_a_stream_is_aborted_when_the_retry_budget_is_spent(worlds: Worlds) -> None:
     world = worlds(slack=0.0)
     client = world.new_request(RESUMABLE)
-    pass_events(world.arrival(), 1, 2)
+    send_events(world.arrival(), 1, 2)
     world.arrival().worker.reset()
     world.run_for(5)
     assert client.was_reset
@@ -232,9 +232,9 @@
 
 
 @pytest.mark.parametrize("refusal", ["overload_answer", "wrong_instance_answer"])
-def test_a_worker_that_refuses_to_go_on_is_passed_over(world: World, refusal: str) -> None:
+def test_a_worker_that_refuses_to_resume_is_skipped(world: World, refusal: str) -> None:
     client = world.new_request(RESUMABLE)
-    pass_events(world.arrival(), 1, 2)
+    send_events(world.arrival(), 1, 2)
     world.arrival().worker.reset()
     second = world.arrival()
     second.worker.send(getattr(second, refusal)())
@@ -248,7 +248,7 @@
 def test_an_error_of_a_later_worker_never_ends_the_stream_as_complete(worlds: Worlds, status: str) -> None:
     world = worlds(workers=2)
     client = world.new_request(RESUMABLE)
-    pass_events(world.arrival(), 1, 2)
+    send_events(world.arrival(), 1, 2)
     world.arrival().worker.reset()
     world.arrival().worker.send(world.arrival().complete_answer(b"why", status))
     world.run_for(5)
@@ -257,18 +257,18 @@
     assert not client.answer().is_complete
 
 
-def test_a_stream_cut_behind_its_last_event_ends_complete_where_nothing_is_left(world: World) -> None:
+def test_a_stream_cut_after_its_last_event_ends_complete(world: World) -> None:
     client = world.new_request(RESUMABLE)
-    pass_events(world.arrival(), 1, 3)
+    send_events(world.arrival(), 1, 3)
     world.arrival().worker.reset()
     world.arrival().worker.send(world.arrival().stream_head() + b"0\r\n\r\n")
     assert (client.answer().body, client.answer().is_complete) == (events(1, 3), True)
 
 
-def test_a_silent_worker_loses_a_stream_that_may_be_resumed(world: World) -> None:
+def test_a_timed_out_stream_that_can_be_resumed_is_moved(world: World) -> None:
     client = world.new_request(RESUMABLE)
     first = world.arrival()
-    pass_events(first, 1, 2)
+    send_events(first, 1, 2)
     world.run_for(2 * LATENCY_TARGET_S - 0.2)
     assert world.arrival() is first
     world.run_for(0.5)
@@ -280,9 +280,9 @@
     assert (client.answer().body, client.answer().is_complete) == (events(1, 3), True)
 
 
-def test_a_silent_worker_keeps_a_stream_that_may_not_be_resumed(world: World) -> None:
+def test_a_timed_out_stream_that_cannot_be_resumed_stays(world: World) -> None:
     client = world.new_request(STREAMING)
-    pass_events(world.arrival(), 1, 2)
+    send_events(world.arrival(), 1, 2)
     world.run_for(8)
     assert not client.was_reset
     world.arrival().worker.send(chunked(event(3)))
@@ -294,7 +294,7 @@
     world = worlds(workers=1)
     client = world.new_request(path, Reedspoke_Deadline_Ms="3000")
     arrival = world.arrival()
-    pass_events(arrival, 1, 1)
+    send_events(arrival, 1, 1)
     for number in range(2, 12):
         world.run_for(0.5)
         arrival.worker.send(chunked(event(number), last=False))
--- a/tests/data_plane/test_exchange_whole.py
+++ b/tests/data_plane/test_exchange_whole.py
@@ -1,4 +1,4 @@
-"""Answers that are passed on whole: what arrives, and what never looks like a whole answer."""
+"""Answers that are buffered and forwarded: which are complete, and which never look so."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 )
 
 Worlds = Callable[..., World]
-PLAIN = [NON_IDEMPOTENT, IDEMPOTENT]
+PLAIN_PATHS = [NON_IDEMPOTENT, IDEMPOTENT]
 
 
 def test_a_request_reaches_the_worker_as_it_was_sent(world: World) -> None:
@@ -46,7 +46,7 @@
 
 
 @pytest.mark.parametrize("method", ["GET", "DELETE", "PUT", "OPTIONS"])
-def test_every_method_is_passed_on(world: World, method: str) -> None:
+def test_every_method_is_forwarded(world: World, method: str) -> None:
     client = world.client()
     client.send(f"{method} /again/ HTTP/1.1\r\nHost: a.example\r\nReedspoke-Attempt-Id: a1\r\n\r\n".encode())
     assert world.arrival().request.method == method
@@ -54,7 +54,7 @@
     assert client.answer().body == b"the answer"
 
 
-@pytest.mark.parametrize("path", PLAIN)
+@pytest.mark.parametrize("path", PLAIN_PATHS)
 def test_an_answer_is_returned_unchanged(world: World, path: str) -> None:
     client = world.new_request(path)
     body = bytes(range(256)) * 40
@@ -71,7 +71,7 @@
 @pytest.mark.parametrize(
     "status", ["201 Created", "302 Found", "400 Bad Request", "404 Not Found", "409 Conflict"]
 )
-@pytest.mark.parametrize("path", PLAIN)
+@pytest.mark.parametrize("path", PLAIN_PATHS)
 def test_a_worker_answer_of_another_status_is_returned_unchanged(
     world: World, path: str, status: str
 ) -> None:
@@ -82,7 +82,7 @@
     assert len(world.arrivals) == 1
 
 
-def test_an_answer_in_chunks_is_returned_whole(world: World) -> None:
+def test_an_answer_in_chunks_is_returned_completely(world: World) -> None:
     client = world.new_request(NON_IDEMPOTENT)
     arrival = world.arrival()
     head = b"HTTP/1.1 200 OK\r\n" + arrival.fields() + b"Transfer-Encoding: chunked\r\n\r\n"
@@ -90,17 +90,17 @@
     assert (client.answer().body, client.answer().is_complete) == (b"one two", True)
 
 
-@pytest.mark.parametrize("path", [*PLAIN, STREAMING])
-def test_the_dispatcher_learns_when_an_answer_begins(
+@pytest.mark.parametrize("path", [*PLAIN_PATHS, STREAMING])
+def test_the_dispatcher_is_notified_when_an_answer_starts(
     world: World, path: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """From that it knows which workers are slow, and which are nearly full."""
-    begun: list[float] = []
-    told = world.dispatcher.first_event_received
+    """So that it knows which workers are slow, and which are nearly at capacity."""
+    started_at: list[float] = []
+    original = world.dispatcher.first_event_received
 
     def first_event_received(job_id: int, now: float) -> list[Decision]:
-        begun.append(now)
-        return told(job_id, now)
+        started_at.append(now)
+        return original(job_id, now)
 
     monkeypatch.setattr(world.dispatcher, "first_event_received", first_event_received)
     world.new_request(path)
@@ -111,18 +111,18 @@
     expected = world.loop.time()
     world.run_for(0.3)
     arrival.worker.send(raw[-len(event(2)) :])
-    assert len(begun) == 1
-    assert begun[0] == pytest.approx(expected, abs=0.01)
+    assert len(started_at) == 1
+    assert started_at[0] == pytest.approx(expected, abs=0.01)
 
 
-def test_interim_answers_are_passed_over(world: World) -> None:
+def test_interim_answers_are_skipped(world: World) -> None:
     client = world.new_request(NON_IDEMPOTENT)
     world.arrival().worker.send(b"HTTP/1.1 100 Continue\r\n\r\n" + world.arrival().complete_answer())
     assert client.answer().body == b"the answer"
 
 
 @pytest.mark.parametrize("size", [1, 7])
-def test_an_answer_in_pieces_of_any_size_is_returned_whole(world: World, size: int) -> None:
+def test_an_answer_in_pieces_of_any_size_is_returned_completely(world: World, size: int) -> None:
     client = world.new_request(NON_IDEMPOTENT)
     raw = world.arrival().complete_answer()
     for start in range(0, len(raw), size):
@@ -131,8 +131,8 @@
     assert client.answer().body == b"the answer"
 
 
-def whole_answer(arrival: Arrival, coding: str) -> bytes:
-    """The same answer with its length or in chunks."""
+def complete_answer(arrival: Arrival, coding: str) -> bytes:
+    """The same answer with a Content-Length or in chunks."""
     if coding == "length":
         return arrival.complete_answer()
     head = b"HTTP/1.1 200 OK\r\n" + arrival.fields() + b"Transfer-Encoding: chunked\r\n\r\n"
@@ -147,7 +147,7 @@
         with fresh_world(workers=1) as world:
             client = world.new_request(NON_IDEMPOTENT)
             arrival = world.arrival()
-            raw = whole_answer(arrival, coding)
+            raw = complete_answer(arrival, coding)
             most = len(raw)
             arrival.worker.send(raw[:length])
             getattr(arrival.worker, ending)()
@@ -159,15 +159,15 @@
 
 
 @pytest.mark.parametrize("coding", ["length", "chunks"])
-def test_a_whole_answer_is_a_success_whatever_follows(world: World, coding: str) -> None:
+def test_a_complete_answer_is_a_success_whatever_follows(world: World, coding: str) -> None:
     client = world.new_request(NON_IDEMPOTENT)
-    world.arrival().worker.send(whole_answer(world.arrival(), coding))
+    world.arrival().worker.send(complete_answer(world.arrival(), coding))
     world.arrival().worker.reset()
     assert (client.answer().status, client.answer().body) == (200, b"the answer")
 
 
 @pytest.mark.parametrize("length", [0, 1, 60, -1])
-def test_an_answer_cut_off_is_asked_for_again_where_that_is_harmless(world: World, length: int) -> None:
+def test_a_request_whose_answer_is_cut_is_retried_if_idempotent(world: World, length: int) -> None:
     client = world.new_request(IDEMPOTENT)
     first = world.arrival()
     first.worker.send(first.complete_answer(b"of the first")[:length])
@@ -181,7 +181,7 @@
     assert world.is_idle()
 
 
-def test_an_answer_without_a_length_is_whole_when_its_worker_ends_the_connection(world: World) -> None:
+def test_an_answer_without_a_length_is_complete_when_its_worker_closes(world: World) -> None:
     client = world.new_request(NON_IDEMPOTENT)
     arrival = world.arrival()
     arrival.worker.send(b"HTTP/1.1 200 OK\r\n" + arrival.fields() + b"\r\nthe answer")
@@ -196,7 +196,7 @@
 
 
 @pytest.mark.parametrize("body", [b"", b"the answer"])
-def test_an_answer_without_a_length_that_is_reset_is_not_whole(world: World, body: bytes) -> None:
+def test_an_answer_without_a_length_that_is_reset_is_incomplete(world: World, body: bytes) -> None:
     client = world.new_request(NON_IDEMPOTENT)
     arrival = world.arrival()
     arrival.worker.send(b"HTTP/1.1 200 OK\r\n" + arrival.fields() + b"\r\n" + body)
@@ -225,14 +225,14 @@
 
 
 @pytest.mark.parametrize("garbage", [b"nonsense\r\n", b"\x80\x81\x82\n", b"<html>\r\n"])
-def test_garbage_is_told_at_its_first_line(world: World, garbage: bytes) -> None:
-    """Its sender may never send the blank line that ends a head: the client would wait in vain."""
+def test_garbage_is_detected_at_its_first_line(world: World, garbage: bytes) -> None:
+    """Its sender may never end the head, and the client would wait until its deadline."""
     client = world.new_request(NON_IDEMPOTENT)
     world.arrival().worker.send(garbage)
     assert client.answer().status == 502
 
 
-@pytest.mark.parametrize("path", PLAIN)
+@pytest.mark.parametrize("path", PLAIN_PATHS)
 def test_garbage_inside_a_body_in_chunks_is_no_answer(world: World, path: str) -> None:
     client = world.new_request(path)
     arrival = world.arrival()
@@ -246,14 +246,14 @@
         assert client.answer().status == 502
 
 
-def test_an_answer_without_its_stamp_is_no_success(world: World) -> None:
+def test_an_answer_without_its_seal_is_no_success(world: World) -> None:
     client = world.new_request(NON_IDEMPOTENT)
     echo = b"Reedspoke-Attempt-Id: a1\r\nContent-Length: 2\r\n\r\nok"
     world.arrival().worker.send(b"HTTP/1.1 200 OK\r\n" + echo)
     assert client.answer().status == 502
 
 
-def test_a_worker_that_never_answers_holds_the_request_to_its_deadline_only(world: World) -> None:
+def test_a_request_to_a_worker_that_never_answers_ends_at_its_deadline(world: World) -> None:
     client = world.new_request(NON_IDEMPOTENT, Reedspoke_Deadline_Ms="5000")
     world.run_for(4.5)
     assert client.answers() == []
@@ -265,14 +265,14 @@
     assert world.is_idle()
 
 
-def test_the_routes_time_ends_a_request_of_a_patient_client(world: World) -> None:
+def test_the_routes_timeout_limits_a_longer_client_deadline(world: World) -> None:
     client = world.new_request(NON_IDEMPOTENT, Reedspoke_Deadline_Ms="600000")
     world.run_for(TIMEOUT_S + 1)
     assert client.answer().status == 504
     assert world.is_idle()
 
 
-def test_a_request_whose_time_is_over_when_it_comes_is_refused_unsent(world: World) -> None:
+def test_a_request_that_arrives_after_its_deadline_is_refused_unsent(world: World) -> None:
     client = world.new_request(NON_IDEMPOTENT, Reedspoke_Deadline_Ms="0")
     assert client.answer().status == 503
     assert world.arrivals == []
--- a/tests/data_plane/test_guards_exchange.py
+++ b/tests/data_plane/test_guards_exchange.py
@@ -1,4 +1,4 @@
-"""Guards of an exchange, one at a time: the dispatcher, the worker and the client are the test."""
+"""Guards of an exchange, one at a time: the test acts as dispatcher, worker and client."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 
 class ClientStandIn:
-    """Notes what the exchange writes."""
+    """Records what the exchange writes."""
 
     def __init__(self) -> None:
         self.answers: list[CompleteAnswer] = []
@@ -62,33 +62,33 @@
 
 
 class OwnerStandIn:
-    """Notes how attempts have ended."""
+    """Records how attempts ended."""
 
     def __init__(self) -> None:
         self.ended: list[Evidence] = []
 
     def data_received(self, exchange: Exchange) -> None:
-        """Nothing is timed."""
+        """Does nothing: no time-outs are tested."""
 
     def answer_started(self, exchange: Exchange) -> None:
-        """Nothing is learned of workers."""
+        """Does nothing: no worker statistics are tested."""
 
     def attempt_ended(self, exchange: Exchange, evidence: Evidence) -> None:
         self.ended.append(evidence)
 
     def exchange_finished(self, exchange: Exchange) -> None:
-        """The test sees it at the client."""
+        """Does nothing: tests check what the client receives."""
 
     def exchange_aborted(self, exchange: Exchange) -> None:
-        """The test sees it at the client."""
+        """Does nothing: tests check what the client receives."""
 
     def unavailable_since(self, instance_id: str) -> float | None:
-        """No worker leaves."""
+        """Every worker is available."""
         return None
 
 
 class ConnectionStandIn(UpstreamConnection):
-    """A connection on which nothing has come; what is sent is kept."""
+    """A connection without received data; records what is sent."""
 
     def __init__(self, loop: VirtualLoop) -> None:
         super().__init__(loop)
@@ -103,16 +103,16 @@
         self.sent.append(request)
 
     def close(self) -> None:
-        """There is no transport."""
+        """Does nothing, as there is no transport."""
 
 
 class PoolStandIn:
-    """Has no idle connection; those that are asked for come up when the test says so."""
+    """A pool without idle connections; the test establishes the requested ones."""
 
     def __init__(self) -> None:
         self.connecting: list[Callable[[ConnectResult], None]] = []
-        self.given_back: list[str] = []
-        self.forgotten: list[str] = []
+        self.released: list[str] = []
+        self.closed_idle: list[str] = []
 
     def take_idle(self, instance_id: str) -> None:
         return None
@@ -121,10 +121,10 @@
         self.connecting.append(done)
 
     def close_idle(self, instance_id: str) -> None:
-        self.forgotten.append(instance_id)
+        self.closed_idle.append(instance_id)
 
     def release(self, instance_id: str, connection: UpstreamConnection) -> None:
-        self.given_back.append(instance_id)
+        self.released.append(instance_id)
 
 
 class Scene:
@@ -157,30 +157,30 @@
             job,
         )
 
-    def connected(self) -> ConnectionStandIn:
-        """The connection that was asked for first comes up."""
+    def establish_connection(self) -> ConnectionStandIn:
+        """Establishes the connection that was requested first."""
         connection = ConnectionStandIn(self.loop)
         self.pool.connecting.pop(0)(connection)
         return connection
 
     def worker_answers(self, status: int, body: bytes = b"why") -> None:
-        """A worker answers whole, with this status and without any proof that it has not run the request."""
+        """A worker sends a complete answer of this status, without proof that the request has not run."""
         self.exchange.send(FIRST)
-        self.connected()
+        self.establish_connection()
         self.exchange.on_head(Head(1, status=status))
         self.exchange.on_body(memoryview(body))
         self.exchange.on_end(framed=True)
 
-    def worker_fails(self, body: bytes) -> None:
-        """A worker answers 500; the exchange keeps that answer and asks for another attempt."""
+    def fail_worker(self, body: bytes) -> None:
+        """A worker answers 500; the exchange keeps that answer and reports the end of the attempt."""
         self.worker_answers(500, body)
         assert len(self.owner.ended) == 1
         assert self.client.answers == []
 
-    def events_pass(self) -> None:
-        """A worker's first event reaches the client, then its connection is given up."""
+    def forward_event_then_time_out(self) -> None:
+        """A worker's first event reaches the client, then the attempt times out."""
         self.exchange.send(FIRST)
-        self.connected()
+        self.establish_connection()
         sealed = [
             (b"reedspoke-response-seal", memoryview(b"seal")),
             (b"reedspoke-attempt-id", memoryview(b"a1")),
@@ -219,51 +219,51 @@
     return code
 
 
-def test_an_answer_that_has_begun_is_broken_off_and_not_followed_by_a_refusal(scene: Scene) -> None:
-    scene.events_pass()
+def test_a_started_answer_is_aborted_and_not_followed_by_a_refusal(scene: Scene) -> None:
+    scene.forward_event_then_time_out()
     scene.exchange.refuse(OVERLOAD)
     assert scene.client.aborted
     assert scene.client.answers == []
 
 
-def test_an_answer_that_has_begun_is_broken_off_when_the_budget_is_spent(scene: Scene) -> None:
-    scene.events_pass()
+def test_a_started_answer_is_aborted_when_the_retry_budget_is_spent(scene: Scene) -> None:
+    scene.forward_event_then_time_out()
     scene.exchange.fail(BUDGET_SPENT)
     assert scene.client.aborted
     assert scene.client.answers == []
 
 
-def test_a_worker_s_error_is_passed_on_in_place_of_a_refusal(scene: Scene) -> None:
-    scene.worker_fails(b"why")
+def test_a_workers_error_is_forwarded_in_place_of_a_refusal(scene: Scene) -> None:
+    scene.fail_worker(b"why")
     scene.exchange.refuse(OVERLOAD)
     (answer,) = scene.client.answers
     assert (answer.status_line.split()[1], answer.body) == (b"500", b"why")
 
 
-def test_a_worker_s_error_is_passed_on_when_the_budget_is_spent(scene: Scene) -> None:
-    scene.worker_fails(b"why")
+def test_a_workers_error_is_forwarded_when_the_retry_budget_is_spent(scene: Scene) -> None:
+    scene.fail_worker(b"why")
     scene.exchange.fail(BUDGET_SPENT)
     (answer,) = scene.client.answers
     assert (answer.status_line.split()[1], answer.body) == (b"500", b"why")
 
 
-def test_without_any_answer_a_spent_budget_is_told(scene: Scene) -> None:
+def test_without_any_answer_a_spent_retry_budget_is_reported(scene: Scene) -> None:
     scene.exchange.fail(BUDGET_SPENT)
     (answer,) = scene.client.answers
     assert _error_code(answer) == ErrorCode.RETRY_BUDGET
 
 
-def test_a_connection_that_comes_up_late_is_kept_for_its_own_worker(scene: Scene) -> None:
+def test_a_connection_established_late_is_kept_for_its_own_worker(scene: Scene) -> None:
     scene.exchange.send(FIRST)
     scene.exchange.time_out_attempt()
     scene.exchange.send(SECOND)
-    late = scene.connected()
+    late = scene.establish_connection()
     assert late.sent == []
-    assert scene.pool.given_back == [FIRST.instance_id]
-    assert len(scene.connected().sent) == 1
+    assert scene.pool.released == [FIRST.instance_id]
+    assert len(scene.establish_connection().sent) == 1
 
 
-def test_nothing_of_a_request_has_left_before_its_connection_is_up(scene: Scene) -> None:
+def test_no_byte_counts_as_sent_before_the_connection_is_established(scene: Scene) -> None:
     scene.exchange.send(FIRST)
     attempt = scene.exchange.open_attempt()
     assert attempt is not None
@@ -275,7 +275,7 @@
 def test_an_answer_that_is_too_long_ends_its_attempt(scene: Scene, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(exchange, "MAX_BUFFERED_ANSWER_BYTES", 10)
     scene.exchange.send(FIRST)
-    scene.connected()
+    scene.establish_connection()
     scene.exchange.on_head(Head(1, status=500))
     scene.exchange.on_body(memoryview(b"0123456789"))
     assert scene.owner.ended == []
@@ -288,47 +288,49 @@
     assert scene.client.answers == []
     (evidence,) = scene.owner.ended
     assert cause_of(evidence) is Cause.WRONG_INSTANCE
-    assert scene.pool.forgotten == [FIRST.instance_id], "its idle connections lead to the other instance too"
+    assert scene.pool.closed_idle == [FIRST.instance_id], (
+        "its idle connections lead to the other instance too"
+    )
 
 
-def test_an_error_of_a_worker_leaves_its_idle_connections(scene: Scene) -> None:
+def test_a_workers_error_does_not_close_its_idle_connections(scene: Scene) -> None:
     scene.worker_answers(500)
-    assert scene.pool.forgotten == []
+    assert scene.pool.closed_idle == []
 
 
-def test_at_the_end_of_the_process_a_request_that_a_worker_has_is_promised_nothing(scene: Scene) -> None:
+def test_at_shutdown_a_request_that_was_sent_may_have_run(scene: Scene) -> None:
     scene.exchange.send(FIRST)
-    scene.connected()
+    scene.establish_connection()
     scene.exchange.shut_down()
     assert [may_forward(_status(answer)) for answer in scene.client.answers] == [True]
 
 
-def test_at_the_end_of_the_process_a_request_that_has_not_left_may_be_sent_again(scene: Scene) -> None:
+def test_at_shutdown_a_request_that_was_not_sent_gets_a_503(scene: Scene) -> None:
     scene.exchange.send(FIRST)
     scene.exchange.shut_down()
     assert [_status(answer) for answer in scene.client.answers] == [503]
 
 
-@pytest.mark.parametrize(("repeat", "passed_on"), [(Repeat.NEVER, True), (Repeat.IDEMPOTENT, False)])
-def test_a_worker_s_error_is_passed_on_at_once_where_nothing_may_be_repeated(
-    scenes: Callable[[Repeat], Scene], repeat: Repeat, passed_on: bool
+@pytest.mark.parametrize(("repeat", "forwarded"), [(Repeat.NEVER, True), (Repeat.IDEMPOTENT, False)])
+def test_a_workers_error_is_forwarded_at_once_if_nothing_may_be_repeated(
+    scenes: Callable[[Repeat], Scene], repeat: Repeat, forwarded: bool
 ) -> None:
     scene = scenes(repeat)
     scene.worker_answers(500)
-    assert bool(scene.client.answers) is passed_on
+    assert bool(scene.client.answers) is forwarded
 
 
-@pytest.mark.parametrize(("repeat", "broken_off"), [(Repeat.IDEMPOTENT, True), (Repeat.RESUMABLE, False)])
-def test_an_answer_that_has_begun_goes_on_only_where_it_can_be_resumed(
-    scenes: Callable[[Repeat], Scene], repeat: Repeat, broken_off: bool
+@pytest.mark.parametrize(("repeat", "aborted"), [(Repeat.IDEMPOTENT, True), (Repeat.RESUMABLE, False)])
+def test_a_started_answer_continues_only_if_it_can_be_resumed(
+    scenes: Callable[[Repeat], Scene], repeat: Repeat, aborted: bool
 ) -> None:
     scene = scenes(repeat)
-    scene.events_pass()
+    scene.forward_event_then_time_out()
     scene.worker_answers(500)
-    assert scene.client.aborted is broken_off
+    assert scene.client.aborted is aborted
     assert scene.client.answers == []
 
 
 @pytest.mark.parametrize("status", [200, 404, 408, 421, 429, 500, 502, 503, 504])
-def test_statuses_that_promise_are_not_passed_on(status: int) -> None:
+def test_statuses_that_claim_not_run_are_not_forwarded(status: int) -> None:
     assert may_forward(status) is (status not in (408, 421, 429, 503))
--- a/tests/data_plane/test_guards_pool.py
+++ b/tests/data_plane/test_guards_pool.py
@@ -16,21 +16,21 @@
 
 
 class Connections:
-    """A pool, and connections that are up."""
+    """A pool and established connections."""
 
     def __init__(self) -> None:
         self.loop = VirtualLoop()
         self.pool = UpstreamPool(self.loop)
         self._transports: list[TransportStandIn] = []
 
-    def up(self) -> UpstreamConnection:
-        """One more connection."""
+    def establish(self) -> UpstreamConnection:
+        """Establishes one more connection."""
         connection = UpstreamConnection(self.loop)
         self._transports.append(TransportStandIn(self.loop, connection))
         return connection
 
     def close(self) -> None:
-        """Nothing stays open."""
+        """Closes everything."""
         for transport in self._transports:
             transport.socket.close()
         self.loop.close()
@@ -43,10 +43,10 @@
     made.close()
 
 
-def test_a_connection_that_has_ended_takes_no_place_among_the_idle(connections: Connections) -> None:
+def test_a_closed_connection_is_not_kept_among_the_idle(connections: Connections) -> None:
     pool = connections.pool
     pool.max_idle = {INSTANCE: 1}
-    ended, idle = connections.up(), connections.up()
+    ended, idle = connections.establish(), connections.establish()
     ended.close()
     pool.release(INSTANCE, ended)
     pool.release(INSTANCE, idle)
@@ -57,23 +57,23 @@
 def test_no_more_connections_are_kept_than_the_share(connections: Connections) -> None:
     pool = connections.pool
     pool.max_idle = {INSTANCE: 1}
-    first, second = connections.up(), connections.up()
+    first, second = connections.establish(), connections.establish()
     for connection in (first, second):
         pool.release(INSTANCE, connection)
     assert pool.take_idle(INSTANCE) is first
     assert not second.is_open
 
 
-def test_a_connection_whose_time_is_over_is_not_used(connections: Connections) -> None:
+def test_an_expired_connection_is_not_used(connections: Connections) -> None:
     pool = connections.pool
-    connection = connections.up()
+    connection = connections.establish()
     pool.release(INSTANCE, connection)
     connections.loop.run_for(connection.usable_until - connections.loop.time())
     assert pool.take_idle(INSTANCE) is None
     assert not connection.is_open
 
 
-def test_a_connection_that_its_worker_is_about_to_end_carries_no_further_request(world: World) -> None:
+def test_a_connection_that_its_worker_will_close_carries_no_further_request(world: World) -> None:
     client = world.new_request(NON_IDEMPOTENT)
     arrival = world.arrival()
     arrival.worker.send(arrival.complete_answer(Connection="close"))
--- a/tests/data_plane/test_headers.py
+++ b/tests/data_plane/test_headers.py
@@ -1,4 +1,4 @@
-"""Heads of messages that are passed on."""
+"""Header fields that are forwarded."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
     )
 
 
-def test_fields_are_passed_on_in_their_order_with_their_values() -> None:
+def test_fields_are_forwarded_in_their_order_with_their_values() -> None:
     head = request(b"Host: a.example", b"X-One: 1", b"X-Two:  a b \xe9 ", b"X-One: 2", b"Accept: */*")
     assert forwarded_request_fields(head) == (
         b"host: a.example\r\nx-one: 1\r\nx-two: a b \xe9\r\nx-one: 2\r\naccept: */*\r\n"
@@ -57,11 +57,11 @@
         b"Last-Event-Id: 4",
     ],
 )
-def test_fields_of_the_connection_or_written_anew_are_not_passed_on(field: bytes) -> None:
+def test_hop_by_hop_and_replaced_fields_are_not_forwarded(field: bytes) -> None:
     assert forwarded_request_fields(request(field, b"X-Kept: 1")) == b"x-kept: 1\r\n"
 
 
-def test_fields_that_connection_names_are_not_passed_on() -> None:
+def test_fields_that_connection_names_are_not_forwarded() -> None:
     head = request(b"Connection: close, X-Hop", b"X-Hop: 1", b"X-Kept: 1")
     assert forwarded_request_fields(head) == b"x-kept: 1\r\n"
     named = answer(b"Connection: X-Hop", b"X-Hop: 1", b"X-Kept: 1")
@@ -80,11 +80,11 @@
         b"Authorization",
     ],
 )
-def test_what_the_worker_needs_is_passed_on(name: bytes) -> None:
+def test_fields_for_the_worker_are_forwarded(name: bytes) -> None:
     assert forwarded_request_fields(request(name + b": v")) == name.lower() + b": v\r\n"
 
 
-def test_an_answer_keeps_its_stamp_and_loses_what_concerns_the_connection() -> None:
+def test_an_answer_keeps_its_seal_and_loses_hop_by_hop_fields() -> None:
     head = answer(
         b"Reedspoke-Response-Seal: 1.2.3",
         b"Reedspoke-Attempt-Id: a1",
@@ -105,12 +105,12 @@
     ("text", "number"),
     [(b"5", 5.0), (b"1.5", 1.5), (b"", None), (b"soon", None), (b"\xb2", None), (b"0x10", None)],
 )
-def test_a_number_is_read_or_missing(text: bytes, number: float | None) -> None:
+def test_a_field_is_parsed_as_a_number_or_none(text: bytes, number: float | None) -> None:
     assert field_number(request(b"X-N: " + text), b"x-n") == number
     assert field_number(request(), b"x-n") is None
 
 
-def test_a_text_is_read_or_empty() -> None:
+def test_a_field_is_read_as_text_or_empty() -> None:
     assert field_text(request(b"X-T: \xe9a"), b"x-t") == "éa"
     assert field_text(request(), b"x-t") == ""
 
--- a/tests/data_plane/test_invariant_checks.py
+++ b/tests/data_plane/test_invariant_checks.py
@@ -1,4 +1,4 @@
-"""Each invariant of the data plane is seen to be broken where the guard before it is gone."""
+"""Each invariant of the data plane reports a violation when the guard before it is removed."""
 
 from __future__ import annotations
 
@@ -22,54 +22,54 @@
 LONG_S = 5.0
 
 
-def broken_by(play: Callable[[], object]) -> set[Invariant]:
-    """The invariants that this violates."""
+def violated_by(play: Callable[[], object]) -> set[Invariant]:
+    """The invariants that `play` violates."""
     monitor.reset_violations()
     play()
     return {violation.invariant for violation in monitor.reset_violations()}
 
 
-def sent(scene: Scene) -> None:
-    """An attempt has been sent."""
+def send_attempt(scene: Scene) -> None:
+    """Sends an attempt."""
     scene.exchange.send(FIRST)
-    scene.connected()
+    scene.establish_connection()
 
 
-def silent(scene: Scene) -> None:
-    """It has been sent, and was given up for silence."""
-    sent(scene)
+def send_attempt_that_times_out(scene: Scene) -> None:
+    """Sends an attempt that times out."""
+    send_attempt(scene)
     scene.exchange.time_out_attempt()
 
 
-def begun(scene: Scene, attempt_id: str = "a1", number: int = 3) -> None:
-    """A stream has begun with this event."""
-    sent(scene)
+def start_stream(scene: Scene, attempt_id: str = "a1", number: int = 3) -> None:
+    """Starts a stream with this event."""
+    send_attempt(scene)
     fields = [(b"reedspoke-response-seal", memoryview(b"s"))]
     fields.append((b"reedspoke-attempt-id", memoryview(attempt_id.encode())))
     scene.exchange.on_head(Head(1, status=200, fields=fields))
     scene.exchange.on_body(memoryview(EVENT % number))
 
 
-def test_what_may_have_run_is_sent_again() -> None:
+def test_a_request_that_may_have_run_is_sent_again() -> None:
     scene = Scene(Repeat.NEVER)
 
     def play() -> None:
-        silent(scene)
+        send_attempt_that_times_out(scene)
         scene.exchange.send(SECOND)
-        scene.connected()
+        scene.establish_connection()
 
-    assert broken_by(play) == {Invariant.NOT_SENT_AGAIN}
+    assert violated_by(play) == {Invariant.NOT_SENT_AGAIN}
 
 
-def test_it_is_no_violation_where_it_may_be_repeated() -> None:
+def test_a_repeat_of_an_idempotent_request_is_no_violation() -> None:
     scene = Scene(Repeat.IDEMPOTENT)
 
     def play() -> None:
-        silent(scene)
+        send_attempt_that_times_out(scene)
         scene.exchange.send(SECOND)
-        scene.connected()
+        scene.establish_connection()
 
-    assert broken_by(play) == set()
+    assert violated_by(play) == set()
 
 
 def test_more_workers_than_the_route_allows() -> None:
@@ -77,70 +77,70 @@
 
     def play() -> None:
         for _ in range(3):
-            silent(scene)
+            send_attempt_that_times_out(scene)
 
-    assert broken_by(play) == {Invariant.ATTEMPTS_BOUNDED}
+    assert violated_by(play) == {Invariant.ATTEMPTS_BOUNDED}
 
 
-def test_a_promise_for_what_may_have_run() -> None:
+def test_a_not_run_status_for_a_request_that_may_have_run() -> None:
     scene = Scene(Repeat.NEVER)
 
     def play() -> None:
-        silent(scene)
+        send_attempt_that_times_out(scene)
         scene.exchange.refuse(OVERLOAD)
 
-    assert broken_by(play) == {Invariant.REFUSED_HAS_NOT_RUN}
+    assert violated_by(play) == {Invariant.REFUSED_HAS_NOT_RUN}
 
 
-def test_a_promise_while_the_attempt_is_still_out() -> None:
+def test_a_not_run_status_while_an_attempt_is_in_flight() -> None:
     scene = Scene(Repeat.NEVER)
 
     def play() -> None:
-        sent(scene)
+        send_attempt(scene)
         scene.exchange.refuse(OVERLOAD)
 
-    assert broken_by(play) == {Invariant.REFUSED_HAS_NOT_RUN}
+    assert violated_by(play) == {Invariant.REFUSED_HAS_NOT_RUN}
 
 
 def test_another_request_s_answer() -> None:
-    assert broken_by(lambda: begun(Scene(), attempt_id="b7")) == {Invariant.ANSWER_IS_OWN}
+    assert violated_by(lambda: start_stream(Scene(), attempt_id="b7")) == {Invariant.ANSWER_IS_OWN}
 
 
 def test_a_success_without_a_seal() -> None:
-    assert broken_by(lambda: check_success("a1", 200, b"X: y\r\n")) == {Invariant.SUCCESS_IS_SEALED}
+    assert violated_by(lambda: check_success("a1", 200, b"X: y\r\n")) == {Invariant.SUCCESS_IS_SEALED}
     sealed = b"Reedspoke-Response-Seal: s\r\n"
     assert RESPONSE_SEAL in sealed.lower()
-    assert broken_by(lambda: check_success("a1", 200, sealed)) == set()
-    assert broken_by(lambda: check_success("a1", 500, b"")) == set()
+    assert violated_by(lambda: check_success("a1", 200, sealed)) == set()
+    assert violated_by(lambda: check_success("a1", 500, b"")) == set()
 
 
-@pytest.mark.parametrize(("second", "broken"), [(2, True), (3, True), (4, False), (9, False)])
-def test_events_that_do_not_rise(second: int, broken: bool) -> None:
+@pytest.mark.parametrize(("second", "violated"), [(2, True), (3, True), (4, False), (9, False)])
+def test_events_that_do_not_rise(second: int, violated: bool) -> None:
     scene = Scene()
 
     def play() -> None:
-        begun(scene)
+        start_stream(scene)
         scene.exchange.on_body(memoryview(EVENT % second))
 
-    assert broken_by(play) == ({Invariant.EVENTS_RISE} if broken else set())
+    assert violated_by(play) == ({Invariant.EVENTS_RISE} if violated else set())
 
 
-@pytest.mark.parametrize(("second", "broken"), [(1, True), (4, False)])
-def test_a_resumed_stream_that_begins_elsewhere(second: int, broken: bool) -> None:
+@pytest.mark.parametrize(("second", "violated"), [(1, True), (4, False)])
+def test_a_resumed_stream_that_starts_at_a_wrong_event(second: int, violated: bool) -> None:
     scene = Scene()
 
     def play() -> None:
-        begun(scene)
+        start_stream(scene)
         scene.exchange.time_out_attempt()
-        begun(scene, number=second)
+        start_stream(scene, number=second)
 
-    assert broken_by(play) == ({Invariant.EVENTS_RISE} if broken else set())
+    assert violated_by(play) == ({Invariant.EVENTS_RISE} if violated else set())
 
 
-def test_a_worker_that_has_long_been_leaving() -> None:
+def test_a_request_to_a_worker_long_known_to_drain() -> None:
     scene = Scene()
     scene.owner.unavailable_since = lambda instance_id: scene.loop.time() - LONG_S  # type: ignore[method-assign]
-    assert broken_by(lambda: sent(scene)) == {Invariant.DRAIN_OBEYED}
+    assert violated_by(lambda: send_attempt(scene)) == {Invariant.DRAIN_OBEYED}
 
 
 def test_two_answers_to_one_request() -> None:
@@ -154,10 +154,10 @@
             connection.send_answer(answer)
             connection.send_answer(answer)
 
-    assert broken_by(play) == {Invariant.ONE_FINAL_ANSWER}
+    assert violated_by(play) == {Invariant.ONE_FINAL_ANSWER}
 
 
-def test_a_job_is_left_of_a_client_that_has_gone(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_job_of_a_disconnected_client_is_not_released(monkeypatch: pytest.MonkeyPatch) -> None:
     with fresh_plane() as plane:
         plane.receive_state()
         client = plane.new_request("/once/")
@@ -167,10 +167,10 @@
             client.arrive_end()
             plane.loop.run_for(1)
 
-        assert broken_by(play) == {Invariant.GONE_CLIENT_HOLDS_NOTHING, Invariant.IDLE_HOLDS_NOTHING}
+        assert violated_by(play) == {Invariant.GONE_CLIENT_HOLDS_NOTHING, Invariant.IDLE_HOLDS_NOTHING}
 
 
-def test_a_position_is_left_behind(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_reservation_is_not_released(monkeypatch: pytest.MonkeyPatch) -> None:
     with fresh_plane() as plane:
         plane.receive_state()
         plane.new_request("/once/")
@@ -181,22 +181,22 @@
             arrival.worker.send(arrival.complete_answer())
             plane.loop.run_for(1)
 
-        assert broken_by(play) == {Invariant.IDLE_HOLDS_NOTHING}
+        assert violated_by(play) == {Invariant.IDLE_HOLDS_NOTHING}
 
 
-def test_an_older_list_of_workers_is_taken() -> None:
+def test_an_older_list_of_workers_is_applied() -> None:
     with fresh_plane() as plane:
         plane.receive_state()
 
         def play() -> None:
             plane.plane._on_workers(WorkerList((1, 0), (WORKER,)))
 
-        assert broken_by(play) == {Invariant.DELIVERY_RISES}
+        assert violated_by(play) == {Invariant.DELIVERY_RISES}
 
 
-def test_an_older_configuration_is_taken() -> None:
+def test_an_older_configuration_is_applied() -> None:
     with fresh_plane() as plane:
         plane.receive_state()
         held = plane.plane._entry.routes.configuration
         assert held is not None
-        assert broken_by(lambda: plane.plane._on_configuration(held, (0, 9))) == {Invariant.DELIVERY_RISES}
+        assert violated_by(lambda: plane.plane._on_configuration(held, (0, 9))) == {Invariant.DELIVERY_RISES}
--- a/tests/data_plane/test_job_builder.py
+++ b/tests/data_plane/test_job_builder.py
@@ -1,4 +1,4 @@
-"""What decisions need to know of a request, out of fields that may hold anything."""
+"""Building jobs from header fields with arbitrary content."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
     return build_job(7, request(*fields), route(), "u1", Permit(100.0))
 
 
-def test_a_job_holds_what_the_request_tells() -> None:
+def test_a_job_contains_the_fields_of_the_request() -> None:
     job = job_of(
         b"Reedspoke-Model-Name: m",
         b"Reedspoke-Token-Count: 1460,80",
@@ -67,28 +67,28 @@
     assert (job.latency_target_s, job.arrived, job.max_attempts) == (0.5, 100.0, 2)
 
 
-def test_a_request_that_tells_nothing_takes_the_routes_time() -> None:
+def test_a_request_without_fields_gets_the_routes_timeout() -> None:
     job = job_of()
     assert job.deadline == 103.0
     assert (job.parts, job.prompt_tokens, job.output_tokens, job.model) == ((), 0, 0, "")
 
 
-def test_the_prompts_parts_tell_its_size_where_no_count_does() -> None:
+def test_the_parts_of_a_prompt_give_its_size_without_a_token_count() -> None:
     assert job_of(b"Reedspoke-Prompt-Prefix: a:10,b:5").prompt_tokens == 15
 
 
 @pytest.mark.parametrize(
-    ("told", "seconds"),
+    ("value", "seconds"),
     [(b"1000", 1.0), (b"9000", 3.0), (b"0", 0.0), (b"-4", 0.0), (b"1.5", 0.0015), (b"soon", 3.0), (b"", 3.0)],
 )
-def test_the_shorter_of_the_clients_and_the_routes_time_counts(told: bytes, seconds: float) -> None:
-    head = request(b"Reedspoke-Deadline-Ms: " + told)
+def test_the_shorter_of_the_clients_and_the_routes_timeout_applies(value: bytes, seconds: float) -> None:
+    head = request(b"Reedspoke-Deadline-Ms: " + value)
     assert request_timeout_s(head, route()) == pytest.approx(seconds)
 
 
-@pytest.mark.parametrize("told", [b"nan", b"inf", b"-inf", b"1e400", b"-nan"])
-def test_a_deadline_that_is_no_finite_number_still_gives_one(told: bytes) -> None:
-    seconds = request_timeout_s(request(b"Reedspoke-Deadline-Ms: " + told), route())
+@pytest.mark.parametrize("value", [b"nan", b"inf", b"-inf", b"1e400", b"-nan"])
+def test_a_deadline_that_is_no_finite_number_still_gives_one(value: bytes) -> None:
+    seconds = request_timeout_s(request(b"Reedspoke-Deadline-Ms: " + value), route())
     assert math.isfinite(seconds)
     assert 0 <= seconds <= 3.0
 
@@ -107,7 +107,7 @@
         ("a:1:2", ()),
     ],
 )
-def test_what_is_malformed_ends_the_list_of_parts(text: str, parts: tuple[PromptPart, ...]) -> None:
+def test_the_first_malformed_part_ends_the_list(text: str, parts: tuple[PromptPart, ...]) -> None:
     assert parse_prompt_parts(text) == parts
 
 
@@ -122,12 +122,12 @@
         ("\xb2,\xb9", (0, 0)),
     ],
 )
-def test_counts_that_are_no_numbers_are_unknown(text: str, counts: tuple[int, int]) -> None:
+def test_malformed_token_counts_are_unknown(text: str, counts: tuple[int, int]) -> None:
     assert parse_token_count(text) == counts
 
 
 @pytest.mark.parametrize("count", [b"9" * 30, b"9" * 5000])
-def test_a_count_beyond_all_reason_neither_raises_nor_breaks_the_heartbeat(count: bytes) -> None:
+def test_an_excessive_count_neither_raises_nor_breaks_the_heartbeat(count: bytes) -> None:
     for field in (b"Reedspoke-Token-Count: " + count + b"," + count, b"Reedspoke-Prompt-Prefix: a:" + count):
         job = job_of(field)
         held = {"i-1": (1, job.prompt_tokens + job.output_tokens)}
--- a/tests/data_plane/wire.py
+++ b/tests/data_plane/wire.py
@@ -246,10 +246,10 @@
         version, status = first.split(" ")[:2]
         if version != "HTTP/1.1":
             raise NotHttpError(first)
-        body, whole, raw = read_body(fields, rest, int(status))
+        body, complete, raw = read_body(fields, rest, int(status))
         if int(status) >= 200:
-            found.append(SeenAnswer(int(status), fields, body, whole))
-        if not whole:
+            found.append(SeenAnswer(int(status), fields, body, complete))
+        if not complete:
             break
     return found
 
@@ -273,15 +273,15 @@
     """A body in chunks, whether it is complete, and the bytes after it."""
     body = b""
     while True:
-        line, newline, behind = rest.partition(b"\r\n")
+        line, newline, after = rest.partition(b"\r\n")
         if not newline:
             return body, False, b""
         size = int(line, 16)
-        if len(behind) < size + 2:
-            return body + behind[:size], False, b""
-        if behind[size : size + 2] != b"\r\n":
+        if len(after) < size + 2:
+            return body + after[:size], False, b""
+        if after[size : size + 2] != b"\r\n":
             raise NotHttpError("a chunk is not followed by CRLF")
-        body, rest = body + behind[:size], behind[size + 2 :]
+        body, rest = body + after[:size], after[size + 2 :]
         if size == 0:
             return body, True, rest
 
