--- a/reedspoke/data_plane/answer_reader.py
+++ b/reedspoke/data_plane/answer_reader.py
@@ -135,11 +135,11 @@
             raise MalformedError(502, "the status line is malformed")
 
     def _take_head(self, head: Head) -> Effect | None:
-        named = field_text(head, ATTEMPT_ID)
-        if not named and head.status not in SUCCESS_STATUS:
+        attempt_id = field_text(head, ATTEMPT_ID)
+        if not attempt_id and head.status not in SUCCESS_STATUS:
             if self._request_count > 1:  # Its claim not to have run may be about an earlier request.
                 return self._mark_unusable(Reason.UNIDENTIFIED)
-        elif not named or named != self._expected_id:
+        elif not attempt_id or attempt_id != self._expected_id:
             self.state = State.FOREIGN
             self._must_close = True  # More foreign answers may follow.
             return None
--- a/reedspoke/data_plane/client_connection.py
+++ b/reedspoke/data_plane/client_connection.py
@@ -214,7 +214,7 @@
         self._keep_alive = self._head_only = False
         too_large = error.status in (413, 431)
         code = ErrorCode.REQUEST_TOO_LARGE if too_large else ErrorCode.MALFORMED_REQUEST
-        self._frontend.request_unreadable(error.status, str(error), self._peer())
+        self._frontend.request_unreadable(error.status, str(error), self._peer_address())
         self.send_answer(error_answer(error.status, code, str(error)))
 
     # ---- answers ----
@@ -282,10 +282,10 @@
         once = self._answering and not self._streaming
         check(Invariant.ONE_FINAL_ANSWER, once, form=form, answering=self._answering)
 
-    def _peer(self) -> str:
+    def _peer_address(self) -> str:
         """The address of the client; empty if unknown."""
-        found = None if self._transport is None else self._transport.get_extra_info("peername")
-        return "" if found is None else f"{found[0]}:{found[1]}"
+        peername = None if self._transport is None else self._transport.get_extra_info("peername")
+        return "" if peername is None else f"{peername[0]}:{peername[1]}"
 
     def _finish_answer(self) -> None:
         self._streaming = False
@@ -344,7 +344,7 @@
         self._answering = self._request_unread = True
         self._keep_alive = False
         message = "the request was not received in time"
-        self._frontend.request_unreadable(408, message, self._peer())
+        self._frontend.request_unreadable(408, message, self._peer_address())
         self.send_answer(error_answer(408, ErrorCode.MALFORMED_REQUEST, message))
 
 
--- a/reedspoke/data_plane/event_stream.py
+++ b/reedspoke/data_plane/event_stream.py
@@ -66,8 +66,8 @@
 
 def last_event_id(events: bytes) -> str:
     """The id of the last event that has one; empty without one."""
-    found = events.rfind(b"\n" + ID_FIELD)
-    start = found + 1 if found >= 0 else (0 if events.startswith(ID_FIELD) else -1)
+    newline_at = events.rfind(b"\n" + ID_FIELD)
+    start = newline_at + 1 if newline_at >= 0 else (0 if events.startswith(ID_FIELD) else -1)
     if start < 0:
         return ""
     end = events.find(b"\n", start)
--- a/reedspoke/data_plane/exchange_invariants.py
+++ b/reedspoke/data_plane/exchange_invariants.py
@@ -46,8 +46,8 @@
 def check_tenant(request: UpstreamRequest, tenant: str) -> None:
     """Checks the tenant of a request that is about to be sent; empty for a request without a key."""
     lines = [line for line in request.fields.lower().split(b"\r\n") if line.startswith(TENANT_FIELDS)]
-    named = [b"%b: %b" % (TENANT_NAME, tenant.lower().encode())] if tenant else []
-    check(Invariant.TENANT_IS_KEY_HOLDER, lines == named, attempt_id=request.attempt_id, tenant=tenant)
+    expected = [b"%b: %b" % (TENANT_NAME, tenant.lower().encode())] if tenant else []
+    check(Invariant.TENANT_IS_KEY_HOLDER, lines == expected, attempt_id=request.attempt_id, tenant=tenant)
 
 
 def check_drain(attempt_id: str, instance_id: str, known_s: float) -> None:
@@ -66,10 +66,10 @@
 
 def check_answer_head(attempt_id: str, head: Head) -> None:
     """Checks the head of an answer that was assigned to the request."""
-    named = field_text(head, ATTEMPT_ID)
+    answer_id = field_text(head, ATTEMPT_ID)
     success = head.status in SUCCESS_STATUS
-    own = named == attempt_id if success else named in ("", attempt_id)
-    check(Invariant.ANSWER_IS_OWN, own, attempt_id=attempt_id, named=named, status=head.status)
+    own = answer_id == attempt_id if success else answer_id in ("", attempt_id)
+    check(Invariant.ANSWER_IS_OWN, own, attempt_id=attempt_id, named=answer_id, status=head.status)
 
 
 def check_success(attempt_id: str, status: int, fields: bytes) -> None:
--- a/reedspoke/data_plane/exchange_owner.py
+++ b/reedspoke/data_plane/exchange_owner.py
@@ -43,9 +43,9 @@
     """Ends only this request on an unexpected error, so that the caller continues with other requests."""
 
     @wraps(method)
-    def call(self: Exchange, /, *arguments: Arguments.args, **named: Arguments.kwargs) -> None:
+    def call(self: Exchange, /, *arguments: Arguments.args, **keywords: Arguments.kwargs) -> None:
         try:
-            method(self, *arguments, **named)
+            method(self, *arguments, **keywords)
         except Exception as error:
             self.abort_on_error(error)
 
--- a/reedspoke/data_plane/forwarder.py
+++ b/reedspoke/data_plane/forwarder.py
@@ -93,14 +93,14 @@
     def _update_unavailable(self, entries: list[WorkerEntry], now: float) -> None:
         draining = {entry.instance_id for entry in entries if entry.draining}
         gone = self._workers.keys() - {entry.instance_id for entry in entries}
-        kept = {
+        remembered = {
             name: since
             for name, since in self._unavailable_since.items()
             if now - since < UNAVAILABLE_RETENTION_S
         }
         listed = {entry.instance_id for entry in entries} - draining
-        unavailable = (draining | gone | kept.keys()) - listed
-        self._unavailable_since = {name: kept.get(name, now) for name in unavailable}
+        unavailable = (draining | gone | remembered.keys()) - listed
+        self._unavailable_since = {name: remembered.get(name, now) for name in unavailable}
 
     def unavailable_since(self, instance_id: str) -> float | None:
         """When this scheduler first saw that the worker drains or is gone; None if it is available."""
@@ -286,8 +286,8 @@
     engine = configured.get("engine")
     if engine is None:
         return Upstream(configured["name"])
-    facts = Engine(engine.get("capacity", DEFAULT_CAPACITY), engine.get("kv_tokens", 0))
-    return Upstream(configured["name"], facts)
+    engine_limits = Engine(engine.get("capacity", DEFAULT_CAPACITY), engine.get("kv_tokens", 0))
+    return Upstream(configured["name"], engine_limits)
 
 
 def _worker_entry(worker: ListedWorker, now: float) -> WorkerEntry:
--- a/tests/data_plane/judge.py
+++ b/tests/data_plane/judge.py
@@ -33,7 +33,7 @@
     next_event: int = 0
 
 
-class Ledger(Struct, eq=False):
+class History(Struct, eq=False):
     """All requests of clients and all runs at workers."""
 
     sent: dict[str, SentRequest] = field(default_factory=dict)
--- a/tests/data_plane/loopback.py
+++ b/tests/data_plane/loopback.py
@@ -53,17 +53,17 @@
         raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
         self._writer.transport.abort()
 
-    def head(self, status: str = "200 OK", *more: str, seal: bool = True) -> bytes:
+    def head(self, status: str = "200 OK", *extra_lines: str, seal: bool = True) -> bytes:
         """A head without the fields that delimit the body."""
-        lines = [f"HTTP/1.1 {status}", f"Reedspoke-Attempt-Id: {self.attempt_id}", *more]
+        lines = [f"HTTP/1.1 {status}", f"Reedspoke-Attempt-Id: {self.attempt_id}", *extra_lines]
         if seal:
             lines.append(f"Reedspoke-Response-Seal: {SEAL}")
         return "\r\n".join([*lines, ""]).encode()
 
     def complete_answer(
-        self, status: str = "200 OK", body: bytes = b"why", *more: str, seal: bool = True
+        self, status: str = "200 OK", body: bytes = b"why", *extra_lines: str, seal: bool = True
     ) -> bytes:
-        return self.head(status, *more, seal=seal) + b"Content-Length: %d\r\n\r\n" % len(body) + body
+        return self.head(status, *extra_lines, seal=seal) + b"Content-Length: %d\r\n\r\n" % len(body) + body
 
     def success_answer(self) -> bytes:
         """The complete expected answer to this request: a stream continues after the last event id."""
@@ -108,15 +108,15 @@
     tasks: set[asyncio.Task[None]] = field(default_factory=set)
 
     async def serve_worker(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        raw, known = b"", 0
+        raw, request_count = b"", 0
         task = asyncio.current_task()
         assert task is not None
         self.tasks.add(task)
         try:
             while piece := await reader.read(65536):
                 raw += piece
-                for request in read_requests(raw)[known:]:
-                    known += 1
+                for request in read_requests(raw)[request_count:]:
+                    request_count += 1
                     await self.answer(WorkerSide(writer, request))
         except (ConnectionError, asyncio.CancelledError):
             pass
@@ -131,11 +131,11 @@
             side.send(side.success_answer())
 
     async def request(
-        self, path: str, attempt_id: str = "a1", body: bytes = b"the question", **more: str
+        self, path: str, attempt_id: str = "a1", body: bytes = b"the question", **extra_fields: str
     ) -> SeenAnswer | None:
         """The answer that a new client receives; None if its connection ends without any byte."""
         reader, writer = await asyncio.open_connection(*self.address)
-        writer.write(request_bytes(path, attempt_id, body, Connection="close", **more))
+        writer.write(request_bytes(path, attempt_id, body, Connection="close", **extra_fields))
         raw = b""
         try:
             async with asyncio.timeout(CLIENT_TIMEOUT_S):
@@ -182,21 +182,23 @@
     dispatcher.set_fleet_size(1, started)
     pool = RedirectedPool(loop)
     forwarder = Forwarder(loop, pool, dispatcher)
-    made = Loopback(pool, forwarder, Frontend(forwarder), script)
+    loopback = Loopback(pool, forwarder, Frontend(forwarder), script)
     parsed = parse_configuration(configuration())
-    made.frontend.routes = RouteTable(parsed, (1, 0))
+    loopback.frontend.routes = RouteTable(parsed, (1, 0))
     forwarder.configure(parsed)
     entries = []
     for number in range(workers):
-        server = await asyncio.start_server(made.serve_worker, "127.0.0.1", 0)
-        made.servers.append(server)
+        server = await asyncio.start_server(loopback.serve_worker, "127.0.0.1", 0)
+        loopback.servers.append(server)
         port = server.sockets[0].getsockname()[1]
         entries.append(WorkerEntry(f"i-{number}", "u1", f"127.0.0.1:{port}", "za", "v1", 8, False))
     forwarder.set_workers(WorkerList((1, 0), tuple(entries)))
-    front = await loop.create_server(lambda: ClientConnection(made.frontend, loop), "127.0.0.1", 0)
-    made.servers.append(front)
-    made.address = front.sockets[0].getsockname()
-    return made
+    frontend_server = await loop.create_server(
+        lambda: ClientConnection(loopback.frontend, loop), "127.0.0.1", 0
+    )
+    loopback.servers.append(frontend_server)
+    loopback.address = frontend_server.sockets[0].getsockname()
+    return loopback
 
 
 class UnreadListener:
--- a/tests/data_plane/plane.py
+++ b/tests/data_plane/plane.py
@@ -93,5 +93,5 @@
 
 def answer(transport: TransportStandIn) -> SeenAnswer:
     """The only answer that was written to a client."""
-    (found,) = read_answers(bytes(transport.written))
-    return found
+    (only_answer,) = read_answers(bytes(transport.written))
+    return only_answer
--- a/tests/data_plane/stage.py
+++ b/tests/data_plane/stage.py
@@ -50,8 +50,8 @@
     edge: EdgeProcess
 
     def publish(self, sequence: int, *prefixes: str, control: int = 0) -> None:
-        known = document(sequence, *prefixes)
-        self.controls[control].publish(sequence, known, (self.worker.entry(),))
+        configuration = document(sequence, *prefixes)
+        self.controls[control].publish(sequence, configuration, (self.worker.entry(),))
 
     def request(self, path: str, attempt_id: str = "a1") -> tuple[int, bytes]:
         return call(self.edge.frontend, "GET", path, HOST, attempt_id)
--- a/tests/data_plane/test_attempt_timeout.py
+++ b/tests/data_plane/test_attempt_timeout.py
@@ -34,9 +34,9 @@
     )
 
 
-def is_timed_out(made: OpenAttempt, after: float, worker_received_after: float | None = None) -> bool:
+def is_timed_out(open_attempt: OpenAttempt, after: float, worker_received_after: float | None = None) -> bool:
     last_received_from = {} if worker_received_after is None else {"i-1": SENT + worker_received_after}
-    return timed_out_attempts([made], last_received_from, SENT + after) == [made.job_id]
+    return timed_out_attempts([open_attempt], last_received_from, SENT + after) == [open_attempt.job_id]
 
 
 @pytest.mark.parametrize(
@@ -46,10 +46,10 @@
 def test_a_stream_times_out_at_half_of_its_clients_timeout(
     latency_target_s: float, event_gap_target_s: float, expected: float
 ) -> None:
-    made = attempt(latency_target_s=latency_target_s, event_gap_target_s=event_gap_target_s)
-    assert attempt_timeout_s(made) == pytest.approx(expected)
-    assert not is_timed_out(made, expected - 0.01)
-    assert is_timed_out(made, expected + 0.01)
+    open_attempt = attempt(latency_target_s=latency_target_s, event_gap_target_s=event_gap_target_s)
+    assert attempt_timeout_s(open_attempt) == pytest.approx(expected)
+    assert not is_timed_out(open_attempt, expected - 0.01)
+    assert is_timed_out(open_attempt, expected + 0.01)
 
 
 def test_a_streams_timeout_starts_at_its_last_event() -> None:
--- a/tests/data_plane/test_attempts_client_end.py
+++ b/tests/data_plane/test_attempts_client_end.py
@@ -36,16 +36,16 @@
         raw = b""
         while piece := client.recv(65536):
             raw += piece
-    (found,) = read_answers(raw)
-    return found
+    (received,) = read_answers(raw)
+    return received
 
 
 def with_client(data: bytes) -> tuple[SeenAnswer, Loopback]:
     async def run() -> tuple[SeenAnswer, Loopback]:
-        stage = await start(answer, 1)
-        found = await asyncio.to_thread(send_all_then_read, stage.address, data)
-        stage.close()
-        return found, stage
+        loopback = await start(answer, 1)
+        received = await asyncio.to_thread(send_all_then_read, loopback.address, data)
+        loopback.close()
+        return received, loopback
 
     return asyncio.run(run())
 
@@ -53,15 +53,15 @@
 @pytest.mark.parametrize("name", REFUSED_REQUESTS)
 def test_a_refusal_reaches_a_client_that_continues_to_send(name: str) -> None:
     data, status = REFUSED_REQUESTS[name]
-    found, stage = with_client(data)
-    assert (found.status, found.is_complete) == (status, True)
-    assert stage.requests == []
+    received, loopback = with_client(data)
+    assert (received.status, received.is_complete) == (status, True)
+    assert loopback.requests == []
 
 
 def test_the_last_answer_arrives_despite_bytes_after_its_request() -> None:
-    found, stage = with_client(COMPLETE_REQUEST + b"y" * 300_000)
-    assert (found.status, found.body) == (200, b"the answer")
-    assert len(stage.requests) == 1
+    received, loopback = with_client(COMPLETE_REQUEST + b"y" * 300_000)
+    assert (received.status, received.body) == (200, b"the answer")
+    assert len(loopback.requests) == 1
 
 
 def test_a_client_that_never_stops_sending_is_reset(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/data_plane/test_attempts_early.py
+++ b/tests/data_plane/test_attempts_early.py
@@ -46,17 +46,17 @@
     async def run() -> None:
         worker = EarlyWorker()
         server = await asyncio.start_server(worker.serve, "127.0.0.1", 0, limit=PIECE)
-        stage = await start(fail_if_called, 1)
-        stage.pool.first_address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
-        answer = await stage.request("/once/", "a1", BODY)
+        loopback = await start(fail_if_called, 1)
+        loopback.pool.first_address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
+        answer = await loopback.request("/once/", "a1", BODY)
         assert answer is not None
         assert (answer.status, answer.body) == (200, b"early")
-        stage.pool.first_address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
-        later = await stage.request("/once/", "a2", b"other bytes")
+        loopback.pool.first_address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
+        later = await loopback.request("/once/", "a2", b"other bytes")
         assert later is not None
         assert (later.status, later.body) == (200, b"early")
         worker.may_read.set()
-        stage.close()
+        loopback.close()
         async with asyncio.timeout(5):
             await worker.ended[0].wait()
         server.close()
--- a/tests/data_plane/test_attempts_process.py
+++ b/tests/data_plane/test_attempts_process.py
@@ -59,7 +59,7 @@
         self.may_answer = asyncio.Event()
 
     def count(self, attempt_id: str) -> int:
-        return sum(known == attempt_id for _, known in self.arrived)
+        return sum(arrived_id == attempt_id for _, arrived_id in self.arrived)
 
 
 class Worker(WorkerStandIn):
@@ -111,9 +111,9 @@
         self.edge.until_ready()
 
     def worker(self, name: str) -> Worker:
-        made = Worker(self.background, name, self.workers)
-        made.start()
-        return made
+        worker = Worker(self.background, name, self.workers)
+        worker.start()
+        return worker
 
     def send_request(self, action: str) -> Call:
         """Sends a request whose attempt id is the action."""
--- a/tests/data_plane/test_attempts_random.py
+++ b/tests/data_plane/test_attempts_random.py
@@ -21,11 +21,11 @@
 
     def untouched_run(self) -> Run | None:
         """A run without any answer yet."""
-        run = self.some_run()
+        run = self.random_open_run()
         return None if run is None or run in self.started_streams else run
 
     def complete_body(self, run: Run) -> bytes:
-        sent = self.ledger.sent[run.arrival.attempt_id]
+        sent = self.history.sent[run.arrival.attempt_id]
         if sent.path in STREAMS:
             return b"".join(event(number) for number in range(run.next_event, sent.event_count + 1))
         return run.body
@@ -62,28 +62,28 @@
     def contradiction(self) -> None:
         """A success that claims that the request has not run."""
         run = self.untouched_run()
-        if run is None or self.ledger.sent[run.arrival.attempt_id].path in STREAMS:
+        if run is None or self.history.sent[run.arrival.attempt_id].path in STREAMS:
             return
         self.open_runs.remove(run)
         self.send(run, run.arrival.complete_answer(run.body, Reedspoke_Not_Executed="1"))
 
     def half_close(self) -> None:
         """The worker closes its write side, though it may still run the request."""
-        run = self.some_run()
+        run = self.random_open_run()
         if run is not None:
             self.open_runs.remove(run)
             run.arrival.worker.end()
 
     def unacknowledged(self) -> None:
         """The kernel ends the connection because sent data is not acknowledged."""
-        run = self.some_run()
+        run = self.random_open_run()
         if run is not None:
             self.open_runs.remove(run)
             run.arrival.worker.transport.arrive_timeout()
 
     def slow_reader(self) -> None:
         """A worker that stops reading: sent data stays in the scheduler's buffer."""
-        run = self.some_run()
+        run = self.random_open_run()
         if run is not None:
             run.arrival.worker.transport.stop_peer_reading()
 
--- a/tests/data_plane/test_attempts_reader.py
+++ b/tests/data_plane/test_attempts_reader.py
@@ -90,8 +90,8 @@
 
 def answer(name: str, body: bytes, coding: str, status: int = 200) -> bytes:
     """A worker's answer with this attempt id; an empty one is omitted."""
-    named = f"Reedspoke-Attempt-Id: {name}\r\n".encode() if name else b""
-    head = b"HTTP/1.1 %d X\r\n%b" % (status, named)
+    id_field = f"Reedspoke-Attempt-Id: {name}\r\n".encode() if name else b""
+    head = b"HTTP/1.1 %d X\r\n%b" % (status, id_field)
     if coding == "length":
         return head + b"Content-Length: %d\r\n\r\n" % len(body) + body
     if coding == "chunks":
@@ -118,13 +118,13 @@
 def late(number: int) -> st.SearchStrategy[bytes]:
     """Answers to earlier requests of the connection, and to one of another connection."""
     names = [f"a{earlier}" for earlier in range(number)] + ["elsewhere"]
-    made = st.builds(
+    late_answers = st.builds(
         lambda name, coding, status: answer(name, b"late to " + name.encode(), coding, status),
         st.sampled_from(names),
         st.sampled_from(("length", "chunks")),
         st.sampled_from((200, 421, 503)),
     )
-    return st.one_of(made, st.just(INTERIM))
+    return st.one_of(late_answers, st.just(INTERIM))
 
 
 def turn(number: int) -> st.SearchStrategy[Turn]:
--- a/tests/data_plane/test_attempts_table.py
+++ b/tests/data_plane/test_attempts_table.py
@@ -113,36 +113,36 @@
     side.close()
 
 
-def refuse(stage: Loopback) -> UnreadListener | None:
+def refuse(loopback: Loopback) -> UnreadListener | None:
     listener = UnreadListener()
     listener.close()
-    stage.pool.first_address = listener.address
+    loopback.pool.first_address = listener.address
     return None
 
 
-def hang(stage: Loopback) -> UnreadListener | None:
+def hang(loopback: Loopback) -> UnreadListener | None:
     listener = UnreadListener(full=True)
-    stage.pool.first_address = listener.address
+    loopback.pool.first_address = listener.address
     return listener
 
 
-def reset_while_opened(stage: Loopback) -> UnreadListener | None:
+def reset_while_opened(loopback: Loopback) -> UnreadListener | None:
     listener = UnreadListener()
-    stage.pool.first_address = listener.address
-    stage.pool.on_connected = listener.close
+    loopback.pool.first_address = listener.address
+    loopback.pool.on_connected = listener.close
     return listener
 
 
-def reset_unread(stage: Loopback) -> UnreadListener | None:
+def reset_unread(loopback: Loopback) -> UnreadListener | None:
     """The kernel has accepted all bytes of the request, and the worker has read none."""
     listener = UnreadListener()
-    stage.pool.first_address = listener.address
+    loopback.pool.first_address = listener.address
     loop = asyncio.get_running_loop()
 
     def close_soon() -> None:
         loop.call_later(UNREAD_S, listener.close)
 
-    stage.pool.on_connected = close_soon
+    loopback.pool.on_connected = close_soon
     return listener
 
 
@@ -197,8 +197,8 @@
     return (answer.status, answer.body, answer.is_complete) == (200, body, True)
 
 
-def check(path: str, case: Case, expected: str, stage: Loopback, answer: SeenAnswer | None) -> None:
-    where = f"{case.observation}, {path}, {expected}: {answer}, {len(stage.requests)} requests at workers"
+def check(path: str, case: Case, expected: str, loopback: Loopback, answer: SeenAnswer | None) -> None:
+    where = f"{case.observation}, {path}, {expected}: {answer}, {len(loopback.requests)} requests at workers"
     assert answer is not None, where
     if expected == RETRIED:
         assert is_complete_success(path, answer), where
@@ -216,30 +216,30 @@
         assert answer.get("reedspoke-response-seal") is None
     if path in (NON_IDEMPOTENT, STREAMING) and (expected in ("502", "504", FORWARDED, BROKEN_OFF)):
         most = 0 if case.prepare is reset_unread else 1  # There the first worker reads nothing.
-        assert len(stage.requests) <= most, where
-    assert stage.forwarder.open_exchange_count() == 0, where
+        assert len(loopback.requests) <= most, where
+    assert loopback.forwarder.open_exchange_count() == 0, where
 
 
-async def play(case: Case, path: str, expected: str, workers: int) -> None:
-    stage = await start(case.script, workers)
+async def run_case(case: Case, path: str, expected: str, workers: int) -> None:
+    loopback = await start(case.script, workers)
     try:
         if case.has_idle_connection:
-            assert await stage.request(path, "a0") is not None
-        listener = case.prepare(stage) if case.prepare is not None else None
-        answer = await stage.request(path, "a1", case.body, Reedspoke_Deadline_Ms=case.deadline_ms)
-        check(path, case, expected, stage, answer)
+            assert await loopback.request(path, "a0") is not None
+        listener = case.prepare(loopback) if case.prepare is not None else None
+        answer = await loopback.request(path, "a1", case.body, Reedspoke_Deadline_Ms=case.deadline_ms)
+        check(path, case, expected, loopback, answer)
         if listener is not None:
             listener.close()
     finally:
-        stage.close()
+        loopback.close()
 
 
 @pytest.mark.parametrize("case", CASES, ids=lambda case: case.observation.replace(" ", "_"))
 def test_action_after_each_observation(case: Case) -> None:
     async def all_kinds() -> None:
-        plays = [play(case, path, case.with_other[at], 2) for at, path in enumerate(PATHS)]
-        plays += [play(case, path, case.alone[at], 1) for at, path in enumerate(PATHS)]
-        await asyncio.gather(*plays)
+        runs = [run_case(case, path, case.with_other[at], 2) for at, path in enumerate(PATHS)]
+        runs += [run_case(case, path, case.alone[at], 1) for at, path in enumerate(PATHS)]
+        await asyncio.gather(*runs)
 
     asyncio.run(all_kinds())
 
--- a/tests/data_plane/test_client_lifetime.py
+++ b/tests/data_plane/test_client_lifetime.py
@@ -61,8 +61,8 @@
     client = world.client()
     client.send(request_bytes(NON_IDEMPOTENT, Connection="keep-alive").replace(b"HTTP/1.1", b"HTTP/1.0", 1))
     serve(world)
-    kept = not client.transport.is_closing()
-    assert (client.answer().get("connection") == "keep-alive") is kept
+    is_kept_alive = not client.transport.is_closing()
+    assert (client.answer().get("connection") == "keep-alive") is is_kept_alive
 
 
 def test_an_http_1_0_client_gets_a_stream_without_chunks(world: World) -> None:
--- a/tests/data_plane/test_client_requests.py
+++ b/tests/data_plane/test_client_requests.py
@@ -49,11 +49,11 @@
     assert (answer.status, answer.is_complete) == (status, True)
     assert answer.get("connection") == "close"
     assert client.transport.eof_written
-    known = len(client.world.frontend.requests)
+    count_before = len(client.world.frontend.requests)
     client.send(HIDDEN)
     client.world.run_for(LINGER_S + 0.1)
     assert client.transport.closed
-    assert len(client.world.frontend.requests) == known
+    assert len(client.world.frontend.requests) == count_before
     assert client.answer() == answer
 
 
--- a/tests/data_plane/test_connect_timeout.py
+++ b/tests/data_plane/test_connect_timeout.py
@@ -19,7 +19,7 @@
 
 
 def test_a_connection_established_while_the_process_stalled_is_used(plane: Plane) -> None:
-    """In CI under load, the timeout and the connection became due in the same iteration of the event loop."""
+    """Seen in CI under load: the timeout and the connection came in the same iteration of the event loop."""
     plane.receive_state()
     plane.network.plan.append("slow")
     client = plane.new_request(NON_IDEMPOTENT)
--- a/tests/data_plane/test_deadlines.py
+++ b/tests/data_plane/test_deadlines.py
@@ -46,10 +46,10 @@
     pytest.fail("no further attempt")
 
 
-def request_with_slow_body(world: World, path: str, **more: str) -> Client:
+def request_with_slow_body(world: World, path: str, **extra_fields: str) -> Client:
     """A client whose body arrives SLOW_BODY_S after its head."""
     client = world.client()
-    raw = request_bytes(path, "a1", BODY, **more)
+    raw = request_bytes(path, "a1", BODY, **extra_fields)
     client.send(raw[: -len(BODY)])
     world.run_for(SLOW_BODY_S)
     client.send(raw[-len(BODY) :])
@@ -175,13 +175,17 @@
         if not workers:
             world.set_workers([])
         world.network.plan = list(plan)
-        more: Any = {} if deadline is None else {"Reedspoke_Deadline_Ms": str(int(1000 * deadline))}
+        extra_fields: Any = {} if deadline is None else {"Reedspoke_Deadline_Ms": str(int(1000 * deadline))}
         started_at = world.loop.time()
-        client = request_with_slow_body(world, path, **more) if slowly else world.new_request(path, **more)
+        client = (
+            request_with_slow_body(world, path, **extra_fields)
+            if slowly
+            else world.new_request(path, **extra_fields)
+        )
         play(world, client)
         limit = TIMEOUT_S if deadline is None else deadline
         world.run_for(started_at + limit + MAX_LATE_S - world.loop.time())
-        assert client.was_reset or any(found.is_complete for found in client.answers())
+        assert client.was_reset or any(answer.is_complete for answer in client.answers())
         world.run_for(1.0)
         assert world.is_idle()
         assert all(arrival.worker.is_closed for arrival in world.arrivals[-1:])
--- a/tests/data_plane/test_endings.py
+++ b/tests/data_plane/test_endings.py
@@ -130,8 +130,8 @@
 
 @then("the client has two answers, each to its own request")
 def has_two_answers(scenario: ScenarioState) -> None:
-    found = [(answer.status, answer.body) for answer in scenario.sender().answers()]
-    assert found == [(200, BODY % b"a1"), (200, BODY % b"a2")]
+    answers = [(answer.status, answer.body) for answer in scenario.sender().answers()]
+    assert answers == [(200, BODY % b"a1"), (200, BODY % b"a2")]
 
 
 @then("the client gets a 502")
--- a/tests/data_plane/test_event_stream.py
+++ b/tests/data_plane/test_event_stream.py
@@ -49,10 +49,10 @@
 
 def test_bytes_one_by_one_give_each_event_when_it_is_complete() -> None:
     splitter = EventSplitter()
-    found = [events for byte in STREAM if (events := splitter.feed(bytes([byte]))) is not None]
-    assert [events.last_id for events in found] == ["1", "2", "", "3"]
-    assert [events.count for events in found] == [1, 1, 1, 1]
-    assert b"".join(events.data for events in found) == STREAM
+    outputs = [events for byte in STREAM if (events := splitter.feed(bytes([byte]))) is not None]
+    assert [events.last_id for events in outputs] == ["1", "2", "", "3"]
+    assert [events.count for events in outputs] == [1, 1, 1, 1]
+    assert b"".join(events.data for events in outputs) == STREAM
 
 
 @settings(max_examples=100, deadline=None)
--- a/tests/data_plane/test_exchange_random.py
+++ b/tests/data_plane/test_exchange_random.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from tests.data_plane.judge import Ledger, Run, SentRequest
+from tests.data_plane.judge import History, Run, SentRequest
 from tests.data_plane.wire import chunked, event, events
 from tests.data_plane.world import (
     IDEMPOTENT,
@@ -35,8 +35,8 @@
     def __init__(self, world: World, seed: int) -> None:
         self.world = world
         self.random = Random(seed)
-        self.ledger = Ledger()
-        self.seen = 0
+        self.history = History()
+        self.arrivals_seen = 0
         self.open_runs: list[Run] = []
         self.started_streams: set[Run] = set()  # Streams whose head was sent.
         self.names = ["i-1", "i-2", "i-3", "i-4"]
@@ -51,28 +51,28 @@
                 self.answer(run)
             self.world.run_for(0.5)
         self.world.run_for(TIMEOUT_S)
-        self.ledger.check()
+        self.history.check()
         assert self.world.is_idle()
 
     # ---- clients ----
 
     def send_request(self) -> None:
-        attempt_id = f"a{len(self.ledger.sent)}"
+        attempt_id = f"a{len(self.history.sent)}"
         path = self.random.choice(list(ROUTE_FIELDS))
-        body = b"question %d" % len(self.ledger.sent) * self.random.randrange(1, 30)
+        body = b"question %d" % len(self.history.sent) * self.random.randrange(1, 30)
         client = self.world.client()
         sent = SentRequest(attempt_id, path, body, client, self.random.randrange(1, 6))
-        self.ledger.sent[attempt_id] = sent
+        self.history.sent[attempt_id] = sent
         self.world.network.plan = [self.random.choice(CONNECTING) for _ in range(3)]
-        more = {"Reedspoke_Deadline_Ms": "3000"} if self.random.random() < 0.2 else {}
-        raw = request_bytes(path, attempt_id, body, Connection="close", **more)
+        extra_fields = {"Reedspoke_Deadline_Ms": "3000"} if self.random.random() < 0.2 else {}
+        raw = request_bytes(path, attempt_id, body, Connection="close", **extra_fields)
         cut = self.random.randrange(len(raw))
         client.send(raw[:cut])
         client.send(raw[cut:])
 
     def disconnect(self) -> None:
         connected = [
-            sent for sent in self.ledger.sent.values() if not sent.disconnected and not sent.client.answers()
+            sent for sent in self.history.sent.values() if not sent.disconnected and not sent.client.answers()
         ]
         if connected:
             sent = self.random.choice(connected)
@@ -82,26 +82,26 @@
     # ---- workers ----
 
     def note_arrivals(self) -> None:
-        for arrival in self.world.arrivals[self.seen :]:
+        for arrival in self.world.arrivals[self.arrivals_seen :]:
             run = Run(arrival)
-            sent = self.ledger.sent[arrival.attempt_id]
+            sent = self.history.sent[arrival.attempt_id]
             resumed = int(arrival.request.get("last-event-id") or 0)
             run.next_event = resumed + 1
             run.status = 200
             run.body = (
                 events(1, sent.event_count) if sent.path in STREAMS else b"to %b" % sent.attempt_id.encode()
             )
-            self.ledger.runs[arrival.attempt_id].append(run)
+            self.history.runs[arrival.attempt_id].append(run)
             self.open_runs.append(run)
-        self.seen = len(self.world.arrivals)
+        self.arrivals_seen = len(self.world.arrivals)
 
-    def some_run(self) -> Run | None:
+    def random_open_run(self) -> Run | None:
         self.open_runs = [run for run in self.open_runs if not run.arrival.worker.is_closed]
         return self.random.choice(self.open_runs) if self.open_runs else None
 
     def answer(self, run: Run, surplus: bytes = b"") -> None:
         """The remainder of a complete answer."""
-        sent = self.ledger.sent[run.arrival.attempt_id]
+        sent = self.history.sent[run.arrival.attempt_id]
         if sent.path in STREAMS:
             raw = self.head(run) + chunked(*(event(n) for n in range(run.next_event, sent.event_count + 1)))
         else:
@@ -122,18 +122,18 @@
         run.arrival.worker.send(raw[cut:])
 
     def answer_some(self) -> None:
-        run = self.some_run()
+        run = self.random_open_run()
         if run is not None:
             self.answer(run)
 
     def answer_with_surplus(self) -> None:
-        run = self.some_run()
+        run = self.random_open_run()
         if run is not None:
             self.answer(run, self.random.choice([b"x", run.arrival.complete_answer(b"again"), b"\r\n"]))
 
     def surplus_later(self) -> None:
         """Repeats a complete answer on its connection, whatever the state of the connection."""
-        old = [run for runs in self.ledger.runs.values() for run in runs if run not in self.open_runs]
+        old = [run for runs in self.history.runs.values() for run in runs if run not in self.open_runs]
         if old:
             run = self.random.choice(old)
             run.arrival.worker.send(
@@ -141,16 +141,16 @@
             )
 
     def some_events(self) -> None:
-        run = self.some_run()
+        run = self.random_open_run()
         if run is None:
             return
-        sent = self.ledger.sent[run.arrival.attempt_id]
+        sent = self.history.sent[run.arrival.attempt_id]
         if sent.path in STREAMS and run.next_event <= sent.event_count:
             self.send(run, self.head(run) + chunked(event(run.next_event), last=False))
             run.next_event += 1
 
     def refuse(self) -> None:
-        run = self.some_run()
+        run = self.random_open_run()
         if run is None or run in self.started_streams:
             return
         run.proven_not_run = True
@@ -159,7 +159,7 @@
         self.send(run, refusal())
 
     def fail(self) -> None:
-        run = self.some_run()
+        run = self.random_open_run()
         if run is None or run in self.started_streams:
             return
         self.open_runs.remove(run)
@@ -168,7 +168,7 @@
         self.send(run, run.arrival.complete_answer(b"why", f"{run.status} Failed"))
 
     def cut(self) -> None:
-        run = self.some_run()
+        run = self.random_open_run()
         if run is None:
             return
         self.open_runs.remove(run)
@@ -178,7 +178,7 @@
         self.random.choice([run.arrival.worker.reset, run.arrival.worker.end])()
 
     def garbage(self) -> None:
-        run = self.some_run()
+        run = self.random_open_run()
         if run is not None:
             self.open_runs.remove(run)
             run.arrival.worker.send(b"garbage\r\n\r\n")
--- a/tests/data_plane/test_exchange_refusals.py
+++ b/tests/data_plane/test_exchange_refusals.py
@@ -59,11 +59,8 @@
     )
 
 
-CONNECTING = (
-    "refuse",
-    "hang",
-    "reset at once",
-)  # No connection is established, or none that could carry a request.
+# No connection is established, or none that could carry a request.
+CONNECTING = ("refuse", "hang", "reset at once")
 NOT_RUN = {
     "overloaded": overloaded,
     "wrong instance": wrong_instance,
@@ -87,10 +84,10 @@
     """The answer to a request whose attempts have these fates, and the fates that occurred."""
     world.network.plan = [fate if fate in CONNECTING else "accept" for fate in fates]
     client = world.new_request(path)
-    seen = 0
+    arrivals_seen = 0
     for _ in range(40):
-        for arrival in world.arrivals[seen:]:
-            seen += 1
+        for arrival in world.arrivals[arrivals_seen:]:
+            arrivals_seen += 1
             ENDINGS[fates[len(fates) - len(world.network.plan) - 1]](arrival)
         if world.is_idle():
             break
--- a/tests/data_plane/test_guards_exchange.py
+++ b/tests/data_plane/test_guards_exchange.py
@@ -117,8 +117,8 @@
     def take_idle(self, instance_id: str) -> None:
         return None
 
-    def connect(self, address: str, done: Callable[[ConnectResult], None]) -> None:
-        self.connecting.append(done)
+    def connect(self, address: str, on_result: Callable[[ConnectResult], None]) -> None:
+        self.connecting.append(on_result)
 
     def close_idle(self, instance_id: str) -> None:
         self.closed_idle.append(instance_id)
@@ -127,8 +127,8 @@
         self.released.append(instance_id)
 
 
-class Scene:
-    """An exchange between stand-ins."""
+class ExchangeHarness:
+    """An exchange with stand-ins of its owner, pool, client and workers."""
 
     def __init__(self, repeat: Repeat = Repeat.RESUMABLE) -> None:
         self.loop = VirtualLoop()
@@ -163,7 +163,7 @@
         self.pool.connecting.pop(0)(connection)
         return connection
 
-    def worker_answers(self, status: int, body: bytes = b"why") -> None:
+    def answer_from_worker(self, status: int, body: bytes = b"why") -> None:
         """A worker sends a complete answer of this status, without proof that the request has not run."""
         self.exchange.send(FIRST)
         self.establish_connection()
@@ -173,7 +173,7 @@
 
     def fail_worker(self, body: bytes) -> None:
         """A worker answers 500; the exchange keeps that answer and reports the end of the attempt."""
-        self.worker_answers(500, body)
+        self.answer_from_worker(500, body)
         assert len(self.owner.ended) == 1
         assert self.client.answers == []
 
@@ -192,21 +192,21 @@
 
 
 @pytest.fixture
-def scenes() -> Iterator[Callable[[Repeat], Scene]]:
-    made: list[Scene] = []
+def make_harness() -> Iterator[Callable[[Repeat], ExchangeHarness]]:
+    harnesses: list[ExchangeHarness] = []
 
-    def make(repeat: Repeat) -> Scene:
-        made.append(Scene(repeat))
-        return made[-1]
+    def make(repeat: Repeat) -> ExchangeHarness:
+        harnesses.append(ExchangeHarness(repeat))
+        return harnesses[-1]
 
     yield make
-    for scene in made:
-        scene.loop.close()
+    for harness in harnesses:
+        harness.loop.close()
 
 
 @pytest.fixture
-def scene(scenes: Callable[[Repeat], Scene]) -> Scene:
-    return scenes(Repeat.RESUMABLE)
+def harness(make_harness: Callable[[Repeat], ExchangeHarness]) -> ExchangeHarness:
+    return make_harness(Repeat.RESUMABLE)
 
 
 def _status(answer: CompleteAnswer) -> int:
@@ -219,116 +219,118 @@
     return code
 
 
-def test_a_started_answer_is_aborted_and_not_followed_by_a_refusal(scene: Scene) -> None:
-    scene.forward_event_then_time_out()
-    scene.exchange.refuse(OVERLOAD)
-    assert scene.client.aborted
-    assert scene.client.answers == []
+def test_a_started_answer_is_aborted_and_not_followed_by_a_refusal(harness: ExchangeHarness) -> None:
+    harness.forward_event_then_time_out()
+    harness.exchange.refuse(OVERLOAD)
+    assert harness.client.aborted
+    assert harness.client.answers == []
 
 
-def test_a_started_answer_is_aborted_when_the_retry_budget_is_spent(scene: Scene) -> None:
-    scene.forward_event_then_time_out()
-    scene.exchange.fail(BUDGET_SPENT)
-    assert scene.client.aborted
-    assert scene.client.answers == []
+def test_a_started_answer_is_aborted_when_the_retry_budget_is_spent(harness: ExchangeHarness) -> None:
+    harness.forward_event_then_time_out()
+    harness.exchange.fail(BUDGET_SPENT)
+    assert harness.client.aborted
+    assert harness.client.answers == []
 
 
-def test_a_workers_error_is_forwarded_in_place_of_a_refusal(scene: Scene) -> None:
-    scene.fail_worker(b"why")
-    scene.exchange.refuse(OVERLOAD)
-    (answer,) = scene.client.answers
+def test_a_workers_error_is_forwarded_in_place_of_a_refusal(harness: ExchangeHarness) -> None:
+    harness.fail_worker(b"why")
+    harness.exchange.refuse(OVERLOAD)
+    (answer,) = harness.client.answers
     assert (answer.status_line.split()[1], answer.body) == (b"500", b"why")
 
 
-def test_a_workers_error_is_forwarded_when_the_retry_budget_is_spent(scene: Scene) -> None:
-    scene.fail_worker(b"why")
-    scene.exchange.fail(BUDGET_SPENT)
-    (answer,) = scene.client.answers
+def test_a_workers_error_is_forwarded_when_the_retry_budget_is_spent(harness: ExchangeHarness) -> None:
+    harness.fail_worker(b"why")
+    harness.exchange.fail(BUDGET_SPENT)
+    (answer,) = harness.client.answers
     assert (answer.status_line.split()[1], answer.body) == (b"500", b"why")
 
 
-def test_without_any_answer_a_spent_retry_budget_is_reported(scene: Scene) -> None:
-    scene.exchange.fail(BUDGET_SPENT)
-    (answer,) = scene.client.answers
+def test_without_any_answer_a_spent_retry_budget_is_reported(harness: ExchangeHarness) -> None:
+    harness.exchange.fail(BUDGET_SPENT)
+    (answer,) = harness.client.answers
     assert _error_code(answer) == ErrorCode.RETRY_BUDGET
 
 
-def test_a_connection_established_late_is_kept_for_its_own_worker(scene: Scene) -> None:
-    scene.exchange.send(FIRST)
-    scene.exchange.time_out_attempt()
-    scene.exchange.send(SECOND)
-    late = scene.establish_connection()
+def test_a_connection_established_late_is_kept_for_its_own_worker(harness: ExchangeHarness) -> None:
+    harness.exchange.send(FIRST)
+    harness.exchange.time_out_attempt()
+    harness.exchange.send(SECOND)
+    late = harness.establish_connection()
     assert late.sent == []
-    assert scene.pool.released == [FIRST.instance_id]
-    assert len(scene.establish_connection().sent) == 1
+    assert harness.pool.released == [FIRST.instance_id]
+    assert len(harness.establish_connection().sent) == 1
 
 
-def test_no_byte_counts_as_sent_before_the_connection_is_established(scene: Scene) -> None:
-    scene.exchange.send(FIRST)
-    attempt = scene.exchange.open_attempt()
+def test_no_byte_counts_as_sent_before_the_connection_is_established(harness: ExchangeHarness) -> None:
+    harness.exchange.send(FIRST)
+    attempt = harness.exchange.open_attempt()
     assert attempt is not None
     assert not attempt.connected
-    scene.exchange.time_out_attempt()
-    assert not scene.owner.ended[0].bytes_sent
+    harness.exchange.time_out_attempt()
+    assert not harness.owner.ended[0].bytes_sent
 
 
-def test_an_answer_that_is_too_long_ends_its_attempt(scene: Scene, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_answer_that_is_too_long_ends_its_attempt(
+    harness: ExchangeHarness, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr(exchange, "MAX_BUFFERED_ANSWER_BYTES", 10)
-    scene.exchange.send(FIRST)
-    scene.establish_connection()
-    scene.exchange.on_head(Head(1, status=500))
-    scene.exchange.on_body(memoryview(b"0123456789"))
-    assert scene.owner.ended == []
-    scene.exchange.on_body(memoryview(b"0"))
-    assert [evidence.ending for evidence in scene.owner.ended] == [Ending.MALFORMED]
-
-
-def test_a_request_for_another_instance_goes_to_another_worker(scene: Scene) -> None:
-    scene.worker_answers(421)
-    assert scene.client.answers == []
-    (evidence,) = scene.owner.ended
+    harness.exchange.send(FIRST)
+    harness.establish_connection()
+    harness.exchange.on_head(Head(1, status=500))
+    harness.exchange.on_body(memoryview(b"0123456789"))
+    assert harness.owner.ended == []
+    harness.exchange.on_body(memoryview(b"0"))
+    assert [evidence.ending for evidence in harness.owner.ended] == [Ending.MALFORMED]
+
+
+def test_a_request_for_another_instance_goes_to_another_worker(harness: ExchangeHarness) -> None:
+    harness.answer_from_worker(421)
+    assert harness.client.answers == []
+    (evidence,) = harness.owner.ended
     assert cause_of(evidence) is Cause.WRONG_INSTANCE
-    assert scene.pool.closed_idle == [FIRST.instance_id], (
+    assert harness.pool.closed_idle == [FIRST.instance_id], (
         "its idle connections lead to the other instance too"
     )
 
 
-def test_a_workers_error_does_not_close_its_idle_connections(scene: Scene) -> None:
-    scene.worker_answers(500)
-    assert scene.pool.closed_idle == []
+def test_a_workers_error_does_not_close_its_idle_connections(harness: ExchangeHarness) -> None:
+    harness.answer_from_worker(500)
+    assert harness.pool.closed_idle == []
 
 
-def test_at_shutdown_a_request_that_was_sent_may_have_run(scene: Scene) -> None:
-    scene.exchange.send(FIRST)
-    scene.establish_connection()
-    scene.exchange.shut_down()
-    assert [may_forward(_status(answer)) for answer in scene.client.answers] == [True]
+def test_at_shutdown_a_request_that_was_sent_may_have_run(harness: ExchangeHarness) -> None:
+    harness.exchange.send(FIRST)
+    harness.establish_connection()
+    harness.exchange.shut_down()
+    assert [may_forward(_status(answer)) for answer in harness.client.answers] == [True]
 
 
-def test_at_shutdown_a_request_that_was_not_sent_gets_a_503(scene: Scene) -> None:
-    scene.exchange.send(FIRST)
-    scene.exchange.shut_down()
-    assert [_status(answer) for answer in scene.client.answers] == [503]
+def test_at_shutdown_a_request_that_was_not_sent_gets_a_503(harness: ExchangeHarness) -> None:
+    harness.exchange.send(FIRST)
+    harness.exchange.shut_down()
+    assert [_status(answer) for answer in harness.client.answers] == [503]
 
 
 @pytest.mark.parametrize(("repeat", "forwarded"), [(Repeat.NEVER, True), (Repeat.IDEMPOTENT, False)])
 def test_a_workers_error_is_forwarded_at_once_if_nothing_may_be_repeated(
-    scenes: Callable[[Repeat], Scene], repeat: Repeat, forwarded: bool
+    make_harness: Callable[[Repeat], ExchangeHarness], repeat: Repeat, forwarded: bool
 ) -> None:
-    scene = scenes(repeat)
-    scene.worker_answers(500)
-    assert bool(scene.client.answers) is forwarded
+    harness = make_harness(repeat)
+    harness.answer_from_worker(500)
+    assert bool(harness.client.answers) is forwarded
 
 
 @pytest.mark.parametrize(("repeat", "aborted"), [(Repeat.IDEMPOTENT, True), (Repeat.RESUMABLE, False)])
 def test_a_started_answer_continues_only_if_it_can_be_resumed(
-    scenes: Callable[[Repeat], Scene], repeat: Repeat, aborted: bool
+    make_harness: Callable[[Repeat], ExchangeHarness], repeat: Repeat, aborted: bool
 ) -> None:
-    scene = scenes(repeat)
-    scene.forward_event_then_time_out()
-    scene.worker_answers(500)
-    assert scene.client.aborted is aborted
-    assert scene.client.answers == []
+    harness = make_harness(repeat)
+    harness.forward_event_then_time_out()
+    harness.answer_from_worker(500)
+    assert harness.client.aborted is aborted
+    assert harness.client.answers == []
 
 
 @pytest.mark.parametrize("status", [200, 404, 408, 421, 429, 500, 502, 503, 504])
--- a/tests/data_plane/test_guards_pool.py
+++ b/tests/data_plane/test_guards_pool.py
@@ -38,9 +38,9 @@
 
 @pytest.fixture
 def connections() -> Iterator[Connections]:
-    made = Connections()
-    yield made
-    made.close()
+    pool_with_connections = Connections()
+    yield pool_with_connections
+    pool_with_connections.close()
 
 
 def test_a_closed_connection_is_not_kept_among_the_idle(connections: Connections) -> None:
--- a/tests/data_plane/test_headers.py
+++ b/tests/data_plane/test_headers.py
@@ -64,8 +64,8 @@
 def test_fields_that_connection_names_are_not_forwarded() -> None:
     head = request(b"Connection: close, X-Hop", b"X-Hop: 1", b"X-Kept: 1")
     assert forwarded_request_fields(head) == b"x-kept: 1\r\n"
-    named = answer(b"Connection: X-Hop", b"X-Hop: 1", b"X-Kept: 1")
-    assert forwarded_answer_fields(named) == b"x-kept: 1\r\n"
+    head_with_connection = answer(b"Connection: X-Hop", b"X-Hop: 1", b"X-Kept: 1")
+    assert forwarded_answer_fields(head_with_connection) == b"x-kept: 1\r\n"
 
 
 @pytest.mark.parametrize(
--- a/tests/data_plane/test_invariant_checks.py
+++ b/tests/data_plane/test_invariant_checks.py
@@ -16,7 +16,7 @@
 from reedspoke.net.http import Head
 from reedspoke.telemetry.invariants import Invariant, monitor
 from tests.data_plane.plane import WORKER, fresh_plane
-from tests.data_plane.test_guards_exchange import FIRST, OVERLOAD, SECOND, Scene
+from tests.data_plane.test_guards_exchange import FIRST, OVERLOAD, SECOND, ExchangeHarness
 
 EVENT = b"id: %d\ndata: x\n\n"
 LONG_S = 5.0
@@ -29,81 +29,81 @@
     return {violation.invariant for violation in monitor.reset_violations()}
 
 
-def send_attempt(scene: Scene) -> None:
+def send_attempt(harness: ExchangeHarness) -> None:
     """Sends an attempt."""
-    scene.exchange.send(FIRST)
-    scene.establish_connection()
+    harness.exchange.send(FIRST)
+    harness.establish_connection()
 
 
-def send_attempt_that_times_out(scene: Scene) -> None:
+def send_attempt_that_times_out(harness: ExchangeHarness) -> None:
     """Sends an attempt that times out."""
-    send_attempt(scene)
-    scene.exchange.time_out_attempt()
+    send_attempt(harness)
+    harness.exchange.time_out_attempt()
 
 
-def start_stream(scene: Scene, attempt_id: str = "a1", number: int = 3) -> None:
+def start_stream(harness: ExchangeHarness, attempt_id: str = "a1", number: int = 3) -> None:
     """Starts a stream with this event."""
-    send_attempt(scene)
+    send_attempt(harness)
     fields = [(b"reedspoke-response-seal", memoryview(b"s"))]
     fields.append((b"reedspoke-attempt-id", memoryview(attempt_id.encode())))
-    scene.exchange.on_head(Head(1, status=200, fields=fields))
-    scene.exchange.on_body(memoryview(EVENT % number))
+    harness.exchange.on_head(Head(1, status=200, fields=fields))
+    harness.exchange.on_body(memoryview(EVENT % number))
 
 
 def test_a_request_that_may_have_run_is_sent_again() -> None:
-    scene = Scene(Repeat.NEVER)
+    harness = ExchangeHarness(Repeat.NEVER)
 
     def play() -> None:
-        send_attempt_that_times_out(scene)
-        scene.exchange.send(SECOND)
-        scene.establish_connection()
+        send_attempt_that_times_out(harness)
+        harness.exchange.send(SECOND)
+        harness.establish_connection()
 
     assert violated_by(play) == {Invariant.NOT_SENT_AGAIN}
 
 
 def test_a_repeat_of_an_idempotent_request_is_no_violation() -> None:
-    scene = Scene(Repeat.IDEMPOTENT)
+    harness = ExchangeHarness(Repeat.IDEMPOTENT)
 
     def play() -> None:
-        send_attempt_that_times_out(scene)
-        scene.exchange.send(SECOND)
-        scene.establish_connection()
+        send_attempt_that_times_out(harness)
+        harness.exchange.send(SECOND)
+        harness.establish_connection()
 
     assert violated_by(play) == set()
 
 
 def test_more_workers_than_the_route_allows() -> None:
-    scene = Scene(Repeat.IDEMPOTENT)
+    harness = ExchangeHarness(Repeat.IDEMPOTENT)
 
     def play() -> None:
         for _ in range(3):
-            send_attempt_that_times_out(scene)
+            send_attempt_that_times_out(harness)
 
     assert violated_by(play) == {Invariant.ATTEMPTS_BOUNDED}
 
 
 def test_a_not_run_status_for_a_request_that_may_have_run() -> None:
-    scene = Scene(Repeat.NEVER)
+    harness = ExchangeHarness(Repeat.NEVER)
 
     def play() -> None:
-        send_attempt_that_times_out(scene)
-        scene.exchange.refuse(OVERLOAD)
+        send_attempt_that_times_out(harness)
+        harness.exchange.refuse(OVERLOAD)
 
     assert violated_by(play) == {Invariant.REFUSED_HAS_NOT_RUN}
 
 
 def test_a_not_run_status_while_an_attempt_is_in_flight() -> None:
-    scene = Scene(Repeat.NEVER)
+    harness = ExchangeHarness(Repeat.NEVER)
 
     def play() -> None:
-        send_attempt(scene)
-        scene.exchange.refuse(OVERLOAD)
+        send_attempt(harness)
+        harness.exchange.refuse(OVERLOAD)
 
     assert violated_by(play) == {Invariant.REFUSED_HAS_NOT_RUN}
 
 
 def test_another_request_s_answer() -> None:
-    assert violated_by(lambda: start_stream(Scene(), attempt_id="b7")) == {Invariant.ANSWER_IS_OWN}
+    assert violated_by(lambda: start_stream(ExchangeHarness(), attempt_id="b7")) == {Invariant.ANSWER_IS_OWN}
 
 
 def test_a_success_without_a_seal() -> None:
@@ -116,31 +116,31 @@
 
 @pytest.mark.parametrize(("second", "violated"), [(2, True), (3, True), (4, False), (9, False)])
 def test_events_that_do_not_rise(second: int, violated: bool) -> None:
-    scene = Scene()
+    harness = ExchangeHarness()
 
     def play() -> None:
-        start_stream(scene)
-        scene.exchange.on_body(memoryview(EVENT % second))
+        start_stream(harness)
+        harness.exchange.on_body(memoryview(EVENT % second))
 
     assert violated_by(play) == ({Invariant.EVENTS_RISE} if violated else set())
 
 
 @pytest.mark.parametrize(("second", "violated"), [(1, True), (4, False)])
 def test_a_resumed_stream_that_starts_at_a_wrong_event(second: int, violated: bool) -> None:
-    scene = Scene()
+    harness = ExchangeHarness()
 
     def play() -> None:
-        start_stream(scene)
-        scene.exchange.time_out_attempt()
-        start_stream(scene, number=second)
+        start_stream(harness)
+        harness.exchange.time_out_attempt()
+        start_stream(harness, number=second)
 
     assert violated_by(play) == ({Invariant.EVENTS_RISE} if violated else set())
 
 
 def test_a_request_to_a_worker_long_known_to_drain() -> None:
-    scene = Scene()
-    scene.owner.unavailable_since = lambda instance_id: scene.loop.time() - LONG_S  # type: ignore[method-assign]
-    assert violated_by(lambda: send_attempt(scene)) == {Invariant.DRAIN_OBEYED}
+    harness = ExchangeHarness()
+    harness.owner.unavailable_since = lambda instance_id: harness.loop.time() - LONG_S  # type: ignore[method-assign]
+    assert violated_by(lambda: send_attempt(harness)) == {Invariant.DRAIN_OBEYED}
 
 
 def test_two_answers_to_one_request() -> None:
--- a/tests/data_plane/test_request_log.py
+++ b/tests/data_plane/test_request_log.py
@@ -25,19 +25,19 @@
 @pytest.fixture
 def log_lines(monkeypatch: pytest.MonkeyPatch) -> Lines:
     """The log lines about requests: event and fields, encoded to JSON and decoded."""
-    found: Lines = []
+    lines: Lines = []
 
     def record(level: int, event: str, **fields: object) -> None:
-        found.append((event, json.loads(msgspec.json.encode(fields, enc_hook=str))))
+        lines.append((event, json.loads(msgspec.json.encode(fields, enc_hook=str))))
 
     monkeypatch.setattr(request_log, "log", record)
-    return found
+    return lines
 
 
 def line_about(log_lines: Lines, attempt_id: str) -> dict[str, Any]:
     """The only line about an attempt id."""
-    (found,) = [fields for _, fields in log_lines if fields.get("attempt_id") == attempt_id]
-    return found
+    (line,) = [fields for _, fields in log_lines if fields.get("attempt_id") == attempt_id]
+    return line
 
 
 def test_a_worker_that_never_answers(log_lines: Lines) -> None:
@@ -152,9 +152,9 @@
     now[0] = 1.0
     request_log_under_test.record(refused("a9"))
     assert line_about(log_lines, "a9")["suppressed_before"] == 3
-    found = request_log_under_test.find("a3")
-    assert found is not None
-    assert found.status == 503
+    trace = request_log_under_test.find("a3")
+    assert trace is not None
+    assert trace.status == 503
 
 
 def refused(attempt_id: str) -> RequestTrace:
--- a/tests/data_plane/wire.py
+++ b/tests/data_plane/wire.py
@@ -148,14 +148,14 @@
             self._lose(error)
 
     def _fill(self, data: bytes) -> None:
-        left = memoryview(data)
-        while left and not self.is_closing():
+        remaining = memoryview(data)
+        while remaining and not self.is_closing():
             room = memoryview(self.protocol.get_buffer(-1))
-            count = min(len(room), len(left))
+            count = min(len(room), len(remaining))
             assert count, "the receive buffer has no space"
-            room[:count] = left[:count]
+            room[:count] = remaining[:count]
             self.protocol.buffer_updated(count)
-            left = left[count:]
+            remaining = remaining[count:]
 
     def _end(self) -> None:
         if not self.is_closing() and not self.protocol.eof_received():
@@ -220,7 +220,7 @@
 
 def read_requests(raw: bytes) -> list[SeenRequest]:
     """The complete requests at the start of `raw`."""
-    found = []
+    requests = []
     while (parts := split_head(raw)) is not None:
         first, fields, rest = parts
         method, target, version = first.split(" ")
@@ -229,18 +229,18 @@
         length = int(dict(fields).get("content-length", "0"))
         if len(rest) < length:
             break
-        found.append(SeenRequest(method, target, fields, rest[:length]))
+        requests.append(SeenRequest(method, target, fields, rest[:length]))
         raw = rest[length:]
-    return found
+    return requests
 
 
 def read_answers(raw: bytes) -> list[SeenAnswer]:
-    """All answers in `raw`; the last one may be incomplete. Interim answers (1xx) are left out."""
-    found: list[SeenAnswer] = []
+    """All answers in `raw`; the last one may be incomplete. Interim answers (1xx) are omitted."""
+    answers: list[SeenAnswer] = []
     while raw:
         parts = split_head(raw)
         if parts is None:
-            found.append(SeenAnswer(0, [], raw, False))
+            answers.append(SeenAnswer(0, [], raw, False))
             break
         first, fields, rest = parts
         version, status = first.split(" ")[:2]
@@ -248,10 +248,10 @@
             raise NotHttpError(first)
         body, complete, raw = read_body(fields, rest, int(status))
         if int(status) >= 200:
-            found.append(SeenAnswer(int(status), fields, body, complete))
+            answers.append(SeenAnswer(int(status), fields, body, complete))
         if not complete:
             break
-    return found
+    return answers
 
 
 def read_body(fields: list[tuple[str, str]], rest: bytes, status: int) -> tuple[bytes, bool, bytes]:
--- a/tests/data_plane/world.py
+++ b/tests/data_plane/world.py
@@ -111,29 +111,31 @@
 
     @property
     def attempt_id(self) -> str:
-        found = self.request.get("reedspoke-attempt-id")
-        assert found is not None
-        return found
+        attempt_id = self.request.get("reedspoke-attempt-id")
+        assert attempt_id is not None
+        return attempt_id
 
-    def fields(self, **more: str) -> bytes:
+    def fields(self, **extra_fields: str) -> bytes:
         """The header lines of the worker's answer: the attempt id and the seal."""
-        named = {"Reedspoke-Attempt-Id": self.attempt_id, "Reedspoke-Response-Seal": SEAL}
-        named |= {name.replace("_", "-"): value for name, value in more.items()}
-        return "".join(f"{name}: {value}\r\n" for name, value in named.items()).encode()
+        fields = {"Reedspoke-Attempt-Id": self.attempt_id, "Reedspoke-Response-Seal": SEAL}
+        fields |= {name.replace("_", "-"): value for name, value in extra_fields.items()}
+        return "".join(f"{name}: {value}\r\n" for name, value in fields.items()).encode()
 
-    def complete_answer(self, body: bytes = b"the answer", status: str = "200 OK", **more: str) -> bytes:
+    def complete_answer(
+        self, body: bytes = b"the answer", status: str = "200 OK", **extra_fields: str
+    ) -> bytes:
         """A complete answer with a Content-Length."""
         length = f"Content-Length: {len(body)}\r\n".encode()
-        return b"HTTP/1.1 %b\r\n" % status.encode() + self.fields(**more) + length + b"\r\n" + body
+        return b"HTTP/1.1 %b\r\n" % status.encode() + self.fields(**extra_fields) + length + b"\r\n" + body
 
-    def stream_head(self, **more: str) -> bytes:
+    def stream_head(self, **extra_fields: str) -> bytes:
         coding = b"Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
-        return b"HTTP/1.1 200 OK\r\n" + self.fields(**more) + coding
+        return b"HTTP/1.1 200 OK\r\n" + self.fields(**extra_fields) + coding
 
-    def overload_answer(self, **more: str) -> bytes:
+    def overload_answer(self, **extra_fields: str) -> bytes:
         """The answer of a worker that has no free capacity."""
-        more |= {"Reedspoke_Not_Executed": "1", "Retry_After": "1"}
-        return self.complete_answer(b"", "503 Service Unavailable", **more)
+        extra_fields |= {"Reedspoke_Not_Executed": "1", "Retry_After": "1"}
+        return self.complete_answer(b"", "503 Service Unavailable", **extra_fields)
 
     def wrong_instance_answer(self) -> bytes:
         return self.complete_answer(b"", "421 Misdirected Request", Reedspoke_Not_Executed="1")
@@ -170,8 +172,8 @@
         return transport
 
     def _written(self, end: WorkerEnd) -> None:
-        known = sum(arrival.worker is end for arrival in self.arrivals)
-        self.arrivals += [Arrival(end, request) for request in end.requests()[known:]]
+        arrived_count = sum(arrival.worker is end for arrival in self.arrivals)
+        self.arrivals += [Arrival(end, request) for request in end.requests()[arrived_count:]]
 
 
 class Frontend:
@@ -225,10 +227,10 @@
         self.world.loop.settle()
 
     def send_request(
-        self, path: str, attempt_id: str = "a1", body: bytes = b"the question", **more: str
+        self, path: str, attempt_id: str = "a1", body: bytes = b"the question", **extra_fields: str
     ) -> None:
         """Sends a request."""
-        self.send(request_bytes(path, attempt_id, body, **more))
+        self.send(request_bytes(path, attempt_id, body, **extra_fields))
 
     def disconnect(self) -> None:
         self.transport.arrive_reset()
@@ -239,8 +241,8 @@
 
     def answer(self) -> SeenAnswer:
         """The only answer that was received."""
-        (found,) = self.answers()
-        return found
+        (answer,) = self.answers()
+        return answer
 
     @property
     def was_reset(self) -> bool:
@@ -248,11 +250,13 @@
         return self.transport.aborted
 
 
-def request_bytes(path: str, attempt_id: str = "a1", body: bytes = b"the question", **more: str) -> bytes:
+def request_bytes(
+    path: str, attempt_id: str = "a1", body: bytes = b"the question", **extra_fields: str
+) -> bytes:
     """The bytes of a request."""
-    named = {"Host": HOST, "Reedspoke-Attempt-Id": attempt_id, "Content-Length": str(len(body))}
-    named |= {name.replace("_", "-"): value for name, value in more.items()}
-    lines = "".join(f"{name}: {value}\r\n" for name, value in named.items())
+    fields = {"Host": HOST, "Reedspoke-Attempt-Id": attempt_id, "Content-Length": str(len(body))}
+    fields |= {name.replace("_", "-"): value for name, value in extra_fields.items()}
+    lines = "".join(f"{name}: {value}\r\n" for name, value in fields.items())
     return f"POST {path} HTTP/1.1\r\n{lines}\r\n".encode() + body
 
 
@@ -273,11 +277,11 @@
         return made
 
     def new_request(
-        self, path: str, attempt_id: str = "a1", body: bytes = b"the question", **more: str
+        self, path: str, attempt_id: str = "a1", body: bytes = b"the question", **extra_fields: str
     ) -> Client:
         """Creates a client that sends a request."""
         made = self.client()
-        made.send_request(path, attempt_id, body, **more)
+        made.send_request(path, attempt_id, body, **extra_fields)
         return made
 
     @property
