--- a/tests/data_plane/plane.py
+++ b/tests/data_plane/plane.py
@@ -1,4 +1,4 @@
-"""A whole data plane without listening sockets, in virtual time."""
+"""A complete data plane without listening sockets, in virtual time."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class ServerStandIn:
-    """What accepts connections."""
+    """The server that accepts connections."""
 
     def __init__(self, loop: VirtualLoop) -> None:
         self.loop = loop
@@ -39,8 +39,8 @@
     plane: DataPlane
     server: ServerStandIn
 
-    def learn(self, workers: tuple[WorkerEntry, ...] = (WORKER,)) -> None:
-        """A control scheduler, confirmed by a majority, tells of a configuration and of workers."""
+    def receive_state(self, workers: tuple[WorkerEntry, ...] = (WORKER,)) -> None:
+        """Delivers a configuration and workers, as from a control scheduler that a majority confirms."""
         self.network.names |= {worker.address: worker.instance_id for worker in workers}
         self.plane._confirmation.told((1, 0), self.loop.time())
         self.plane._subscription.take(ConfigurationSnapshot((1, 0), document(2, LIMITS)))
@@ -51,7 +51,7 @@
         self.network.transports.append(transport)
         return transport
 
-    def asked(self, path: str, attempt_id: str = "a1") -> TransportStandIn:
+    def new_request(self, path: str, attempt_id: str = "a1") -> TransportStandIn:
         transport = self.connect()
         transport.arrive(request_bytes(path, attempt_id))
         self.loop.settle()
@@ -60,8 +60,8 @@
     def arrival(self) -> Arrival:
         return self.network.arrivals[-1]
 
-    def finish(self) -> asyncio.Task[None]:
-        """SIGTERM has come."""
+    def shut_down(self) -> asyncio.Task[None]:
+        """Starts the shutdown, as after SIGTERM."""
         task = self.loop.create_task(self.plane._finish(self.server))  # type: ignore[arg-type]
         self.loop.settle()
         return task
@@ -92,5 +92,6 @@
 
 
 def answer(transport: TransportStandIn) -> SeenAnswer:
-    (found,) = read_answers(bytes(transport.written))
-    return found
+    """The only answer that was written to a client."""
+    (only_answer,) = read_answers(bytes(transport.written))
+    return only_answer
--- a/tests/data_plane/stage.py
+++ b/tests/data_plane/stage.py
@@ -11,7 +11,14 @@
 
 from tests.control_plane_process.fleet import logged_defects
 from tests.control_plane_process.stand_ins import wait_until
-from tests.data_plane.stand_ins import UP_S, Background, ControlStandIn, EdgeProcess, WorkerStandIn, call
+from tests.data_plane.stand_ins import (
+    WAIT_TIMEOUT_S,
+    Background,
+    ControlStandIn,
+    EdgeProcess,
+    WorkerStandIn,
+    call,
+)
 from tests.ports import free_port
 
 HOSTS = ("127.0.0.1", "127.0.0.2")
@@ -19,7 +26,7 @@
 
 
 def document(generation: int, *prefixes: str) -> bytes:
-    """A configuration with these prefixes, besides the stream."""
+    """A configuration with routes for these prefixes and for the stream."""
     routes = [
         {
             "name": f"r{prefix}",
@@ -35,27 +42,27 @@
 
 
 class Stage(Struct, eq=False):
-    """Everything together."""
+    """A data plane process with its control schedulers and a worker."""
 
     background: Background
     controls: list[ControlStandIn]
     worker: WorkerStandIn
     edge: EdgeProcess
 
-    def tell(self, sequence: int, *prefixes: str, control: int = 0) -> None:
-        known = document(sequence, *prefixes)
-        self.controls[control].tell(sequence, known, (self.worker.entry(),))
+    def publish(self, sequence: int, *prefixes: str, control: int = 0) -> None:
+        configuration = document(sequence, *prefixes)
+        self.controls[control].publish(sequence, configuration, (self.worker.entry(),))
 
-    def ask(self, path: str, attempt_id: str = "a1") -> tuple[int, bytes]:
+    def request(self, path: str, attempt_id: str = "a1") -> tuple[int, bytes]:
         return call(self.edge.frontend, "GET", path, HOST, attempt_id)
 
     def until_status(self, path: str, status: int) -> None:
-        wait_until(lambda: self.ask(path)[0] == status, UP_S, f"{path} gives {status}")
+        wait_until(lambda: self.request(path)[0] == status, WAIT_TIMEOUT_S, f"{path} gives {status}")
 
     def start(self) -> None:
-        """With one control scheduler that knows a route to /one/."""
+        """Starts the process with one control scheduler that serves a route to /one/."""
         self.controls[0].start()
-        self.tell(3, "/one/")
+        self.publish(3, "/one/")
         self.edge.write_settings([HOSTS[0]])
         self.edge.start()
         self.edge.until_ready()
@@ -63,7 +70,7 @@
 
 @contextmanager
 def fresh_stage(folder: Path) -> Iterator[Stage]:
-    """All of it, until the block ends."""
+    """A stage until the block ends."""
     background = Background()
     port = free_port(HOSTS)
     frontend, readiness = (f"127.0.0.1:{free_port(HOSTS)}" for _ in range(2))
--- a/tests/data_plane/test_guards_exchange.py
+++ b/tests/data_plane/test_guards_exchange.py
@@ -1,4 +1,4 @@
-"""Guards of an exchange, one at a time: the dispatcher, the worker and the client are the test."""
+"""Guards of an exchange, one at a time: the test acts as dispatcher, worker and client."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from reedspoke.common.errors import ErrorCode
 from reedspoke.data_plane import exchange
-from reedspoke.data_plane.answers import WholeAnswer
+from reedspoke.data_plane.answers import CompleteAnswer
 from reedspoke.data_plane.client_connection import ClientRequest
 from reedspoke.data_plane.exchange import Exchange
 from reedspoke.data_plane.route_table import CompiledRoute, Target
@@ -41,17 +41,17 @@
 
 
 class ClientStandIn:
-    """Notes what the exchange writes."""
+    """Records what the exchange writes."""
 
     def __init__(self) -> None:
-        self.answers: list[WholeAnswer] = []
+        self.answers: list[CompleteAnswer] = []
         self.pieces: list[bytes] = []
         self.aborted = False
 
-    def answer_whole(self, answer: WholeAnswer) -> None:
+    def send_answer(self, answer: CompleteAnswer) -> None:
         self.answers.append(answer)
 
-    def begin_stream(self, status_line: bytes, fields: bytes, first: bytes) -> None:
+    def start_stream(self, status_line: bytes, fields: bytes, first: bytes) -> None:
         self.pieces.append(first)
 
     def write_piece(self, piece: bytes) -> None:
@@ -62,39 +62,39 @@
 
 
 class OwnerStandIn:
-    """Notes how attempts have ended."""
+    """Records how attempts ended."""
 
     def __init__(self) -> None:
         self.ended: list[Evidence] = []
 
-    def progress(self, exchange: Exchange) -> None:
-        """Nothing is timed."""
+    def data_received(self, exchange: Exchange) -> None:
+        """Does nothing: no time-outs are tested."""
 
-    def first_event(self, exchange: Exchange) -> None:
-        """Nothing is learned of workers."""
+    def answer_started(self, exchange: Exchange) -> None:
+        """Does nothing: no worker statistics are tested."""
 
     def attempt_ended(self, exchange: Exchange, evidence: Evidence) -> None:
         self.ended.append(evidence)
 
-    def finished(self, exchange: Exchange) -> None:
-        """The test sees it at the client."""
+    def exchange_finished(self, exchange: Exchange) -> None:
+        """Does nothing: tests check what the client receives."""
 
-    def called_off(self, exchange: Exchange) -> None:
-        """The test sees it at the client."""
+    def exchange_aborted(self, exchange: Exchange) -> None:
+        """Does nothing: tests check what the client receives."""
 
-    def known_to_leave_since(self, instance_id: str) -> float | None:
-        """No worker leaves."""
+    def unavailable_since(self, instance_id: str) -> float | None:
+        """Every worker is available."""
         return None
 
 
 class ConnectionStandIn(UpstreamConnection):
-    """A connection on which nothing has come; what is sent is kept."""
+    """A connection without received data; records what is sent."""
 
     def __init__(self, loop: VirtualLoop) -> None:
         super().__init__(loop)
         self.sent: list[bytes] = []
 
-    def is_quiet(self) -> bool:
+    def is_healthy(self) -> bool:
         return True
 
     def send(
@@ -103,32 +103,32 @@
         self.sent.append(request)
 
     def close(self) -> None:
-        """There is no transport."""
+        """Does nothing, as there is no transport."""
 
 
 class PoolStandIn:
-    """Has no idle connection; those that are asked for come up when the test says so."""
+    """A pool without idle connections; the test establishes the requested ones."""
 
     def __init__(self) -> None:
         self.connecting: list[Callable[[ConnectResult], None]] = []
-        self.given_back: list[str] = []
-        self.forgotten: list[str] = []
+        self.released: list[str] = []
+        self.closed_idle: list[str] = []
 
     def take_idle(self, instance_id: str) -> None:
         return None
 
-    def connect(self, address: str, done: Callable[[ConnectResult], None]) -> None:
-        self.connecting.append(done)
+    def connect(self, address: str, on_result: Callable[[ConnectResult], None]) -> None:
+        self.connecting.append(on_result)
 
-    def forget(self, instance_id: str) -> None:
-        self.forgotten.append(instance_id)
+    def close_idle(self, instance_id: str) -> None:
+        self.closed_idle.append(instance_id)
 
-    def give_back(self, instance_id: str, connection: UpstreamConnection) -> None:
-        self.given_back.append(instance_id)
+    def release(self, instance_id: str, connection: UpstreamConnection) -> None:
+        self.released.append(instance_id)
 
 
-class Scene:
-    """An exchange between stand-ins."""
+class ExchangeHarness:
+    """An exchange with stand-ins of its owner, pool, client and workers."""
 
     def __init__(self, repeat: Repeat = Repeat.RESUMABLE) -> None:
         self.loop = VirtualLoop()
@@ -157,178 +157,182 @@
             job,
         )
 
-    def connected(self) -> ConnectionStandIn:
-        """The connection that was asked for first comes up."""
+    def establish_connection(self) -> ConnectionStandIn:
+        """Establishes the connection that was requested first."""
         connection = ConnectionStandIn(self.loop)
         self.pool.connecting.pop(0)(connection)
         return connection
 
-    def worker_answers(self, status: int, body: bytes = b"why") -> None:
-        """A worker answers whole, with this status and without any proof that it has not run the request."""
+    def answer_from_worker(self, status: int, body: bytes = b"why") -> None:
+        """A worker sends a complete answer of this status, without proof that the request has not run."""
         self.exchange.send(FIRST)
-        self.connected()
+        self.establish_connection()
         self.exchange.on_head(Head(1, status=status))
         self.exchange.on_body(memoryview(body))
         self.exchange.on_end(framed=True)
 
-    def worker_fails(self, body: bytes) -> None:
-        """A worker answers 500; the exchange keeps that answer and asks for another attempt."""
-        self.worker_answers(500, body)
+    def fail_worker(self, body: bytes) -> None:
+        """A worker answers 500; the exchange keeps that answer and reports the end of the attempt."""
+        self.answer_from_worker(500, body)
         assert len(self.owner.ended) == 1
         assert self.client.answers == []
 
-    def events_pass(self) -> None:
-        """A worker's first event reaches the client, then its connection is given up."""
+    def forward_event_then_time_out(self) -> None:
+        """A worker's first event reaches the client, then the attempt times out."""
         self.exchange.send(FIRST)
-        self.connected()
+        self.establish_connection()
         sealed = [
             (b"reedspoke-response-seal", memoryview(b"seal")),
             (b"reedspoke-attempt-id", memoryview(b"a1")),
         ]
         self.exchange.on_head(Head(1, status=200, fields=sealed))
         self.exchange.on_body(memoryview(b"id: 1\ndata: x\n\n"))
-        self.exchange.give_up_attempt()
+        self.exchange.time_out_attempt()
         assert self.client.pieces == [b"id: 1\ndata: x\n\n"]
 
 
 @pytest.fixture
-def scenes() -> Iterator[Callable[[Repeat], Scene]]:
-    made: list[Scene] = []
+def make_harness() -> Iterator[Callable[[Repeat], ExchangeHarness]]:
+    harnesses: list[ExchangeHarness] = []
 
-    def make(repeat: Repeat) -> Scene:
-        made.append(Scene(repeat))
-        return made[-1]
+    def make(repeat: Repeat) -> ExchangeHarness:
+        harnesses.append(ExchangeHarness(repeat))
+        return harnesses[-1]
 
     yield make
-    for scene in made:
-        scene.loop.close()
+    for harness in harnesses:
+        harness.loop.close()
 
 
 @pytest.fixture
-def scene(scenes: Callable[[Repeat], Scene]) -> Scene:
-    return scenes(Repeat.RESUMABLE)
+def harness(make_harness: Callable[[Repeat], ExchangeHarness]) -> ExchangeHarness:
+    return make_harness(Repeat.RESUMABLE)
 
 
-def _status(answer: WholeAnswer) -> int:
+def _status(answer: CompleteAnswer) -> int:
     return int(answer.status_line.split()[1])
 
 
-def _error_code(answer: WholeAnswer) -> int:
+def _error_code(answer: CompleteAnswer) -> int:
     code = json.loads(answer.body)["error"]["code"]
     assert isinstance(code, int)
     return code
 
 
-def test_an_answer_that_has_begun_is_broken_off_and_not_followed_by_a_refusal(scene: Scene) -> None:
-    scene.events_pass()
-    scene.exchange.refuse(OVERLOAD)
-    assert scene.client.aborted
-    assert scene.client.answers == []
+def test_a_started_answer_is_aborted_and_not_followed_by_a_refusal(harness: ExchangeHarness) -> None:
+    harness.forward_event_then_time_out()
+    harness.exchange.refuse(OVERLOAD)
+    assert harness.client.aborted
+    assert harness.client.answers == []
 
 
-def test_an_answer_that_has_begun_is_broken_off_when_the_budget_is_spent(scene: Scene) -> None:
-    scene.events_pass()
-    scene.exchange.fail(BUDGET_SPENT)
-    assert scene.client.aborted
-    assert scene.client.answers == []
+def test_a_started_answer_is_aborted_when_the_retry_budget_is_spent(harness: ExchangeHarness) -> None:
+    harness.forward_event_then_time_out()
+    harness.exchange.fail(BUDGET_SPENT)
+    assert harness.client.aborted
+    assert harness.client.answers == []
 
 
-def test_a_worker_s_error_is_passed_on_in_place_of_a_refusal(scene: Scene) -> None:
-    scene.worker_fails(b"why")
-    scene.exchange.refuse(OVERLOAD)
-    (answer,) = scene.client.answers
+def test_a_workers_error_is_forwarded_in_place_of_a_refusal(harness: ExchangeHarness) -> None:
+    harness.fail_worker(b"why")
+    harness.exchange.refuse(OVERLOAD)
+    (answer,) = harness.client.answers
     assert (answer.status_line.split()[1], answer.body) == (b"500", b"why")
 
 
-def test_a_worker_s_error_is_passed_on_when_the_budget_is_spent(scene: Scene) -> None:
-    scene.worker_fails(b"why")
-    scene.exchange.fail(BUDGET_SPENT)
-    (answer,) = scene.client.answers
+def test_a_workers_error_is_forwarded_when_the_retry_budget_is_spent(harness: ExchangeHarness) -> None:
+    harness.fail_worker(b"why")
+    harness.exchange.fail(BUDGET_SPENT)
+    (answer,) = harness.client.answers
     assert (answer.status_line.split()[1], answer.body) == (b"500", b"why")
 
 
-def test_without_any_answer_a_spent_budget_is_told(scene: Scene) -> None:
-    scene.exchange.fail(BUDGET_SPENT)
-    (answer,) = scene.client.answers
+def test_without_any_answer_a_spent_retry_budget_is_reported(harness: ExchangeHarness) -> None:
+    harness.exchange.fail(BUDGET_SPENT)
+    (answer,) = harness.client.answers
     assert _error_code(answer) == ErrorCode.RETRY_BUDGET
 
 
-def test_a_connection_that_comes_up_late_is_kept_for_its_own_worker(scene: Scene) -> None:
-    scene.exchange.send(FIRST)
-    scene.exchange.give_up_attempt()
-    scene.exchange.send(SECOND)
-    late = scene.connected()
+def test_a_connection_established_late_is_kept_for_its_own_worker(harness: ExchangeHarness) -> None:
+    harness.exchange.send(FIRST)
+    harness.exchange.time_out_attempt()
+    harness.exchange.send(SECOND)
+    late = harness.establish_connection()
     assert late.sent == []
-    assert scene.pool.given_back == [FIRST.instance_id]
-    assert len(scene.connected().sent) == 1
+    assert harness.pool.released == [FIRST.instance_id]
+    assert len(harness.establish_connection().sent) == 1
 
 
-def test_nothing_of_a_request_has_left_before_its_connection_is_up(scene: Scene) -> None:
-    scene.exchange.send(FIRST)
-    attempt = scene.exchange.open_attempt()
+def test_no_byte_counts_as_sent_before_the_connection_is_established(harness: ExchangeHarness) -> None:
+    harness.exchange.send(FIRST)
+    attempt = harness.exchange.open_attempt()
     assert attempt is not None
     assert not attempt.connected
-    scene.exchange.give_up_attempt()
-    assert not scene.owner.ended[0].bytes_sent
+    harness.exchange.time_out_attempt()
+    assert not harness.owner.ended[0].bytes_sent
 
 
-def test_an_answer_that_is_too_long_ends_its_attempt(scene: Scene, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(exchange, "MOST_WHOLE_ANSWER", 10)
-    scene.exchange.send(FIRST)
-    scene.connected()
-    scene.exchange.on_head(Head(1, status=500))
-    scene.exchange.on_body(memoryview(b"0123456789"))
-    assert scene.owner.ended == []
-    scene.exchange.on_body(memoryview(b"0"))
-    assert [evidence.ending for evidence in scene.owner.ended] == [Ending.MALFORMED]
-
-
-def test_a_request_for_another_instance_goes_to_another_worker(scene: Scene) -> None:
-    scene.worker_answers(421)
-    assert scene.client.answers == []
-    (evidence,) = scene.owner.ended
+def test_an_answer_that_is_too_long_ends_its_attempt(
+    harness: ExchangeHarness, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    monkeypatch.setattr(exchange, "MAX_BUFFERED_ANSWER_BYTES", 10)
+    harness.exchange.send(FIRST)
+    harness.establish_connection()
+    harness.exchange.on_head(Head(1, status=500))
+    harness.exchange.on_body(memoryview(b"0123456789"))
+    assert harness.owner.ended == []
+    harness.exchange.on_body(memoryview(b"0"))
+    assert [evidence.ending for evidence in harness.owner.ended] == [Ending.MALFORMED]
+
+
+def test_a_request_for_another_instance_goes_to_another_worker(harness: ExchangeHarness) -> None:
+    harness.answer_from_worker(421)
+    assert harness.client.answers == []
+    (evidence,) = harness.owner.ended
     assert cause_of(evidence) is Cause.WRONG_INSTANCE
-    assert scene.pool.forgotten == [FIRST.instance_id], "its idle connections lead to the other instance too"
+    assert harness.pool.closed_idle == [FIRST.instance_id], (
+        "its idle connections lead to the other instance too"
+    )
 
 
-def test_an_error_of_a_worker_leaves_its_idle_connections(scene: Scene) -> None:
-    scene.worker_answers(500)
-    assert scene.pool.forgotten == []
+def test_a_workers_error_does_not_close_its_idle_connections(harness: ExchangeHarness) -> None:
+    harness.answer_from_worker(500)
+    assert harness.pool.closed_idle == []
 
 
-def test_at_the_end_of_the_process_a_request_that_a_worker_has_is_promised_nothing(scene: Scene) -> None:
-    scene.exchange.send(FIRST)
-    scene.connected()
-    scene.exchange.shut_down()
-    assert [may_forward(_status(answer)) for answer in scene.client.answers] == [True]
+def test_at_shutdown_a_request_that_was_sent_may_have_run(harness: ExchangeHarness) -> None:
+    harness.exchange.send(FIRST)
+    harness.establish_connection()
+    harness.exchange.shut_down()
+    assert [may_forward(_status(answer)) for answer in harness.client.answers] == [True]
 
 
-def test_at_the_end_of_the_process_a_request_that_has_not_left_may_be_sent_again(scene: Scene) -> None:
-    scene.exchange.send(FIRST)
-    scene.exchange.shut_down()
-    assert [_status(answer) for answer in scene.client.answers] == [503]
+def test_at_shutdown_a_request_that_was_not_sent_gets_a_503(harness: ExchangeHarness) -> None:
+    harness.exchange.send(FIRST)
+    harness.exchange.shut_down()
+    assert [_status(answer) for answer in harness.client.answers] == [503]
 
 
-@pytest.mark.parametrize(("repeat", "passed_on"), [(Repeat.NEVER, True), (Repeat.IDEMPOTENT, False)])
-def test_a_worker_s_error_is_passed_on_at_once_where_nothing_may_be_repeated(
-    scenes: Callable[[Repeat], Scene], repeat: Repeat, passed_on: bool
+@pytest.mark.parametrize(("repeat", "forwarded"), [(Repeat.NEVER, True), (Repeat.IDEMPOTENT, False)])
+def test_a_workers_error_is_forwarded_at_once_if_nothing_may_be_repeated(
+    make_harness: Callable[[Repeat], ExchangeHarness], repeat: Repeat, forwarded: bool
 ) -> None:
-    scene = scenes(repeat)
-    scene.worker_answers(500)
-    assert bool(scene.client.answers) is passed_on
+    harness = make_harness(repeat)
+    harness.answer_from_worker(500)
+    assert bool(harness.client.answers) is forwarded
 
 
-@pytest.mark.parametrize(("repeat", "broken_off"), [(Repeat.IDEMPOTENT, True), (Repeat.RESUMABLE, False)])
-def test_an_answer_that_has_begun_goes_on_only_where_it_can_be_resumed(
-    scenes: Callable[[Repeat], Scene], repeat: Repeat, broken_off: bool
+@pytest.mark.parametrize(("repeat", "aborted"), [(Repeat.IDEMPOTENT, True), (Repeat.RESUMABLE, False)])
+def test_a_started_answer_continues_only_if_it_can_be_resumed(
+    make_harness: Callable[[Repeat], ExchangeHarness], repeat: Repeat, aborted: bool
 ) -> None:
-    scene = scenes(repeat)
-    scene.events_pass()
-    scene.worker_answers(500)
-    assert scene.client.aborted is broken_off
-    assert scene.client.answers == []
+    harness = make_harness(repeat)
+    harness.forward_event_then_time_out()
+    harness.answer_from_worker(500)
+    assert harness.client.aborted is aborted
+    assert harness.client.answers == []
 
 
 @pytest.mark.parametrize("status", [200, 404, 408, 421, 429, 500, 502, 503, 504])
-def test_statuses_that_promise_are_not_passed_on(status: int) -> None:
+def test_statuses_that_claim_not_run_are_not_forwarded(status: int) -> None:
     assert may_forward(status) is (status not in (408, 421, 429, 503))
--- a/tests/data_plane/test_guards_pool.py
+++ b/tests/data_plane/test_guards_pool.py
@@ -10,27 +10,27 @@
 from reedspoke.data_plane.upstream_pool import UpstreamPool
 from tests.data_plane.virtual_loop import VirtualLoop
 from tests.data_plane.wire import TransportStandIn
-from tests.data_plane.world import ONCE, World
+from tests.data_plane.world import NON_IDEMPOTENT, World
 
 INSTANCE = "i-1"
 
 
 class Connections:
-    """A pool, and connections that are up."""
+    """A pool and established connections."""
 
     def __init__(self) -> None:
         self.loop = VirtualLoop()
         self.pool = UpstreamPool(self.loop)
         self._transports: list[TransportStandIn] = []
 
-    def up(self) -> UpstreamConnection:
-        """One more connection."""
+    def establish(self) -> UpstreamConnection:
+        """Establishes one more connection."""
         connection = UpstreamConnection(self.loop)
         self._transports.append(TransportStandIn(self.loop, connection))
         return connection
 
     def close(self) -> None:
-        """Nothing stays open."""
+        """Closes everything."""
         for transport in self._transports:
             transport.socket.close()
         self.loop.close()
@@ -38,44 +38,44 @@
 
 @pytest.fixture
 def connections() -> Iterator[Connections]:
-    made = Connections()
-    yield made
-    made.close()
+    pool_with_connections = Connections()
+    yield pool_with_connections
+    pool_with_connections.close()
 
 
-def test_a_connection_that_has_ended_takes_no_place_among_the_idle(connections: Connections) -> None:
+def test_a_closed_connection_is_not_kept_among_the_idle(connections: Connections) -> None:
     pool = connections.pool
-    pool.most_idle = {INSTANCE: 1}
-    ended, idle = connections.up(), connections.up()
+    pool.max_idle = {INSTANCE: 1}
+    ended, idle = connections.establish(), connections.establish()
     ended.close()
-    pool.give_back(INSTANCE, ended)
-    pool.give_back(INSTANCE, idle)
+    pool.release(INSTANCE, ended)
+    pool.release(INSTANCE, idle)
     assert pool.take_idle(INSTANCE) is idle
     assert pool.take_idle(INSTANCE) is None
 
 
 def test_no_more_connections_are_kept_than_the_share(connections: Connections) -> None:
     pool = connections.pool
-    pool.most_idle = {INSTANCE: 1}
-    first, second = connections.up(), connections.up()
+    pool.max_idle = {INSTANCE: 1}
+    first, second = connections.establish(), connections.establish()
     for connection in (first, second):
-        pool.give_back(INSTANCE, connection)
+        pool.release(INSTANCE, connection)
     assert pool.take_idle(INSTANCE) is first
-    assert not second.open
+    assert not second.is_open
 
 
-def test_a_connection_whose_time_is_over_is_not_used(connections: Connections) -> None:
+def test_an_expired_connection_is_not_used(connections: Connections) -> None:
     pool = connections.pool
-    connection = connections.up()
-    pool.give_back(INSTANCE, connection)
+    connection = connections.establish()
+    pool.release(INSTANCE, connection)
     connections.loop.run_for(connection.usable_until - connections.loop.time())
     assert pool.take_idle(INSTANCE) is None
-    assert not connection.open
+    assert not connection.is_open
 
 
-def test_a_connection_that_its_worker_is_about_to_end_carries_no_further_request(world: World) -> None:
-    client = world.asked(ONCE)
+def test_a_connection_that_its_worker_will_close_carries_no_further_request(world: World) -> None:
+    client = world.new_request(NON_IDEMPOTENT)
     arrival = world.arrival()
-    arrival.worker.say(arrival.whole(Connection="close"))
+    arrival.worker.send(arrival.complete_answer(Connection="close"))
     assert client.answer().status == 200
-    assert arrival.worker.over
+    assert arrival.worker.is_closed
--- a/tests/data_plane/world.py
+++ b/tests/data_plane/world.py
@@ -1,4 +1,4 @@
-"""A data plane without sockets: its parts are real, clients and workers are the test."""
+"""A data plane without sockets: the modules are real, the test acts as clients and workers."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 from reedspoke.common.configuration_parsing import parse_configuration
 from reedspoke.common.errors import ErrorCode
 from reedspoke.common.messages import WorkerEntry, WorkerList
-from reedspoke.data_plane.answers import own_answer
-from reedspoke.data_plane.client_connection import ClientConnection, ClientRequest, Exchange
+from reedspoke.data_plane.answers import error_answer
+from reedspoke.data_plane.client_connection import ClientConnection, ClientRequest, RequestHandler
 from reedspoke.data_plane.forwarder import Forwarder
-from reedspoke.data_plane.headers import ATTEMPT_ID, text_of
+from reedspoke.data_plane.headers import ATTEMPT_ID, field_text
 from reedspoke.data_plane.request_entry import NoExchange
 from reedspoke.data_plane.route_table import RouteTable
 from reedspoke.data_plane.upstream_pool import UpstreamPool
@@ -33,16 +33,16 @@
 
 HOST = "a.example"
 SEAL = "3e1b.07.5a2.600.0.c9f2a4d1"
-TIMEOUT_S = 20.0  # of every route
-AIM_S = 2.0
-SLOW_S = 0.5  # a connection that comes up slowly
-ONCE, AGAIN, STREAM, RESUME = "/once/", "/again/", "/stream/", "/resume/"
-NEVER_REPEATED = (ONCE, STREAM)
-KINDS: dict[str, dict[str, object]] = {
-    ONCE: {"route_type": "non_idempotent"},
-    AGAIN: {"route_type": "idempotent"},
-    STREAM: {"route_type": "streaming"},
-    RESUME: {"route_type": "streaming", "stream_resume": True},
+TIMEOUT_S = 20.0  # Timeout of every route.
+LATENCY_TARGET_S = 2.0
+SLOW_CONNECT_S = 0.5  # Delay of a connection that is established slowly.
+NON_IDEMPOTENT, IDEMPOTENT, STREAMING, RESUMABLE = "/once/", "/again/", "/stream/", "/resume/"
+NEVER_REPEATED = (NON_IDEMPOTENT, STREAMING)
+ROUTE_FIELDS: dict[str, dict[str, object]] = {
+    NON_IDEMPOTENT: {"route_type": "non_idempotent"},
+    IDEMPOTENT: {"route_type": "idempotent"},
+    STREAMING: {"route_type": "streaming"},
+    RESUMABLE: {"route_type": "streaming", "stream_resume": True},
 }
 ENGINE = {"capacity": 8, "kv_tokens": 200_000}
 LIMITS = {
@@ -63,12 +63,12 @@
             "hostname": HOST,
             "path_prefix": prefix,
             "timeout_ms": TIMEOUT_S * 1000,
-            "target_ms": AIM_S * 1000,
+            "target_ms": LATENCY_TARGET_S * 1000,
             "upstream": "u1",
             "max_attempts": attempts,
         }
         | kind
-        for prefix, kind in KINDS.items()
+        for prefix, kind in ROUTE_FIELDS.items()
     ]
     upstreams: list[dict[str, object]] = [{"name": "u1", "max_connections": most_connections}]
     if engine:
@@ -77,12 +77,12 @@
 
 
 class WorkerEnd(Struct, eq=False):
-    """The worker's end of a connection."""
+    """A connection as its worker sees it."""
 
     instance_id: str
     transport: TransportStandIn
 
-    def say(self, data: bytes) -> None:
+    def send(self, data: bytes) -> None:
         self.transport.arrive(data)
         self.transport.loop.settle()
 
@@ -98,54 +98,56 @@
         return read_requests(bytes(self.transport.written))
 
     @property
-    def over(self) -> bool:
-        """Whether the connection has ended."""
+    def is_closed(self) -> bool:
+        """Whether the connection is closed."""
         return self.transport.is_closing()
 
 
 class Arrival(Struct, eq=False):
-    """A request that has reached a worker."""
+    """A request that arrived at a worker."""
 
     worker: WorkerEnd
     request: SeenRequest
 
     @property
     def attempt_id(self) -> str:
-        found = self.request.get("reedspoke-attempt-id")
-        assert found is not None
-        return found
-
-    def fields(self, **more: str) -> bytes:
-        """The fields of the worker's answer: echo and stamp."""
-        named = {"Reedspoke-Attempt-Id": self.attempt_id, "Reedspoke-Response-Seal": SEAL}
-        named |= {name.replace("_", "-"): value for name, value in more.items()}
-        return "".join(f"{name}: {value}\r\n" for name, value in named.items()).encode()
-
-    def whole(self, body: bytes = b"the answer", status: str = "200 OK", **more: str) -> bytes:
-        """An answer with its length."""
+        attempt_id = self.request.get("reedspoke-attempt-id")
+        assert attempt_id is not None
+        return attempt_id
+
+    def fields(self, **extra_fields: str) -> bytes:
+        """The header lines of the worker's answer: the attempt id and the seal."""
+        fields = {"Reedspoke-Attempt-Id": self.attempt_id, "Reedspoke-Response-Seal": SEAL}
+        fields |= {name.replace("_", "-"): value for name, value in extra_fields.items()}
+        return "".join(f"{name}: {value}\r\n" for name, value in fields.items()).encode()
+
+    def complete_answer(
+        self, body: bytes = b"the answer", status: str = "200 OK", **extra_fields: str
+    ) -> bytes:
+        """A complete answer with a Content-Length."""
         length = f"Content-Length: {len(body)}\r\n".encode()
-        return b"HTTP/1.1 %b\r\n" % status.encode() + self.fields(**more) + length + b"\r\n" + body
+        return b"HTTP/1.1 %b\r\n" % status.encode() + self.fields(**extra_fields) + length + b"\r\n" + body
 
-    def stream_head(self, **more: str) -> bytes:
+    def stream_head(self, **extra_fields: str) -> bytes:
         coding = b"Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
-        return b"HTTP/1.1 200 OK\r\n" + self.fields(**more) + coding
+        return b"HTTP/1.1 200 OK\r\n" + self.fields(**extra_fields) + coding
 
-    def full(self, **more: str) -> bytes:
-        """The answer of a worker that has no room."""
-        more |= {"Reedspoke_Not_Executed": "1", "Retry_After": "1"}
-        return self.whole(b"", "503 Service Unavailable", **more)
+    def overload_answer(self, **extra_fields: str) -> bytes:
+        """The answer of a worker that has no free capacity."""
+        extra_fields |= {"Reedspoke_Not_Executed": "1", "Retry_After": "1"}
+        return self.complete_answer(b"", "503 Service Unavailable", **extra_fields)
 
-    def wrong_instance(self) -> bytes:
-        return self.whole(b"", "421 Misdirected Request", Reedspoke_Not_Executed="1")
+    def wrong_instance_answer(self) -> bytes:
+        return self.complete_answer(b"", "421 Misdirected Request", Reedspoke_Not_Executed="1")
 
 
 class Network:
-    """Leads connections to workers. `plan` has what happens to the next ones; without it they come up."""
+    """Opens connections to workers. `plan` has the outcomes of the next ones; all others are accepted."""
 
     def __init__(self, loop: VirtualLoop) -> None:
         self.loop = loop
-        self.names: dict[str, str] = {}  # instance ids by address
-        self.plan: list[str] = []  # each one of accept, slow, refuse, refuse slowly, hang, reset at once
+        self.names: dict[str, str] = {}  # Instance ids by address.
+        self.plan: list[str] = []  # Of accept, slow, refuse, refuse slowly, hang, reset at once.
         self.connections: list[WorkerEnd] = []
         self.arrivals: list[Arrival] = []
         self.transports: list[TransportStandIn] = []
@@ -155,7 +157,7 @@
         if behaviour == "hang":
             await self.loop.create_future()
         if "slow" in behaviour:
-            await asyncio.sleep(SLOW_S)
+            await asyncio.sleep(SLOW_CONNECT_S)
         if behaviour.startswith("refuse"):
             raise ConnectionRefusedError
         assert isinstance(protocol, asyncio.BufferedProtocol)
@@ -170,12 +172,12 @@
         return transport
 
     def _written(self, end: WorkerEnd) -> None:
-        known = sum(arrival.worker is end for arrival in self.arrivals)
-        self.arrivals += [Arrival(end, request) for request in end.requests()[known:]]
+        arrived_count = sum(arrival.worker is end for arrival in self.arrivals)
+        self.arrivals += [Arrival(end, request) for request in end.requests()[arrived_count:]]
 
 
 class Frontend:
-    """What client connections belong to; stands for the process."""
+    """The owner of client connections, in place of the process."""
 
     def __init__(self, forwarder: Forwarder) -> None:
         self.forwarder = forwarder
@@ -188,31 +190,31 @@
         configuration = self.routes.configuration
         return RequestLimits() if configuration is None else configuration.limits
 
-    def closing(self) -> bool:
+    def is_shutting_down(self) -> bool:
         return self.is_closing
 
-    def opened(self, connection: ClientConnection) -> None:
+    def connection_opened(self, connection: ClientConnection) -> None:
         self.connections.add(connection)
 
-    def closed(self, connection: ClientConnection) -> None:
+    def connection_closed(self, connection: ClientConnection) -> None:
         self.connections.discard(connection)
 
-    def unreadable(self, status: int, message: str, peer: str) -> None:
-        """The test sees it at the client."""
+    def request_unreadable(self, status: int, message: str, peer: str) -> None:
+        """Does nothing: tests check what the client receives."""
 
-    def begin(self, request: ClientRequest, connection: ClientConnection) -> Exchange:
+    def handle_request(self, request: ClientRequest, connection: ClientConnection) -> RequestHandler:
         self.requests.append(request)
         target = bytes(request.head.target).decode("latin-1")
-        route = self.routes.find(text_of(request.head, b"host"), target)
+        route = self.routes.find(field_text(request.head, b"host"), target)
         if route is None:
-            connection.answer_whole(own_answer(404, ErrorCode.NO_ROUTE, "no route"))
+            connection.send_answer(error_answer(404, ErrorCode.NO_ROUTE, "no route"))
             return NoExchange()
         upstream = route.upstream_for(request.head.get(ATTEMPT_ID) or b"")
-        return self.forwarder.begin(request, connection, route, upstream)
+        return self.forwarder.forward(request, connection, route, upstream)
 
 
 class Client:
-    """A client and its connection."""
+    """A client with one connection."""
 
     def __init__(self, world: World) -> None:
         self.world = world
@@ -220,15 +222,17 @@
         self.transport = TransportStandIn(world.loop, self.connection)
         world.network.transports.append(self.transport)
 
-    def say(self, data: bytes) -> None:
+    def send(self, data: bytes) -> None:
         self.transport.arrive(data)
         self.world.loop.settle()
 
-    def ask(self, path: str, attempt_id: str = "a1", body: bytes = b"the question", **more: str) -> None:
-        """Send a request."""
-        self.say(request_bytes(path, attempt_id, body, **more))
+    def send_request(
+        self, path: str, attempt_id: str = "a1", body: bytes = b"the question", **extra_fields: str
+    ) -> None:
+        """Sends a request."""
+        self.send(request_bytes(path, attempt_id, body, **extra_fields))
 
-    def leave(self) -> None:
+    def disconnect(self) -> None:
         self.transport.arrive_reset()
         self.world.loop.settle()
 
@@ -236,26 +240,28 @@
         return read_answers(bytes(self.transport.written))
 
     def answer(self) -> SeenAnswer:
-        """The only answer."""
-        (found,) = self.answers()
-        return found
+        """The only answer that was received."""
+        (answer,) = self.answers()
+        return answer
 
     @property
-    def broken_off(self) -> bool:
-        """Whether the program has broken the connection off, so that the client sees a reset."""
+    def was_reset(self) -> bool:
+        """Whether the data plane aborted the connection, so that the client sees a reset."""
         return self.transport.aborted
 
 
-def request_bytes(path: str, attempt_id: str = "a1", body: bytes = b"the question", **more: str) -> bytes:
-    """A client's request with its body."""
-    named = {"Host": HOST, "Reedspoke-Attempt-Id": attempt_id, "Content-Length": str(len(body))}
-    named |= {name.replace("_", "-"): value for name, value in more.items()}
-    lines = "".join(f"{name}: {value}\r\n" for name, value in named.items())
+def request_bytes(
+    path: str, attempt_id: str = "a1", body: bytes = b"the question", **extra_fields: str
+) -> bytes:
+    """The bytes of a request."""
+    fields = {"Host": HOST, "Reedspoke-Attempt-Id": attempt_id, "Content-Length": str(len(body))}
+    fields |= {name.replace("_", "-"): value for name, value in extra_fields.items()}
+    lines = "".join(f"{name}: {value}\r\n" for name, value in fields.items())
     return f"POST {path} HTTP/1.1\r\n{lines}\r\n".encode() + body
 
 
 class World(Struct, eq=False):
-    """Everything together."""
+    """A data plane with its network and its clients."""
 
     loop: VirtualLoop
     network: Network
@@ -270,10 +276,12 @@
         self.clients.append(made)
         return made
 
-    def asked(self, path: str, attempt_id: str = "a1", body: bytes = b"the question", **more: str) -> Client:
-        """A new client that has sent a request."""
+    def new_request(
+        self, path: str, attempt_id: str = "a1", body: bytes = b"the question", **extra_fields: str
+    ) -> Client:
+        """Creates a client that sends a request."""
         made = self.client()
-        made.ask(path, attempt_id, body, **more)
+        made.send_request(path, attempt_id, body, **extra_fields)
         return made
 
     @property
@@ -281,14 +289,14 @@
         return self.network.arrivals
 
     def arrival(self) -> Arrival:
-        """The latest request at a worker."""
+        """The latest request that arrived at a worker."""
         return self.network.arrivals[-1]
 
     def run_for(self, seconds: float) -> None:
         self.loop.run_for(seconds)
 
     def set_workers(self, names: Iterable[str], capacity: int = 8) -> None:
-        """The list of workers from now on."""
+        """Replaces the list of workers."""
         entries = [
             WorkerEntry(name, "u1", f"10.0.0.{name.rpartition('-')[2]}:80", "za", "v1", capacity, False)
             for name in names
@@ -296,10 +304,10 @@
         self.network.names |= {entry.address: entry.instance_id for entry in entries}
         self.forwarder.set_workers(WorkerList((1, len(self.arrivals)), tuple(entries)))
 
-    def settled(self) -> bool:
-        """Whether nothing of any request is left."""
+    def is_idle(self) -> bool:
+        """Whether no request holds any resource."""
         return (
-            self.forwarder.open_exchanges() == 0
+            self.forwarder.open_exchange_count() == 0
             and self.dispatcher.job_count == 0
             and not self.forwarder.own_load()
         )
@@ -323,7 +331,7 @@
     most_connections: int = 100,
     engine: bool = False,
 ) -> World:
-    """A data plane that has run for long, with a configuration and workers."""
+    """A data plane that has been running for some time, with a configuration and workers."""
     loop = VirtualLoop()
     network = Network(loop)
     loop.connector = network.connect
@@ -344,7 +352,7 @@
 
 @contextmanager
 def fresh_world(**settings: Any) -> Iterator[World]:
-    """A data plane for a while; at the end no error may be unhandled."""
+    """A data plane until the block ends; then no error may be unhandled."""
     world = make_world(**settings)
     try:
         yield world
