--- a/reedspoke/data_plane/permit.py
+++ b/reedspoke/data_plane/authorization.py
@@ -7,15 +7,15 @@
 from msgspec import Struct
 
 
-def always() -> bool:
+def always_valid() -> bool:
     """A request without a key needs none."""
     return True
 
 
-class Permit(Struct, frozen=True):
-    """`still_holds` is asked each time that the request is about to be sent to a worker."""
+class Authorization(Struct, frozen=True):
+    """`is_valid` is asked each time that the request is about to be sent to a worker."""
 
-    arrived: float  # when the first bytes of the request came, on the loop's clock
+    arrived_at: float  # when the first bytes of the request came, on the loop's clock
     tenant: str = ""  # empty: the request has no key
     priority: int | None = None  # of the tenant; None: that of the route counts
-    still_holds: Callable[[], bool] = always
+    is_valid: Callable[[], bool] = always_valid
--- a/reedspoke/data_plane/confirmation.py
+++ b/reedspoke/data_plane/confirmation.py
@@ -10,8 +10,8 @@
 
 from reedspoke.common.messages import NO_VERSION, Version
 
-DOUBT_SHARE = 0.7  # of the time within which a change has to be in force; the rest is for its way here
-MOST_AWAITED = 16
+MAX_AGE_FRACTION = 0.7  # of the time within which a change has to be in force; the rest is for its way here
+MAX_NEWER_VERSIONS = 16
 
 
 class Confirmation:
@@ -21,52 +21,52 @@
     """
 
     def __init__(self, apply_s: float, started: float) -> None:
-        self._most_age_s = DOUBT_SHARE * apply_s
+        self._max_age_s = MAX_AGE_FRACTION * apply_s
         self._started = started
-        self._told_at = started
-        self._held: Version = NO_VERSION
+        self._last_report_at = started
+        self._in_force: Version = NO_VERSION
         self._as_of: float | None = None
-        self._awaited: dict[Version, float] = {}  # newer than what is held, each with its time
+        self._newer_versions: dict[Version, float] = {}  # newer than what is held, each with its time
 
-    def told(self, version: Version, as_of: float) -> None:
+    def record_report(self, version: Version, as_of: float) -> None:
         """A confirmed control scheduler tells the newest version."""
         if not math.isfinite(as_of):
             return
-        self._told_at = max(self._told_at, as_of)
-        if version <= self._held:
+        self._last_report_at = max(self._last_report_at, as_of)
+        if version <= self._in_force:
             self._confirm(as_of)
             return
-        self._awaited[version] = max(as_of, self._awaited.get(version, as_of))
-        if len(self._awaited) > MOST_AWAITED:
-            del self._awaited[min(self._awaited)]
+        self._newer_versions[version] = max(as_of, self._newer_versions.get(version, as_of))
+        if len(self._newer_versions) > MAX_NEWER_VERSIONS:
+            del self._newer_versions[min(self._newer_versions)]
 
-    def holds(self, version: Version) -> None:
+    def set_in_force(self, version: Version) -> None:
         """This version is in force now."""
-        self._held = version
-        for told, as_of in self._awaited.items():
+        self._in_force = version
+        for told, as_of in self._newer_versions.items():
             if told <= version:
                 self._confirm(as_of)
-        self._awaited = {told: as_of for told, as_of in self._awaited.items() if told > version}
+        self._newer_versions = {told: as_of for told, as_of in self._newer_versions.items() if told > version}
 
     def as_of(self) -> float | None:
         """When what is held was last known to be the newest; None: never yet."""
         return self._as_of
 
-    def told_at(self) -> float:
+    def last_report_at(self) -> float:
         """The latest time for which any version was told as the newest, at first the start."""
-        return self._told_at
+        return self._last_report_at
 
-    def awaits_newer(self) -> bool:
+    def knows_newer_version(self) -> bool:
         """Whether a newer version is known than the one that is held."""
-        return bool(self._awaited)
+        return bool(self._newer_versions)
 
-    def is_old(self, now: float) -> bool:
+    def is_expired(self, now: float) -> bool:
         """Whether what is held was last confirmed too long ago."""
         return self._as_of is None or not self.is_fresh(self._as_of, now)
 
     def is_fresh(self, as_of: float, now: float) -> bool:
         """Whether being told the newest version as of that time is of use now."""
-        return now - as_of <= self._most_age_s
+        return now - as_of <= self._max_age_s
 
     def is_overdue(self, now: float) -> bool:
         """Whether more control schedulers are to be asked; at the start the usual number gets some time."""
@@ -74,7 +74,7 @@
 
     def in_doubt(self, now: float) -> bool:
         """Whether what is held may be older than it is allowed to be."""
-        return self.awaits_newer() or self.is_old(now)
+        return self.knows_newer_version() or self.is_expired(now)
 
     def _confirm(self, as_of: float) -> None:
         self._as_of = as_of if self._as_of is None else max(self._as_of, as_of)
--- a/reedspoke/data_plane/control_session.py
+++ b/reedspoke/data_plane/control_session.py
@@ -13,11 +13,11 @@
 from reedspoke.common.json_log import INFO, WARNING, log
 from reedspoke.common.messages import QuotaRequest, QuotaResponse
 from reedspoke.common.transport import CONNECTION_ENDED, Channel, open_channel
-from reedspoke.data_plane.conversation import Conversation, OnQuota, OwnState, SessionPace
 from reedspoke.data_plane.session_choice import SessionChoice
 from reedspoke.data_plane.subscription import Subscription
+from reedspoke.data_plane.watch_session import NodeState, OnQuota, SessionTimeouts, WatchSession
 
-DEFAULT_PACE = SessionPace()
+DEFAULT_TIMEOUTS = SessionTimeouts()
 
 
 def no_quota(answer: QuotaResponse) -> None:
@@ -28,7 +28,7 @@
     """A session that is up or coming up."""
 
     task: asyncio.Task[None]
-    conversation: Conversation | None = None
+    conversation: WatchSession | None = None
 
 
 class ControlSessions:
@@ -37,14 +37,14 @@
     def __init__(
         self,
         subscription: Subscription,
-        own_state: Callable[[], OwnState],
+        node_state: Callable[[], NodeState],
         seeds: Callable[[], tuple[str, ...]],
         random: Random,
-        pace: SessionPace = DEFAULT_PACE,
+        pace: SessionTimeouts = DEFAULT_TIMEOUTS,
         on_quota: OnQuota = no_quota,
     ) -> None:
         self._subscription = subscription
-        self._own_state = own_state
+        self._node_state = node_state
         self._seeds = seeds
         self._pace = pace
         self._on_quota = on_quota
@@ -76,7 +76,7 @@
     async def run(self) -> None:
         """Runs until it is cancelled."""
         loop = self._loop = asyncio.get_running_loop()
-        own_zone = self._own_state().zone
+        own_zone = self._node_state().zone
 
         async def look_again_and_again() -> None:
             while True:
@@ -144,11 +144,11 @@
         return await open_channel(address)
 
     async def _converse(self, address: str, channel: Channel, session: OpenSession) -> None:
-        session.conversation = Conversation(
+        session.conversation = WatchSession(
             channel,
             address,
             self._subscription,
-            self._own_state,
+            self._node_state,
             self._choice,
             self._pace,
             on_change=self._news.set,
--- a/reedspoke/data_plane/exchange.py
+++ b/reedspoke/data_plane/exchange.py
@@ -21,6 +21,7 @@
     worker_failed,
 )
 from reedspoke.data_plane.attempt import Attempt
+from reedspoke.data_plane.authorization import Authorization
 from reedspoke.data_plane.client_connection import ClientConnection, ClientRequest
 from reedspoke.data_plane.client_response import ClientResponse
 from reedspoke.data_plane.event_stream import Events, EventSplitter, EventTooLargeError, last_event_id
@@ -35,7 +36,6 @@
 )
 from reedspoke.data_plane.exchange_owner import Owner, isolated
 from reedspoke.data_plane.headers import NOT_EXECUTED, RESPONSE_SEAL, forwarded_answer_fields, status_line
-from reedspoke.data_plane.permit import Permit
 from reedspoke.data_plane.request_trace import RequestOutcome, RequestTrace
 from reedspoke.data_plane.route_table import CompiledRoute
 from reedspoke.data_plane.upstream_connection import Failure, UpstreamConnection
@@ -65,15 +65,15 @@
         route: CompiledRoute,
         job: Job,
         trace: RequestTrace | None = None,
-        permit: Permit | None = None,
+        authorization: Authorization | None = None,
     ) -> None:
         self.job = job
         self.route = route
         self._owner = owner
         self._loop = loop
         self._pool = pool
-        self._permit = Permit(job.arrived) if permit is None else permit
-        self._request = UpstreamRequest(request, self._permit.tenant)
+        self._authorization = Authorization(job.arrived) if authorization is None else authorization
+        self._request = UpstreamRequest(request, self._authorization.tenant)
         self._response = ClientResponse(client, self._request.last_event_id)
         self._attempt: Attempt | None = None
         self._attempts = 0
@@ -140,7 +140,9 @@
         if attempt is None:
             return None
         heard_at = self._loop.time() if self._client_full else attempt.heard_at
-        return attempt.open(self.job, self.route.pause, heard_at, may_have_run=self._may_have_run())
+        return attempt.open(
+            self.job, self.route.event_gap_target_s, heard_at, may_have_run=self._may_have_run()
+        )
 
     @isolated
     def shut_down(self) -> None:
@@ -196,11 +198,11 @@
     def _transmit(self, connection: UpstreamConnection) -> None:
         attempt = self._attempt
         assert attempt is not None
-        if not self._permit.still_holds():
+        if not self._authorization.is_valid():
             self._pool.give_back(attempt.worker.instance_id, connection)
             self._withdraw()
             return
-        check_tenant(self._request, self._permit.tenant)
+        check_tenant(self._request, self._authorization.tenant)
         check_send(self.job, self.trace, attempt, ran=self._ran)
         self._check_drain(attempt)
         attempt.connection = connection
--- a/reedspoke/data_plane/forwarder.py
+++ b/reedspoke/data_plane/forwarder.py
@@ -8,11 +8,11 @@
 from reedspoke.common.configuration import Upstream as ConfiguredUpstream
 from reedspoke.common.messages import WorkerEntry as ListedWorker
 from reedspoke.common.messages import WorkerList
+from reedspoke.data_plane.authorization import Authorization
 from reedspoke.data_plane.client_connection import ClientConnection, ClientRequest
 from reedspoke.data_plane.exchange import Exchange
 from reedspoke.data_plane.forwarder_invariants import check_forgotten, check_idle
 from reedspoke.data_plane.job_builder import build_job
-from reedspoke.data_plane.permit import Permit
 from reedspoke.data_plane.request_log import OnEnded
 from reedspoke.data_plane.request_trace import RequestTrace
 from reedspoke.data_plane.route_table import CompiledRoute
@@ -150,13 +150,13 @@
         route: CompiledRoute,
         upstream: str,
         trace: RequestTrace | None = None,
-        permit: Permit | None = None,
+        authorization: Authorization | None = None,
     ) -> Exchange:
         """Take a request that has a route. `trace` has what is known of it by now."""
-        permit = Permit(request.began) if permit is None else permit
+        authorization = Authorization(request.began) if authorization is None else authorization
         self._next_job_id += 1
-        job = build_job(self._next_job_id, request.head, route, upstream, permit)
-        exchange = Exchange(self, self._loop, self._pool, request, client, route, job, trace, permit)
+        job = build_job(self._next_job_id, request.head, route, upstream, authorization)
+        exchange = Exchange(self, self._loop, self._pool, request, client, route, job, trace, authorization)
         exchange.trace.taken(job)
         self._exchanges[job.job_id] = exchange
         self._watch_later()
--- a/reedspoke/data_plane/job_builder.py
+++ b/reedspoke/data_plane/job_builder.py
@@ -5,6 +5,7 @@
 import math
 import re
 
+from reedspoke.data_plane.authorization import Authorization
 from reedspoke.data_plane.headers import (
     DEADLINE_MS,
     MODEL_NAME,
@@ -13,7 +14,6 @@
     number_of,
     text_of,
 )
-from reedspoke.data_plane.permit import Permit
 from reedspoke.data_plane.route_table import CompiledRoute
 from reedspoke.decision.messages import Job, PromptPart, Repeat
 from reedspoke.net.http import Head
@@ -55,13 +55,15 @@
     """Seconds that the request may take: what the client waits, and what the operator wants it held."""
     told = number_of(head, DEADLINE_MS)
     if told is None or not math.isfinite(told):
-        return route.timeout
-    return min(route.timeout, max(0.0, told / 1000))
+        return route.timeout_s
+    return min(route.timeout_s, max(0.0, told / 1000))
 
 
-def build_job(job_id: int, head: Head, route: CompiledRoute, upstream: str, permit: Permit) -> Job:
+def build_job(
+    job_id: int, head: Head, route: CompiledRoute, upstream: str, authorization: Authorization
+) -> Job:
     """The request as decisions see it."""
-    arrived = permit.arrived
+    arrived = authorization.arrived_at
     parts = parse_parts(text_of(head, PROMPT_PREFIX))
     tokens_in, tokens_out = parse_token_count(text_of(head, TOKEN_COUNT))
     return Job(
@@ -69,15 +71,15 @@
         route=route.name,
         upstream=upstream,
         priority=route.priority,
-        tenant=permit.tenant,
-        tenant_priority=permit.priority,
+        tenant=authorization.tenant,
+        tenant_priority=authorization.priority,
         repeat=repeat_of(route),
         streaming=route.streaming,
         model=text_of(head, MODEL_NAME),
         parts=parts,
         prompt_tokens=tokens_in or sum(part.tokens for part in parts),
         output_tokens=tokens_out,
-        latency_target_s=route.target,
+        latency_target_s=route.latency_target_s,
         deadline=arrived + time_limit(head, route),
         max_attempts=route.max_attempts,
         arrived=arrived,
--- a/reedspoke/data_plane/process.py
+++ b/reedspoke/data_plane/process.py
@@ -20,15 +20,15 @@
 from reedspoke.data_plane.client_connection import ClientConnection, ClientRequest, Exchange
 from reedspoke.data_plane.confirmation import Confirmation
 from reedspoke.data_plane.control_session import ControlSessions
-from reedspoke.data_plane.conversation import OwnState, SessionPace
-from reedspoke.data_plane.figures import add_process_figures
 from reedspoke.data_plane.forwarder import Forwarder
+from reedspoke.data_plane.process_metrics import add_process_figures
 from reedspoke.data_plane.quota_client import QuotaClient
 from reedspoke.data_plane.readiness import ReadinessConnection
-from reedspoke.data_plane.request_entry import RequestEntry
+from reedspoke.data_plane.request_admission import RequestAdmission
 from reedspoke.data_plane.request_log import RequestLog
-from reedspoke.data_plane.subscription import Listener, Subscription
+from reedspoke.data_plane.subscription import StateListener, Subscription
 from reedspoke.data_plane.upstream_pool import UpstreamPool
+from reedspoke.data_plane.watch_session import NodeState, SessionTimeouts
 from reedspoke.decision.dispatcher import Dispatcher, RetryBudgetRule
 from reedspoke.telemetry.invariants import Invariant, check
 from reedspoke.telemetry.metrics import Registry
@@ -61,7 +61,7 @@
         self._request_log = RequestLog(self._registry, LogRateLimiter(self._loop.time))
         add_process_figures(self._registry, self)
         self._forwarder = Forwarder(self._loop, self._pool, self._dispatcher, self._request_log.ended)
-        listener = Listener(
+        listener = StateListener(
             on_configuration=self._on_configuration,
             on_workers=self._on_workers,
             on_members=self._on_members,
@@ -75,7 +75,7 @@
             lambda ask, tried: self._sessions.ask_quota(ask, tried),
             settings.bounds.quota_window_s,
         )
-        self._entry = RequestEntry(
+        self._admission = RequestAdmission(
             self._loop,
             self._forwarder,
             self._request_log,
@@ -85,10 +85,10 @@
         )
         self._sessions = ControlSessions(
             self._subscription,
-            self._own_state,
+            self._node_state,
             self._seeds,
             self._random,
-            SessionPace(settings.watch_timeout_s()),
+            SessionTimeouts(settings.watch_timeout_s()),
             self._quota.answered,
         )
 
@@ -119,7 +119,7 @@
             lambda: ClientConnection(self, self._loop), sock=front, backlog=BACKLOG
         )
         await self._ended.wait()
-        await self._finish(frontend)
+        await self._drain(frontend)
         following.cancel()
         reloading.cancel()
         readiness.close()
@@ -135,10 +135,10 @@
         self._ended.set()
         self._may_accept.set()
 
-    async def _finish(self, frontend: asyncio.Server) -> None:
+    async def _drain(self, frontend: asyncio.Server) -> None:
         """Take nothing new that can go elsewhere, finish what was read, break off what is late."""
         self._closing = True
-        log(INFO, "shutting down", open_requests=self._entry.open_requests())
+        log(INFO, "shutting down", open_requests=self._admission.open_requests())
         began = self._loop.time()
         last = began + self._settings.bounds.grace_s - END_MARGIN_S
         self._close_idle()
@@ -150,7 +150,7 @@
             if lingered and not self._connections:
                 break
             await asyncio.sleep(LOOK_S)
-        self._entry.break_off_all()
+        self._admission.break_off_all()
         log(INFO, "data plane ends", after_s=round(self._loop.time() - began, 2))
 
     def _close_idle(self) -> None:
@@ -174,8 +174,8 @@
     def _seeds(self) -> tuple[str, ...]:
         return self._settings.seed_addresses()
 
-    def _own_state(self) -> OwnState:
-        return OwnState(
+    def _node_state(self) -> NodeState:
+        return NodeState(
             self._settings.node_name,
             self._incarnation,
             self._settings.zone,
@@ -187,9 +187,9 @@
     # ---- what the control plane tells ----
 
     def _on_configuration(self, configuration: Configuration, version: Version) -> None:
-        held = self._entry.routes.version
+        held = self._admission.routes.version
         check(Invariant.DELIVERY_RISES, version > held, source=CONFIGURATION, held=held, got=version)
-        self._entry.configure(configuration, version)
+        self._admission.configure(configuration, version)
         self._look_whether_ready()
         log(INFO, "configuration in force", generation=configuration.generation)
 
@@ -219,7 +219,7 @@
     # ---- what client connections ask ----
 
     def limits(self) -> RequestLimits:
-        configuration = self._entry.routes.configuration
+        configuration = self._admission.routes.configuration
         return EMPTY_LIMITS if configuration is None else configuration.limits
 
     def closing(self) -> bool:
@@ -235,17 +235,17 @@
         self._request_log.unreadable(status, message, peer)
 
     def begin(self, request: ClientRequest, connection: ClientConnection) -> Exchange:
-        return self._entry.begin(request, connection)
+        return self._admission.begin(request, connection)
 
     # ---- what the figures are read from ----
 
     def in_doubt(self) -> bool:
         """Whether the configuration that is held may be an old one."""
-        return self._entry.in_doubt()
+        return self._admission.in_doubt()
 
     def generation(self) -> int:
         """Of the configuration in force; 0 before the first."""
-        configuration = self._entry.routes.configuration
+        configuration = self._admission.routes.configuration
         return 0 if configuration is None else configuration.generation
 
     def open_connections(self) -> int:
@@ -254,7 +254,7 @@
 
     def open_requests(self) -> int:
         """Requests without a whole answer."""
-        return self._entry.open_requests()
+        return self._admission.open_requests()
 
     def sound_sessions(self) -> int:
         """Sessions with control schedulers behind which a majority stands."""
--- a/reedspoke/data_plane/quota_client.py
+++ b/reedspoke/data_plane/quota_client.py
@@ -114,11 +114,11 @@
         pending.unanswered -= 1
         ask = pending.ask
         if answer.outcome is QuotaOutcome.GRANTED:
-            self._outage.granted(ask.tenant, ask.units, self._loop.time())
+            self._outage.record_grant(ask.tenant, ask.units, self._loop.time())
             self._decide(pending, GRANTED)
             return
         if answer.outcome is QuotaOutcome.SPENT:
-            self._outage.spent(ask.tenant, self._loop.time())
+            self._outage.record_spent(ask.tenant, self._loop.time())
             pending.retry_after_s = max(pending.retry_after_s, answer.retry_after_s)
             pending.spent = True
         self._ask_next(pending)
@@ -147,7 +147,7 @@
 
     def _refuse(self, pending: Pending) -> None:
         ask = pending.ask
-        if not pending.spent and self._outage.go_on(ask.tenant, ask.units, self._loop.time()):
+        if not pending.spent and self._outage.admit(ask.tenant, ask.units, self._loop.time()):
             self.went_on += 1
             self._decide(pending, GRANTED)
             return
--- a/reedspoke/data_plane/quota_outage.py
+++ b/reedspoke/data_plane/quota_outage.py
@@ -13,7 +13,7 @@
 
 from msgspec import Struct
 
-LONGEST_S = 3.0  # since the last answer of any control scheduler
+MAX_OUTAGE_S = 3.0  # since the last answer of any control scheduler
 USED_AGAIN = 0.25  # of what was granted within the last window
 
 
@@ -40,19 +40,19 @@
         self._answered_at = float("-inf")
         self._tenants: dict[str, TenantHistory] = {}
 
-    def granted(self, tenant: str, units: float, now: float) -> None:
+    def record_grant(self, tenant: str, units: float, now: float) -> None:
         """A control scheduler has granted these units."""
         self._answered_at = now
         self._history(tenant).granted.append(Grant(now, units))
 
-    def spent(self, tenant: str, now: float) -> None:
+    def record_spent(self, tenant: str, now: float) -> None:
         """A control scheduler has said that the tenant's quota is spent."""
         self._answered_at = now
         self._history(tenant).spent_at = now
 
-    def go_on(self, tenant: str, units: float, now: float) -> bool:
+    def admit(self, tenant: str, units: float, now: float) -> bool:
         """Whether a request that got no answer may go all the same; if so, it counts."""
-        if now - self._answered_at > LONGEST_S:
+        if now - self._answered_at > MAX_OUTAGE_S:
             return False
         history = self._history(tenant)
         if now - history.spent_at < self._window_s:
--- a/reedspoke/data_plane/request_entry.py
+++ b/reedspoke/data_plane/request_admission.py
@@ -11,13 +11,13 @@
 from reedspoke.common.messages import Version
 from reedspoke.common.node_settings import Bounds
 from reedspoke.data_plane.answers import WholeAnswer, key_in_doubt, own_answer, status_of
+from reedspoke.data_plane.authorization import Authorization
 from reedspoke.data_plane.client_connection import ClientConnection, ClientRequest, Exchange
 from reedspoke.data_plane.confirmation import Confirmation
 from reedspoke.data_plane.forwarder import Forwarder
 from reedspoke.data_plane.headers import API_KEY, ATTEMPT_ID, TOKEN_COUNT, text_of
 from reedspoke.data_plane.job_builder import parse_token_count, time_limit
 from reedspoke.data_plane.key_check import Certainty, KeyCheck, KeyVerdict, check_key, most_age_s
-from reedspoke.data_plane.permit import Permit
 from reedspoke.data_plane.quota_client import QuotaClient, QuotaDecision
 from reedspoke.data_plane.quota_wait import QuotaWait
 from reedspoke.data_plane.request_log import RequestLog
@@ -33,7 +33,7 @@
 MOST_QUOTA_WAIT_S = 0.25
 
 
-class NoExchange:
+class NullExchange:
     """Stands for a request that was answered at once."""
 
     def client_gone(self) -> None:
@@ -43,7 +43,7 @@
         """Nothing is being written."""
 
 
-class RequestEntry:
+class RequestAdmission:
     """The way in, by the configuration in force."""
 
     def __init__(
@@ -138,15 +138,17 @@
         age_s = math.inf if as_of is None else now - as_of
         return Certainty(age_s, self._confirmation.in_doubt(now))
 
-    def _permit(self, head: Head, route: CompiledRoute, holder: KeyHolder | None, arrived: float) -> Permit:
+    def _authorization(
+        self, head: Head, route: CompiledRoute, holder: KeyHolder | None, arrived: float
+    ) -> Authorization:
         """What the request is run by; whether it still may is asked again each time that it is sent."""
         if holder is None:
-            return Permit(arrived)
+            return Authorization(arrived)
 
-        def still_holds() -> bool:
+        def is_valid() -> bool:
             return self._check_key(head, route).verdict is KeyVerdict.RUN
 
-        return Permit(arrived, holder.name, holder.priority, still_holds)
+        return Authorization(arrived, holder.name, holder.priority, is_valid)
 
     def _check_certain(self, holder: KeyHolder | None, trace: RequestTrace) -> None:
         if holder is not None and self._revoke_s is not None:
@@ -164,18 +166,18 @@
         trace: RequestTrace,
     ) -> Exchange:
         upstream = route.upstream_for(request.head.get(ATTEMPT_ID) or b"")
-        permit = self._permit(request.head, route, holder, request.began)
+        authorization = self._authorization(request.head, route, holder, request.began)
         self._check_certain(holder, trace)
 
         def begin() -> Exchange:
-            return self._forwarder.begin(request, connection, route, upstream, trace, permit)
+            return self._forwarder.begin(request, connection, route, upstream, trace, authorization)
 
         if holder is None or holder.quota is None:
             return begin()
         units = holder.quota.units(sum(parse_token_count(text_of(request.head, TOKEN_COUNT))))
         trace.tenant, trace.units = holder.name, units
-        left_s = permit.arrived + time_limit(request.head, route) - self._loop.time()
-        wait_s = max(0.0, min(MOST_QUOTA_WAIT_S, QUOTA_WAIT_PART * route.target, left_s))
+        left_s = authorization.arrived_at + time_limit(request.head, route) - self._loop.time()
+        wait_s = max(0.0, min(MOST_QUOTA_WAIT_S, QUOTA_WAIT_PART * route.latency_target_s, left_s))
         return self._wait_for_quota(holder.name, units, wait_s, connection, trace, begin)
 
     def _wait_for_quota(
@@ -221,7 +223,7 @@
         connection.answer_whole(answer)
         trace.ended(RequestOutcome.NOT_ROUTED, status_of(answer), reason, round(after_s * 1000, 1))
         self._request_log.ended(trace)
-        return NoExchange()
+        return NullExchange()
 
 
 def quota_refusal(decision: QuotaDecision) -> WholeAnswer:
--- a/reedspoke/data_plane/route_table.py
+++ b/reedspoke/data_plane/route_table.py
@@ -16,39 +16,39 @@
 WEIGHT_STEPS = 1 << 32
 
 
-class Target(Struct, frozen=True):
+class SplitTarget(Struct, frozen=True):
     """One service of a route and the share of requests, up to 1, at which it is passed over for the next."""
 
     upstream: str
-    until: float
+    cumulative_share: float
 
 
 class CompiledRoute(Struct, frozen=True):
     """A route as requests need it; times in seconds."""
 
     name: str
-    prefix: str
+    path_prefix: str
     streaming: bool
     repeatable: bool  # may run more than once: idempotent, or a stream that may be resumed
     resumable: bool
-    timeout: float
-    target: float
+    timeout_s: float
+    latency_target_s: float
     priority: int
     max_attempts: int
     session_affinity: bool
-    targets: tuple[Target, ...]
+    split_targets: tuple[SplitTarget, ...]
     public: bool = False  # its requests need no key
-    pause: float = 0.0  # the longest one between events that is in time; 0: unknown
+    event_gap_target_s: float = 0.0  # the longest one between events that is in time; 0: unknown
 
     def upstream_for(self, key: bytes) -> str:
         """The service for a request with this key: the same key takes the same part of the split."""
-        if len(self.targets) == 1:
-            return self.targets[0].upstream
+        if len(self.split_targets) == 1:
+            return self.split_targets[0].upstream
         point = crc32(key) / WEIGHT_STEPS
-        for target in self.targets:
-            if point < target.until:
+        for target in self.split_targets:
+            if point < target.cumulative_share:
                 return target.upstream
-        return self.targets[-1].upstream
+        return self.split_targets[-1].upstream
 
 
 class RouteTable:
@@ -100,22 +100,22 @@
     resumable = streaming and route.get("stream_resume", False)
     return CompiledRoute(
         name=route["name"],
-        prefix=route["path_prefix"],
+        path_prefix=route["path_prefix"],
         streaming=streaming,
         repeatable=resumable or route["route_type"] == "idempotent",
         resumable=resumable,
-        timeout=route.get("timeout_ms", DEFAULT_TIMEOUT_MS) / 1000,
-        target=route.get("target_ms", DEFAULT_TARGET_MS) / 1000,
-        pause=route.get("gap_aim_ms", 0.0) / 1000,
+        timeout_s=route.get("timeout_ms", DEFAULT_TIMEOUT_MS) / 1000,
+        latency_target_s=route.get("target_ms", DEFAULT_TARGET_MS) / 1000,
+        event_gap_target_s=route.get("gap_aim_ms", 0.0) / 1000,
         public=route.get("public", False),
         priority=route.get("priority", DEFAULT_PRIORITY),
         max_attempts=max(1, route.get("max_attempts", DEFAULT_ATTEMPTS)),
         session_affinity=route.get("session_affinity", False),
-        targets=_compile_targets(route),
+        split_targets=_compile_targets(route),
     )
 
 
-def _compile_targets(route: Route) -> tuple[Target, ...]:
+def _compile_targets(route: Route) -> tuple[SplitTarget, ...]:
     splits = route_targets(route)
     total = sum(split["weight"] for split in splits)
     compiled = []
@@ -123,5 +123,5 @@
     for split in splits:
         reached += split["weight"] / total
         if split["weight"] > 0:
-            compiled.append(Target(split["upstream"], reached))
+            compiled.append(SplitTarget(split["upstream"], reached))
     return tuple(compiled)
--- a/reedspoke/data_plane/subscription.py
+++ b/reedspoke/data_plane/subscription.py
@@ -46,7 +46,7 @@
     since: float
 
 
-class Listener(Struct):
+class StateListener(Struct):
     """Who is told when a source has newer state."""
 
     on_configuration: Callable[[Configuration, Version], None]
@@ -59,7 +59,7 @@
 class Subscription:
     """Takes what sessions bring; only newer state replaces older."""
 
-    def __init__(self, listener: Listener, confirmation: Confirmation) -> None:
+    def __init__(self, listener: StateListener, confirmation: Confirmation) -> None:
         self.state = FleetState()
         self.confirmation = confirmation
         self._listener = listener
@@ -90,7 +90,7 @@
         Only to begin with: when no confirmed one has been found for a while, and what is held of the source
         is nothing, or has never been confirmed either.
         """
-        if now - self.confirmation.told_at() <= UNCONFIRMED_AFTER_S:
+        if now - self.confirmation.last_report_at() <= UNCONFIRMED_AFTER_S:
             return False
         return self.version(source) == NO_VERSION or self.confirmation.as_of() is None
 
@@ -104,7 +104,7 @@
         if pending is not None and pending.version == version:
             del self._pending[source]
 
-    def take(self, message: ControlMessage) -> bool:
+    def apply(self, message: ControlMessage) -> bool:
         """Take a source's state; False where it was of no use (older, or its base is another one)."""
         match message:
             case ConfigurationSnapshot():
@@ -138,7 +138,7 @@
     def _set_configuration(self, configuration: Configuration, version: Version) -> None:
         self.state.configuration = configuration
         self.state.versions[CONFIGURATION] = version
-        self.confirmation.holds(version)
+        self.confirmation.set_in_force(version)
         self._listener.on_configuration(configuration, version)
 
     def _take_workers(self, message: WorkerList) -> bool:
--- a/reedspoke/data_plane/conversation.py
+++ b/reedspoke/data_plane/watch_session.py
@@ -38,23 +38,23 @@
 OnQuota = Callable[[QuotaResponse], None]
 
 
-class SessionPace(Struct, frozen=True):
-    """Time limits of a session; `watch_hold_s` is when a `WatchRequest` is answered at the latest."""
+class SessionTimeouts(Struct, frozen=True):
+    """Time limits of a session; `max_watch_wait_s` is when a `WatchRequest` is answered at the latest."""
 
-    watch_hold_s: float = 0.4
+    max_watch_wait_s: float = 0.4
 
     @property
-    def silence_s(self) -> float:
+    def idle_timeout_s(self) -> float:
         """A control scheduler that says nothing for so long is left."""
-        return self.watch_hold_s + SILENCE_MARGIN_S
+        return self.max_watch_wait_s + SILENCE_MARGIN_S
 
     @property
     def quiet_s(self) -> float:
         """And after this another one is sought besides it."""
-        return self.watch_hold_s + QUIET_MARGIN_S
+        return self.max_watch_wait_s + QUIET_MARGIN_S
 
 
-class OwnState(Struct, frozen=True):
+class NodeState(Struct, frozen=True):
     """What this scheduler says of itself in each heartbeat."""
 
     node_name: str
@@ -65,7 +65,7 @@
     suspects: tuple[str, ...] = ()  # workers that have lately failed its requests
 
 
-class Conversation:
+class WatchSession:
     """Speaks with the control scheduler at `address`, and reports to `choice` what its answers are worth.
 
     `on_change` is called when they are worth something else than before.
@@ -76,17 +76,17 @@
         channel: Channel,
         address: str,
         subscription: Subscription,
-        own_state: Callable[[], OwnState],
+        node_state: Callable[[], NodeState],
         choice: SessionChoice,
-        pace: SessionPace,
+        pace: SessionTimeouts,
         on_change: Callable[[], None],
         on_quota: OnQuota = lambda answer: None,
     ) -> None:
         self._channel = channel
-        channel.idle_timeout_s = pace.silence_s
+        channel.idle_timeout_s = pace.idle_timeout_s
         self._address = address
         self._subscription = subscription
-        self._own_state = own_state
+        self._node_state = node_state
         self._choice = choice
         self._on_change = on_change
         self._on_quota = on_quota
@@ -139,7 +139,7 @@
 
     def _watch(self) -> None:
         self._request_id += 1
-        own = self._own_state()
+        own = self._node_state()
         now = self._loop.time()
         versions = {
             source: self._subscription.expected_version(source, now) for source in (CONFIGURATION, WORKERS)
@@ -164,7 +164,7 @@
         self._unconfirmed = None
         self._note_confirmation(message, now)
         self._note_answered(message.request_id)
-        self._subscription.take(message)
+        self._subscription.apply(message)
         for source in self._subscription.lacks(message.versions, now):
             self._subscription.begin_fetch(source, message.versions[source], now)
             self._fetch(source, message.versions[source], self._subscription.version(source))
@@ -179,7 +179,7 @@
             return
         confirmation = self._subscription.confirmation
         as_of = confirmed_as_of(self._watch_sent_at, message.wait_s, message.confirmed_ago_s, now)
-        confirmation.told(message.versions.get(CONFIGURATION, NO_VERSION), as_of)
+        confirmation.record_report(message.versions.get(CONFIGURATION, NO_VERSION), as_of)
         self._report(confirmation.is_fresh(as_of, now), (), now)
 
     def _report(self, is_sound: bool, control: tuple[ControlMember, ...], now: float) -> None:
@@ -238,7 +238,7 @@
             self._members_version = message.version
             self._choice.learnt(message.control, self._loop.time())
         if self._unconfirmed is None or asked:
-            useful = self._subscription.take(message)
+            useful = self._subscription.apply(message)
             if not useful and isinstance(message, ConfigurationDelta):
                 self._fetch_whole(message)
         self._watch_if_idle()
--- a/tests/control_plane/simulated_data_plane.py
+++ b/tests/control_plane/simulated_data_plane.py
@@ -15,8 +15,8 @@
 from reedspoke.common.messages import MemberList, Version, WorkerList
 from reedspoke.data_plane.confirmation import Confirmation
 from reedspoke.data_plane.control_session import ControlSessions
-from reedspoke.data_plane.conversation import OwnState
-from reedspoke.data_plane.subscription import Listener, Subscription
+from reedspoke.data_plane.subscription import StateListener, Subscription
+from reedspoke.data_plane.watch_session import NodeState
 from tests.control_plane.process_loop import ProcessLoop
 from tests.control_plane.simulated_channel import DELAY_S, SimulatedChannel, join_channels
 from tests.control_plane.simulated_control import ControlSchedulers
@@ -63,12 +63,12 @@
         self.seeds = seeds
         self._world = world
         self._node = node
-        listener = Listener(
+        listener = StateListener(
             self._configured, self._listed, self._members_told, self._running_told, self._suspects_told
         )
         subscription = Subscription(listener, self.confirmation)
         sessions = SimulatedSessions(
-            subscription, self._own_state, lambda: self.seeds, Random(f"{node.name} {node.incarnation}")
+            subscription, self._node_state, lambda: self.seeds, Random(f"{node.name} {node.incarnation}")
         )
         sessions.world = world
         sessions.node = node
@@ -78,8 +78,8 @@
         """Whether a request without a route gets 503 instead of 404 now."""
         return self.confirmation.in_doubt(self.loop.time())
 
-    def _own_state(self) -> OwnState:
-        return OwnState(self._node.name, str(self._node.incarnation), self._node.zone, False, {})
+    def _node_state(self) -> NodeState:
+        return NodeState(self._node.name, str(self._node.incarnation), self._node.zone, False, {})
 
     def _configured(self, configuration: Configuration, version: Version) -> None:
         before = self.generation or 0
--- a/tests/control_plane/test_processor_quota.py
+++ b/tests/control_plane/test_processor_quota.py
@@ -49,7 +49,7 @@
         self._world.simulation.at(now + LOOK_S, self._look)
         for name, scheduler in self._world.fleet.data_plane.schedulers().items():
             self.looks += 1
-            if scheduler.confirmation.is_old(scheduler.loop.time()):
+            if scheduler.confirmation.is_expired(scheduler.loop.time()):
                 self.found.append((now, name))
 
 
--- a/tests/control_plane_process/quota_simulation.py
+++ b/tests/control_plane_process/quota_simulation.py
@@ -239,7 +239,7 @@
         """Nobody has granted it: it goes all the same, or is refused."""
         units, _ = self._requests.pop(number)
         edge, was_spent = self._edge_of.pop(number)
-        if not was_spent and self._outages[edge].go_on(TENANT, units, self.now):
+        if not was_spent and self._outages[edge].admit(TENANT, units, self.now):
             self._arrive(units)
 
     def _arrive(self, units: float) -> None:
@@ -256,14 +256,14 @@
             return
         edge, _ = self._edge_of[number]
         if outcome is QuotaOutcome.SPENT:
-            self._outages[edge].spent(TENANT, self.now)
+            self._outages[edge].record_spent(TENANT, self.now)
             self._edge_of[number] = (edge, True)
         if outcome is not QuotaOutcome.GRANTED:
             self._request_quota(number)
             return
         units, _ = self._requests.pop(number)
         del self._edge_of[number]
-        self._outages[edge].granted(TENANT, units, self.now)
+        self._outages[edge].record_grant(TENANT, units, self.now)
         self._arrive(units)
 
     # ---- faults ----
--- a/tests/data_plane/control_stand_in.py
+++ b/tests/data_plane/control_stand_in.py
@@ -18,14 +18,14 @@
     WatchResponse,
 )
 from reedspoke.data_plane import control_session
-from reedspoke.data_plane.control_session import DEFAULT_PACE, ControlSessions
-from reedspoke.data_plane.conversation import OwnState, SessionPace
-from tests.data_plane.test_subscription import subscription
+from reedspoke.data_plane.control_session import DEFAULT_TIMEOUTS, ControlSessions
+from reedspoke.data_plane.watch_session import NodeState, SessionTimeouts
+from tests.data_plane.test_subscription import make_subscription
 from tests.data_plane.virtual_loop import VirtualLoop
 
-SILENCE_S = SessionPace().silence_s
+SILENCE_S = SessionTimeouts().idle_timeout_s
 ANSWER_S = 0.1  # a new session's first `WatchRequest` is answered at once, as its list of members is lacking
-OWN = OwnState("edge-1", "ab12", "za", False, {"i-1": (2, 30)})
+NODE_STATE = NodeState("edge-1", "ab12", "za", False, {"i-1": (2, 30)})
 
 
 class ChannelStandIn:
@@ -80,16 +80,16 @@
     """The control plane as sessions meet it."""
 
     def __init__(
-        self, monkeypatch: pytest.MonkeyPatch, pace: SessionPace = DEFAULT_PACE, apply_s: float = 2.0
+        self, monkeypatch: pytest.MonkeyPatch, pace: SessionTimeouts = DEFAULT_TIMEOUTS, apply_s: float = 2.0
     ) -> None:
         self.loop = VirtualLoop()
-        self.made, self.heard = subscription(apply_s)
+        self.made, self.heard = make_subscription(apply_s)
         self.channels: list[ChannelStandIn] = []
         self.dark: set[str] = set()  # addresses from which nothing comes
         self.refusing: set[str] = set()
         self.seeds: tuple[str, ...] = ("c1:1", "c2:1", "c3:1")
         self.tried: list[str] = []
-        self.sessions = ControlSessions(self.made, lambda: OWN, lambda: self.seeds, Random(7), pace)
+        self.sessions = ControlSessions(self.made, lambda: NODE_STATE, lambda: self.seeds, Random(7), pace)
         monkeypatch.setattr(control_session, "open_channel", self.open)
         self.running = self.loop.create_task(self.sessions.run())
         self.loop.settle()
--- a/tests/data_plane/fleet_model.py
+++ b/tests/data_plane/fleet_model.py
@@ -26,8 +26,8 @@
     WatchResponse,
 )
 from reedspoke.data_plane.control_session import ControlSessions
-from tests.data_plane.control_stand_in import OWN
-from tests.data_plane.test_subscription import document, subscription
+from tests.data_plane.control_stand_in import NODE_STATE
+from tests.data_plane.test_subscription import document, make_subscription
 from tests.data_plane.virtual_loop import VirtualLoop
 
 LATENCY_S = 0.01
@@ -171,9 +171,9 @@
         self.controls = [make(self, f"c{number}:1", f"z{number % 3}") for number in range(size)]
         self.reached = set(range(size))
         self.parts: list[set[int]] = [set(range(size))]
-        self.made, self.heard = subscription()
+        self.made, self.heard = make_subscription()
         seeds = tuple(control.member.address for control in self.controls)
-        self.sessions = ControlSessions(self.made, lambda: OWN, lambda: seeds, Random(seed))
+        self.sessions = ControlSessions(self.made, lambda: NODE_STATE, lambda: seeds, Random(seed))
         self.running = self.loop.create_task(self.sessions.run())
         self.dials = 0
 
--- a/tests/data_plane/plane.py
+++ b/tests/data_plane/plane.py
@@ -42,9 +42,9 @@
     def learn(self, workers: tuple[WorkerEntry, ...] = (WORKER,)) -> None:
         """A control scheduler, confirmed by a majority, tells of a configuration and of workers."""
         self.network.names |= {worker.address: worker.instance_id for worker in workers}
-        self.plane._confirmation.told((1, 0), self.loop.time())
-        self.plane._subscription.take(ConfigurationSnapshot((1, 0), document(2, LIMITS)))
-        self.plane._subscription.take(WorkerList((1, 1), workers))
+        self.plane._confirmation.record_report((1, 0), self.loop.time())
+        self.plane._subscription.apply(ConfigurationSnapshot((1, 0), document(2, LIMITS)))
+        self.plane._subscription.apply(WorkerList((1, 1), workers))
 
     def connect(self) -> TransportStandIn:
         transport = TransportStandIn(self.loop, ClientConnection(self.plane, self.loop))
@@ -62,7 +62,7 @@
 
     def finish(self) -> asyncio.Task[None]:
         """SIGTERM has come."""
-        task = self.loop.create_task(self.plane._finish(self.server))  # type: ignore[arg-type]
+        task = self.loop.create_task(self.plane._drain(self.server))  # type: ignore[arg-type]
         self.loop.settle()
         return task
 
--- a/tests/data_plane/test_confirmation.py
+++ b/tests/data_plane/test_confirmation.py
@@ -10,19 +10,19 @@
 
 from reedspoke.common.messages import NO_VERSION, Version
 from reedspoke.data_plane.confirmation import (
-    DOUBT_SHARE,
-    MOST_AWAITED,
+    MAX_AGE_FRACTION,
+    MAX_NEWER_VERSIONS,
     Confirmation,
     confirmed_as_of,
 )
 
 APPLY_S = 2.0
-BOUND_S = DOUBT_SHARE * APPLY_S
+BOUND_S = MAX_AGE_FRACTION * APPLY_S
 
 
 def confirmation(held: Version = NO_VERSION) -> Confirmation:
     made = Confirmation(APPLY_S, started=90.0)
-    made.holds(held)
+    made.set_in_force(held)
     return made
 
 
@@ -33,7 +33,7 @@
 
 def test_what_is_held_and_told_as_the_newest_is_confirmed() -> None:
     made = confirmation((2, 7))
-    made.told((2, 7), 100.0)
+    made.record_report((2, 7), 100.0)
     assert made.as_of() == 100.0
     assert not made.in_doubt(100.0 + BOUND_S - 0.01)
     assert made.in_doubt(100.0 + BOUND_S + 0.01)
@@ -41,66 +41,68 @@
 
 def test_the_bound_is_a_share_of_the_settings() -> None:
     made = Confirmation(10.0, started=90.0)
-    made.told(NO_VERSION, 100.0)
-    assert not made.in_doubt(100.0 + 10 * DOUBT_SHARE - 0.01)
-    assert made.in_doubt(100.0 + 10 * DOUBT_SHARE + 0.01)
+    made.record_report(NO_VERSION, 100.0)
+    assert not made.in_doubt(100.0 + 10 * MAX_AGE_FRACTION - 0.01)
+    assert made.in_doubt(100.0 + 10 * MAX_AGE_FRACTION + 0.01)
 
 
 def test_a_newer_version_that_is_not_fetched_yet_means_doubt() -> None:
     made = confirmation((2, 7))
-    made.told((2, 7), 100.0)
-    made.told((2, 8), 100.1)
+    made.record_report((2, 7), 100.0)
+    made.record_report((2, 8), 100.1)
     assert made.in_doubt(100.1)
-    assert not made.is_old(100.1)  # no reason to look for other control schedulers
-    made.holds((2, 8))
+    assert not made.is_expired(100.1)  # no reason to look for other control schedulers
+    made.set_in_force((2, 8))
     assert made.as_of() == 100.1
     assert not made.in_doubt(100.1)
 
 
 def test_a_fetch_that_brings_an_even_newer_version_confirms_the_time_of_the_answer() -> None:
     made = confirmation((2, 7))
-    made.told((2, 8), 100.0)
-    made.holds((3, 1))
+    made.record_report((2, 8), 100.0)
+    made.set_in_force((3, 1))
     assert made.as_of() == 100.0
 
 
 def test_a_fetch_that_falls_short_confirms_nothing() -> None:
     made = confirmation((2, 7))
-    made.told((2, 9), 100.0)
-    made.holds((2, 8))
+    made.record_report((2, 9), 100.0)
+    made.set_in_force((2, 8))
     assert made.as_of() is None
     assert made.in_doubt(100.0)
 
 
 def test_an_older_answer_that_comes_late_takes_nothing_back() -> None:
     made = confirmation((2, 7))
-    made.told((2, 7), 100.0)
-    made.told((2, 6), 99.0)
+    made.record_report((2, 7), 100.0)
+    made.record_report((2, 6), 99.0)
     assert made.as_of() == 100.0
 
 
 def test_a_version_of_a_later_view_goes_before_a_higher_sequence() -> None:
     made = confirmation((2, 90))
-    made.told((3, 1), 100.0)
+    made.record_report((3, 1), 100.0)
     assert made.in_doubt(100.0)
 
 
 def test_a_stopped_process_is_in_doubt_when_it_wakes() -> None:
     """The answer that waited in the buffer vouches for the time before the stop only."""
     made = confirmation((2, 7))
-    made.told((2, 7), 100.0)
+    made.record_report((2, 7), 100.0)
     woken = 107.0
     assert made.in_doubt(woken)
-    made.told((2, 7), confirmed_as_of(sent_at=100.1, held_s=0.4, confirmed_ago_s=0.1, now=woken))
+    made.record_report((2, 7), confirmed_as_of(sent_at=100.1, held_s=0.4, confirmed_ago_s=0.1, now=woken))
     assert made.in_doubt(woken)
-    made.told((2, 7), confirmed_as_of(sent_at=woken, held_s=0.0, confirmed_ago_s=0.1, now=woken + 0.02))
+    made.record_report(
+        (2, 7), confirmed_as_of(sent_at=woken, held_s=0.0, confirmed_ago_s=0.1, now=woken + 0.02)
+    )
     assert not made.in_doubt(woken + 0.02)
 
 
 def test_a_stop_between_check_and_answer_is_no_older_than_the_request() -> None:
     """The check follows the reading: what was confirmed then allows the answer, however late it comes."""
     made = confirmation((2, 7))
-    made.told((2, 7), 100.0)
+    made.record_report((2, 7), 100.0)
     request_sent, checked = 101.0, 101.2
     assert not made.in_doubt(checked)
     as_of = made.as_of()
@@ -111,9 +113,9 @@
 @pytest.mark.parametrize("jump", [3.0, 60.0, 1e6])
 def test_a_clock_that_jumps_on_brings_doubt_and_no_more(jump: float) -> None:
     made = confirmation((2, 7))
-    made.told((2, 7), 100.0)
+    made.record_report((2, 7), 100.0)
     assert made.in_doubt(100.0 + jump)
-    made.told((2, 7), 100.0 + jump)
+    made.record_report((2, 7), 100.0 + jump)
     assert not made.in_doubt(100.0 + jump)
 
 
@@ -125,17 +127,17 @@
 @pytest.mark.parametrize("nonsense", [math.nan, -1.0, math.inf])
 def test_an_answer_with_impossible_times_confirms_nothing(nonsense: float) -> None:
     made = confirmation()
-    made.told(NO_VERSION, confirmed_as_of(100.0, 0.0, nonsense, 101.0))
+    made.record_report(NO_VERSION, confirmed_as_of(100.0, 0.0, nonsense, 101.0))
     assert made.as_of() is None
 
 
 def test_versions_that_are_never_fetched_do_not_pile_up() -> None:
     made = confirmation()
-    for sequence in range(1, 10 * MOST_AWAITED):
-        made.told((1, sequence), float(sequence))
-    assert len(made._awaited) == MOST_AWAITED
-    made.holds((1, 10 * MOST_AWAITED))
-    assert made.as_of() == 10 * MOST_AWAITED - 1
+    for sequence in range(1, 10 * MAX_NEWER_VERSIONS):
+        made.record_report((1, sequence), float(sequence))
+    assert len(made._newer_versions) == MAX_NEWER_VERSIONS
+    made.set_in_force((1, 10 * MAX_NEWER_VERSIONS))
+    assert made.as_of() == 10 * MAX_NEWER_VERSIONS - 1
 
 
 VERSIONS = st.tuples(st.integers(0, 3), st.integers(0, 4))
@@ -150,10 +152,10 @@
     held, told = NO_VERSION, []
     for is_told, version, time in steps:
         if is_told:
-            made.told(version, time)
+            made.record_report(version, time)
             told.append((version, time))
         elif version > held:
-            made.holds(version)
+            made.set_in_force(version)
             held = version
     vouched = [time for version, time in told if version <= held]
     assert made.as_of() == max(vouched, default=None)
--- a/tests/data_plane/test_conversation.py
+++ b/tests/data_plane/test_conversation.py
@@ -20,11 +20,11 @@
     WatchRequest,
 )
 from reedspoke.data_plane import control_session
-from reedspoke.data_plane.conversation import Conversation, SessionPace
 from reedspoke.data_plane.session_choice import SESSIONS, SESSIONS_IN_DOUBT, SessionChoice
 from reedspoke.data_plane.subscription import Subscription
-from tests.data_plane.control_stand_in import OWN, SILENCE_S, ChannelStandIn, Control
-from tests.data_plane.test_subscription import Heard, delta, snapshot, subscription, workers
+from reedspoke.data_plane.watch_session import SessionTimeouts, WatchSession
+from tests.data_plane.control_stand_in import NODE_STATE, SILENCE_S, ChannelStandIn, Control
+from tests.data_plane.test_subscription import Heard, delta, make_subscription, snapshot, workers
 from tests.data_plane.virtual_loop import VirtualLoop
 
 
@@ -236,10 +236,12 @@
     assert set(counts) == {0}
 
 
-def made_in(loop: VirtualLoop, channel: Any, made: Subscription) -> Conversation:
-    async def make() -> Conversation:
+def made_in(loop: VirtualLoop, channel: Any, made: Subscription) -> WatchSession:
+    async def make() -> WatchSession:
         choice = SessionChoice(Random(1))
-        return Conversation(channel, "c1:1", made, lambda: OWN, choice, SessionPace(), lambda: None)
+        return WatchSession(
+            channel, "c1:1", made, lambda: NODE_STATE, choice, SessionTimeouts(), lambda: None
+        )
 
     return loop.run_until_complete(make())
 
@@ -263,7 +265,7 @@
         def write(self, data: bytes) -> None:
             sent.append(data)
 
-    made, heard = subscription()
+    made, heard = make_subscription()
     channel = Channel(reader, Writer())  # type: ignore[arg-type]
     conversation = made_in(loop, channel, made)
     running = loop.create_task(conversation.run())
--- a/tests/data_plane/test_data_plane.py
+++ b/tests/data_plane/test_data_plane.py
@@ -41,7 +41,7 @@
 
 def test_it_is_ready_when_it_knows_routes_and_workers(plane: Plane) -> None:
     assert ask_readiness(plane, ASK).startswith(b"HTTP/1.1 503 ")
-    plane.plane._subscription.take(ConfigurationSnapshot((1, 0), document(2, LIMITS)))
+    plane.plane._subscription.apply(ConfigurationSnapshot((1, 0), document(2, LIMITS)))
     assert ask_readiness(plane, ASK).startswith(b"HTTP/1.1 503 ")
     plane.learn()
     assert ask_readiness(plane, ASK).startswith(b"HTTP/1.1 200 ")
@@ -97,7 +97,7 @@
     plane.learn()
     plane.finish()
     assert not plane.plane.is_ready()
-    assert plane.plane._own_state().draining
+    assert plane.plane._node_state().draining
 
 
 def test_connections_without_a_request_are_closed_at_once(plane: Plane) -> None:
--- a/tests/data_plane/test_doubt.py
+++ b/tests/data_plane/test_doubt.py
@@ -6,17 +6,17 @@
 
 from reedspoke.common.errors import ErrorCode
 from reedspoke.common.messages import ConfigurationSnapshot
-from reedspoke.data_plane.confirmation import DOUBT_SHARE
+from reedspoke.data_plane.confirmation import MAX_AGE_FRACTION
 from tests.data_plane.plane import Plane, answer, settings
 from tests.data_plane.world import LIMITS, ONCE, document, request_bytes
 
 UNKNOWN = "/nowhere/"
 HELD = (1, 0)  # what `Plane.learn` tells
-DOUBT_S = DOUBT_SHARE * settings().bounds.apply_ms / 1000
+DOUBT_S = MAX_AGE_FRACTION * settings().bounds.apply_ms / 1000
 
 
 def confirm(plane: Plane) -> None:
-    plane.plane._confirmation.told(HELD, plane.loop.time())
+    plane.plane._confirmation.record_report(HELD, plane.loop.time())
 
 
 def test_without_a_route_a_request_is_refused_for_a_moment_only(plane: Plane) -> None:
@@ -48,9 +48,9 @@
 
 def test_a_newer_version_that_has_not_come_yet_is_doubt_enough(plane: Plane) -> None:
     plane.learn()
-    plane.plane._confirmation.told((1, 1), plane.loop.time())
+    plane.plane._confirmation.record_report((1, 1), plane.loop.time())
     assert answer(plane.asked(UNKNOWN)).status == 503
-    plane.plane._subscription.take(ConfigurationSnapshot((1, 1), document(3, LIMITS)))
+    plane.plane._subscription.apply(ConfigurationSnapshot((1, 1), document(3, LIMITS)))
     assert answer(plane.asked(UNKNOWN)).status == 404
 
 
--- a/tests/data_plane/test_guards_confirmation.py
+++ b/tests/data_plane/test_guards_confirmation.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from reedspoke.data_plane.confirmation import DOUBT_SHARE, Confirmation
+from reedspoke.data_plane.confirmation import MAX_AGE_FRACTION, Confirmation
 
 APPLY_S = 2.0
 STARTED = 100.0
@@ -11,20 +11,20 @@
 
 def test_an_older_answer_does_not_take_back_when_any_version_was_told() -> None:
     confirmation = Confirmation(APPLY_S, STARTED)
-    confirmation.told(OLDER, STARTED + 5.0)
-    confirmation.told(OLDER, STARTED + 4.0)
-    assert confirmation.told_at() == STARTED + 5.0
+    confirmation.record_report(OLDER, STARTED + 5.0)
+    confirmation.record_report(OLDER, STARTED + 4.0)
+    assert confirmation.last_report_at() == STARTED + 5.0
 
 
 def test_a_start_without_any_confirmation_is_overdue_after_a_while() -> None:
     confirmation = Confirmation(APPLY_S, STARTED)
     assert not confirmation.is_overdue(STARTED)
-    assert confirmation.is_overdue(STARTED + DOUBT_SHARE * APPLY_S + 0.01)
+    assert confirmation.is_overdue(STARTED + MAX_AGE_FRACTION * APPLY_S + 0.01)
 
 
 def test_what_is_awaited_is_confirmed_as_of_the_latest_time_for_which_it_was_told() -> None:
     confirmation = Confirmation(APPLY_S, STARTED)
-    confirmation.told(NEWER, STARTED + 5.0)
-    confirmation.told(NEWER, STARTED + 4.0)
-    confirmation.holds(NEWER)
+    confirmation.record_report(NEWER, STARTED + 5.0)
+    confirmation.record_report(NEWER, STARTED + 4.0)
+    confirmation.set_in_force(NEWER)
     assert confirmation.as_of() == STARTED + 5.0
--- a/tests/data_plane/test_guards_exchange.py
+++ b/tests/data_plane/test_guards_exchange.py
@@ -12,7 +12,7 @@
 from reedspoke.data_plane.answers import WholeAnswer
 from reedspoke.data_plane.client_connection import ClientRequest
 from reedspoke.data_plane.exchange import Exchange
-from reedspoke.data_plane.route_table import CompiledRoute, Target
+from reedspoke.data_plane.route_table import CompiledRoute, SplitTarget
 from reedspoke.data_plane.upstream_connection import AnswerListener, UpstreamConnection
 from reedspoke.data_plane.upstream_pool import ConnectResult
 from reedspoke.decision.answer_action import may_forward
@@ -31,7 +31,7 @@
 from tests.data_plane.virtual_loop import VirtualLoop
 
 DEADLINE_S = 20.0
-ROUTE = CompiledRoute("r", "/x/", True, True, True, DEADLINE_S, 1.0, 1, 3, False, (Target("u1", 1.0),))
+ROUTE = CompiledRoute("r", "/x/", True, True, True, DEADLINE_S, 1.0, 1, 3, False, (SplitTarget("u1", 1.0),))
 FIRST, SECOND = (
     WorkerEntry(instance_id=name, upstream="u1", address=f"{name}:80", zone="za", capacity=8)
     for name in ("i-1", "i-2")
--- a/tests/data_plane/test_invariant_checks.py
+++ b/tests/data_plane/test_invariant_checks.py
@@ -197,6 +197,6 @@
 def test_an_older_configuration_is_taken() -> None:
     with fresh_plane() as plane:
         plane.learn()
-        held = plane.plane._entry.routes.configuration
+        held = plane.plane._admission.routes.configuration
         assert held is not None
         assert broken_by(lambda: plane.plane._on_configuration(held, (0, 9))) == {Invariant.DELIVERY_RISES}
--- a/tests/data_plane/test_job_builder.py
+++ b/tests/data_plane/test_job_builder.py
@@ -9,9 +9,9 @@
 from hypothesis import strategies as st
 
 from reedspoke.common.messages import WatchRequest, encode
+from reedspoke.data_plane.authorization import Authorization
 from reedspoke.data_plane.job_builder import build_job, parse_parts, parse_token_count, repeat_of, time_limit
-from reedspoke.data_plane.permit import Permit
-from reedspoke.data_plane.route_table import CompiledRoute, Target
+from reedspoke.data_plane.route_table import CompiledRoute, SplitTarget
 from reedspoke.decision.messages import Job, PromptPart, Repeat
 from tests.data_plane.test_headers import request
 
@@ -24,22 +24,22 @@
 def route(**changes: object) -> CompiledRoute:
     fields: dict[str, object] = {
         "name": "r1",
-        "prefix": "/",
+        "path_prefix": "/",
         "streaming": False,
         "repeatable": False,
         "resumable": False,
-        "timeout": 3.0,
-        "target": 0.5,
+        "timeout_s": 3.0,
+        "latency_target_s": 0.5,
         "priority": 1,
         "max_attempts": 2,
         "session_affinity": False,
-        "targets": (Target("u1", 1.0),),
+        "split_targets": (SplitTarget("u1", 1.0),),
     }
     return CompiledRoute(**(fields | changes))  # type: ignore[arg-type]
 
 
 def job_of(*fields: bytes) -> Job:
-    return build_job(7, request(*fields), route(), "u1", Permit(100.0))
+    return build_job(7, request(*fields), route(), "u1", Authorization(100.0))
 
 
 def test_a_job_holds_what_the_request_tells() -> None:
--- a/tests/data_plane/test_quota_client.py
+++ b/tests/data_plane/test_quota_client.py
@@ -14,7 +14,7 @@
     QuotaClient,
     QuotaDecision,
 )
-from reedspoke.data_plane.quota_outage import LONGEST_S, OutageAllowance
+from reedspoke.data_plane.quota_outage import MAX_OUTAGE_S, OutageAllowance
 from tests.data_plane.virtual_loop import VirtualLoop
 
 WAIT_S = 0.1
@@ -204,7 +204,7 @@
     assert [item.granted for item in scene.decisions] == [False]
 
 
-@pytest.mark.parametrize(("since_s", "goes"), [(LONGEST_S - 0.05, True), (LONGEST_S + 0.05, False)])
+@pytest.mark.parametrize(("since_s", "goes"), [(MAX_OUTAGE_S - 0.05, True), (MAX_OUTAGE_S + 0.05, False)])
 def test_a_long_outage_ends_it(scene: Scene, since_s: float, goes: bool) -> None:
     granted_once(scene)
     scene.loop.run_for(since_s)
@@ -221,8 +221,8 @@
 
 def test_tenants_of_which_nothing_is_left_are_forgotten() -> None:
     allowance = OutageAllowance(WINDOW_S)
-    allowance.granted("a", 1.0, 100.0)
-    allowance.spent("b", 104.0)
+    allowance.record_grant("a", 1.0, 100.0)
+    allowance.record_spent("b", 104.0)
     allowance.forget_old(100.0 + WINDOW_S)
     assert list(allowance._tenants) == ["b"]
     allowance.forget_old(104.0 + WINDOW_S)
--- a/tests/data_plane/test_request_keys.py
+++ b/tests/data_plane/test_request_keys.py
@@ -38,12 +38,12 @@
 def teach(
     plane: Plane, tenants: list[dict[str, object]], sequence: int = 1, public: Collection[str] = ()
 ) -> None:
-    plane.plane._confirmation.told((1, sequence), plane.loop.time())
-    plane.plane._subscription.take(ConfigurationSnapshot((1, sequence), configuration(tenants, public)))
+    plane.plane._confirmation.record_report((1, sequence), plane.loop.time())
+    plane.plane._subscription.apply(ConfigurationSnapshot((1, sequence), configuration(tenants, public)))
 
 
 def confirm(plane: Plane, sequence: int = 1) -> None:
-    plane.plane._confirmation.told((1, sequence), plane.loop.time())
+    plane.plane._confirmation.record_report((1, sequence), plane.loop.time())
 
 
 @pytest.fixture
@@ -247,14 +247,14 @@
 
 def test_the_end_of_the_process_answers_what_waits(keyed: Plane, controller: Controller) -> None:
     client = ask(keyed, Reedspoke_Key="k3")
-    keyed.plane._entry.break_off_all()
+    keyed.plane._admission.break_off_all()
     assert answer(client).status == 503
     assert keyed.plane.open_requests() == 0
 
 
 def test_the_invariants_notice_missing_guards(keyed: Plane, monkeypatch: pytest.MonkeyPatch) -> None:
     """Each invariant fails where the guard before it is broken."""
-    monkeypatch.setattr(keyed.plane._entry, "_most_key_age", None)
+    monkeypatch.setattr(keyed.plane._admission, "_most_key_age", None)
     keyed.loop.run_for(30.0)
     ask(keyed, Reedspoke_Key="k1")
     assert monitor.violated[Invariant.KEY_IS_CERTAIN] == 1
--- a/tests/data_plane/test_route_table.py
+++ b/tests/data_plane/test_route_table.py
@@ -40,7 +40,7 @@
 
 def prefix_at(made: RouteTable, path: str, host: str = "a.example") -> str | None:
     found = made.find(host, path)
-    return None if found is None else found.prefix
+    return None if found is None else found.path_prefix
 
 
 NESTED = table({"path_prefix": "/a/"}, {"path_prefix": "/a/b/"}, {"path_prefix": "/a/b/c/d/"})
@@ -125,7 +125,7 @@
 
 def test_weights_that_round_leave_no_gap() -> None:
     route = only(traffic_split=[{"upstream": f"u{1 + number % 4}", "weight": 0.1} for number in range(7)])
-    assert route.targets[-1].until == pytest.approx(1.0)
+    assert route.split_targets[-1].cumulative_share == pytest.approx(1.0)
     assert all(route.upstream_for(str(number).encode()) for number in range(5000))
 
 
@@ -150,7 +150,7 @@
 
 def test_times_are_seconds_and_a_request_has_an_attempt() -> None:
     route = only(timeout_ms=1500, target_ms=250, max_attempts=0)
-    assert (route.timeout, route.target, route.max_attempts) == (1.5, 0.25, 1)
+    assert (route.timeout_s, route.latency_target_s, route.max_attempts) == (1.5, 0.25, 1)
 
 
 def test_a_route_is_compiled_by_its_first_request_and_kept(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/data_plane/test_subscription.py
+++ b/tests/data_plane/test_subscription.py
@@ -25,7 +25,7 @@
     WorkerList,
 )
 from reedspoke.data_plane.confirmation import Confirmation
-from reedspoke.data_plane.subscription import FETCH_S, Listener, Subscription
+from reedspoke.data_plane.subscription import FETCH_S, StateListener, Subscription
 from tests.data_plane.virtual_loop import STARTED_AT
 
 Running = dict[str, tuple[int, int]]
@@ -41,13 +41,13 @@
     suspects: list[dict[str, int]] = field(default_factory=list)
 
 
-def subscription(apply_s: float = 2.0) -> tuple[Subscription, Heard]:
+def make_subscription(apply_s: float = 2.0) -> tuple[Subscription, Heard]:
     heard = Heard()
 
     def on_configuration(configuration: Configuration, version: Version) -> None:
         heard.configurations.append((configuration.generation, version))
 
-    listener = Listener(
+    listener = StateListener(
         on_configuration=on_configuration,
         on_workers=lambda workers: heard.workers.append(workers.version),
         on_members=lambda members: heard.members.append(members.version),
@@ -88,18 +88,18 @@
 
 
 def test_newer_state_replaces_older() -> None:
-    made, heard = subscription()
-    assert made.take(snapshot(3))
-    assert made.take(snapshot(5))
+    made, heard = make_subscription()
+    assert made.apply(snapshot(3))
+    assert made.apply(snapshot(5))
     assert heard.configurations == [(3, (3, 0)), (5, (5, 0))]
     assert made.version(CONFIGURATION) == (5, 0)
 
 
 @pytest.mark.parametrize("sequence", [1, 4, 5])
 def test_a_configuration_that_is_not_newer_is_not_taken(sequence: int) -> None:
-    made, heard = subscription()
-    made.take(snapshot(5))
-    assert not made.take(snapshot(sequence))
+    made, heard = make_subscription()
+    made.apply(snapshot(5))
+    assert not made.apply(snapshot(sequence))
     assert heard.configurations == [(5, (5, 0))]
     assert made.state.configuration is not None
     assert made.state.configuration.generation == 5
@@ -107,53 +107,53 @@
 
 @pytest.mark.parametrize("version", [(1, 9), (2, 6), (2, 7)])
 def test_a_list_of_workers_that_is_not_newer_is_not_taken(version: Version) -> None:
-    made, heard = subscription()
-    made.take(workers(2, 7))
-    assert not made.take(workers(*version))
+    made, heard = make_subscription()
+    made.apply(workers(2, 7))
+    assert not made.apply(workers(*version))
     assert heard.workers == [(2, 7)]
 
 
 def test_a_later_term_goes_before_a_higher_count() -> None:
-    made, heard = subscription()
-    made.take(workers(2, 90))
-    assert made.take(workers(3, 1))
+    made, heard = make_subscription()
+    made.apply(workers(2, 90))
+    assert made.apply(workers(3, 1))
     assert heard.workers == [(2, 90), (3, 1)]
 
 
 def test_a_difference_is_applied_to_its_base() -> None:
-    made, _ = subscription()
-    made.take(snapshot(3))
-    assert made.take(delta(3, 6))
+    made, _ = make_subscription()
+    made.apply(snapshot(3))
+    assert made.apply(delta(3, 6))
     assert made.state.configuration == parse_configuration(document(6))
     assert made.version(CONFIGURATION) == (6, 0)
 
 
 @pytest.mark.parametrize("base", [2, 4, 6])
 def test_a_difference_from_another_base_is_not_taken(base: int) -> None:
-    made, heard = subscription()
-    made.take(snapshot(3))
-    assert not made.take(delta(base, 8))
+    made, heard = make_subscription()
+    made.apply(snapshot(3))
+    assert not made.apply(delta(base, 8))
     assert heard.configurations == [(3, (3, 0))]
 
 
 def test_a_difference_is_not_taken_where_nothing_is_held() -> None:
-    made, heard = subscription()
-    assert not made.take(delta(3, 4))
+    made, heard = make_subscription()
+    assert not made.apply(delta(3, 4))
     assert heard.configurations == []
 
 
 def test_a_difference_that_leads_back_is_not_taken() -> None:
-    made, heard = subscription()
-    made.take(snapshot(5))
-    assert not made.take(delta(5, 2))
+    made, heard = make_subscription()
+    made.apply(snapshot(5))
+    assert not made.apply(delta(5, 2))
     assert heard.configurations == [(5, (5, 0))]
 
 
 def test_a_document_that_is_invalid_changes_nothing() -> None:
-    made, heard = subscription()
-    made.take(snapshot(3))
+    made, heard = make_subscription()
+    made.apply(snapshot(3))
     with pytest.raises(FleetError):
-        made.take(ConfigurationSnapshot((9, 0), b"{"))
+        made.apply(ConfigurationSnapshot((9, 0), b"{"))
     assert made.version(CONFIGURATION) == (3, 0)
     assert heard.configurations == [(3, (3, 0))]
 
@@ -167,9 +167,9 @@
 def test_versions_only_rise_whatever_comes(
     messages: list[ConfigurationSnapshot | ConfigurationDelta | WorkerList],
 ) -> None:
-    made, heard = subscription()
+    made, heard = make_subscription()
     for message in messages:
-        made.take(message)
+        made.apply(message)
     configurations = [version for _, version in heard.configurations]
     assert configurations == sorted(set(configurations))
     assert heard.workers == sorted(set(heard.workers))
@@ -180,10 +180,10 @@
 
 
 def test_members_and_loads_are_passed_on_as_they_come() -> None:
-    made, heard = subscription()
-    made.take(MemberList((0, 7), (), ()))
-    made.take(MemberList((0, 2), (), ()))
-    made.take(WatchResponse(1, "core-1", {}, {"i-1": (1, 20)}, suspects={"i-2": 3}))
+    made, heard = make_subscription()
+    made.apply(MemberList((0, 7), (), ()))
+    made.apply(MemberList((0, 2), (), ()))
+    made.apply(WatchResponse(1, "core-1", {}, {"i-1": (1, 20)}, suspects={"i-2": 3}))
     assert heard.suspects == [{"i-2": 3}]
     assert heard.members == [(0, 7), (0, 2)]
     assert heard.running == [{"i-1": (1, 20)}]
@@ -193,8 +193,8 @@
 
 
 def test_what_the_other_side_has_newer_is_lacking() -> None:
-    made, _ = subscription()
-    made.take(snapshot(3))
+    made, _ = make_subscription()
+    made.apply(snapshot(3))
     offered = {CONFIGURATION: (4, 0), WORKERS: (0, 1), "members": (0, 9)}
     assert made.lacks(offered, 0.0) == [CONFIGURATION, WORKERS]
     assert made.lacks({CONFIGURATION: (3, 0), WORKERS: NO_VERSION}, 0.0) == []
@@ -202,7 +202,7 @@
 
 
 def test_what_some_session_has_asked_for_is_not_asked_for_again() -> None:
-    made, _ = subscription()
+    made, _ = make_subscription()
     made.begin_fetch(CONFIGURATION, (4, 0), 10.0)
     assert made.lacks({CONFIGURATION: (4, 0)}, 10.1) == []
     assert made.expected_version(CONFIGURATION, 10.1) == (4, 0)
@@ -210,13 +210,13 @@
 
 
 def test_something_newer_than_what_was_asked_for_is_lacking() -> None:
-    made, _ = subscription()
+    made, _ = make_subscription()
     made.begin_fetch(CONFIGURATION, (4, 0), 10.0)
     assert made.lacks({CONFIGURATION: (5, 0)}, 10.1) == [CONFIGURATION]
 
 
 def test_a_fetch_that_is_not_answered_is_begun_anew() -> None:
-    made, _ = subscription()
+    made, _ = make_subscription()
     made.begin_fetch(CONFIGURATION, (4, 0), 10.0)
     late = 10.0 + FETCH_S + 0.01
     assert made.lacks({CONFIGURATION: (4, 0)}, late) == [CONFIGURATION]
@@ -224,7 +224,7 @@
 
 
 def test_a_fetch_never_hides_what_is_held() -> None:
-    made, _ = subscription()
+    made, _ = make_subscription()
     made.begin_fetch(CONFIGURATION, (4, 0), 10.0)
-    made.take(snapshot(6))
+    made.apply(snapshot(6))
     assert made.expected_version(CONFIGURATION, 10.1) == (6, 0)
--- a/tests/data_plane/test_unconfirmed_sessions.py
+++ b/tests/data_plane/test_unconfirmed_sessions.py
@@ -21,16 +21,16 @@
 )
 from reedspoke.common.node_settings import Bounds, NodeSettings
 from reedspoke.common.transport import LENGTH, Channel
-from reedspoke.data_plane.confirmation import DOUBT_SHARE
-from reedspoke.data_plane.conversation import SessionPace
+from reedspoke.data_plane.confirmation import MAX_AGE_FRACTION
 from reedspoke.data_plane.session_choice import DIAL_BURST, DIALS_PER_S, MOST_OPEN, SESSIONS
 from reedspoke.data_plane.subscription import FETCH_S, UNCONFIRMED_AFTER_S
+from reedspoke.data_plane.watch_session import SessionTimeouts
 from tests.data_plane.control_stand_in import ANSWER_S, ChannelStandIn, Control
 from tests.data_plane.test_subscription import delta, snapshot, workers
 from tests.data_plane.virtual_loop import VirtualLoop
 
-HOLD_S = SessionPace().watch_hold_s
-DOUBT_S = DOUBT_SHARE * 2.0
+HOLD_S = SessionTimeouts().max_watch_wait_s
+DOUBT_S = MAX_AGE_FRACTION * 2.0
 SEEDS = ("c1:1", "c2:1", "c3:1")
 
 
@@ -417,23 +417,23 @@
     bounds = Bounds(apply_ms=apply_ms)
     settings = NodeSettings("edge-1", "127.0.0.1", "za", heartbeat_ms=heartbeat_ms, bounds=bounds)
     hold_s = settings.watch_timeout_s()
-    pace = SessionPace(hold_s)
+    pace = SessionTimeouts(hold_s)
     assert hold_s <= heartbeat_ms / 1000 / 3 + 1e-9
-    assert 2 * hold_s < DOUBT_SHARE * apply_ms / 1000  # one answer may be missed without any doubt
-    assert hold_s < pace.quiet_s < pace.silence_s
-    assert pace.silence_s > 0.8
+    assert 2 * hold_s < MAX_AGE_FRACTION * apply_ms / 1000  # one answer may be missed without any doubt
+    assert hold_s < pace.quiet_s < pace.idle_timeout_s
+    assert pace.idle_timeout_s > 0.8
 
 
 def test_at_the_usual_heartbeat_silence_is_bounded_as_before() -> None:
     settings = NodeSettings("edge-1", "127.0.0.1", "za", heartbeat_ms=1200)
-    assert SessionPace(settings.watch_timeout_s()).silence_s == pytest.approx(1.2)
+    assert SessionTimeouts(settings.watch_timeout_s()).idle_timeout_s == pytest.approx(1.2)
 
 
 def test_sessions_that_are_quiet_for_as_long_as_the_settings_allow_are_kept(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """With a long heartbeat and much time for a change, answers are seconds apart."""
-    control = Control(monkeypatch, SessionPace(watch_hold_s=4.0), apply_s=16.0)
+    control = Control(monkeypatch, SessionTimeouts(max_watch_wait_s=4.0), apply_s=16.0)
     stood = control.live()
     for _ in range(5):
         for channel in control.live():
--- a/tests/data_plane/world.py
+++ b/tests/data_plane/world.py
@@ -18,7 +18,7 @@
 from reedspoke.data_plane.client_connection import ClientConnection, ClientRequest, Exchange
 from reedspoke.data_plane.forwarder import Forwarder
 from reedspoke.data_plane.headers import ATTEMPT_ID, text_of
-from reedspoke.data_plane.request_entry import NoExchange
+from reedspoke.data_plane.request_admission import NullExchange
 from reedspoke.data_plane.route_table import RouteTable
 from reedspoke.data_plane.upstream_pool import UpstreamPool
 from reedspoke.decision.dispatcher import Dispatcher, RetryBudgetRule
@@ -206,7 +206,7 @@
         route = self.routes.find(text_of(request.head, b"host"), target)
         if route is None:
             connection.answer_whole(own_answer(404, ErrorCode.NO_ROUTE, "no route"))
-            return NoExchange()
+            return NullExchange()
         upstream = route.upstream_for(request.head.get(ATTEMPT_ID) or b"")
         return self.forwarder.begin(request, connection, route, upstream)
 
