--- a/reedspoke/data_plane/__init__.py
+++ b/reedspoke/data_plane/__init__.py
@@ -1,1 +1,1 @@
-"""The data plane: takes clients' requests, chooses workers by the decision module and forwards streams."""
+"""The data plane: accepts client requests, selects workers with the decision module and forwards them."""
--- a/reedspoke/data_plane/__main__.py
+++ b/reedspoke/data_plane/__main__.py
@@ -1,4 +1,4 @@
-"""`python3 -m reedspoke.data_plane`: run a data plane scheduler by the settings file."""
+"""`python3 -m reedspoke.data_plane`: runs a data plane node with the settings of the settings file."""
 
 from __future__ import annotations
 
@@ -8,7 +8,10 @@
 
 
 def run() -> int:
-    """Exit status, as `program.main` has it. The program is imported once signals are remembered."""
+    """Run `program.main` and return its exit status.
+
+    The program is imported only after `remember_signals`, so that a signal during the import is not lost.
+    """
     remember_signals()
     from reedspoke.data_plane.program import main
 
--- a/reedspoke/data_plane/address_book.py
+++ b/reedspoke/data_plane/address_book.py
@@ -1,7 +1,7 @@
-"""The control schedulers that a data plane scheduler has heard of, and when each may be tried.
+"""The addresses of control plane nodes that a data plane node knows, with the retry delay of each.
 
-An address is kept although a control scheduler no longer lists it: one that is cut off from the others lists
-fewer and fewer of them, and those are the ones to look for.
+An address is kept after control plane nodes stop listing it: a partitioned node lists fewer and fewer of the
+others, and those others are the ones to connect to.
 """
 
 from __future__ import annotations
@@ -12,90 +12,93 @@
 
 from reedspoke.common.messages import ControlMember
 
-MOST_ADDRESSES = 128
-FORGET_S = 1800.0  # an address that nobody has named for so long goes at the next list
-RETRY_LEAST_S = 0.5  # until the next try after one setback; doubled with each further one
-RETRY_MOST_S = 0.8  # where connections fail
-RETRY_UNCONFIRMED_MOST_S = 2.0  # where there are answers, none of them confirmed
-URGENT_RETRY_S = 0.15  # after a failed connection, while there is no session that counts
-LATELY_S = 5.0  # who had a setback within this time is tried after all others
+MAX_ADDRESSES = 128
+ADDRESS_TTL_S = 1800.0  # an address unlisted for longer is removed when the next member list is added
+MIN_RETRY_DELAY_S = 0.5  # after the first failure; doubled with each consecutive failure
+MAX_RETRY_DELAY_S = 0.8  # after failed connections
+MAX_UNCONFIRMED_RETRY_DELAY_S = 2.0  # after sessions that were answered, but without a majority
+URGENT_RETRY_DELAY_S = 0.15  # after a failed connection, while no session is confirmed
+RECENT_FAILURE_S = 5.0  # an address that failed within this time is tried after all others
 
 
-class Entry(Struct):
-    """What is known of one control scheduler."""
+class AddressEntry(Struct):
+    """One control plane node: its address, its zone and its recent failures."""
 
     address: str
     zone: str = ""
-    named_at: float | None = None  # None: only the settings have named it
-    setbacks: int = 0  # sessions in a row that brought no confirmed answer
-    setback_at: float = 0.0
-    unconfirmed: bool = False  # the last setback was an answer that no majority stands behind
-
-    def set_back(self, now: float, unconfirmed: bool) -> None:
-        """A session brought no confirmed answer, or brings none any more."""
-        self.setbacks += 1
-        self.setback_at = now
+    last_listed_at: float | None = None  # None: known only from the settings
+    failures: int = 0  # consecutive sessions without a confirmed response
+    last_failure_at: float = 0.0
+    unconfirmed: bool = False  # the last failure was a response without a majority
+
+    def record_failure(self, now: float, unconfirmed: bool) -> None:
+        """Count a session that got no confirmed response, or lost its confirmation."""
+        self.failures += 1
+        self.last_failure_at = now
         self.unconfirmed = unconfirmed
 
-    def had_setback_lately(self, now: float) -> bool:
-        """Whether others are to be tried first."""
-        return self.setbacks > 0 and now - self.setback_at < LATELY_S
+    def failed_recently(self, now: float) -> bool:
+        """Whether the last failure is so recent that other addresses are tried first."""
+        return self.failures > 0 and now - self.last_failure_at < RECENT_FAILURE_S
 
-    def may_be_tried(self, now: float, urgent: bool) -> bool:
-        """Whether the pause since the last setback is over."""
-        return self.setbacks == 0 or now - self.setback_at >= self._pause(urgent)
+    def may_connect(self, now: float, urgent: bool) -> bool:
+        """Whether the retry delay since the last failure has passed."""
+        return self.failures == 0 or now - self.last_failure_at >= self._retry_delay_s(urgent)
 
-    def _pause(self, urgent: bool) -> float:
+    def _retry_delay_s(self, urgent: bool) -> float:
         if urgent and not self.unconfirmed:
-            return URGENT_RETRY_S
-        most = RETRY_UNCONFIRMED_MOST_S if self.unconfirmed else RETRY_MOST_S
-        return min(most, RETRY_LEAST_S * 2.0 ** (min(self.setbacks, 8) - 1))
+            return URGENT_RETRY_DELAY_S
+        max_delay_s = MAX_UNCONFIRMED_RETRY_DELAY_S if self.unconfirmed else MAX_RETRY_DELAY_S
+        return min(max_delay_s, MIN_RETRY_DELAY_S * 2.0 ** (min(self.failures, 8) - 1))
 
 
 class AddressBook:
-    """All addresses that were learnt, in bounded number."""
+    """All known addresses, at most `MAX_ADDRESSES` besides seeds and addresses in use."""
 
     def __init__(self) -> None:
-        self._entries: dict[str, Entry] = {}
+        self._entries: dict[str, AddressEntry] = {}
         self._seeds: frozenset[str] = frozenset()
 
     def __len__(self) -> int:
         return len(self._entries)
 
-    def entries(self) -> list[Entry]:
-        """All entries, in no order that means anything."""
+    def entries(self) -> list[AddressEntry]:
+        """All entries, in no particular order."""
         return list(self._entries.values())
 
-    def get(self, address: str) -> Entry | None:
-        """The entry of an address, if there is one."""
+    def get(self, address: str) -> AddressEntry | None:
+        """The entry of an address; None if the address is unknown."""
         return self._entries.get(address)
 
-    def seeds(self, addresses: Iterable[str]) -> None:
-        """The addresses that the settings name. They are never forgotten; earlier ones age from now on."""
+    def set_seeds(self, addresses: Iterable[str]) -> None:
+        """Replace the seeds, the addresses in the settings; only current seeds are never evicted."""
         self._seeds = frozenset(addresses)
         for address in self._seeds:
             if address not in self._entries:
-                self._entries[address] = Entry(address)
+                self._entries[address] = AddressEntry(address)
 
-    def learnt(self, members: Iterable[ControlMember], now: float, in_use: Iterable[str]) -> None:
-        """Some control scheduler names these. Addresses in use are kept whatever happens."""
+    def add_members(self, members: Iterable[ControlMember], now: float, in_use: Iterable[str]) -> None:
+        """Add the members that a control plane node listed, and evict old addresses that are not in use."""
         for member in members:
-            entry = self._entries.setdefault(member.address, Entry(member.address))
+            entry = self._entries.setdefault(member.address, AddressEntry(member.address))
             entry.zone = member.zone or entry.zone
-            entry.named_at = now
-        self._forget(now, frozenset(in_use))
+            entry.last_listed_at = now
+        self._evict(now, frozenset(in_use))
 
-    def _forget(self, now: float, in_use: frozenset[str]) -> None:
+    def _evict(self, now: float, in_use: frozenset[str]) -> None:
         kept = self._seeds | in_use
-        surplus = len(self._entries) - MOST_ADDRESSES
-        ages = {entry.address: self._age(entry, now) for entry in self.entries()}
+        surplus = len(self._entries) - MAX_ADDRESSES
+        ages = {entry.address: self._age_s(entry, now) for entry in self.entries()}
         removable = sorted(ages.keys() - kept, key=lambda address: (-ages[address], address))
         for place, address in enumerate(removable):
-            if place < surplus or ages[address] > FORGET_S:
+            if place < surplus or ages[address] > ADDRESS_TTL_S:
                 del self._entries[address]
 
-    def _age(self, entry: Entry, now: float) -> float:
-        """For how long nobody has named it; a former seed counts from the first list after it was one."""
-        if entry.named_at is None and entry.address not in self._seeds:
-            entry.named_at = now
-        return 0.0 if entry.named_at is None else now - entry.named_at
+    def _age_s(self, entry: AddressEntry, now: float) -> float:
+        """Time since the address was last listed.
+
+        A former seed that was never listed counts as listed when the first member list arrives.
+        """
+        if entry.last_listed_at is None and entry.address not in self._seeds:
+            entry.last_listed_at = now
+        return 0.0 if entry.last_listed_at is None else now - entry.last_listed_at
--- a/reedspoke/data_plane/authorization.py
+++ b/reedspoke/data_plane/authorization.py
@@ -1,4 +1,4 @@
-"""By what a request may run: the tenant whose key it carries, and whether that still counts."""
+"""The authorization of a request: the tenant of its API key, and whether the key is still valid."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 
 def always_valid() -> bool:
-    """A request without a key needs none."""
+    """The check of a request that needs no key."""
     return True
 
 
 class Authorization(Struct, frozen=True):
-    """`is_valid` is asked each time that the request is about to be sent to a worker."""
+    """The authorization of one request; `is_valid` is called before each attempt to send it to a worker."""
 
-    arrived_at: float  # when the first bytes of the request came, on the loop's clock
+    arrived_at: float  # when the first bytes of the request arrived, on the event loop's clock
     tenant: str = ""  # empty: the request has no key
-    priority: int | None = None  # of the tenant; None: that of the route counts
+    priority: int | None = None  # of the tenant; None: the priority of the route applies
     is_valid: Callable[[], bool] = always_valid
--- a/reedspoke/data_plane/control_session.py
+++ b/reedspoke/data_plane/control_session.py
@@ -1,4 +1,4 @@
-"""Keeps sessions with the control plane up: opens and leaves them as `SessionChoice` decides."""
+"""Maintains the sessions with the control plane: opens and closes them as `SessionChoice` decides."""
 
 from __future__ import annotations
 
@@ -15,24 +15,24 @@
 from reedspoke.common.transport import CONNECTION_ENDED, Channel, open_channel
 from reedspoke.data_plane.session_choice import SessionChoice
 from reedspoke.data_plane.subscription import Subscription
-from reedspoke.data_plane.watch_session import NodeState, OnQuota, SessionTimeouts, WatchSession
+from reedspoke.data_plane.watch_session import NodeState, OnQuotaResponse, SessionTimeouts, WatchSession
 
 DEFAULT_TIMEOUTS = SessionTimeouts()
 
 
-def no_quota(answer: QuotaResponse) -> None:
-    """Where nobody has asked for any."""
+def ignore_quota_response(response: QuotaResponse) -> None:
+    """Handler for sessions over which no quota is requested."""
 
 
 class OpenSession(Struct, eq=False):
-    """A session that is up or coming up."""
+    """A session that is connected or connecting; `watch_session` is None until it is connected."""
 
     task: asyncio.Task[None]
-    conversation: WatchSession | None = None
+    watch_session: WatchSession | None = None
 
 
 class ControlSessions:
-    """All sessions of this scheduler, each a task of its own."""
+    """All sessions of this data plane node; each runs in its own task."""
 
     def __init__(
         self,
@@ -40,121 +40,131 @@
         node_state: Callable[[], NodeState],
         seeds: Callable[[], tuple[str, ...]],
         random: Random,
-        pace: SessionTimeouts = DEFAULT_TIMEOUTS,
-        on_quota: OnQuota = no_quota,
+        timeouts: SessionTimeouts = DEFAULT_TIMEOUTS,
+        on_quota: OnQuotaResponse = ignore_quota_response,
     ) -> None:
         self._subscription = subscription
         self._node_state = node_state
         self._seeds = seeds
-        self._pace = pace
+        self._timeouts = timeouts
         self._on_quota = on_quota
-        self._choice = SessionChoice(random, pace.quiet_s)
+        self._choice = SessionChoice(random, timeouts.stale_after_s)
         self._open_sessions: dict[str, OpenSession] = {}
-        self._news = asyncio.Event()
-        self._was_sound = False
-        self._loop: asyncio.AbstractEventLoop | None = None  # from the start on
-
-    def sessions(self) -> int:
-        """Sessions with control schedulers behind which a majority stands."""
-        return 0 if self._loop is None else len(self._choice.sound(self._loop.time()))
-
-    def ask_quota(self, ask: QuotaRequest, tried: Collection[str]) -> str | None:
-        """Ask on a session that was not tried yet, one with a majority and in the own zone if there is any.
-        Its address; None where there is none left."""
-        open_now = {
-            address: session.conversation
+        self._wake = asyncio.Event()
+        self._had_majority = False
+        self._loop: asyncio.AbstractEventLoop | None = None  # None until `run` starts
+
+    def confirmed_sessions(self) -> int:
+        """The number of sessions with control plane nodes that have a majority."""
+        return 0 if self._loop is None else len(self._choice.confirmed_addresses(self._loop.time()))
+
+    def request_quota(self, request: QuotaRequest, tried: Collection[str]) -> str | None:
+        """Send the request on a session whose address is not in `tried`; return its address, or None.
+
+        Sessions with a majority are preferred, and among them sessions in the own zone.
+        """
+        candidates = {
+            address: session.watch_session
             for address, session in self._open_sessions.items()
-            if session.conversation is not None and address not in tried
+            if session.watch_session is not None and address not in tried
         }
-        if not open_now or self._loop is None:
+        if not candidates or self._loop is None:
             return None
-        sound = self._choice.sound(self._loop.time())
-        address = min(open_now, key=lambda other: (other not in sound, not self._choice.is_near(other)))
-        open_now[address].ask_quota(ask)
+        confirmed = self._choice.confirmed_addresses(self._loop.time())
+        address = min(
+            candidates, key=lambda other: (other not in confirmed, not self._choice.is_in_own_zone(other))
+        )
+        candidates[address].request_quota(request)
         return address
 
     async def run(self) -> None:
-        """Runs until it is cancelled."""
+        """Maintain the sessions until cancelled."""
         loop = self._loop = asyncio.get_running_loop()
         own_zone = self._node_state().zone
 
-        async def look_again_and_again() -> None:
+        async def step_forever() -> None:
             while True:
-                await self._look(loop.time(), own_zone)
+                await self._step(loop.time(), own_zone)
 
         try:
-            await keep_running("the choice of sessions", look_again_and_again)
+            await keep_running("control session manager", step_forever)
         finally:
             for session in self._open_sessions.values():
                 session.task.cancel()
 
-    async def _look(self, now: float, own_zone: str) -> None:
-        """Do what the choice wants now, then wait until something has happened or some time has passed."""
-        self._news.clear()
-        self._choice.seeds(self._seeds())
-        self._leave_unwanted(now)
+    async def _step(self, now: float, own_zone: str) -> None:
+        """Close and open sessions as `SessionChoice` decides, then wait for an event or the next check."""
+        self._wake.clear()
+        self._choice.set_seeds(self._seeds())
+        self._close_unwanted(now)
         self._open_wanted(now, own_zone)
-        self._look_at_conversations()
+        self._poll_watch_sessions()
         self._log_change(now)
         with suppress(TimeoutError):
-            async with asyncio.timeout(self._choice.next_look_s(now)):  # wait_for may swallow a cancellation
-                await self._news.wait()
+            async with asyncio.timeout(
+                self._choice.next_check_s(now)
+            ):  # asyncio.wait_for can lose a cancellation
+                await self._wake.wait()
 
-    def _leave_unwanted(self, now: float) -> None:
+    def _close_unwanted(self, now: float) -> None:
         for address, session in list(self._open_sessions.items()):
-            if self._choice.should_leave(address, now):
+            if self._choice.should_close(address, now):
                 del self._open_sessions[address]
-                self._choice.ended(address, now)
+                self._choice.session_ended(address, now)
                 session.task.cancel()
 
     def _open_wanted(self, now: float, own_zone: str) -> None:
         overdue = self._subscription.confirmation.is_overdue(now)
-        while (member := self._choice.next_address(now, own_zone, overdue)) is not None:
-            self._choice.opened(member.address, now)
-            task = asyncio.get_running_loop().create_task(self._keep(member.address))
+        while (member := self._choice.next_member(now, own_zone, overdue)) is not None:
+            self._choice.session_opened(member.address, now)
+            task = asyncio.get_running_loop().create_task(self._run_session(member.address))
             self._open_sessions[member.address] = OpenSession(task)
 
-    def _look_at_conversations(self) -> None:
+    def _poll_watch_sessions(self) -> None:
         for session in self._open_sessions.values():
-            if session.conversation is not None:
-                session.conversation.look()
+            if session.watch_session is not None:
+                session.watch_session.poll()
 
     def _log_change(self, now: float) -> None:
-        sound = self._choice.sound(now)
-        if bool(sound) is not self._was_sound:
-            self._was_sound = bool(sound)
-            text = "control plane found" if sound else "no control scheduler with a majority"
-            log(INFO if sound else WARNING, text, sessions=len(self._open_sessions))
-
-    async def _keep(self, address: str) -> None:
-        """One session from its opening to its end, whatever it brings."""
+        confirmed = self._choice.confirmed_addresses(now)
+        if bool(confirmed) is not self._had_majority:
+            self._had_majority = bool(confirmed)
+            text = (
+                "connected to a control plane majority"
+                if confirmed
+                else "no control plane majority reachable"
+            )
+            log(INFO if confirmed else WARNING, text, sessions=len(self._open_sessions))
+
+    async def _run_session(self, address: str) -> None:
+        """Run one session from connecting to its end; no error of it escapes."""
         session = self._open_sessions[address]
         try:
-            await self._converse(address, await self._connect(address), session)
+            await self._run_watch_session(address, await self._connect(address), session)
         except CONNECTION_ENDED:
             pass
-        except Exception as error:  # whatever one session brings, the next one is opened
+        except Exception as error:  # an error in one session must not prevent the next one
             log(WARNING, "session given up", address=address, error=repr(error))
         if self._open_sessions.get(address) is session:
             del self._open_sessions[address]
-            self._choice.ended(address, asyncio.get_running_loop().time())
-            self._news.set()
+            self._choice.session_ended(address, asyncio.get_running_loop().time())
+            self._wake.set()
 
     async def _connect(self, address: str) -> Channel:
         return await open_channel(address)
 
-    async def _converse(self, address: str, channel: Channel, session: OpenSession) -> None:
-        session.conversation = WatchSession(
+    async def _run_watch_session(self, address: str, channel: Channel, session: OpenSession) -> None:
+        session.watch_session = WatchSession(
             channel,
             address,
             self._subscription,
             self._node_state,
             self._choice,
-            self._pace,
-            on_change=self._news.set,
+            self._timeouts,
+            on_change=self._wake.set,
             on_quota=self._on_quota,
         )
         try:
-            await session.conversation.run()
+            await session.watch_session.run()
         finally:
             channel.close()
--- a/reedspoke/data_plane/key_check.py
+++ b/reedspoke/data_plane/key_check.py
@@ -1,10 +1,10 @@
-"""Whether a request may run by its API key. No I/O and no clock.
+"""Whether a request may be forwarded by its API key. No I/O and no clock.
 
-Where the deployment sets `revoke_strict`, a key that was taken away may not be served after a bound that
-holds for each machine, in touch or not. So a key counts only while the configuration that holds it was
-certainly the newest within that bound, on this process's steady clock (`Confirmation.as_of`, which rests on a
-majority's grants). A process that was stopped or cut off finds that out with the time of the same step in
-which it acts.
+Where the deployment sets `revoke_strict`, a revoked key must not be served after a time limit that applies
+to each node, also to one that is partitioned. So a key is valid only while the configuration that has it was
+confirmed as the newest within that limit, on this process's monotonic clock (`Confirmation.as_of`, which
+relies on the grants of a majority). A process that was suspended or partitioned detects the expiry in the
+same step in which it would use the key, as that step passes the current time.
 """
 
 from __future__ import annotations
@@ -16,53 +16,58 @@
 from reedspoke.common.node_settings import Bounds
 from reedspoke.data_plane.tenant_directory import KeyHolder, TenantDirectory
 
-MARGIN_S = 0.25  # of the bound: steady clocks of different machines drift
+CLOCK_DRIFT_MARGIN_S = 0.25  # subtracted from the limit, as clocks of different machines drift apart
 
 
 class KeyVerdict(Enum):
-    """What becomes of a request by its key."""
+    """The result of checking a key."""
 
-    RUN = auto()
+    ALLOWED = auto()
     UNKNOWN = auto()  # no tenant holds the key
-    IN_DOUBT = auto()  # the configuration that is held is not certain enough to say
+    IN_DOUBT = auto()  # the configuration in force may be too old to decide
 
 
 class KeyCheck(Struct, frozen=True):
-    """The verdict, and the tenant that the request is run for; None: it needs none."""
+    """The verdict and the tenant of the key; `holder` is None if no key is needed."""
 
     verdict: KeyVerdict
     holder: KeyHolder | None = None
 
 
-class Certainty(Struct, frozen=True):
-    """How certain the configuration is that is held, at one instant."""
+class ConfigurationFreshness(Struct, frozen=True):
+    """The age of the last confirmation of the configuration in force, at one instant."""
 
-    age_s: float  # since it was certainly the newest; infinite: never
-    in_doubt: bool  # whether it may be older than it is allowed to be
+    age_s: float  # since it was last known to be the newest; infinite: never
+    in_doubt: bool  # whether it may be older than the deployment allows
 
 
-NO_KEY_NEEDED = KeyCheck(KeyVerdict.RUN)
+NO_KEY_NEEDED = KeyCheck(KeyVerdict.ALLOWED)
 
 
-def most_age_s(bounds: Bounds) -> float | None:
-    """How old the certainty may be with which keys are served; None: it is not bounded."""
-    return max(0.0, bounds.revoke_ms / 1000 - MARGIN_S) if bounds.revoke_strict else None
+def max_configuration_age_s(bounds: Bounds) -> float | None:
+    """The maximum age of the confirmation with which keys are accepted; None: unlimited."""
+    return max(0.0, bounds.revoke_ms / 1000 - CLOCK_DRIFT_MARGIN_S) if bounds.revoke_strict else None
 
 
 def check_key(
-    directory: TenantDirectory, key: bytes, *, public: bool, certainty: Certainty, most_age: float | None
+    directory: TenantDirectory,
+    key: bytes,
+    *,
+    public: bool,
+    freshness: ConfigurationFreshness,
+    max_age_s: float | None,
 ) -> KeyCheck:
-    """Judge a request with this key (empty: it carries none) on a route that is public or not."""
-    if not directory.keyed:
+    """Check the key of a request on a route; an empty `key` means that the request has none."""
+    if not directory.requires_key:
         return NO_KEY_NEEDED
     holder = directory.find(key) if key else None
     if holder is None:
-        return NO_KEY_NEEDED if public else KeyCheck(_without_holder(certainty))
-    if most_age is not None and certainty.age_s > most_age:
+        return NO_KEY_NEEDED if public else KeyCheck(_verdict_without_holder(freshness))
+    if max_age_s is not None and freshness.age_s > max_age_s:
         return KeyCheck(KeyVerdict.IN_DOUBT)
-    return KeyCheck(KeyVerdict.RUN, holder)
+    return KeyCheck(KeyVerdict.ALLOWED, holder)
 
 
-def _without_holder(certainty: Certainty) -> KeyVerdict:
-    """Final only while it is certain that no tenant has got the key meanwhile."""
-    return KeyVerdict.IN_DOUBT if certainty.in_doubt else KeyVerdict.UNKNOWN
+def _verdict_without_holder(freshness: ConfigurationFreshness) -> KeyVerdict:
+    """Unknown only if the configuration is certainly up to date; otherwise a tenant may have got the key."""
+    return KeyVerdict.IN_DOUBT if freshness.in_doubt else KeyVerdict.UNKNOWN
--- a/reedspoke/data_plane/process.py
+++ b/reedspoke/data_plane/process.py
@@ -1,4 +1,4 @@
-"""The data plane scheduler: listens for clients, follows the control plane, and ends in good order."""
+"""The data plane process: accepts clients, follows the control plane, and shuts down gracefully."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from reedspoke.data_plane.confirmation import Confirmation
 from reedspoke.data_plane.control_session import ControlSessions
 from reedspoke.data_plane.forwarder import Forwarder
-from reedspoke.data_plane.process_metrics import add_process_figures
+from reedspoke.data_plane.process_metrics import register_process_metrics
 from reedspoke.data_plane.quota_client import QuotaClient
 from reedspoke.data_plane.readiness import ReadinessConnection
 from reedspoke.data_plane.request_admission import RequestAdmission
@@ -33,17 +33,18 @@
 from reedspoke.telemetry.invariants import Invariant, check
 from reedspoke.telemetry.metrics import Registry
 
-BACKLOG = 1024
-LINGER_S = 2.3  # after SIGTERM new connections come until the platform has asked for readiness twice
-END_MARGIN_S = 0.5  # before the platform ends the process by force
-LOOK_S = 0.05
-MOST_START_S = 2.0  # connections are accepted after that, even if there is no configuration yet
-SETTINGS_INTERVAL_S = 2.0
+LISTEN_BACKLOG = 1024
+# After SIGTERM, new connections keep arriving until the platform has probed the readiness twice.
+ACCEPT_AFTER_SIGTERM_S = 2.3
+KILL_MARGIN_S = 0.5  # open requests are ended this long before the platform kills the process
+DRAIN_POLL_INTERVAL_S = 0.05
+MAX_STARTUP_WAIT_S = 2.0  # then connections are accepted even without a configuration
+SETTINGS_RELOAD_INTERVAL_S = 2.0
 EMPTY_LIMITS = RequestLimits()
 
 
 class DataPlane:
-    """One data plane scheduler."""
+    """One data plane node."""
 
     def __init__(self, settings: NodeSettings) -> None:
         self._settings = settings
@@ -51,7 +52,7 @@
         self._workers_version = NO_VERSION
         self._connections: set[ClientConnection] = set()
         self._closing = False
-        self._ended = asyncio.Event()
+        self._stop_requested = asyncio.Event()
         self._may_accept = asyncio.Event()
         self._incarnation = os.urandom(6).hex()
         self._random = Random()
@@ -59,20 +60,20 @@
         self._pool = UpstreamPool(self._loop)
         self._registry = Registry()
         self._request_log = RequestLog(self._registry, LogRateLimiter(self._loop.time))
-        add_process_figures(self._registry, self)
+        register_process_metrics(self._registry, self)
         self._forwarder = Forwarder(self._loop, self._pool, self._dispatcher, self._request_log.ended)
         listener = StateListener(
             on_configuration=self._on_configuration,
             on_workers=self._on_workers,
             on_members=self._on_members,
-            on_running=self._forwarder.set_others_load,
-            on_suspects=self._forwarder.set_others_suspects,
+            on_peer_load=self._forwarder.set_others_load,
+            on_peer_suspects=self._forwarder.set_others_suspects,
         )
         self._confirmation = Confirmation(settings.bounds.apply_ms / 1000, started=self._loop.time())
         self._subscription = Subscription(listener, self._confirmation)
-        self._quota = QuotaClient(
+        self._quota_client = QuotaClient(
             self._loop,
-            lambda ask, tried: self._sessions.ask_quota(ask, tried),
+            lambda request, tried: self._sessions.request_quota(request, tried),
             settings.bounds.quota_window_s,
         )
         self._admission = RequestAdmission(
@@ -80,7 +81,7 @@
             self._forwarder,
             self._request_log,
             self._confirmation,
-            self._quota,
+            self._quota_client,
             settings.bounds,
         )
         self._sessions = ControlSessions(
@@ -89,7 +90,7 @@
             self._seeds,
             self._random,
             SessionTimeouts(settings.watch_timeout_s()),
-            self._quota.answered,
+            self._quota_client.handle_response,
         )
 
     def _make_dispatcher(self) -> Dispatcher:
@@ -99,59 +100,64 @@
         )
         return Dispatcher(zone=self._settings.zone, budget=rule, started=self._loop.time())
 
-    # ---- life ----
+    # ---- start and shutdown ----
 
     async def run(self) -> None:
-        """Serve until SIGTERM, then finish what was taken."""
-        handle_signals(self._loop, on_end=self._end, on_reload=self._reload_settings)
-        front = listen(self._settings.bind.frontend)
+        """Serve until SIGTERM, then drain the open requests."""
+        handle_signals(self._loop, on_end=self._request_stop, on_reload=self._reload_settings)
+        frontend_socket = listen(self._settings.bind.frontend)
         readiness = await self._loop.create_server(
             lambda: ReadinessConnection(self.is_ready),
             sock=listen(self._settings.bind.readiness),
-            backlog=BACKLOG,
+            backlog=LISTEN_BACKLOG,
         )
-        following = self._loop.create_task(self._sessions.run())
-        reloading = self._loop.create_task(keep_running("settings", self._poll_settings))
-        figures = await serve_metrics(self._settings, self._registry)
-        log(INFO, "data plane up", node=self._settings.node_name)
-        await self._first_state()
-        frontend = await self._loop.create_server(  # without its own backlog it would set one of 100
-            lambda: ClientConnection(self, self._loop), sock=front, backlog=BACKLOG
+        sessions_task = self._loop.create_task(self._sessions.run())
+        settings_task = self._loop.create_task(keep_running("settings", self._poll_settings))
+        metrics_server = await serve_metrics(self._settings, self._registry)
+        log(INFO, "data plane started", node=self._settings.node_name)
+        await self._wait_for_first_state()
+        frontend = (
+            await self._loop.create_server(  # the default backlog of 100 would replace that of the socket
+                lambda: ClientConnection(self, self._loop), sock=frontend_socket, backlog=LISTEN_BACKLOG
+            )
         )
-        await self._ended.wait()
+        await self._stop_requested.wait()
         await self._drain(frontend)
-        following.cancel()
-        reloading.cancel()
+        sessions_task.cancel()
+        settings_task.cancel()
         readiness.close()
-        if figures is not None:
-            figures.close()
+        if metrics_server is not None:
+            metrics_server.close()
 
-    async def _first_state(self) -> None:
-        """Requests that come before there is anything to serve them by wait unread, for a short time."""
+    async def _wait_for_first_state(self) -> None:
+        """Wait for a configuration and workers before accepting connections, for a limited time."""
         with suppress(TimeoutError):
-            await asyncio.wait_for(self._may_accept.wait(), MOST_START_S)
+            await asyncio.wait_for(self._may_accept.wait(), MAX_STARTUP_WAIT_S)
 
-    def _end(self) -> None:
-        self._ended.set()
+    def _request_stop(self) -> None:
+        self._stop_requested.set()
         self._may_accept.set()
 
     async def _drain(self, frontend: asyncio.Server) -> None:
-        """Take nothing new that can go elsewhere, finish what was read, break off what is late."""
+        """Close idle connections, let open requests finish, and abort those that exceed the grace period.
+
+        New connections are accepted for a while, as the platform still sends some here.
+        """
         self._closing = True
         log(INFO, "shutting down", open_requests=self._admission.open_requests())
         began = self._loop.time()
-        last = began + self._settings.bounds.grace_s - END_MARGIN_S
+        deadline = began + self._settings.bounds.grace_s - KILL_MARGIN_S
         self._close_idle()
-        while self._loop.time() < last:
-            lingered = self._loop.time() - began >= LINGER_S
-            if lingered:
+        while self._loop.time() < deadline:
+            accept_period_over = self._loop.time() - began >= ACCEPT_AFTER_SIGTERM_S
+            if accept_period_over:
                 frontend.close()
                 self._close_idle()
-            if lingered and not self._connections:
+            if accept_period_over and not self._connections:
                 break
-            await asyncio.sleep(LOOK_S)
-        self._admission.break_off_all()
-        log(INFO, "data plane ends", after_s=round(self._loop.time() - began, 2))
+            await asyncio.sleep(DRAIN_POLL_INTERVAL_S)
+        self._admission.abort_all()
+        log(INFO, "data plane stopped", after_s=round(self._loop.time() - began, 2))
 
     def _close_idle(self) -> None:
         for connection in list(self._connections):
@@ -161,8 +167,8 @@
 
     async def _poll_settings(self) -> None:
         while True:
-            await asyncio.sleep(SETTINGS_INTERVAL_S)
-            if not self._sessions.sessions():
+            await asyncio.sleep(SETTINGS_RELOAD_INTERVAL_S)
+            if not self._sessions.confirmed_sessions():
                 self._reload_settings()
 
     def _reload_settings(self) -> None:
@@ -184,102 +190,112 @@
             self._forwarder.own_suspects(),
         )
 
-    # ---- what the control plane tells ----
+    # ---- updates from the control plane ----
 
     def _on_configuration(self, configuration: Configuration, version: Version) -> None:
-        held = self._admission.routes.version
-        check(Invariant.DELIVERY_RISES, version > held, source=CONFIGURATION, held=held, got=version)
+        current = self._admission.routes.version
+        check(Invariant.DELIVERY_RISES, version > current, source=CONFIGURATION, held=current, got=version)
         self._admission.configure(configuration, version)
-        self._look_whether_ready()
+        self._update_accepting()
         log(INFO, "configuration in force", generation=configuration.generation)
 
     def _on_workers(self, workers: WorkerList) -> None:
-        held, self._workers_version = self._workers_version, workers.version
+        current, self._workers_version = self._workers_version, workers.version
         check(
-            Invariant.DELIVERY_RISES, workers.version > held, source=WORKERS, held=held, got=workers.version
+            Invariant.DELIVERY_RISES,
+            workers.version > current,
+            source=WORKERS,
+            held=current,
+            got=workers.version,
         )
         self._forwarder.set_workers(workers)
-        self._look_whether_ready()
+        self._update_accepting()
 
     def _on_members(self, members: MemberList) -> None:
         self._forwarder.set_fleet_size(len(members.edges))
 
     # ---- readiness ----
 
-    def _look_whether_ready(self) -> None:
+    def _update_accepting(self) -> None:
         if self.is_ready():
             self._may_accept.set()
 
     def is_ready(self) -> bool:
-        """Whether requests can be served: a configuration and workers are known, and no end is near."""
+        """Whether requests can be served: there are a configuration and workers, and no shutdown."""
         state = self._subscription.state
         workers = state.workers
         return not self._closing and state.configuration is not None and bool(workers and workers.workers)
 
-    # ---- what client connections ask ----
+    # ---- interface for client connections ----
 
     def limits(self) -> RequestLimits:
+        """The request limits of the configuration in force."""
         configuration = self._admission.routes.configuration
         return EMPTY_LIMITS if configuration is None else configuration.limits
 
     def closing(self) -> bool:
+        """Whether the process is shutting down."""
         return self._closing
 
     def opened(self, connection: ClientConnection) -> None:
+        """A client connection was accepted."""
         self._connections.add(connection)
 
     def closed(self, connection: ClientConnection) -> None:
+        """A client connection has ended."""
         self._connections.discard(connection)
 
     def unreadable(self, status: int, message: str, peer: str) -> None:
+        """Log a request that could not be parsed, and was refused with `status`."""
         self._request_log.unreadable(status, message, peer)
 
     def begin(self, request: ClientRequest, connection: ClientConnection) -> Exchange:
+        """Begin the exchange of a request that was read completely."""
         return self._admission.begin(request, connection)
 
-    # ---- what the figures are read from ----
+    # ---- state for metrics ----
 
     def in_doubt(self) -> bool:
-        """Whether the configuration that is held may be an old one."""
+        """Whether the configuration in force may be out of date."""
         return self._admission.in_doubt()
 
     def generation(self) -> int:
-        """Of the configuration in force; 0 before the first."""
+        """The generation of the configuration in force; 0 before the first."""
         configuration = self._admission.routes.configuration
         return 0 if configuration is None else configuration.generation
 
     def open_connections(self) -> int:
-        """Connections of clients."""
+        """The number of client connections."""
         return len(self._connections)
 
     def open_requests(self) -> int:
-        """Requests without a whole answer."""
+        """The number of requests without a complete response."""
         return self._admission.open_requests()
 
-    def sound_sessions(self) -> int:
-        """Sessions with control schedulers behind which a majority stands."""
-        return self._sessions.sessions()
+    def confirmed_sessions(self) -> int:
+        """The number of sessions with control plane nodes that have a majority."""
+        return self._sessions.confirmed_sessions()
 
     def known_workers(self) -> int:
-        """Workers on the list."""
+        """The number of workers on the list."""
         workers = self._subscription.state.workers
         return 0 if workers is None else len(workers.workers)
 
     def avoided_workers(self) -> int:
-        """Workers that several schedulers suspect."""
+        """The number of workers that several data plane nodes suspect."""
         return self._forwarder.avoided_workers()
 
 
 def listen(address: str) -> socket.socket:
-    """A listening socket at `ip:port`; connections come up before anybody accepts them."""
+    """A listening socket at `ip:port`; the kernel completes connections before they are accepted."""
     listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     listener.setblocking(False)
     listener.bind(split_address(address))
-    listener.listen(BACKLOG)
+    listener.listen(LISTEN_BACKLOG)
     return listener
 
 
 async def serve(settings: NodeSettings) -> None:
-    """Run a data plane scheduler until it is told to end."""
+    """Run a data plane node until SIGTERM."""
     await DataPlane(settings).run()
--- a/reedspoke/data_plane/process_metrics.py
+++ b/reedspoke/data_plane/process_metrics.py
@@ -1,4 +1,4 @@
-"""The figures of a data plane scheduler besides those of its requests."""
+"""Metrics of the state of a data plane process; those of its requests are in `request_log`."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 from reedspoke.telemetry.metrics import Registry
 
 
-class Told(Protocol):
-    """What the figures are read from."""
+class ProcessState(Protocol):
+    """The state that the gauges are read from."""
 
     def is_ready(self) -> bool: ...
 
@@ -20,24 +20,24 @@
 
     def open_requests(self) -> int: ...
 
-    def sound_sessions(self) -> int: ...
+    def confirmed_sessions(self) -> int: ...
 
     def known_workers(self) -> int: ...
 
     def avoided_workers(self) -> int: ...
 
 
-def add_process_figures(registry: Registry, told: Told) -> None:
-    """Gauges of the process's state."""
+def register_process_metrics(registry: Registry, state: ProcessState) -> None:
+    """Register a gauge for each method of `ProcessState`."""
     gauges = (
-        ("ready", "Whether readiness is told.", told.is_ready),
-        ("configuration_in_doubt", "Whether the configuration in force may be an old one.", told.in_doubt),
-        ("configuration_generation", "Generation of the configuration in force.", told.generation),
-        ("client_connections", "Connections of clients.", told.open_connections),
-        ("open_requests", "Requests without a whole answer.", told.open_requests),
-        ("control_sessions", "Sessions with control schedulers with a majority.", told.sound_sessions),
-        ("workers", "Workers on the list.", told.known_workers),
-        ("avoided_workers", "Workers that several schedulers suspect.", told.avoided_workers),
+        ("ready", "Whether readiness is state.", state.is_ready),
+        ("configuration_in_doubt", "Whether the configuration in force may be an old one.", state.in_doubt),
+        ("configuration_generation", "Generation of the configuration in force.", state.generation),
+        ("client_connections", "Connections of clients.", state.open_connections),
+        ("open_requests", "Requests without a whole answer.", state.open_requests),
+        ("control_sessions", "Sessions with control schedulers with a majority.", state.confirmed_sessions),
+        ("workers", "Workers on the list.", state.known_workers),
+        ("avoided_workers", "Workers that several schedulers suspect.", state.avoided_workers),
     )
     for name, help_text, read in gauges:
         registry.gauge(f"reedspoke_{name}", help_text, lambda read=read: float(read()))  # type: ignore[misc]
--- a/reedspoke/data_plane/program.py
+++ b/reedspoke/data_plane/program.py
@@ -1,4 +1,4 @@
-"""What a program of the data plane needs before it serves, and its exit status."""
+"""The data plane program: checks its settings, runs the process and returns an exit status."""
 
 from __future__ import annotations
 
@@ -7,16 +7,16 @@
 from reedspoke.common.node_settings import NodeSettings
 from reedspoke.data_plane.process import serve
 
-NEEDED_ADDRESSES = ("frontend", "readiness")
+REQUIRED_ADDRESSES = ("frontend", "readiness")
 
 
 def check_settings(settings: NodeSettings) -> None:
-    """Raises FleetError where the file lacks what this role needs."""
-    for key in NEEDED_ADDRESSES:
+    """Check that the settings have the addresses that a data plane node needs; raises FleetError if not."""
+    for key in REQUIRED_ADDRESSES:
         if not getattr(settings.bind, key):
-            raise FleetError(ErrorCode.SETTINGS_INVALID, f"bind.{key}: an address is needed")
+            raise FleetError(ErrorCode.SETTINGS_INVALID, f"bind.{key}: an address is required")
 
 
 def main() -> int:
-    """Exit status: 0 after SIGTERM, 2 where the settings cannot be used."""
+    """Run the process and return its exit status: 0 after SIGTERM, 2 for unusable settings."""
     return run_program(serve, check_settings)
--- a/reedspoke/data_plane/quota_outage.py
+++ b/reedspoke/data_plane/quota_outage.py
@@ -1,10 +1,10 @@
-"""What may be sent of a tenant's quota while no control scheduler answers. No I/O, no clock.
+"""What is admitted of a tenant's quota while no control plane node responds. No I/O, no clock.
 
-Control schedulers that are all down grant nothing, and their buckets are empty when they come back. So what
-the fleet goes on with meanwhile takes the place of refills that nobody got, as long as the outage is short
-and the traffic is the usual one. A scheduler that has lately had an answer goes on for a short time: with one
-request of a tenant, and with a part of what it was granted for that tenant within the last window. A tenant
-whose quota was spent here within the window waits.
+While all control plane nodes are down they grant nothing, and their token buckets are empty when they start
+again. So what the fleet admits in the meantime takes the place of refills that were never granted, as long as
+the outage is short and the traffic does not change. A data plane node that recently had a response admits
+requests for a short time: one request of each tenant, and a fraction of what it was granted for the tenant
+within the last window. Nothing is admitted of a tenant whose quota was spent within the window.
 """
 
 from __future__ import annotations
@@ -13,56 +13,56 @@
 
 from msgspec import Struct
 
-MAX_OUTAGE_S = 3.0  # since the last answer of any control scheduler
-USED_AGAIN = 0.25  # of what was granted within the last window
+MAX_OUTAGE_S = 3.0  # since the last response of any control plane node
+REUSE_FRACTION = 0.25  # of the units granted within the last window
 
 
 class Grant(Struct, frozen=True):
-    """Units of a tenant's quota that were granted at this time."""
+    """Units of a tenant's quota, granted or admitted at this time."""
 
     at: float
     units: float
 
 
 class TenantHistory(Struct, eq=False):
-    """Of one tenant, within the last window."""
+    """What happened to one tenant's quota within the last window."""
 
-    granted: deque[Grant]
-    went_on: deque[Grant]  # without an answer
+    grants: deque[Grant]
+    admitted: deque[Grant]  # by the outage allowance
     spent_at: float = float("-inf")
 
 
 class OutageAllowance:
-    """The allowances of all tenants. `window_s` is that of the deployment's rule."""
+    """The allowances of all tenants; `window_s` is the window of the deployment's quota rule."""
 
     def __init__(self, window_s: float) -> None:
         self._window_s = window_s
-        self._answered_at = float("-inf")
+        self._last_response_at = float("-inf")
         self._tenants: dict[str, TenantHistory] = {}
 
     def record_grant(self, tenant: str, units: float, now: float) -> None:
-        """A control scheduler has granted these units."""
-        self._answered_at = now
-        self._history(tenant).granted.append(Grant(now, units))
+        """A control plane node granted these units."""
+        self._last_response_at = now
+        self._history(tenant).grants.append(Grant(now, units))
 
     def record_spent(self, tenant: str, now: float) -> None:
-        """A control scheduler has said that the tenant's quota is spent."""
-        self._answered_at = now
+        """A control plane node responded that the tenant's quota is spent."""
+        self._last_response_at = now
         self._history(tenant).spent_at = now
 
     def admit(self, tenant: str, units: float, now: float) -> bool:
-        """Whether a request that got no answer may go all the same; if so, it counts."""
-        if now - self._answered_at > MAX_OUTAGE_S:
+        """Whether a request without a response is admitted; if so, its units are counted."""
+        if now - self._last_response_at > MAX_OUTAGE_S:
             return False
         history = self._history(tenant)
         if now - history.spent_at < self._window_s:
             return False
-        self._forget(history, now)
-        allowed = USED_AGAIN * sum(grant.units for grant in history.granted)
-        used = sum(grant.units for grant in history.went_on)
-        if history.went_on and used + units > allowed:
+        self._drop_expired(history, now)
+        allowed = REUSE_FRACTION * sum(grant.units for grant in history.grants)
+        used = sum(grant.units for grant in history.admitted)
+        if history.admitted and used + units > allowed:
             return False
-        history.went_on.append(Grant(now, units))
+        history.admitted.append(Grant(now, units))
         return True
 
     def _history(self, tenant: str) -> TenantHistory:
@@ -71,15 +71,15 @@
             history = self._tenants[tenant] = TenantHistory(deque(), deque())
         return history
 
-    def forget_old(self, now: float) -> None:
-        """Drop what is older than the window, and tenants of which nothing is left."""
+    def remove_expired(self, now: float) -> None:
+        """Remove records older than the window, and tenants without any record."""
         for tenant, history in list(self._tenants.items()):
-            self._forget(history, now)
+            self._drop_expired(history, now)
             is_idle = now - history.spent_at >= self._window_s
-            if is_idle and not (history.granted or history.went_on):
+            if is_idle and not (history.grants or history.admitted):
                 del self._tenants[tenant]
 
-    def _forget(self, history: TenantHistory, now: float) -> None:
-        for grants in (history.granted, history.went_on):
+    def _drop_expired(self, history: TenantHistory, now: float) -> None:
+        for grants in (history.grants, history.admitted):
             while grants and now - grants[0].at >= self._window_s:
                 grants.popleft()
--- a/reedspoke/data_plane/quota_wait.py
+++ b/reedspoke/data_plane/quota_wait.py
@@ -1,4 +1,4 @@
-"""A request that waits for its tenant's quota; once that is granted, its exchange takes its place."""
+"""A request that waits for its tenant's quota, and is forwarded once units are granted."""
 
 from __future__ import annotations
 
@@ -7,61 +7,71 @@
 from reedspoke.data_plane.client_connection import Exchange
 from reedspoke.data_plane.quota_client import QuotaClient, QuotaDecision
 
-Begin = Callable[[], Exchange]
-Refuse = Callable[[QuotaDecision], None]
+StartExchange = Callable[[], Exchange]
+RejectRequest = Callable[[QuotaDecision], None]
 
 
 class QuotaWait:
-    """Stands for the request towards its client's connection."""
+    """The exchange of a waiting request as its client connection sees it.
 
-    def __init__(self, client: QuotaClient, begin: Begin, refuse: Refuse, gone: Callable[[], None]) -> None:
+    `begin` forwards the request, `refuse` sends the final response, and `on_client_gone` is called if the
+    client disconnects before the decision. After the grant, calls are passed on to the new exchange.
+    """
+
+    def __init__(
+        self,
+        client: QuotaClient,
+        begin: StartExchange,
+        refuse: RejectRequest,
+        on_client_gone: Callable[[], None],
+    ) -> None:
         self._client = client
         self._begin = begin
         self._refuse = refuse
-        self._gone = gone  # the client has left before the decision
+        self._on_client_gone = on_client_gone
         self._request_id: int | None = None
         self._exchange: Exchange | None = None
-        self._is_over = False
+        self._is_finished = False
         self._writable = True
 
     def start(self, tenant: str, units: float, wait_s: float) -> None:
-        """Ask for the quota."""
-        self._request_id = self._client.ask(tenant, units, wait_s, self._decided)
+        """Request the units; the decision is made within `wait_s`."""
+        self._request_id = self._client.request(tenant, units, wait_s, self._on_decision)
 
     @property
     def is_waiting(self) -> bool:
         """Whether there is no decision yet."""
-        return self._exchange is None and not self._is_over
+        return self._exchange is None and not self._is_finished
 
     def client_gone(self) -> None:
-        """The client has left."""
+        """The client has disconnected."""
         if self._exchange is not None:
             self._exchange.client_gone()
         elif self._cancel():
-            self._gone()
+            self._on_client_gone()
 
     def writable(self, on: bool) -> None:
-        """The client takes bytes, or takes none for now."""
+        """Whether the client connection accepts more bytes at the moment."""
         self._writable = on
         if self._exchange is not None:
             self._exchange.writable(on)
 
-    def break_off(self) -> None:
-        """The process ends before the decision."""
+    def abort(self) -> None:
+        """Refuse the request if it still waits, because the process is shutting down."""
         if self._cancel():
             self._refuse(QuotaDecision(False))
 
     def _cancel(self) -> bool:
         if not self.is_waiting:
             return False
-        self._is_over = True
+        self._is_finished = True
         if self._request_id is not None:
             self._client.cancel(self._request_id)
         return True
 
-    def _decided(self, decision: QuotaDecision) -> None:
+    def _on_decision(self, decision: QuotaDecision) -> None:
         if not decision.granted:
-            self._is_over = True
+            self._is_finished = True
             self._refuse(decision)
             return
         self._exchange = self._begin()
--- a/reedspoke/data_plane/readiness.py
+++ b/reedspoke/data_plane/readiness.py
@@ -1,4 +1,4 @@
-"""Answers whether this scheduler takes requests: 200 or 503, whatever is asked at its address."""
+"""HTTP readiness check: 200 if this node accepts requests, else 503, whatever path is requested."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 from collections.abc import Callable
 
 END_OF_HEAD = b"\r\n\r\n"
-MOST_HEAD = 8 * 1024
+MAX_HEAD_BYTES = 8 * 1024
 READY = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 NOT_READY = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
 
 
 class ReadinessConnection(asyncio.Protocol):
-    """One connection of the platform."""
+    """One connection of the platform's readiness probe."""
 
     def __init__(self, is_ready: Callable[[], bool]) -> None:
         self._is_ready = is_ready
@@ -29,5 +29,5 @@
         while END_OF_HEAD in self._pending:
             _, _, self._pending = self._pending.partition(END_OF_HEAD)
             self._transport.write(READY if self._is_ready() else NOT_READY)
-        if len(self._pending) > MOST_HEAD:
+        if len(self._pending) > MAX_HEAD_BYTES:
             self._transport.abort()
--- a/reedspoke/data_plane/request_admission.py
+++ b/reedspoke/data_plane/request_admission.py
@@ -1,4 +1,4 @@
-"""Takes requests from clients' connections: finds the route, checks the key, asks for the quota."""
+"""Admission of client requests: finds the route, checks the API key, and requests quota."""
 
 from __future__ import annotations
 
@@ -17,7 +17,13 @@
 from reedspoke.data_plane.forwarder import Forwarder
 from reedspoke.data_plane.headers import API_KEY, ATTEMPT_ID, TOKEN_COUNT, text_of
 from reedspoke.data_plane.job_builder import parse_token_count, time_limit
-from reedspoke.data_plane.key_check import Certainty, KeyCheck, KeyVerdict, check_key, most_age_s
+from reedspoke.data_plane.key_check import (
+    ConfigurationFreshness,
+    KeyCheck,
+    KeyVerdict,
+    check_key,
+    max_configuration_age_s,
+)
 from reedspoke.data_plane.quota_client import QuotaClient, QuotaDecision
 from reedspoke.data_plane.quota_wait import QuotaWait
 from reedspoke.data_plane.request_log import RequestLog
@@ -29,22 +35,24 @@
 
 NOT_READY_RETRY_S = 0.3
 IN_DOUBT_RETRY_S = 0.3
-QUOTA_WAIT_PART = 0.2  # of the aim: the queue has the rest of the time in which a refusal is early
-MOST_QUOTA_WAIT_S = 0.25
+QUOTA_WAIT_FRACTION = (
+    0.2  # of the latency target; the rest is left for the queue, so that refusals are still early
+)
+MAX_QUOTA_WAIT_S = 0.25
 
 
 class NullExchange:
-    """Stands for a request that was answered at once."""
+    """The exchange of a request that already has its response."""
 
     def client_gone(self) -> None:
-        """Nothing is left to do."""
+        """Ignored, as there is nothing to cancel."""
 
     def writable(self, on: bool) -> None:
-        """Nothing is being written."""
+        """Ignored, as nothing more is written."""
 
 
 class RequestAdmission:
-    """The way in, by the configuration in force."""
+    """Admits requests by the configuration in force and hands them to the forwarder."""
 
     def __init__(
         self,
@@ -52,7 +60,7 @@
         forwarder: Forwarder,
         request_log: RequestLog,
         confirmation: Confirmation,
-        quota: QuotaClient,
+        quota_client: QuotaClient,
         bounds: Bounds,
     ) -> None:
         self.routes = RouteTable()
@@ -61,50 +69,50 @@
         self._forwarder = forwarder
         self._request_log = request_log
         self._confirmation = confirmation
-        self._quota = quota
-        self._most_key_age = most_age_s(bounds)
+        self._quota_client = quota_client
+        self._max_key_age_s = max_configuration_age_s(bounds)
         self._revoke_s = bounds.revoke_ms / 1000 if bounds.revoke_strict else None
-        self._waits: set[QuotaWait] = set()
+        self._quota_waits: set[QuotaWait] = set()
 
     def configure(self, configuration: Configuration, version: Version) -> None:
-        """This configuration is in force from now on."""
+        """Put this configuration into force."""
         self.routes = RouteTable(configuration, version)
         self.tenants = TenantDirectory(configuration)
         self._forwarder.configure(configuration)
 
     def begin(self, request: ClientRequest, connection: ClientConnection) -> Exchange:
-        """Take a request that was read whole."""
+        """Begin the exchange of a request that was read completely."""
         trace = self._trace(request)
         if self.routes.configuration is None:
-            message = "no configuration has come yet"
+            message = "no configuration received yet"
             answer = own_answer(503, ErrorCode.NOT_READY, message, NOT_READY_RETRY_S)
             return self._answer(connection, answer, trace, message)
-        host, path = place_of(request)
+        host, path = host_and_path(request)
         route = self.routes.find(host, path)
         if route is None:
             return self._answer(connection, self._no_route(), trace, f"no route for {host}{path}")
-        checked = self._check_key(request.head, route)
+        key_check = self._check_key(request.head, route)
         trace.route = route.name
-        match checked.verdict:
+        match key_check.verdict:
             case KeyVerdict.UNKNOWN:
-                answer = own_answer(401, ErrorCode.UNKNOWN_KEY, "no tenant holds the key")
+                answer = own_answer(401, ErrorCode.UNKNOWN_KEY, "no tenant has this API key")
                 return self._answer(connection, answer, trace, "unknown key")
             case KeyVerdict.IN_DOUBT:
                 return self._answer(connection, key_in_doubt(), trace, "key in doubt")
-        return self._take(request, connection, route, checked.holder, trace)
+        return self._admit(request, connection, route, key_check.holder, trace)
 
     def open_requests(self) -> int:
-        """Requests without a whole answer."""
-        return self._forwarder.open_exchanges() + len(self._waits)
+        """The number of requests without a complete response."""
+        return self._forwarder.open_exchanges() + len(self._quota_waits)
 
     def in_doubt(self) -> bool:
-        """Whether the configuration that is held may be an old one."""
+        """Whether the configuration in force may be out of date."""
         return self._confirmation.in_doubt(self._loop.time())
 
-    def break_off_all(self) -> None:
-        """The process ends: what is left gets its final answer."""
-        for wait in list(self._waits):
-            wait.break_off()
+    def abort_all(self) -> None:
+        """End all open requests with a final response, because the process is shutting down."""
+        for wait in list(self._quota_waits):
+            wait.abort()
         self._forwarder.break_off_all()
 
     # ---- routes and keys ----
@@ -119,45 +127,45 @@
         )
 
     def _no_route(self) -> WholeAnswer:
-        """Final only while it is certain that no route has come for the request."""
+        """The response to a request without a route; 404 only if the configuration is not in doubt."""
         if self.in_doubt():
-            message = "the configuration that is held may be an old one"
+            message = "the configuration in force may be out of date"
             return own_answer(503, ErrorCode.CONFIGURATION_IN_DOUBT, message, IN_DOUBT_RETRY_S)
         return own_answer(404, ErrorCode.NO_ROUTE, "no route for this host and path")
 
     def _check_key(self, head: Head, route: CompiledRoute) -> KeyCheck:
         key = head.get(API_KEY) or b""
-        certainty = self._certainty()
+        freshness = self._freshness()
         return check_key(
-            self.tenants, key, public=route.public, certainty=certainty, most_age=self._most_key_age
+            self.tenants, key, public=route.public, freshness=freshness, max_age_s=self._max_key_age_s
         )
 
-    def _certainty(self) -> Certainty:
+    def _freshness(self) -> ConfigurationFreshness:
         now = self._loop.time()
         as_of = self._confirmation.as_of()
         age_s = math.inf if as_of is None else now - as_of
-        return Certainty(age_s, self._confirmation.in_doubt(now))
+        return ConfigurationFreshness(age_s, self._confirmation.in_doubt(now))
 
-    def _authorization(
+    def _authorize(
         self, head: Head, route: CompiledRoute, holder: KeyHolder | None, arrived: float
     ) -> Authorization:
-        """What the request is run by; whether it still may is asked again each time that it is sent."""
+        """The authorization of a request; its key is checked again before each attempt to send it."""
         if holder is None:
             return Authorization(arrived)
 
         def is_valid() -> bool:
-            return self._check_key(head, route).verdict is KeyVerdict.RUN
+            return self._check_key(head, route).verdict is KeyVerdict.ALLOWED
 
         return Authorization(arrived, holder.name, holder.priority, is_valid)
 
-    def _check_certain(self, holder: KeyHolder | None, trace: RequestTrace) -> None:
+    def _check_key_freshness(self, holder: KeyHolder | None, trace: RequestTrace) -> None:
         if holder is not None and self._revoke_s is not None:
-            age_s = self._certainty().age_s
+            age_s = self._freshness().age_s
             check(Invariant.KEY_IS_CERTAIN, age_s <= self._revoke_s, age_s=age_s, attempt_id=trace.attempt_id)
 
     # ---- quotas ----
 
-    def _take(
+    def _admit(
         self,
         request: ClientRequest,
         connection: ClientConnection,
@@ -166,8 +174,8 @@
         trace: RequestTrace,
     ) -> Exchange:
         upstream = route.upstream_for(request.head.get(ATTEMPT_ID) or b"")
-        authorization = self._authorization(request.head, route, holder, request.began)
-        self._check_certain(holder, trace)
+        authorization = self._authorize(request.head, route, holder, request.began)
+        self._check_key_freshness(holder, trace)
 
         def begin() -> Exchange:
             return self._forwarder.begin(request, connection, route, upstream, trace, authorization)
@@ -177,7 +185,7 @@
         units = holder.quota.units(sum(parse_token_count(text_of(request.head, TOKEN_COUNT))))
         trace.tenant, trace.units = holder.name, units
         left_s = authorization.arrived_at + time_limit(request.head, route) - self._loop.time()
-        wait_s = max(0.0, min(MOST_QUOTA_WAIT_S, QUOTA_WAIT_PART * route.latency_target_s, left_s))
+        wait_s = max(0.0, min(MAX_QUOTA_WAIT_S, QUOTA_WAIT_FRACTION * route.latency_target_s, left_s))
         return self._wait_for_quota(holder.name, units, wait_s, connection, trace, begin)
 
     def _wait_for_quota(
@@ -192,21 +200,21 @@
         arrived = self._loop.time()
 
         def begin_granted() -> Exchange:
-            self._waits.discard(wait)
+            self._quota_waits.discard(wait)
             return begin()
 
         def refuse(decision: QuotaDecision) -> None:
-            self._waits.discard(wait)
-            reason = "quota spent" if decision.spent else "no answer on the quota"
+            self._quota_waits.discard(wait)
+            reason = "quota spent" if decision.spent else "no response to the quota request"
             self._answer(connection, quota_refusal(decision), trace, reason, self._loop.time() - arrived)
 
-        def gone() -> None:
-            self._waits.discard(wait)
+        def on_client_gone() -> None:
+            self._quota_waits.discard(wait)
             trace.ended(RequestOutcome.CLIENT_LEFT, 0, "", round(1000 * (self._loop.time() - arrived), 1))
             self._request_log.ended(trace)
 
-        wait = QuotaWait(self._quota, begin_granted, refuse, gone)
-        self._waits.add(wait)
+        wait = QuotaWait(self._quota_client, begin_granted, refuse, on_client_gone)
+        self._quota_waits.add(wait)
         wait.start(tenant, units, wait_s)
         return wait
 
@@ -227,16 +235,16 @@
 
 
 def quota_refusal(decision: QuotaDecision) -> WholeAnswer:
-    """The tenant's quota is spent, or nobody could be asked; nothing has run."""
+    """The response to a request whose quota is spent, or for which no control plane node could grant any."""
     if decision.spent:
         message = "the tenant's quota is spent"
         return own_answer(429, ErrorCode.QUOTA_SPENT, message, decision.retry_after_s)
-    message = "no control scheduler told of the tenant's quota"
+    message = "no control plane node granted units of the tenant's quota"
     return own_answer(503, ErrorCode.QUOTA_UNAVAILABLE, message, decision.retry_after_s)
 
 
-def place_of(request: ClientRequest) -> tuple[str, str]:
-    """Host and path; a target that names its host goes before the field."""
+def host_and_path(request: ClientRequest) -> tuple[str, str]:
+    """The host and path of a request; a target in absolute form takes precedence over the Host field."""
     target = bytes(request.head.target).decode("latin-1")
     if not target.lower().startswith("http://"):
         return text_of(request.head, b"host"), target
--- a/reedspoke/data_plane/route_table.py
+++ b/reedspoke/data_plane/route_table.py
@@ -1,4 +1,4 @@
-"""Which route a request takes: by host, then by the longest path prefix; and which service of a split."""
+"""Route lookup by host and longest path prefix, and the choice of an upstream of a traffic split."""
 
 from __future__ import annotations
 
@@ -13,23 +13,23 @@
 DEFAULT_TARGET_MS = 1_000.0
 DEFAULT_ATTEMPTS = 2
 DEFAULT_PRIORITY = 1
-WEIGHT_STEPS = 1 << 32
+HASH_RANGE = 1 << 32
 
 
 class SplitTarget(Struct, frozen=True):
-    """One service of a route and the share of requests, up to 1, at which it is passed over for the next."""
+    """One upstream of a route, with the sum of the shares (up to 1) of it and all upstreams before it."""
 
     upstream: str
     cumulative_share: float
 
 
 class CompiledRoute(Struct, frozen=True):
-    """A route as requests need it; times in seconds."""
+    """A route in the form in which requests use it."""
 
     name: str
     path_prefix: str
     streaming: bool
-    repeatable: bool  # may run more than once: idempotent, or a stream that may be resumed
+    repeatable: bool  # may be executed more than once: idempotent, or a resumable stream
     resumable: bool
     timeout_s: float
     latency_target_s: float
@@ -37,23 +37,26 @@
     max_attempts: int
     session_affinity: bool
     split_targets: tuple[SplitTarget, ...]
-    public: bool = False  # its requests need no key
-    event_gap_target_s: float = 0.0  # the longest one between events that is in time; 0: unknown
+    public: bool = False  # no API key is needed
+    event_gap_target_s: float = 0.0  # maximum gap between events of a stream; 0: no target
 
     def upstream_for(self, key: bytes) -> str:
-        """The service for a request with this key: the same key takes the same part of the split."""
+        """The upstream for a request with this key; the same key always selects the same upstream."""
         if len(self.split_targets) == 1:
             return self.split_targets[0].upstream
-        point = crc32(key) / WEIGHT_STEPS
+        position = crc32(key) / HASH_RANGE
         for target in self.split_targets:
-            if point < target.cumulative_share:
+            if position < target.cumulative_share:
                 return target.upstream
         return self.split_targets[-1].upstream
 
 
 class RouteTable:
-    """All routes of one version of the configuration; each is compiled when a request first takes it, so that
-    a change of thousands of routes does not hold up the requests of that moment."""
+    """All routes of one version of the configuration.
+
+    Each route is compiled when a request first uses it, so that a change of thousands of routes does not
+    delay the requests of that moment.
+    """
 
     def __init__(self, configuration: Configuration | None = None, version: Version = NO_VERSION) -> None:
         self.version = version
@@ -65,7 +68,7 @@
             self._hosts.setdefault(route["hostname"].lower(), {})[route["path_prefix"]] = route
 
     def find(self, host: str, path: str) -> CompiledRoute | None:
-        """The route with the longest prefix of `path` at `host`."""
+        """The route at `host` with the longest prefix of `path`; None if there is none."""
         prefixes = self._hosts.get(_without_port(host).lower())
         if prefixes is None:
             return None
@@ -95,7 +98,7 @@
 
 
 def compile_route(route: Route) -> CompiledRoute:
-    """A route of the configuration in the form that requests need."""
+    """Convert a route of the configuration."""
     streaming = route["route_type"] == "streaming"
     resumable = streaming and route.get("stream_resume", False)
     return CompiledRoute(
@@ -119,9 +122,9 @@
     splits = route_targets(route)
     total = sum(split["weight"] for split in splits)
     compiled = []
-    reached = 0.0
+    cumulative_share = 0.0
     for split in splits:
-        reached += split["weight"] / total
+        cumulative_share += split["weight"] / total
         if split["weight"] > 0:
-            compiled.append(SplitTarget(split["upstream"], reached))
+            compiled.append(SplitTarget(split["upstream"], cumulative_share))
     return tuple(compiled)
--- a/reedspoke/data_plane/session_choice.py
+++ b/reedspoke/data_plane/session_choice.py
@@ -1,11 +1,12 @@
-"""Decides with which control schedulers sessions are kept. No I/O, no clock, no randomness of its own.
+"""Selects the control plane nodes to keep sessions with. No I/O, no clock, no randomness of its own.
 
-A session counts when its control scheduler has lately answered that a majority stands behind it. Two such
-sessions are wanted, in different zones if possible, and one more while the configuration is in doubt. A
-session that has just been opened counts for a moment, so that slow ones do not keep others from being tried.
+A session is confirmed while a recent response says that its control plane node has a majority. The target is
+two confirmed sessions, in different zones if possible, and one more while the configuration is in doubt. A
+session that was just opened counts towards the target for a short time only, so that slow connections do not
+prevent others from being tried.
 
-The caller asks `next_address` for whom to connect to until that is None, and `should_leave` for each session
-that it has; it reports with the other methods what happens.
+The caller calls `next_member` and connects to the result until it is None, and calls `should_close` for each
+open session; it reports events with the other methods.
 """
 
 from __future__ import annotations
@@ -17,239 +18,251 @@
 from msgspec import Struct
 
 from reedspoke.common.messages import ControlMember
-from reedspoke.data_plane.address_book import AddressBook, Entry
+from reedspoke.data_plane.address_book import AddressBook, AddressEntry
 
-SESSIONS = 2
-SESSIONS_IN_DOUBT = 3
-MOST_OPEN = 4  # sessions at once, with those that do not count
-OPENING_S = 0.3  # a session counts for so long without any answer
-DEFAULT_QUIET_S = 0.8
-LOOK_S = 0.1  # between two looks while something is to be done
-SURPLUS_S = 1.0  # a session beyond the wanted number is kept for so long after the last doubt
-DIAL_BURST = 6.0  # connections that may be begun at once
-DIALS_PER_S = 2.5  # and in the long run
+TARGET_SESSIONS = 2
+TARGET_SESSIONS_IN_DOUBT = 3
+MAX_OPEN_SESSIONS = 4  # including unconfirmed sessions
+OPENING_GRACE_S = 0.3  # how long a session counts towards the target before its first response
+DEFAULT_STALE_AFTER_S = 0.8
+POLL_INTERVAL_S = 0.1  # between checks while the sessions are not as wanted
+SURPLUS_GRACE_S = 1.0  # a surplus session is kept this long after the configuration was last in doubt
+CONNECT_BURST = 6.0  # connection attempts that may start at once
+CONNECTS_PER_S = 2.5  # long-term rate of connection attempts
 
 
 class SessionState(Enum):
-    """What the last answer of a session says of its control scheduler."""
+    """What the last response on a session said about the control plane node's majority."""
 
-    OPENING = auto()  # no answer yet
+    OPENING = auto()  # no response yet
     CONFIRMED = auto()
     UNCONFIRMED = auto()
 
 
 class Session(Struct):
-    """One session that is up or coming up."""
+    """One session that is connected or connecting."""
 
     address: str
     opened_at: float
     state: SessionState = SessionState.OPENING
-    state_since: float = 0.0
-    answered_at: float = 0.0
+    state_changed_at: float = 0.0
+    last_response_at: float = 0.0
 
 
-class DialBudget:
-    """A token bucket for new connections."""
+class ConnectRateLimit:
+    """A token bucket for connection attempts."""
 
     def __init__(self) -> None:
-        self._tokens = DIAL_BURST
-        self._filled_at: float | None = None
+        self._tokens = CONNECT_BURST
+        self._refilled_at: float | None = None
 
     def available(self, now: float) -> bool:
-        """Whether a connection may be begun."""
-        self._fill(now)
+        """Whether a connection attempt may start."""
+        self._refill(now)
         return self._tokens >= 1
 
-    def spend(self, now: float) -> None:
-        """A connection is begun."""
-        self._fill(now)
+    def consume(self, now: float) -> None:
+        """Take a token for a connection attempt."""
+        self._refill(now)
         self._tokens = max(0.0, self._tokens - 1)
 
-    def _fill(self, now: float) -> None:
-        if self._filled_at is not None:
-            self._tokens = min(DIAL_BURST, self._tokens + (now - self._filled_at) * DIALS_PER_S)
-        self._filled_at = now
+    def _refill(self, now: float) -> None:
+        if self._refilled_at is not None:
+            self._tokens = min(CONNECT_BURST, self._tokens + (now - self._refilled_at) * CONNECTS_PER_S)
+        self._refilled_at = now
 
 
 class SessionChoice:
-    """The sessions of one data plane scheduler and all addresses that it has learnt.
+    """The sessions of one data plane node and all addresses that it knows.
 
-    `quiet_s` is how long after its last answer a session counts: above the time in which a control scheduler
-    answers each `WatchRequest`.
+    `stale_after_s` is how long a session stays confirmed after its last response. It exceeds the time within
+    which a control plane node responds to each `WatchRequest`.
     """
 
-    def __init__(self, random: Random, quiet_s: float = DEFAULT_QUIET_S) -> None:
+    def __init__(self, random: Random, stale_after_s: float = DEFAULT_STALE_AFTER_S) -> None:
         self._random = random
-        self._quiet_s = quiet_s
+        self._stale_after_s = stale_after_s
         self._book = AddressBook()
-        self._budget = DialBudget()
+        self._connect_limit = ConnectRateLimit()
         self._sessions: dict[str, Session] = {}
         self._own_zone = ""
         self._in_doubt = True
-        self._doubted_at = 0.0
+        self._last_in_doubt_at = 0.0
 
-    # ---- what is learnt ----
+    # ---- known addresses ----
 
-    def learnt(self, members: Iterable[ControlMember], now: float) -> None:
-        """Some control scheduler, confirmed or not, names these."""
-        self._book.learnt(members, now, self._sessions)
+    def add_members(self, members: Iterable[ControlMember], now: float) -> None:
+        """Add the members that a control plane node listed, with or without a majority."""
+        self._book.add_members(members, now, self._sessions)
 
-    def seeds(self, addresses: Iterable[str]) -> None:
-        """The addresses that the settings name now."""
-        self._book.seeds(addresses)
+    def set_seeds(self, addresses: Iterable[str]) -> None:
+        """Replace the seeds: the addresses in the settings."""
+        self._book.set_seeds(addresses)
 
-    # ---- what happens to sessions ----
+    # ---- session events ----
 
-    def opened(self, address: str, now: float) -> None:
-        """A connection to this address is begun."""
-        self._budget.spend(now)
-        self._sessions[address] = Session(address, opened_at=now, state_since=now)
+    def session_opened(self, address: str, now: float) -> None:
+        """A connection attempt to this address has started."""
+        self._connect_limit.consume(now)
+        self._sessions[address] = Session(address, opened_at=now, state_changed_at=now)
 
-    def ended(self, address: str, now: float) -> None:
-        """The connection failed, broke off or was left."""
+    def session_ended(self, address: str, now: float) -> None:
+        """The connection failed, was lost, or was closed."""
         session = self._sessions.pop(address, None)
         entry = self._book.get(address)
         if session is None or entry is None:
             return
         if session.state is SessionState.UNCONFIRMED:
-            entry.setback_at = now  # it has been counted; the pause begins now
+            entry.last_failure_at = now  # the failure is already counted; the retry delay starts now
         else:
-            entry.set_back(now, unconfirmed=False)
+            entry.record_failure(now, unconfirmed=False)
 
-    def confirmed(self, address: str, now: float) -> None:
-        """The session brought `WatchResponse`: a majority stands behind its control scheduler."""
-        self._answered(address, SessionState.CONFIRMED, now)
+    def record_confirmed(self, address: str, now: float) -> None:
+        """The session received a current `WatchResponse`: its control plane node has a majority."""
+        self._record_response(address, SessionState.CONFIRMED, now)
         entry = self._book.get(address)
         if entry is not None:
-            entry.setbacks = 0
+            entry.failures = 0
 
-    def unconfirmed(self, address: str, control: Iterable[ControlMember], now: float) -> None:
-        """The session brought `UnconfirmedResponse`, with these as hints where to look."""
-        self.learnt(control, now)
+    def record_unconfirmed(self, address: str, control: Iterable[ControlMember], now: float) -> None:
+        """The session received an `UnconfirmedResponse`, or a `WatchResponse` that is too old.
+
+        `control` are the members in the response, added as further addresses to try.
+        """
+        self.add_members(control, now)
         session = self._sessions.get(address)
         entry = self._book.get(address)
         if session is not None and entry is not None and session.state is not SessionState.UNCONFIRMED:
-            entry.set_back(now, unconfirmed=True)
-        self._answered(address, SessionState.UNCONFIRMED, now)
+            entry.record_failure(now, unconfirmed=True)
+        self._record_response(address, SessionState.UNCONFIRMED, now)
 
-    def _answered(self, address: str, state: SessionState, now: float) -> None:
+    def _record_response(self, address: str, state: SessionState, now: float) -> None:
         session = self._sessions.get(address)
         if session is None:
             return
         if session.state is not state:
             session.state = state
-            session.state_since = now
-        session.answered_at = now
+            session.state_changed_at = now
+        session.last_response_at = now
 
     # ---- decisions ----
 
-    def next_address(self, now: float, own_zone: str, in_doubt: bool) -> ControlMember | None:
-        """The control scheduler to connect to now, or None if none is wanted or may be tried."""
-        self._note(now, own_zone, in_doubt)
-        if len(self._sessions) >= MOST_OPEN or not self._budget.available(now):
+    def next_member(self, now: float, own_zone: str, in_doubt: bool) -> ControlMember | None:
+        """The control plane node to connect to now; None if no session is needed or no attempt is allowed."""
+        self._update_conditions(now, own_zone, in_doubt)
+        if len(self._sessions) >= MAX_OPEN_SESSIONS or not self._connect_limit.available(now):
             return None
-        if len(self._promising(now)) >= self._wanted():
+        if len(self._active_sessions(now)) >= self._target_count():
             return None
-        chosen = self._best(self._candidates(now), now)
+        chosen = self._best_candidate(self._candidates(now), now)
         return None if chosen is None else ControlMember(chosen.address, chosen.zone)
 
-    def should_leave(self, address: str, now: float) -> bool:
-        """Whether this session is to be ended: it is of no use and others are, or there are too many."""
+    def should_close(self, address: str, now: float) -> bool:
+        """Whether to close this session: it is unconfirmed and replaceable, or it is surplus."""
         session = self._sessions.get(address)
         if session is None:
             return False
         if session.state is SessionState.UNCONFIRMED:
-            return self._should_leave_unconfirmed(session, now)
-        doubted_lately = self._in_doubt or now - self._doubted_at <= SURPLUS_S
-        return not doubted_lately and address in self._surplus(now)
-
-    def sound(self, now: float) -> list[str]:
-        """Addresses of the sessions behind whose control schedulers a majority stands."""
-        return [session.address for session in self._sessions.values() if self._is_sound(session, now)]
-
-    def is_near(self, address: str) -> bool:
-        """Whether this control scheduler is in the own zone."""
-        return self._zone(address) == self._own_zone
-
-    def next_look_s(self, now: float) -> float:
-        """How long the caller may wait with its next look, if nothing happens in between."""
-        if self._in_doubt or len(self._sessions) != SESSIONS or len(self.sound(now)) != SESSIONS:
-            return LOOK_S
-        first_answer = min(session.answered_at for session in self._sessions.values())
-        return max(LOOK_S, first_answer + self._quiet_s - now)
-
-    def _note(self, now: float, own_zone: str, in_doubt: bool) -> None:
+            return self._should_close_unconfirmed(session, now)
+        recently_in_doubt = self._in_doubt or now - self._last_in_doubt_at <= SURPLUS_GRACE_S
+        return not recently_in_doubt and address in self._surplus_addresses(now)
+
+    def confirmed_addresses(self, now: float) -> list[str]:
+        """The addresses of the confirmed sessions."""
+        return [session.address for session in self._sessions.values() if self._is_confirmed(session, now)]
+
+    def is_in_own_zone(self, address: str) -> bool:
+        """Whether this control plane node is in the own zone."""
+        return self._zone_of(address) == self._own_zone
+
+    def next_check_s(self, now: float) -> float:
+        """Seconds until the caller has to check again if no event occurs before."""
+        if (
+            self._in_doubt
+            or len(self._sessions) != TARGET_SESSIONS
+            or len(self.confirmed_addresses(now)) != TARGET_SESSIONS
+        ):
+            return POLL_INTERVAL_S
+        oldest_response = min(session.last_response_at for session in self._sessions.values())
+        return max(POLL_INTERVAL_S, oldest_response + self._stale_after_s - now)
+
+    def _update_conditions(self, now: float, own_zone: str, in_doubt: bool) -> None:
         self._own_zone = own_zone
         self._in_doubt = in_doubt
         if in_doubt:
-            self._doubted_at = now
+            self._last_in_doubt_at = now
 
-    def _wanted(self) -> int:
-        return SESSIONS_IN_DOUBT if self._in_doubt else SESSIONS
+    def _target_count(self) -> int:
+        return TARGET_SESSIONS_IN_DOUBT if self._in_doubt else TARGET_SESSIONS
 
-    def _is_sound(self, session: Session, now: float) -> bool:
-        return session.state is SessionState.CONFIRMED and now - session.answered_at <= self._quiet_s
+    def _is_confirmed(self, session: Session, now: float) -> bool:
+        return (
+            session.state is SessionState.CONFIRMED and now - session.last_response_at <= self._stale_after_s
+        )
 
-    def _promising(self, now: float) -> list[Session]:
-        """The sessions that count, with those that may soon."""
+    def _active_sessions(self, now: float) -> list[Session]:
+        """The sessions that count towards the target: confirmed, or opened a short time ago."""
         return [
             session
             for session in self._sessions.values()
-            if self._is_sound(session, now)
-            or (session.state is SessionState.OPENING and now - session.opened_at <= OPENING_S)
+            if self._is_confirmed(session, now)
+            or (session.state is SessionState.OPENING and now - session.opened_at <= OPENING_GRACE_S)
         ]
 
-    def _candidates(self, now: float) -> list[Entry]:
-        """All that may be tried now."""
-        urgent = not self.sound(now)
+    def _candidates(self, now: float) -> list[AddressEntry]:
+        """All addresses without a session that may be tried now."""
+        urgent = not self.confirmed_addresses(now)
         return [
             entry
             for entry in self._book.entries()
-            if entry.address not in self._sessions and entry.may_be_tried(now, urgent)
+            if entry.address not in self._sessions and entry.may_connect(now, urgent)
         ]
 
-    def _best(self, candidates: list[Entry], now: float) -> Entry | None:
-        """No setback lately, in a zone without a session, the own zone first."""
-        zones = {self._zone(session.address) for session in self._promising(now)}
+    def _best_candidate(self, candidates: list[AddressEntry], now: float) -> AddressEntry | None:
+        """Prefer no recent failure, then a zone without an active session, then the own zone."""
+        zones = {self._zone_of(session.address) for session in self._active_sessions(now)}
         self._random.shuffle(candidates)
         return min(
             candidates,
             key=lambda entry: (
-                entry.had_setback_lately(now),
-                entry.setback_at if entry.had_setback_lately(now) else 0.0,
+                entry.failed_recently(now),
+                entry.last_failure_at if entry.failed_recently(now) else 0.0,
                 entry.zone in zones,
                 entry.zone != self._own_zone,
             ),
             default=None,
         )
 
-    def _zone(self, address: str) -> str:
+    def _zone_of(self, address: str) -> str:
         entry = self._book.get(address)
         return "" if entry is None else entry.zone
 
-    def _should_leave_unconfirmed(self, session: Session, now: float) -> bool:
-        """As soon as a candidate needs its place, the one that has been unconfirmed longest first."""
-        if len(self.sound(now)) >= self._wanted():
+    def _should_close_unconfirmed(self, session: Session, now: float) -> bool:
+        """Close it once the target is met, or when a candidate needs its place.
+
+        In the second case only the session that has been unconfirmed for the longest time is closed.
+        """
+        if len(self.confirmed_addresses(now)) >= self._target_count():
             return True
-        if len(self._sessions) < self._wanted():
-            return False  # there is a place for the candidate
-        if not self._budget.available(now) or not self._candidates(now):
+        if len(self._sessions) < self._target_count():
+            return False  # a candidate does not need its place
+        if not self._connect_limit.available(now) or not self._candidates(now):
             return False
         return session is min(
             (other for other in self._sessions.values() if other.state is SessionState.UNCONFIRMED),
-            key=lambda other: (other.state_since, other.address),
+            key=lambda other: (other.state_changed_at, other.address),
         )
 
-    def _surplus(self, now: float) -> set[str]:
-        """Sound sessions beyond the wanted number; different zones are kept, the own one first."""
-        left = sorted(self.sound(now), key=lambda address: self._sessions[address].opened_at)
+    def _surplus_addresses(self, now: float) -> set[str]:
+        """Confirmed sessions beyond the target; kept are different zones first, then the own zone."""
+        left = sorted(self.confirmed_addresses(now), key=lambda address: self._sessions[address].opened_at)
         zones: set[str] = set()
-        for _ in range(min(SESSIONS, len(left))):
-            kept = min(left, key=lambda address: self._keep_order(address, zones))
+        for _ in range(min(TARGET_SESSIONS, len(left))):
+            kept = min(left, key=lambda address: self._keep_priority(address, zones))
             left.remove(kept)
-            zones.add(self._zone(kept))
+            zones.add(self._zone_of(kept))
         return set(left)
 
-    def _keep_order(self, address: str, zones: set[str]) -> tuple[bool, bool]:
-        zone = self._zone(address)
+    def _keep_priority(self, address: str, zones: set[str]) -> tuple[bool, bool]:
+        zone = self._zone_of(address)
         return zone in zones, zone != self._own_zone
--- a/reedspoke/data_plane/subscription.py
+++ b/reedspoke/data_plane/subscription.py
@@ -1,6 +1,6 @@
-"""What sessions with the control plane bring: a source's state is taken only where it is newer.
+"""The state received over all sessions with the control plane: only newer versions replace older ones.
 
-So what is in force never goes back, whichever control scheduler tells it.
+So the state in force never goes back to an older version, whichever control plane node sent it.
 """
 
 from __future__ import annotations
@@ -26,12 +26,12 @@
 )
 from reedspoke.data_plane.confirmation import Confirmation
 
-FETCH_S = 0.5  # a fetch that has not been answered for so long is begun anew, by whichever session
-UNCONFIRMED_AFTER_S = 4.0  # without any confirmed source for so long, one that is not will do to begin with
+FETCH_TIMEOUT_S = 0.5  # after this time without a response, any session may fetch again
+UNCONFIRMED_FALLBACK_S = 4.0  # after this time without a confirmed report, unconfirmed state is accepted
 
 
 class FleetState(Struct):
-    """The newest state of each source that any session has brought."""
+    """The newest state of each source, received over any session."""
 
     versions: dict[str, Version] = field(default_factory=dict)
     configuration: Configuration | None = None
@@ -40,24 +40,24 @@
 
 
 class PendingFetch(Struct, frozen=True):
-    """A fetch that some session has begun."""
+    """A fetch in flight on some session."""
 
     version: Version
-    since: float
+    started_at: float
 
 
 class StateListener(Struct):
-    """Who is told when a source has newer state."""
+    """Callbacks for newer state; load and suspects are those of the other data plane nodes."""
 
     on_configuration: Callable[[Configuration, Version], None]
     on_workers: Callable[[WorkerList], None]
     on_members: Callable[[MemberList], None]
-    on_running: Callable[[dict[str, tuple[int, int]]], None]
-    on_suspects: Callable[[dict[str, int]], None]
+    on_peer_load: Callable[[dict[str, tuple[int, int]]], None]
+    on_peer_suspects: Callable[[dict[str, int]], None]
 
 
 class Subscription:
-    """Takes what sessions bring; only newer state replaces older."""
+    """Applies the messages of all sessions; only newer state replaces older."""
 
     def __init__(self, listener: StateListener, confirmation: Confirmation) -> None:
         self.state = FleetState()
@@ -66,73 +66,74 @@
         self._pending: dict[str, PendingFetch] = {}
 
     def version(self, source: str) -> Version:
+        """The version of the source that is in force."""
         return self.state.versions.get(source, NO_VERSION)
 
     def expected_version(self, source: str, now: float) -> Version:
-        """The version that is held, or that some session has lately asked for."""
+        """The version in force, or a newer one that some session is fetching."""
         pending = self._pending.get(source)
-        held = self.version(source)
-        if pending is None or now - pending.since > FETCH_S:
-            return held
-        return max(held, pending.version)
+        current = self.version(source)
+        if pending is None or now - pending.started_at > FETCH_TIMEOUT_S:
+            return current
+        return max(current, pending.version)
 
-    def lacks(self, versions: dict[str, Version], now: float) -> list[str]:
-        """The sources of which the other side has newer state that nobody has asked for yet."""
+    def sources_to_fetch(self, versions: dict[str, Version], now: float) -> list[str]:
+        """The sources that have a newer version in `versions` than in force or being fetched."""
         return [
             source
             for source in (CONFIGURATION, WORKERS)
             if versions.get(source, NO_VERSION) > self.expected_version(source, now)
         ]
 
-    def may_take_unconfirmed(self, source: str, now: float) -> bool:
-        """Whether this source may be fetched where no majority stands behind the control scheduler.
+    def may_fetch_unconfirmed(self, source: str, now: float) -> bool:
+        """Whether this source may be fetched from a control plane node without a majority.
 
-        Only to begin with: when no confirmed one has been found for a while, and what is held of the source
-        is nothing, or has never been confirmed either.
+        This is a fallback after the start: no confirmed report has arrived for a while, and there is no state
+        of the source yet, or the configuration in force has never been confirmed either.
         """
-        if now - self.confirmation.last_report_at() <= UNCONFIRMED_AFTER_S:
+        if now - self.confirmation.last_report_at() <= UNCONFIRMED_FALLBACK_S:
             return False
         return self.version(source) == NO_VERSION or self.confirmation.as_of() is None
 
     def begin_fetch(self, source: str, version: Version, now: float) -> None:
-        """Some session asks for this version."""
+        """Some session has sent a fetch for this version."""
         self._pending[source] = PendingFetch(version, now)
 
     def end_fetch(self, source: str, version: Version) -> None:
-        """The session that asked for this version will not bring it: another one may."""
+        """The fetch of this version gets no response any more; another session may fetch it."""
         pending = self._pending.get(source)
         if pending is not None and pending.version == version:
             del self._pending[source]
 
     def apply(self, message: ControlMessage) -> bool:
-        """Take a source's state; False where it was of no use (older, or its base is another one)."""
+        """Apply a message; False if its state was not used, being older or a delta of another base."""
         match message:
             case ConfigurationSnapshot():
-                return self._take_snapshot(message)
+                return self._apply_snapshot(message)
             case ConfigurationDelta():
-                return self._take_delta(message)
+                return self._apply_delta(message)
             case WorkerList():
-                return self._take_workers(message)
+                return self._apply_workers(message)
             case MemberList():
                 self.state.members = message
                 self._listener.on_members(message)
             case WatchResponse():
-                self._listener.on_running(message.running)
-                self._listener.on_suspects(message.suspects)
+                self._listener.on_peer_load(message.running)
+                self._listener.on_peer_suspects(message.suspects)
         return True
 
-    def _take_snapshot(self, message: ConfigurationSnapshot) -> bool:
+    def _apply_snapshot(self, message: ConfigurationSnapshot) -> bool:
         if message.version <= self.version(CONFIGURATION):
             return False
         self._set_configuration(parse_validated(message.document), message.version)
         return True
 
-    def _take_delta(self, message: ConfigurationDelta) -> bool:
-        held = self.state.configuration
+    def _apply_delta(self, message: ConfigurationDelta) -> bool:
+        current = self.state.configuration
         version = self.version(CONFIGURATION)
-        if held is None or message.base != version or message.version <= version:
+        if current is None or message.base != version or message.version <= version:
             return False
-        self._set_configuration(apply_delta(held, message), message.version)
+        self._set_configuration(apply_delta(current, message), message.version)
         return True
 
     def _set_configuration(self, configuration: Configuration, version: Version) -> None:
@@ -141,7 +142,7 @@
         self.confirmation.set_in_force(version)
         self._listener.on_configuration(configuration, version)
 
-    def _take_workers(self, message: WorkerList) -> bool:
+    def _apply_workers(self, message: WorkerList) -> bool:
         if message.version <= self.version(WORKERS):
             return False
         self.state.workers = message
--- a/reedspoke/data_plane/watch_session.py
+++ b/reedspoke/data_plane/watch_session.py
@@ -1,4 +1,7 @@
-"""One session with a control scheduler: a `WatchRequest` is always out, and what is lacking is fetched."""
+"""One session with a control plane node: a long poll by versions, and fetches of newer state.
+
+One `WatchRequest` is in flight at a time; `FetchRequest` gets each source of which the node has newer state.
+"""
 
 from __future__ import annotations
 
@@ -29,46 +32,46 @@
 from reedspoke.common.transport import Channel
 from reedspoke.data_plane.confirmation import confirmed_as_of
 from reedspoke.data_plane.session_choice import SessionChoice
-from reedspoke.data_plane.subscription import FETCH_S, Subscription
-
-SILENCE_MARGIN_S = 0.8  # beyond the time in which a `WatchRequest` is answered
-QUIET_MARGIN_S = 0.4
+from reedspoke.data_plane.subscription import FETCH_TIMEOUT_S, Subscription
 
+IDLE_TIMEOUT_MARGIN_S = 0.8  # added to the time within which a `WatchRequest` gets its response
+STALE_MARGIN_S = 0.4  # added to the same time; smaller, so that a replacement connects before the time-out
 
-OnQuota = Callable[[QuotaResponse], None]
+OnQuotaResponse = Callable[[QuotaResponse], None]
 
 
 class SessionTimeouts(Struct, frozen=True):
-    """Time limits of a session; `max_watch_wait_s` is when a `WatchRequest` is answered at the latest."""
+    """Time limits of a session; a `WatchRequest` gets its response within `max_watch_wait_s`."""
 
     max_watch_wait_s: float = 0.4
 
     @property
     def idle_timeout_s(self) -> float:
-        """A control scheduler that says nothing for so long is left."""
-        return self.max_watch_wait_s + SILENCE_MARGIN_S
+        """The session is closed after this time without any bytes from the control plane node."""
+        return self.max_watch_wait_s + IDLE_TIMEOUT_MARGIN_S
 
     @property
-    def quiet_s(self) -> float:
-        """And after this another one is sought besides it."""
-        return self.max_watch_wait_s + QUIET_MARGIN_S
+    def stale_after_s(self) -> float:
+        """After this time without a response the session does not count, and another one is opened."""
+        return self.max_watch_wait_s + STALE_MARGIN_S
 
 
 class NodeState(Struct, frozen=True):
-    """What this scheduler says of itself in each heartbeat."""
+    """What this data plane node reports about itself in each `WatchRequest`."""
 
     node_name: str
     incarnation: str
     zone: str
     draining: bool
     running: dict[str, tuple[int, int]]
-    suspects: tuple[str, ...] = ()  # workers that have lately failed its requests
+    suspects: tuple[str, ...] = ()  # workers that recently failed requests of this node
 
 
 class WatchSession:
-    """Speaks with the control scheduler at `address`, and reports to `choice` what its answers are worth.
+    """The session with the control plane node at `address`; reports to `choice` whether it is confirmed.
 
-    `on_change` is called when they are worth something else than before.
+    `on_change` is called when the session becomes confirmed or unconfirmed. `on_quota` gets each
+    `QuotaResponse`.
     """
 
     def __init__(
@@ -78,12 +81,12 @@
         subscription: Subscription,
         node_state: Callable[[], NodeState],
         choice: SessionChoice,
-        pace: SessionTimeouts,
+        timeouts: SessionTimeouts,
         on_change: Callable[[], None],
-        on_quota: OnQuota = lambda answer: None,
+        on_quota: OnQuotaResponse = lambda response: None,
     ) -> None:
         self._channel = channel
-        channel.idle_timeout_s = pace.idle_timeout_s
+        channel.idle_timeout_s = timeouts.idle_timeout_s
         self._address = address
         self._subscription = subscription
         self._node_state = node_state
@@ -92,52 +95,56 @@
         self._on_quota = on_quota
         self._loop = asyncio.get_running_loop()
         self._request_id = 0
-        self._watch_sent_at: float | None = None  # None: no `WatchRequest` is out
-        self._members_version: Version = NO_VERSION  # is local to the control scheduler of this session
+        self._watch_sent_at: float | None = None  # None: no `WatchRequest` is in flight
+        self._members_version: Version = NO_VERSION  # local to the control plane node of this session
         self._fetching: dict[str, Version] = {}
-        self._fetched_at = 0.0
-        self._unconfirmed: UnconfirmedResponse | None = None  # the last answer, if it was one
-        self._is_sound: bool | None = None  # what the last answer was worth
+        self._last_fetch_at = 0.0
+        self._last_unconfirmed: UnconfirmedResponse | None = (
+            None  # None if the last response was a `WatchResponse`
+        )
+        self._was_confirmed: bool | None = None  # None before the first response
 
     async def run(self) -> None:
-        """Runs until the connection ends or the other side is silent."""
-        self._watch()
+        """Run until the connection ends or its idle time-out expires."""
+        self._send_watch()
         try:
             while True:
-                self._take(await self._channel.receive(ControlMessage))
+                self._handle(await self._channel.receive(ControlMessage))
         finally:
-            self._give_up_fetches()
+            self._abandon_fetches()
 
-    def _take(self, message: ControlMessage) -> None:
+    def _handle(self, message: ControlMessage) -> None:
         match message:
             case WatchResponse():
-                self._take_versions(message)
+                self._handle_watch_response(message)
             case UnconfirmedResponse():
-                self._take_unconfirmed(message)
+                self._handle_unconfirmed(message)
             case QuotaResponse():
                 self._on_quota(message)
             case _:
-                self._take_state(message)
+                self._handle_state(message)
+
+    def request_quota(self, request: QuotaRequest) -> None:
+        """Send a quota request; the response goes to `on_quota`."""
+        self._channel.send(request)
 
-    def ask_quota(self, ask: QuotaRequest) -> None:
-        """Ask for what a request costs of its tenant's quota."""
-        self._channel.send(ask)
+    def poll(self) -> None:
+        """Periodic check.
 
-    def look(self) -> None:
-        """Some time has passed. After `UnconfirmedResponse` the next `WatchRequest` is sent from here, which
-        is called about each tenth of a second then; so is the one that finds out why a fetch stays
-        unanswered.
+        After `UnconfirmedResponse` the next `WatchRequest` is sent from here, about every tenth of a second.
+        So is a `WatchRequest` after a fetch that got no response in time, to learn whether the majority was
+        lost.
         """
         now = self._loop.time()
-        if self._unconfirmed is not None:
-            self._fetch_unconfirmed(self._unconfirmed, now)
-        fetch_is_late = now - self._fetched_at > FETCH_S
-        if self._watch_sent_at is None and (fetch_is_late or not self._fetching):
-            self._watch()
+        if self._last_unconfirmed is not None:
+            self._fetch_unconfirmed(self._last_unconfirmed, now)
+        fetch_is_overdue = now - self._last_fetch_at > FETCH_TIMEOUT_S
+        if self._watch_sent_at is None and (fetch_is_overdue or not self._fetching):
+            self._send_watch()
 
     # ---- WatchRequest ----
 
-    def _watch(self) -> None:
+    def _send_watch(self) -> None:
         self._request_id += 1
         own = self._node_state()
         now = self._loop.time()
@@ -159,13 +166,13 @@
             )
         )
 
-    def _take_versions(self, message: WatchResponse) -> None:
+    def _handle_watch_response(self, message: WatchResponse) -> None:
         now = self._loop.time()
-        self._unconfirmed = None
-        self._note_confirmation(message, now)
-        self._note_answered(message.request_id)
+        self._last_unconfirmed = None
+        self._record_confirmation(message, now)
+        self._on_response(message.request_id)
         self._subscription.apply(message)
-        for source in self._subscription.lacks(message.versions, now):
+        for source in self._subscription.sources_to_fetch(message.versions, now):
             self._subscription.begin_fetch(source, message.versions[source], now)
             self._fetch(source, message.versions[source], self._subscription.version(source))
         offered = message.versions.get(MEMBERS, NO_VERSION)
@@ -173,8 +180,11 @@
             self._fetch(MEMBERS, offered, self._members_version)
         self._watch_if_idle()
 
-    def _note_confirmation(self, message: WatchResponse, now: float) -> None:
-        """An answer that was long on its way, as around a stop of either side, vouches for the past only."""
+    def _record_confirmation(self, message: WatchResponse, now: float) -> None:
+        """Record the time as of which this response confirms its configuration version.
+
+        A response that was delayed, as when either process was suspended, confirms only a time in the past.
+        """
         if self._watch_sent_at is None or message.request_id != self._request_id:
             return
         confirmation = self._subscription.confirmation
@@ -182,69 +192,72 @@
         confirmation.record_report(message.versions.get(CONFIGURATION, NO_VERSION), as_of)
         self._report(confirmation.is_fresh(as_of, now), (), now)
 
-    def _report(self, is_sound: bool, control: tuple[ControlMember, ...], now: float) -> None:
-        if is_sound:
-            self._choice.confirmed(self._address, now)
+    def _report(self, is_confirmed: bool, control: tuple[ControlMember, ...], now: float) -> None:
+        if is_confirmed:
+            self._choice.record_confirmed(self._address, now)
         else:
-            self._choice.unconfirmed(self._address, control, now)
-        if is_sound is not self._is_sound:
-            self._is_sound = is_sound
+            self._choice.record_unconfirmed(self._address, control, now)
+        if is_confirmed is not self._was_confirmed:
+            self._was_confirmed = is_confirmed
             self._on_change()
 
-    def _take_unconfirmed(self, message: UnconfirmedResponse) -> None:
-        """No majority stands behind the control scheduler: its hints are of use, its state is not."""
+    def _handle_unconfirmed(self, message: UnconfirmedResponse) -> None:
+        """The control plane node has no majority: use the members that it lists, but not its state."""
         now = self._loop.time()
-        self._unconfirmed = message
-        self._note_answered(message.request_id)
+        self._last_unconfirmed = message
+        self._on_response(message.request_id)
         self._report(False, message.control, now)
         self._fetch_unconfirmed(message, now)
 
-    def _note_answered(self, request_id: int) -> None:
-        """Answers keep their order, so what was fetched before will not come any more.
+    def _on_response(self, request_id: int) -> None:
+        """Abandon fetches: responses keep their order, so earlier fetches get no response any more.
 
-        `UnconfirmedResponse` answers a `FetchRequest` too, without the id of any request; a `WatchRequest`
-        may be out then.
+        `UnconfirmedResponse` is also a response to `FetchRequest`, and then it has the id of no request; a
+        `WatchRequest` may still be in flight.
         """
-        self._give_up_fetches()
+        self._abandon_fetches()
         if request_id == self._request_id:
             self._watch_sent_at = None
 
     def _watch_if_idle(self) -> None:
         if not self._fetching and self._watch_sent_at is None:
-            self._watch()
+            self._send_watch()
 
     # ---- FetchRequest ----
 
-    def _fetch(self, source: str, wanted: Version, have: Version) -> None:
+    def _fetch(self, source: str, wanted: Version, known: Version) -> None:
         self._fetching[source] = wanted
-        self._fetched_at = self._loop.time()
-        self._channel.send(FetchRequest(source, have, allow_unconfirmed=self._unconfirmed is not None))
+        self._last_fetch_at = self._loop.time()
+        self._channel.send(FetchRequest(source, known, allow_unconfirmed=self._last_unconfirmed is not None))
 
-    def _give_up_fetches(self) -> None:
+    def _abandon_fetches(self) -> None:
         for source, version in self._fetching.items():
             self._subscription.end_fetch(source, version)
         self._fetching.clear()
 
     def _fetch_unconfirmed(self, offer: UnconfirmedResponse, now: float) -> None:
-        for source in self._subscription.lacks(offer.versions, now):
-            if source not in self._fetching and self._subscription.may_take_unconfirmed(source, now):
+        for source in self._subscription.sources_to_fetch(offer.versions, now):
+            if source not in self._fetching and self._subscription.may_fetch_unconfirmed(source, now):
                 self._subscription.begin_fetch(source, offer.versions[source], now)
                 self._fetch(source, offer.versions[source], self._subscription.version(source))
 
-    def _take_state(self, message: ControlMessage) -> None:
+    def _handle_state(self, message: ControlMessage) -> None:
         source = source_of(message)
-        asked = self._fetching.pop(source, None) is not None
+        requested = self._fetching.pop(source, None) is not None
         if isinstance(message, MemberList):
             self._members_version = message.version
-            self._choice.learnt(message.control, self._loop.time())
-        if self._unconfirmed is None or asked:
+            self._choice.add_members(message.control, self._loop.time())
+        if self._last_unconfirmed is None or requested:
             useful = self._subscription.apply(message)
             if not useful and isinstance(message, ConfigurationDelta):
-                self._fetch_whole(message)
+                self._fetch_snapshot(message)
         self._watch_if_idle()
 
-    def _fetch_whole(self, delta: ConfigurationDelta) -> None:
-        """The difference's base is not what we hold: another session has been faster, or we hold nothing."""
+    def _fetch_snapshot(self, delta: ConfigurationDelta) -> None:
+        """Fetch the complete configuration instead of a delta whose base is not the version in force.
+
+        Another session may have delivered a newer version in the meantime, or there is no configuration yet.
+        """
         if delta.version > self._subscription.version(CONFIGURATION):
             self._fetch(CONFIGURATION, delta.version, NO_VERSION)
 
--- a/tests/data_plane/control_stand_in.py
+++ b/tests/data_plane/control_stand_in.py
@@ -80,7 +80,10 @@
     """The control plane as sessions meet it."""
 
     def __init__(
-        self, monkeypatch: pytest.MonkeyPatch, pace: SessionTimeouts = DEFAULT_TIMEOUTS, apply_s: float = 2.0
+        self,
+        monkeypatch: pytest.MonkeyPatch,
+        timeouts: SessionTimeouts = DEFAULT_TIMEOUTS,
+        apply_s: float = 2.0,
     ) -> None:
         self.loop = VirtualLoop()
         self.made, self.heard = make_subscription(apply_s)
@@ -89,7 +92,9 @@
         self.refusing: set[str] = set()
         self.seeds: tuple[str, ...] = ("c1:1", "c2:1", "c3:1")
         self.tried: list[str] = []
-        self.sessions = ControlSessions(self.made, lambda: NODE_STATE, lambda: self.seeds, Random(7), pace)
+        self.sessions = ControlSessions(
+            self.made, lambda: NODE_STATE, lambda: self.seeds, Random(7), timeouts
+        )
         monkeypatch.setattr(control_session, "open_channel", self.open)
         self.running = self.loop.create_task(self.sessions.run())
         self.loop.settle()
--- a/tests/data_plane/session_world.py
+++ b/tests/data_plane/session_world.py
@@ -94,27 +94,27 @@
         link.told, link.answer_at = state, self.now + wait
         if state is State.SOUND:
             self.confirmed_at = self.now
-            self.choice.confirmed(address, self.now)
+            self.choice.record_confirmed(address, self.now)
         else:
-            self.choice.unconfirmed(address, self.members(address), self.now)
+            self.choice.record_unconfirmed(address, self.members(address), self.now)
         return True
 
     def _end(self, address: str) -> bool:
         del self.links[address]
-        self.choice.ended(address, self.now)
+        self.choice.session_ended(address, self.now)
         return True
 
     def _look(self) -> None:
         self._looked_at = self.now
         for address, link in list(self.links.items()):
-            if self.choice.should_leave(address, self.now):
+            if self.choice.should_close(address, self.now):
                 if link.told is State.SOUND:
                     self.ended_sound.append(address)
                 self._end(address)
         in_doubt = self.confirmed_at is None or self.now - self.confirmed_at > DOUBT_S
-        while (member := self.choice.next_address(self.now, OWN_ZONE, in_doubt)) is not None:
+        while (member := self.choice.next_member(self.now, OWN_ZONE, in_doubt)) is not None:
             assert member.address not in self.links
-            self.choice.opened(member.address, self.now)
+            self.choice.session_opened(member.address, self.now)
             self.dials.append((self.now, member.address))
             self.links[member.address] = Link(self.now, self.now, self.now + ROUND_TRIP_S)
         self.most_links = max(self.most_links, len(self.links))
@@ -130,6 +130,6 @@
     """All sound, two sessions up for some time."""
     zones = fleet(size, zone_count)
     world = SessionWorld(dict.fromkeys(zones, State.SOUND), zones, seed)
-    world.choice.learnt(world.members(), world.now)
+    world.choice.add_members(world.members(), world.now)
     world.run_for(5)
     return world
--- a/tests/data_plane/test_address_book.py
+++ b/tests/data_plane/test_address_book.py
@@ -7,15 +7,15 @@
 
 from reedspoke.common.messages import ControlMember
 from reedspoke.data_plane.address_book import (
-    FORGET_S,
-    LATELY_S,
-    MOST_ADDRESSES,
-    RETRY_LEAST_S,
-    RETRY_MOST_S,
-    RETRY_UNCONFIRMED_MOST_S,
-    URGENT_RETRY_S,
+    ADDRESS_TTL_S,
+    MAX_ADDRESSES,
+    MAX_RETRY_DELAY_S,
+    MAX_UNCONFIRMED_RETRY_DELAY_S,
+    MIN_RETRY_DELAY_S,
+    RECENT_FAILURE_S,
+    URGENT_RETRY_DELAY_S,
     AddressBook,
-    Entry,
+    AddressEntry,
 )
 
 
@@ -29,95 +29,99 @@
 
 def test_who_is_not_listed_any_more_is_kept() -> None:
     book = AddressBook()
-    book.learnt(members("a", "b", "c"), 0.0, ())
-    book.learnt(members("a"), 20.0, ())
+    book.add_members(members("a", "b", "c"), 0.0, ())
+    book.add_members(members("a"), 20.0, ())
     assert addresses(book) == {"a:1", "b:1", "c:1"}
 
 
 def test_who_was_not_named_for_very_long_is_forgotten() -> None:
     book = AddressBook()
-    book.learnt(members("a", "b"), 0.0, ())
-    book.learnt(members("a"), FORGET_S + 1, ())
+    book.add_members(members("a", "b"), 0.0, ())
+    book.add_members(members("a"), ADDRESS_TTL_S + 1, ())
     assert addresses(book) == {"a:1"}
 
 
 def test_where_nobody_names_anybody_nothing_is_forgotten() -> None:
     book = AddressBook()
-    book.learnt(members("a", "b"), 0.0, ())
-    book.seeds(["s:1"])
+    book.add_members(members("a", "b"), 0.0, ())
+    book.set_seeds(["s:1"])
     assert addresses(book) == {"a:1", "b:1", "s:1"}
 
 
 def test_seeds_and_addresses_in_use_are_kept() -> None:
     book = AddressBook()
-    book.seeds(["s:1"])
-    book.learnt(members("b"), 0.0, ())
-    book.learnt(members("a"), FORGET_S + 1, ["b:1"])
+    book.set_seeds(["s:1"])
+    book.add_members(members("b"), 0.0, ())
+    book.add_members(members("a"), ADDRESS_TTL_S + 1, ["b:1"])
     assert addresses(book) == {"a:1", "b:1", "s:1"}
 
 
 def test_exchanged_seeds_age_from_then_on() -> None:
     book = AddressBook()
-    book.seeds(["s:1"])
-    book.seeds(["t:1"])
-    now = 5 * FORGET_S
-    book.learnt(members("a"), now, ())
+    book.set_seeds(["s:1"])
+    book.set_seeds(["t:1"])
+    now = 5 * ADDRESS_TTL_S
+    book.add_members(members("a"), now, ())
     assert addresses(book) == {"a:1", "s:1", "t:1"}
-    book.learnt(members("a"), now + FORGET_S + 1, ())
+    book.add_members(members("a"), now + ADDRESS_TTL_S + 1, ())
     assert addresses(book) == {"a:1", "t:1"}
 
 
 def test_the_number_is_bounded_and_the_latest_named_stay() -> None:
     book = AddressBook()
-    for number in range(3 * MOST_ADDRESSES):
-        book.learnt(members(str(number)), float(number), ())
-    assert len(book) == MOST_ADDRESSES
-    assert f"{3 * MOST_ADDRESSES - 1}:1" in addresses(book)
+    for number in range(3 * MAX_ADDRESSES):
+        book.add_members(members(str(number)), float(number), ())
+    assert len(book) == MAX_ADDRESSES
+    assert f"{3 * MAX_ADDRESSES - 1}:1" in addresses(book)
 
 
 def test_a_zone_once_known_is_not_lost() -> None:
     book = AddressBook()
-    book.learnt(members("a"), 0.0, ())
-    book.learnt([ControlMember("a:1", "")], 1.0, ())
+    book.add_members(members("a"), 0.0, ())
+    book.add_members([ControlMember("a:1", "")], 1.0, ())
     entry = book.get("a:1")
     assert entry is not None
     assert entry.zone == "za"
 
 
 def test_pauses_grow_to_a_bound() -> None:
-    entry = Entry("a:1")
-    assert entry.may_be_tried(0.0, urgent=False)
-    failed = [(1, False, RETRY_LEAST_S), (2, False, RETRY_MOST_S), (50, False, RETRY_MOST_S)]
-    answered = [(1, True, RETRY_LEAST_S), (2, True, 2 * RETRY_LEAST_S), (50, True, RETRY_UNCONFIRMED_MOST_S)]
-    for setbacks, unconfirmed, pause in failed + answered:
-        entry.setbacks, entry.setback_at, entry.unconfirmed = setbacks, 100.0, unconfirmed
-        assert not entry.may_be_tried(100.0 + pause - 0.01, urgent=False)
-        assert entry.may_be_tried(100.0 + pause + 0.01, urgent=False)
+    entry = AddressEntry("a:1")
+    assert entry.may_connect(0.0, urgent=False)
+    failed = [(1, False, MIN_RETRY_DELAY_S), (2, False, MAX_RETRY_DELAY_S), (50, False, MAX_RETRY_DELAY_S)]
+    answered = [
+        (1, True, MIN_RETRY_DELAY_S),
+        (2, True, 2 * MIN_RETRY_DELAY_S),
+        (50, True, MAX_UNCONFIRMED_RETRY_DELAY_S),
+    ]
+    for failures, unconfirmed, pause in failed + answered:
+        entry.failures, entry.last_failure_at, entry.unconfirmed = failures, 100.0, unconfirmed
+        assert not entry.may_connect(100.0 + pause - 0.01, urgent=False)
+        assert entry.may_connect(100.0 + pause + 0.01, urgent=False)
 
 
 def test_a_failed_one_is_tried_soon_where_there_is_no_session_that_counts() -> None:
-    entry = Entry("a:1", setbacks=5, setback_at=100.0)
-    assert entry.may_be_tried(100.0 + URGENT_RETRY_S, urgent=True)
+    entry = AddressEntry("a:1", failures=5, last_failure_at=100.0)
+    assert entry.may_connect(100.0 + URGENT_RETRY_DELAY_S, urgent=True)
     entry.unconfirmed = True  # it was there, and had nothing to tell
-    assert not entry.may_be_tried(100.0 + URGENT_RETRY_S, urgent=True)
+    assert not entry.may_connect(100.0 + URGENT_RETRY_DELAY_S, urgent=True)
 
 
 def test_a_setback_is_remembered_for_a_while() -> None:
-    entry = Entry("a:1", setbacks=1, setback_at=100.0)
-    assert entry.had_setback_lately(100.0 + LATELY_S - 0.1)
-    assert not entry.had_setback_lately(100.0 + LATELY_S + 0.1)
+    entry = AddressEntry("a:1", failures=1, last_failure_at=100.0)
+    assert entry.failed_recently(100.0 + RECENT_FAILURE_S - 0.1)
+    assert not entry.failed_recently(100.0 + RECENT_FAILURE_S + 0.1)
 
 
 @settings(max_examples=100, deadline=None)
-@given(st.lists(st.tuples(st.sets(st.integers(0, 300)), st.floats(0, FORGET_S)), max_size=12))
+@given(st.lists(st.tuples(st.sets(st.integers(0, 300)), st.floats(0, ADDRESS_TTL_S)), max_size=12))
 def test_whatever_is_named_the_book_is_bounded_and_keeps_the_seeds(
     lists: list[tuple[set[int], float]],
 ) -> None:
     book = AddressBook()
-    book.seeds(["s:1", "t:1"])
+    book.set_seeds(["s:1", "t:1"])
     now = 0.0
     for numbers, passed in lists:
         now += passed
-        book.learnt(members(*map(str, numbers)), now, ["u:1"])
+        book.add_members(members(*map(str, numbers)), now, ["u:1"])
         assert {"s:1", "t:1"} <= addresses(book)
-        assert len(book) <= MOST_ADDRESSES
+        assert len(book) <= MAX_ADDRESSES
--- a/tests/data_plane/test_conversation.py
+++ b/tests/data_plane/test_conversation.py
@@ -20,7 +20,7 @@
     WatchRequest,
 )
 from reedspoke.data_plane import control_session
-from reedspoke.data_plane.session_choice import SESSIONS, SESSIONS_IN_DOUBT, SessionChoice
+from reedspoke.data_plane.session_choice import TARGET_SESSIONS, TARGET_SESSIONS_IN_DOUBT, SessionChoice
 from reedspoke.data_plane.subscription import Subscription
 from reedspoke.data_plane.watch_session import SessionTimeouts, WatchSession
 from tests.data_plane.control_stand_in import NODE_STATE, SILENCE_S, ChannelStandIn, Control
@@ -146,9 +146,9 @@
     assert 4 <= len(control.tried) <= 80
     control.refusing = set()
     control.keep_alive(1)
-    assert SESSIONS <= len(control.live()) <= SESSIONS_IN_DOUBT
+    assert TARGET_SESSIONS <= len(control.live()) <= TARGET_SESSIONS_IN_DOUBT
     control.keep_alive(3)
-    assert len(control.live()) == SESSIONS
+    assert len(control.live()) == TARGET_SESSIONS
 
 
 def test_schedulers_that_members_name_are_asked_too(control: Control) -> None:
@@ -232,7 +232,7 @@
     counts = []
     for _ in range(20):
         control.loop.run_for(0.17)
-        counts.append(control.sessions.sessions())
+        counts.append(control.sessions.confirmed_sessions())
     assert set(counts) == {0}
 
 
--- a/tests/data_plane/test_data_plane.py
+++ b/tests/data_plane/test_data_plane.py
@@ -8,7 +8,7 @@
 
 from reedspoke.common.errors import ErrorCode
 from reedspoke.common.messages import ConfigurationSnapshot
-from reedspoke.data_plane.process import LINGER_S
+from reedspoke.data_plane.process import ACCEPT_AFTER_SIGTERM_S
 from reedspoke.data_plane.readiness import ReadinessConnection
 from tests.data_plane.plane import GRACE_S, Plane, answer
 from tests.data_plane.wire import chunked, event, events
@@ -111,7 +111,7 @@
 def test_connections_still_come_until_the_platform_knows(plane: Plane) -> None:
     plane.learn()
     ending = plane.finish()
-    plane.loop.run_for(LINGER_S - 0.2)
+    plane.loop.run_for(ACCEPT_AFTER_SIGTERM_S - 0.2)
     assert plane.server.closed_at == 0.0
     late = plane.asked(ONCE)
     plane.arrival().worker.say(plane.arrival().whole())
--- a/tests/data_plane/test_doubt.py
+++ b/tests/data_plane/test_doubt.py
@@ -83,7 +83,7 @@
 
 
 def test_a_start_that_knows_only_what_nobody_confirms_is_ready_and_in_doubt(plane: Plane) -> None:
-    """As after `UNCONFIRMED_AFTER_S` without any majority."""
+    """As after `UNCONFIRMED_FALLBACK_S` without any majority."""
     plane.learn()
     plane.plane._confirmation._as_of = None  # nobody has ever confirmed it
     assert plane.plane.is_ready()
--- a/tests/data_plane/test_guards_conversation.py
+++ b/tests/data_plane/test_guards_conversation.py
@@ -33,10 +33,10 @@
     channel = control.channels[0]
     channel.say(WatchResponse(earlier_request(channel), channel.address, {}))
     assert control.made.confirmation.as_of() is None
-    assert control.sessions.sessions() == 0
+    assert control.sessions.confirmed_sessions() == 0
     channel.offer()
     assert control.made.confirmation.as_of() is not None
-    assert control.sessions.sessions() == 1
+    assert control.sessions.confirmed_sessions() == 1
 
 
 def test_an_answer_to_another_request_leaves_the_watch_out(control: Control) -> None:
@@ -58,5 +58,5 @@
     channel = control.channels[0]
     watch = channel.watch()
     channel.say(WatchResponse(watch.request_id, channel.address, {}, confirmed_ago_s=LONG_AGO_S))
-    assert control.sessions.sessions() == 0
+    assert control.sessions.confirmed_sessions() == 0
     assert control.made.confirmation.in_doubt(control.loop.time())
--- a/tests/data_plane/test_key_check.py
+++ b/tests/data_plane/test_key_check.py
@@ -10,16 +10,16 @@
 from reedspoke.common.node_settings import Bounds
 from reedspoke.common.tenants import Tenant
 from reedspoke.data_plane.key_check import (
-    MARGIN_S,
-    Certainty,
+    CLOCK_DRIFT_MARGIN_S,
+    ConfigurationFreshness,
     KeyVerdict,
     check_key,
-    most_age_s,
+    max_configuration_age_s,
 )
 from reedspoke.data_plane.tenant_directory import KeyHolder, TenantDirectory, TenantQuota
 
-CERTAIN = Certainty(0.1, in_doubt=False)
-DOUBTFUL = Certainty(0.1, in_doubt=True)
+CERTAIN = ConfigurationFreshness(0.1, in_doubt=False)
+DOUBTFUL = ConfigurationFreshness(0.1, in_doubt=True)
 
 
 def directory(*tenants: Tenant) -> TenantDirectory:
@@ -35,13 +35,13 @@
 
 
 @pytest.mark.parametrize(
-    ("key", "public", "certainty", "verdict", "name"),
+    ("key", "public", "freshness", "verdict", "name"),
     [
-        (b"k1", False, CERTAIN, KeyVerdict.RUN, "a"),
-        (b"k2", False, DOUBTFUL, KeyVerdict.RUN, "a"),
-        (b"k3", True, CERTAIN, KeyVerdict.RUN, "b"),
-        (b"", True, CERTAIN, KeyVerdict.RUN, None),
-        (b"gone", True, CERTAIN, KeyVerdict.RUN, None),
+        (b"k1", False, CERTAIN, KeyVerdict.ALLOWED, "a"),
+        (b"k2", False, DOUBTFUL, KeyVerdict.ALLOWED, "a"),
+        (b"k3", True, CERTAIN, KeyVerdict.ALLOWED, "b"),
+        (b"", True, CERTAIN, KeyVerdict.ALLOWED, None),
+        (b"gone", True, CERTAIN, KeyVerdict.ALLOWED, None),
         (b"", False, CERTAIN, KeyVerdict.UNKNOWN, None),
         (b"gone", False, CERTAIN, KeyVerdict.UNKNOWN, None),
         (b"k1, k2", False, CERTAIN, KeyVerdict.UNKNOWN, None),
@@ -49,39 +49,39 @@
     ],
 )
 def test_the_verdict(
-    key: bytes, public: bool, certainty: Certainty, verdict: KeyVerdict, name: str | None
+    key: bytes, public: bool, freshness: ConfigurationFreshness, verdict: KeyVerdict, name: str | None
 ) -> None:
-    checked = check_key(HELD, key, public=public, certainty=certainty, most_age=5.0)
+    checked = check_key(HELD, key, public=public, freshness=freshness, max_age_s=5.0)
     assert checked.verdict is verdict
     assert (checked.holder and checked.holder.name) == name
 
 
 @pytest.mark.parametrize(
-    ("age_s", "most_age", "verdict"),
+    ("age_s", "max_age_s", "verdict"),
     [
-        (4.9, 5.0, KeyVerdict.RUN),
+        (4.9, 5.0, KeyVerdict.ALLOWED),
         (5.1, 5.0, KeyVerdict.IN_DOUBT),
         (math.inf, 5.0, KeyVerdict.IN_DOUBT),
-        (math.inf, None, KeyVerdict.RUN),
+        (math.inf, None, KeyVerdict.ALLOWED),
     ],
 )
 def test_a_key_counts_only_while_its_configuration_is_certain(
-    age_s: float, most_age: float | None, verdict: KeyVerdict
+    age_s: float, max_age_s: float | None, verdict: KeyVerdict
 ) -> None:
-    certainty = Certainty(age_s, in_doubt=age_s > 1)
-    assert check_key(HELD, b"k1", public=False, certainty=certainty, most_age=most_age).verdict is verdict
+    freshness = ConfigurationFreshness(age_s, in_doubt=age_s > 1)
+    assert check_key(HELD, b"k1", public=False, freshness=freshness, max_age_s=max_age_s).verdict is verdict
 
 
 def test_without_tenants_no_key_is_needed() -> None:
     without = TenantDirectory(Configuration(1, {}, {}, RequestLimits()))
-    checked = check_key(without, b"k1", public=False, certainty=DOUBTFUL, most_age=0.0)
-    assert (checked.verdict, checked.holder) == (KeyVerdict.RUN, None)
+    checked = check_key(without, b"k1", public=False, freshness=DOUBTFUL, max_age_s=0.0)
+    assert (checked.verdict, checked.holder) == (KeyVerdict.ALLOWED, None)
 
 
 def test_the_bound_is_less_than_what_the_deployment_sets() -> None:
-    assert most_age_s(Bounds(revoke_strict=True, revoke_ms=5000)) == 5 - MARGIN_S
-    assert most_age_s(Bounds(revoke_strict=True, revoke_ms=100)) == 0
-    assert most_age_s(Bounds(revoke_ms=5000)) is None
+    assert max_configuration_age_s(Bounds(revoke_strict=True, revoke_ms=5000)) == 5 - CLOCK_DRIFT_MARGIN_S
+    assert max_configuration_age_s(Bounds(revoke_strict=True, revoke_ms=100)) == 0
+    assert max_configuration_age_s(Bounds(revoke_ms=5000)) is None
 
 
 def test_the_directory_tells_priority_and_quota() -> None:
--- a/tests/data_plane/test_process_doubt.py
+++ b/tests/data_plane/test_process_doubt.py
@@ -9,7 +9,7 @@
 from reedspoke.common.errors import ErrorCode
 from reedspoke.common.messages import CONFIGURATION
 from reedspoke.common.node_settings import split_address
-from reedspoke.data_plane.subscription import UNCONFIRMED_AFTER_S
+from reedspoke.data_plane.subscription import UNCONFIRMED_FALLBACK_S
 from tests.control_plane_process.stand_ins import until
 from tests.data_plane.stage import HOST, HOSTS, Stage
 from tests.data_plane.stand_ins import CALL_S, UP_S
@@ -74,8 +74,10 @@
     stage.edge.start()
     until(lambda: bool(control.watches), UP_S, "its session stands")
     first = time.monotonic()
-    until(lambda: stage.edge.is_ready() == 200, UNCONFIRMED_AFTER_S + UP_S, "it is ready in the end")
-    assert time.monotonic() - first > UNCONFIRMED_AFTER_S - 1  # its start was before its first `WatchRequest`
+    until(lambda: stage.edge.is_ready() == 200, UNCONFIRMED_FALLBACK_S + UP_S, "it is ready in the end")
+    assert (
+        time.monotonic() - first > UNCONFIRMED_FALLBACK_S - 1
+    )  # its start was before its first `WatchRequest`
     assert stage.ask("/one/")[0] == 200
     assert stage.ask("/nowhere/")[0] == 503
     control.regain_majority()
--- a/tests/data_plane/test_quota_client.py
+++ b/tests/data_plane/test_quota_client.py
@@ -9,7 +9,7 @@
 from reedspoke.common.messages import QuotaOutcome, QuotaRequest, QuotaResponse
 from reedspoke.common.quota_rule import CREDIT_S
 from reedspoke.data_plane.quota_client import (
-    SECOND_ASK_S,
+    NEXT_NODE_DELAY_S,
     UNAVAILABLE_RETRY_S,
     QuotaClient,
     QuotaDecision,
@@ -39,10 +39,10 @@
         return address
 
     def ask(self, units: float = 10.0) -> int | None:
-        return self.client.ask("t", units, WAIT_S, self.decisions.append)
+        return self.client.request("t", units, WAIT_S, self.decisions.append)
 
     def answer(self, outcome: QuotaOutcome, index: int = -1, retry_after_s: float = 0.0) -> None:
-        self.client.answered(QuotaResponse(self.asked[index][1].request_id, outcome, retry_after_s))
+        self.client.handle_response(QuotaResponse(self.asked[index][1].request_id, outcome, retry_after_s))
 
     def to(self) -> list[str]:
         return [address for address, _ in self.asked]
@@ -95,9 +95,9 @@
 
 def test_after_a_silence_another_one_is_asked(scene: Scene) -> None:
     scene.ask()
-    scene.loop.run_for(SECOND_ASK_S * 0.9)
+    scene.loop.run_for(NEXT_NODE_DELAY_S * 0.9)
     assert scene.to() == ["c1"]
-    scene.loop.run_for(SECOND_ASK_S * 0.2)
+    scene.loop.run_for(NEXT_NODE_DELAY_S * 0.2)
     assert scene.to() == ["c1", "c2"]
     scene.answer(YES, index=0)
     assert [item.granted for item in scene.decisions] == [True]
@@ -113,7 +113,7 @@
 
 def test_a_second_grant_serves_the_next_request(scene: Scene) -> None:
     scene.ask()
-    scene.loop.run_for(SECOND_ASK_S * 1.1)
+    scene.loop.run_for(NEXT_NODE_DELAY_S * 1.1)
     scene.answer(YES, index=0)
     scene.answer(YES, index=1)
     assert scene.ask(9.0) is None
@@ -130,10 +130,10 @@
 
 
 def test_a_credit_is_used_once(scene: Scene) -> None:
-    scene.client.give_back("t", 10.0)
+    scene.client.return_units("t", 10.0)
     assert scene.ask(6.0) is None
     assert scene.ask(6.0) is not None
-    assert scene.client.ask("other", 1.0, WAIT_S, scene.decisions.append) is not None
+    assert scene.client.request("other", 1.0, WAIT_S, scene.decisions.append) is not None
 
 
 def test_a_client_that_leaves_takes_its_ask_along(scene: Scene) -> None:
@@ -147,7 +147,7 @@
 
 
 def test_an_answer_to_nobody_is_of_no_account(scene: Scene) -> None:
-    scene.client.answered(QuotaResponse(77, YES))
+    scene.client.handle_response(QuotaResponse(77, YES))
     assert scene.ask() is not None
 
 
@@ -163,7 +163,7 @@
     for _ in range(2):
         scene.ask()
     assert [item.granted for item in scene.decisions] == [True, False]
-    assert scene.client.went_on == 1
+    assert scene.client.admitted_without_response == 1
 
 
 def test_silence_and_ignorance_are_outages_too(scene: Scene) -> None:
@@ -192,7 +192,7 @@
     scene.addresses = []
     scene.ask()
     assert [item.granted for item in scene.decisions] == [False]
-    assert scene.client.ask("other", 1.0, WAIT_S, scene.decisions.append) is None
+    assert scene.client.request("other", 1.0, WAIT_S, scene.decisions.append) is None
     assert [item.granted for item in scene.decisions] == [False, True]
 
 
@@ -223,9 +223,9 @@
     allowance = OutageAllowance(WINDOW_S)
     allowance.record_grant("a", 1.0, 100.0)
     allowance.record_spent("b", 104.0)
-    allowance.forget_old(100.0 + WINDOW_S)
+    allowance.remove_expired(100.0 + WINDOW_S)
     assert list(allowance._tenants) == ["b"]
-    allowance.forget_old(104.0 + WINDOW_S)
+    allowance.remove_expired(104.0 + WINDOW_S)
     assert list(allowance._tenants) == []
 
 
--- a/tests/data_plane/test_request_keys.py
+++ b/tests/data_plane/test_request_keys.py
@@ -10,7 +10,7 @@
 from reedspoke.common.errors import ErrorCode
 from reedspoke.common.messages import ConfigurationSnapshot, QuotaOutcome, QuotaRequest, QuotaResponse
 from reedspoke.common.node_settings import Bounds, NodeSettings
-from reedspoke.data_plane.key_check import MARGIN_S
+from reedspoke.data_plane.key_check import CLOCK_DRIFT_MARGIN_S
 from reedspoke.telemetry.invariants import Invariant, monitor
 from tests.data_plane import plane as plane_module
 from tests.data_plane.plane import Plane, answer, fresh_plane
@@ -21,7 +21,7 @@
 STRICT = NodeSettings(
     "edge-1", "127.0.0.1", "za", bounds=Bounds(revoke_strict=True, revoke_ms=REVOKE_S * 1000)
 )
-SERVED_S = REVOKE_S - MARGIN_S  # after the last confirmation
+SERVED_S = REVOKE_S - CLOCK_DRIFT_MARGIN_S  # after the last confirmation
 TENANTS: list[dict[str, object]] = [
     {"name": "first", "api_keys": ["k1", "k2"]},
     {"name": "limited", "api_keys": ["k3"], "rate_per_s": 100, "unit": "token_count", "plain_tokens": 200},
@@ -182,7 +182,7 @@
     def __init__(self, plane: Plane, monkeypatch: pytest.MonkeyPatch) -> None:
         self.plane = plane.plane
         self.asked: list[QuotaRequest] = []
-        monkeypatch.setattr(plane.plane._sessions, "ask_quota", self._ask)
+        monkeypatch.setattr(plane.plane._sessions, "request_quota", self._ask)
 
     def _ask(self, ask: QuotaRequest, tried: Collection[str]) -> str | None:
         if tried:
@@ -191,7 +191,9 @@
         return "c1"
 
     def answer(self, outcome: QuotaOutcome, retry_after_s: float = 0.0) -> None:
-        self.plane._quota.answered(QuotaResponse(self.asked[-1].request_id, outcome, retry_after_s))
+        self.plane._quota_client.handle_response(
+            QuotaResponse(self.asked[-1].request_id, outcome, retry_after_s)
+        )
 
 
 @pytest.fixture
@@ -247,14 +249,14 @@
 
 def test_the_end_of_the_process_answers_what_waits(keyed: Plane, controller: Controller) -> None:
     client = ask(keyed, Reedspoke_Key="k3")
-    keyed.plane._admission.break_off_all()
+    keyed.plane._admission.abort_all()
     assert answer(client).status == 503
     assert keyed.plane.open_requests() == 0
 
 
 def test_the_invariants_notice_missing_guards(keyed: Plane, monkeypatch: pytest.MonkeyPatch) -> None:
     """Each invariant fails where the guard before it is broken."""
-    monkeypatch.setattr(keyed.plane._admission, "_most_key_age", None)
+    monkeypatch.setattr(keyed.plane._admission, "_max_key_age_s", None)
     keyed.loop.run_for(30.0)
     ask(keyed, Reedspoke_Key="k1")
     assert monitor.violated[Invariant.KEY_IS_CERTAIN] == 1
--- a/tests/data_plane/test_session_model.py
+++ b/tests/data_plane/test_session_model.py
@@ -15,7 +15,7 @@
 
 from reedspoke.common.messages import CONFIGURATION
 from reedspoke.data_plane import control_session
-from reedspoke.data_plane.session_choice import DIAL_BURST, DIALS_PER_S, SESSIONS
+from reedspoke.data_plane.session_choice import CONNECT_BURST, CONNECTS_PER_S, TARGET_SESSIONS
 from tests.data_plane.fleet_model import APPLY_S, CATCH_UP_S, CONTACT_S, FleetModel
 
 SOON_S = 0.2  # fetch and confirmation over a session that is in reach
@@ -46,7 +46,7 @@
 def followed(model: FleetModel) -> set[int]:
     """The control schedulers of the sessions that count."""
     addresses = {control.member.address: number for number, control in enumerate(model.controls)}
-    return {addresses[address] for address in model.sessions._choice.sound(model.loop.time())}
+    return {addresses[address] for address in model.sessions._choice.confirmed_addresses(model.loop.time())}
 
 
 def until_certain(model: FleetModel, most_s: float) -> float:
@@ -101,7 +101,7 @@
     model.cut(set())
     model.run_for(10)
     assert not model.in_doubt()
-    assert len(followed(model)) == SESSIONS
+    assert len(followed(model)) == TARGET_SESSIONS
 
 
 @pytest.mark.parametrize("seed", SEEDS)
@@ -114,7 +114,7 @@
     assert model.made.version(CONFIGURATION) == model.committed[-1][1]
     model.run_for(CONTACT_S + 0.5)
     assert cut not in followed(model)
-    assert len(followed(model)) == SESSIONS
+    assert len(followed(model)) == TARGET_SESSIONS
 
 
 @pytest.mark.parametrize("seed", SEEDS)
@@ -186,7 +186,7 @@
         model.commit()
         model.run_for(0.7)
     passed = model.loop.time() - began
-    assert model.dials - dials <= DIAL_BURST + passed * DIALS_PER_S
+    assert model.dials - dials <= CONNECT_BURST + passed * CONNECTS_PER_S
     model.cut(set())
     until_certain(model, APPLY_S)
 
--- a/tests/data_plane/test_session_wire.py
+++ b/tests/data_plane/test_session_wire.py
@@ -30,8 +30,8 @@
 from reedspoke.control_plane.replication.entry import CommittedConfiguration
 from reedspoke.control_plane.workers.worker_list import WorkerListState
 from reedspoke.data_plane import control_session
-from reedspoke.data_plane.session_choice import DIAL_BURST, DIALS_PER_S, SESSIONS
-from reedspoke.data_plane.subscription import UNCONFIRMED_AFTER_S
+from reedspoke.data_plane.session_choice import CONNECT_BURST, CONNECTS_PER_S, TARGET_SESSIONS
+from reedspoke.data_plane.subscription import UNCONFIRMED_FALLBACK_S
 from tests.data_plane.fleet_model import (
     APPLY_S,
     CONTACT_S,
@@ -168,7 +168,7 @@
 
 
 def followed(model: FleetModel) -> set[int]:
-    sound = model.sessions._choice.sound(model.loop.time())
+    sound = model.sessions._choice.confirmed_addresses(model.loop.time())
     return {number for number, control in enumerate(model.controls) if control.member.address in sound}
 
 
@@ -182,7 +182,7 @@
         assert model.made.version(CONFIGURATION) == model.committed[-1][1]
         assert not model.in_doubt()
         model.run_for(1)
-    assert len(followed(model)) == SESSIONS
+    assert len(followed(model)) == TARGET_SESSIONS
     assert model.dials == dials
 
 
@@ -201,7 +201,7 @@
         model.run_for(1)
     model.cut(set())
     model.run_for(3)
-    assert len(followed(model)) == SESSIONS
+    assert len(followed(model)) == TARGET_SESSIONS
 
 
 @pytest.mark.parametrize("seed", SEEDS)
@@ -214,7 +214,7 @@
     model.run_for(20)
     assert model.in_doubt()
     assert model.made.version(CONFIGURATION) == held
-    assert model.dials - dials <= DIAL_BURST + (model.loop.time() - began) * DIALS_PER_S
+    assert model.dials - dials <= CONNECT_BURST + (model.loop.time() - began) * CONNECTS_PER_S
     model.cut(set())
     model.commit()
     model.run_for(APPLY_S)
@@ -230,7 +230,7 @@
         control.learn(model.committed[-1][1])
         control.set_in_majority(False)
         control._as_of -= 2 * CONTACT_S
-    model.run_for(UNCONFIRMED_AFTER_S - 0.2)
+    model.run_for(UNCONFIRMED_FALLBACK_S - 0.2)
     assert model.heard.configurations == []
     model.run_for(1)
     assert model.made.version(CONFIGURATION) == (1, 1)
--- a/tests/data_plane/test_subscription.py
+++ b/tests/data_plane/test_subscription.py
@@ -25,7 +25,7 @@
     WorkerList,
 )
 from reedspoke.data_plane.confirmation import Confirmation
-from reedspoke.data_plane.subscription import FETCH_S, StateListener, Subscription
+from reedspoke.data_plane.subscription import FETCH_TIMEOUT_S, StateListener, Subscription
 from tests.data_plane.virtual_loop import STARTED_AT
 
 Running = dict[str, tuple[int, int]]
@@ -51,8 +51,8 @@
         on_configuration=on_configuration,
         on_workers=lambda workers: heard.workers.append(workers.version),
         on_members=lambda members: heard.members.append(members.version),
-        on_running=heard.running.append,
-        on_suspects=heard.suspects.append,
+        on_peer_load=heard.running.append,
+        on_peer_suspects=heard.suspects.append,
     )
     return Subscription(listener, Confirmation(apply_s, started=STARTED_AT)), heard
 
@@ -88,73 +88,73 @@
 
 
 def test_newer_state_replaces_older() -> None:
-    made, heard = make_subscription()
-    assert made.apply(snapshot(3))
-    assert made.apply(snapshot(5))
+    subscription, heard = make_subscription()
+    assert subscription.apply(snapshot(3))
+    assert subscription.apply(snapshot(5))
     assert heard.configurations == [(3, (3, 0)), (5, (5, 0))]
-    assert made.version(CONFIGURATION) == (5, 0)
+    assert subscription.version(CONFIGURATION) == (5, 0)
 
 
 @pytest.mark.parametrize("sequence", [1, 4, 5])
 def test_a_configuration_that_is_not_newer_is_not_taken(sequence: int) -> None:
-    made, heard = make_subscription()
-    made.apply(snapshot(5))
-    assert not made.apply(snapshot(sequence))
+    subscription, heard = make_subscription()
+    subscription.apply(snapshot(5))
+    assert not subscription.apply(snapshot(sequence))
     assert heard.configurations == [(5, (5, 0))]
-    assert made.state.configuration is not None
-    assert made.state.configuration.generation == 5
+    assert subscription.state.configuration is not None
+    assert subscription.state.configuration.generation == 5
 
 
 @pytest.mark.parametrize("version", [(1, 9), (2, 6), (2, 7)])
 def test_a_list_of_workers_that_is_not_newer_is_not_taken(version: Version) -> None:
-    made, heard = make_subscription()
-    made.apply(workers(2, 7))
-    assert not made.apply(workers(*version))
+    subscription, heard = make_subscription()
+    subscription.apply(workers(2, 7))
+    assert not subscription.apply(workers(*version))
     assert heard.workers == [(2, 7)]
 
 
 def test_a_later_term_goes_before_a_higher_count() -> None:
-    made, heard = make_subscription()
-    made.apply(workers(2, 90))
-    assert made.apply(workers(3, 1))
+    subscription, heard = make_subscription()
+    subscription.apply(workers(2, 90))
+    assert subscription.apply(workers(3, 1))
     assert heard.workers == [(2, 90), (3, 1)]
 
 
 def test_a_difference_is_applied_to_its_base() -> None:
-    made, _ = make_subscription()
-    made.apply(snapshot(3))
-    assert made.apply(delta(3, 6))
-    assert made.state.configuration == parse_configuration(document(6))
-    assert made.version(CONFIGURATION) == (6, 0)
+    subscription, _ = make_subscription()
+    subscription.apply(snapshot(3))
+    assert subscription.apply(delta(3, 6))
+    assert subscription.state.configuration == parse_configuration(document(6))
+    assert subscription.version(CONFIGURATION) == (6, 0)
 
 
 @pytest.mark.parametrize("base", [2, 4, 6])
 def test_a_difference_from_another_base_is_not_taken(base: int) -> None:
-    made, heard = make_subscription()
-    made.apply(snapshot(3))
-    assert not made.apply(delta(base, 8))
+    subscription, heard = make_subscription()
+    subscription.apply(snapshot(3))
+    assert not subscription.apply(delta(base, 8))
     assert heard.configurations == [(3, (3, 0))]
 
 
 def test_a_difference_is_not_taken_where_nothing_is_held() -> None:
-    made, heard = make_subscription()
-    assert not made.apply(delta(3, 4))
+    subscription, heard = make_subscription()
+    assert not subscription.apply(delta(3, 4))
     assert heard.configurations == []
 
 
 def test_a_difference_that_leads_back_is_not_taken() -> None:
-    made, heard = make_subscription()
-    made.apply(snapshot(5))
-    assert not made.apply(delta(5, 2))
+    subscription, heard = make_subscription()
+    subscription.apply(snapshot(5))
+    assert not subscription.apply(delta(5, 2))
     assert heard.configurations == [(5, (5, 0))]
 
 
 def test_a_document_that_is_invalid_changes_nothing() -> None:
-    made, heard = make_subscription()
-    made.apply(snapshot(3))
+    subscription, heard = make_subscription()
+    subscription.apply(snapshot(3))
     with pytest.raises(FleetError):
-        made.apply(ConfigurationSnapshot((9, 0), b"{"))
-    assert made.version(CONFIGURATION) == (3, 0)
+        subscription.apply(ConfigurationSnapshot((9, 0), b"{"))
+    assert subscription.version(CONFIGURATION) == (3, 0)
     assert heard.configurations == [(3, (3, 0))]
 
 
@@ -167,23 +167,23 @@
 def test_versions_only_rise_whatever_comes(
     messages: list[ConfigurationSnapshot | ConfigurationDelta | WorkerList],
 ) -> None:
-    made, heard = make_subscription()
+    subscription, heard = make_subscription()
     for message in messages:
-        made.apply(message)
+        subscription.apply(message)
     configurations = [version for _, version in heard.configurations]
     assert configurations == sorted(set(configurations))
     assert heard.workers == sorted(set(heard.workers))
     for generation, version in heard.configurations:
         assert version == (generation, 0)
     if heard.configurations:
-        assert made.state.configuration == parse_configuration(document(heard.configurations[-1][0]))
+        assert subscription.state.configuration == parse_configuration(document(heard.configurations[-1][0]))
 
 
 def test_members_and_loads_are_passed_on_as_they_come() -> None:
-    made, heard = make_subscription()
-    made.apply(MemberList((0, 7), (), ()))
-    made.apply(MemberList((0, 2), (), ()))
-    made.apply(WatchResponse(1, "core-1", {}, {"i-1": (1, 20)}, suspects={"i-2": 3}))
+    subscription, heard = make_subscription()
+    subscription.apply(MemberList((0, 7), (), ()))
+    subscription.apply(MemberList((0, 2), (), ()))
+    subscription.apply(WatchResponse(1, "core-1", {}, {"i-1": (1, 20)}, suspects={"i-2": 3}))
     assert heard.suspects == [{"i-2": 3}]
     assert heard.members == [(0, 7), (0, 2)]
     assert heard.running == [{"i-1": (1, 20)}]
@@ -193,38 +193,38 @@
 
 
 def test_what_the_other_side_has_newer_is_lacking() -> None:
-    made, _ = make_subscription()
-    made.apply(snapshot(3))
+    subscription, _ = make_subscription()
+    subscription.apply(snapshot(3))
     offered = {CONFIGURATION: (4, 0), WORKERS: (0, 1), "members": (0, 9)}
-    assert made.lacks(offered, 0.0) == [CONFIGURATION, WORKERS]
-    assert made.lacks({CONFIGURATION: (3, 0), WORKERS: NO_VERSION}, 0.0) == []
-    assert made.lacks({}, 0.0) == []
+    assert subscription.sources_to_fetch(offered, 0.0) == [CONFIGURATION, WORKERS]
+    assert subscription.sources_to_fetch({CONFIGURATION: (3, 0), WORKERS: NO_VERSION}, 0.0) == []
+    assert subscription.sources_to_fetch({}, 0.0) == []
 
 
 def test_what_some_session_has_asked_for_is_not_asked_for_again() -> None:
-    made, _ = make_subscription()
-    made.begin_fetch(CONFIGURATION, (4, 0), 10.0)
-    assert made.lacks({CONFIGURATION: (4, 0)}, 10.1) == []
-    assert made.expected_version(CONFIGURATION, 10.1) == (4, 0)
-    assert made.version(CONFIGURATION) == NO_VERSION
+    subscription, _ = make_subscription()
+    subscription.begin_fetch(CONFIGURATION, (4, 0), 10.0)
+    assert subscription.sources_to_fetch({CONFIGURATION: (4, 0)}, 10.1) == []
+    assert subscription.expected_version(CONFIGURATION, 10.1) == (4, 0)
+    assert subscription.version(CONFIGURATION) == NO_VERSION
 
 
 def test_something_newer_than_what_was_asked_for_is_lacking() -> None:
-    made, _ = make_subscription()
-    made.begin_fetch(CONFIGURATION, (4, 0), 10.0)
-    assert made.lacks({CONFIGURATION: (5, 0)}, 10.1) == [CONFIGURATION]
+    subscription, _ = make_subscription()
+    subscription.begin_fetch(CONFIGURATION, (4, 0), 10.0)
+    assert subscription.sources_to_fetch({CONFIGURATION: (5, 0)}, 10.1) == [CONFIGURATION]
 
 
 def test_a_fetch_that_is_not_answered_is_begun_anew() -> None:
-    made, _ = make_subscription()
-    made.begin_fetch(CONFIGURATION, (4, 0), 10.0)
-    late = 10.0 + FETCH_S + 0.01
-    assert made.lacks({CONFIGURATION: (4, 0)}, late) == [CONFIGURATION]
-    assert made.expected_version(CONFIGURATION, late) == NO_VERSION
+    subscription, _ = make_subscription()
+    subscription.begin_fetch(CONFIGURATION, (4, 0), 10.0)
+    late = 10.0 + FETCH_TIMEOUT_S + 0.01
+    assert subscription.sources_to_fetch({CONFIGURATION: (4, 0)}, late) == [CONFIGURATION]
+    assert subscription.expected_version(CONFIGURATION, late) == NO_VERSION
 
 
 def test_a_fetch_never_hides_what_is_held() -> None:
-    made, _ = make_subscription()
-    made.begin_fetch(CONFIGURATION, (4, 0), 10.0)
-    made.apply(snapshot(6))
-    assert made.expected_version(CONFIGURATION, 10.1) == (6, 0)
+    subscription, _ = make_subscription()
+    subscription.begin_fetch(CONFIGURATION, (4, 0), 10.0)
+    subscription.apply(snapshot(6))
+    assert subscription.expected_version(CONFIGURATION, 10.1) == (6, 0)
--- a/tests/data_plane/test_unconfirmed_sessions.py
+++ b/tests/data_plane/test_unconfirmed_sessions.py
@@ -22,8 +22,13 @@
 from reedspoke.common.node_settings import Bounds, NodeSettings
 from reedspoke.common.transport import LENGTH, Channel
 from reedspoke.data_plane.confirmation import MAX_AGE_FRACTION
-from reedspoke.data_plane.session_choice import DIAL_BURST, DIALS_PER_S, MOST_OPEN, SESSIONS
-from reedspoke.data_plane.subscription import FETCH_S, UNCONFIRMED_AFTER_S
+from reedspoke.data_plane.session_choice import (
+    CONNECT_BURST,
+    CONNECTS_PER_S,
+    MAX_OPEN_SESSIONS,
+    TARGET_SESSIONS,
+)
+from reedspoke.data_plane.subscription import FETCH_TIMEOUT_S, UNCONFIRMED_FALLBACK_S
 from reedspoke.data_plane.watch_session import SessionTimeouts
 from tests.data_plane.control_stand_in import ANSWER_S, ChannelStandIn, Control
 from tests.data_plane.test_subscription import delta, snapshot, workers
@@ -69,7 +74,7 @@
     two.offer()
     one.refuse()
     assert one.closed
-    assert len(control.live()) == SESSIONS
+    assert len(control.live()) == TARGET_SESSIONS
     assert one.address not in live_addresses(control)
 
 
@@ -100,11 +105,11 @@
 
 def test_one_that_has_its_majority_again_counts_again(control: Control) -> None:
     refuse_all(control, 1)
-    assert control.sessions.sessions() == 0
+    assert control.sessions.confirmed_sessions() == 0
     (channel, *_) = control.live()
     control.loop.run_for(ANSWER_S)
     channel.offer()
-    assert control.sessions.sessions() == 1
+    assert control.sessions.confirmed_sessions() == 1
     assert not in_doubt(control)
 
 
@@ -119,11 +124,11 @@
                 channel._incoming.put_nowait(UnconfirmedResponse(channel.watch().request_id, channel.address))
                 answered_at_once += 1
         control.loop.run_for(0.01)
-    assert len(control.live()) >= SESSIONS
-    assert len(control.live()) <= MOST_OPEN
-    assert len(control.tried) <= DIAL_BURST + 30 * DIALS_PER_S
+    assert len(control.live()) >= TARGET_SESSIONS
+    assert len(control.live()) <= MAX_OPEN_SESSIONS
+    assert len(control.tried) <= CONNECT_BURST + 30 * CONNECTS_PER_S
     watches = sum(len(channel.sent) for channel in control.channels) - before
-    assert watches <= MOST_OPEN * 30 / ANSWER_S
+    assert watches <= MAX_OPEN_SESSIONS * 30 / ANSWER_S
     assert answered_at_once > 100
 
 
@@ -166,7 +171,7 @@
 
 
 def test_nothing_is_fetched_where_no_majority_stands(control: Control) -> None:
-    refuse_all(control, UNCONFIRMED_AFTER_S - 0.5, configuration=(4, 1), workers=(2, 1))
+    refuse_all(control, UNCONFIRMED_FALLBACK_S - 0.5, configuration=(4, 1), workers=(2, 1))
     assert [channel.fetches() for channel in control.channels if channel.fetches()] == []
     assert control.heard.configurations == []
 
@@ -221,7 +226,7 @@
 
 
 def test_after_a_while_without_any_majority_a_start_takes_what_there_is(control: Control) -> None:
-    refuse_all(control, UNCONFIRMED_AFTER_S + 0.5, configuration=(4, 0), workers=(2, 1))
+    refuse_all(control, UNCONFIRMED_FALLBACK_S + 0.5, configuration=(4, 0), workers=(2, 1))
     asked = fetched(control)
     assert asked
     assert all(fetch.allow_unconfirmed for _, fetch in asked)
@@ -235,7 +240,7 @@
 def test_a_start_that_took_an_old_one_takes_a_newer_one_from_whom_a_majority_confirms(
     control: Control,
 ) -> None:
-    refuse_all(control, UNCONFIRMED_AFTER_S + 0.5, configuration=(4, 0))
+    refuse_all(control, UNCONFIRMED_FALLBACK_S + 0.5, configuration=(4, 0))
     fetched(control)[0][0].say(snapshot(4))
     sound = control.live()[0]
     control.loop.run_for(ANSWER_S)
@@ -249,7 +254,7 @@
 def test_a_start_that_took_an_old_one_takes_a_newer_one_that_is_not_confirmed_either(
     control: Control,
 ) -> None:
-    refuse_all(control, UNCONFIRMED_AFTER_S + 0.5, configuration=(4, 0))
+    refuse_all(control, UNCONFIRMED_FALLBACK_S + 0.5, configuration=(4, 0))
     fetched(control)[0][0].say(snapshot(4))
     for _ in range(20):
         refuse_all(control, ANSWER_S, configuration=(6, 0))
@@ -271,8 +276,8 @@
 
 def test_a_confirmed_source_puts_the_bound_off(control: Control) -> None:
     control.loop.run_for(0.05)
-    control.keep_alive(UNCONFIRMED_AFTER_S)
-    refuse_all(control, UNCONFIRMED_AFTER_S - 0.5, configuration=(4, 0))
+    control.keep_alive(UNCONFIRMED_FALLBACK_S)
+    refuse_all(control, UNCONFIRMED_FALLBACK_S - 0.5, configuration=(4, 0))
     assert fetched(control) == []
     refuse_all(control, 1, configuration=(4, 0))
     assert fetched(control) != []
@@ -280,7 +285,7 @@
 
 def test_an_unconfirmed_fetch_is_not_repeated_while_it_is_answered(control: Control) -> None:
     """As a large configuration over a narrow link takes its time."""
-    refuse_all(control, UNCONFIRMED_AFTER_S + ANSWER_S, configuration=(4, 0))
+    refuse_all(control, UNCONFIRMED_FALLBACK_S + ANSWER_S, configuration=(4, 0))
     (channel, _) = fetched(control)[0]
     control.loop.run_for(0.9)
     assert len(channel.fetches()) == 1
@@ -294,7 +299,7 @@
     one = control.channels[0]
     one.offer(configuration=(4, 0))
     assert isinstance(one.sent[-1], FetchRequest)
-    for _ in range(round((FETCH_S + 0.5) / ANSWER_S)):
+    for _ in range(round((FETCH_TIMEOUT_S + 0.5) / ANSWER_S)):
         for channel in control.live():
             if channel is not one:
                 channel.offer()
@@ -318,7 +323,7 @@
     one, two = control.channels
     one.offer(configuration=(4, 0))
     two.offer(configuration=(4, 0))
-    control.loop.run_for(FETCH_S + 0.05)
+    control.loop.run_for(FETCH_TIMEOUT_S + 0.05)
     two.offer(configuration=(4, 0))
     assert two.fetches() == [FetchRequest(CONFIGURATION)]
 
@@ -335,7 +340,7 @@
 def test_one_watch_is_out_at_a_time(control: Control) -> None:
     one = control.channels[0]
     one.offer(configuration=(4, 0))
-    control.loop.run_for(FETCH_S + 0.5)
+    control.loop.run_for(FETCH_TIMEOUT_S + 0.5)
     watches = [message for message in one.sent if isinstance(message, WatchRequest)]
     assert [watch.request_id for watch in watches] == [1, 2]
     one.say(snapshot(4))
@@ -362,14 +367,14 @@
     one = control.channels[0]
     one.say(WatchResponse(17, one.address, {}))
     assert control.made.confirmation.as_of() is None
-    assert control.sessions.sessions() == 0
+    assert control.sessions.confirmed_sessions() == 0
 
 
 def test_while_a_watch_is_out_no_other_is_sent_for_an_answer_that_is_not_to_it(control: Control) -> None:
     """A control scheduler answers a `FetchRequest` without a majority too, with the id of no request."""
     one = control.channels[0]
     one.offer(configuration=(4, 0))
-    control.loop.run_for(FETCH_S + 0.5)
+    control.loop.run_for(FETCH_TIMEOUT_S + 0.5)
     assert one.watch().request_id == 2
     one.say(UnconfirmedResponse(0, one.address))
     control.loop.run_for(3 * ANSWER_S)
@@ -408,7 +413,7 @@
     control.keep_alive(1)
     assert not in_doubt(control)
     control.keep_alive(3)
-    assert len(control.live()) == SESSIONS
+    assert len(control.live()) == TARGET_SESSIONS
 
 
 @pytest.mark.parametrize("apply_ms", [1000, 2000, 12000, 120_000])
@@ -417,11 +422,11 @@
     bounds = Bounds(apply_ms=apply_ms)
     settings = NodeSettings("edge-1", "127.0.0.1", "za", heartbeat_ms=heartbeat_ms, bounds=bounds)
     hold_s = settings.watch_timeout_s()
-    pace = SessionTimeouts(hold_s)
+    timeouts = SessionTimeouts(hold_s)
     assert hold_s <= heartbeat_ms / 1000 / 3 + 1e-9
     assert 2 * hold_s < MAX_AGE_FRACTION * apply_ms / 1000  # one answer may be missed without any doubt
-    assert hold_s < pace.quiet_s < pace.idle_timeout_s
-    assert pace.idle_timeout_s > 0.8
+    assert hold_s < timeouts.stale_after_s < timeouts.idle_timeout_s
+    assert timeouts.idle_timeout_s > 0.8
 
 
 def test_at_the_usual_heartbeat_silence_is_bounded_as_before() -> None:
--- a/tests/data_plane/test_unexpected_errors.py
+++ b/tests/data_plane/test_unexpected_errors.py
@@ -33,7 +33,7 @@
         raise ZeroDivisionError
 
     with monkeypatch.context() as patch:
-        patch.setattr(SessionChoice, "next_address", fail)
+        patch.setattr(SessionChoice, "next_member", fail)
         side.loop.run_for(SOON_S)
     tried = len(side.tried)
     side.channels.clear()
