--- a/tests/data_plane/conftest.py
+++ b/tests/data_plane/conftest.py
@@ -1,4 +1,4 @@
-"""A data plane without sockets for each test."""
+"""Fixtures: a data plane without sockets, and the real process, for each test."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @pytest.fixture
 def worlds() -> Iterator[Callable[..., World]]:
-    """Makes worlds that last until the test ends."""
+    """A factory of worlds that are closed when the test ends."""
     with ExitStack() as stack:
 
         def make(**settings: Any) -> World:
--- a/tests/data_plane/control_stand_in.py
+++ b/tests/data_plane/control_stand_in.py
@@ -1,4 +1,4 @@
-"""Control schedulers as the sessions of a data plane scheduler meet them in virtual time."""
+"""A fake control plane for the sessions of a data plane node, in virtual time; tests send its messages."""
 
 from __future__ import annotations
 
@@ -23,13 +23,13 @@
 from tests.data_plane.test_subscription import make_subscription
 from tests.data_plane.virtual_loop import VirtualLoop
 
-SILENCE_S = SessionTimeouts().idle_timeout_s
-ANSWER_S = 0.1  # a new session's first `WatchRequest` is answered at once, as its list of members is lacking
+IDLE_TIMEOUT_S = SessionTimeouts().idle_timeout_s
+RESPONSE_INTERVAL_S = 0.1  # between rounds of responses by `respond_for`
 NODE_STATE = NodeState("edge-1", "ab12", "za", False, {"i-1": (2, 30)})
 
 
-class ChannelStandIn:
-    """A session whose other end is the test."""
+class FakeChannel:
+    """The data plane's end of a session; the test controls the other end."""
 
     def __init__(self, loop: VirtualLoop, address: str) -> None:
         self.loop = loop
@@ -52,32 +52,32 @@
     def close(self) -> None:
         self.closed = True
 
-    def say(self, *messages: Struct | Exception) -> None:
-        """The control scheduler sends these."""
+    def deliver(self, *messages: Struct | Exception) -> None:
+        """The control plane node sends these messages, or the connection fails with an exception."""
         for message in messages:
             self._incoming.put_nowait(message)
         self.loop.settle()
 
-    def watch(self) -> WatchRequest:
-        """The latest message, a watch."""
+    def last_watch(self) -> WatchRequest:
+        """The last message sent, which must be a `WatchRequest`."""
         found = self.sent[-1]
         assert isinstance(found, WatchRequest)
         return found
 
-    def offer(self, **versions: Version) -> None:
-        """Answer the watch that is out."""
-        self.say(WatchResponse(self.watch().request_id, self.address, versions))
+    def respond(self, **versions: Version) -> None:
+        """Respond to the `WatchRequest` in flight."""
+        self.deliver(WatchResponse(self.last_watch().request_id, self.address, versions))
 
-    def refuse(self, *control: ControlMember, **versions: Version) -> None:
-        """Answer the watch that is out: no majority stands behind this control scheduler."""
-        self.say(UnconfirmedResponse(self.watch().request_id, self.address, control, versions))
+    def respond_unconfirmed(self, *control: ControlMember, **versions: Version) -> None:
+        """Respond to the `WatchRequest` in flight: this control plane node has no majority."""
+        self.deliver(UnconfirmedResponse(self.last_watch().request_id, self.address, control, versions))
 
     def fetches(self) -> list[FetchRequest]:
         return [message for message in self.sent if isinstance(message, FetchRequest)]
 
 
-class Control:
-    """The control plane as sessions meet it."""
+class FakeControlPlane:
+    """All control plane nodes, as sessions see them."""
 
     def __init__(
         self,
@@ -86,39 +86,39 @@
         apply_s: float = 2.0,
     ) -> None:
         self.loop = VirtualLoop()
-        self.made, self.heard = make_subscription(apply_s)
-        self.channels: list[ChannelStandIn] = []
-        self.dark: set[str] = set()  # addresses from which nothing comes
+        self.subscription, self.updates = make_subscription(apply_s)
+        self.channels: list[FakeChannel] = []
+        self.unreachable: set[str] = set()  # connections to these addresses time out
         self.refusing: set[str] = set()
         self.seeds: tuple[str, ...] = ("c1:1", "c2:1", "c3:1")
-        self.tried: list[str] = []
+        self.connect_attempts: list[str] = []
         self.sessions = ControlSessions(
-            self.made, lambda: NODE_STATE, lambda: self.seeds, Random(7), timeouts
+            self.subscription, lambda: NODE_STATE, lambda: self.seeds, Random(7), timeouts
         )
         monkeypatch.setattr(control_session, "open_channel", self.open)
         self.running = self.loop.create_task(self.sessions.run())
         self.loop.settle()
 
-    async def open(self, address: str) -> ChannelStandIn:
-        self.tried.append(address)
-        if address in self.dark:
+    async def open(self, address: str) -> FakeChannel:
+        self.connect_attempts.append(address)
+        if address in self.unreachable:
             await asyncio.sleep(0.7)
             raise TimeoutError
         if address in self.refusing:
             raise ConnectionRefusedError
-        self.channels.append(ChannelStandIn(self.loop, address))
+        self.channels.append(FakeChannel(self.loop, address))
         return self.channels[-1]
 
-    def live(self) -> list[ChannelStandIn]:
+    def open_channels(self) -> list[FakeChannel]:
         return [channel for channel in self.channels if not channel.closed]
 
-    def keep_alive(self, seconds: float) -> None:
-        """All live sessions answer each watch for so long."""
-        for _ in range(round(seconds / ANSWER_S)):
-            for channel in self.live():
+    def respond_for(self, seconds: float) -> None:
+        """Respond to each `WatchRequest` on all open sessions for this time."""
+        for _ in range(round(seconds / RESPONSE_INTERVAL_S)):
+            for channel in self.open_channels():
                 if isinstance(channel.sent[-1], WatchRequest):
-                    channel.offer()
-            self.loop.run_for(ANSWER_S)
+                    channel.respond()
+            self.loop.run_for(RESPONSE_INTERVAL_S)
 
     def close(self) -> None:
         self.running.cancel()
--- a/tests/data_plane/session_world.py
+++ b/tests/data_plane/session_world.py
@@ -1,4 +1,4 @@
-"""Control schedulers in virtual time around a `SessionChoice`: no loop, no sockets, steps of a hundredth."""
+"""Simulated control plane nodes around a `SessionChoice`: virtual time in steps of 10 ms, no event loop."""
 
 from __future__ import annotations
 
@@ -11,88 +11,98 @@
 from reedspoke.data_plane.session_choice import SessionChoice
 
 STEP_S = 0.01
-LOOK_S = 0.1  # between two looks of the caller where nothing happens
+CHECK_INTERVAL_S = 0.1  # between checks of the caller without an event
 ROUND_TRIP_S = 0.02
 CONNECT_TIMEOUT_S = 0.7
-SILENCE_S = 1.2
-HOLD_S = 0.4  # a `WatchRequest` is answered after this at the latest
+IDLE_TIMEOUT_S = 1.2
+MAX_WATCH_WAIT_S = 0.4  # a `WatchRequest` gets its response within this time
 HEARTBEAT_S = 1.2
-DOUBT_S = 1.4
+MAX_AGE_S = 1.4
 OWN_ZONE = "za"
 
 
 class State(Enum):
-    """How a control scheduler behaves."""
+    """How a simulated control plane node behaves."""
 
-    SOUND = auto()
-    CUT_OFF = auto()  # answers that no majority stands behind it
-    DARK = auto()  # nothing comes through
+    CONFIRMED = auto()
+    NO_MAJORITY = auto()  # responds that it has no majority
+    UNREACHABLE = auto()  # packets are lost in both directions
     DOWN = auto()  # refuses connections
 
 
-class Link(Struct):
-    """One session."""
+class SimulatedSession(Struct):
+    """One simulated session; `reported_state` is what its last response said."""
 
     opened_at: float
-    heard_at: float
+    last_received_at: float
     answer_at: float
     up: bool = False
-    told: State | None = None
+    reported_state: State | None = None
 
 
 class SessionWorld:
-    """`states` has each control scheduler's behaviour and may be changed at any moment."""
+    """`states` has the behaviour of each control plane node and may be changed at any time."""
 
     def __init__(self, states: dict[str, State], zones: dict[str, str], seed: int = 1) -> None:
         self.states = states
         self.zones = zones
         self.now = 100.0
         self.choice = SessionChoice(Random(seed))
-        self.links: dict[str, Link] = {}
-        self.dials: list[tuple[float, str]] = []
-        self.confirmed_at: float | None = None  # the latest answer of a sound one
-        self.most_links = 0
-        self.ended_sound: list[str] = []  # left although they were sound
-        self._looked_at = 0.0
+        self.sessions: dict[str, SimulatedSession] = {}
+        self.connects: list[tuple[float, str]] = []
+        self.confirmed_at: float | None = None  # the latest confirmed response
+        self.max_sessions = 0
+        self.closed_while_confirmed: list[str] = []  # sessions closed by `SessionChoice` while confirmed
+        self._checked_at = 0.0
 
     def members(self, *addresses: str) -> list[ControlMember]:
-        """What a list of members says; all of them if none is named."""
+        """A member list of these addresses, or of all nodes."""
         return [ControlMember(address, self.zones[address]) for address in addresses or self.states]
 
-    def sound_links(self) -> set[str]:
-        return {address for address, link in self.links.items() if link.told is State.SOUND}
+    def confirmed_addresses(self) -> set[str]:
+        return {
+            address for address, session in self.sessions.items() if session.reported_state is State.CONFIRMED
+        }
 
     def run_for(self, seconds: float) -> None:
         for _ in range(round(seconds / STEP_S)):
             self.step()
 
-    def until_sound(self, most_s: float) -> float:
-        """How long it takes until some session brings a confirmed answer; fails after `most_s`."""
+    def run_until_confirmed(self, timeout_s: float) -> float:
+        """Run until a session gets a confirmed response; return the time, or fail after `timeout_s`."""
         began = self.now
         while self.confirmed_at is None or self.confirmed_at < began:
             self.step()
-            assert self.now - began < most_s, f"no sound session; {self.links}"
+            assert self.now - began < timeout_s, f"no confirmed session; {self.sessions}"
         return self.now - began
 
     def step(self) -> None:
         self.now += STEP_S
-        happened = [self._advance(address, link) for address, link in list(self.links.items())]
-        if any(happened) or self.now - self._looked_at >= LOOK_S:
-            self._look()
+        changes = [self._advance(address, session) for address, session in list(self.sessions.items())]
+        if any(changes) or self.now - self._checked_at >= CHECK_INTERVAL_S:
+            self._check()
 
-    def _advance(self, address: str, link: Link) -> bool:
+    def _advance(self, address: str, session: SimulatedSession) -> bool:
         state = self.states[address]
-        if state is State.DARK or (state is State.DOWN and not link.up and self.now < link.answer_at):
-            limit = link.heard_at + SILENCE_S if link.up else link.opened_at + CONNECT_TIMEOUT_S
+        if state is State.UNREACHABLE or (
+            state is State.DOWN and not session.up and self.now < session.answer_at
+        ):
+            limit = (
+                session.last_received_at + IDLE_TIMEOUT_S
+                if session.up
+                else session.opened_at + CONNECT_TIMEOUT_S
+            )
             return self._end(address) if self.now >= limit else False
         if state is State.DOWN:
             return self._end(address)
-        if self.now < link.answer_at and (link.told is None or link.told is state):
+        if self.now < session.answer_at and (
+            session.reported_state is None or session.reported_state is state
+        ):
             return False
-        link.up, link.heard_at = True, self.now
-        wait = HOLD_S if state is State.SOUND else HEARTBEAT_S
-        link.told, link.answer_at = state, self.now + wait
-        if state is State.SOUND:
+        session.up, session.last_received_at = True, self.now
+        wait = MAX_WATCH_WAIT_S if state is State.CONFIRMED else HEARTBEAT_S
+        session.reported_state, session.answer_at = state, self.now + wait
+        if state is State.CONFIRMED:
             self.confirmed_at = self.now
             self.choice.record_confirmed(address, self.now)
         else:
@@ -100,36 +110,36 @@
         return True
 
     def _end(self, address: str) -> bool:
-        del self.links[address]
+        del self.sessions[address]
         self.choice.session_ended(address, self.now)
         return True
 
-    def _look(self) -> None:
-        self._looked_at = self.now
-        for address, link in list(self.links.items()):
+    def _check(self) -> None:
+        self._checked_at = self.now
+        for address, session in list(self.sessions.items()):
             if self.choice.should_close(address, self.now):
-                if link.told is State.SOUND:
-                    self.ended_sound.append(address)
+                if session.reported_state is State.CONFIRMED:
+                    self.closed_while_confirmed.append(address)
                 self._end(address)
-        in_doubt = self.confirmed_at is None or self.now - self.confirmed_at > DOUBT_S
+        in_doubt = self.confirmed_at is None or self.now - self.confirmed_at > MAX_AGE_S
         while (member := self.choice.next_member(self.now, OWN_ZONE, in_doubt)) is not None:
-            assert member.address not in self.links
+            assert member.address not in self.sessions
             self.choice.session_opened(member.address, self.now)
-            self.dials.append((self.now, member.address))
-            self.links[member.address] = Link(self.now, self.now, self.now + ROUND_TRIP_S)
-        self.most_links = max(self.most_links, len(self.links))
+            self.connects.append((self.now, member.address))
+            self.sessions[member.address] = SimulatedSession(self.now, self.now, self.now + ROUND_TRIP_S)
+        self.max_sessions = max(self.max_sessions, len(self.sessions))
 
 
 def fleet(size: int, zone_count: int = 3) -> dict[str, str]:
-    """Addresses with their zones, in turn."""
+    """Addresses with zones assigned round robin."""
     names = ["za", "zb", "zc", "zd", "ze"][:zone_count]
     return {f"c{number}:1": names[number % zone_count] for number in range(size)}
 
 
-def calm_world(size: int, zone_count: int = 3, seed: int = 1) -> SessionWorld:
-    """All sound, two sessions up for some time."""
+def stable_world(size: int, zone_count: int = 3, seed: int = 1) -> SessionWorld:
+    """A world where all nodes have a majority and two sessions have been open for some time."""
     zones = fleet(size, zone_count)
-    world = SessionWorld(dict.fromkeys(zones, State.SOUND), zones, seed)
+    world = SessionWorld(dict.fromkeys(zones, State.CONFIRMED), zones, seed)
     world.choice.add_members(world.members(), world.now)
     world.run_for(5)
     return world
--- a/tests/data_plane/test_doubt.py
+++ b/tests/data_plane/test_configuration_in_doubt.py
@@ -1,4 +1,4 @@
-"""What clients and the platform are told while it is not certain that the configuration is the newest."""
+"""Responses to clients and the platform while the configuration is in doubt."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 from tests.data_plane.world import LIMITS, ONCE, document, request_bytes
 
 UNKNOWN = "/nowhere/"
-HELD = (1, 0)  # what `Plane.learn` tells
-DOUBT_S = MAX_AGE_FRACTION * settings().bounds.apply_ms / 1000
+VERSION = (1, 0)  # of the configuration that `Plane.learn` applies
+MAX_AGE_S = MAX_AGE_FRACTION * settings().bounds.apply_ms / 1000
 
 
 def confirm(plane: Plane) -> None:
-    plane.plane._confirmation.record_report(HELD, plane.loop.time())
+    plane.plane._confirmation.record_report(VERSION, plane.loop.time())
 
 
-def test_without_a_route_a_request_is_refused_for_a_moment_only(plane: Plane) -> None:
+def test_request_without_a_route_gets_503_in_doubt(plane: Plane) -> None:
     plane.learn()
-    plane.loop.run_for(DOUBT_S + 0.01)
+    plane.loop.run_for(MAX_AGE_S + 0.01)
     refused = answer(plane.asked(UNKNOWN))
     assert refused.status == 503
     assert 0 < float(refused.get("retry-after") or 0) <= 1
@@ -29,7 +29,7 @@
     assert plane.network.arrivals == []
 
 
-def test_it_is_final_again_when_a_majority_confirms_again(plane: Plane) -> None:
+def test_404_is_sent_again_after_a_new_confirmation(plane: Plane) -> None:
     plane.learn()
     assert answer(plane.asked(UNKNOWN)).status == 404
     plane.loop.run_for(20)
@@ -38,7 +38,7 @@
     assert answer(plane.asked(UNKNOWN)).status == 404
 
 
-def test_known_routes_are_served_all_the_time(plane: Plane) -> None:
+def test_known_routes_are_served_in_doubt(plane: Plane) -> None:
     plane.learn()
     plane.loop.run_for(20)
     client = plane.asked(ONCE)
@@ -46,7 +46,7 @@
     assert answer(client).status == 200
 
 
-def test_a_newer_version_that_has_not_come_yet_is_doubt_enough(plane: Plane) -> None:
+def test_newer_version_not_received_yet_means_in_doubt(plane: Plane) -> None:
     plane.learn()
     plane.plane._confirmation.record_report((1, 1), plane.loop.time())
     assert answer(plane.asked(UNKNOWN)).status == 503
@@ -54,14 +54,14 @@
     assert answer(plane.asked(UNKNOWN)).status == 404
 
 
-def test_a_ready_process_stays_ready_in_doubt(plane: Plane) -> None:
+def test_process_stays_ready_in_doubt(plane: Plane) -> None:
     plane.learn()
     plane.loop.run_for(60)
     assert plane.plane.is_ready()
 
 
-def test_a_process_that_was_stopped_refuses_for_a_moment_when_it_wakes(plane: Plane) -> None:
-    """The requests that came meanwhile are read before anything that control schedulers have sent."""
+def test_suspended_process_answers_503_when_it_resumes(plane: Plane) -> None:
+    """Requests received during the suspension are read before messages of control plane nodes."""
     plane.learn()
     client = plane.connect()
     plane.loop._virtual.now += 7.0
@@ -71,7 +71,7 @@
 
 
 @pytest.mark.parametrize("jump", [-3.0, 1e6])
-def test_steps_of_the_calendar_clock_are_of_no_account(
+def test_steps_of_the_wall_clock_have_no_effect(
     plane: Plane, jump: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     import time
@@ -82,10 +82,10 @@
     assert answer(plane.asked(UNKNOWN)).status == 404
 
 
-def test_a_start_that_knows_only_what_nobody_confirms_is_ready_and_in_doubt(plane: Plane) -> None:
-    """As after `UNCONFIRMED_FALLBACK_S` without any majority."""
+def test_start_with_an_unconfirmed_configuration_is_ready_and_in_doubt(plane: Plane) -> None:
+    """The state after `UNCONFIRMED_FALLBACK_S` without any majority."""
     plane.learn()
-    plane.plane._confirmation._as_of = None  # nobody has ever confirmed it
+    plane.plane._confirmation._as_of = None  # it was never confirmed
     assert plane.plane.is_ready()
     assert answer(plane.asked(UNKNOWN)).status == 503
     plane.asked(ONCE)
--- a/tests/data_plane/test_data_plane.py
+++ b/tests/data_plane/test_data_plane.py
@@ -1,4 +1,4 @@
-"""The process around connections, in virtual time: readiness, requests without a route, and its end."""
+"""The data plane process in virtual time: readiness, requests without a route, and shutdown."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 # ---- readiness ----
 
 
-def ask_readiness(plane: Plane, *pieces: bytes) -> bytes:
+def readiness_responses(plane: Plane, *pieces: bytes) -> bytes:
     loop = plane.loop
     connection = ReadinessConnection(plane.plane.is_ready)
     written = bytearray()
@@ -36,36 +36,36 @@
     return bytes(written)
 
 
-ASK = b"GET /reedspoke/readiness HTTP/1.1\r\nHost: x\r\n\r\n"
+PROBE = b"GET /reedspoke/readiness HTTP/1.1\r\nHost: x\r\n\r\n"
 
 
-def test_it_is_ready_when_it_knows_routes_and_workers(plane: Plane) -> None:
-    assert ask_readiness(plane, ASK).startswith(b"HTTP/1.1 503 ")
+def test_ready_once_routes_and_workers_are_known(plane: Plane) -> None:
+    assert readiness_responses(plane, PROBE).startswith(b"HTTP/1.1 503 ")
     plane.plane._subscription.apply(ConfigurationSnapshot((1, 0), document(2, LIMITS)))
-    assert ask_readiness(plane, ASK).startswith(b"HTTP/1.1 503 ")
+    assert readiness_responses(plane, PROBE).startswith(b"HTTP/1.1 503 ")
     plane.learn()
-    assert ask_readiness(plane, ASK).startswith(b"HTTP/1.1 200 ")
+    assert readiness_responses(plane, PROBE).startswith(b"HTTP/1.1 200 ")
 
 
-def test_it_is_not_ready_without_any_worker(plane: Plane) -> None:
+def test_not_ready_without_any_worker(plane: Plane) -> None:
     plane.learn(workers=())
-    assert ask_readiness(plane, ASK).startswith(b"HTTP/1.1 503 ")
+    assert readiness_responses(plane, PROBE).startswith(b"HTTP/1.1 503 ")
 
 
-def test_readiness_is_told_on_one_connection_again_and_again(plane: Plane) -> None:
+def test_readiness_is_reported_repeatedly_on_one_connection(plane: Plane) -> None:
     plane.learn()
-    told = ask_readiness(plane, ASK[:10], ASK[10:] + ASK, ASK)
-    assert told.count(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n") == 3
+    responses = readiness_responses(plane, PROBE[:10], PROBE[10:] + PROBE, PROBE)
+    assert responses.count(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n") == 3
 
 
-def test_a_readiness_connection_does_not_gather_without_end(plane: Plane) -> None:
-    assert ask_readiness(plane, b"x" * 9000) == b"aborted"
+def test_readiness_connection_limits_its_buffer(plane: Plane) -> None:
+    assert readiness_responses(plane, b"x" * 9000) == b"aborted"
 
 
-# ---- requests that go to no worker ----
+# ---- requests that are not forwarded ----
 
 
-def test_before_there_is_a_configuration_requests_are_refused_for_a_moment(plane: Plane) -> None:
+def test_before_the_first_configuration_requests_get_503_with_retry_after(plane: Plane) -> None:
     refused = answer(plane.asked(ONCE))
     assert refused.status == 503
     assert 0 < float(refused.get("retry-after") or 0) <= 1
@@ -73,34 +73,34 @@
 
 
 @pytest.mark.parametrize("path", ["/nowhere/", "/once", "/"])
-def test_a_request_without_a_route_is_told_so(plane: Plane, path: str) -> None:
+def test_request_without_a_route_gets_404(plane: Plane, path: str) -> None:
     plane.learn()
     assert answer(plane.asked(path)).status == 404
     assert plane.network.arrivals == []
 
 
-def test_a_request_whose_target_names_its_host_takes_the_same_route(plane: Plane) -> None:
+def test_absolute_request_target_selects_the_same_route(plane: Plane) -> None:
     plane.learn()
     plane.asked("http://a.example/once/x")
     assert len(plane.network.arrivals) == 1
 
 
-def test_the_limits_of_the_configuration_hold(plane: Plane) -> None:
+def test_request_limits_of_the_configuration_apply(plane: Plane) -> None:
     plane.learn()
     assert plane.plane.limits() == LIMITS
 
 
-# ---- the end ----
+# ---- shutdown ----
 
 
-def test_from_the_signal_on_it_is_not_ready(plane: Plane) -> None:
+def test_not_ready_after_sigterm(plane: Plane) -> None:
     plane.learn()
     plane.finish()
     assert not plane.plane.is_ready()
     assert plane.plane._node_state().draining
 
 
-def test_connections_without_a_request_are_closed_at_once(plane: Plane) -> None:
+def test_idle_connections_are_closed_at_sigterm(plane: Plane) -> None:
     plane.learn()
     idle = plane.connect()
     plane.finish()
@@ -108,7 +108,7 @@
     assert not idle.written
 
 
-def test_connections_still_come_until_the_platform_knows(plane: Plane) -> None:
+def test_connections_are_accepted_until_the_platform_has_probed(plane: Plane) -> None:
     plane.learn()
     ending = plane.finish()
     plane.loop.run_for(ACCEPT_AFTER_SIGTERM_S - 0.2)
@@ -121,7 +121,7 @@
     assert ending.done()
 
 
-def test_a_stream_ends_whole_before_the_process_does(plane: Plane) -> None:
+def test_stream_completes_before_the_process_ends(plane: Plane) -> None:
     plane.learn()
     client = plane.asked(STREAM)
     arrival = plane.arrival()
@@ -137,7 +137,7 @@
     assert ending.done()
 
 
-def test_a_request_that_is_late_is_answered_before_the_process_is_killed(plane: Plane) -> None:
+def test_late_request_is_answered_before_the_process_is_killed(plane: Plane) -> None:
     plane.learn()
     client = plane.asked(ONCE)
     ending = plane.finish()
@@ -149,7 +149,7 @@
     assert answer(client).whole
 
 
-def test_a_stream_that_is_late_is_broken_off_before_the_process_is_killed(plane: Plane) -> None:
+def test_late_stream_is_aborted_before_the_process_is_killed(plane: Plane) -> None:
     plane.learn()
     client = plane.asked(STREAM)
     arrival = plane.arrival()
@@ -161,7 +161,7 @@
     assert not answer(client).whole
 
 
-def test_a_request_that_waits_is_refused_in_time_while_the_process_ends(plane: Plane) -> None:
+def test_queued_request_is_refused_in_time_during_shutdown(plane: Plane) -> None:
     plane.learn()
     plane.asked(ONCE, "a1")
     waiting = plane.asked(ONCE, "a2")
--- a/tests/data_plane/test_guards_session_choice.py
+++ b/tests/data_plane/test_guards_session_choice.py
@@ -1,4 +1,4 @@
-"""Guards of the choice of sessions with control schedulers, one at a time."""
+"""Tests of single checks in `SessionChoice`, for the mutants of those checks."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 MARGIN_S = 0.01
 
 
-def test_sessions_that_do_not_come_up_count_for_a_moment_only() -> None:
+def test_sessions_that_do_not_connect_count_for_a_short_time_only() -> None:
     choice = choice_of(*THREE)
     for address in ("a", "b"):
         choice.session_opened(address, 1.0)
@@ -20,7 +20,7 @@
     assert third.address == "c"
 
 
-def test_no_sound_session_is_left_during_a_doubt_or_right_after_it() -> None:
+def test_no_confirmed_session_is_closed_in_doubt_or_right_after_it() -> None:
     choice = choice_of(*THREE)
     for address, _ in THREE:
         choice.session_opened(address, 1.0)
@@ -36,7 +36,7 @@
     assert len([address for address, _ in THREE if choice.should_close(address, later)]) == 1
 
 
-def test_the_word_of_a_lost_majority_counts_once_however_often_it_is_repeated() -> None:
+def test_repeated_unconfirmed_responses_count_as_one_failure() -> None:
     choice = choice_of(("a", "za"))
     choice.session_opened("a", 1.0)
     for _ in range(5):
--- a/tests/data_plane/test_process.py
+++ b/tests/data_plane/test_process.py
@@ -1,4 +1,4 @@
-"""The real process on loopback addresses, with stand-ins for control schedulers and workers."""
+"""The real process on loopback addresses, with fake control plane nodes and workers."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 )
 from tests.data_plane.wire import event, events
 
-MANY = 400  # connections at once
-CONNECT_S = 0.9  # clients give a connection one second to come up
+CONNECTION_COUNT = 400  # concurrent connections
+CONNECT_S = 0.9  # clients wait one second for a connection
 
 
-def test_it_becomes_ready_serves_and_follows_its_control_scheduler(stage: Stage) -> None:
+def test_process_becomes_ready_serves_and_applies_changes(stage: Stage) -> None:
     stage.edge.write_settings([HOSTS[0]])
     stage.edge.start()
-    until(lambda: stage.edge.is_ready() == 503, UP_S, "it listens, and is not ready")
+    until(lambda: stage.edge.is_ready() == 503, UP_S, "it listens and is not ready")
     stage.controls[0].start()
     stage.tell(3, "/one/")
     stage.edge.until_ready()
@@ -37,7 +37,7 @@
     assert stage.ask("/one/")[0] == 404
 
 
-def test_it_goes_on_serving_without_any_control_scheduler(stage: Stage) -> None:
+def test_process_keeps_serving_without_any_control_plane_node(stage: Stage) -> None:
     stage.start()
     stage.controls[0].stop()
     connection = http.client.HTTPConnection(*split_address(stage.edge.frontend), timeout=CALL_S)
@@ -48,7 +48,7 @@
     assert stage.edge.is_ready() == 200
 
 
-def test_an_old_control_scheduler_never_brings_the_configuration_back(stage: Stage) -> None:
+def test_node_with_an_older_configuration_changes_nothing(stage: Stage) -> None:
     stage.controls[1].start()
     stage.tell(2, "/old/", control=1)
     stage.controls[0].start()
@@ -60,13 +60,15 @@
     stage.controls[0].stop()
     old = stage.controls[1]
     seen = len(old.watches)
-    until(lambda: len(old.watches) > seen + 2, UP_S, "the old one has told its versions again")
+    until(
+        lambda: len(old.watches) > seen + 2, UP_S, "the node with the old configuration has responded again"
+    )
     assert old.watches[-1].versions[CONFIGURATION] == (5, 0)
     assert stage.ask("/new/")[0] == 200
     assert stage.ask("/old/")[0] == 404
 
 
-def test_a_stream_that_runs_at_sigterm_ends_whole(stage: Stage) -> None:
+def test_stream_in_flight_at_sigterm_completes(stage: Stage) -> None:
     stage.start()
     idle = http.client.HTTPConnection(*split_address(stage.edge.frontend), timeout=CALL_S)
     idle.connect()
@@ -86,28 +88,28 @@
     idle.close()
 
 
-def test_many_connections_come_up_while_the_process_is_busy(stage: Stage) -> None:
-    """A full queue drops the opening packet, and the client's next one comes after its second is over."""
+def test_many_connections_are_established_while_the_process_is_suspended(stage: Stage) -> None:
+    """A full listen queue drops SYN packets; the client's retransmission comes only after one second."""
     stage.start()
     stage.edge.signal(signal.SIGSTOP)
     try:
-        waiting = [connecting(stage.edge.frontend) for _ in range(MANY)]
-        until(lambda: all(came_up(client) for client in waiting), CONNECT_S, "all connections are up")
+        waiting = [start_connecting(stage.edge.frontend) for _ in range(CONNECTION_COUNT)]
+        until(lambda: all(is_connected(client) for client in waiting), CONNECT_S, "all connections are up")
     finally:
         stage.edge.signal(signal.SIGCONT)
     for client in waiting:
         client.close()
 
 
-def connecting(address: str) -> socket.socket:
-    """A connection that has been asked for."""
+def start_connecting(address: str) -> socket.socket:
+    """A socket with a connection attempt in progress."""
     client = socket.socket()
     client.setblocking(False)
     client.connect_ex(split_address(address))
     return client
 
 
-def came_up(client: socket.socket) -> bool:
+def is_connected(client: socket.socket) -> bool:
     poll = select.poll()
     poll.register(client, select.POLLOUT)
     return bool(poll.poll(0))
@@ -123,7 +125,7 @@
     stage.until_status("/seven/", 200)
 
 
-def test_settings_that_cannot_be_used_are_told_and_end_it(stage: Stage) -> None:
+def test_unusable_settings_are_logged_and_end_the_process(stage: Stage) -> None:
     stage.edge.write_settings([HOSTS[0]])
     settings = json.loads(stage.edge.settings_file.read_text())
     stage.edge.settings_file.write_text(json.dumps(settings | {"bind": {"frontend": stage.edge.frontend}}))
--- a/tests/data_plane/test_process_doubt.py
+++ b/tests/data_plane/test_process_majority_loss.py
@@ -1,4 +1,4 @@
-"""The real process over loopback while control schedulers lose their majority and get it back."""
+"""The real process on loopback addresses while control plane nodes lose and regain their majority."""
 
 from __future__ import annotations
 
@@ -14,22 +14,26 @@
 from tests.data_plane.stage import HOST, HOSTS, Stage
 from tests.data_plane.stand_ins import CALL_S, UP_S
 
-DOUBT_S = 4.0  # within which doubt has come, or has gone, also on a busy machine
+CHANGE_TIMEOUT_S = 4.0  # for a change to or from doubt, also on a busy machine
 
 
-def until_doubt(stage: Stage) -> None:
-    until(lambda: stage.ask("/nowhere/")[0] == 503, DOUBT_S, "a request without route is refused for now")
+def wait_until_in_doubt(stage: Stage) -> None:
+    until(
+        lambda: stage.ask("/nowhere/")[0] == 503,
+        CHANGE_TIMEOUT_S,
+        "a request without a route gets 503",
+    )
 
 
-def until_certain(stage: Stage, path: str = "/nowhere/") -> None:
-    until(lambda: stage.ask(path)[0] == 404, DOUBT_S, f"{path} is refused for good")
+def wait_until_not_in_doubt(stage: Stage, path: str = "/nowhere/") -> None:
+    until(lambda: stage.ask(path)[0] == 404, CHANGE_TIMEOUT_S, f"{path} gets 404")
 
 
-def test_not_found_is_told_only_while_a_majority_confirms(stage: Stage) -> None:
+def test_404_is_sent_only_while_a_majority_confirms(stage: Stage) -> None:
     stage.start()
-    until_certain(stage)
+    wait_until_not_in_doubt(stage)
     stage.controls[0].lose_majority()
-    until_doubt(stage)
+    wait_until_in_doubt(stage)
     connection = http.client.HTTPConnection(*split_address(stage.edge.frontend), timeout=CALL_S)
     connection.request("GET", "/nowhere/", headers={"Host": HOST, "Reedspoke-Attempt-Id": "a1"})
     response = connection.getresponse()
@@ -39,10 +43,10 @@
     assert stage.ask("/one/")[0] == 200
     assert stage.edge.is_ready() == 200
     stage.controls[0].regain_majority()
-    until_certain(stage)
+    wait_until_not_in_doubt(stage)
 
 
-def test_a_change_behind_the_cut_comes_from_the_other_one(stage: Stage) -> None:
+def test_change_during_a_partition_arrives_from_the_other_node(stage: Stage) -> None:
     stage.start()
     stage.edge.write_settings(list(HOSTS))
     stage.edge.signal(signal.SIGHUP)
@@ -50,43 +54,42 @@
     stage.controls[0].lose_majority()
     stage.tell(5, "/two/", control=1)
     stage.until_status("/two/", 200)
-    until_certain(stage)
-    stage.tell(4, "/four/")  # what a cut-off one may still hold
+    wait_until_not_in_doubt(stage)
+    stage.tell(4, "/four/")  # a partitioned node may still have it
     assert stage.ask("/four/")[0] in (404, 503)
-    until_certain(stage, "/four/")
+    wait_until_not_in_doubt(stage, "/four/")
     assert stage.ask("/two/")[0] == 200
 
 
-def test_without_any_control_scheduler_nothing_is_refused_for_good(stage: Stage) -> None:
+def test_without_any_control_plane_node_404_becomes_503(stage: Stage) -> None:
     stage.start()
     stage.controls[0].stop()
-    until_doubt(stage)
+    wait_until_in_doubt(stage)
     assert stage.ask("/one/")[0] == 200
     assert stage.edge.is_ready() == 200
 
 
-def test_a_start_with_an_unconfirmed_one_only_waits_and_then_takes_what_there_is(stage: Stage) -> None:
+def test_start_with_unconfirmed_state_only_waits_and_then_applies_it(stage: Stage) -> None:
     control = stage.controls[0]
     control.start()
     stage.tell(3, "/one/")
     control.lose_majority()
     stage.edge.write_settings([HOSTS[0]])
     stage.edge.start()
-    until(lambda: bool(control.watches), UP_S, "its session stands")
-    first = time.monotonic()
-    until(lambda: stage.edge.is_ready() == 200, UNCONFIRMED_FALLBACK_S + UP_S, "it is ready in the end")
-    assert (
-        time.monotonic() - first > UNCONFIRMED_FALLBACK_S - 1
-    )  # its start was before its first `WatchRequest`
+    until(lambda: bool(control.watches), UP_S, "its session is open")
+    started_at = time.monotonic()
+    until(lambda: stage.edge.is_ready() == 200, UNCONFIRMED_FALLBACK_S + UP_S, "it becomes ready")
+    # The process started before its first `WatchRequest`.
+    assert time.monotonic() - started_at > UNCONFIRMED_FALLBACK_S - 1
     assert stage.ask("/one/")[0] == 200
     assert stage.ask("/nowhere/")[0] == 503
     control.regain_majority()
-    until_certain(stage)
-    until(lambda: control.watches[-1].versions[CONFIGURATION] == (3, 0), UP_S, "it holds the same")
+    wait_until_not_in_doubt(stage)
+    until(lambda: control.watches[-1].versions[CONFIGURATION] == (3, 0), UP_S, "it has the same version")
 
 
-def test_a_start_takes_the_confirmed_one_at_once(stage: Stage) -> None:
-    """Though one of the two seeds has only an old configuration, and no majority."""
+def test_start_applies_the_confirmed_configuration_at_once(stage: Stage) -> None:
+    """One of the two seeds has only an old configuration and no majority."""
     for control in stage.controls:
         control.start()
     stage.tell(3, "/old/")
@@ -96,20 +99,20 @@
     stage.edge.start()
     stage.edge.until_ready()
     assert stage.ask("/new/")[0] == 200
-    until_certain(stage, "/old/")
+    wait_until_not_in_doubt(stage, "/old/")
 
 
-def test_a_stopped_process_refuses_nothing_for_good_when_it_wakes(stage: Stage) -> None:
-    """The route has come while it was stopped; its control scheduler is gone by then."""
+def test_suspended_process_does_not_answer_404_when_it_resumes(stage: Stage) -> None:
+    """The route may have been added during the suspension, and the control plane node is down by then."""
     stage.start()
-    until_certain(stage)
+    wait_until_not_in_doubt(stage)
     waiting = http.client.HTTPConnection(*split_address(stage.edge.frontend), timeout=CALL_S)
     waiting.connect()
     stage.edge.signal(signal.SIGSTOP)
     stage.controls[0].stop()
-    stopped_at = time.monotonic()
+    suspended_at = time.monotonic()
     waiting.request("GET", "/three/", headers={"Host": HOST, "Reedspoke-Attempt-Id": "a1"})
-    until(lambda: time.monotonic() - stopped_at > 2, CALL_S, "the time for a change is over")
+    until(lambda: time.monotonic() - suspended_at > 2, CALL_S, "the apply time has passed")
     stage.edge.signal(signal.SIGCONT)
     assert waiting.getresponse().status == 503
     waiting.close()
--- a/tests/data_plane/test_session_choice.py
+++ b/tests/data_plane/test_session_choice.py
@@ -1,4 +1,4 @@
-"""With whom sessions are kept, against control schedulers that are cut off, go dark, end and come back."""
+"""`SessionChoice` with nodes that lose their majority, become unreachable, stop and return."""
 
 from __future__ import annotations
 
@@ -24,209 +24,209 @@
     STEP_S,
     SessionWorld,
     State,
-    calm_world,
     fleet,
+    stable_world,
 )
 
 APPLY_S = 2.0
-SOON_S = 3 * ROUND_TRIP_S + 2 * STEP_S  # where the news itself makes the caller look
-QUIET_BOUND_S = 1.0  # from the last answer before a cut: two answers missed, and a connection
+SOON_S = 3 * ROUND_TRIP_S + 2 * STEP_S  # where a response makes the caller check at once
+MAX_DETECTION_S = 1.0  # from the last response before a partition: two missed responses and a connection
 SEEDS = range(6)
 
 
 def zones_of(world: SessionWorld) -> set[str]:
-    return {world.zones[address] for address in world.links}
+    return {world.zones[address] for address in world.sessions}
 
 
-# ---- calm times ----
+# ---- no failures ----
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 @pytest.mark.parametrize(("size", "zone_count"), [(2, 2), (3, 3), (5, 3), (15, 5), (4, 1)])
-def test_in_calm_times_two_sessions_stand_and_stay(size: int, zone_count: int, seed: int) -> None:
-    world = calm_world(size, zone_count, seed)
-    assert len(world.links) == TARGET_SESSIONS
+def test_two_sessions_stay_open_while_nothing_fails(size: int, zone_count: int, seed: int) -> None:
+    world = stable_world(size, zone_count, seed)
+    assert len(world.sessions) == TARGET_SESSIONS
     assert len(zones_of(world)) == min(2, zone_count)
     assert OWN_ZONE in zones_of(world)
-    stood = set(world.links)
-    dials = len(world.dials)
+    initial = set(world.sessions)
+    connects = len(world.connects)
     world.run_for(60)
-    assert set(world.links) == stood
-    assert len(world.dials) == dials
+    assert set(world.sessions) == initial
+    assert len(world.connects) == connects
 
 
-def test_where_there_is_one_control_scheduler_it_is_not_dialed_again() -> None:
-    world = calm_world(1, 1)
-    assert set(world.links) == {"c0:1"}
-    assert len(world.dials) == 1
+def test_single_node_gets_one_connection_only() -> None:
+    world = stable_world(1, 1)
+    assert set(world.sessions) == {"c0:1"}
+    assert len(world.connects) == 1
 
 
-# ---- cuts ----
+# ---- partitions ----
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 @pytest.mark.parametrize("size", [3, 5, 7, 15])
-def test_one_of_two_is_cut_off(size: int, seed: int) -> None:
-    world = calm_world(size, seed=seed)
-    cut, kept = sorted(world.links)
-    world.states[cut] = State.CUT_OFF
+def test_one_of_two_sessions_loses_its_majority(size: int, seed: int) -> None:
+    world = stable_world(size, seed=seed)
+    partitioned, kept = sorted(world.sessions)
+    world.states[partitioned] = State.NO_MAJORITY
     world.run_for(SOON_S)
-    assert cut not in world.links
-    assert kept in world.sound_links()
-    assert len(world.sound_links()) == TARGET_SESSIONS
+    assert partitioned not in world.sessions
+    assert kept in world.confirmed_addresses()
+    assert len(world.confirmed_addresses()) == TARGET_SESSIONS
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 @pytest.mark.parametrize("size", [5, 7, 15])
-def test_both_are_cut_off_with_a_minority(size: int, seed: int) -> None:
-    """The hints of those that are cut off name only themselves: earlier lists are what helps."""
-    world = calm_world(size, seed=seed)
-    for address in world.links:
-        world.states[address] = State.CUT_OFF
-    assert world.until_sound(APPLY_S) <= SOON_S
+def test_both_sessions_lead_to_a_minority(size: int, seed: int) -> None:
+    """Partitioned nodes list only themselves, so the addresses come from earlier member lists."""
+    world = stable_world(size, seed=seed)
+    for address in world.sessions:
+        world.states[address] = State.NO_MAJORITY
+    assert world.run_until_confirmed(APPLY_S) <= SOON_S
     world.run_for(0.3)
-    assert len(world.sound_links()) == TARGET_SESSIONS
-    assert set(world.links) == world.sound_links()
+    assert len(world.confirmed_addresses()) == TARGET_SESSIONS
+    assert set(world.sessions) == world.confirmed_addresses()
 
 
 @pytest.mark.parametrize("seed", range(30))
 @pytest.mark.parametrize("size", [5, 7, 15])
-def test_both_are_cut_off_with_the_largest_minority(size: int, seed: int) -> None:
-    world = calm_world(size, seed=seed)
-    others = sorted(set(world.states) - set(world.links))
+def test_both_sessions_lead_to_the_largest_minority(size: int, seed: int) -> None:
+    world = stable_world(size, seed=seed)
+    others = sorted(set(world.states) - set(world.sessions))
     Random(seed).shuffle(others)
-    minority = [*world.links, *others][: (size - 1) // 2]
+    minority = [*world.sessions, *others][: (size - 1) // 2]
     for address in minority:
-        world.states[address] = State.CUT_OFF
-    assert world.until_sound(APPLY_S) <= 1.0
+        world.states[address] = State.NO_MAJORITY
+    assert world.run_until_confirmed(APPLY_S) <= 1.0
 
 
 @pytest.mark.parametrize("seed", range(30))
 @pytest.mark.parametrize("size", [5, 7, 15])
-def test_a_minority_goes_dark(size: int, seed: int) -> None:
-    """No answer at all: neither on the sessions that stand nor on new connections."""
-    world = calm_world(size, seed=seed)
-    others = sorted(set(world.states) - set(world.links))
+def test_a_minority_becomes_unreachable(size: int, seed: int) -> None:
+    """No response at all, neither on open sessions nor on new connections."""
+    world = stable_world(size, seed=seed)
+    others = sorted(set(world.states) - set(world.sessions))
     Random(seed).shuffle(others)
-    for address in [*world.links, *others][: (size - 1) // 2]:
-        world.states[address] = State.DARK
-    assert world.until_sound(APPLY_S) <= 1.6
+    for address in [*world.sessions, *others][: (size - 1) // 2]:
+        world.states[address] = State.UNREACHABLE
+    assert world.run_until_confirmed(APPLY_S) <= 1.6
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_the_others_are_found_while_two_dark_sessions_still_stand(seed: int) -> None:
-    world = calm_world(5, seed=seed)
-    for address in world.links:
-        world.states[address] = State.DARK
-    assert world.until_sound(APPLY_S) <= QUIET_BOUND_S
+def test_other_nodes_are_found_before_two_unreachable_sessions_time_out(seed: int) -> None:
+    world = stable_world(5, seed=seed)
+    for address in world.sessions:
+        world.states[address] = State.UNREACHABLE
+    assert world.run_until_confirmed(APPLY_S) <= MAX_DETECTION_S
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_start_with_two_of_three_seeds_cut_off(seed: int) -> None:
+def test_start_with_two_of_three_seeds_unusable(seed: int) -> None:
     zones = fleet(3)
     for states in (
-        [State.CUT_OFF, State.CUT_OFF, State.SOUND],
-        [State.DARK, State.DARK, State.SOUND],
-        [State.DARK, State.CUT_OFF, State.SOUND],
-        [State.DOWN, State.DARK, State.SOUND],
+        [State.NO_MAJORITY, State.NO_MAJORITY, State.CONFIRMED],
+        [State.UNREACHABLE, State.UNREACHABLE, State.CONFIRMED],
+        [State.UNREACHABLE, State.NO_MAJORITY, State.CONFIRMED],
+        [State.DOWN, State.UNREACHABLE, State.CONFIRMED],
     ):
         world = SessionWorld(dict(zip(zones, states, strict=True)), zones, seed)
         world.choice.set_seeds(zones)
-        assert world.until_sound(APPLY_S) <= 0.6
+        assert world.run_until_confirmed(APPLY_S) <= 0.6
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_seeds_exchanged_while_all_that_are_known_are_down(seed: int) -> None:
-    world = calm_world(3, seed=seed)
+def test_new_seeds_are_used_while_all_known_nodes_are_down(seed: int) -> None:
+    world = stable_world(3, seed=seed)
     for address in world.states:
         world.states[address] = State.DOWN
     world.run_for(20)
-    world.states["new:1"], world.zones["new:1"] = State.SOUND, "zb"
+    world.states["new:1"], world.zones["new:1"] = State.CONFIRMED, "zb"
     world.choice.set_seeds(["new:1"])
-    assert world.until_sound(APPLY_S) <= 1.0
+    assert world.run_until_confirmed(APPLY_S) <= 1.0
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_a_hint_of_one_that_is_cut_off_is_followed(seed: int) -> None:
+def test_members_listed_without_a_majority_are_tried(seed: int) -> None:
     zones = {"c0:1": "za", "c1:1": "zb"}
-    world = SessionWorld({"c0:1": State.CUT_OFF, "c1:1": State.SOUND}, zones, seed)
+    world = SessionWorld({"c0:1": State.NO_MAJORITY, "c1:1": State.CONFIRMED}, zones, seed)
     world.choice.set_seeds(["c0:1"])
     world.run_for(0.1)
-    assert set(world.links) == {"c0:1"}
+    assert set(world.sessions) == {"c0:1"}
     world.choice.record_unconfirmed("c0:1", world.members("c1:1"), world.now)
-    assert world.until_sound(APPLY_S) <= 0.2
+    assert world.run_until_confirmed(APPLY_S) <= 0.2
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_one_that_has_a_majority_again_is_used(seed: int) -> None:
-    world = calm_world(3, seed=seed)
+def test_node_that_regains_its_majority_is_used(seed: int) -> None:
+    world = stable_world(3, seed=seed)
     for address in world.states:
-        world.states[address] = State.CUT_OFF
+        world.states[address] = State.NO_MAJORITY
     world.run_for(20)
-    world.states["c1:1"] = State.SOUND
-    assert world.until_sound(APPLY_S) <= 1.0
+    world.states["c1:1"] = State.CONFIRMED
+    assert world.run_until_confirmed(APPLY_S) <= 1.0
 
 
-# ---- nobody has a majority ----
+# ---- no node has a majority ----
 
 
-@pytest.mark.parametrize("state", [State.CUT_OFF, State.DARK, State.DOWN])
+@pytest.mark.parametrize("state", [State.NO_MAJORITY, State.UNREACHABLE, State.DOWN])
 @pytest.mark.parametrize("size", [1, 2, 3, 5, 15])
-def test_where_nobody_has_a_majority_dials_are_bounded(size: int, state: State) -> None:
-    world = calm_world(size)
-    world.dials.clear()
+def test_connects_are_bounded_while_no_node_has_a_majority(size: int, state: State) -> None:
+    world = stable_world(size)
+    world.connects.clear()
     for address in world.states:
         world.states[address] = state
     world.run_for(60)
-    assert len(world.dials) <= CONNECT_BURST + 60 * CONNECTS_PER_S
+    assert len(world.connects) <= CONNECT_BURST + 60 * CONNECTS_PER_S
     for start in range(60):
-        within = [at for at, _ in world.dials if 100 + 5 + start <= at < 100 + 6 + start]
+        within = [at for at, _ in world.connects if 100 + 5 + start <= at < 100 + 6 + start]
         assert len(within) <= CONNECT_BURST + CONNECTS_PER_S
-    assert world.most_links <= MAX_OPEN_SESSIONS
-    if state is State.CUT_OFF:
-        assert len(world.links) >= min(
+    assert world.max_sessions <= MAX_OPEN_SESSIONS
+    if state is State.NO_MAJORITY:
+        assert len(world.sessions) >= min(
             size, TARGET_SESSIONS
-        )  # they are kept: the first to have a majority tells
+        )  # they are kept: the first to regain a majority reports it
 
 
 @pytest.mark.parametrize("size", [3, 5, 7, 15])
-@pytest.mark.parametrize("state", [State.CUT_OFF, State.DARK, State.DOWN])
+@pytest.mark.parametrize("state", [State.NO_MAJORITY, State.UNREACHABLE, State.DOWN])
 @pytest.mark.parametrize("seed", SEEDS)
-def test_after_a_long_time_without_majority_one_is_soon_found(size: int, state: State, seed: int) -> None:
-    world = calm_world(size, seed=seed)
+def test_majority_is_found_soon_after_a_long_time_without_one(size: int, state: State, seed: int) -> None:
+    world = stable_world(size, seed=seed)
     for address in world.states:
         world.states[address] = state
     world.run_for(30 + 0.37 * seed)
     for address in sorted(world.states)[: size // 2 + 1]:
-        world.states[address] = State.SOUND
-    assert world.until_sound(4.0) <= APPLY_S
+        world.states[address] = State.CONFIRMED
+    assert world.run_until_confirmed(4.0) <= APPLY_S
 
 
 # ---- flapping ----
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_one_that_flaps_is_left_alone(seed: int) -> None:
-    world = calm_world(5, seed=seed)
-    flapping = min(world.links)
+def test_flapping_node_is_not_used(seed: int) -> None:
+    world = stable_world(5, seed=seed)
+    flapping = min(world.sessions)
     for turn in range(40):
-        world.states[flapping] = State.CUT_OFF if turn % 2 else State.SOUND
+        world.states[flapping] = State.NO_MAJORITY if turn % 2 else State.CONFIRMED
         world.run_for(0.25)
-    assert flapping not in world.links
-    assert len(world.sound_links()) == TARGET_SESSIONS
+    assert flapping not in world.sessions
+    assert len(world.confirmed_addresses()) == TARGET_SESSIONS
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_where_all_flap_dials_are_bounded(seed: int) -> None:
-    world = calm_world(5, seed=seed)
-    world.dials.clear()
+def test_connects_are_bounded_while_all_nodes_flap(seed: int) -> None:
+    world = stable_world(5, seed=seed)
+    world.connects.clear()
     random = Random(seed)
     for _ in range(200):
         for address in world.states:
-            world.states[address] = random.choice([State.SOUND, State.CUT_OFF, State.DOWN])
+            world.states[address] = random.choice([State.CONFIRMED, State.NO_MAJORITY, State.DOWN])
         world.run_for(0.2)
-    assert len(world.dials) <= CONNECT_BURST + 40 * CONNECTS_PER_S
-    assert world.most_links <= MAX_OPEN_SESSIONS
+    assert len(world.connects) <= CONNECT_BURST + 40 * CONNECTS_PER_S
+    assert world.max_sessions <= MAX_OPEN_SESSIONS
 
 
 # ---- single decisions ----
@@ -238,7 +238,7 @@
     return choice
 
 
-def test_the_own_zone_comes_first_then_another_one() -> None:
+def test_own_zone_is_preferred_then_another_zone() -> None:
     choice = choice_of(("a", "zb"), ("b", "za"), ("c", "za"), ("d", "zb"))
     first = choice.next_member(1.0, "za", in_doubt=False)
     assert first is not None
@@ -251,7 +251,7 @@
     assert choice.next_member(1.0, "za", in_doubt=False) is None
 
 
-def test_in_doubt_one_more_is_opened_and_left_again() -> None:
+def test_additional_session_in_doubt_is_closed_again() -> None:
     choice = choice_of(("a", "za"), ("b", "zb"), ("c", "za"))
     now = 1.0
     opened = []
@@ -267,10 +267,10 @@
         assert choice.next_member(now, "za", in_doubt=False) is None
         left = [address for address in opened if choice.should_close(address, now)]
     assert len(left) == 1
-    assert left[0] in ("a", "c")  # two zones are kept
+    assert left[0] in ("a", "c")  # sessions in two zones are kept
 
 
-def test_a_session_that_is_confirmed_is_not_left_for_another() -> None:
+def test_confirmed_session_is_not_closed_for_another() -> None:
     choice = choice_of(("a", "za"), ("b", "zb"), ("c", "zc"))
     choice.session_opened("a", 1.0)
     choice.record_confirmed("a", 1.1)
@@ -278,7 +278,7 @@
     assert not choice.should_close("a", 1.2)
 
 
-def test_an_unconfirmed_session_is_kept_while_nobody_else_can_be_tried() -> None:
+def test_unconfirmed_session_is_kept_while_no_other_node_can_be_tried() -> None:
     choice = choice_of(("a", "za"), ("b", "zb"))
     choice.next_member(1.0, "za", in_doubt=False)
     for address in ("a", "b"):
@@ -290,7 +290,7 @@
     assert choice.should_close("a", 1.3)
 
 
-def test_of_two_unconfirmed_sessions_the_earlier_is_left_first() -> None:
+def test_session_unconfirmed_for_longer_is_closed_first() -> None:
     choice = choice_of(("a", "za"), ("b", "zb"), ("c", "zc"), ("d", "zc"))
     choice.next_member(1.0, "za", in_doubt=False)
     for address in ("a", "b"):
@@ -299,13 +299,13 @@
     choice.record_unconfirmed("a", [], 1.2)
     assert [address for address in ("a", "b") if choice.should_close(address, 1.3)] == ["b"]
     choice.session_ended("b", 1.3)
-    assert not choice.should_close("a", 1.3)  # there is a place now
+    assert not choice.should_close("a", 1.3)  # its place is not needed any more
     member = choice.next_member(1.3, "za", in_doubt=False)
     assert member is not None
     assert member.address in ("c", "d")
 
 
-def test_an_address_that_nobody_knows_is_no_error() -> None:
+def test_unknown_address_is_ignored() -> None:
     choice = choice_of()
     choice.record_confirmed("x", 1.0)
     choice.record_unconfirmed("x", [], 1.0)
@@ -314,18 +314,18 @@
     assert choice.next_member(1.0, "za", in_doubt=True) is None
 
 
-def test_dials_have_a_budget() -> None:
-    budget = ConnectRateLimit()
+def test_connects_are_rate_limited() -> None:
+    limit = ConnectRateLimit()
     spent = 0
-    while budget.available(50.0):
-        budget.consume(50.0)
+    while limit.available(50.0):
+        limit.consume(50.0)
         spent += 1
     assert spent == CONNECT_BURST
-    assert not budget.available(50.0 + 0.5 / CONNECTS_PER_S)
-    assert budget.available(50.0 + 1.01 / CONNECTS_PER_S)
+    assert not limit.available(50.0 + 0.5 / CONNECTS_PER_S)
+    assert limit.available(50.0 + 1.01 / CONNECTS_PER_S)
 
 
-# ---- whatever happens ----
+# ---- random changes ----
 
 STATES = st.sampled_from(State)
 
@@ -337,19 +337,19 @@
     seed=st.integers(0, 1000),
     changes=st.lists(st.tuples(st.integers(0, 6), STATES, st.floats(0.0, 3.0)), max_size=12),
 )
-def test_whatever_happens_sessions_are_bounded_and_a_majority_is_found(
+def test_for_any_changes_sessions_are_bounded_and_a_majority_is_found(
     size: int, zone_count: int, seed: int, changes: list[tuple[int, State, float]]
 ) -> None:
-    world = calm_world(size, zone_count, seed)
+    world = stable_world(size, zone_count, seed)
     for number, state, passed in changes:
         world.states[f"c{number % size}:1"] = state
         world.run_for(passed)
-    assert world.most_links <= MAX_OPEN_SESSIONS
-    assert len(world.dials) <= CONNECT_BURST + (world.now - 100) * CONNECTS_PER_S
+    assert world.max_sessions <= MAX_OPEN_SESSIONS
+    assert len(world.connects) <= CONNECT_BURST + (world.now - 100) * CONNECTS_PER_S
     for number in range(size // 2 + 1):
-        world.states[f"c{number}:1"] = State.SOUND
-    world.until_sound(2.5)
+        world.states[f"c{number}:1"] = State.CONFIRMED
+    world.run_until_confirmed(2.5)
     world.run_for(8)
-    able = sum(state is State.SOUND for state in world.states.values())
-    assert len(world.sound_links()) == min(TARGET_SESSIONS, able)
-    assert len(world.links) <= MAX_OPEN_SESSIONS
+    with_majority = sum(state is State.CONFIRMED for state in world.states.values())
+    assert len(world.confirmed_addresses()) == min(TARGET_SESSIONS, with_majority)
+    assert len(world.sessions) <= MAX_OPEN_SESSIONS
--- a/tests/data_plane/test_session_model.py
+++ b/tests/data_plane/test_session_model.py
@@ -1,8 +1,8 @@
-"""Sessions, subscription and confirmation together against a control plane that is cut, stopped and changed.
+"""Sessions, subscription and confirmation with a model control plane: partitions, suspensions and changes.
 
-What must hold: while there is no doubt (so that requests without a route are refused for good), whatever was
-acknowledged longer than `APPLY_S` ago is in force; versions only rise; and who has a path to a control
-scheduler with a majority is soon without doubt.
+The properties: while the configuration is not in doubt (so that a request without a route gets 404), every
+change acknowledged longer than `APPLY_S` ago is in force; versions only rise; and with a path to a control
+plane node that has a majority, the configuration is soon not in doubt.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from reedspoke.data_plane.session_choice import CONNECT_BURST, CONNECTS_PER_S, TARGET_SESSIONS
 from tests.data_plane.fleet_model import APPLY_S, CATCH_UP_S, CONTACT_S, FleetModel
 
-SOON_S = 0.2  # fetch and confirmation over a session that is in reach
+SOON_S = 0.2  # for a fetch and a confirmation on an open session
 Models = Callable[..., FleetModel]
 
 
@@ -43,17 +43,17 @@
         model.close()
 
 
-def followed(model: FleetModel) -> set[int]:
-    """The control schedulers of the sessions that count."""
+def confirmed_nodes(model: FleetModel) -> set[int]:
+    """The numbers of the control plane nodes with a confirmed session."""
     addresses = {control.member.address: number for number, control in enumerate(model.controls)}
     return {addresses[address] for address in model.sessions._choice.confirmed_addresses(model.loop.time())}
 
 
-def until_certain(model: FleetModel, most_s: float) -> float:
+def run_until_not_in_doubt(model: FleetModel, timeout_s: float) -> float:
     began = model.loop.time()
     while model.in_doubt():
         model.run_for(0.02)
-        assert model.loop.time() - began < most_s
+        assert model.loop.time() - began < timeout_s
     return model.loop.time() - began
 
 
@@ -61,7 +61,7 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_calm_times_know_no_doubt(models: Models, seed: int) -> None:
+def test_never_in_doubt_without_failures(models: Models, seed: int) -> None:
     model = models(seed=seed)
     dials = model.dials
     for _ in range(40):
@@ -71,7 +71,7 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_a_change_is_in_force_at_once(models: Models, seed: int) -> None:
+def test_change_is_in_force_at_once(models: Models, seed: int) -> None:
     model = models(seed=seed)
     model.commit()
     model.run_for(SOON_S)
@@ -80,18 +80,16 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_both_sessions_lead_to_a_minority_that_is_cut_off_for_twenty_seconds(
-    models: Models, seed: int
-) -> None:
-    """The case that users met. A change comes at once behind the cut, and others later."""
+def test_both_sessions_lead_to_a_minority_partitioned_for_twenty_seconds(models: Models, seed: int) -> None:
+    """A reported fault: changes acknowledged by the majority, at once and later, did not arrive."""
     model = models(seed=seed)
-    model.cut(followed(model))
+    model.cut(confirmed_nodes(model))
     model.commit()
     committed_at = model.loop.time()
     while model.made.version(CONFIGURATION) < model.committed[-1][1]:
         model.run_for(0.02)
         assert model.loop.time() - committed_at < APPLY_S
-    until_certain(model, SOON_S)
+    run_until_not_in_doubt(model, SOON_S)
     for _ in range(20):
         model.run_for(1)
         model.commit()
@@ -101,24 +99,24 @@
     model.cut(set())
     model.run_for(10)
     assert not model.in_doubt()
-    assert len(followed(model)) == TARGET_SESSIONS
+    assert len(confirmed_nodes(model)) == TARGET_SESSIONS
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_one_session_leads_to_one_that_is_cut_off(models: Models, seed: int) -> None:
+def test_one_session_leads_to_a_partitioned_node(models: Models, seed: int) -> None:
     model = models(seed=seed)
-    cut, _ = sorted(followed(model))
+    cut, _ = sorted(confirmed_nodes(model))
     model.cut({cut})
     model.commit()
     model.run_for(SOON_S)
     assert model.made.version(CONFIGURATION) == model.committed[-1][1]
     model.run_for(CONTACT_S + 0.5)
-    assert cut not in followed(model)
-    assert len(followed(model)) == TARGET_SESSIONS
+    assert cut not in confirmed_nodes(model)
+    assert len(confirmed_nodes(model)) == TARGET_SESSIONS
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_who_has_a_path_to_the_minority_only_is_in_doubt_and_keeps_what_it_has(
+def test_with_a_path_to_the_minority_only_it_is_in_doubt_and_keeps_its_configuration(
     models: Models, seed: int
 ) -> None:
     model = models(seed=seed)
@@ -132,12 +130,12 @@
         assert model.in_doubt()
     assert model.made.version(CONFIGURATION) == held
     model.reach(set(range(5)))
-    assert until_certain(model, APPLY_S) < APPLY_S
+    assert run_until_not_in_doubt(model, APPLY_S) < APPLY_S
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 @pytest.mark.parametrize("lost", [{0, 1}, {0, 2}, {3, 4}, {0}])
-def test_the_ways_to_some_are_dark(models: Models, lost: set[int], seed: int) -> None:
+def test_some_nodes_are_unreachable(models: Models, lost: set[int], seed: int) -> None:
     model = models(seed=seed)
     model.reach(set(range(5)) - lost)
     model.commit()
@@ -148,37 +146,39 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_a_stopped_process_is_in_doubt_until_it_is_told_anew(models: Models, seed: int) -> None:
+def test_suspended_process_is_in_doubt_until_the_next_response(models: Models, seed: int) -> None:
     model = models(seed=seed)
     model.stop_process_for(5)
     assert model.in_doubt()
-    until_certain(model, 1.0)
+    run_until_not_in_doubt(model, 1.0)
     assert model.made.version(CONFIGURATION) == model.committed[-1][1]
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 @pytest.mark.parametrize("lost", [{0, 1}, {2, 4}, {1, 3}])
-def test_a_start_while_a_minority_of_the_seeds_is_cut_off(models: Models, lost: set[int], seed: int) -> None:
+def test_start_while_a_minority_of_the_seeds_is_partitioned(
+    models: Models, lost: set[int], seed: int
+) -> None:
     model = models(seed=seed, calm_s=0.0)
     model.cut(lost)
     model.commit()
     model.run_for(CONTACT_S + 0.2)
     assert not model.in_doubt()
     assert model.made.version(CONFIGURATION) == model.committed[-1][1]
-    assert not followed(model) & lost
+    assert not confirmed_nodes(model) & lost
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 @pytest.mark.parametrize("reached", [0, 1, 2, 3, 4])
-def test_a_start_with_a_path_to_one_seed_only(models: Models, reached: int, seed: int) -> None:
-    """Connections to the others take their time to fail: they must not keep it from being tried."""
+def test_start_with_a_path_to_one_seed_only(models: Models, reached: int, seed: int) -> None:
+    """Connections to the other seeds are slow to fail and must not delay the attempt to this one."""
     model = models(seed=seed, calm_s=0.0)
     model.reach({reached})
-    assert until_certain(model, APPLY_S) <= 1.0
+    assert run_until_not_in_doubt(model, APPLY_S) <= 1.0
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_majorities_that_come_and_go(models: Models, seed: int) -> None:
+def test_changing_majorities(models: Models, seed: int) -> None:
     model = models(seed=seed)
     dials, began = model.dials, model.loop.time()
     for turn in range(30):
@@ -188,7 +188,7 @@
     passed = model.loop.time() - began
     assert model.dials - dials <= CONNECT_BURST + passed * CONNECTS_PER_S
     model.cut(set())
-    until_certain(model, APPLY_S)
+    run_until_not_in_doubt(model, APPLY_S)
 
 
 PARTS = st.sets(st.integers(0, 4))
@@ -201,7 +201,7 @@
 )
 
 
-def happen(model: FleetModel, event: Event) -> None:
+def apply_event(model: FleetModel, event: Event) -> None:
     kind, numbers = event
     match kind:
         case "cut":
@@ -219,7 +219,7 @@
     seed=st.integers(0, 1000),
     events=st.lists(st.tuples(EVENTS, st.floats(0.0, 3.0)), min_size=4, max_size=20),
 )
-def test_whatever_happens_it_is_never_wrong_without_doubt(
+def test_for_any_events_it_is_in_doubt_or_up_to_date(
     monkeypatch: pytest.MonkeyPatch,
     seed: int,
     events: list[tuple[Event, float]],
@@ -227,14 +227,14 @@
     model = fresh_model(monkeypatch, 5, seed)
     try:
         for event, passed in events:
-            happen(model, event)
+            apply_event(model, event)
             model.run_for(passed)
         versions = [version for _, version in model.heard.configurations]
         assert versions == sorted(set(versions))
         model.cut(set())
         model.reach(set(range(5)))
         model.run_for(CATCH_UP_S)
-        until_certain(model, 1.25 * APPLY_S)
+        run_until_not_in_doubt(model, 1.25 * APPLY_S)
         model.run_for(APPLY_S)
         assert not model.in_doubt()
         assert model.made.version(CONFIGURATION) == model.committed[-1][1]
--- a/tests/data_plane/test_session_wire.py
+++ b/tests/data_plane/test_session_wire.py
@@ -1,6 +1,7 @@
-"""The sessions of both programs speak with each other, in virtual time: `EdgeSessions` and `ControlSessions`.
+"""The sessions of both programs connected in virtual time: `EdgeSessions` and `ControlSessions`.
 
-Only the agreement among control schedulers is a model (`fleet_model`); messages go encoded, as on the wire.
+Only the replication among control plane nodes is a model (`fleet_model`); messages are encoded as on the
+wire.
 """
 
 from __future__ import annotations
@@ -57,7 +58,7 @@
         self._incoming: asyncio.Queue[bytes | Exception] = asyncio.Queue()
         self._far_end = cast(Channel, FarEnd(self))
 
-    # ---- the end of the data plane ----
+    # ---- data plane end ----
 
     def send(self, message: Struct) -> None:
         if isinstance(message, FetchRequest):
@@ -76,7 +77,7 @@
     def close(self) -> None:
         self._model.loop.call_later(LATENCY_S, self._control.sessions.connection_closed, self._far_end)
 
-    # ---- the end of the control plane ----
+    # ---- control plane end ----
 
     def arrive(self, frame: bytes | Exception) -> None:
         self._later(self._incoming.put_nowait, frame)
@@ -87,7 +88,7 @@
 
 
 class FarEnd:
-    """The end of the control scheduler."""
+    """The control plane's end of a connection."""
 
     def __init__(self, wire: Wire) -> None:
         self._wire = wire
@@ -107,7 +108,7 @@
 
 
 class WireControl(ModelControl):
-    """A control scheduler whose sessions are the program's own."""
+    """A model control plane node with the `EdgeSessions` of the program."""
 
     def __init__(self, model: FleetModel, address: str, zone: str) -> None:
         super().__init__(model, address, zone)
@@ -167,13 +168,13 @@
 Models = Callable[..., FleetModel]
 
 
-def followed(model: FleetModel) -> set[int]:
-    sound = model.sessions._choice.confirmed_addresses(model.loop.time())
-    return {number for number, control in enumerate(model.controls) if control.member.address in sound}
+def confirmed_nodes(model: FleetModel) -> set[int]:
+    confirmed = model.sessions._choice.confirmed_addresses(model.loop.time())
+    return {number for number, control in enumerate(model.controls) if control.member.address in confirmed}
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_in_calm_times_there_is_no_doubt_and_changes_come_at_once(models: Models, seed: int) -> None:
+def test_without_failures_it_is_not_in_doubt_and_changes_arrive_at_once(models: Models, seed: int) -> None:
     model = models(seed)
     dials = model.dials
     for _ in range(10):
@@ -182,30 +183,30 @@
         assert model.made.version(CONFIGURATION) == model.committed[-1][1]
         assert not model.in_doubt()
         model.run_for(1)
-    assert len(followed(model)) == TARGET_SESSIONS
+    assert len(confirmed_nodes(model)) == TARGET_SESSIONS
     assert model.dials == dials
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_both_sessions_lead_to_a_minority_that_is_cut_off(models: Models, seed: int) -> None:
+def test_both_sessions_lead_to_a_partitioned_minority(models: Models, seed: int) -> None:
     model = models(seed)
-    cut = followed(model)
+    cut = confirmed_nodes(model)
     model.cut(cut)
     model.commit()
     model.run_for(CONTACT_S + SOON_S)
     for _ in range(20):
         assert model.made.version(CONFIGURATION) == model.committed[-1][1]
         assert not model.in_doubt()
-        assert not followed(model) & cut
+        assert not confirmed_nodes(model) & cut
         model.commit()
         model.run_for(1)
     model.cut(set())
     model.run_for(3)
-    assert len(followed(model)) == TARGET_SESSIONS
+    assert len(confirmed_nodes(model)) == TARGET_SESSIONS
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_nobody_has_a_majority_for_a_while(models: Models, seed: int) -> None:
+def test_no_node_has_a_majority_for_a_while(models: Models, seed: int) -> None:
     model = models(seed)
     held = model.made.version(CONFIGURATION)
     dials, began = model.dials, model.loop.time()
@@ -223,8 +224,8 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_a_start_while_nobody_has_a_majority(models: Models, seed: int) -> None:
-    """It holds nothing for a while, then what there is, in doubt; and is without doubt soon after the cut."""
+def test_start_while_no_node_has_a_majority(models: Models, seed: int) -> None:
+    """It has no configuration for a while, then an unconfirmed one; the doubt ends after the partition."""
     model = models(seed, calm_s=0.0)
     for control in model.controls:
         control.learn(model.committed[-1][1])
@@ -241,7 +242,7 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_it_comes_and_goes(models: Models, seed: int) -> None:
+def test_changing_majorities_and_suspensions(models: Models, seed: int) -> None:
     model = models(seed)
     for turn in range(40):
         model.cut({turn % 5, (turn + 1 + seed) % 5})
--- a/tests/data_plane/test_subscription.py
+++ b/tests/data_plane/test_subscription.py
@@ -1,4 +1,4 @@
-"""What sessions bring is taken only where it is newer."""
+"""`Subscription` applies only state that is newer than the state in force."""
 
 from __future__ import annotations
 
@@ -28,33 +28,33 @@
 from reedspoke.data_plane.subscription import FETCH_TIMEOUT_S, StateListener, Subscription
 from tests.data_plane.virtual_loop import STARTED_AT
 
-Running = dict[str, tuple[int, int]]
+Load = dict[str, tuple[int, int]]
 
 
-class Heard(Struct):
-    """All that a listener was told."""
+class ReceivedUpdates(Struct):
+    """All updates that a `StateListener` received."""
 
     configurations: list[tuple[int, Version]] = field(default_factory=list)
     workers: list[Version] = field(default_factory=list)
     members: list[Version] = field(default_factory=list)
-    running: list[Running] = field(default_factory=list)
+    peer_load: list[Load] = field(default_factory=list)
     suspects: list[dict[str, int]] = field(default_factory=list)
 
 
-def make_subscription(apply_s: float = 2.0) -> tuple[Subscription, Heard]:
-    heard = Heard()
+def make_subscription(apply_s: float = 2.0) -> tuple[Subscription, ReceivedUpdates]:
+    updates = ReceivedUpdates()
 
     def on_configuration(configuration: Configuration, version: Version) -> None:
-        heard.configurations.append((configuration.generation, version))
+        updates.configurations.append((configuration.generation, version))
 
     listener = StateListener(
         on_configuration=on_configuration,
-        on_workers=lambda workers: heard.workers.append(workers.version),
-        on_members=lambda members: heard.members.append(members.version),
-        on_peer_load=heard.running.append,
-        on_peer_suspects=heard.suspects.append,
+        on_workers=lambda workers: updates.workers.append(workers.version),
+        on_members=lambda members: updates.members.append(members.version),
+        on_peer_load=updates.peer_load.append,
+        on_peer_suspects=updates.suspects.append,
     )
-    return Subscription(listener, Confirmation(apply_s, started=STARTED_AT)), heard
+    return Subscription(listener, Confirmation(apply_s, started=STARTED_AT)), updates
 
 
 def document(generation: int) -> bytes:
@@ -88,39 +88,39 @@
 
 
 def test_newer_state_replaces_older() -> None:
-    subscription, heard = make_subscription()
+    subscription, updates = make_subscription()
     assert subscription.apply(snapshot(3))
     assert subscription.apply(snapshot(5))
-    assert heard.configurations == [(3, (3, 0)), (5, (5, 0))]
+    assert updates.configurations == [(3, (3, 0)), (5, (5, 0))]
     assert subscription.version(CONFIGURATION) == (5, 0)
 
 
 @pytest.mark.parametrize("sequence", [1, 4, 5])
-def test_a_configuration_that_is_not_newer_is_not_taken(sequence: int) -> None:
-    subscription, heard = make_subscription()
+def test_configuration_that_is_not_newer_is_not_applied(sequence: int) -> None:
+    subscription, updates = make_subscription()
     subscription.apply(snapshot(5))
     assert not subscription.apply(snapshot(sequence))
-    assert heard.configurations == [(5, (5, 0))]
+    assert updates.configurations == [(5, (5, 0))]
     assert subscription.state.configuration is not None
     assert subscription.state.configuration.generation == 5
 
 
 @pytest.mark.parametrize("version", [(1, 9), (2, 6), (2, 7)])
-def test_a_list_of_workers_that_is_not_newer_is_not_taken(version: Version) -> None:
-    subscription, heard = make_subscription()
+def test_worker_list_that_is_not_newer_is_not_applied(version: Version) -> None:
+    subscription, updates = make_subscription()
     subscription.apply(workers(2, 7))
     assert not subscription.apply(workers(*version))
-    assert heard.workers == [(2, 7)]
+    assert updates.workers == [(2, 7)]
 
 
-def test_a_later_term_goes_before_a_higher_count() -> None:
-    subscription, heard = make_subscription()
+def test_later_term_is_newer_than_a_higher_count() -> None:
+    subscription, updates = make_subscription()
     subscription.apply(workers(2, 90))
     assert subscription.apply(workers(3, 1))
-    assert heard.workers == [(2, 90), (3, 1)]
+    assert updates.workers == [(2, 90), (3, 1)]
 
 
-def test_a_difference_is_applied_to_its_base() -> None:
+def test_delta_is_applied_to_its_base() -> None:
     subscription, _ = make_subscription()
     subscription.apply(snapshot(3))
     assert subscription.apply(delta(3, 6))
@@ -129,33 +129,33 @@
 
 
 @pytest.mark.parametrize("base", [2, 4, 6])
-def test_a_difference_from_another_base_is_not_taken(base: int) -> None:
-    subscription, heard = make_subscription()
+def test_delta_from_another_base_is_not_applied(base: int) -> None:
+    subscription, updates = make_subscription()
     subscription.apply(snapshot(3))
     assert not subscription.apply(delta(base, 8))
-    assert heard.configurations == [(3, (3, 0))]
+    assert updates.configurations == [(3, (3, 0))]
 
 
-def test_a_difference_is_not_taken_where_nothing_is_held() -> None:
-    subscription, heard = make_subscription()
+def test_delta_is_not_applied_without_a_configuration() -> None:
+    subscription, updates = make_subscription()
     assert not subscription.apply(delta(3, 4))
-    assert heard.configurations == []
+    assert updates.configurations == []
 
 
-def test_a_difference_that_leads_back_is_not_taken() -> None:
-    subscription, heard = make_subscription()
+def test_delta_to_an_older_version_is_not_applied() -> None:
+    subscription, updates = make_subscription()
     subscription.apply(snapshot(5))
     assert not subscription.apply(delta(5, 2))
-    assert heard.configurations == [(5, (5, 0))]
+    assert updates.configurations == [(5, (5, 0))]
 
 
-def test_a_document_that_is_invalid_changes_nothing() -> None:
-    subscription, heard = make_subscription()
+def test_invalid_document_changes_nothing() -> None:
+    subscription, updates = make_subscription()
     subscription.apply(snapshot(3))
     with pytest.raises(FleetError):
         subscription.apply(ConfigurationSnapshot((9, 0), b"{"))
     assert subscription.version(CONFIGURATION) == (3, 0)
-    assert heard.configurations == [(3, (3, 0))]
+    assert updates.configurations == [(3, (3, 0))]
 
 
 @settings(max_examples=80, deadline=None)
@@ -164,35 +164,37 @@
     st.tuples(st.integers(1, 9), st.integers(1, 9)).map(lambda pair: delta(*pair)),
     st.tuples(st.integers(0, 3), st.integers(0, 3)).map(lambda pair: workers(*pair)),
 ), max_size=12))  # fmt: skip
-def test_versions_only_rise_whatever_comes(
+def test_versions_only_rise_for_any_messages(
     messages: list[ConfigurationSnapshot | ConfigurationDelta | WorkerList],
 ) -> None:
-    subscription, heard = make_subscription()
+    subscription, updates = make_subscription()
     for message in messages:
         subscription.apply(message)
-    configurations = [version for _, version in heard.configurations]
+    configurations = [version for _, version in updates.configurations]
     assert configurations == sorted(set(configurations))
-    assert heard.workers == sorted(set(heard.workers))
-    for generation, version in heard.configurations:
+    assert updates.workers == sorted(set(updates.workers))
+    for generation, version in updates.configurations:
         assert version == (generation, 0)
-    if heard.configurations:
-        assert subscription.state.configuration == parse_configuration(document(heard.configurations[-1][0]))
+    if updates.configurations:
+        assert subscription.state.configuration == parse_configuration(
+            document(updates.configurations[-1][0])
+        )
 
 
-def test_members_and_loads_are_passed_on_as_they_come() -> None:
-    subscription, heard = make_subscription()
+def test_members_and_load_are_passed_on_as_received() -> None:
+    subscription, updates = make_subscription()
     subscription.apply(MemberList((0, 7), (), ()))
     subscription.apply(MemberList((0, 2), (), ()))
     subscription.apply(WatchResponse(1, "core-1", {}, {"i-1": (1, 20)}, suspects={"i-2": 3}))
-    assert heard.suspects == [{"i-2": 3}]
-    assert heard.members == [(0, 7), (0, 2)]
-    assert heard.running == [{"i-1": (1, 20)}]
+    assert updates.suspects == [{"i-2": 3}]
+    assert updates.members == [(0, 7), (0, 2)]
+    assert updates.peer_load == [{"i-1": (1, 20)}]
 
 
-# ---- what to ask for ----
+# ---- what to fetch ----
 
 
-def test_what_the_other_side_has_newer_is_lacking() -> None:
+def test_sources_with_newer_versions_are_to_be_fetched() -> None:
     subscription, _ = make_subscription()
     subscription.apply(snapshot(3))
     offered = {CONFIGURATION: (4, 0), WORKERS: (0, 1), "members": (0, 9)}
@@ -201,7 +203,7 @@
     assert subscription.sources_to_fetch({}, 0.0) == []
 
 
-def test_what_some_session_has_asked_for_is_not_asked_for_again() -> None:
+def test_version_being_fetched_is_not_fetched_again() -> None:
     subscription, _ = make_subscription()
     subscription.begin_fetch(CONFIGURATION, (4, 0), 10.0)
     assert subscription.sources_to_fetch({CONFIGURATION: (4, 0)}, 10.1) == []
@@ -209,13 +211,13 @@
     assert subscription.version(CONFIGURATION) == NO_VERSION
 
 
-def test_something_newer_than_what_was_asked_for_is_lacking() -> None:
+def test_version_newer_than_the_one_being_fetched_is_to_be_fetched() -> None:
     subscription, _ = make_subscription()
     subscription.begin_fetch(CONFIGURATION, (4, 0), 10.0)
     assert subscription.sources_to_fetch({CONFIGURATION: (5, 0)}, 10.1) == [CONFIGURATION]
 
 
-def test_a_fetch_that_is_not_answered_is_begun_anew() -> None:
+def test_fetch_without_a_response_is_repeated() -> None:
     subscription, _ = make_subscription()
     subscription.begin_fetch(CONFIGURATION, (4, 0), 10.0)
     late = 10.0 + FETCH_TIMEOUT_S + 0.01
@@ -223,7 +225,7 @@
     assert subscription.expected_version(CONFIGURATION, late) == NO_VERSION
 
 
-def test_a_fetch_never_hides_what_is_held() -> None:
+def test_fetch_never_hides_the_version_in_force() -> None:
     subscription, _ = make_subscription()
     subscription.begin_fetch(CONFIGURATION, (4, 0), 10.0)
     subscription.apply(snapshot(6))
--- a/tests/data_plane/test_unconfirmed_sessions.py
+++ b/tests/data_plane/test_unconfirmed_sessions.py
@@ -1,4 +1,4 @@
-"""Sessions with control schedulers that no majority stands behind, in virtual time."""
+"""Sessions with control plane nodes that have no majority, in virtual time."""
 
 from __future__ import annotations
 
@@ -30,120 +30,122 @@
 )
 from reedspoke.data_plane.subscription import FETCH_TIMEOUT_S, UNCONFIRMED_FALLBACK_S
 from reedspoke.data_plane.watch_session import SessionTimeouts
-from tests.data_plane.control_stand_in import ANSWER_S, ChannelStandIn, Control
+from tests.data_plane.control_stand_in import RESPONSE_INTERVAL_S, FakeChannel, FakeControlPlane
 from tests.data_plane.test_subscription import delta, snapshot, workers
 from tests.data_plane.virtual_loop import VirtualLoop
 
-HOLD_S = SessionTimeouts().max_watch_wait_s
-DOUBT_S = MAX_AGE_FRACTION * 2.0
+MAX_WATCH_WAIT_S = SessionTimeouts().max_watch_wait_s
+MAX_AGE_S = MAX_AGE_FRACTION * 2.0
 SEEDS = ("c1:1", "c2:1", "c3:1")
 
 
 @pytest.fixture
-def control(monkeypatch: pytest.MonkeyPatch) -> Iterator[Control]:
-    made = Control(monkeypatch)
+def control(monkeypatch: pytest.MonkeyPatch) -> Iterator[FakeControlPlane]:
+    control = FakeControlPlane(monkeypatch)
     try:
-        yield made
+        yield control
     finally:
-        made.close()
+        control.close()
 
 
-def refuse_all(control: Control, seconds: float, **versions: tuple[int, int]) -> None:
-    """All live sessions say for so long that no majority stands behind them, as soon as they are asked."""
-    for _ in range(round(seconds / ANSWER_S)):
-        for channel in control.live():
+def respond_unconfirmed_for(control: FakeControlPlane, seconds: float, **versions: tuple[int, int]) -> None:
+    """For this time, all open sessions respond to each `WatchRequest` that they have no majority."""
+    for _ in range(round(seconds / RESPONSE_INTERVAL_S)):
+        for channel in control.open_channels():
             if isinstance(channel.sent[-1], WatchRequest):
-                channel.refuse(**versions)
-        control.loop.run_for(ANSWER_S)
+                channel.respond_unconfirmed(**versions)
+        control.loop.run_for(RESPONSE_INTERVAL_S)
 
 
-def live_addresses(control: Control) -> set[str]:
-    return {channel.address for channel in control.live()}
+def open_addresses(control: FakeControlPlane) -> set[str]:
+    return {channel.address for channel in control.open_channels()}
 
 
-def in_doubt(control: Control) -> bool:
-    return control.made.confirmation.in_doubt(control.loop.time())
+def in_doubt(control: FakeControlPlane) -> bool:
+    return control.subscription.confirmation.in_doubt(control.loop.time())
 
 
-# ---- leaving ----
+# ---- closing of sessions ----
 
 
-def test_one_that_has_lost_its_majority_is_left_at_once(control: Control) -> None:
+def test_session_is_closed_as_soon_as_its_node_loses_the_majority(control: FakeControlPlane) -> None:
     one, two = control.channels
-    one.offer()
-    two.offer()
-    one.refuse()
+    one.respond()
+    two.respond()
+    one.respond_unconfirmed()
     assert one.closed
-    assert len(control.live()) == TARGET_SESSIONS
-    assert one.address not in live_addresses(control)
+    assert len(control.open_channels()) == TARGET_SESSIONS
+    assert one.address not in open_addresses(control)
 
 
-def test_both_that_are_cut_off_are_left_for_whom_an_earlier_list_named(control: Control) -> None:
+def test_two_partitioned_nodes_are_replaced_by_members_listed_before(control: FakeControlPlane) -> None:
     one, two = control.channels
     named = tuple(ControlMember(f"c{number}:1", f"z{number % 3}") for number in range(1, 6))
-    one.offer(members=(0, 1))
-    one.say(MemberList((0, 1), named, ()))
+    one.respond(members=(0, 1))
+    one.deliver(MemberList((0, 1), named, ()))
     cut_off = {"c1:1", "c2:1", "c3:1"}
     for _ in range(10):
-        for channel in control.live():
+        for channel in control.open_channels():
             if not isinstance(channel.sent[-1], WatchRequest):
                 continue
             if channel.address in cut_off:
-                channel.refuse(named[0], named[1])
+                channel.respond_unconfirmed(named[0], named[1])
             else:
-                channel.offer()
+                channel.respond()
         control.loop.run_for(0.03)
-    assert live_addresses(control) == {"c4:1", "c5:1"}
+    assert open_addresses(control) == {"c4:1", "c5:1"}
 
 
-def test_a_hint_is_followed(control: Control) -> None:
+def test_members_in_an_unconfirmed_response_are_tried(control: FakeControlPlane) -> None:
     control.seeds = ()
     one, two = control.channels
-    one.refuse(ControlMember("c9:1", "zb"))
-    assert "c9:1" in live_addresses(control)
+    one.respond_unconfirmed(ControlMember("c9:1", "zb"))
+    assert "c9:1" in open_addresses(control)
 
 
-def test_one_that_has_its_majority_again_counts_again(control: Control) -> None:
-    refuse_all(control, 1)
+def test_session_is_confirmed_again_when_its_node_regains_the_majority(control: FakeControlPlane) -> None:
+    respond_unconfirmed_for(control, 1)
     assert control.sessions.confirmed_sessions() == 0
-    (channel, *_) = control.live()
-    control.loop.run_for(ANSWER_S)
-    channel.offer()
+    (channel, *_) = control.open_channels()
+    control.loop.run_for(RESPONSE_INTERVAL_S)
+    channel.respond()
     assert control.sessions.confirmed_sessions() == 1
     assert not in_doubt(control)
 
 
-def test_where_all_are_unconfirmed_neither_dials_nor_watches_run_wild(control: Control) -> None:
-    """Also where each `WatchRequest` is answered at once, as a control scheduler does only the first time."""
-    control.tried.clear()
+def test_connects_and_watches_are_bounded_while_all_are_unconfirmed(control: FakeControlPlane) -> None:
+    """Here each `WatchRequest` is answered at once; a control plane node does so only the first time."""
+    control.connect_attempts.clear()
     before = sum(len(channel.sent) for channel in control.channels)
-    answered_at_once = 0
+    immediate_responses = 0
     for _ in range(3000):
-        for channel in control.live():
+        for channel in control.open_channels():
             if isinstance(channel.sent[-1], WatchRequest):
-                channel._incoming.put_nowait(UnconfirmedResponse(channel.watch().request_id, channel.address))
-                answered_at_once += 1
+                channel._incoming.put_nowait(
+                    UnconfirmedResponse(channel.last_watch().request_id, channel.address)
+                )
+                immediate_responses += 1
         control.loop.run_for(0.01)
-    assert len(control.live()) >= TARGET_SESSIONS
-    assert len(control.live()) <= MAX_OPEN_SESSIONS
-    assert len(control.tried) <= CONNECT_BURST + 30 * CONNECTS_PER_S
+    assert len(control.open_channels()) >= TARGET_SESSIONS
+    assert len(control.open_channels()) <= MAX_OPEN_SESSIONS
+    assert len(control.connect_attempts) <= CONNECT_BURST + 30 * CONNECTS_PER_S
     watches = sum(len(channel.sent) for channel in control.channels) - before
-    assert watches <= MAX_OPEN_SESSIONS * 30 / ANSWER_S
-    assert answered_at_once > 100
+    assert watches <= MAX_OPEN_SESSIONS * 30 / RESPONSE_INTERVAL_S
+    assert immediate_responses > 100
 
 
-def test_seeds_that_the_settings_name_later_are_tried(control: Control) -> None:
-    refuse_all(control, 5)
+def test_seeds_added_to_the_settings_later_are_tried(control: FakeControlPlane) -> None:
+    respond_unconfirmed_for(control, 5)
     control.seeds = ("c7:1",)
     control.loop.run_for(0.5)
-    assert "c7:1" in live_addresses(control)
+    assert "c7:1" in open_addresses(control)
 
 
-def test_a_session_that_is_left_as_a_message_comes_does_end() -> None:
-    """With wait_for a cancellation that met a message was lost, and the session went on beside the others."""
+def test_session_cancelled_as_a_message_arrives_ends() -> None:
+    """With asyncio.wait_for, a cancellation as a message arrived was lost and the session continued."""
     loop = VirtualLoop()
     reader = asyncio.StreamReader(loop=loop)
-    channel = Channel(reader, WriterStandIn())  # type: ignore[arg-type]
+    channel = Channel(reader, NullWriter())  # type: ignore[arg-type]
     channel.idle_timeout_s = 1.2
 
     async def listen() -> None:
@@ -160,190 +162,192 @@
     loop.close()
 
 
-class WriterStandIn:
-    """Where nothing is written."""
+class NullWriter:
+    """A stream writer that nothing is written to."""
 
     def get_extra_info(self, name: str) -> None:
         return None
 
 
-# ---- what is not taken ----
+# ---- state that is not applied ----
 
 
-def test_nothing_is_fetched_where_no_majority_stands(control: Control) -> None:
-    refuse_all(control, UNCONFIRMED_FALLBACK_S - 0.5, configuration=(4, 1), workers=(2, 1))
+def test_nothing_is_fetched_from_nodes_without_a_majority(control: FakeControlPlane) -> None:
+    respond_unconfirmed_for(control, UNCONFIRMED_FALLBACK_S - 0.5, configuration=(4, 1), workers=(2, 1))
     assert [channel.fetches() for channel in control.channels if channel.fetches()] == []
-    assert control.heard.configurations == []
+    assert control.updates.configurations == []
 
 
-def test_state_that_nobody_asked_for_is_not_taken(control: Control) -> None:
+def test_unrequested_unconfirmed_state_is_not_applied(control: FakeControlPlane) -> None:
     one = control.channels[0]
-    one.offer()
-    one.refuse()
+    one.respond()
+    one.respond_unconfirmed()
     two = control.channels[1]
-    two.refuse()
+    two.respond_unconfirmed()
     for channel in (one, two):
-        channel.say(snapshot(4), workers(2, 1))
-    assert control.heard.configurations == []
-    assert control.heard.workers == []
+        channel.deliver(snapshot(4), workers(2, 1))
+    assert control.updates.configurations == []
+    assert control.updates.workers == []
 
 
-def test_members_of_an_unconfirmed_one_are_hints_only(control: Control) -> None:
+def test_members_from_an_unconfirmed_node_are_only_addresses_to_try(control: FakeControlPlane) -> None:
     control.seeds = ()
     one = control.channels[0]
-    one.offer(members=(0, 3))
-    control.channels[1].refuse()
+    one.respond(members=(0, 3))
+    control.channels[1].respond_unconfirmed()
     one._incoming.put_nowait(UnconfirmedResponse(one.sent[-2].request_id, one.address))  # type: ignore[attr-defined]
-    one.say(MemberList((0, 3), (ControlMember("c9:1", "zb"),), ()))
-    assert control.heard.members == []
-    control.loop.run_for(2 * ANSWER_S)
-    assert "c9:1" in live_addresses(control)
+    one.deliver(MemberList((0, 3), (ControlMember("c9:1", "zb"),), ()))
+    assert control.updates.members == []
+    control.loop.run_for(2 * RESPONSE_INTERVAL_S)
+    assert "c9:1" in open_addresses(control)
 
 
-def test_loads_come_with_confirmed_answers_only(control: Control) -> None:
+def test_load_is_taken_from_watch_responses_only(control: FakeControlPlane) -> None:
     one, two = control.channels
-    one.say(WatchResponse(1, one.address, {}, {"i-1": (2, 40)}))
-    two.refuse()
-    assert control.heard.running == [{"i-1": (2, 40)}]
+    one.deliver(WatchResponse(1, one.address, {}, {"i-1": (2, 40)}))
+    two.respond_unconfirmed()
+    assert control.updates.peer_load == [{"i-1": (2, 40)}]
 
 
-def test_what_is_in_force_never_goes_back(control: Control) -> None:
+def test_version_in_force_never_goes_back(control: FakeControlPlane) -> None:
     one, two = control.channels
-    one.offer(configuration=(4, 0))
-    one.say(snapshot(4))
-    two.offer(configuration=(3, 0))
-    two.refuse(configuration=(2, 0))
-    two.say(snapshot(2))
-    assert control.heard.configurations == [(4, (4, 0))]
-    assert control.made.version(CONFIGURATION) == (4, 0)
+    one.respond(configuration=(4, 0))
+    one.deliver(snapshot(4))
+    two.respond(configuration=(3, 0))
+    two.respond_unconfirmed(configuration=(2, 0))
+    two.deliver(snapshot(2))
+    assert control.updates.configurations == [(4, (4, 0))]
+    assert control.subscription.version(CONFIGURATION) == (4, 0)
 
 
-# ---- a start without any majority ----
+# ---- start without any majority ----
 
 
-def fetched(control: Control) -> list[tuple[ChannelStandIn, FetchRequest]]:
+def fetched(control: FakeControlPlane) -> list[tuple[FakeChannel, FetchRequest]]:
     return [(channel, fetch) for channel in control.channels for fetch in channel.fetches()]
 
 
-def test_after_a_while_without_any_majority_a_start_takes_what_there_is(control: Control) -> None:
-    refuse_all(control, UNCONFIRMED_FALLBACK_S + 0.5, configuration=(4, 0), workers=(2, 1))
-    asked = fetched(control)
-    assert asked
-    assert all(fetch.allow_unconfirmed for _, fetch in asked)
-    channel = asked[0][0]
-    channel.say(snapshot(4), workers(2, 1))
-    assert control.heard.configurations == [(4, (4, 0))]
-    assert control.heard.workers == [(2, 1)]
+def test_start_applies_unconfirmed_state_after_a_while_without_a_majority(control: FakeControlPlane) -> None:
+    respond_unconfirmed_for(control, UNCONFIRMED_FALLBACK_S + 0.5, configuration=(4, 0), workers=(2, 1))
+    requested = fetched(control)
+    assert requested
+    assert all(fetch.allow_unconfirmed for _, fetch in requested)
+    channel = requested[0][0]
+    channel.deliver(snapshot(4), workers(2, 1))
+    assert control.updates.configurations == [(4, (4, 0))]
+    assert control.updates.workers == [(2, 1)]
     assert in_doubt(control)
 
 
-def test_a_start_that_took_an_old_one_takes_a_newer_one_from_whom_a_majority_confirms(
-    control: Control,
+def test_start_from_unconfirmed_state_applies_newer_confirmed_state(
+    control: FakeControlPlane,
 ) -> None:
-    refuse_all(control, UNCONFIRMED_FALLBACK_S + 0.5, configuration=(4, 0))
-    fetched(control)[0][0].say(snapshot(4))
-    sound = control.live()[0]
-    control.loop.run_for(ANSWER_S)
-    sound.offer(configuration=(5, 0))
-    assert sound.fetches()[-1] == FetchRequest(CONFIGURATION, (4, 0))
-    sound.say(snapshot(5))
-    assert control.heard.configurations == [(4, (4, 0)), (5, (5, 0))]
+    respond_unconfirmed_for(control, UNCONFIRMED_FALLBACK_S + 0.5, configuration=(4, 0))
+    fetched(control)[0][0].deliver(snapshot(4))
+    confirmed_channel = control.open_channels()[0]
+    control.loop.run_for(RESPONSE_INTERVAL_S)
+    confirmed_channel.respond(configuration=(5, 0))
+    assert confirmed_channel.fetches()[-1] == FetchRequest(CONFIGURATION, (4, 0))
+    confirmed_channel.deliver(snapshot(5))
+    assert control.updates.configurations == [(4, (4, 0)), (5, (5, 0))]
     assert not in_doubt(control)
 
 
-def test_a_start_that_took_an_old_one_takes_a_newer_one_that_is_not_confirmed_either(
-    control: Control,
+def test_start_from_unconfirmed_state_applies_newer_unconfirmed_state(
+    control: FakeControlPlane,
 ) -> None:
-    refuse_all(control, UNCONFIRMED_FALLBACK_S + 0.5, configuration=(4, 0))
-    fetched(control)[0][0].say(snapshot(4))
+    respond_unconfirmed_for(control, UNCONFIRMED_FALLBACK_S + 0.5, configuration=(4, 0))
+    fetched(control)[0][0].deliver(snapshot(4))
     for _ in range(20):
-        refuse_all(control, ANSWER_S, configuration=(6, 0))
-        asked = [channel for channel, fetch in fetched(control) if fetch.known_version == (4, 0)]
-        if asked:
+        respond_unconfirmed_for(control, RESPONSE_INTERVAL_S, configuration=(6, 0))
+        requested = [channel for channel, fetch in fetched(control) if fetch.known_version == (4, 0)]
+        if requested:
             break
-    asked[0].say(delta(4, 6))
-    assert control.heard.configurations == [(4, (4, 0)), (6, (6, 0))]
+    requested[0].deliver(delta(4, 6))
+    assert control.updates.configurations == [(4, (4, 0)), (6, (6, 0))]
 
 
-def test_what_was_confirmed_once_is_not_replaced_by_what_is_not(control: Control) -> None:
+def test_confirmed_state_is_not_replaced_by_unconfirmed_state(control: FakeControlPlane) -> None:
     one = control.channels[0]
-    one.offer(configuration=(4, 0))
-    one.say(snapshot(4))
-    refuse_all(control, 20, configuration=(9, 0), workers=(2, 1))
-    asked = {fetch.source for _, fetch in fetched(control) if fetch.allow_unconfirmed}
-    assert asked == {WORKERS}  # nothing is held of these: without them the process would never be ready
+    one.respond(configuration=(4, 0))
+    one.deliver(snapshot(4))
+    respond_unconfirmed_for(control, 20, configuration=(9, 0), workers=(2, 1))
+    requested = {fetch.source for _, fetch in fetched(control) if fetch.allow_unconfirmed}
+    assert requested == {WORKERS}  # without any worker list the process would never be ready
 
 
-def test_a_confirmed_source_puts_the_bound_off(control: Control) -> None:
+def test_confirmed_report_restarts_the_fallback_time(control: FakeControlPlane) -> None:
     control.loop.run_for(0.05)
-    control.keep_alive(UNCONFIRMED_FALLBACK_S)
-    refuse_all(control, UNCONFIRMED_FALLBACK_S - 0.5, configuration=(4, 0))
+    control.respond_for(UNCONFIRMED_FALLBACK_S)
+    respond_unconfirmed_for(control, UNCONFIRMED_FALLBACK_S - 0.5, configuration=(4, 0))
     assert fetched(control) == []
-    refuse_all(control, 1, configuration=(4, 0))
+    respond_unconfirmed_for(control, 1, configuration=(4, 0))
     assert fetched(control) != []
 
 
-def test_an_unconfirmed_fetch_is_not_repeated_while_it_is_answered(control: Control) -> None:
-    """As a large configuration over a narrow link takes its time."""
-    refuse_all(control, UNCONFIRMED_FALLBACK_S + ANSWER_S, configuration=(4, 0))
+def test_unconfirmed_fetch_is_not_repeated_on_the_same_session(control: FakeControlPlane) -> None:
+    """A large configuration on a slow link takes longer than the fetch time-out."""
+    respond_unconfirmed_for(control, UNCONFIRMED_FALLBACK_S + RESPONSE_INTERVAL_S, configuration=(4, 0))
     (channel, _) = fetched(control)[0]
     control.loop.run_for(0.9)
     assert len(channel.fetches()) == 1
 
 
-# ---- fetches that are not answered ----
+# ---- fetches without a response ----
 
 
-def test_a_fetch_to_one_that_lost_its_majority_is_followed_by_a_watch(control: Control) -> None:
-    """It does not answer the fetch any more; only a `WatchRequest` brings to light why."""
+def test_fetch_without_a_response_is_followed_by_a_watch(control: FakeControlPlane) -> None:
+    """A node that lost its majority may not respond to the fetch; a `WatchRequest` reveals the loss."""
     one = control.channels[0]
-    one.offer(configuration=(4, 0))
+    one.respond(configuration=(4, 0))
     assert isinstance(one.sent[-1], FetchRequest)
-    for _ in range(round((FETCH_TIMEOUT_S + 0.5) / ANSWER_S)):
-        for channel in control.live():
+    for _ in range(round((FETCH_TIMEOUT_S + 0.5) / RESPONSE_INTERVAL_S)):
+        for channel in control.open_channels():
             if channel is not one:
-                channel.offer()
-        control.loop.run_for(ANSWER_S)
+                channel.respond()
+        control.loop.run_for(RESPONSE_INTERVAL_S)
     assert isinstance(one.sent[-1], WatchRequest)
-    one.refuse()
+    one.respond_unconfirmed()
     assert one.closed
 
 
-def test_what_one_will_not_bring_is_fetched_from_the_other_at_its_next_answer(control: Control) -> None:
+def test_fetch_refused_by_one_node_is_repeated_at_the_next_response_of_another(
+    control: FakeControlPlane,
+) -> None:
     one, two = control.channels
-    one.offer(configuration=(4, 0))
-    two.offer(configuration=(4, 0))
+    one.respond(configuration=(4, 0))
+    two.respond(configuration=(4, 0))
     assert two.fetches() == []
-    one.say(UnconfirmedResponse(0, one.address))
-    two.offer(configuration=(4, 0))
+    one.deliver(UnconfirmedResponse(0, one.address))
+    two.respond(configuration=(4, 0))
     assert two.fetches() == [FetchRequest(CONFIGURATION)]
 
 
-def test_a_fetch_that_is_neither_answered_nor_refused_is_begun_anew_by_the_other(control: Control) -> None:
+def test_fetch_without_any_response_is_repeated_on_the_other_session(control: FakeControlPlane) -> None:
     one, two = control.channels
-    one.offer(configuration=(4, 0))
-    two.offer(configuration=(4, 0))
+    one.respond(configuration=(4, 0))
+    two.respond(configuration=(4, 0))
     control.loop.run_for(FETCH_TIMEOUT_S + 0.05)
-    two.offer(configuration=(4, 0))
+    two.respond(configuration=(4, 0))
     assert two.fetches() == [FetchRequest(CONFIGURATION)]
 
 
-def test_a_fetch_that_another_session_began_since_is_not_given_up(control: Control) -> None:
+def test_fetch_begun_later_by_another_session_is_not_abandoned(control: FakeControlPlane) -> None:
     one, two = control.channels
-    one.offer(configuration=(4, 0))
-    two.offer(configuration=(5, 0))
+    one.respond(configuration=(4, 0))
+    two.respond(configuration=(5, 0))
     assert two.fetches() == [FetchRequest(CONFIGURATION)]
-    one.say(ConnectionResetError())
-    assert control.made.expected_version(CONFIGURATION, control.loop.time()) == (5, 0)
+    one.deliver(ConnectionResetError())
+    assert control.subscription.expected_version(CONFIGURATION, control.loop.time()) == (5, 0)
 
 
-def test_one_watch_is_out_at_a_time(control: Control) -> None:
+def test_one_watch_is_in_flight_at_a_time(control: FakeControlPlane) -> None:
     one = control.channels[0]
-    one.offer(configuration=(4, 0))
+    one.respond(configuration=(4, 0))
     control.loop.run_for(FETCH_TIMEOUT_S + 0.5)
     watches = [message for message in one.sent if isinstance(message, WatchRequest)]
     assert [watch.request_id for watch in watches] == [1, 2]
-    one.say(snapshot(4))
+    one.deliver(snapshot(4))
     watches = [message for message in one.sent if isinstance(message, WatchRequest)]
     assert [watch.request_id for watch in watches] == [1, 2]
 
@@ -351,99 +355,108 @@
 # ---- times ----
 
 
-def test_an_answer_vouches_from_when_the_watch_was_sent(control: Control) -> None:
+def test_response_confirms_as_of_the_sending_of_its_watch(control: FakeControlPlane) -> None:
     one = control.channels[0]
-    one.offer(configuration=(4, 0))
-    one.say(snapshot(4))
+    one.respond(configuration=(4, 0))
+    one.deliver(snapshot(4))
     sent_at = control.loop.time()
-    control.loop.run_for(HOLD_S + 0.3)
+    control.loop.run_for(MAX_WATCH_WAIT_S + 0.3)
     versions = {CONFIGURATION: (4, 0)}
-    one.say(WatchResponse(one.watch().request_id, one.address, versions, wait_s=HOLD_S, confirmed_ago_s=0.2))
-    as_of = control.made.confirmation.as_of()
-    assert as_of == pytest.approx(sent_at + HOLD_S - 0.2, abs=0.01)
+    one.deliver(
+        WatchResponse(
+            one.last_watch().request_id, one.address, versions, wait_s=MAX_WATCH_WAIT_S, confirmed_ago_s=0.2
+        )
+    )
+    as_of = control.subscription.confirmation.as_of()
+    assert as_of == pytest.approx(sent_at + MAX_WATCH_WAIT_S - 0.2, abs=0.01)
 
 
-def test_an_answer_to_another_watch_vouches_for_nothing(control: Control) -> None:
+def test_response_to_another_watch_confirms_nothing(control: FakeControlPlane) -> None:
     one = control.channels[0]
-    one.say(WatchResponse(17, one.address, {}))
-    assert control.made.confirmation.as_of() is None
+    one.deliver(WatchResponse(17, one.address, {}))
+    assert control.subscription.confirmation.as_of() is None
     assert control.sessions.confirmed_sessions() == 0
 
 
-def test_while_a_watch_is_out_no_other_is_sent_for_an_answer_that_is_not_to_it(control: Control) -> None:
-    """A control scheduler answers a `FetchRequest` without a majority too, with the id of no request."""
+def test_no_second_watch_is_sent_after_a_response_to_a_fetch(control: FakeControlPlane) -> None:
+    """`UnconfirmedResponse` is also the response to a `FetchRequest`, and then has the id of no request."""
     one = control.channels[0]
-    one.offer(configuration=(4, 0))
+    one.respond(configuration=(4, 0))
     control.loop.run_for(FETCH_TIMEOUT_S + 0.5)
-    assert one.watch().request_id == 2
-    one.say(UnconfirmedResponse(0, one.address))
-    control.loop.run_for(3 * ANSWER_S)
-    assert one.watch().request_id == 2
+    assert one.last_watch().request_id == 2
+    one.deliver(UnconfirmedResponse(0, one.address))
+    control.loop.run_for(3 * RESPONSE_INTERVAL_S)
+    assert one.last_watch().request_id == 2
 
 
-def test_an_unanswered_fetch_does_not_hold_a_session_back(control: Control) -> None:
+def test_refused_fetch_does_not_stop_the_watches_of_a_session(control: FakeControlPlane) -> None:
     one = control.channels[0]
-    one.offer(configuration=(4, 0))
-    one.say(UnconfirmedResponse(0, one.address))
-    control.loop.run_for(2 * ANSWER_S)
+    one.respond(configuration=(4, 0))
+    one.deliver(UnconfirmedResponse(0, one.address))
+    control.loop.run_for(2 * RESPONSE_INTERVAL_S)
     assert one.closed or isinstance(one.sent[-1], WatchRequest)
 
 
-def test_a_control_scheduler_that_confirms_the_past_only_is_left(control: Control) -> None:
-    """As one that was stopped between the making of an answer and its sending."""
+def test_session_whose_response_was_confirmed_too_long_ago_is_closed(control: FakeControlPlane) -> None:
+    """A node that was suspended before it sent the response causes this."""
     one, two = control.channels
-    two.offer()
-    one.say(WatchResponse(1, one.address, {}, confirmed_ago_s=DOUBT_S + 0.1))
+    two.respond()
+    one.deliver(WatchResponse(1, one.address, {}, confirmed_ago_s=MAX_AGE_S + 0.1))
     assert one.closed
 
 
-def test_a_process_that_was_stopped_is_in_doubt_until_it_is_told_anew(control: Control) -> None:
-    control.keep_alive(2)
+def test_suspended_process_is_in_doubt_until_the_next_response(control: FakeControlPlane) -> None:
+    control.respond_for(2)
     assert not in_doubt(control)
     answers = [
-        (channel, WatchResponse(channel.watch().request_id, channel.address, {}, wait_s=HOLD_S))
-        for channel in control.live()
+        (
+            channel,
+            WatchResponse(channel.last_watch().request_id, channel.address, {}, wait_s=MAX_WATCH_WAIT_S),
+        )
+        for channel in control.open_channels()
     ]
-    control.loop._virtual.now += 7.0  # the clock went on, the process did not
+    control.loop._virtual.now += 7.0  # the clock advances while the process is suspended
     assert in_doubt(control)
-    for channel, answer in answers:  # these came in the meantime
+    for channel, answer in answers:  # received during the suspension
         channel._incoming.put_nowait(answer)
     control.loop.settle()
     assert in_doubt(control)
-    control.keep_alive(1)
+    control.respond_for(1)
     assert not in_doubt(control)
-    control.keep_alive(3)
-    assert len(control.live()) == TARGET_SESSIONS
+    control.respond_for(3)
+    assert len(control.open_channels()) == TARGET_SESSIONS
 
 
 @pytest.mark.parametrize("apply_ms", [1000, 2000, 12000, 120_000])
 @pytest.mark.parametrize("heartbeat_ms", [200, 1000, 1200, 3000, 6000, 12000, 120_000])
-def test_the_bounds_of_a_session_follow_the_settings(heartbeat_ms: float, apply_ms: float) -> None:
+def test_time_limits_of_a_session_follow_the_settings(heartbeat_ms: float, apply_ms: float) -> None:
     bounds = Bounds(apply_ms=apply_ms)
     settings = NodeSettings("edge-1", "127.0.0.1", "za", heartbeat_ms=heartbeat_ms, bounds=bounds)
-    hold_s = settings.watch_timeout_s()
-    timeouts = SessionTimeouts(hold_s)
-    assert hold_s <= heartbeat_ms / 1000 / 3 + 1e-9
-    assert 2 * hold_s < MAX_AGE_FRACTION * apply_ms / 1000  # one answer may be missed without any doubt
-    assert hold_s < timeouts.stale_after_s < timeouts.idle_timeout_s
+    max_watch_wait_s = settings.watch_timeout_s()
+    timeouts = SessionTimeouts(max_watch_wait_s)
+    assert max_watch_wait_s <= heartbeat_ms / 1000 / 3 + 1e-9
+    assert (
+        2 * max_watch_wait_s < MAX_AGE_FRACTION * apply_ms / 1000
+    )  # one missed response does not cause doubt
+    assert max_watch_wait_s < timeouts.stale_after_s < timeouts.idle_timeout_s
     assert timeouts.idle_timeout_s > 0.8
 
 
-def test_at_the_usual_heartbeat_silence_is_bounded_as_before() -> None:
+def test_idle_timeout_at_the_default_heartbeat() -> None:
     settings = NodeSettings("edge-1", "127.0.0.1", "za", heartbeat_ms=1200)
     assert SessionTimeouts(settings.watch_timeout_s()).idle_timeout_s == pytest.approx(1.2)
 
 
-def test_sessions_that_are_quiet_for_as_long_as_the_settings_allow_are_kept(
+def test_sessions_with_responses_as_rare_as_the_settings_allow_are_kept(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """With a long heartbeat and much time for a change, answers are seconds apart."""
-    control = Control(monkeypatch, SessionTimeouts(max_watch_wait_s=4.0), apply_s=16.0)
-    stood = control.live()
+    """With a long heartbeat and a long apply time, responses are seconds apart."""
+    control = FakeControlPlane(monkeypatch, SessionTimeouts(max_watch_wait_s=4.0), apply_s=16.0)
+    open_before = control.open_channels()
     for _ in range(5):
-        for channel in control.live():
-            channel.offer()
+        for channel in control.open_channels():
+            channel.respond()
         control.loop.run_for(4.0)
-    live = control.live()
+    live = control.open_channels()
     control.close()
-    assert live == stood
+    assert live == open_before
