--- a/reedspoke/data_plane/address_book.py
+++ b/reedspoke/data_plane/address_book.py
@@ -16,7 +16,7 @@
 ADDRESS_TTL_S = 1800.0  # an address unlisted for longer is removed when the next member list is added
 MIN_RETRY_DELAY_S = 0.5  # after the first failure; doubled with each consecutive failure
 MAX_RETRY_DELAY_S = 0.8  # after failed connections
-MAX_UNCONFIRMED_RETRY_DELAY_S = 2.0  # after sessions that were answered, but without a majority
+MAX_UNCONFIRMED_RETRY_DELAY_S = 2.0  # after responses without a majority
 URGENT_RETRY_DELAY_S = 0.15  # after a failed connection, while no session is confirmed
 RECENT_FAILURE_S = 5.0  # an address that failed within this time is tried after all others
 
--- a/reedspoke/data_plane/control_session.py
+++ b/reedspoke/data_plane/control_session.py
@@ -100,10 +100,8 @@
         self._open_wanted(now, own_zone)
         self._poll_watch_sessions()
         self._log_change(now)
-        with suppress(TimeoutError):
-            async with asyncio.timeout(
-                self._choice.next_check_s(now)
-            ):  # asyncio.wait_for can lose a cancellation
+        with suppress(TimeoutError):  # asyncio.wait_for can lose a cancellation
+            async with asyncio.timeout(self._choice.next_check_s(now)):
                 await self._wake.wait()
 
     def _close_unwanted(self, now: float) -> None:
--- a/tests/data_plane/conftest.py
+++ b/tests/data_plane/conftest.py
@@ -32,11 +32,11 @@
 
 @pytest.fixture
 def plane() -> Iterator[Plane]:
-    with fresh_plane() as made:
-        yield made
+    with fresh_plane() as plane:
+        yield plane
 
 
 @pytest.fixture
 def stage(tmp_path: Path) -> Iterator[Stage]:
-    with fresh_stage(tmp_path) as made:
-        yield made
+    with fresh_stage(tmp_path) as stage:
+        yield stage
--- a/tests/data_plane/session_world.py
+++ b/tests/data_plane/session_world.py
@@ -35,7 +35,7 @@
 
     opened_at: float
     last_received_at: float
-    answer_at: float
+    respond_at: float
     up: bool = False
     reported_state: State | None = None
 
@@ -85,7 +85,7 @@
     def _advance(self, address: str, session: SimulatedSession) -> bool:
         state = self.states[address]
         if state is State.UNREACHABLE or (
-            state is State.DOWN and not session.up and self.now < session.answer_at
+            state is State.DOWN and not session.up and self.now < session.respond_at
         ):
             limit = (
                 session.last_received_at + IDLE_TIMEOUT_S
@@ -95,13 +95,13 @@
             return self._end(address) if self.now >= limit else False
         if state is State.DOWN:
             return self._end(address)
-        if self.now < session.answer_at and (
+        if self.now < session.respond_at and (
             session.reported_state is None or session.reported_state is state
         ):
             return False
         session.up, session.last_received_at = True, self.now
         wait = MAX_WATCH_WAIT_S if state is State.CONFIRMED else HEARTBEAT_S
-        session.reported_state, session.answer_at = state, self.now + wait
+        session.reported_state, session.respond_at = state, self.now + wait
         if state is State.CONFIRMED:
             self.confirmed_at = self.now
             self.choice.record_confirmed(address, self.now)
--- a/tests/data_plane/test_quota_client.py
+++ b/tests/data_plane/test_quota_client.py
@@ -45,7 +45,7 @@
     def request(self, units: float = 10.0) -> int | None:
         return self.client.request("t", units, WAIT_S, self.decisions.append)
 
-    def answer(self, outcome: QuotaOutcome, index: int = -1, retry_after_s: float = 0.0) -> None:
+    def respond(self, outcome: QuotaOutcome, index: int = -1, retry_after_s: float = 0.0) -> None:
         self.client.handle_response(QuotaResponse(self.sent[index][1].request_id, outcome, retry_after_s))
 
     def addresses_sent_to(self) -> list[str]:
@@ -63,7 +63,7 @@
 def test_grant_decides(scene: Scene) -> None:
     scene.request()
     assert scene.decisions == []
-    scene.answer(GRANTED_OUTCOME)
+    scene.respond(GRANTED_OUTCOME)
     assert [item.granted for item in scene.decisions] == [True]
     assert scene.client.waiting == 0
 
@@ -71,23 +71,23 @@
 @pytest.mark.parametrize("outcome", [SPENT_OUTCOME, UNAVAILABLE_OUTCOME])
 def test_refused_request_is_sent_to_the_next_node(scene: Scene, outcome: QuotaOutcome) -> None:
     scene.request()
-    scene.answer(outcome)
+    scene.respond(outcome)
     assert scene.addresses_sent_to() == ["c1", "c2"]
-    scene.answer(GRANTED_OUTCOME)
+    scene.respond(GRANTED_OUTCOME)
     assert [item.granted for item in scene.decisions] == [True]
 
 
 def test_when_all_refuse_the_longest_retry_delay_is_reported(scene: Scene) -> None:
     scene.request()
-    scene.answer(SPENT_OUTCOME, retry_after_s=0.7)
-    scene.answer(SPENT_OUTCOME, retry_after_s=0.3)
+    scene.respond(SPENT_OUTCOME, retry_after_s=0.7)
+    scene.respond(SPENT_OUTCOME, retry_after_s=0.3)
     assert scene.decisions == [QuotaDecision(False, True, 0.7)]
 
 
 def test_unavailable_at_all_nodes_is_not_reported_as_spent(scene: Scene) -> None:
     scene.request()
-    scene.answer(UNAVAILABLE_OUTCOME)
-    scene.answer(UNAVAILABLE_OUTCOME)
+    scene.respond(UNAVAILABLE_OUTCOME)
+    scene.respond(UNAVAILABLE_OUTCOME)
     assert scene.decisions == [QuotaDecision(False, False, UNAVAILABLE_RETRY_S)]
 
 
@@ -103,7 +103,7 @@
     assert scene.addresses_sent_to() == ["c1"]
     scene.loop.run_for(NEXT_NODE_DELAY_S * 0.2)
     assert scene.addresses_sent_to() == ["c1", "c2"]
-    scene.answer(GRANTED_OUTCOME, index=0)
+    scene.respond(GRANTED_OUTCOME, index=0)
     assert [item.granted for item in scene.decisions] == [True]
 
 
@@ -118,8 +118,8 @@
 def test_second_grant_is_used_for_the_next_request(scene: Scene) -> None:
     scene.request()
     scene.loop.run_for(NEXT_NODE_DELAY_S * 1.1)
-    scene.answer(GRANTED_OUTCOME, index=0)
-    scene.answer(GRANTED_OUTCOME, index=1)
+    scene.respond(GRANTED_OUTCOME, index=0)
+    scene.respond(GRANTED_OUTCOME, index=1)
     assert scene.request(9.0) is None
     assert len(scene.sent) == 2
     assert [item.granted for item in scene.decisions] == [True, True]
@@ -128,7 +128,7 @@
 def test_late_grant_is_kept_for_a_short_time_only(scene: Scene) -> None:
     scene.request()
     scene.loop.run_for(WAIT_S * 1.05)
-    scene.answer(GRANTED_OUTCOME, index=0)
+    scene.respond(GRANTED_OUTCOME, index=0)
     scene.loop.run_for(CREDIT_S * 1.01)
     assert scene.request() is not None
 
@@ -144,7 +144,7 @@
     request_id = scene.request()
     assert request_id is not None
     scene.client.cancel(request_id)
-    scene.answer(GRANTED_OUTCOME)
+    scene.respond(GRANTED_OUTCOME)
     assert scene.decisions == []
     assert scene.client.waiting == 0
     assert scene.request() is None  # the late grant is used for this one
@@ -157,7 +157,7 @@
 
 def granted_once(scene: Scene, units: float = 10.0) -> None:
     scene.request(units)
-    scene.answer(GRANTED_OUTCOME)
+    scene.respond(GRANTED_OUTCOME)
     scene.decisions.clear()
 
 
@@ -173,7 +173,7 @@
 def test_no_response_and_unavailable_count_as_an_outage(scene: Scene) -> None:
     granted_once(scene)
     scene.request()
-    scene.answer(UNAVAILABLE_OUTCOME)
+    scene.respond(UNAVAILABLE_OUTCOME)
     scene.loop.run_for(WAIT_S * 1.1)
     assert [item.granted for item in scene.decisions] == [True]
 
@@ -190,8 +190,8 @@
 def test_in_an_outage_nothing_is_admitted_of_a_spent_quota(scene: Scene) -> None:
     granted_once(scene)
     scene.request()
-    scene.answer(SPENT_OUTCOME)
-    scene.answer(SPENT_OUTCOME)
+    scene.respond(SPENT_OUTCOME)
+    scene.respond(SPENT_OUTCOME)
     scene.decisions.clear()
     scene.addresses = []
     scene.request()
@@ -203,7 +203,7 @@
 def test_one_spent_response_prevents_admission(scene: Scene) -> None:
     granted_once(scene)
     scene.request()
-    scene.answer(SPENT_OUTCOME)
+    scene.respond(SPENT_OUTCOME)
     scene.loop.run_for(WAIT_S * 1.1)  # the other node does not respond
     assert [item.granted for item in scene.decisions] == [False]
 
@@ -256,7 +256,7 @@
     scene.request()
     scene.loop.run_for(WAIT_S / 2)
     scene.loop._virtual.now += WAIT_S
-    DelayedCallback(scene.loop, 4, lambda: scene.answer(GRANTED_OUTCOME))
+    DelayedCallback(scene.loop, 4, lambda: scene.respond(GRANTED_OUTCOME))
     scene.loop.settle()
     assert [item.granted for item in scene.decisions] == [True]
 
--- a/tests/data_plane/test_request_keys.py
+++ b/tests/data_plane/test_request_keys.py
@@ -29,10 +29,10 @@
 
 
 def configuration(tenants: list[dict[str, object]], public: Collection[str] = ()) -> bytes:
-    made = json.loads(document(2, LIMITS))
-    for route in made["routes"]:
+    parsed = json.loads(document(2, LIMITS))
+    for route in parsed["routes"]:
         route["public"] = route["path_prefix"] in public
-    return json.dumps(made | {"tenants": tenants}).encode()
+    return json.dumps(parsed | {"tenants": tenants}).encode()
 
 
 def configure(
@@ -56,7 +56,7 @@
         yield plane
 
 
-def ask(plane: Plane, path: str = ONCE, attempt_id: str = "a1", **fields: str) -> TransportStandIn:
+def send_request(plane: Plane, path: str = ONCE, attempt_id: str = "a1", **fields: str) -> TransportStandIn:
     transport = plane.connect()
     transport.arrive(request_bytes(path, attempt_id, b"the question", **fields))
     plane.loop.settle()
@@ -73,7 +73,7 @@
 
 
 def test_worker_gets_the_tenant_name_and_never_the_key(keyed: Plane) -> None:
-    ask(keyed, Reedspoke_Key="k1", Reedspoke_Tenant_Name="forged")
+    send_request(keyed, Reedspoke_Key="k1", Reedspoke_Tenant_Name="forged")
     seen = head_at_worker(keyed)
     assert b"reedspoke-tenant-name: first\r\n" in seen
     assert b"forged" not in seen
@@ -83,25 +83,25 @@
 
 def test_without_tenants_the_key_is_removed_too(plane: Plane) -> None:
     plane.learn()
-    ask(plane, Reedspoke_Key="k1", Reedspoke_Tenant_Name="forged")
+    send_request(plane, Reedspoke_Key="k1", Reedspoke_Tenant_Name="forged")
     assert b"reedspoke-key" not in head_at_worker(plane)
     assert b"tenant" not in head_at_worker(plane)
 
 
 @pytest.mark.parametrize("fields", [{}, {"Reedspoke_Key": "wrong"}, {"Reedspoke_Key": "K1"}])
 def test_unknown_key_gets_401_and_nothing_is_forwarded(keyed: Plane, fields: dict[str, str]) -> None:
-    assert status_and_code(ask(keyed, **fields)) == (401, ErrorCode.UNKNOWN_KEY)
+    assert status_and_code(send_request(keyed, **fields)) == (401, ErrorCode.UNKNOWN_KEY)
     assert keyed.network.arrivals == []
 
 
 def test_unknown_key_in_doubt_gets_503(keyed: Plane) -> None:
     keyed.loop.run_for(3.0)
-    assert status_and_code(ask(keyed, Reedspoke_Key="new")) == (503, ErrorCode.KEY_IN_DOUBT)
+    assert status_and_code(send_request(keyed, Reedspoke_Key="new")) == (503, ErrorCode.KEY_IN_DOUBT)
 
 
 def test_public_route_needs_no_key(keyed: Plane) -> None:
     configure(keyed, TENANTS, 2, public=(ONCE,))
-    ask(keyed)
+    send_request(keyed)
     assert b"tenant" not in head_at_worker(keyed)
 
 
@@ -110,12 +110,12 @@
 )
 def test_known_key_is_accepted_until_the_revocation_limit(keyed: Plane, age_s: float, served: bool) -> None:
     keyed.loop.run_for(age_s)
-    client = ask(keyed, Reedspoke_Key="k1")
+    client = send_request(keyed, Reedspoke_Key="k1")
     assert bool(keyed.network.arrivals) is served
     if not served:
         assert status_and_code(client) == (503, ErrorCode.KEY_IN_DOUBT)
         confirm(keyed)
-        ask(keyed, Reedspoke_Key="k1")
+        send_request(keyed, Reedspoke_Key="k1")
         assert keyed.network.arrivals
 
 
@@ -130,21 +130,21 @@
 
 def test_revoked_key_is_not_accepted(keyed: Plane) -> None:
     configure(keyed, [{"name": "first", "api_keys": ["k2"]}], 2)
-    assert status_and_code(ask(keyed, Reedspoke_Key="k1")) == (401, ErrorCode.UNKNOWN_KEY)
-    ask(keyed, Reedspoke_Key="k2")
+    assert status_and_code(send_request(keyed, Reedspoke_Key="k1")) == (401, ErrorCode.UNKNOWN_KEY)
+    send_request(keyed, Reedspoke_Key="k2")
     assert b"tenant-name: first" in head_at_worker(keyed)
 
 
 def test_key_moved_to_another_tenant_is_used_for_that_tenant(keyed: Plane) -> None:
     configure(keyed, [{"name": "second", "api_keys": ["k1"]}], 2)
-    ask(keyed, Reedspoke_Key="k1")
+    send_request(keyed, Reedspoke_Key="k1")
     assert b"tenant-name: second" in head_at_worker(keyed)
 
 
 def wait_for_connection(plane: Plane) -> TransportStandIn:
     """A request whose connection to the worker is not established yet."""
     plane.network.plan.append("slow")
-    return ask(plane, Reedspoke_Key="k1")
+    return send_request(plane, Reedspoke_Key="k1")
 
 
 def revoke(plane: Plane) -> None:
@@ -168,7 +168,7 @@
 
 
 def test_broken_stream_is_not_resumed_with_a_revoked_key(keyed: Plane) -> None:
-    ask(keyed, RESUME, Reedspoke_Key="k1")
+    send_request(keyed, RESUME, Reedspoke_Key="k1")
     first = keyed.arrival()
     event = b"id: 1\ndata: x\n\n"
     first.worker.say(first.stream_head() + b"%x\r\n%b\r\n" % (len(event), event))
@@ -192,7 +192,7 @@
         self.requests.append(request)
         return "c1"
 
-    def answer(self, outcome: QuotaOutcome, retry_after_s: float = 0.0) -> None:
+    def respond(self, outcome: QuotaOutcome, retry_after_s: float = 0.0) -> None:
         self.plane._quota_client.handle_response(
             QuotaResponse(self.requests[-1].request_id, outcome, retry_after_s)
         )
@@ -206,7 +206,7 @@
 def test_no_quota_is_requested_for_a_tenant_without_limit(
     keyed: Plane, quota_service: FakeQuotaService
 ) -> None:
-    ask(keyed, Reedspoke_Key="k1")
+    send_request(keyed, Reedspoke_Key="k1")
     assert quota_service.requests == []
     assert keyed.network.arrivals
 
@@ -215,18 +215,18 @@
 def test_limited_request_is_forwarded_once_granted(
     keyed: Plane, quota_service: FakeQuotaService, fields: dict[str, str], units: float
 ) -> None:
-    ask(keyed, Reedspoke_Key="k3", **fields)
+    send_request(keyed, Reedspoke_Key="k3", **fields)
     assert keyed.network.arrivals == []
     assert keyed.plane.open_requests() == 1
     assert (quota_service.requests[0].tenant, quota_service.requests[0].units) == ("limited", units)
-    quota_service.answer(QuotaOutcome.GRANTED)
+    quota_service.respond(QuotaOutcome.GRANTED)
     keyed.loop.settle()
     assert b"tenant-name: limited" in head_at_worker(keyed)
 
 
 def test_spent_quota_gets_429(keyed: Plane, quota_service: FakeQuotaService) -> None:
-    client = ask(keyed, Reedspoke_Key="k3")
-    quota_service.answer(QuotaOutcome.SPENT, 0.4)
+    client = send_request(keyed, Reedspoke_Key="k3")
+    quota_service.respond(QuotaOutcome.SPENT, 0.4)
     response = answer(client)
     assert (response.status, response.get("retry-after")) == (429, "0.40")
     assert json.loads(response.body)["error"]["code"] == ErrorCode.QUOTA_SPENT
@@ -234,7 +234,7 @@
 
 
 def test_without_a_quota_response_it_gets_503_in_time(keyed: Plane, quota_service: FakeQuotaService) -> None:
-    client = ask(keyed, AGAIN, Reedspoke_Key="k3")
+    client = send_request(keyed, AGAIN, Reedspoke_Key="k3")
     keyed.loop.run_for(0.27)
     assert status_and_code(client) == (503, ErrorCode.QUOTA_UNAVAILABLE)
 
@@ -242,19 +242,19 @@
 def test_client_that_disconnects_before_the_grant_uses_no_units(
     keyed: Plane, quota_service: FakeQuotaService
 ) -> None:
-    ask(keyed, Reedspoke_Key="k3").abort()
+    send_request(keyed, Reedspoke_Key="k3").abort()
     keyed.loop.settle()
-    quota_service.answer(QuotaOutcome.GRANTED)
+    quota_service.respond(QuotaOutcome.GRANTED)
     keyed.loop.settle()
     assert keyed.network.arrivals == []
     assert keyed.plane.open_requests() == 0
-    ask(keyed, Reedspoke_Key="k3")  # the late grant is used for the next request
+    send_request(keyed, Reedspoke_Key="k3")  # the late grant is used for the next request
     assert len(quota_service.requests) == 1
     assert keyed.network.arrivals
 
 
 def test_shutdown_answers_waiting_requests(keyed: Plane, quota_service: FakeQuotaService) -> None:
-    client = ask(keyed, Reedspoke_Key="k3")
+    client = send_request(keyed, Reedspoke_Key="k3")
     keyed.plane._admission.abort_all()
     assert answer(client).status == 503
     assert keyed.plane.open_requests() == 0
@@ -264,11 +264,11 @@
     """Each invariant is violated when the check before it is disabled."""
     monkeypatch.setattr(keyed.plane._admission, "_max_key_age_s", None)
     keyed.loop.run_for(30.0)
-    ask(keyed, Reedspoke_Key="k1")
+    send_request(keyed, Reedspoke_Key="k1")
     assert monitor.violated[Invariant.KEY_IS_CERTAIN] == 1
     keyed.arrival().worker.say(keyed.arrival().whole())
     monitor.reset_violations()
     monkeypatch.setattr("reedspoke.data_plane.headers.WITHHELD", frozenset())
-    ask(keyed, Reedspoke_Key="k2")
+    send_request(keyed, Reedspoke_Key="k2")
     assert monitor.violated[Invariant.TENANT_IS_KEY_HOLDER] == 1
     monitor.reset_violations()
--- a/tests/data_plane/test_session_model.py
+++ b/tests/data_plane/test_session_model.py
@@ -30,16 +30,16 @@
 
 @pytest.fixture
 def models(monkeypatch: pytest.MonkeyPatch) -> Iterator[Models]:
-    made: list[FleetModel] = []
+    created: list[FleetModel] = []
 
-    def make(size: int = 5, seed: int = 1, calm_s: float = 3.0) -> FleetModel:
-        made.append(fresh_model(monkeypatch, size, seed))
-        if calm_s:
-            made[-1].run_for(calm_s)
-        return made[-1]
+    def make(size: int = 5, seed: int = 1, warm_up_s: float = 3.0) -> FleetModel:
+        created.append(fresh_model(monkeypatch, size, seed))
+        if warm_up_s:
+            created[-1].run_for(warm_up_s)
+        return created[-1]
 
     yield make
-    for model in made:
+    for model in created:
         model.close()
 
 
@@ -63,11 +63,11 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_never_in_doubt_without_failures(models: Models, seed: int) -> None:
     model = models(seed=seed)
-    dials = model.dials
+    connects = model.dials
     for _ in range(40):
         model.run_for(0.5)
         assert not model.in_doubt()
-    assert model.dials == dials
+    assert model.dials == connects
 
 
 @pytest.mark.parametrize("seed", SEEDS)
@@ -105,13 +105,13 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_one_session_leads_to_a_partitioned_node(models: Models, seed: int) -> None:
     model = models(seed=seed)
-    cut, _ = sorted(confirmed_nodes(model))
-    model.cut({cut})
+    partitioned, _ = sorted(confirmed_nodes(model))
+    model.cut({partitioned})
     model.commit()
     model.run_for(SOON_S)
     assert model.made.version(CONFIGURATION) == model.committed[-1][1]
     model.run_for(CONTACT_S + 0.5)
-    assert cut not in confirmed_nodes(model)
+    assert partitioned not in confirmed_nodes(model)
     assert len(confirmed_nodes(model)) == TARGET_SESSIONS
 
 
@@ -120,7 +120,7 @@
     models: Models, seed: int
 ) -> None:
     model = models(seed=seed)
-    held = model.made.version(CONFIGURATION)
+    initial_version = model.made.version(CONFIGURATION)
     model.cut({0, 1})
     model.reach({0, 1})
     model.commit()
@@ -128,7 +128,7 @@
     for _ in range(40):
         model.run_for(0.5)
         assert model.in_doubt()
-    assert model.made.version(CONFIGURATION) == held
+    assert model.made.version(CONFIGURATION) == initial_version
     model.reach(set(range(5)))
     assert run_until_not_in_doubt(model, APPLY_S) < APPLY_S
 
@@ -159,7 +159,7 @@
 def test_start_while_a_minority_of_the_seeds_is_partitioned(
     models: Models, lost: set[int], seed: int
 ) -> None:
-    model = models(seed=seed, calm_s=0.0)
+    model = models(seed=seed, warm_up_s=0.0)
     model.cut(lost)
     model.commit()
     model.run_for(CONTACT_S + 0.2)
@@ -172,7 +172,7 @@
 @pytest.mark.parametrize("reached", [0, 1, 2, 3, 4])
 def test_start_with_a_path_to_one_seed_only(models: Models, reached: int, seed: int) -> None:
     """Connections to the other seeds are slow to fail and must not delay the attempt to this one."""
-    model = models(seed=seed, calm_s=0.0)
+    model = models(seed=seed, warm_up_s=0.0)
     model.reach({reached})
     assert run_until_not_in_doubt(model, APPLY_S) <= 1.0
 
@@ -180,13 +180,13 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_changing_majorities(models: Models, seed: int) -> None:
     model = models(seed=seed)
-    dials, began = model.dials, model.loop.time()
+    connects, began = model.dials, model.loop.time()
     for turn in range(30):
         model.cut({turn % 5, (turn + 2) % 5})
         model.commit()
         model.run_for(0.7)
     passed = model.loop.time() - began
-    assert model.dials - dials <= CONNECT_BURST + passed * CONNECTS_PER_S
+    assert model.dials - connects <= CONNECT_BURST + passed * CONNECTS_PER_S
     model.cut(set())
     run_until_not_in_doubt(model, APPLY_S)
 
--- a/tests/data_plane/test_session_wire.py
+++ b/tests/data_plane/test_session_wire.py
@@ -149,18 +149,18 @@
 
 @pytest.fixture
 def models(monkeypatch: pytest.MonkeyPatch) -> Iterator[Callable[..., FleetModel]]:
-    made: list[FleetModel] = []
+    created: list[FleetModel] = []
 
-    def make(seed: int, size: int = 5, calm_s: float = 3.0) -> FleetModel:
+    def make(seed: int, size: int = 5, warm_up_s: float = 3.0) -> FleetModel:
         model = FleetModel(size, seed, WireControl)
         monkeypatch.setattr(control_session, "open_channel", model.open)
-        made.append(model)
-        if calm_s:
-            model.run_for(calm_s)
+        created.append(model)
+        if warm_up_s:
+            model.run_for(warm_up_s)
         return model
 
     yield make
-    for model in made:
+    for model in created:
         model.close()
         assert model.loop.errors == []
 
@@ -176,7 +176,7 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_without_failures_it_is_not_in_doubt_and_changes_arrive_at_once(models: Models, seed: int) -> None:
     model = models(seed)
-    dials = model.dials
+    connects = model.dials
     for _ in range(10):
         model.commit()
         model.run_for(SOON_S)
@@ -184,20 +184,20 @@
         assert not model.in_doubt()
         model.run_for(1)
     assert len(confirmed_nodes(model)) == TARGET_SESSIONS
-    assert model.dials == dials
+    assert model.dials == connects
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_both_sessions_lead_to_a_partitioned_minority(models: Models, seed: int) -> None:
     model = models(seed)
-    cut = confirmed_nodes(model)
-    model.cut(cut)
+    partitioned = confirmed_nodes(model)
+    model.cut(partitioned)
     model.commit()
     model.run_for(CONTACT_S + SOON_S)
     for _ in range(20):
         assert model.made.version(CONFIGURATION) == model.committed[-1][1]
         assert not model.in_doubt()
-        assert not confirmed_nodes(model) & cut
+        assert not confirmed_nodes(model) & partitioned
         model.commit()
         model.run_for(1)
     model.cut(set())
@@ -208,14 +208,14 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_no_node_has_a_majority_for_a_while(models: Models, seed: int) -> None:
     model = models(seed)
-    held = model.made.version(CONFIGURATION)
-    dials, began = model.dials, model.loop.time()
+    initial_version = model.made.version(CONFIGURATION)
+    connects, began = model.dials, model.loop.time()
     for control in model.controls:
         control.set_in_majority(False)
     model.run_for(20)
     assert model.in_doubt()
-    assert model.made.version(CONFIGURATION) == held
-    assert model.dials - dials <= CONNECT_BURST + (model.loop.time() - began) * CONNECTS_PER_S
+    assert model.made.version(CONFIGURATION) == initial_version
+    assert model.dials - connects <= CONNECT_BURST + (model.loop.time() - began) * CONNECTS_PER_S
     model.cut(set())
     model.commit()
     model.run_for(APPLY_S)
@@ -226,7 +226,7 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_start_while_no_node_has_a_majority(models: Models, seed: int) -> None:
     """It has no configuration for a while, then an unconfirmed one; the doubt ends after the partition."""
-    model = models(seed, calm_s=0.0)
+    model = models(seed, warm_up_s=0.0)
     for control in model.controls:
         control.learn(model.committed[-1][1])
         control.set_in_majority(False)
--- a/tests/data_plane/test_unconfirmed_sessions.py
+++ b/tests/data_plane/test_unconfirmed_sessions.py
@@ -408,7 +408,7 @@
 def test_suspended_process_is_in_doubt_until_the_next_response(control: FakeControlPlane) -> None:
     control.respond_for(2)
     assert not in_doubt(control)
-    answers = [
+    responses = [
         (
             channel,
             WatchResponse(channel.last_watch().request_id, channel.address, {}, wait_s=MAX_WATCH_WAIT_S),
@@ -417,8 +417,8 @@
     ]
     control.loop._virtual.now += 7.0  # the clock advances while the process is suspended
     assert in_doubt(control)
-    for channel, answer in answers:  # received during the suspension
-        channel._incoming.put_nowait(answer)
+    for channel, response in responses:  # received during the suspension
+        channel._incoming.put_nowait(response)
     control.loop.settle()
     assert in_doubt(control)
     control.respond_for(1)
