--- a/reedspoke/data_plane/watch_session.py
+++ b/reedspoke/data_plane/watch_session.py
@@ -63,7 +63,7 @@
     incarnation: str
     zone: str
     draining: bool
-    running: dict[str, tuple[int, int]]
+    running: dict[str, tuple[int, int]]  # requests and prompt tokens in flight, by worker instance id
     suspects: tuple[str, ...] = ()  # workers that recently failed requests of this node
 
 
@@ -99,9 +99,7 @@
         self._members_version: Version = NO_VERSION  # local to the control plane node of this session
         self._fetching: dict[str, Version] = {}
         self._last_fetch_at = 0.0
-        self._last_unconfirmed: UnconfirmedResponse | None = (
-            None  # None if the last response was a `WatchResponse`
-        )
+        self._last_unconfirmed: UnconfirmedResponse | None = None  # None after a `WatchResponse`
         self._was_confirmed: bool | None = None  # None before the first response
 
     async def run(self) -> None:
--- a/tests/data_plane/__init__.py
+++ b/tests/data_plane/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the data plane scheduler."""
+"""Tests of the data plane node."""
--- a/tests/data_plane/control_stand_in.py
+++ b/tests/data_plane/control_stand_in.py
@@ -24,7 +24,9 @@
 from tests.data_plane.virtual_loop import VirtualLoop
 
 IDLE_TIMEOUT_S = SessionTimeouts().idle_timeout_s
-RESPONSE_INTERVAL_S = 0.1  # between rounds of responses by `respond_for`
+# Between rounds of responses. A new session's first `WatchRequest` gets its response at once, as it has no
+# member list yet.
+RESPONSE_INTERVAL_S = 0.1
 NODE_STATE = NodeState("edge-1", "ab12", "za", False, {"i-1": (2, 30)})
 
 
