--- a/tests/data_plane/test_session_choice.py
+++ b/tests/data_plane/test_session_choice.py
@@ -184,9 +184,8 @@
         assert len(within) <= CONNECT_BURST + CONNECTS_PER_S
     assert world.max_sessions <= MAX_OPEN_SESSIONS
     if state is State.NO_MAJORITY:
-        assert len(world.sessions) >= min(
-            size, TARGET_SESSIONS
-        )  # they are kept: the first to regain a majority reports it
+        # Sessions without a majority are kept: the first node to regain one reports it on them.
+        assert len(world.sessions) >= min(size, TARGET_SESSIONS)
 
 
 @pytest.mark.parametrize("size", [3, 5, 7, 15])
--- a/tests/data_plane/test_unconfirmed_sessions.py
+++ b/tests/data_plane/test_unconfirmed_sessions.py
@@ -80,16 +80,16 @@
 
 def test_two_partitioned_nodes_are_replaced_by_members_listed_before(control: FakeControlPlane) -> None:
     one, two = control.channels
-    named = tuple(ControlMember(f"c{number}:1", f"z{number % 3}") for number in range(1, 6))
+    listed = tuple(ControlMember(f"c{number}:1", f"z{number % 3}") for number in range(1, 6))
     one.respond(members=(0, 1))
-    one.deliver(MemberList((0, 1), named, ()))
-    cut_off = {"c1:1", "c2:1", "c3:1"}
+    one.deliver(MemberList((0, 1), listed, ()))
+    partitioned = {"c1:1", "c2:1", "c3:1"}
     for _ in range(10):
         for channel in control.open_channels():
             if not isinstance(channel.sent[-1], WatchRequest):
                 continue
-            if channel.address in cut_off:
-                channel.respond_unconfirmed(named[0], named[1])
+            if channel.address in partitioned:
+                channel.respond_unconfirmed(listed[0], listed[1])
             else:
                 channel.respond()
         control.loop.run_for(0.03)
@@ -435,9 +435,8 @@
     max_watch_wait_s = settings.watch_timeout_s()
     timeouts = SessionTimeouts(max_watch_wait_s)
     assert max_watch_wait_s <= heartbeat_ms / 1000 / 3 + 1e-9
-    assert (
-        2 * max_watch_wait_s < MAX_AGE_FRACTION * apply_ms / 1000
-    )  # one missed response does not cause doubt
+    # One missed response does not cause doubt.
+    assert 2 * max_watch_wait_s < MAX_AGE_FRACTION * apply_ms / 1000
     assert max_watch_wait_s < timeouts.stale_after_s < timeouts.idle_timeout_s
     assert timeouts.idle_timeout_s > 0.8
 
@@ -457,6 +456,6 @@
         for channel in control.open_channels():
             channel.respond()
         control.loop.run_for(4.0)
-    live = control.open_channels()
+    open_after = control.open_channels()
     control.close()
-    assert live == open_before
+    assert open_after == open_before
--- a/tests/data_plane/test_watch_session.py
+++ b/tests/data_plane/test_watch_session.py
@@ -161,9 +161,9 @@
 
 def test_listed_members_are_connected_to(control: FakeControlPlane) -> None:
     one, two = control.channels
-    named = (ControlMember("c9:1", "za"), ControlMember("c8:1", "zb"))
+    listed = (ControlMember("c9:1", "za"), ControlMember("c8:1", "zb"))
     one.respond(members=(0, 1))
-    one.deliver(MemberList((0, 1), named, ()))
+    one.deliver(MemberList((0, 1), listed, ()))
     control.refusing = {"c1:1", "c2:1", "c3:1"}
     one.deliver(ConnectionResetError())
     two.deliver(ConnectionResetError())
@@ -173,17 +173,17 @@
 
 def test_sessions_are_in_different_zones_where_possible(control: FakeControlPlane) -> None:
     one, two = control.channels
-    named = tuple(
+    listed = tuple(
         ControlMember(f"c{number}:1", zone) for number, zone in enumerate(["zb", "za", "zb", "za", "zc"])
     )
     one.respond(members=(0, 1))
-    one.deliver(MemberList((0, 1), named, ()))
+    one.deliver(MemberList((0, 1), listed, ()))
     one.deliver(ConnectionResetError())
     control.loop.run_for(0.3)
     two.deliver(ConnectionResetError())
     control.loop.run_for(2)
     control.respond_for(4)
-    zones = {member.address: member.zone for member in named}
+    zones = {member.address: member.zone for member in listed}
     assert len({zones[channel.address] for channel in control.open_channels()}) == 2
 
 
