--- a/reedspoke/data_plane/forwarder.py
+++ b/reedspoke/data_plane/forwarder.py
@@ -8,11 +8,11 @@
 from reedspoke.common.configuration import Upstream as ConfiguredUpstream
 from reedspoke.common.messages import WorkerEntry as ListedWorker
 from reedspoke.common.messages import WorkerList
+from reedspoke.data_plane.authorization import Authorization
 from reedspoke.data_plane.client_connection import ClientConnection, ClientRequest
 from reedspoke.data_plane.exchange import Exchange
 from reedspoke.data_plane.forwarder_invariants import check_idle, check_released
 from reedspoke.data_plane.job_builder import build_job
-from reedspoke.data_plane.permit import Permit
 from reedspoke.data_plane.request_log import OnEnded
 from reedspoke.data_plane.request_trace import RequestTrace
 from reedspoke.data_plane.route_table import CompiledRoute
@@ -154,13 +154,13 @@
         route: CompiledRoute,
         upstream: str,
         trace: RequestTrace | None = None,
-        permit: Permit | None = None,
+        authorization: Authorization | None = None,
     ) -> Exchange:
         """Starts forwarding a request that has a route. `trace` is its trace so far."""
-        permit = Permit(request.first_byte_at) if permit is None else permit
+        authorization = Authorization(request.first_byte_at) if authorization is None else authorization
         self._next_job_id += 1
-        job = build_job(self._next_job_id, request.head, route, upstream, permit)
-        exchange = Exchange(self, self._loop, self._pool, request, client, route, job, trace, permit)
+        job = build_job(self._next_job_id, request.head, route, upstream, authorization)
+        exchange = Exchange(self, self._loop, self._pool, request, client, route, job, trace, authorization)
         exchange.trace.routed(job)
         self._exchanges[job.job_id] = exchange
         self._schedule_timeout_check()
--- a/reedspoke/data_plane/job_builder.py
+++ b/reedspoke/data_plane/job_builder.py
@@ -5,6 +5,7 @@
 import math
 import re
 
+from reedspoke.data_plane.authorization import Authorization
 from reedspoke.data_plane.headers import (
     DEADLINE_MS,
     MODEL_NAME,
@@ -13,7 +14,6 @@
     field_number,
     field_text,
 )
-from reedspoke.data_plane.permit import Permit
 from reedspoke.data_plane.route_table import CompiledRoute
 from reedspoke.decision.messages import Job, PromptPart, Repeat
 from reedspoke.net.http import Head
@@ -56,13 +56,15 @@
     """The timeout of the request in seconds: that of the client or of the route, whichever is shorter."""
     deadline_ms = field_number(head, DEADLINE_MS)
     if deadline_ms is None or not math.isfinite(deadline_ms):
-        return route.timeout
-    return min(route.timeout, max(0.0, deadline_ms / 1000))
+        return route.timeout_s
+    return min(route.timeout_s, max(0.0, deadline_ms / 1000))
 
 
-def build_job(job_id: int, head: Head, route: CompiledRoute, upstream: str, permit: Permit) -> Job:
+def build_job(
+    job_id: int, head: Head, route: CompiledRoute, upstream: str, authorization: Authorization
+) -> Job:
     """The job of a request, for the dispatcher."""
-    arrived = permit.arrived
+    arrived = authorization.arrived_at
     parts = parse_prompt_parts(field_text(head, PROMPT_PREFIX))
     tokens_in, tokens_out = parse_token_count(field_text(head, TOKEN_COUNT))
     return Job(
@@ -70,15 +72,15 @@
         route=route.name,
         upstream=upstream,
         priority=route.priority,
-        tenant=permit.tenant,
-        tenant_priority=permit.priority,
+        tenant=authorization.tenant,
+        tenant_priority=authorization.priority,
         repeat=repeat_of(route),
         streaming=route.streaming,
         model=field_text(head, MODEL_NAME),
         parts=parts,
         prompt_tokens=tokens_in or sum(part.tokens for part in parts),
         output_tokens=tokens_out,
-        latency_target_s=route.target,
+        latency_target_s=route.latency_target_s,
         deadline=arrived + request_timeout_s(head, route),
         max_attempts=route.max_attempts,
         arrived=arrived,
--- a/tests/common/test_early_signals.py
+++ b/tests/common/test_early_signals.py
@@ -68,7 +68,7 @@
         check=False,
     )
     assert ended.returncode == 0, ended.stderr[-500:]
-    assert f"{plane.split('_')[0]} plane ends".encode() in ended.stdout + ended.stderr
+    assert f"{plane.split('_')[0]} plane stopped".encode() in ended.stdout + ended.stderr
 
 
 def test_a_signal_after_the_end_does_not_end_the_process_by_itself() -> None:
--- a/tests/control_plane/test_processor_quota.py
+++ b/tests/control_plane/test_processor_quota.py
@@ -49,7 +49,7 @@
         self._scenario.simulation.at(now + CHECK_INTERVAL_S, self._check)
         for name, scheduler in self._scenario.fleet.data_plane.schedulers().items():
             self.checks += 1
-            if scheduler.confirmation.is_old(scheduler.loop.time()):
+            if scheduler.confirmation.is_expired(scheduler.loop.time()):
                 self.found.append((now, name))
 
 
--- a/tests/data_plane/conftest.py
+++ b/tests/data_plane/conftest.py
@@ -1,4 +1,4 @@
-"""A data plane without sockets for each test."""
+"""Fixtures: a data plane without sockets, and the real process, for each test."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @pytest.fixture
 def worlds() -> Iterator[Callable[..., World]]:
-    """Makes worlds that last until the test ends."""
+    """A factory of worlds that are closed when the test ends."""
     with ExitStack() as stack:
 
         def make(**settings: Any) -> World:
@@ -32,11 +32,11 @@
 
 @pytest.fixture
 def plane() -> Iterator[Plane]:
-    with fresh_plane() as made:
-        yield made
+    with fresh_plane() as plane:
+        yield plane
 
 
 @pytest.fixture
 def stage(tmp_path: Path) -> Iterator[Stage]:
-    with fresh_stage(tmp_path) as made:
-        yield made
+    with fresh_stage(tmp_path) as stage:
+        yield stage
--- a/tests/data_plane/test_doubt.py
+++ b/tests/data_plane/test_configuration_in_doubt.py
@@ -1,4 +1,4 @@
-"""What clients and the platform are told while it is not certain that the configuration is the newest."""
+"""Responses to clients and the platform while the configuration is in doubt."""
 
 from __future__ import annotations
 
@@ -6,22 +6,22 @@
 
 from reedspoke.common.errors import ErrorCode
 from reedspoke.common.messages import ConfigurationSnapshot
-from reedspoke.data_plane.confirmation import DOUBT_SHARE
+from reedspoke.data_plane.confirmation import MAX_AGE_FRACTION
 from tests.data_plane.plane import Plane, answer, settings
 from tests.data_plane.world import LIMITS, NON_IDEMPOTENT, document, request_bytes
 
 UNKNOWN = "/nowhere/"
-HELD = (1, 0)  # what `Plane.receive_state` sets
-DOUBT_S = DOUBT_SHARE * settings().bounds.apply_ms / 1000
+VERSION = (1, 0)  # of the configuration that `Plane.learn` applies
+MAX_AGE_S = MAX_AGE_FRACTION * settings().bounds.apply_ms / 1000
 
 
 def confirm(plane: Plane) -> None:
-    plane.plane._confirmation.told(HELD, plane.loop.time())
+    plane.plane._confirmation.record_report(VERSION, plane.loop.time())
 
 
-def test_without_a_route_a_request_is_refused_for_a_moment_only(plane: Plane) -> None:
+def test_request_without_a_route_gets_503_in_doubt(plane: Plane) -> None:
     plane.receive_state()
-    plane.loop.run_for(DOUBT_S + 0.01)
+    plane.loop.run_for(MAX_AGE_S + 0.01)
     refused = answer(plane.new_request(UNKNOWN))
     assert refused.status == 503
     assert 0 < float(refused.get("retry-after") or 0) <= 1
@@ -29,7 +29,7 @@
     assert plane.network.arrivals == []
 
 
-def test_it_is_final_again_when_a_majority_confirms_again(plane: Plane) -> None:
+def test_404_is_sent_again_after_a_new_confirmation(plane: Plane) -> None:
     plane.receive_state()
     assert answer(plane.new_request(UNKNOWN)).status == 404
     plane.loop.run_for(20)
@@ -38,7 +38,7 @@
     assert answer(plane.new_request(UNKNOWN)).status == 404
 
 
-def test_known_routes_are_served_all_the_time(plane: Plane) -> None:
+def test_known_routes_are_served_in_doubt(plane: Plane) -> None:
     plane.receive_state()
     plane.loop.run_for(20)
     client = plane.new_request(NON_IDEMPOTENT)
@@ -46,22 +46,22 @@
     assert answer(client).status == 200
 
 
-def test_a_newer_version_that_has_not_come_yet_is_doubt_enough(plane: Plane) -> None:
+def test_newer_version_not_received_yet_means_in_doubt(plane: Plane) -> None:
     plane.receive_state()
-    plane.plane._confirmation.told((1, 1), plane.loop.time())
+    plane.plane._confirmation.record_report((1, 1), plane.loop.time())
     assert answer(plane.new_request(UNKNOWN)).status == 503
-    plane.plane._subscription.take(ConfigurationSnapshot((1, 1), document(3, LIMITS)))
+    plane.plane._subscription.apply(ConfigurationSnapshot((1, 1), document(3, LIMITS)))
     assert answer(plane.new_request(UNKNOWN)).status == 404
 
 
-def test_a_ready_process_stays_ready_in_doubt(plane: Plane) -> None:
+def test_process_stays_ready_in_doubt(plane: Plane) -> None:
     plane.receive_state()
     plane.loop.run_for(60)
     assert plane.plane.is_ready()
 
 
-def test_a_process_that_was_stopped_refuses_for_a_moment_when_it_wakes(plane: Plane) -> None:
-    """The requests that came meanwhile are read before anything that control schedulers have sent."""
+def test_suspended_process_answers_503_when_it_resumes(plane: Plane) -> None:
+    """Requests received during the suspension are read before messages of control plane nodes."""
     plane.receive_state()
     client = plane.connect()
     plane.loop._virtual.now += 7.0
@@ -71,7 +71,7 @@
 
 
 @pytest.mark.parametrize("jump", [-3.0, 1e6])
-def test_steps_of_the_calendar_clock_are_of_no_account(
+def test_steps_of_the_wall_clock_have_no_effect(
     plane: Plane, jump: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     import time
@@ -82,10 +82,10 @@
     assert answer(plane.new_request(UNKNOWN)).status == 404
 
 
-def test_a_start_that_knows_only_what_nobody_confirms_is_ready_and_in_doubt(plane: Plane) -> None:
-    """As after `UNCONFIRMED_AFTER_S` without any majority."""
+def test_start_with_an_unconfirmed_configuration_is_ready_and_in_doubt(plane: Plane) -> None:
+    """The state after `UNCONFIRMED_FALLBACK_S` without any majority."""
     plane.receive_state()
-    plane.plane._confirmation._as_of = None  # nobody has ever confirmed it
+    plane.plane._confirmation._as_of = None  # it was never confirmed
     assert plane.plane.is_ready()
     assert answer(plane.new_request(UNKNOWN)).status == 503
     plane.new_request(NON_IDEMPOTENT)
--- a/tests/data_plane/test_job_builder.py
+++ b/tests/data_plane/test_job_builder.py
@@ -9,6 +9,7 @@
 from hypothesis import strategies as st
 
 from reedspoke.common.messages import WatchRequest, encode
+from reedspoke.data_plane.authorization import Authorization
 from reedspoke.data_plane.job_builder import (
     build_job,
     parse_prompt_parts,
@@ -16,8 +17,7 @@
     repeat_of,
     request_timeout_s,
 )
-from reedspoke.data_plane.permit import Permit
-from reedspoke.data_plane.route_table import CompiledRoute, Target
+from reedspoke.data_plane.route_table import CompiledRoute, SplitTarget
 from reedspoke.decision.messages import Job, PromptPart, Repeat
 from tests.data_plane.test_headers import request
 
@@ -30,22 +30,22 @@
 def route(**changes: object) -> CompiledRoute:
     fields: dict[str, object] = {
         "name": "r1",
-        "prefix": "/",
+        "path_prefix": "/",
         "streaming": False,
         "repeatable": False,
         "resumable": False,
-        "timeout": 3.0,
-        "target": 0.5,
+        "timeout_s": 3.0,
+        "latency_target_s": 0.5,
         "priority": 1,
         "max_attempts": 2,
         "session_affinity": False,
-        "targets": (Target("u1", 1.0),),
+        "split_targets": (SplitTarget("u1", 1.0),),
     }
     return CompiledRoute(**(fields | changes))  # type: ignore[arg-type]
 
 
 def job_of(*fields: bytes) -> Job:
-    return build_job(7, request(*fields), route(), "u1", Permit(100.0))
+    return build_job(7, request(*fields), route(), "u1", Authorization(100.0))
 
 
 def test_a_job_contains_the_fields_of_the_request() -> None:
--- a/tests/data_plane/test_session_wire.py
+++ b/tests/data_plane/test_session_wire.py
@@ -1,6 +1,7 @@
-"""The sessions of both programs speak with each other, in virtual time: `EdgeSessions` and `ControlSessions`.
+"""The sessions of both programs connected in virtual time: `EdgeSessions` and `ControlSessions`.
 
-Only the agreement among control schedulers is a model (`fleet_model`); messages go encoded, as on the wire.
+Only the replication among control plane nodes is a model (`fleet_model`); messages are encoded as on the
+wire.
 """
 
 from __future__ import annotations
@@ -30,8 +31,8 @@
 from reedspoke.control_plane.replication.entry import CommittedConfiguration
 from reedspoke.control_plane.workers.worker_list import WorkerListState
 from reedspoke.data_plane import control_session
-from reedspoke.data_plane.session_choice import DIAL_BURST, DIALS_PER_S, SESSIONS
-from reedspoke.data_plane.subscription import UNCONFIRMED_AFTER_S
+from reedspoke.data_plane.session_choice import CONNECT_BURST, CONNECTS_PER_S, TARGET_SESSIONS
+from reedspoke.data_plane.subscription import UNCONFIRMED_FALLBACK_S
 from tests.data_plane.fleet_model import (
     APPLY_S,
     CONTACT_S,
@@ -57,7 +58,7 @@
         self._incoming: asyncio.Queue[bytes | Exception] = asyncio.Queue()
         self._far_end = cast(Channel, FarEnd(self))
 
-    # ---- the end of the data plane ----
+    # ---- data plane end ----
 
     def send(self, message: Struct) -> None:
         if isinstance(message, FetchRequest):
@@ -76,7 +77,7 @@
     def close(self) -> None:
         self._model.loop.call_later(LATENCY_S, self._control.sessions.connection_closed, self._far_end)
 
-    # ---- the end of the control plane ----
+    # ---- control plane end ----
 
     def arrive(self, frame: bytes | Exception) -> None:
         self._later(self._incoming.put_nowait, frame)
@@ -87,7 +88,7 @@
 
 
 class FarEnd:
-    """The end of the control scheduler."""
+    """The control plane's end of a connection."""
 
     def __init__(self, wire: Wire) -> None:
         self._wire = wire
@@ -107,7 +108,7 @@
 
 
 class WireControl(ModelControl):
-    """A control scheduler whose sessions are the program's own."""
+    """A model control plane node with the `EdgeSessions` of the program."""
 
     def __init__(self, model: FleetModel, address: str, zone: str) -> None:
         super().__init__(model, address, zone)
@@ -148,18 +149,18 @@
 
 @pytest.fixture
 def models(monkeypatch: pytest.MonkeyPatch) -> Iterator[Callable[..., FleetModel]]:
-    made: list[FleetModel] = []
+    created: list[FleetModel] = []
 
-    def make(seed: int, size: int = 5, calm_s: float = 3.0) -> FleetModel:
+    def make(seed: int, size: int = 5, warm_up_s: float = 3.0) -> FleetModel:
         model = FleetModel(size, seed, WireControl)
         monkeypatch.setattr(control_session, "open_channel", model.open)
-        made.append(model)
-        if calm_s:
-            model.run_for(calm_s)
+        created.append(model)
+        if warm_up_s:
+            model.run_for(warm_up_s)
         return model
 
     yield make
-    for model in made:
+    for model in created:
         model.close()
         assert model.loop.errors == []
 
@@ -167,54 +168,54 @@
 Models = Callable[..., FleetModel]
 
 
-def followed(model: FleetModel) -> set[int]:
-    sound = model.sessions._choice.sound(model.loop.time())
-    return {number for number, control in enumerate(model.controls) if control.member.address in sound}
+def confirmed_nodes(model: FleetModel) -> set[int]:
+    confirmed = model.sessions._choice.confirmed_addresses(model.loop.time())
+    return {number for number, control in enumerate(model.controls) if control.member.address in confirmed}
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_in_calm_times_there_is_no_doubt_and_changes_come_at_once(models: Models, seed: int) -> None:
+def test_without_failures_it_is_not_in_doubt_and_changes_arrive_at_once(models: Models, seed: int) -> None:
     model = models(seed)
-    dials = model.connect_count
+    connects = model.connect_count
     for _ in range(10):
         model.commit()
         model.run_for(SOON_S)
         assert model.subscription.version(CONFIGURATION) == model.committed[-1][1]
         assert not model.in_doubt()
         model.run_for(1)
-    assert len(followed(model)) == SESSIONS
-    assert model.connect_count == dials
+    assert len(confirmed_nodes(model)) == TARGET_SESSIONS
+    assert model.connect_count == connects
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_both_sessions_lead_to_a_minority_that_is_cut_off(models: Models, seed: int) -> None:
+def test_both_sessions_lead_to_a_partitioned_minority(models: Models, seed: int) -> None:
     model = models(seed)
-    cut = followed(model)
-    model.partition(cut)
+    partitioned = confirmed_nodes(model)
+    model.partition(partitioned)
     model.commit()
     model.run_for(CONTACT_S + SOON_S)
     for _ in range(20):
         assert model.subscription.version(CONFIGURATION) == model.committed[-1][1]
         assert not model.in_doubt()
-        assert not followed(model) & cut
+        assert not confirmed_nodes(model) & partitioned
         model.commit()
         model.run_for(1)
     model.partition(set())
     model.run_for(3)
-    assert len(followed(model)) == SESSIONS
+    assert len(confirmed_nodes(model)) == TARGET_SESSIONS
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_nobody_has_a_majority_for_a_while(models: Models, seed: int) -> None:
+def test_no_node_has_a_majority_for_a_while(models: Models, seed: int) -> None:
     model = models(seed)
-    held = model.subscription.version(CONFIGURATION)
-    dials, began = model.connect_count, model.loop.time()
+    initial_version = model.subscription.version(CONFIGURATION)
+    connects, began = model.connect_count, model.loop.time()
     for control in model.controls:
         control.set_in_majority(False)
     model.run_for(20)
     assert model.in_doubt()
-    assert model.subscription.version(CONFIGURATION) == held
-    assert model.connect_count - dials <= DIAL_BURST + (model.loop.time() - began) * DIALS_PER_S
+    assert model.subscription.version(CONFIGURATION) == initial_version
+    assert model.connect_count - connects <= CONNECT_BURST + (model.loop.time() - began) * CONNECTS_PER_S
     model.partition(set())
     model.commit()
     model.run_for(APPLY_S)
@@ -223,14 +224,14 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_a_start_while_nobody_has_a_majority(models: Models, seed: int) -> None:
-    """It holds nothing for a while, then what there is, in doubt; and is without doubt soon after the cut."""
-    model = models(seed, calm_s=0.0)
+def test_start_while_no_node_has_a_majority(models: Models, seed: int) -> None:
+    """It has no configuration for a while, then an unconfirmed one; the doubt ends after the partition."""
+    model = models(seed, warm_up_s=0.0)
     for control in model.controls:
         control.set_version(model.committed[-1][1])
         control.set_in_majority(False)
         control._as_of -= 2 * CONTACT_S
-    model.run_for(UNCONFIRMED_AFTER_S - 0.2)
+    model.run_for(UNCONFIRMED_FALLBACK_S - 0.2)
     assert model.delivered.configurations == []
     model.run_for(1)
     assert model.subscription.version(CONFIGURATION) == (1, 1)
@@ -241,7 +242,7 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_it_comes_and_goes(models: Models, seed: int) -> None:
+def test_changing_majorities_and_suspensions(models: Models, seed: int) -> None:
     model = models(seed)
     for turn in range(40):
         model.partition({turn % 5, (turn + 1 + seed) % 5})
--- a/tests/data_plane/test_subscription.py
+++ b/tests/data_plane/test_subscription.py
@@ -1,4 +1,4 @@
-"""What sessions bring is taken only where it is newer."""
+"""`Subscription` applies only state that is newer than the state in force."""
 
 from __future__ import annotations
 
@@ -25,36 +25,36 @@
     WorkerList,
 )
 from reedspoke.data_plane.confirmation import Confirmation
-from reedspoke.data_plane.subscription import FETCH_S, Listener, Subscription
+from reedspoke.data_plane.subscription import FETCH_TIMEOUT_S, StateListener, Subscription
 from tests.data_plane.virtual_loop import STARTED_AT
 
-Running = dict[str, tuple[int, int]]
+Load = dict[str, tuple[int, int]]
 
 
-class Heard(Struct):
-    """All that a listener was told."""
+class ReceivedUpdates(Struct):
+    """All updates that a `StateListener` received."""
 
     configurations: list[tuple[int, Version]] = field(default_factory=list)
     workers: list[Version] = field(default_factory=list)
     members: list[Version] = field(default_factory=list)
-    running: list[Running] = field(default_factory=list)
+    peer_load: list[Load] = field(default_factory=list)
     suspects: list[dict[str, int]] = field(default_factory=list)
 
 
-def subscription(apply_s: float = 2.0) -> tuple[Subscription, Heard]:
-    heard = Heard()
+def make_subscription(apply_s: float = 2.0) -> tuple[Subscription, ReceivedUpdates]:
+    updates = ReceivedUpdates()
 
     def on_configuration(configuration: Configuration, version: Version) -> None:
-        heard.configurations.append((configuration.generation, version))
+        updates.configurations.append((configuration.generation, version))
 
-    listener = Listener(
+    listener = StateListener(
         on_configuration=on_configuration,
-        on_workers=lambda workers: heard.workers.append(workers.version),
-        on_members=lambda members: heard.members.append(members.version),
-        on_running=heard.running.append,
-        on_suspects=heard.suspects.append,
+        on_workers=lambda workers: updates.workers.append(workers.version),
+        on_members=lambda members: updates.members.append(members.version),
+        on_peer_load=updates.peer_load.append,
+        on_peer_suspects=updates.suspects.append,
     )
-    return Subscription(listener, Confirmation(apply_s, started=STARTED_AT)), heard
+    return Subscription(listener, Confirmation(apply_s, started=STARTED_AT)), updates
 
 
 def document(generation: int) -> bytes:
@@ -88,74 +88,74 @@
 
 
 def test_newer_state_replaces_older() -> None:
-    made, heard = subscription()
-    assert made.take(snapshot(3))
-    assert made.take(snapshot(5))
-    assert heard.configurations == [(3, (3, 0)), (5, (5, 0))]
-    assert made.version(CONFIGURATION) == (5, 0)
+    subscription, updates = make_subscription()
+    assert subscription.apply(snapshot(3))
+    assert subscription.apply(snapshot(5))
+    assert updates.configurations == [(3, (3, 0)), (5, (5, 0))]
+    assert subscription.version(CONFIGURATION) == (5, 0)
 
 
 @pytest.mark.parametrize("sequence", [1, 4, 5])
-def test_a_configuration_that_is_not_newer_is_not_taken(sequence: int) -> None:
-    made, heard = subscription()
-    made.take(snapshot(5))
-    assert not made.take(snapshot(sequence))
-    assert heard.configurations == [(5, (5, 0))]
-    assert made.state.configuration is not None
-    assert made.state.configuration.generation == 5
+def test_configuration_that_is_not_newer_is_not_applied(sequence: int) -> None:
+    subscription, updates = make_subscription()
+    subscription.apply(snapshot(5))
+    assert not subscription.apply(snapshot(sequence))
+    assert updates.configurations == [(5, (5, 0))]
+    assert subscription.state.configuration is not None
+    assert subscription.state.configuration.generation == 5
 
 
 @pytest.mark.parametrize("version", [(1, 9), (2, 6), (2, 7)])
-def test_a_list_of_workers_that_is_not_newer_is_not_taken(version: Version) -> None:
-    made, heard = subscription()
-    made.take(workers(2, 7))
-    assert not made.take(workers(*version))
-    assert heard.workers == [(2, 7)]
+def test_worker_list_that_is_not_newer_is_not_applied(version: Version) -> None:
+    subscription, updates = make_subscription()
+    subscription.apply(workers(2, 7))
+    assert not subscription.apply(workers(*version))
+    assert updates.workers == [(2, 7)]
 
 
-def test_a_later_term_goes_before_a_higher_count() -> None:
-    made, heard = subscription()
-    made.take(workers(2, 90))
-    assert made.take(workers(3, 1))
-    assert heard.workers == [(2, 90), (3, 1)]
+def test_later_term_is_newer_than_a_higher_count() -> None:
+    subscription, updates = make_subscription()
+    subscription.apply(workers(2, 90))
+    assert subscription.apply(workers(3, 1))
+    assert updates.workers == [(2, 90), (3, 1)]
 
 
-def test_a_difference_is_applied_to_its_base() -> None:
-    made, _ = subscription()
-    made.take(snapshot(3))
-    assert made.take(delta(3, 6))
-    assert made.state.configuration == parse_configuration(document(6))
-    assert made.version(CONFIGURATION) == (6, 0)
+def test_delta_is_applied_to_its_base() -> None:
+    subscription, _ = make_subscription()
+    subscription.apply(snapshot(3))
+    assert subscription.apply(delta(3, 6))
+    assert subscription.state.configuration == parse_configuration(document(6))
+    assert subscription.version(CONFIGURATION) == (6, 0)
 
 
 @pytest.mark.parametrize("base", [2, 4, 6])
-def test_a_difference_from_another_base_is_not_taken(base: int) -> None:
-    made, heard = subscription()
-    made.take(snapshot(3))
-    assert not made.take(delta(base, 8))
-    assert heard.configurations == [(3, (3, 0))]
+def test_delta_from_another_base_is_not_applied(base: int) -> None:
+    subscription, updates = make_subscription()
+    subscription.apply(snapshot(3))
+    assert not subscription.apply(delta(base, 8))
+    assert updates.configurations == [(3, (3, 0))]
 
 
-def test_a_difference_is_not_taken_where_nothing_is_held() -> None:
-    made, heard = subscription()
-    assert not made.take(delta(3, 4))
-    assert heard.configurations == []
+def test_delta_is_not_applied_without_a_configuration() -> None:
+    subscription, updates = make_subscription()
+    assert not subscription.apply(delta(3, 4))
+    assert updates.configurations == []
 
 
-def test_a_difference_that_leads_back_is_not_taken() -> None:
-    made, heard = subscription()
-    made.take(snapshot(5))
-    assert not made.take(delta(5, 2))
-    assert heard.configurations == [(5, (5, 0))]
+def test_delta_to_an_older_version_is_not_applied() -> None:
+    subscription, updates = make_subscription()
+    subscription.apply(snapshot(5))
+    assert not subscription.apply(delta(5, 2))
+    assert updates.configurations == [(5, (5, 0))]
 
 
-def test_a_document_that_is_invalid_changes_nothing() -> None:
-    made, heard = subscription()
-    made.take(snapshot(3))
+def test_invalid_document_changes_nothing() -> None:
+    subscription, updates = make_subscription()
+    subscription.apply(snapshot(3))
     with pytest.raises(FleetError):
-        made.take(ConfigurationSnapshot((9, 0), b"{"))
-    assert made.version(CONFIGURATION) == (3, 0)
-    assert heard.configurations == [(3, (3, 0))]
+        subscription.apply(ConfigurationSnapshot((9, 0), b"{"))
+    assert subscription.version(CONFIGURATION) == (3, 0)
+    assert updates.configurations == [(3, (3, 0))]
 
 
 @settings(max_examples=80, deadline=None)
@@ -164,67 +164,69 @@
     st.tuples(st.integers(1, 9), st.integers(1, 9)).map(lambda pair: delta(*pair)),
     st.tuples(st.integers(0, 3), st.integers(0, 3)).map(lambda pair: workers(*pair)),
 ), max_size=12))  # fmt: skip
-def test_versions_only_rise_whatever_comes(
+def test_versions_only_rise_for_any_messages(
     messages: list[ConfigurationSnapshot | ConfigurationDelta | WorkerList],
 ) -> None:
-    made, heard = subscription()
+    subscription, updates = make_subscription()
     for message in messages:
-        made.take(message)
-    configurations = [version for _, version in heard.configurations]
+        subscription.apply(message)
+    configurations = [version for _, version in updates.configurations]
     assert configurations == sorted(set(configurations))
-    assert heard.workers == sorted(set(heard.workers))
-    for generation, version in heard.configurations:
+    assert updates.workers == sorted(set(updates.workers))
+    for generation, version in updates.configurations:
         assert version == (generation, 0)
-    if heard.configurations:
-        assert made.state.configuration == parse_configuration(document(heard.configurations[-1][0]))
+    if updates.configurations:
+        assert subscription.state.configuration == parse_configuration(
+            document(updates.configurations[-1][0])
+        )
 
 
-def test_members_and_loads_are_passed_on_as_they_come() -> None:
-    made, heard = subscription()
-    made.take(MemberList((0, 7), (), ()))
-    made.take(MemberList((0, 2), (), ()))
-    made.take(WatchResponse(1, "core-1", {}, {"i-1": (1, 20)}, suspects={"i-2": 3}))
-    assert heard.suspects == [{"i-2": 3}]
-    assert heard.members == [(0, 7), (0, 2)]
-    assert heard.running == [{"i-1": (1, 20)}]
+def test_members_and_load_are_passed_on_as_received() -> None:
+    subscription, updates = make_subscription()
+    subscription.apply(MemberList((0, 7), (), ()))
+    subscription.apply(MemberList((0, 2), (), ()))
+    subscription.apply(WatchResponse(1, "core-1", {}, {"i-1": (1, 20)}, suspects={"i-2": 3}))
+    assert updates.suspects == [{"i-2": 3}]
+    assert updates.members == [(0, 7), (0, 2)]
+    assert updates.peer_load == [{"i-1": (1, 20)}]
 
 
-# ---- what to ask for ----
+# ---- what to fetch ----
 
 
-def test_what_the_other_side_has_newer_is_lacking() -> None:
-    made, _ = subscription()
-    made.take(snapshot(3))
+def test_sources_with_newer_versions_are_to_be_fetched() -> None:
+    subscription, _ = make_subscription()
+    subscription.apply(snapshot(3))
     offered = {CONFIGURATION: (4, 0), WORKERS: (0, 1), "members": (0, 9)}
-    assert made.lacks(offered, 0.0) == [CONFIGURATION, WORKERS]
-    assert made.lacks({CONFIGURATION: (3, 0), WORKERS: NO_VERSION}, 0.0) == []
-    assert made.lacks({}, 0.0) == []
+    assert subscription.sources_to_fetch(offered, 0.0) == [CONFIGURATION, WORKERS]
+    assert subscription.sources_to_fetch({CONFIGURATION: (3, 0), WORKERS: NO_VERSION}, 0.0) == []
+    assert subscription.sources_to_fetch({}, 0.0) == []
 
 
-def test_what_some_session_has_asked_for_is_not_asked_for_again() -> None:
-    made, _ = subscription()
-    made.begin_fetch(CONFIGURATION, (4, 0), 10.0)
-    assert made.lacks({CONFIGURATION: (4, 0)}, 10.1) == []
-    assert made.expected_version(CONFIGURATION, 10.1) == (4, 0)
-    assert made.version(CONFIGURATION) == NO_VERSION
+def test_version_being_fetched_is_not_fetched_again() -> None:
+    subscription, _ = make_subscription()
+    subscription.begin_fetch(CONFIGURATION, (4, 0), 10.0)
+    assert subscription.sources_to_fetch({CONFIGURATION: (4, 0)}, 10.1) == []
+    assert subscription.expected_version(CONFIGURATION, 10.1) == (4, 0)
+    assert subscription.version(CONFIGURATION) == NO_VERSION
 
 
-def test_something_newer_than_what_was_asked_for_is_lacking() -> None:
-    made, _ = subscription()
-    made.begin_fetch(CONFIGURATION, (4, 0), 10.0)
-    assert made.lacks({CONFIGURATION: (5, 0)}, 10.1) == [CONFIGURATION]
+def test_version_newer_than_the_one_being_fetched_is_to_be_fetched() -> None:
+    subscription, _ = make_subscription()
+    subscription.begin_fetch(CONFIGURATION, (4, 0), 10.0)
+    assert subscription.sources_to_fetch({CONFIGURATION: (5, 0)}, 10.1) == [CONFIGURATION]
 
 
-def test_a_fetch_that_is_not_answered_is_begun_anew() -> None:
-    made, _ = subscription()
-    made.begin_fetch(CONFIGURATION, (4, 0), 10.0)
-    late = 10.0 + FETCH_S + 0.01
-    assert made.lacks({CONFIGURATION: (4, 0)}, late) == [CONFIGURATION]
-    assert made.expected_version(CONFIGURATION, late) == NO_VERSION
+def test_fetch_without_a_response_is_repeated() -> None:
+    subscription, _ = make_subscription()
+    subscription.begin_fetch(CONFIGURATION, (4, 0), 10.0)
+    late = 10.0 + FETCH_TIMEOUT_S + 0.01
+    assert subscription.sources_to_fetch({CONFIGURATION: (4, 0)}, late) == [CONFIGURATION]
+    assert subscription.expected_version(CONFIGURATION, late) == NO_VERSION
 
 
-def test_a_fetch_never_hides_what_is_held() -> None:
-    made, _ = subscription()
-    made.begin_fetch(CONFIGURATION, (4, 0), 10.0)
-    made.take(snapshot(6))
-    assert made.expected_version(CONFIGURATION, 10.1) == (6, 0)
+def test_fetch_never_hides_the_version_in_force() -> None:
+    subscription, _ = make_subscription()
+    subscription.begin_fetch(CONFIGURATION, (4, 0), 10.0)
+    subscription.apply(snapshot(6))
+    assert subscription.expected_version(CONFIGURATION, 10.1) == (6, 0)
--- a/tests/data_plane/world.py
+++ b/tests/data_plane/world.py
@@ -18,7 +18,7 @@
 from reedspoke.data_plane.client_connection import ClientConnection, ClientRequest, RequestHandler
 from reedspoke.data_plane.forwarder import Forwarder
 from reedspoke.data_plane.headers import ATTEMPT_ID, field_text
-from reedspoke.data_plane.request_entry import NoExchange
+from reedspoke.data_plane.request_admission import NullExchange
 from reedspoke.data_plane.route_table import RouteTable
 from reedspoke.data_plane.upstream_pool import UpstreamPool
 from reedspoke.decision.dispatcher import Dispatcher, RetryBudgetRule
@@ -208,7 +208,7 @@
         route = self.routes.find(field_text(request.head, b"host"), target)
         if route is None:
             connection.send_answer(error_answer(404, ErrorCode.NO_ROUTE, "no route"))
-            return NoExchange()
+            return NullExchange()
         upstream = route.upstream_for(request.head.get(ATTEMPT_ID) or b"")
         return self.forwarder.forward(request, connection, route, upstream)
 
