--- a/reedspoke/control_plane/storage/log_opening.py
+++ b/reedspoke/control_plane/storage/log_opening.py
@@ -89,7 +89,9 @@
 def _open_or_create(directory: Path, name: str) -> OpenedLog:
     os.makedirs(directory, exist_ok=True)
     follows_corrupt_log = os.path.exists(directory / (name + CORRUPT_SUFFIX))
-    slots = [slot for one in slot_names(name) if (slot := _read_slot(directory / one)) is not None]
+    slots = [
+        slot for slot_name in slot_names(name) if (slot := _read_slot(directory / slot_name)) is not None
+    ]
     if not slots:
         slots = _old_temporary(directory, name)
     if not slots:
--- a/reedspoke/control_plane/tallies/replica.py
+++ b/reedspoke/control_plane/tallies/replica.py
@@ -74,8 +74,8 @@
         self._acknowledgements = Acknowledgements(settings.copies, self._state, self._contacts)
         self._effects: list[Effect] = []
         self._ticked_at = now
-        self._digests_at = now
-        self._audit_at = now
+        self._next_digests_at = now
+        self._next_audit_at = now
         self._log_bytes = sum(map(len, records))
         self._rewritten_bytes = 0
 
@@ -315,16 +315,16 @@
         self._catch_up.check_caught_up(self._contacts, self._state.log.vector, now)
         self._recover()
         self._complete_calls(now)
-        if now >= self._digests_at:
-            self._digests_at = now + DIGEST_INTERVAL_S
+        if now >= self._next_digests_at:
+            self._next_digests_at = now + DIGEST_INTERVAL_S
             self._drop_replicated_entries(peers)
             for address in self._contacts.addresses:
                 self._send_digest(now, address)
         else:
             for address in self._contacts.unreachable_addresses(now):
                 self._send_digest(now, address)  # so that the end of a partition is noticed soon
-        if now >= self._audit_at:
-            self._audit_at = now + AUDIT_INTERVAL_S
+        if now >= self._next_audit_at:
+            self._next_audit_at = now + AUDIT_INTERVAL_S
             self._audit()
         self._pull_when_due(now)
 
--- a/reedspoke/decision/dispatcher.py
+++ b/reedspoke/decision/dispatcher.py
@@ -152,10 +152,10 @@
         """The number of jobs that are queued or have an attempt in flight."""
         return len(self._service_of)
 
-    def accounts(self, upstream: str) -> list[JobClass]:
+    def job_classes(self, upstream: str) -> list[JobClass]:
         """The job classes of a service's fair queue, for inspection."""
         service = self._services.get(upstream)
-        return service.accounts() if service is not None else []
+        return service.job_classes() if service is not None else []
 
     def own_load(self) -> dict[str, Load]:
         """The load of this scheduler's requests on workers, to send to the other schedulers."""
--- a/reedspoke/decision/fair_queue.py
+++ b/reedspoke/decision/fair_queue.py
@@ -21,7 +21,7 @@
 
     phi: float
     start: float
-    out: int  # Attempts in flight.
+    out: int  # The number of attempts in flight.
     largest: dict[str, float]  # L_max for each job key.
 
     @property
@@ -58,31 +58,31 @@
 
     def __init__(self, window: float) -> None:
         self._window = window  # Time over which the rate of finished work is averaged.
-        self._finished = 0.0
-        self._at = 0.0
+        self._finished_work = 0.0
+        self._advanced_at = 0.0
         self.value = 0.0
 
     def advance(self, now: float, active_share: float) -> float:
         """Advance v to `now`; clients with this total share were active since the last call."""
-        elapsed = max(0.0, now - self._at)
-        self._at = max(now, self._at)
+        elapsed = max(0.0, now - self._advanced_at)
+        self._advanced_at = max(now, self._advanced_at)
         if active_share > 0:
-            self.value += elapsed * self._finished / self._window / active_share
-        self._finished *= max(0.0, 1 - elapsed / self._window)
+            self.value += elapsed * self._finished_work / self._window / active_share
+        self._finished_work *= max(0.0, 1 - elapsed / self._window)
         return self.value
 
     def add(self, cost: float) -> None:
         """Add finished work."""
-        self._finished += cost
+        self._finished_work += cost
 
 
 class FairQueue:
     """Selects the client to serve next and charges clients for their attempts."""
 
-    def __init__(self, clock_window: float, refresh: float) -> None:
+    def __init__(self, clock_window: float, charge_interval: float) -> None:
         self._clock = VirtualClock(clock_window)
-        self._refresh = refresh  # Time between charges of running jobs.
-        self._refreshed = 0.0
+        self._charge_interval = charge_interval  # Time between charges of running jobs.
+        self._charged_at = 0.0
 
     def advance_clock(self, now: float, clients: Iterable[FairClient]) -> float:
         """Advance v to `now` and return it. Call it before a client becomes active or idle."""
@@ -125,9 +125,9 @@
 
     def charge_due(self, now: float) -> bool:
         """Whether running jobs must be charged now; true once in each interval."""
-        if now - self._refreshed < self._refresh:
+        if now - self._charged_at < self._charge_interval:
             return False
-        self._refreshed = now
+        self._charged_at = now
         return True
 
     def charge_running(self, client: FairClient, charge: Charge, cost: float) -> None:
--- a/reedspoke/decision/service.py
+++ b/reedspoke/decision/service.py
@@ -393,7 +393,7 @@
             reserved=self.budget.reserved,
         )
 
-    def accounts(self) -> list[JobClass]:
+    def job_classes(self) -> list[JobClass]:
         """The job classes, which are the clients of the fair queue."""
         return list(self._classes.values())
 
--- a/reedspoke/decision/worker_state.py
+++ b/reedspoke/decision/worker_state.py
@@ -157,11 +157,11 @@
         """Reset the failure count, as data arrived from the worker."""
         self.consecutive_failures = 0
 
-    def record_attempt_end(self, outcome: Outcome, cause: Cause, sent: float, now: float) -> None:
+    def record_attempt_end(self, outcome: Outcome, cause: Cause, sent_at: float, now: float) -> None:
         """Update cap, backoff, health and suspicion with the end of an attempt."""
         self.suspicion.record_attempt_end(outcome, cause, now)
         if cause is Cause.FULL:
-            self._record_full(sent, now)
+            self._record_full(sent_at, now)
         elif cause is Cause.WRONG_INSTANCE:
             self.replaced = True
         elif cause in (Cause.CONNECT_FAILED, Cause.TIMED_OUT):
@@ -183,15 +183,15 @@
             backoff_s = min(MAX_BACKOFF_S, INITIAL_BACKOFF_S / health)
             self.backoff_until = max(self.backoff_until, now + backoff_s)
 
-    def _lower_cap(self, sent: float, now: float, min_cap: float = MIN_CAP) -> None:
+    def _lower_cap(self, sent_at: float, now: float, min_cap: float = MIN_CAP) -> None:
         """Lower the cap, unless the request was sent before the cap was last lowered."""
-        if sent >= self.cap_lowered_at:
+        if sent_at >= self.cap_lowered_at:
             self.cap = min(self.cap, max(min_cap, min(self.cap, self.own_requests + 1) * CAP_DECREASE_FACTOR))
             self.cap_lowered_at = now
 
-    def _record_full(self, sent: float, now: float) -> None:
+    def _record_full(self, sent_at: float, now: float) -> None:
         self.reset_failures()
-        self._lower_cap(sent, now)
+        self._lower_cap(sent_at, now)
         self.backoff_until = max(self.backoff_until, now + FULL_BACKOFF_S)
 
     def _back_off(self, now: float) -> None:
--- a/tests/decision/test_dispatcher.py
+++ b/tests/decision/test_dispatcher.py
@@ -179,12 +179,12 @@
 def test_the_charge_for_a_request_that_never_ran_is_refunded() -> None:
     scheduler = dispatcher([entry("w0"), entry("w1")])
     scheduler.job_arrived(job(1, max_attempts=1), 0.0)
-    (account,) = scheduler.accounts("llm")
-    start = account.start
+    (job_class,) = scheduler.job_classes("llm")
+    start = job_class.start
     scheduler.attempt_ended(1, FULL, 0.01)
-    (account,) = scheduler.accounts("llm")
-    assert account.out == 0
-    assert account.start == pytest.approx(start - account.largest[""] / account.phi)
+    (job_class,) = scheduler.job_classes("llm")
+    assert job_class.out == 0
+    assert job_class.start == pytest.approx(start - job_class.largest[""] / job_class.phi)
 
 
 def test_attempts_are_bounded_by_the_route() -> None:
@@ -393,7 +393,7 @@
         scheduler.job_arrived(job(job_id, route=route, arrived=now), now)
         scheduler.first_event_received(job_id, now + 0.003)
         scheduler.attempt_ended(job_id, OK, now + 0.005)
-    assert len(scheduler.accounts("llm")) < 300
+    assert len(scheduler.job_classes("llm")) < 300
     assert scheduler.job_count == 0
 
 
--- a/tests/decision/test_fair_queue.py
+++ b/tests/decision/test_fair_queue.py
@@ -28,7 +28,7 @@
 
 def queue_at(v: float) -> FairQueue:
     """A queue whose virtual time is v."""
-    queue = FairQueue(clock_window=1.0, refresh=0.01)
+    queue = FairQueue(clock_window=1.0, charge_interval=0.01)
     worker = Client(out=2)
     queue.finish_attempt(worker, queue.begin_attempt(worker, ""), v)
     assert queue.advance_clock(1.0, [worker]) == pytest.approx(v)
@@ -166,7 +166,7 @@
 @pytest.mark.parametrize("seed", range(5))
 def test_backlogged_clients_get_work_by_their_shares(seed: int) -> None:
     """With large and small jobs on several positions, the work done follows the shares."""
-    random, queue = Random(seed), FairQueue(clock_window=50.0, refresh=0.01)
+    random, queue = Random(seed), FairQueue(clock_window=50.0, charge_interval=0.01)
     clients = [Client(phi=phi, largest={"": size}, queue=[1]) for phi, size in ((1, 1), (1, 20), (2, 5))]
     work, positions, now = {id(client): 0.0 for client in clients}, 8, 0.0
     running: list[tuple[float, int, Client, object, float]] = []
