--- a/reedspoke/control_plane/delivery/edge_sessions.py
+++ b/reedspoke/control_plane/delivery/edge_sessions.py
@@ -1,9 +1,10 @@
-"""Sessions with data plane nodes.
+"""Sessions with data plane nodes, which are called edges in names.
 
-A `WatchRequest` is answered when a source has a new version, a `FetchRequest` immediately. While this control
-plane node has no contact with a majority of voters, both are answered with `UnconfirmedResponse`. The
-majority is checked again for each message, in the same event loop step that writes the message to the
-connection, because a process that was suspended in between may have lost its majority.
+A source is one kind of published state, such as the configuration or the list of workers. A `WatchRequest` is
+answered when a source has a new version, a `FetchRequest` immediately. While this control plane node has no
+contact with a majority of voters, both are answered with `UnconfirmedResponse`. The majority is checked again
+for each message, in the same event loop step that writes the message to the connection, because a process
+that was suspended in between may have lost its majority.
 """
 
 from __future__ import annotations
@@ -28,8 +29,9 @@
 from reedspoke.control_plane.delivery.published_state import PublishedState
 
 MAX_SESSIONS = 2048
-MAX_BACKLOG_BYTES = 12 * 1024 * 1024  # unsent bytes per session; beyond it, the session is closed on a fetch
-NO_REQUEST = 0  # request id of a response to no `WatchRequest`
+# Unsent bytes of a session beyond which the next fetch closes it, as the data plane node does not read.
+MAX_BACKLOG_BYTES = 12 * 1024 * 1024
+NO_REQUEST = 0  # request id of an `UnconfirmedResponse` that does not answer a `WatchRequest`
 
 
 QuotaRequestHandler = Callable[[Channel, QuotaRequest], None]
@@ -42,7 +44,7 @@
     pending_watch: WatchRequest | None = None  # the request that has no response yet
     watch_received_at: float = 0.0
     heartbeat: asyncio.TimerHandle | None = None  # answers the pending watch if no update comes first
-    last_watch: WatchRequest | None = None
+    last_watch: WatchRequest | None = None  # the newest request, whether answered or not
     sent_versions: dict[str, Version] = field(default_factory=dict)  # versions in the last `WatchResponse`
     sent_unconfirmed: bool = False  # An `UnconfirmedResponse` was sent, and no `WatchResponse` since.
 
--- a/reedspoke/control_plane/quota/allocator.py
+++ b/reedspoke/control_plane/quota/allocator.py
@@ -1,10 +1,11 @@
 """Answers quota requests of data plane nodes out of this control plane node's share.
 
-If the share of a tenant's quota has fewer units than a request costs, the allocator immediately requests
-loans from the other owners, and the request waits. A loan is taken out of the lender's bucket before it is
-added to the borrower's, so no unit counts twice; a loan lost in transit is lost for the quota. After loans
-with too few units, further requests of the tenant are refused for a backoff period without borrowing again.
-The module does no I/O and reads no clock.
+`share` describes how a tenant's quota is divided among control plane nodes, its owners. If this node's bucket
+has fewer units than a request costs, the allocator immediately requests loans from the other owners, and the
+request waits. A loan is taken out of the lender's bucket before it is added to the borrower's, so no unit
+counts twice; a loan lost in transit is lost for the quota. After loans with too few units, further requests
+of the tenant are refused for a backoff period without borrowing again. The module does no I/O and reads no
+clock.
 """
 
 from __future__ import annotations
@@ -24,15 +25,17 @@
 
 LOAN_TIMEOUT_S = 0.02  # the longest time for which a request waits for loans
 BORROWING_BACKOFF_S = 0.1  # delay before the next loan requests for a tenant after loans with too few units
-STARTUP_PERIOD_S = 1.5  # An empty bucket within this time after the start does not mean a spent quota.
+# Buckets start empty. Within this time after the start, refusals therefore do not mean that a quota is spent.
+STARTUP_PERIOD_S = 1.5
 SCARCITY_PERIOD_S = 0.2  # A tenant's units count as scarce at this node for this long after a refusal.
-REFRESH_INTERVAL_S = 0.5  # the longest time until all buckets use a changed share
+REFRESH_INTERVAL_S = 0.5  # the longest time until all buckets use a share that has changed
 MAX_PENDING_REQUESTS = 64  # per tenant, waiting for loans
 LOAN_REQUEST_FACTOR = 3.0  # requested units in total per missing unit, as some owners lend none
 MIN_RETRY_AFTER_S = 0.05
 MAX_RETRY_AFTER_S = 2.0
 
 Requester = Any  # an opaque reference to the recipient of the response, returned unchanged
+# Returns the latest time at which a majority confirmed the view as the newest; None if that is unknown.
 MajorityAsOf = Callable[[], float | None]
 ReachablePeers = Callable[[], Collection[str]]  # addresses of control plane nodes with recent messages
 
@@ -67,10 +70,10 @@
     limit: float  # units within any window for the whole fleet
     bucket: TokenBucket
     pending: list[PendingQuotaRequest] = field(default_factory=list)
-    loans_due_at: float = 0.0
-    awaited_loans: int = 0
-    next_borrowing_at: float = 0.0
-    refused_at: float = float("-inf")
+    loans_due_at: float = 0.0  # when the wait for outstanding loans ends
+    awaited_loans: int = 0  # requested loans that have not arrived
+    next_borrowing_at: float = 0.0  # the end of the backoff
+    refused_at: float = float("-inf")  # the last refusal because units were missing
 
     def is_scarce(self, now: float) -> bool:
         """Return whether a request was recently refused because units were missing."""
--- a/reedspoke/control_plane/storage/log_opening.py
+++ b/reedspoke/control_plane/storage/log_opening.py
@@ -1,8 +1,9 @@
-"""Opens a log in the data folder. The log holds a random id of the folder; `log_format` describes the bytes.
+"""Opens a log in the data folder. The log is in one of two files, its slots (see `log_writer`).
 
-Data that was never synced may be torn or missing after a power loss; it is cut off. Synced data is either
-read or reported as corrupt, and never silently dropped: if a replica lost an entry that it has acknowledged,
-the chain could lose a committed change.
+The log holds a random id of the folder; `log_format` describes the bytes. Data that was never synced may be
+torn or missing after a power loss; it is cut off. Synced data is either read or reported as corrupt, and
+never silently dropped: if a replica lost an entry that it has acknowledged, the replication chain could lose
+a committed change.
 """
 
 from __future__ import annotations
@@ -40,8 +41,8 @@
 class OpenedLog(Struct):
     """An opened log: the id of its folder, its records, and the writer that continues it.
 
-    `created` is set if the log did not exist before, `follows_corrupt_log` if the quarantine of the folder
-    holds an earlier log of this name.
+    `created` is set if the log did not exist before, `follows_corrupt_log` if the folder contains an earlier
+    log of this name that was renamed as corrupt (`quarantine_log`).
     """
 
     folder_id: str
@@ -52,14 +53,14 @@
 
 
 class _Slot(Struct):
-    """A slot whose first batch is valid."""
+    """A slot whose first batch is valid. `log_format.LogContent` explains its fields."""
 
     path: Path
     content: SlotContent
     good_length: int
     last_batch_start: int
-    last_batch: bytes  # from `last_batch_start` to `good_length`
-    has_unsynced_end: bool
+    last_batch: bytes  # the bytes from `last_batch_start` to `good_length`
+    has_unsynced_end: bool  # whether bytes follow `good_length`
     damaged: bool
 
 
@@ -104,7 +105,10 @@
 
 
 def _old_temporary(directory: Path, name: str) -> list[_Slot]:
-    """A complete temporary file of the older format, left if a power loss undid part of its rename."""
+    """The temporary file of a rewrite in the older format, if it is complete.
+
+    It is left if a power loss undid part of its rename.
+    """
     slot = _read_slot(directory / (name + OLD_TEMPORARY_SUFFIX))
     return [] if slot is None else [slot]
 
@@ -121,7 +125,7 @@
         write_at(descriptor, slot.last_batch, slot.last_batch_start)
         os.fsync(descriptor)
         sync_directory(slot.path.parent)
-        if slot.damaged:
+        if slot.damaged:  # The rewritten log has two valid copies of each batch again.
             writer.rewrite(content.records)
     except (OSError, FleetError):
         writer.close()
--- a/reedspoke/control_plane/tallies/catch_up.py
+++ b/reedspoke/control_plane/tallies/catch_up.py
@@ -39,7 +39,7 @@
         self.transfer: StateTransfer | None = None
         self._started_at = now
         self._waits_for_peer = waits_for_peer
-        self._lacking_since: dict[str, float] = {}
+        self._lacking_since: dict[str, float] = {}  # when each peer was first seen to have more
         self._pulled_from = ""
         self._pulled_at = NEVER
         self._required_vectors: dict[str, VersionVector] = {}  # the vector of each peer at first contact
@@ -54,18 +54,19 @@
         for address, peer in reached.items():
             self._required_vectors.setdefault(address, peer.vector)
         if any(peer.address not in reached for peer in contacts.expected(now)):
-            return
+            return  # A peer without a round trip yet may have more.
         if not reached and now - self._started_at < self._first_contact_timeout_s():
             return
         self.has_caught_up = all(covers(vector, self._required_vectors[address]) for address in reached)
 
     def _first_contact_timeout_s(self) -> float:
+        # A node with an empty folder waits longer, as it would answer with totals that lack all adds.
         return EMPTY_FOLDER_WAIT_S if self._waits_for_peer else CONTACT_TIMEOUT_S
 
     # ---- what to pull ----
 
     def next_pull(self, contacts: PeerContacts, expected: Mapping[str, int], now: float) -> str | None:
-        """The address of a peer to pull from now, if any.
+        """The address of a peer to pull from now; None if no peer has more or a pull is in progress.
 
         `expected` is the vector of what this node has or is storing.
         """
@@ -111,10 +112,11 @@
         if chunk.after == START:
             if transfer is not None and now - transfer.active_at < PULL_TIMEOUT_S:
                 return False
-            # The chunks include everything up to the first one's vector, but not up to those of later ones.
+            # All chunks together include everything up to the vector of the first one. They may not include
+            # later vectors, as the state may grow during the transfer in parts that were already sent.
             self.transfer = StateTransfer(sender, chunk.incarnation, chunk.vector, now)
             return True
         if transfer is None or (transfer.source, transfer.after) != (sender, chunk.after):
             return False
-        # A source that was restarted may have lost its disk, and with it the part of the state that follows.
+        # A source that was restarted may have lost its disk, and with it the state that was still to be sent.
         return chunk.incarnation == transfer.incarnation
--- a/reedspoke/control_plane/tallies/peer_contacts.py
+++ b/reedspoke/control_plane/tallies/peer_contacts.py
@@ -1,5 +1,8 @@
 """Tracks by digests which peers are reachable in both directions, and what each has on its disk.
 
+Nodes send each other digests at short intervals: the version vector of what is on their disk, and an echo of
+the newest digest that they have received. An incarnation identifies one process of a node.
+
 The last round trip with a peer is dated to the time at which this node sent the newest digest that the peer
 has echoed. If packets pass in one direction only, there is no echo and so no round trip.
 """
@@ -26,11 +29,11 @@
     folder_id: str = ""
     incarnation: int = 0
     previous_incarnation: int = 0
-    received_sequence: int = 0
-    sent_sequence: int = 0
+    received_sequence: int = 0  # the sequence of its newest digest
+    sent_sequence: int = 0  # the sequence of the newest digest sent to it
     vector: VersionVector = field(default_factory=dict)
-    writable: bool = True
-    recovered: bool = False
+    writable: bool = True  # whether its disk works
+    recovered: bool = False  # whether it counts in quorums
     last_round_trip_at: float = NEVER
     digest_received_at: float = NEVER
     is_member: bool = True
--- a/reedspoke/control_plane/tallies/replica.py
+++ b/reedspoke/control_plane/tallies/replica.py
@@ -55,7 +55,7 @@
 from reedspoke.control_plane.tallies.version_vectors import covers, lower_bound
 from reedspoke.telemetry.invariants import Invariant, check
 
-AUDIT_INTERVAL_S = 2.0
+AUDIT_INTERVAL_S = 2.0  # interval between checks of one tally's total against its adds
 NOT_CAUGHT_UP = "this node has not caught up with the other nodes yet"
 
 
@@ -82,7 +82,7 @@
     # ---- events ----
 
     def handle(self, now: float, event: Event) -> list[Effect]:
-        """Handle one event and return its effects in order."""
+        """Handle one event and return its effects, to be carried out in this order."""
         self._effects = []
         self._detect_process_stop(now)
         match event:
@@ -134,19 +134,19 @@
         if self._acknowledgements.waiting_adds + len(self._queue.waiting.own) >= MAX_QUEUED_ADDS:
             return FleetError(ErrorCode.OVERLOADED, "too many adds are waiting for the disk or for peers")
         if counts.id_count + len(self._queue.waiting.own) >= self._settings.max_ids:
-            return FleetError(ErrorCode.TALLIES_FULL, "the limit of counted adds is reached")
+            return FleetError(ErrorCode.TALLIES_FULL, "this node has reached its limit of counted adds")
         if not counts.is_known(tally) and counts.tally_count >= MAX_TALLIES:
-            return FleetError(ErrorCode.TALLIES_FULL, "the limit of tallies is reached")
+            return FleetError(ErrorCode.TALLIES_FULL, "this node has reached its limit of tallies")
         return None
 
     def _complete_calls(self, now: float) -> None:
         self._effects += self._acknowledgements.completed(now)
 
-    # ---- syncs, which get all orders acknowledged before ----
+    # ---- syncs: this node gets all operators' orders that were acknowledged before the call ----
 
     def _submit_sync(self, now: float, call_id: int) -> None:
         if not self._acknowledgements.may_reach_quorum(now):
-            message = "too few nodes are reachable"
+            message = "too few nodes are reachable for a quorum"
             self._effects.append(CallCompleted(call_id, ErrorCode.NO_QUORUM, message))
             return
         self._acknowledgements.wait_for_quorum(WaitingSync(call_id, now))
@@ -154,9 +154,10 @@
             self._send_digest(now, address)
 
     def _recover(self) -> None:
-        """Mark this folder as recovered, and so as part of quorums, once it has all that a quorum has.
+        """Mark this folder as recovered once it has all that a quorum has.
 
-        A folder that dates from the first start is recovered from the beginning.
+        Only recovered folders count in quorums. A folder created at the first start of the whole system is
+        recovered from the beginning.
         """
         if self._state.recovered or self._queue.waiting.recovered:
             return
@@ -213,7 +214,7 @@
         for own in lost.own.values():
             for call_id in own.call_ids:
                 self._effects.append(
-                    CallCompleted(call_id, ErrorCode.TALLY_UNCLEAR, "storing the add failed")
+                    CallCompleted(call_id, ErrorCode.TALLY_UNCLEAR, "storing the add failed; it may count")
                 )
         self._effects.append(LogEvent(logging.WARNING, "storing tallies failed", {"code": int(error)}))
 
@@ -241,7 +242,7 @@
             case TallyEntries():
                 self._catch_up.pull_answered(sender)
                 if not self._queue.put_entries(sender, message):
-                    # Earlier entries were lost with a connection. A digest would show that only later.
+                    # Earlier entries were lost with a connection. The next digest would show that only later.
                     self._pull(now, self._catch_up.pull_after_gap(sender, now))
             case TallyPull(vector):
                 self._answer_pull(sender, vector)
@@ -254,7 +255,8 @@
         is_new_process = digest.incarnation != self._contacts.peer(sender).incarnation
         if not self._contacts.digest_received(sender, digest, now):
             return
-        # Only one reply to each process: with long delays, digests would answer each other without end.
+        # Each process of a peer gets only one reply: with more, digests would answer each other without end
+        # when messages are delayed.
         if is_new_process:
             self._send_digest(now, sender)
         self._catch_up.check_caught_up(self._contacts, self._state.log.vector, now)
@@ -301,9 +303,9 @@
     # ---- timer ----
 
     def _detect_process_stop(self, now: float) -> None:
-        """Restart the contact time-outs after a pause of the process.
+        """Restart the contact time-outs after a pause of the process, in which it received no digests.
 
-        Called for every event, because any event may be handled before the first tick after the pause.
+        It is called for every event, because any event may be handled before the first tick after the pause.
         """
         if now - self._ticked_at > PROCESS_STOP_GAP_S:
             self._contacts.restart_contact_timeout(now)
@@ -322,7 +324,7 @@
                 self._send_digest(now, address)
         else:
             for address in self._contacts.unreachable_addresses(now):
-                self._send_digest(now, address)  # so that the end of a partition is noticed soon
+                self._send_digest(now, address)  # A round trip soon shows the end of a partition.
         if now >= self._next_audit_at:
             self._next_audit_at = now + AUDIT_INTERVAL_S
             self._audit()
@@ -338,7 +340,10 @@
         self._effects.append(SendMessage(address, TallyPull(dict(self._queue.expected))))
 
     def _drop_replicated_entries(self, peers: frozenset[str]) -> None:
-        """Drop the entries that every peer has. A node that joins later receives the whole state."""
+        """Drop the entries that every peer has, as no peer pulls them.
+
+        A node that joins later receives the whole state.
+        """
         common = self._state.log.vector
         for address in peers:
             common = lower_bound(common, self._contacts.peer(address).vector)
@@ -387,7 +392,10 @@
         return [add for add in found if add is not None]
 
     def has_all_acknowledged(self) -> bool:
-        """Whether this node has everything that its machine ever acknowledged, also before it lost a disk."""
+        """Whether this node has everything that its machine ever acknowledged.
+
+        After the loss of a disk, it has to get the adds from its peers first.
+        """
         return self._state.recovered or self._catch_up.has_caught_up
 
     def is_replicated(self, now: float) -> bool:
--- a/reedspoke/control_plane/workers/discovery_lease.py
+++ b/reedspoke/control_plane/workers/discovery_lease.py
@@ -1,7 +1,9 @@
 """The discovery lease, which determines the control plane node that polls the platform's list of workers.
 
 It is a lease as described by Gray and Cheriton ("Leases", 1989), granted by a majority of the voters of the
-current view, as in Chubby (Burrows, 2006). Three rules make two simultaneous holders sufficiently unlikely:
+current view, as in Chubby (Burrows, 2006). A view is the agreed membership of the control plane. Three rules
+make two simultaneous holders unlikely, and the fencing token described below limits what an outdated holder
+can do:
 
 - A voter grants the lease to one holder at a time, for `LEASE_TTL_S`. After a restart it waits that long
   before it grants, because its earlier grants are not stored (`lease_voter`).
@@ -62,7 +64,8 @@
 
     `identity` must be below `TERM_STRIDE` and differ between processes. Each term of this process has it as
     its remainder modulo `TERM_STRIDE`, so no two processes use the same term. This also holds after a loss of
-    all processes, when terms start again while data plane nodes may still hold lists of earlier terms.
+    all processes, when terms start again while data plane nodes may still hold lists of earlier terms. If
+    `identity` is None, terms rise by one.
     `fresh_fleet` means that no process can have granted the lease before.
     """
 
@@ -108,7 +111,7 @@
 
         A holder with a lower term stops immediately, and can hold the lease again only under a higher term.
         """
-        if term != self._term:  # A term of another process or an earlier incarnation must not be reused.
+        if term != self._term:  # A term of another process, or of an earlier one here, must not be reused.
             self._min_term = max(self._min_term, term + 1)
         if term > self._term and self._expires_at:
             self._expires_at = 0.0
--- a/reedspoke/decision/fair_queue.py
+++ b/reedspoke/decision/fair_queue.py
@@ -2,8 +2,9 @@
 
 It follows "2DFQ: Two-Dimensional Fair Queueing for Multi-Tenant Cloud Services" (SIGCOMM 2016). Symbols: f is
 a client, S_f its start tag, phi_f its share, v the virtual time, L_max^f its largest recent cost for a job
-key, n the number of positions (requests that workers run at once), and i the rank of one of them. Times and
-costs may have any unit if both have the same; the dispatcher uses seconds.
+key, n the number of positions (requests that workers run at once), and i the rank of one of them. A job key
+names jobs of similar cost; the dispatcher uses the model. A client is active while it has queued jobs or
+attempts in flight. Times and costs may have any unit if both have the same; the dispatcher uses seconds.
 """
 
 from __future__ import annotations
@@ -19,8 +20,8 @@
 class FairClient(Protocol):
     """The attributes of a client that the queue reads and writes."""
 
-    phi: float
-    start: float
+    phi: float  # Its share phi_f.
+    start: float  # Its start tag S_f.
     out: int  # The number of attempts in flight.
     largest: dict[str, float]  # L_max for each job key.
 
@@ -58,7 +59,7 @@
 
     def __init__(self, window: float) -> None:
         self._window = window  # Time over which the rate of finished work is averaged.
-        self._finished_work = 0.0
+        self._finished_work = 0.0  # The cost of recently finished jobs, which decays over the window.
         self._advanced_at = 0.0
         self.value = 0.0
 
@@ -90,7 +91,7 @@
         return self._clock.advance(now, active)
 
     def seed_largest(self, client: FairClient, key: str, cost: float) -> None:
-        """Initialize L_max for a key with the largest cost that the caller has seen."""
+        """Initialize L_max for a key with the largest cost that the caller has seen, unless it is set."""
         if key not in client.largest:
             client.largest[key] = cost
 
@@ -117,7 +118,10 @@
         return min(eligible or clients, key=lambda client: finish_tag(client, key_of(client)))
 
     def begin_attempt(self, client: FairClient, key: str) -> Charge:
-        """Start an attempt of a job of that key: its client is charged L_max in advance."""
+        """Start an attempt of a job of that key.
+
+        Its client is charged L_max in advance, as the cost is not known before the attempt ends.
+        """
         charge = Charge(key)
         client.out += 1
         pay(client, charge, client.largest[key])
@@ -131,7 +135,7 @@
         return True
 
     def charge_running(self, client: FairClient, charge: Charge, cost: float) -> None:
-        """Charge the client of a running job for the cost that exceeds the estimate."""
+        """Charge the client of a running job for the cost beyond what it has been charged."""
         if cost > charge.paid:
             pay(client, charge, cost)
 
@@ -153,7 +157,10 @@
         charge.paid = charge.start_tag_delta = 0.0
 
     def can_drop(self, client: FairClient, credit_jobs: float = 0.0) -> bool:
-        """Whether an idle client may be dropped: it has at least the credit that a new client gets."""
+        """Whether an idle client may be dropped, because it gains nothing by starting again as a new one.
+
+        Its start tag is then at most that of a new client, which starts with `credit_jobs` jobs of credit.
+        """
         if client.out or client.queue:
             return False
         credit = credit_jobs * max(client.largest.values(), default=0.0) / client.phi
--- a/reedspoke/decision/placement.py
+++ b/reedspoke/decision/placement.py
@@ -26,8 +26,8 @@
 # Cost of prefilling a shared prefix again, as a multiple of its prefill time. It is high because all requests
 # at that worker wait for the prefill.
 REPEATED_PREFILL_FACTOR = 16.0
-LATE_COST_FROM = 0.85  # Share of the latency target from which an expected first event counts as late.
-LATE_COST_FACTOR = 10.0  # Cost of the expected lateness, as a multiple of it.
+LATE_COST_FROM = 0.85  # Share of the latency target beyond which the time to the first event costs more.
+LATE_COST_FACTOR = 10.0  # Cost of the expected time beyond that share, as a multiple of that time.
 CROSS_ZONE_COST = 0.01  # Cost of a worker in another zone, as a share of the latency target.
 SUSPECTED_COST = 1.0  # Cost of a worker that several schedulers suspect, as a share of the latency target.
 BUSY_FROM_LOAD = 0.7  # Share of positions or memory from which load costs more.
@@ -153,7 +153,10 @@
         )
 
     def _late_after_s(self, job: Job) -> float:
-        """The lateness limit. The tightest target of the service sets it, as all its jobs share one queue."""
+        """The time after which a first event is late.
+
+        The tightest latency target of the service determines it, as all its jobs wait in one queue.
+        """
         if self._latency_targets.get(job.route) != job.latency_target_s:
             self._latency_targets[job.route] = job.latency_target_s
             self._min_latency_target = min(self._latency_targets.values())
@@ -204,7 +207,10 @@
         return cost
 
     def _late_cost(self, query: PlacementQuery, worker: WorkerState, first_event_s: float) -> float:
-        """The cost of expected lateness; 0 for plain services, whose workers differ by load only."""
+        """The cost of a first event close to or after the latency target.
+
+        It is 0 for plain services, where only the load distinguishes the workers.
+        """
         if not self.engine:
             return 0.0
         return LATE_COST_FACTOR * max(
@@ -216,8 +222,8 @@
         if not self.engine:
             return self._speed.request_s * worker.pace * share
         if worker.kv_tokens:
-            kept = worker.memory_tokens + worker.others.tokens + job.prompt_tokens
-            share = max(share, kept / worker.kv_tokens)
+            used_tokens = worker.memory_tokens + worker.others.tokens + job.prompt_tokens
+            share = max(share, used_tokens / worker.kv_tokens)
         cost = LOAD_COST_S * share
         return cost + BUSY_COST_S * (share - BUSY_FROM_LOAD) if share > BUSY_FROM_LOAD else cost
 
--- a/reedspoke/decision/retry_budget.py
+++ b/reedspoke/decision/retry_budget.py
@@ -6,11 +6,11 @@
 scheduler stays within a share of its own, so that the sum obeys the rule without communication between them:
 
 - A request grants `RATIO_SHARE` x `ratio` of a retry, valid for a little less than W. So the retries of a
-window are granted by requests of that window, X in the whole fleet, and of the one before it, Y. Half of X +
-Y is at most the larger of both for any traffic, so one half is the largest safe share. - A scheduler may use
-1/N of the slack, where N is the largest number of schedulers that it has known recently. It has no slack
-while N is unknown, nor in the first window of its process: the process before it may have used that share,
-and other schedulers may not know of it yet.
+  window are granted by requests of that window, X in the whole fleet, and of the one before it, Y. Half of
+  X + Y is at most the larger of both for any traffic, so one half is the largest safe share.
+- A scheduler may use 1/N of the slack, where N is the largest number of schedulers that it has known
+  recently. It has no slack while N is unknown, nor in the first window of its process: the process before it
+  may have used that share, and other schedulers may not know of it yet.
 """
 
 from __future__ import annotations
@@ -20,11 +20,12 @@
 
 from msgspec import Struct
 
-RATIO_SHARE = 0.5  # Share of the ratio that a request grants.
+RATIO_SHARE = 0.5  # Share of the ratio that a request grants; see above.
 SLACK_SHARE = 0.8  # Share of the slack in use; the rest covers schedulers that not all others know yet.
 MAX_DELIVERY_WINDOWS = 0.1  # Maximum time, in windows, from the decision on a retry to its arrival.
 STARTUP_WINDOWS = 1.25  # Time after the start of a process, in windows, without slack.
-# A larger number of schedulers counts for this many windows, as missing ones may only be partitioned away.
+# After a drop in the number of schedulers, the larger number counts for this many windows, as the missing
+# ones may only be partitioned away.
 FLEET_SIZE_WINDOWS = 12
 BUCKETS_PER_WINDOW = 100  # Granularity in which requests are counted.
 
--- a/reedspoke/decision/service.py
+++ b/reedspoke/decision/service.py
@@ -43,15 +43,19 @@
 
 CLOCK_WINDOW_S = 2.0  # Averaging time of the rate of finished work, for the virtual time.
 CHARGE_INTERVAL_S = 0.010  # Time between charges of running jobs, as in the 2DFQ paper.
-# Share of the latency target that a job waits for a worker. With the delay of a timer, a job is refused
-# within a quarter of its target.
+# A job waits for a worker for at most this share of its latency target. As the timer may fire late, this is
+# less than a quarter, so that a job is refused within a quarter of its target.
 MAX_WAIT_SHARE = 0.22
-LAST_RESORT_MAX_LOAD = 0.5  # Below this load share, a job is sent to any worker rather than refused.
-POLL_INTERVAL_S = 0.02  # Timer interval while jobs are queued: backoffs and delays end with time.
+LAST_RESORT_MAX_LOAD = 0.5  # Below this share of load, any worker is better than a refusal.
+POLL_INTERVAL_S = 0.02  # Timer interval while jobs are queued, as backoffs and delays end without an event.
 MAX_QUEUED_JOBS = 1000  # Maximum queue length; further jobs are refused at once.
-IDLE_CREDIT_JOBS = 4.0  # Jobs of credit that an idle class keeps, as jobs of rare classes arrive at random.
-LOOK_AHEAD_SUBJECTS = 2  # Subjects of a class that are considered while earlier ones wait for a worker.
-MAX_FAILED_CONNECTIONS = 3  # Connections that may fail before a job is given up.
+# An idle class keeps the credit for this many jobs: without any, a class whose few jobs arrive at random
+# would lose its share in the gaps between them.
+IDLE_CREDIT_JOBS = 4.0
+# Fairness keys whose next job is considered for each class: that of the head job, and the next one in case
+# the head job waits for a preferred worker.
+LOOK_AHEAD_SUBJECTS = 2
+MAX_FAILED_CONNECTIONS = 3  # Attempts of a job without a connection after which it is ended.
 CLEANUP_INTERVAL_ARRIVALS = 256  # Arrivals between searches for idle classes.
 
 
@@ -61,12 +65,12 @@
     state: JobState
     worker: WorkerState
     running: RunningAttempt
-    charge: Charge
-    turn_cost: float  # The cost charged to its fairness key.
+    charge: Charge  # The charge to its job class.
+    turn_cost: float  # The cost charged to its fairness key, which is refunded if the attempt never ran.
 
 
 class HeldResources(Struct, frozen=True):
-    """The resources that a service holds; all are 0 while it has no job."""
+    """The resources that a service holds. All are 0 while it has no job; anything else is a leak."""
 
     waiting: int  # Jobs in the queues of its classes.
     in_flight: int  # Attempts counted by its classes.
@@ -94,7 +98,7 @@
         self.decisions: list[Decision] = []
         self._queue = FairQueue(CLOCK_WINDOW_S, CHARGE_INTERVAL_S)
         self._classes: dict[tuple[str, int], JobClass] = {}
-        self._reserved: set[str] = set()  # Workers kept free for large jobs in the last dispatch.
+        self._reserved: set[str] = set()  # Ids of workers that the last dispatch kept free for large jobs.
         self._shares = Shares()
         self._bands: dict[str, SizeBands] = {}
         self._jobs: dict[int, JobState] = {}
@@ -148,7 +152,7 @@
         in_flight = self._in_flight.pop(job_id, None)
         if in_flight is None:
             return
-        self._queue.advance_clock(now, self._classes.values())  # The class must still count as active.
+        self._queue.advance_clock(now, self._classes.values())  # While the class still counts as active.
         cost = self.pool.cost(in_flight.worker, in_flight.running, now)
         self.pool.end(job_id, in_flight.worker, end, now)
         in_flight.state.delivered_attempts += end.cause is not Cause.CONNECT_FAILED
@@ -237,7 +241,10 @@
     def _choose(
         self, front: JobClass, candidate: Candidate, waiting: list[JobClass], now: float
     ) -> Candidate:
-        """The candidate for the next position of the worker that is best for the front class's head job."""
+        """The job for the next position of the candidate's worker, which is the best one for the front class.
+
+        The classes whose own candidate has the same worker compete for the position.
+        """
         candidates = {id(front): candidate}
         for other in waiting if len(waiting) > 1 else ():
             other_candidate = self._find_candidate(other, now) if other is not front else None
@@ -251,9 +258,11 @@
         ]
 
     def _find_candidate(self, job_class: JobClass, now: float) -> Candidate | None:
-        """The head job of a class and its worker.
+        """The head job of a class and its worker; None if no job of the class can be sent now.
 
-        If the head waits for a preferred worker, the job of the next subject may be sent before it.
+        If the head waits for a preferred worker, or is a retry beyond the budget, the job of the next
+        fairness key may be sent before it. If the head lacks only memory, no other job is sent before it, and
+        a worker is kept free for it.
         """
         for state in job_class.queue.heads(LOOK_AHEAD_SUBJECTS):
             if state.delivered_attempts and not self.budget.can_use(now):
@@ -267,9 +276,9 @@
         return None
 
     def _reserve(self, state: JobState, now: float) -> bool:
-        """Keep a worker free for a job that lacks only memory, else smaller jobs would starve it.
+        """Keep a worker free for a job that lacks only memory, as smaller jobs would starve it otherwise.
 
-        Returns False if the job lacks something else.
+        Returns False if the job waits for another reason.
         """
         if self.upstream.engine is None:
             return False
@@ -325,7 +334,7 @@
             self._requeue(state, now)
 
     def _requeue(self, state: JobState, now: float) -> None:
-        """Put a job back at the head of its queue."""
+        """Put a job back at the head of its queue, with a new limit for its wait."""
         state.wait_until = min(now + MAX_WAIT_SHARE * state.job.latency_target_s, state.job.deadline)
         self._enqueue(state, now, head=True)
         self._schedule_wait_end(state)
@@ -381,7 +390,7 @@
 
     @property
     def idle(self) -> bool:
-        """Whether the service has no jobs."""
+        """Whether the service has no jobs, neither queued nor in flight."""
         return not (self._jobs or self._in_flight)
 
     def held_resources(self) -> HeldResources:
@@ -431,13 +440,13 @@
         return self._classes[key]
 
     def _largest_seen(self, job: Job, expected: float) -> float:
-        """The initial L_max: the largest cost seen for the route and cost key."""
+        """The initial L_max of a class: the largest cost seen for its route and cost key in any band."""
         key = cost_key(job)
         route = [self._classes.get((job.route, band)) for band in range(3)]
         return max([known.largest.get(key, 0.0) for known in route if known is not None] + [expected])
 
     def _drop_idle_classes(self) -> None:
-        """Drop idle classes that owe nothing."""
+        """At intervals, drop the idle classes whose charges are all covered by their share."""
         self._arrival_count += 1
         if self._arrival_count % CLEANUP_INTERVAL_ARRIVALS:
             return
@@ -448,7 +457,7 @@
 
 
 def failed_connections(state: JobState) -> int:
-    """The number of attempts whose connection fail_reason.
+    """The number of attempts whose connection failed.
 
     Nothing of them has reached a worker, so they count neither as attempts of the route nor as retries.
     """
@@ -456,5 +465,5 @@
 
 
 def fate(state: JobState) -> Fate:
-    """The combined fate of the job's attempts that ended without an answer."""
+    """Whether any of the job's attempts, all of which ended without an answer, may have run."""
     return Fate.MAY_HAVE_RUN if state.may_have_run else Fate.NEVER_RAN
--- a/reedspoke/decision/worker_state.py
+++ b/reedspoke/decision/worker_state.py
@@ -1,4 +1,7 @@
-"""The state of one worker: our own requests, the load of other schedulers, its speed, capacity and health."""
+"""The state of one worker: our own requests, the load of other schedulers, its speed, capacity and health.
+
+"Our" requests are those of this scheduler. A position is a worker's capacity for one request at a time.
+"""
 
 from __future__ import annotations
 
@@ -12,21 +15,24 @@
 from reedspoke.decision.suspicion import Suspicion
 
 CAP_DECREASE_FACTOR = 0.7  # Factor on the cap after a late first event or a "full" answer.
-CAP_INCREASE = 0.5  # Positions added by a timely first event while the cap is fully used.
+CAP_INCREASE = 0.5  # Positions added to the cap by a timely first event while the cap is fully used.
 LATE_SHARE = 0.5  # Share of the latency target after which a first event is late.
-# Share of the positions below which late first events do not lower the cap, as long prompts are late too.
+# Late first events lower the cap to no less than this share of the positions, as those of long prompts are
+# late at any load.
 MIN_LATE_CAP_SHARE = 0.125
 MIN_CAP = 1.0  # Positions. A worker keeps at least one, however much load others place on it.
-FULL_BACKOFF_S = 0.05  # Backoff after a "full" answer; some requests end in that time.
+FULL_BACKOFF_S = 0.05  # Backoff after a "full" answer, in which some of the worker's requests end.
 INITIAL_BACKOFF_S = 0.1  # Backoff after a failed connection or a time-out; doubles with each further one.
-MAX_BACKOFF_S = 3.0
+MAX_BACKOFF_S = 3.0  # Maximum backoff after failures.
 EWMA_WEIGHT = 0.2  # Weight of a new sample in moving averages.
 MIN_TRUSTED_HEALTH = 0.75  # Minimum health score for requests that must not be repeated.
 MIN_CONCURRENT_HEALTH = 0.5  # Minimum health score for more than one request at a time.
 EXCESS_HALF_LIFE_S = 0.5  # Half-life of the average excess delay.
-MIN_PACE, MAX_PACE = 0.3, 4.0  # Bounds of a worker's pace.
-MIN_PACE_SAMPLE_S = 0.005  # A shorter expected time is no sample of the pace.
-MAX_SAMPLE_RATIO = 3.0  # A sample is clipped to this multiple of the expected time.
+MIN_PACE, MAX_PACE = 0.3, 4.0  # Bounds of a worker's pace, a ratio of times.
+MIN_PACE_SAMPLE_S = 0.005  # A first event that was expected sooner shows nothing about the pace.
+MAX_SAMPLE_RATIO = (
+    3.0  # Limits the effect of an outlier: a sample counts as at most this multiple of the expected time.
+)
 
 
 class RunningAttempt(Struct, eq=False):
@@ -38,7 +44,7 @@
     expected_s: float  # The expected time from the send to the first event.
     late_after_s: float  # A first event after this time is late.
     first_event_at: float = 0.0  # When the first event arrived; 0 if none has.
-    added: tuple[int, ...] = ()  # Parts that were new to the estimate of the prefix cache.
+    added: tuple[int, ...] = ()  # Prompt parts that this attempt added to the estimate of the prefix cache.
 
 
 class WorkerState(Struct, eq=False):
@@ -47,15 +53,15 @@
     entry: WorkerEntry
     cache: PrefixCache
     cap: float  # Learned limit of positions for our requests.
-    kv_tokens: int  # 0 without an engine.
+    kv_tokens: int  # Size of its KV memory in tokens; 0 without an engine.
     running: dict[int, RunningAttempt] = field(default_factory=dict)  # Our attempts, by job id.
     pending_prefill_tokens: int = 0  # Prefill tokens of our attempts without a first event.
     memory_tokens: int = 0  # Tokens of our attempts in KV memory.
-    others: Load = Load()
+    others: Load = Load()  # The load that other schedulers have placed on it.
     backoff_until: float = 0.0
     consecutive_failures: int = 0  # Failed connections and time-outs since the last data.
     health: HealthScore = field(default_factory=HealthScore)
-    pace: float = 1.0  # Its actual relative to the expected time to the first event.
+    pace: float = 1.0  # Actual over expected time to its first events; above 1, it is slow.
     excess_s: float = 0.0  # Average delay of first events beyond their expected time, at `excess_at`.
     excess_at: float = 0.0
     cap_lowered_at: float = 0.0  # When the cap was last lowered.
@@ -132,7 +138,7 @@
     def first_event(self, job_id: int, now: float, learn_pace: bool = True) -> RunningAttempt | None:
         """Record the first event of a request; None if it is not the first or not ours.
 
-        `learn_pace` is False while the service has too few samples to compare its workers.
+        `learn_pace` is False while the service has too few samples for its expected times to be meaningful.
         """
         attempt = self.running.get(job_id)
         if attempt is None or attempt.first_event_at:
@@ -184,7 +190,7 @@
             self.backoff_until = max(self.backoff_until, now + backoff_s)
 
     def _lower_cap(self, sent_at: float, now: float, min_cap: float = MIN_CAP) -> None:
-        """Lower the cap, unless the request was sent before the cap was last lowered."""
+        """Lower the cap, but only once for all the requests that were sent before it was last lowered."""
         if sent_at >= self.cap_lowered_at:
             self.cap = min(self.cap, max(min_cap, min(self.cap, self.own_requests + 1) * CAP_DECREASE_FACTOR))
             self.cap_lowered_at = now
@@ -209,5 +215,6 @@
         elif self.own_requests >= int(self.cap):
             self.cap = min(self.cap + CAP_INCREASE, float(max(1, self.entry.capacity)))
         if learn_pace and expected >= MIN_PACE_SAMPLE_S:
+            # The expected time already contains the present pace.
             sample = min(delay / expected, MAX_SAMPLE_RATIO) * self.pace
             self.pace += EWMA_WEIGHT / 2 * (min(MAX_PACE, max(MIN_PACE, sample)) - self.pace)
