--- a/reedspoke/decision/retry_budget.py
+++ b/reedspoke/decision/retry_budget.py
@@ -20,7 +20,7 @@
 
 from msgspec import Struct
 
-RATIO_SHARE = 0.5  # Share of the ratio that a request grants; see above.
+RATIO_SHARE = 0.5  # Share of the ratio that a request grants; derived above.
 SLACK_SHARE = 0.8  # Share of the slack in use; the rest covers schedulers that not all others know yet.
 MAX_DELIVERY_WINDOWS = 0.1  # Maximum time, in windows, from the decision on a retry to its arrival.
 STARTUP_WINDOWS = 1.25  # Time after the start of a process, in windows, without slack.
@@ -34,7 +34,7 @@
     """The retries granted by the requests of one bucket."""
 
     since: float  # The start of the bucket.
-    left: float  # The retries that are not used yet.
+    left: float  # The retries that are not used yet, in fractions.
 
 
 class RetryBudget:
--- a/reedspoke/decision/service.py
+++ b/reedspoke/decision/service.py
@@ -41,21 +41,22 @@
 from reedspoke.decision.worker_pool import WorkerPool
 from reedspoke.decision.worker_state import RunningAttempt, WorkerState
 
-CLOCK_WINDOW_S = 2.0  # Averaging time of the rate of finished work, for the virtual time.
+CLOCK_WINDOW_S = 2.0  # Averaging time of the rate of finished work, from which the virtual time follows.
 CHARGE_INTERVAL_S = 0.010  # Time between charges of running jobs, as in the 2DFQ paper.
 # A job waits for a worker for at most this share of its latency target. As the timer may fire late, this is
 # less than a quarter, so that a job is refused within a quarter of its target.
 MAX_WAIT_SHARE = 0.22
-LAST_RESORT_MAX_LOAD = 0.5  # Below this share of load, any worker is better than a refusal.
+# Below this share of load, an untrusted worker or one in backoff is better than a refusal.
+LAST_RESORT_MAX_LOAD = 0.5
 POLL_INTERVAL_S = 0.02  # Timer interval while jobs are queued, as backoffs and delays end without an event.
 MAX_QUEUED_JOBS = 1000  # Maximum queue length; further jobs are refused at once.
 # An idle class keeps the credit for this many jobs: without any, a class whose few jobs arrive at random
 # would lose its share in the gaps between them.
 IDLE_CREDIT_JOBS = 4.0
-# Fairness keys whose next job is considered for each class: that of the head job, and the next one in case
-# the head job waits for a preferred worker.
+# Jobs of a class that are considered at a time: the head, and that of the next fairness key in case the head
+# waits for a preferred worker.
 LOOK_AHEAD_SUBJECTS = 2
-MAX_FAILED_CONNECTIONS = 3  # Attempts of a job without a connection after which it is ended.
+MAX_FAILED_CONNECTIONS = 3  # A job is ended after this many attempts whose connection failed.
 CLEANUP_INTERVAL_ARRIVALS = 256  # Arrivals between searches for idle classes.
 
 
