--- a/reedspoke/assembly.py
+++ b/reedspoke/assembly.py
@@ -12,7 +12,7 @@
 from reedspoke.fleet.settings import Fleet
 from reedspoke.net import node as nodes
 from reedspoke.net.config import Config, ConfigError, Peers, address
-from reedspoke.net.core import Further
+from reedspoke.net.core import ExtensionLimits
 from reedspoke.net.node import Node
 from reedspoke.operator.types import Operator
 from reedspoke.start import join_peers
@@ -31,12 +31,12 @@
 FLEET_MB = 8  # measured in the rig: 35 MB, 29 without an operator file
 
 
-def further(operator: Operator) -> Further:
+def further(operator: Operator) -> ExtensionLimits:
     """What the operator's parts take of the limits."""
     fleet = (FLEET_DESCRIPTORS, FLEET_MB) if operator.fleet is not None else (0, 0)
     if operator.tls is None:
-        return Further(*fleet)
-    return Further(DESCRIPTORS + fleet[0], MEMORY_MB + fleet[1], HANDSHAKE_KB)
+        return ExtensionLimits(*fleet)
+    return ExtensionLimits(DESCRIPTORS + fleet[0], MEMORY_MB + fleet[1], HANDSHAKE_KB)
 
 
 def assemble(config: Config, operator: Operator, path: Path) -> Node:
@@ -147,7 +147,7 @@
     partners = operator.identity.certificates if operator.identity is not None else None
     try:
         front = Front(
-            node.acquirer, address(operator.tls.listen, "tls.listen"), operator.tls.minimum, meters,
+            node.client_server, address(operator.tls.listen, "tls.listen"), operator.tls.minimum, meters,
             partners=partners.ca_file if partners is not None else "",
         )  # fmt: skip
     except (OSError, ssl.SSLError) as error:
@@ -174,7 +174,7 @@
         extension = IdentityExtension(operator, path, node.runtime.emit)
     except (KeySetError, ValueError) as error:
         raise ConfigError(str(error)) from None
-    node.acquirer.gate = extension
+    node.client_server.gate = extension
     node.extend(extension)
     if node.door is not None:
         node.door.figures.append(extension.text)
--- a/reedspoke/booking/booking_node.py
+++ b/reedspoke/booking/booking_node.py
@@ -21,7 +21,7 @@
 from reedspoke.fleet.replicated_log.messages import CommandReply, CommandRequest, LogEnvelope, Outbox
 from reedspoke.fleet.replicated_log.replicated_log import ReplicatedLog
 from reedspoke.fleet.roles.singleton_roles import SingletonRole
-from reedspoke.net.effects import FurtherEffect
+from reedspoke.net.effects import ExtensionEffect
 
 RETRANSMITS_PER_TTL = 4  # a lost message of the log is sent again that often within the lease of its leader
 
@@ -94,23 +94,23 @@
 
     # ---- the role ----
 
-    def lease_acquired(self, token: int, expires_at: int, now: int) -> list[FurtherEffect]:
+    def lease_acquired(self, token: int, expires_at: int, now: int) -> list[ExtensionEffect]:
         """Lead the log, with the lease's fencing token as the term."""
         assert self.replicated_log is not None
         self._send_log_messages(self.replicated_log.become_leader(token, now))
         return []
 
-    def lease_renewed(self, expires_at: int, now: int) -> list[FurtherEffect]:
+    def lease_renewed(self, expires_at: int, now: int) -> list[ExtensionEffect]:
         """Do nothing: the log needs no time, it is safe with any number of leaders."""
         return []
 
-    def lease_ended(self, reason: str, now: int) -> list[FurtherEffect]:
+    def lease_ended(self, reason: str, now: int) -> list[ExtensionEffect]:
         """Lead the log no longer."""
         if self.replicated_log is not None:
             self.replicated_log.step_down()
         return []
 
-    def tick(self, now: int) -> list[FurtherEffect]:
+    def tick(self, now: int) -> list[ExtensionEffect]:
         """Do nothing: the node's own tick drives the log, at the followers as well."""
         return []
 
--- a/reedspoke/booking/component.py
+++ b/reedspoke/booking/component.py
@@ -23,7 +23,7 @@
 from reedspoke.errors import ReedspokeError
 from reedspoke.fleet.events import LogStoreFailed
 from reedspoke.net import effects as fx
-from reedspoke.net.core import Concern, Core, Reactions
+from reedspoke.net.core import Component, Core, EventHandlers
 
 MAX_LISTED = 1000  # bookings in one answer
 US_PER_SECOND = 1_000_000
@@ -39,7 +39,7 @@
     outcomes: list[BookingOutcome] = field(default_factory=list)
 
 
-class BookingComponent(Concern):
+class BookingComponent(Component):
     """Owns the calls that wait, by the number of their request."""
 
     def __init__(self, core: Core, node: BookingNode) -> None:
@@ -50,7 +50,7 @@
 
     # ---- HTTP calls ----
 
-    def on_reserve(self, event: fx.Called) -> fx.Reply | None:
+    def on_reserve(self, event: fx.OperatorCall) -> fx.ReplyToOperator | None:
         """POST bookings/NAME."""
         try:
             command = parse_booking(event.names[0], event.body)
@@ -59,7 +59,7 @@
         self._submit_for(event.caller, command)
         return None
 
-    def on_reserve_series(self, event: fx.Called) -> fx.Reply | None:
+    def on_reserve_series(self, event: fx.OperatorCall) -> fx.ReplyToOperator | None:
         """POST bookings/NAME/series."""
         try:
             commands = parse_series(event.names[0], event.body)
@@ -70,7 +70,7 @@
             self._series[self._submit(command)] = series
         return None
 
-    def on_cancel(self, event: fx.Called) -> fx.Reply | None:
+    def on_cancel(self, event: fx.OperatorCall) -> fx.ReplyToOperator | None:
         """DELETE bookings/NAME."""
         try:
             command = parse_cancellation(event.names[0], event.body, self.core.now // US_PER_SECOND)
@@ -79,7 +79,7 @@
         self._submit_for(event.caller, command)
         return None
 
-    def on_show(self, event: fx.Called) -> fx.Reply:
+    def on_show(self, event: fx.OperatorCall) -> fx.ReplyToOperator:
         """GET bookings/NAME."""
         if self.node.table is None:
             return self._not_a_voter(event.caller)
@@ -87,7 +87,7 @@
         status = NOT_FOUND if outcome.status == BookingStatus.ABSENT else 200
         return _json_reply(event.caller, outcome_as_json(outcome), status)
 
-    def on_list(self, event: fx.Called) -> fx.Reply:
+    def on_list(self, event: fx.OperatorCall) -> fx.ReplyToOperator:
         """GET bookings."""
         table = self.node.table
         if table is None:
@@ -104,17 +104,19 @@
         self.node.fleet_node.enqueue(messages)
         return number
 
-    def _not_a_voter(self, caller: int) -> fx.Reply:
+    def _not_a_voter(self, caller: int) -> fx.ReplyToOperator:
         error = NotAVoterError(f"known to the granters alone: {list(self.node.voters)}")
         return self._problem(caller, SERVICE_UNAVAILABLE, error)
 
-    def _problem(self, caller: int, status: int, error: ReedspokeError) -> fx.Reply:
+    def _problem(self, caller: int, status: int, error: ReedspokeError) -> fx.ReplyToOperator:
         text = error.problem(status)
-        return fx.Reply(caller, fx.Word.NO, text=text, status=status, form=PROBLEM_CONTENT_TYPE)
+        return fx.ReplyToOperator(
+            caller, fx.CallResult.NO, text=text, status=status, content_type=PROBLEM_CONTENT_TYPE
+        )
 
     # ---- events ----
 
-    def reactions(self) -> Reactions:
+    def event_handlers(self) -> EventHandlers:
         """Return the handlers of the storage's events."""
         return {LogStoreFailed: self._on_storage_failed}
 
@@ -128,7 +130,7 @@
             for number, outcome in self.service.completed
         ]
 
-    def after(self) -> None:
+    def after_event(self) -> None:
         """Answer the calls whose outcome is known, unless it may follow from a change not on disk yet."""
         if self.node.fleet_node.pending_writes:
             return
@@ -143,21 +145,23 @@
             if len(series.outcomes) == series.count:
                 self._answer_series(series)
         if (caller := self._callers.pop(number, None)) is not None:
-            self.core.ask(_json_reply(caller, outcome_as_json(outcome), http_status(outcome)))
+            self.core.request_effect(_json_reply(caller, outcome_as_json(outcome), http_status(outcome)))
 
     def _answer_series(self, series: PendingSeries) -> None:
         """All together, with the worst status of any: those that are booked stay so, each by its own name."""
         outcomes = sorted(series.outcomes, key=lambda outcome: (outcome.begin, outcome.name))
         status = max(http_status(outcome) for outcome in outcomes)
         body = {"bookings": [outcome_as_json(outcome) for outcome in outcomes]}
-        self.core.ask(_json_reply(series.caller, body, status))
+        self.core.request_effect(_json_reply(series.caller, body, status))
 
     def _write_log_lines(self) -> None:
         replicated_log = self.node.replicated_log
         for text in replicated_log.take_log_lines() if replicated_log is not None else ():
-            self.core.ask(fx.Say(text))
+            self.core.request_effect(fx.WriteLog(text))
 
 
-def _json_reply(caller: int, body: object, status: int = 0) -> fx.Reply:
+def _json_reply(caller: int, body: object, status: int = 0) -> fx.ReplyToOperator:
     """`status`: 0 for the usual one."""
-    return fx.Reply(caller, fx.Word.YES, text=json.dumps(body) + "\n", status=status, form=JSON_CONTENT_TYPE)
+    return fx.ReplyToOperator(
+        caller, fx.CallResult.YES, text=json.dumps(body) + "\n", status=status, content_type=JSON_CONTENT_TYPE
+    )
--- a/reedspoke/fleet/component.py
+++ b/reedspoke/fleet/component.py
@@ -31,8 +31,8 @@
 from reedspoke.fleet.roles.singleton_roles import SingletonRoles
 from reedspoke.fleet.status import status_json
 from reedspoke.net import effects as fx
-from reedspoke.net.core import MS, Concern, Core, Reactions, Rings
-from reedspoke.net.state import Life
+from reedspoke.net.core import MS, Component, Core, EventHandlers, TimerHandlers
+from reedspoke.net.state import ProcessPhase
 
 MAX_TICK_INTERVAL_US = 250 * MS  # where nothing but load reports is exchanged
 TICKS_PER_PERIOD = 8
@@ -41,7 +41,7 @@
 MAX_MEMBER_DIGITS = 5
 
 
-class FleetComponent(Concern):
+class FleetComponent(Component):
     """The reducer's side of a fleet node. `load_sharing` is None where no load reports are exchanged."""
 
     def __init__(self, core: Core, node: FleetNode, load_sharing: LoadSharing | None) -> None:
@@ -62,7 +62,7 @@
             intervals += [lease.ttl_us // TICKS_PER_TTL for lease in self.roles.leases.values()]
         return min(intervals)
 
-    def reactions(self) -> Reactions:
+    def event_handlers(self) -> EventHandlers:
         """The events that the component handles."""
         return {
             DatagramReceived: self._on_datagram,
@@ -71,7 +71,7 @@
             LogChangesStored: self._on_log_changes_stored,
         }
 
-    def rings(self) -> Rings:
+    def timer_handlers(self) -> TimerHandlers:
         """The timers that the component handles."""
         return {"peers": self._on_tick}
 
@@ -100,8 +100,8 @@
         self.node.tick(now)
         if self.roles is not None:
             self._check_majority()
-        if self.state.life is not Life.OVER:
-            self.core.ring(("peers", 0), now + self.tick_interval_us)
+        if self.state.phase is not ProcessPhase.ENDED:
+            self.core.set_timer(("peers", 0), now + self.tick_interval_us)
 
     def _expire_releases(self, now: int) -> None:
         for name in [name for name, until in self._released_until.items() if now >= until]:
@@ -117,12 +117,12 @@
                 text = "fleet: a majority of the lease voters is reachable again"
             else:
                 text = "fleet: no majority of the lease voters is reachable: singleton roles are suspended"
-            self.core.ask(fx.Say(text))
+            self.core.request_effect(fx.WriteLog(text))
 
     def _on_log_changes_stored(self, event: LogChangesStored) -> None:
         self.node.pending_writes -= 1
         for send in event.then:
-            self.core.ask(send)
+            self.core.request_effect(send)
 
     def _on_role_call_finished(self, event: RoleCallFinished) -> None:
         assert self.roles is not None
@@ -133,29 +133,31 @@
 
     # ---- operators ----
 
-    def on_status(self, event: fx.Called) -> fx.Reply:
+    def on_status(self, event: fx.OperatorCall) -> fx.ReplyToOperator:
         """Answers `GET /v1/fleet`."""
-        return fx.Reply(event.caller, fx.Word.YES, text=status_json(self.node, self.core.now))
+        return fx.ReplyToOperator(event.caller, fx.CallResult.YES, text=status_json(self.node, self.core.now))
 
-    def on_release(self, event: fx.Called) -> fx.Reply:
+    def on_release(self, event: fx.OperatorCall) -> fx.ReplyToOperator:
         """Answers `POST /v1/fleet/ROLE/release` with an optional successor. Only the holder can release a
         role, and it does not want it again for RELEASED_TTLS."""
         roles, now = self.roles, self.core.now
         name, successor_text = event.names[0], event.names[1] if len(event.names) > 1 else ""
         if roles is None or name not in roles.leases:
-            return fx.Reply(event.caller, fx.Word.ABSENT, text="no such duty\n")
+            return fx.ReplyToOperator(event.caller, fx.CallResult.NOT_FOUND, text="no such duty\n")
         successor = self._parse_member(successor_text)
         if successor_text and successor is None:
-            return fx.Reply(event.caller, fx.Word.ABSENT, text=f"no other scheduler {successor_text}\n")
+            return fx.ReplyToOperator(
+                event.caller, fx.CallResult.NOT_FOUND, text=f"no other scheduler {successor_text}\n"
+            )
         if not roles.holds(name, now):
             holder = roles.holder(name, now)
             held = f"held by scheduler {holder.member}" if holder else "held by nobody that is known here"
-            return fx.Reply(event.caller, fx.Word.NO, text=f"{held}\n")
+            return fx.ReplyToOperator(event.caller, fx.CallResult.NO, text=f"{held}\n")
         if successor is None:
             successor = self._choose_successor(name)
         self._released_until[name] = now + RELEASED_TTLS * roles.leases[name].ttl_us
         self.node.set_candidacy(False, successor, now, [name])
-        return fx.Reply(event.caller, fx.Word.YES)
+        return fx.ReplyToOperator(event.caller, fx.CallResult.YES)
 
     def _parse_member(self, text: str) -> int | None:
         """The other member that an operator has named, or None."""
@@ -176,18 +178,18 @@
     # ---- effects ----
 
     def _publish_loads(self, load_sharing: LoadSharing) -> None:
-        self.core.tell(api.PeerLoads(load_sharing.loads_of_others(self.state.hosts)))
+        self.core.notify_module(api.PeerLoads(load_sharing.loads_of_others(self.state.workers)))
 
-    def after(self) -> None:
+    def after_event(self) -> None:
         """Called behind each event of the reducer: turns what the node has collected into effects."""
         if self.roles is not None:
             self._update_candidacy(self.roles)
             for effect in self.roles.effects:
-                self.core.ask(effect)
+                self.core.request_effect(effect)
             self.roles.effects.clear()
             self._log_changes(self.roles)
         if self.load_sharing is not None:
-            attempts = self.state.counted["forwards", ""]
+            attempts = self.state.metric_counters["forwards", ""]
             reports = self.load_sharing.due_reports(self.core.now, reserved_by(self.core.module), attempts)
             self.node.enqueue((EVERY_PEER, report) for report in reports)
         self._send()
@@ -199,14 +201,14 @@
         ]
         if changes := self.node.take_log_changes():
             self.node.pending_writes += 1
-            self.core.ask(StoreLogChanges(tuple(changes), tuple(sends)))
+            self.core.request_effect(StoreLogChanges(tuple(changes), tuple(sends)))
             return
         for send in sends:
-            self.core.ask(send)
+            self.core.request_effect(send)
 
     def _update_candidacy(self, roles: SingletonRoles) -> None:
         """A process that is about to end hands its roles over; else their leases would have to expire."""
-        candidate = self.state.life is Life.SERVING and not self.state.leaving()
+        candidate = self.state.phase is ProcessPhase.SERVING and not self.state.leaving()
         if candidate:
             self.node.phase = NodePhase.SERVING
         else:
@@ -221,7 +223,7 @@
 
     def _log_changes(self, roles: SingletonRoles) -> None:
         for line in roles.log_lines:
-            self.core.ask(fx.Say(line))
+            self.core.request_effect(fx.WriteLog(line))
         roles.log_lines.clear()
         if self.failure_detector is not None:
             for change in self.failure_detector.changes:
@@ -231,4 +233,4 @@
     def _log_member_change(self, change: MemberStateChange) -> None:
         before, after = change.before.name.lower(), change.after.name.lower()
         self.core.count(f"members {after}")
-        self.core.ask(fx.Say(f"fleet: scheduler {change.member} is {after}, was {before}"))
+        self.core.request_effect(fx.WriteLog(f"fleet: scheduler {change.member} is {after}, was {before}"))
--- a/reedspoke/fleet/events.py
+++ b/reedspoke/fleet/events.py
@@ -7,23 +7,23 @@
 
 from reedspoke.fleet.messages.frame import EVERY_PEER
 from reedspoke.fleet.replicated_log.log_state import LogChange
-from reedspoke.net.effects import FurtherEffect, FurtherEvent
+from reedspoke.net.effects import ExtensionEffect, ExtensionEvent
 
 # ---- events ----
 
 
-class SocketOpened(FurtherEvent):
+class SocketOpened(ExtensionEvent):
     """Messages between schedulers can be exchanged from now on."""
 
 
-class DatagramReceived(FurtherEvent):
+class DatagramReceived(ExtensionEvent):
     """A datagram has come, which may hold anything; `sender` is the member by its address."""
 
     body: bytes
     sender: int
 
 
-class RoleCallFinished(FurtherEvent):
+class RoleCallFinished(ExtensionEvent):
     """A call of a role has ended.
 
     `status` is that of the answer, 0 for none; `later_token` the one that the target knows, 0 for none.
@@ -34,27 +34,27 @@
     later_token: int = 0
 
 
-class LogChangesStored(FurtherEvent):
+class LogChangesStored(ExtensionEvent):
     """The changes of a `StoreLogChanges` are on disk: what follows from them may be sent now."""
 
     then: tuple[SendDatagrams, ...]
 
 
-class LogStoreFailed(FurtherEvent):
+class LogStoreFailed(ExtensionEvent):
     """The changes of a `StoreLogChanges` are not on disk, and will never be taken to be."""
 
 
 # ---- effects ----
 
 
-class SendDatagrams(FurtherEffect):
+class SendDatagrams(ExtensionEffect):
     """Send datagrams to one scheduler or to every other one; they may be lost."""
 
     bodies: tuple[bytes, ...]
     recipient: int = EVERY_PEER
 
 
-class CallRoleTarget(FurtherEffect):
+class CallRoleTarget(ExtensionEffect):
     """Call the target of a role with the fencing token, unless the lease has expired meanwhile."""
 
     role: str
@@ -62,7 +62,7 @@
     expires_at: int
 
 
-class RoleAcquired(FurtherEffect):
+class RoleAcquired(ExtensionEffect):
     """A delegated role is this scheduler's until `expires_at`; sent again whenever that is later."""
 
     role: str
@@ -70,13 +70,13 @@
     expires_at: int
 
 
-class RoleLost(FurtherEffect):
+class RoleLost(ExtensionEffect):
     """A delegated role is this scheduler's no longer."""
 
     role: str
 
 
-class StoreLogChanges(FurtherEffect):
+class StoreLogChanges(ExtensionEffect):
     """Bring the changes to disk, and answer with `LogChangesStored` or `LogStoreFailed`."""
 
     changes: tuple[LogChange, ...]
--- a/reedspoke/fleet/roles/periodic_call.py
+++ b/reedspoke/fleet/roles/periodic_call.py
@@ -8,7 +8,7 @@
 
 from reedspoke.fleet.events import CallRoleTarget
 from reedspoke.fleet.lease.tokens import NO_TOKEN
-from reedspoke.net.effects import FurtherEffect
+from reedspoke.net.effects import ExtensionEffect
 
 FIRST_SUCCESS_STATUS, FIRST_REDIRECT_STATUS = 200, 300
 
@@ -23,22 +23,22 @@
         self.succeeded = self.failed = 0
         self._due_at, self._is_open = 0, False
 
-    def lease_acquired(self, token: int, expires_at: int, now: int) -> list[FurtherEffect]:
+    def lease_acquired(self, token: int, expires_at: int, now: int) -> list[ExtensionEffect]:
         """The first call is due at once."""
         self.token, self.expires_at, self._due_at = token, expires_at, now
         return self.tick(now)
 
-    def lease_renewed(self, expires_at: int, now: int) -> list[FurtherEffect]:
+    def lease_renewed(self, expires_at: int, now: int) -> list[ExtensionEffect]:
         """Later calls may end later."""
         self.expires_at = expires_at
         return []
 
-    def lease_ended(self, reason: str, now: int) -> list[FurtherEffect]:
+    def lease_ended(self, reason: str, now: int) -> list[ExtensionEffect]:
         """No further call is made; one that is open goes on, and its token fences it."""
         self.token = NO_TOKEN
         return []
 
-    def tick(self, now: int) -> list[FurtherEffect]:
+    def tick(self, now: int) -> list[ExtensionEffect]:
         """The next call, where it is due and none is open."""
         if not self.token or self._is_open or now < self._due_at or now >= self.expires_at:
             return []
--- a/reedspoke/fleet/roles/singleton_roles.py
+++ b/reedspoke/fleet/roles/singleton_roles.py
@@ -41,7 +41,7 @@
 from reedspoke.fleet.messages.frame import EVERY_PEER, OutgoingMessage
 from reedspoke.fleet.messages.lease import ConfigurationDigest, LeaseHeld, LeaseMessage
 from reedspoke.fleet.roles.handler import RoleHandler
-from reedspoke.net.effects import FurtherEffect
+from reedspoke.net.effects import ExtensionEffect
 
 DEFAULT_VOTERS = 5  # the first members, where the configuration names no voters
 US_PER_MS = 1000
@@ -108,7 +108,7 @@
         self.lease_ends: Counter[tuple[str, str]] = Counter()
         self.last_end_reason: dict[str, LeaseEndReason] = {}
         self.log_lines: list[str] = []
-        self.effects: list[FurtherEffect] = []
+        self.effects: list[ExtensionEffect] = []
         self.conflicting_members: dict[int, int] = {}
         self._known_holders: dict[str, LeaseHolder] = {}
         self._candidacies: dict[str, bool] = {}
--- a/reedspoke/fleet/service.py
+++ b/reedspoke/fleet/service.py
@@ -89,7 +89,7 @@
     component = FleetComponent(runtime.reducer.core, node, load_sharing)
     return node, Subsystem(
         name="fleet",
-        concerns=(component,),
+        components=(component,),
         parts=tuple(parts),
         calls=_operator_calls(component) if options is not None else (),
         figures=lambda: metrics_text(node, load_sharing, peer_socket.counters, runtime.clock.now()),
--- a/reedspoke/identity/extension.py
+++ b/reedspoke/identity/extension.py
@@ -19,7 +19,7 @@
 from reedspoke.identity.key_files import KeySetError, file_stamps, load_key_set
 from reedspoke.identity.token import TokenPolicy
 from reedspoke.net import effects as fx
-from reedspoke.net.acquirer import ForbiddenError
+from reedspoke.net.client_server import ForbiddenError
 from reedspoke.net.http import Head
 from reedspoke.net.message import Message
 from reedspoke.operator.check import OperatorError, reloaded
@@ -185,7 +185,7 @@
         self.authorizer.update(token_policy(identity), keys)
         for number, authorization in list(self._open.items()):
             if not self.authorizer.is_still_valid(authorization):
-                self.emit(fx.Withdrawn(number))
+                self.emit(fx.CredentialRevoked(number))
         log.info("identity: %d keys, %d callers", len(keys), len(identity.callers))
 
     def _log_audit_lines(self) -> None:
--- /dev/null
+++ b/reedspoke/net/administration.py
@@ -0,0 +1,219 @@
+"""What operators ask for: hosts left out by hand, clients sent away, and the door's callers themselves.
+
+A caller has rung, has called, and is gone (Hungup) or dismissed. An order counts as given only once it is
+recorded for both processes (`Record` -> `Ordered` or `Unrecorded`): until then nothing changes here. What
+the other process holds (`Accompanied`) changes the budget and is told to the module.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from msgspec.structs import replace
+
+from reedspoke import interface as api
+from reedspoke.net import effects as fx
+from reedspoke.net.clients import Clients
+from reedspoke.net.core import (
+    MAX_OPERATOR_CALLS,
+    MS,
+    OWN_DESCRIPTORS,
+    SECOND,
+    SPARE_ATTEMPTS,
+    Budget,
+    Component,
+    Core,
+    EventHandlers,
+    TimerHandlers,
+)
+from reedspoke.net.state import IdleState, ProcessPhase
+from reedspoke.net.workers import Workers
+
+CALL_TIMEOUT = 2 * SECOND  # for the bytes of one call, and for the end of its connection
+RECORD_RETRY_DELAY = 20 * MS  # the other process holds its lock for far less
+MAX_RECORD_RETRIES = 30
+SHARED_STATE_INTERVAL = (
+    100 * MS
+)  # a suspension told to one process is in force in the other well within a drain's window
+DRAIN_DELAY = 600 * MS  # from the drain on: the front asks ten times a second and stops 0.2 s after a no
+DRAIN_INTERVAL = 200 * MS  # between looks at who is idle, or has connected and says nothing
+
+
+class Administration(Component):
+    def __init__(self, core: Core, clients: Clients, workers: Workers) -> None:
+        super().__init__(core)
+        self.clients, self.workers = clients, workers
+        self.extension_calls: dict[
+            str, Callable[[fx.OperatorCall], fx.ReplyToOperator | None]
+        ] = {}  # calls of other parts
+
+    def event_handlers(self) -> EventHandlers:
+        return {
+            fx.OperatorConnected: self._on_operator_connected,
+            fx.OperatorCall: self._on_operator_call,
+            fx.OperatorDisconnected: self._on_operator_disconnected,
+            fx.OrdersRecorded: self._on_orders_recorded,
+            fx.OrderNotRecorded: self._on_order_not_recorded,
+            fx.SiblingsReported: self._on_siblings_reported,
+        }
+
+    def timer_handlers(self) -> TimerHandlers:
+        return {
+            "caller": self._on_caller_timer,
+            "away": self._on_away_timer,
+            "record": self._on_record_timer,
+            "look": self._on_look_timer,
+        }
+
+    # ---- the door ----
+
+    def _on_operator_connected(self, event: fx.OperatorConnected) -> None:
+        """Guards the door against callers that never end their call: the one that waits longest goes for the
+        newest, so that a whole call is always read at once."""
+        callers = self.state.operator_calls
+        while len(callers) >= MAX_OPERATOR_CALLS:
+            waiting = (caller for caller, called in callers.items() if not called)
+            self._dismiss(next(waiting, next(iter(callers))))
+        callers[event.caller] = False
+        self.core.set_timer(("caller", event.caller), self.core.now + CALL_TIMEOUT)
+
+    def _dismiss(self, caller: int) -> None:
+        del self.state.operator_calls[caller]
+        self.core.cancel_timer(("caller", caller))
+        self.core.count("callers dismissed")
+        self.core.request_effect(fx.DisconnectOperator(caller))
+
+    def _on_operator_disconnected(self, event: fx.OperatorDisconnected) -> None:
+        if self.state.operator_calls.pop(event.caller, None) is not None:
+            self.core.cancel_timer(("caller", event.caller))
+
+    def _on_caller_timer(self, caller: int) -> None:
+        if caller in self.state.operator_calls:
+            self._dismiss(caller)
+
+    def _on_operator_call(self, event: fx.OperatorCall) -> None:
+        state = self.state
+        if event.caller not in state.operator_calls:
+            return
+        state.operator_calls[event.caller] = True
+        word = fx.CallResult.YES
+        match event.command:
+            case fx.OperatorCommand.READY:
+                word = fx.CallResult.YES if state.able_to_serve() else fx.CallResult.NO
+            case fx.OperatorCommand.SUSPEND | fx.OperatorCommand.RESUME:
+                if event.host in state.ever_listed or event.host in state.suspended:
+                    host = state.workers.get(event.host)
+                    endpoint = host.endpoint if host is not None else ("", 0)
+                    self.core.request_effect(
+                        fx.RecordOrder(event.caller, event.command, event.host, endpoint)
+                    )
+                    return
+                word = fx.CallResult.UNKNOWN_WORKER
+            case fx.OperatorCommand.DRAIN | fx.OperatorCommand.ACTIVATE:
+                self.core.request_effect(fx.RecordOrder(event.caller, event.command))
+                return
+            case fx.OperatorCommand.EXTENSION:
+                if (reply := self.extension_calls[event.which](event)) is not None:
+                    self.core.request_effect(reply)
+                return
+        self.core.request_effect(
+            fx.ReplyToOperator(event.caller, word, event.command is fx.OperatorCommand.METRICS)
+        )
+
+    # ---- orders, as kept for both processes ----
+
+    def _on_orders_recorded(self, event: fx.OrdersRecorded) -> None:
+        """In force once this has returned: nothing that is queued or still dials goes to a suspended host."""
+        state = self.state
+        for uid in sorted(event.suspended.keys() ^ state.suspended.keys()):
+            on = uid in event.suspended
+            self.core.request_effect(
+                fx.WriteLog(f"operators: issuer host {uid} {'suspended' if on else 'resumed'}")
+            )
+        state.suspended = event.suspended
+        self.workers.heed_bans()
+        self._drain(event.drained)
+        if event.caller:
+            self.core.request_effect(fx.ReplyToOperator(event.caller, fx.CallResult.YES))
+
+    def _on_order_not_recorded(self, event: fx.OrderNotRecorded) -> None:
+        """An order that the other process could not be told of is not in force here either. Guards the caller
+        against one that holds its lock and stands still: the answer is owed within 1 s."""
+        caller = event.record.caller
+        if caller not in self.state.operator_calls:
+            return
+        if event.again and event.record.retries < MAX_RECORD_RETRIES:
+            self.state.pending_orders[caller] = replace(event.record, retries=event.record.retries + 1)
+            self.core.set_timer(("record", caller), self.core.now + RECORD_RETRY_DELAY)
+        else:
+            self.core.request_effect(fx.ReplyToOperator(caller, fx.CallResult.NO))
+
+    def _on_record_timer(self, caller: int) -> None:
+        if (record := self.state.pending_orders.pop(caller, None)) is not None:
+            self.core.request_effect(record)
+
+    # ---- the other process, while one replaces the other ----
+
+    def _on_look_timer(self, _: int) -> None:
+        """What is held is told whenever it has changed: the other process counts it as its own."""
+        state = self.state
+        self.core.request_effect(fx.ReadSharedState())
+        slots: dict[str, int] = {}
+        if state.siblings:
+            for request in state.requests.values():
+                for attempt in request.in_flight.values():
+                    slots[attempt.host] = slots.get(attempt.host, 0) + request.slots
+        clients, door = len(state.clients), len(state.operator_calls) + 2
+        descriptors = OWN_DESCRIPTORS + door + clients + max(clients + SPARE_ATTEMPTS, len(state.connections))
+        learned = self.core.module.learned_state() if state.siblings else api.LearnedState()
+        held = fx.PublishUsage(
+            state.phase is not ProcessPhase.SERVING, descriptors if state.siblings else 0, slots, learned
+        )
+        if held != state.published_usage:
+            state.published_usage = held
+            self.core.request_effect(held)
+        self.core.set_timer(("look", 0), self.core.now + SHARED_STATE_INTERVAL)
+
+    def _on_siblings_reported(self, event: fx.SiblingsReported) -> None:
+        """Guards the limits, which hold for all processes together: while another one takes clients in as
+        well, half is ours; once it leaves, what it still holds is not. The module hears of its legs."""
+        self.state.siblings, whole = event.partners, self.core.full_budget
+        left = whole.sockets - sum(partner.descriptors for partner in event.partners)
+        if any(not partner.leaving for partner in event.partners):
+            left = min(left, whole.sockets // 2)
+        memory = whole.memory_mb / (1 + len(event.partners))
+        self.core.budget = Budget.of(left, memory, whole.door, whole.extensions) if event.partners else whole
+        slots: dict[str, int] = {}
+        for partner in event.partners:
+            for uid, count in partner.slots.items():
+                slots[uid] = slots.get(uid, 0) + count
+        learned = event.partners[0].learned if event.partners else self.core.module.siblings.learned
+        staying = sum(not partner.leaving for partner in event.partners)
+        self.core.notify_module(api.SiblingProcesses(staying, slots, learned))
+        self.clients.make_room()
+
+    # ---- clients sent away ----
+
+    def _drain(self, on: bool) -> None:
+        if on == self.state.drained:
+            return
+        self.state.drained = on
+        self.core.request_effect(fx.WriteLog(f"operators: {'drained' if on else 'active'}"))
+        if on:
+            self.core.set_timer(("away", 0), self.core.now + DRAIN_DELAY)
+        else:
+            self.core.cancel_timer(("away", 0))
+
+    def _on_away_timer(self, _: int) -> None:
+        """Sends away those who are owed nothing; who has only just connected may be about to ask."""
+        state = self.state
+        if not state.drained:
+            return
+        for idle_state, clients in state.idle_clients.items():
+            for number in clients:
+                if (
+                    idle_state is not IdleState.NOTHING_ASKED
+                    or self.core.now >= state.clients[number].connected_at + DRAIN_DELAY
+                ):
+                    self.core.request_effect(fx.CloseClient(number))
+        self.core.set_timer(("away", 0), self.core.now + DRAIN_INTERVAL)
--- a/reedspoke/net/acquirer.py
+++ b/reedspoke/net/client_server.py
@@ -39,12 +39,12 @@
     504: "Gateway Timeout", 505: "HTTP Version Not Supported",
 }  # fmt: skip
 STATUS = {
-    fx.Verdict.SERVED: 200,
-    fx.Verdict.DECLINED: 503,
-    fx.Verdict.FAILED: 502,
-    fx.Verdict.LATE: 504,
-    fx.Verdict.INVALID: 400,
-    fx.Verdict.WITHDRAWN: 401,
+    fx.Outcome.SERVED: 200,
+    fx.Outcome.REJECTED: 503,
+    fx.Outcome.FAILED: 502,
+    fx.Outcome.TIMED_OUT: 504,
+    fx.Outcome.INVALID: 400,
+    fx.Outcome.REVOKED: 401,
 }
 
 
@@ -73,7 +73,7 @@
         client is gone."""
 
 
-class PartedError(ReedspokeError):
+class ClientDroppedError(ReedspokeError):
     """A client that is owed nothing is sent away."""
 
     code = "client-sent-away"
@@ -83,15 +83,15 @@
 class Client:
     """One connection of a client, served by one coroutine."""
 
-    def __init__(self, side: Acquirer, number: int, stream: IOStream) -> None:
+    def __init__(self, side: ClientServer, number: int, stream: IOStream) -> None:
         self.side, self.number, self.stream = side, number, stream
         self.buffer = Buffer()
         self.requests = Requests(self.buffer)
-        self.answer: asyncio.Future[fx.Answer] | None = None
+        self.answer: asyncio.Future[fx.SendResponse] | None = None
         self.begun = False  # an authorisation has begun to come in
         self.replied = False  # the writing of its answer has begun
         self._reading: asyncio.Future[int] | None = None
-        self._dropped: asyncio.Future[fx.Farewell] = asyncio.get_running_loop().create_future()
+        self._dropped: asyncio.Future[fx.CloseMode] = asyncio.get_running_loop().create_future()
 
     async def serve(self) -> None:
         emit = self.side.runtime.emit
@@ -99,9 +99,9 @@
             while await self._serve_one():
                 pass
         except MalformedError as error:
-            emit(fx.Refused(error.status, str(error)))
+            emit(fx.RequestMalformed(error.status, str(error)))
             await self._last(error.status, str(error))
-        except PartedError:
+        except ClientDroppedError:
             # Guards what crosses the end of a client that is owed nothing: it is never read, so that its
             # other side hears of a reset and sends again elsewhere. To read and forget would be to take it.
             if not self.stream.closed():
@@ -115,7 +115,7 @@
                 await self._last(500)
         finally:
             self.stream.close()
-            emit(fx.Parted(self.number))
+            emit(fx.ClientDisconnected(self.number))
 
     async def _serve_one(self) -> bool:
         """One authorisation and its answer; False where the connection ends with it."""
@@ -167,12 +167,12 @@
         answer = await self._ask(message)
         last = answer.last or not head.keeps_alive()
         result, more = answer.result, b""
-        if answer.verdict is not fx.Verdict.SERVED:
-            result, more = problems.OF_VERDICT[answer.verdict], problems.FIELD
+        if answer.outcome is not fx.Outcome.SERVED:
+            result, more = problems.OF_OUTCOME[answer.outcome], problems.FIELD
         if answer.retry_after > 0:
             more += b"Retry-After: %.3f\r\n" % (answer.retry_after / SECOND)
         self.replied = True
-        await self._write(answer_head(STATUS[answer.verdict], len(result), close=last, more=more) + result)
+        await self._write(answer_head(STATUS[answer.outcome], len(result), close=last, more=more) + result)
         self._answered()
         return await self._end(last)
 
@@ -197,11 +197,11 @@
 
     def _begin(self) -> None:
         self.begun, self.replied = True, False
-        self.side.runtime.emit(fx.Reading(self.number))
+        self.side.runtime.emit(fx.RequestStarted(self.number))
 
     def _answered(self) -> None:
         self.begun = False
-        self.side.runtime.emit(fx.Answered(self.number))
+        self.side.runtime.emit(fx.ResponseSent(self.number))
 
     def _plain(self, head: Head) -> tuple[int, bool, bytes] | None:
         """The answer to what is no authorisation: its status, whether the connection ends with it, and the
@@ -219,7 +219,7 @@
             return 405, last, b"Allow: POST\r\n"
         return None
 
-    async def _ask(self, message: Message) -> fx.Answer:
+    async def _ask(self, message: Message) -> fx.SendResponse:
         """The answer; meanwhile what the client sends ahead is read, and so is its leaving."""
         self.answer = asyncio.get_running_loop().create_future()
         arrived = message.arrived(self.number)
@@ -263,8 +263,8 @@
         await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
         waits.clear()
         if self._reading is not None and not self._reading.done():
-            if self._dropped.result() is fx.Farewell.IDLE:
-                raise PartedError
+            if self._dropped.result() is fx.CloseMode.IF_IDLE:
+                raise ClientDroppedError
             raise MalformedError(408, "its bytes come too slowly")
         self._take_read()
 
@@ -284,7 +284,7 @@
             return True
         if self.stream.closed():  # the client was faster: seen at a planned end, when all leave at once
             return False
-        self.side.runtime.emit(fx.Ending(self.number))
+        self.side.runtime.emit(fx.ClientClosing(self.number))
         if self.stream.closed():  # its place was needed at once
             return False
         end_sending(self.stream)
@@ -303,30 +303,30 @@
     def gone(self) -> bool:
         return has_gone(self.stream)
 
-    def drop(self, how: fx.Farewell) -> None:
+    def drop(self, how: fx.CloseMode) -> None:
         read = self._reading is not None and self._reading.done()
         if self.answer is not None or read:
             return  # what has been read is taken: it gets its answer
         idle = not (self.begun or len(self.buffer))
-        if how is fx.Farewell.NOW:
+        if how is fx.CloseMode.IMMEDIATELY:
             self.stream.close()
         elif not self._dropped.done() and (
-            not waits_unread(self.stream) if idle else how is fx.Farewell.TOLD
+            not waits_unread(self.stream) if idle else how is fx.CloseMode.WITH_ERROR
         ):
-            self._dropped.set_result(fx.Farewell.IDLE if idle else how)
+            self._dropped.set_result(fx.CloseMode.IF_IDLE if idle else how)
 
 
-class Party(Protocol):
+class ClientHandler(Protocol):
     """Whoever stands behind a client's number: a connection that is served, or one that is not so far yet."""
 
-    answer: asyncio.Future[fx.Answer] | None
+    answer: asyncio.Future[fx.SendResponse] | None
 
     def gone(self) -> bool: ...
 
-    def drop(self, how: fx.Farewell) -> None: ...
+    def drop(self, how: fx.CloseMode) -> None: ...
 
 
-class Acquirer:
+class ClientServer:
     """The clients of all fronts. Each front has a listener of its own and hands its connections on to
     `serve`."""
 
@@ -341,16 +341,21 @@
         self.claim = claim  # whether an authorisation of that id may be taken
         self.gate: Gate | None = None  # where callers have to prove who they are
         self.classes = classes
-        self._plain = Listener(listen, BACKLOG, self._take, self.scarce)
+        self._plain = Listener(listen, BACKLOG, self._take, self.descriptors_exhausted)
         self._listeners = [self._plain]
-        self._parties: dict[int, Party] = {}
+        self._handlers: dict[int, ClientHandler] = {}
         self._tasks: set[asyncio.Task[None]] = set()
         self._numbers = count(1)
 
     def effects(self) -> dict[type, Callable[[Any], None]]:
-        return {fx.Answer: self._answer, fx.Drop: self._drop, fx.Accept: self._accept, fx.Shut: self._shut}
-
-    def join(self, listener: Listener) -> None:
+        return {
+            fx.SendResponse: self._on_send_response,
+            fx.CloseClient: self._on_close_client,
+            fx.SetAccepting: self._on_set_accepting,
+            fx.CloseListener: self._on_close_listener,
+        }
+
+    def add_listener(self, listener: Listener) -> None:
         """A further front's listener: it takes nobody in while the budget is full, and ends with the
         others."""
         self._listeners.append(listener)
@@ -359,53 +364,53 @@
         """With a listener of its own, or with one that is given; from that it takes nobody in before it is
         told to, as another process may serve them until then."""
         if inherited is not None:
-            self._accept(fx.Accept(False))
+            self._on_set_accepting(fx.SetAccepting(False))
         self._plain.open(inherited)
-        self.runtime.emit(fx.Listening())
+        self.runtime.emit(fx.ListenerOpened())
 
     def _take(self, connection: socket.socket) -> None:
         number = self.number()
         client = Client(self, number, stream(connection))
-        self.enter(number, client)
-        self.runtime.emit(fx.Joined(number))
+        self.register(number, client)
+        self.runtime.emit(fx.ClientConnected(number))
         self.start(number, client.serve())
 
-    def scarce(self) -> None:
-        self.runtime.emit(fx.Scarce())
+    def descriptors_exhausted(self) -> None:
+        self.runtime.emit(fx.DescriptorsExhausted())
 
     def number(self) -> int:
         """Of a client, whatever its front."""
         return next(self._numbers)
 
-    def enter(self, number: int, party: Party) -> None:
+    def register(self, number: int, handler: ClientHandler) -> None:
         """From now on this is who is meant by that number."""
-        self._parties[number] = party
+        self._handlers[number] = handler
 
     def start(self, number: int, work: Coroutine[Any, Any, None]) -> None:
         """Serve a client to its end; then its number means nobody."""
         task = asyncio.ensure_future(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
-        task.add_done_callback(lambda _: self._parties.pop(number, None))
+        task.add_done_callback(lambda _: self._handlers.pop(number, None))
 
-    def present(self, number: int) -> bool:
+    def is_connected(self, number: int) -> bool:
         """Guards what is about to begin for a client: it may have gone, and its end not have been read."""
-        return (party := self._parties.get(number)) is not None and not party.gone()
+        return (handler := self._handlers.get(number)) is not None and not handler.gone()
 
-    def _answer(self, effect: fx.Answer) -> None:
-        party = self._parties.get(effect.client)
-        if party is not None and party.answer is not None and not party.answer.done():
-            party.answer.set_result(effect)
+    def _on_send_response(self, effect: fx.SendResponse) -> None:
+        handler = self._handlers.get(effect.client)
+        if handler is not None and handler.answer is not None and not handler.answer.done():
+            handler.answer.set_result(effect)
 
-    def _drop(self, effect: fx.Drop) -> None:
-        if (party := self._parties.get(effect.client)) is not None:
-            party.drop(effect.how)
+    def _on_close_client(self, effect: fx.CloseClient) -> None:
+        if (handler := self._handlers.get(effect.client)) is not None:
+            handler.drop(effect.mode)
 
-    def _accept(self, effect: fx.Accept) -> None:
+    def _on_set_accepting(self, effect: fx.SetAccepting) -> None:
         for listener in self._listeners:  # a place is free as soon as one answer is given
             listener.hold("clients", not effect.on)
 
-    def _shut(self, _: fx.Shut) -> None:
+    def _on_close_listener(self, _: fx.CloseListener) -> None:
         for listener in self._listeners:
             listener.shut()
 
--- a/reedspoke/net/clients.py
+++ b/reedspoke/net/clients.py
@@ -7,7 +7,7 @@
     any -> parting (its room is needed) -> gone (Parted)
 
 `Arrived` makes it wait and is counted whatever stood before, `Answered` ends the wait, and `Parted` is the
-last word about it in any state. Only who is owed no answer rests in a `Standing`, and only who rests is
+last word about it in any state. Only who is owed no answer rests in a `IdleState`, and only who rests is
 ever dropped for room. An authorisation is open from `Arrived` to its one final answer, or to `Parted`.
 """
 
@@ -15,149 +15,159 @@
 
 from reedspoke import interface as api
 from reedspoke.net import effects as fx
-from reedspoke.net.core import MS, SECOND, Concern, Reactions, Rings
-from reedspoke.net.state import Authorisation, Client, Life, Standing
+from reedspoke.net.core import MS, SECOND, Component, EventHandlers, TimerHandlers
+from reedspoke.net.state import Client, ClientRequest, IdleState, ProcessPhase
 
-CLIENT_IDLE = 300 * SECOND
-CLIENT_FIRST = (
+CLIENT_IDLE_TIMEOUT = 300 * SECOND
+FIRST_REQUEST_TIMEOUT = (
     2 * SECOND
 )  # from connecting to the last byte of a first authorisation: an answer is due in 3 s
-CLIENT_SLOW = 2 * SECOND  # for the bytes of one authorisation
-CLIENT_FRESH = 50 * MS  # a client that means to ask has sent its first bytes by then
-NEW = (Standing.SHAKING, Standing.SILENT)  # what these were sent may be on its way
+REQUEST_READ_TIMEOUT = 2 * SECOND  # for the bytes of one authorisation
+NEW_CLIENT_GRACE = 50 * MS  # a client that means to ask has sent its first bytes by then
+NEW = (IdleState.HANDSHAKING, IdleState.NOTHING_ASKED)  # what these were sent may be on its way
 ENDS = {  # the figure that a job's end counts under
-    fx.Verdict.SERVED: "succeeded",
-    fx.Verdict.DECLINED: "declined",
-    fx.Verdict.FAILED: "aborted",
-    fx.Verdict.LATE: "aborted",
-    fx.Verdict.INVALID: "aborted",
-    fx.Verdict.WITHDRAWN: "declined",
+    fx.Outcome.SERVED: "succeeded",
+    fx.Outcome.REJECTED: "declined",
+    fx.Outcome.FAILED: "aborted",
+    fx.Outcome.TIMED_OUT: "aborted",
+    fx.Outcome.INVALID: "aborted",
+    fx.Outcome.REVOKED: "declined",
 }
 GUARD = 0.5  # of the answer slack: where the last guard stands
 
 
-class Clients(Concern):
-    def reactions(self) -> Reactions:
+class Clients(Component):
+    def event_handlers(self) -> EventHandlers:
         return {
-            fx.Joined: self._on_joined, fx.Reading: self._on_reading, fx.Refused: self._on_refused,
-            fx.Arrived: self._on_arrived, fx.Answered: self._on_answered, fx.Ending: self._on_ending,
-            fx.Parted: self._on_parted, fx.Withdrawn: self._on_withdrawn, fx.Scarce: self._on_scarce,
-        }  # fmt: skip
+            fx.ClientConnected: self._on_client_connected,
+            fx.RequestStarted: self._on_request_started,
+            fx.RequestMalformed: self._on_request_malformed,
+            fx.RequestReceived: self._on_request_received,
+            fx.ResponseSent: self._on_response_sent,
+            fx.ClientClosing: self._on_client_closing,
+            fx.ClientDisconnected: self._on_client_disconnected,
+            fx.CredentialRevoked: self._on_credential_revoked,
+            fx.DescriptorsExhausted: self._on_descriptors_exhausted,
+        }
 
-    def rings(self) -> Rings:
+    def timer_handlers(self) -> TimerHandlers:
         return {
-            "client": self._ring_client, "guard": self._ring_guard, "room": lambda _: self.make_room(),
-        }  # fmt: skip
+            "client": self._on_client_timer,
+            "guard": self._on_guard_timer,
+            "room": lambda _: self.make_room(),
+        }
 
-    def _on_joined(self, event: fx.Joined) -> None:
-        self.enter(event.client, Standing.SILENT)
+    def _on_client_connected(self, event: fx.ClientConnected) -> None:
+        self.add(event.client, IdleState.NOTHING_ASKED)
 
-    def enter(self, number: int, standing: Standing) -> None:
+    def add(self, number: int, idle_state: IdleState) -> None:
         """A new client; it holds a place from now on, whatever its front still has to do."""
         client = self.state.clients[number] = Client(number, self.core.now)
-        self.rest(client, standing)
-        self.core.most("clients", len(self.state.clients))
-        self.core.ring(("client", client.id), self.core.now + CLIENT_FIRST)
+        self.set_idle_state(client, idle_state)
+        self.core.record_maximum("clients", len(self.state.clients))
+        self.core.set_timer(("client", client.id), self.core.now + FIRST_REQUEST_TIMEOUT)
         self.make_room()
 
-    def rest(self, client: Client, standing: Standing | None) -> None:
-        if client.standing is not None:
-            self.state.resting[client.standing].pop(client.id, None)
-        client.standing = standing
-        if standing is not None:
-            self.state.resting[standing][client.id] = None
+    def set_idle_state(self, client: Client, idle_state: IdleState | None) -> None:
+        if client.idle_state is not None:
+            self.state.idle_clients[client.idle_state].pop(client.id, None)
+        client.idle_state = idle_state
+        if idle_state is not None:
+            self.state.idle_clients[idle_state][client.id] = None
 
     def make_room(self) -> None:
         """Guards against clients that crowd out others by holding connections: where the budget is full, one
         that is owed nothing goes. Only where all wait for answers nobody else is taken in meanwhile."""
         state = self.state
-        while len(state.clients) - len(state.parting) >= self.core.budget.clients:
+        while len(state.clients) - len(state.closing_clients) >= self.core.budget.clients:
             if (client := self._least_missed()) is None:
                 break
             self._send_away(client)
-        free = len(state.clients) - len(state.parting) < self.core.budget.clients
-        accepting = free and state.settled
+        free = len(state.clients) - len(state.closing_clients) < self.core.budget.clients
+        accepting = free and state.workers_known
         if accepting != state.accepting:
             state.accepting = accepting
-            self.core.ask(fx.Accept(accepting))
+            self.core.request_effect(fx.SetAccepting(accepting))
             if not free:
                 self.core.count("budget full")
-                self.core.say_seldom("full", "clients: budget is full")
+                self.core.log_rate_limited("full", "clients: budget is full")
 
     def _send_away(self, client: Client) -> None:
         self.core.count("crowded out")
-        self.rest(client, None)
-        self.state.parting.add(client.id)
-        self.core.ask(fx.Drop(client.id, fx.Farewell.NOW))
+        self.set_idle_state(client, None)
+        self.state.closing_clients.add(client.id)
+        self.core.request_effect(fx.CloseClient(client.id, fx.CloseMode.IMMEDIATELY))
 
     def _least_missed(self) -> Client | None:
         """Who was answered before sends again elsewhere what crosses the end. Who has only just connected
         would have failed: it stays until its first bytes had the time to come, and meanwhile others wait."""
         state = self.state
-        for standing in (
-            Standing.ENDING,
-            Standing.SHAKING,
-            Standing.ANSWERED,
-            Standing.SILENT,
-            Standing.KEPT,
+        for idle_state in (
+            IdleState.CLOSING,
+            IdleState.HANDSHAKING,
+            IdleState.ANSWERED,
+            IdleState.NOTHING_ASKED,
+            IdleState.SERVED,
         ):
-            if (number := next(iter(state.resting[standing]), None)) is None:
+            if (number := next(iter(state.idle_clients[idle_state]), None)) is None:
                 continue
             client = state.clients[number]
-            if standing not in NEW or self.core.now >= client.joined + CLIENT_FRESH:
+            if idle_state not in NEW or self.core.now >= client.connected_at + NEW_CLIENT_GRACE:
                 return client
-        if any(state.resting[standing] for standing in NEW):
-            self.core.ring(("room", 0), self.core.now + CLIENT_FRESH)
+        if any(state.idle_clients[idle_state] for idle_state in NEW):
+            self.core.set_timer(("room", 0), self.core.now + NEW_CLIENT_GRACE)
         return None
 
-    def _on_reading(self, event: fx.Reading) -> None:
+    def _on_request_started(self, event: fx.RequestStarted) -> None:
         if (client := self.state.clients.get(event.client)) is not None:
             client.reading = True
-            self.state.parting.discard(client.id)
+            self.state.closing_clients.discard(client.id)
             if client.answered:  # else its time runs since it has connected
-                self.rest(client, None)
-                self.core.ring(("client", client.id), self.core.now + CLIENT_SLOW)
+                self.set_idle_state(client, None)
+                self.core.set_timer(("client", client.id), self.core.now + REQUEST_READ_TIMEOUT)
 
-    def _on_refused(self, event: fx.Refused) -> None:
+    def _on_request_malformed(self, event: fx.RequestMalformed) -> None:
         self.core.count(f"malformed {event.status}")
-        self.core.say_seldom(
-            f"malformed {event.status}", f"authorisation malformed: {event.status} {event.why}"
+        self.core.log_rate_limited(
+            f"malformed {event.status}", f"authorisation malformed: {event.status} {event.reason}"
         )
 
-    def _on_arrived(self, event: fx.Arrived) -> None:
+    def _on_request_received(self, event: fx.RequestReceived) -> None:
         state = self.state
         if (client := state.clients.get(event.client)) is None:
-            if not event.elsewhere and event.name not in state.names:
-                self.core.ask(fx.Unclaim(event.name))
+            if not event.elsewhere and event.name not in state.open_request_ids:
+                self.core.request_effect(fx.ReleaseRequestId(event.name))
             return
         client.reading = False
-        state.parting.discard(client.id)
-        self.rest(client, None)
-        self.core.quiet(("client", client.id))
+        state.closing_clients.discard(client.id)
+        self.set_idle_state(client, None)
+        self.core.cancel_timer(("client", client.id))
         self.core.count("authorisations")
-        if event.elsewhere or event.name in state.names:  # its twin is out and might run twice
+        if event.elsewhere or event.name in state.open_request_ids:  # its twin is out and might run twice
             self.core.count("invalid")
-            self.core.ask(fx.Answer(client.id, fx.Verdict.INVALID, last=self.state.leaving()))
+            self.core.request_effect(
+                fx.SendResponse(client.id, fx.Outcome.INVALID, last=self.state.leaving())
+            )
             return
-        deadline = self.core.now + event.span
-        if state.life is Life.SHUT:
+        deadline = self.core.now + event.timeout
+        if state.phase is ProcessPhase.LISTENER_CLOSED:
             # Guards those who were slow to ask: what comes 0.7 s behind SIGTERM is owed its answer before
             # SIGKILL.
             deadline = min(deadline, state.kill_at)
-        auth = Authorisation(
+        request = ClientRequest(
             state.next_id(), event.name, event.cls, client.id, event.message, deadline, event.slots
         )
-        state.authorisations[auth.id] = client.authorisation = auth
-        state.names.add(event.name)
-        self.core.most("open", len(state.names))
+        state.requests[request.id] = client.request = request
+        state.open_request_ids.add(event.name)
+        self.core.record_maximum("open", len(state.open_request_ids))
         slack = int(GUARD * self.core.settings.rules.answer_slack)
-        self.core.ring(("guard", auth.id), auth.deadline + slack)
-        self.core.tell(
+        self.core.set_timer(("guard", request.id), request.deadline + slack)
+        self.core.notify_module(
             api.Request(
-                auth.id,
+                request.id,
                 event.cls,
-                auth.deadline,
-                event.hint,
+                request.deadline,
+                event.cost_hint,
                 event.slots,
                 event.memory,
                 self._tenant(event.tenant),
@@ -166,95 +176,105 @@
         )
 
     def answer(
-        self, auth: Authorisation, verdict: fx.Verdict, result: bytes = b"", retry_after: int = 0
+        self, request: ClientRequest, outcome: fx.Outcome, result: bytes = b"", retry_after: int = 0
     ) -> None:
         """The one final answer."""
-        self.core.count(verdict.value)
-        self.core.tally(ENDS[verdict], auth.cls)
-        self._close(auth)
-        if (client := self.state.clients.get(auth.client)) is not None and client.authorisation is auth:
-            client.authorisation = None
-            client.served |= verdict is fx.Verdict.SERVED
-            self.core.ask(fx.Answer(client.id, verdict, result, retry_after, self.state.leaving()))
+        self.core.count(outcome.value)
+        self.core.count_metric(ENDS[outcome], request.cls)
+        self._close(request)
+        if (client := self.state.clients.get(request.client)) is not None and client.request is request:
+            client.request = None
+            client.served |= outcome is fx.Outcome.SERVED
+            self.core.request_effect(
+                fx.SendResponse(client.id, outcome, result, retry_after, self.state.leaving())
+            )
 
-    def _close(self, auth: Authorisation) -> None:
-        auth.open = False
-        auth.message = None
-        self.state.names.discard(auth.name)
-        self.core.ask(fx.Unclaim(auth.name))
-        self.core.quiet(("guard", auth.id))
-        self.forget(auth)
+    def _close(self, request: ClientRequest) -> None:
+        request.open = False
+        request.message = None
+        self.state.open_request_ids.discard(request.name)
+        self.core.request_effect(fx.ReleaseRequestId(request.name))
+        self.core.cancel_timer(("guard", request.id))
+        self.forget(request)
 
-    def forget(self, auth: Authorisation) -> None:
-        if not auth.open and not auth.out:
-            self.state.authorisations.pop(auth.id, None)
+    def forget(self, request: ClientRequest) -> None:
+        if not request.open and not request.in_flight:
+            self.state.requests.pop(request.id, None)
 
-    def _on_answered(self, event: fx.Answered) -> None:
+    def _on_response_sent(self, event: fx.ResponseSent) -> None:
         if (client := self.state.clients.get(event.client)) is not None:
             client.answered += 1
             client.reading = False
-            self.rest(client, Standing.KEPT if client.served else Standing.ANSWERED)
-            self.core.ring(("client", client.id), self.core.now + CLIENT_IDLE)
-            if self.state.life is Life.SHUT:
-                self.core.ask(fx.Drop(client.id))
+            self.set_idle_state(client, IdleState.SERVED if client.served else IdleState.ANSWERED)
+            self.core.set_timer(("client", client.id), self.core.now + CLIENT_IDLE_TIMEOUT)
+            if self.state.phase is ProcessPhase.LISTENER_CLOSED:
+                self.core.request_effect(fx.CloseClient(client.id))
             else:
                 self.make_room()
 
-    def _on_ending(self, event: fx.Ending) -> None:
+    def _on_client_closing(self, event: fx.ClientClosing) -> None:
         if (client := self.state.clients.get(event.client)) is not None:
-            self.rest(client, Standing.ENDING)
+            self.set_idle_state(client, IdleState.CLOSING)
             self.make_room()
 
-    def _on_withdrawn(self, event: fx.Withdrawn) -> None:
+    def _on_credential_revoked(self, event: fx.CredentialRevoked) -> None:
         """Taken is taken: only what has no leg as yet is answered, and the module forgets it."""
         client = self.state.clients.get(event.client)
-        if client is not None and (auth := client.authorisation) is not None and auth.open and not auth.legs:
-            self.answer(auth, fx.Verdict.WITHDRAWN)
-            self.core.tell(api.ClientDisconnected(auth.id))
+        if (
+            client is not None
+            and (request := client.request) is not None
+            and request.open
+            and not request.attempts
+        ):
+            self.answer(request, fx.Outcome.REVOKED)
+            self.core.notify_module(api.ClientDisconnected(request.id))
 
-    def _on_parted(self, event: fx.Parted) -> None:
+    def _on_client_disconnected(self, event: fx.ClientDisconnected) -> None:
         if (client := self.state.clients.pop(event.client, None)) is None:
             return
-        self.rest(client, None)
-        self.state.parting.discard(client.id)
-        self.core.quiet(("client", client.id))
-        if (auth := client.authorisation) is not None:
-            self.leave(auth)
-        if self.state.life in (Life.STARTING, Life.SERVING, Life.LEAVING):
+        self.set_idle_state(client, None)
+        self.state.closing_clients.discard(client.id)
+        self.core.cancel_timer(("client", client.id))
+        if (request := client.request) is not None:
+            self.abandon(request)
+        if self.state.phase in (ProcessPhase.STARTING, ProcessPhase.SERVING, ProcessPhase.DRAINING):
             self.make_room()
 
-    def leave(self, auth: Authorisation) -> None:
+    def abandon(self, request: ClientRequest) -> None:
         """Its client has gone: no answer is owed, and no leg begins from now on."""
-        if not auth.open:
+        if not request.open:
             return
         self.core.count("gone")
-        if (client := self.state.clients.get(auth.client)) is not None:
-            client.authorisation = None
-        self._close(auth)
-        self.core.tell(api.ClientDisconnected(auth.id))
+        if (client := self.state.clients.get(request.client)) is not None:
+            client.request = None
+        self._close(request)
+        self.core.notify_module(api.ClientDisconnected(request.id))
 
-    def _on_scarce(self, _: fx.Scarce) -> None:
+    def _on_descriptors_exhausted(self, _: fx.DescriptorsExhausted) -> None:
         """Guards who waits outside against a system that gives out fewer descriptors than were promised: one
         that is owed nothing goes."""
         if (client := self._least_missed()) is not None:
             self._send_away(client)
 
-    def _ring_client(self, number: int) -> None:
+    def _on_client_timer(self, number: int) -> None:
         client = self.state.clients.get(number)
-        if client is not None and client.authorisation is None:
+        if client is not None and client.request is None:
             if not client.answered and not client.reading:
                 self.core.count("silent")
-            self.core.ask(fx.Drop(number, fx.Farewell.TOLD if client.reading else fx.Farewell.IDLE))
+            self.core.request_effect(
+                fx.CloseClient(number, fx.CloseMode.WITH_ERROR if client.reading else fx.CloseMode.IF_IDLE)
+            )
 
-    def _ring_guard(self, number: int) -> None:
+    def _on_guard_timer(self, number: int) -> None:
         """Guards against an authorisation that nobody answers: its time is up whatever the module does."""
-        auth = self.state.authorisations.get(number)
-        if auth is not None and auth.open:
-            self.core.fault(
-                f"no final answer in time, the last guard gives one (legs {auth.legs}, out {len(auth.out)})"
+        request = self.state.requests.get(number)
+        if request is not None and request.open:
+            self.core.log_fault(
+                "no final answer in time, the last guard gives one "
+                f"(legs {request.attempts}, out {len(request.in_flight)})"
             )
-            self.answer(auth, fx.Verdict.LATE)
-            self.core.tell(api.ClientDisconnected(auth.id))
+            self.answer(request, fx.Outcome.TIMED_OUT)
+            self.core.notify_module(api.ClientDisconnected(request.id))
 
     def _tenant(self, name: str) -> str:
         """Guards the module's tables: where the settings name the tenants, all others are one to it."""
--- a/reedspoke/net/config.py
+++ b/reedspoke/net/config.py
@@ -13,7 +13,7 @@
 
 from reedspoke import interface as api
 from reedspoke.errors import ReedspokeError
-from reedspoke.net.core import DOOR
+from reedspoke.net.core import OPERATOR_DESCRIPTORS
 from reedspoke.settings import Info, settings
 
 LEAST_SOCKETS = 32
@@ -117,7 +117,7 @@
     except ValueError as error:  # msgspec's errors are ValueErrors too
         raise ConfigError(f"PROXY_CONFIG is malformed: {error}") from None
     ops = environ.get("PROXY_OPS") or told.ops
-    least = LEAST_SOCKETS + (DOOR if ops else 0)
+    least = LEAST_SOCKETS + (OPERATOR_DESCRIPTORS if ops else 0)
     if told.limits.sockets < least:
         raise ConfigError(f"limits.sockets is {told.limits.sockets}, at least {least} are needed")
     inherited = environ.get("PROXY_FD", "")
--- a/reedspoke/net/directory.py
+++ b/reedspoke/net/directory.py
@@ -52,7 +52,7 @@
 LIST = msgspec.json.Decoder(List).decode
 
 
-def target(raw: msgspec.Raw) -> fx.Target | None:
+def target(raw: msgspec.Raw) -> fx.ListedWorker | None:
     """None, and a line in the log, for what is no entry: the others count all the same."""
     try:
         told = ENTRY(raw)
@@ -67,13 +67,15 @@
         told.capacity_hint if LEAST_SIZE <= told.capacity_hint <= MOST_SIZE else 1.0
     )  # speeds follow from it
     entry = api.WorkerEntry(told.uid, told.az, told.model, told.pod_group, state, size, born)
-    return fx.Target(entry, endpoint)
+    return fx.ListedWorker(entry, endpoint)
 
 
-def listed(raw: bytes | memoryview, kind: api.ListKind | None = None) -> fx.Listed:
+def listed(raw: bytes | memoryview, kind: api.ListKind | None = None) -> fx.WorkersListed:
     told = LIST(raw)
     targets = [found for entry in told.targets if (found := target(entry)) is not None]
-    return fx.Listed(kind or (api.ListKind.FULL if told.all else api.ListKind.CHANGES), told.rev, targets)
+    return fx.WorkersListed(
+        kind or (api.ListKind.FULL if told.all else api.ListKind.CHANGES), told.rev, targets
+    )
 
 
 class Directory:
@@ -83,11 +85,11 @@
         self._task: asyncio.Task[None] | None = None
 
     def effects(self) -> dict[type, Callable[[Any], None]]:
-        return {fx.Follow: self._follow, fx.Unfollow: lambda _: self.close()}
+        return {fx.StartWatch: self._follow, fx.StopWatch: lambda _: self.close()}
 
-    def _follow(self, effect: fx.Follow) -> None:
+    def _follow(self, effect: fx.StartWatch) -> None:
         self.close()
-        self._task = asyncio.ensure_future(self._watch(effect.endpoint, effect.rev))
+        self._task = asyncio.ensure_future(self._watch(effect.endpoint, effect.revision))
 
     def close(self) -> None:
         self._task = None
@@ -113,7 +115,7 @@
             log.exception("fault: directory")
         if self._task is task:
             self.close()
-            self.runtime.emit(fx.Unlisted(why))
+            self.runtime.emit(fx.WatchLost(why))
 
     async def _read(self, stream: IOStream, task: asyncio.Task[None] | None) -> str:
         buffer = Buffer()
@@ -132,4 +134,4 @@
                 else:
                     # Guards against a list over several lines, which a reader of lines never gets whole.
                     for raw in values.feed(item):
-                        self.runtime.emit(fx.Beaten() if raw is None else listed(raw))
+                        self.runtime.emit(fx.DirectoryHeartbeat() if raw is None else listed(raw))
--- a/reedspoke/net/effects.py
+++ b/reedspoke/net/effects.py
@@ -11,93 +11,93 @@
 TimerKey = tuple[str, int]
 
 
-class Farewell(Enum):
+class CloseMode(Enum):
     """How a client's connection is ended. One whose authorisation waits for its answer is never dropped."""
 
-    IDLE = "idle"  # unless bytes of an authorisation have come
-    TOLD = "told"  # also half an authorisation, with an answer that says so
-    NOW = "now"  # also half an authorisation, at once
+    IF_IDLE = "idle"  # unless bytes of an authorisation have come
+    WITH_ERROR = "told"  # also half an authorisation, with an answer that says so
+    IMMEDIATELY = "now"  # also half an authorisation, at once
 
 
-class Verdict(Enum):
+class Outcome(Enum):
     """The final answer to an authorisation."""
 
     SERVED = "served"
-    DECLINED = "declined"  # trying again is harmless
+    REJECTED = "declined"  # trying again is harmless
     FAILED = "failed"
-    LATE = "late"  # the last guard's
+    TIMED_OUT = "late"  # the last guard's
     INVALID = "invalid"  # it should not have come
-    WITHDRAWN = "withdrawn"  # it never ran, and its caller is believed no longer
+    REVOKED = "withdrawn"  # it never ran, and its caller is believed no longer
 
 
-class Order(Enum):
+class OperatorCommand(Enum):
     """What operators ask for."""
 
     READY = "ready"
-    FIGURES = "figures"
+    METRICS = "figures"
     SUSPEND = "suspend"
     RESUME = "resume"
     DRAIN = "drain"
     ACTIVATE = "activate"
-    FURTHER = "further"  # of a part beyond the platform's program
+    EXTENSION = "further"  # of a part beyond the platform's program
 
 
-class Word(Enum):
+class CallResult(Enum):
     """What operators are told."""
 
     YES = "yes"
     NO = "no"
-    UNKNOWN = "no such worker"
-    ABSENT = "not here"  # the part that would know is not in use, or knows nothing of that name
+    UNKNOWN_WORKER = "no such worker"
+    NOT_FOUND = "not here"  # the part that would know is not in use, or knows nothing of that name
 
 
 # ---- what parts beyond the platform's program bring (`subsystem.py`) ----
 
 
-class FurtherEvent(Struct):
+class ExtensionEvent(Struct):
     """The base of their events."""
 
 
-class FurtherEffect(Struct):
+class ExtensionEffect(Struct):
     """The base of their effects."""
 
 
 # ---- events ----
 
 
-class Joined(Struct):
+class ClientConnected(Struct):
     """A client has connected."""
 
     client: int
 
 
-class Greeted(Struct):
+class HandshakeStarted(Struct):
     """A client has connected at a front that has to agree with it on keys first."""
 
     client: int
 
 
-class Secured(Struct):
+class HandshakeCompleted(Struct):
     """It has: from here on the client is as any other."""
 
     client: int
 
 
-class Reading(Struct):
+class RequestStarted(Struct):
     """The first bytes of an authorisation have come from a client."""
 
     client: int
 
 
-class Arrived(Struct):
+class RequestReceived(Struct):
     """The last byte of an authorisation has come. `message` is what its legs will carry."""
 
     client: int
     name: str
     message: object
     cls: str
-    span: int  # us that the client will wait
-    hint: int
+    timeout: int  # us that the client will wait
+    cost_hint: int
     slots: int
     memory: float
     tenant: str
@@ -105,67 +105,67 @@
     elsewhere: bool = False  # one of that id is open in this scheduler's other process
 
 
-class Withdrawn(Struct):
+class CredentialRevoked(Struct):
     """What a client proved itself with counts no longer: nothing of it may go out that has not yet."""
 
     client: int
 
 
-class Answered(Struct):
+class ResponseSent(Struct):
     """An answer has been written, or an ill-formed authorisation has been told so."""
 
     client: int
 
 
-class Ending(Struct):
+class ClientClosing(Struct):
     """The last answer on a client's connection is given; what still comes is read and forgotten."""
 
     client: int
 
 
-class Refused(Struct):
+class RequestMalformed(Struct):
     """What a client sent is no authorisation; `status` tells it so."""
 
     status: int
-    why: str
+    reason: str
 
 
-class Scarce(Struct):
+class DescriptorsExhausted(Struct):
     """The system has no descriptor for a client that waits to be taken in."""
 
 
-class Parted(Struct):
+class ClientDisconnected(Struct):
     """A client's connection has ended."""
 
     client: int
 
 
-class Opened(Struct):
+class WorkerConnected(Struct):
     """A connection to an issuer host has come up."""
 
     conn: int
 
 
-class Written(Struct):
+class AttemptWritten(Struct):
     """The last byte of a leg is written."""
 
     conn: int
 
 
-class Unsent(Struct):
+class AttemptNotSent(Struct):
     """Not a byte of a leg was written: its client had gone by then, or the connection had ended."""
 
     conn: int
     ended: bool = False
 
 
-class Heard(Struct):
+class ResponseStarted(Struct):
     """A host has begun to answer a leg: it has taken it."""
 
     conn: int
 
 
-class Noted(Struct):
+class AttemptProgress(Struct):
     """A leg tells that its job has started, or how far it is."""
 
     conn: int
@@ -173,7 +173,7 @@
     share: float
 
 
-class Concluded(Struct):
+class OutcomeReceived(Struct):
     """A leg or a probe has its outcome; the rest of the answer may still be on its way."""
 
     conn: int
@@ -184,92 +184,92 @@
     free: bool = False  # its answer has ended, and the connection may carry the next leg
 
 
-class Freed(Struct):
+class ResponseCompleted(Struct):
     """The whole answer has come: the connection can carry the next leg."""
 
     conn: int
 
 
-class Broken(Struct):
+class WorkerDisconnected(Struct):
     """A connection to an issuer host never came up or has ended."""
 
     conn: int
 
 
-class Target(Struct):
+class ListedWorker(Struct):
     """An issuer host as the directory lists it."""
 
     entry: api.WorkerEntry
     endpoint: tuple[str, int]
 
 
-class Listed(Struct):
+class WorkersListed(Struct):
     kind: api.ListKind
-    rev: int
-    targets: list[Target]
+    revision: int
+    targets: list[ListedWorker]
 
 
-class Beaten(Struct):
+class DirectoryHeartbeat(Struct):
     """The directory gives a sign of life."""
 
 
-class Unlisted(Struct):
+class WatchLost(Struct):
     """The watch has failed or has ended."""
 
-    why: str
+    reason: str
 
 
-class Rung(Struct):
+class TimerFired(Struct):
     key: TimerKey
 
 
-class Listening(Struct):
+class ListenerOpened(Struct):
     """The listener is open."""
 
 
-class Stop(Struct):
+class ShutdownRequested(Struct):
     """The platform asks for a planned end."""
 
 
-class Reload(Struct):
+class ReloadRequested(Struct):
     """The platform has a new configuration."""
 
 
-class Reloaded(Struct):
+class ConfigurationReloaded(Struct):
     """It is read and holds; so far only the directory's address can change in service."""
 
     directory: tuple[str, int]
 
 
-class Rang(Struct):
+class OperatorConnected(Struct):
     """An operator has connected at the door."""
 
     caller: int
 
 
-class Called(Struct):
+class OperatorCall(Struct):
     """A whole call has come; `host` is the issuer host that it names, if any. Of a further one: which, what
     it names and its body."""
 
     caller: int
-    order: Order
+    command: OperatorCommand
     host: str = ""
     which: str = ""
     names: tuple[str, ...] = ()
     body: bytes = b""
 
 
-class Hungup(Struct):
+class OperatorDisconnected(Struct):
     """An operator's connection has ended."""
 
     caller: int
 
 
-class Unloaded(Struct):
+class ConfigurationRejected(Struct):
     """The new configuration is unusable: the old one stays in force."""
 
 
-class Partner(Struct):
+class SiblingProcess(Struct):
     """What another process of this scheduler holds, while one replaces the other."""
 
     leaving: bool
@@ -278,13 +278,13 @@
     learned: api.LearnedState
 
 
-class Accompanied(Struct):
+class SiblingsReported(Struct):
     """Which other processes of this scheduler live, and what they hold."""
 
-    partners: tuple[Partner, ...]
+    partners: tuple[SiblingProcess, ...]
 
 
-class Ordered(Struct):
+class OrdersRecorded(Struct):
     """All that operators have ordered, as kept for both processes."""
 
     suspended: dict[str, tuple[str, int]]
@@ -292,139 +292,170 @@
     caller: int = 0  # whose call changed it, 0: none here
 
 
-class Unrecorded(Struct):
+class OrderNotRecorded(Struct):
     """An order could not be kept; `again`: for the moment."""
 
-    record: Record
+    record: RecordOrder
     again: bool
 
 
 Event = (
-    FurtherEvent | Joined | Greeted | Secured | Withdrawn | Reading | Arrived | Answered | Ending |
-    Refused | Parted | Scarce | Opened | Written | Unsent | Heard | Noted | Concluded | Freed | Broken |
-    Listed | Beaten | Unlisted | Rung | Listening | Stop | Reload | Reloaded | Unloaded | Rang | Called |
-    Hungup | Accompanied | Ordered | Unrecorded
-)  # fmt: skip
+    ExtensionEvent
+    | ClientConnected
+    | HandshakeStarted
+    | HandshakeCompleted
+    | CredentialRevoked
+    | RequestStarted
+    | RequestReceived
+    | ResponseSent
+    | ClientClosing
+    | RequestMalformed
+    | ClientDisconnected
+    | DescriptorsExhausted
+    | WorkerConnected
+    | AttemptWritten
+    | AttemptNotSent
+    | ResponseStarted
+    | AttemptProgress
+    | OutcomeReceived
+    | ResponseCompleted
+    | WorkerDisconnected
+    | WorkersListed
+    | DirectoryHeartbeat
+    | WatchLost
+    | TimerFired
+    | ListenerOpened
+    | ShutdownRequested
+    | ReloadRequested
+    | ConfigurationReloaded
+    | ConfigurationRejected
+    | OperatorConnected
+    | OperatorCall
+    | OperatorDisconnected
+    | SiblingsReported
+    | OrdersRecorded
+    | OrderNotRecorded
+)
 
 # ---- effects ----
 
 
-class Answer(Struct):
+class SendResponse(Struct):
     client: int
-    verdict: Verdict
+    outcome: Outcome
     result: bytes = b""
     retry_after: int = 0
     last: bool = False  # the connection ends with it
 
 
-class Drop(Struct):
+class CloseClient(Struct):
     """End a client's connection."""
 
     client: int
-    how: Farewell = Farewell.IDLE
+    mode: CloseMode = CloseMode.IF_IDLE
 
 
-class Accept(Struct):
+class SetAccepting(Struct):
     """Take clients from now on, or leave them waiting while no descriptor is free."""
 
     on: bool
 
 
-class Admit(Struct):
+class SetHandshaking(Struct):
     """Begin further handshakes from now on, or leave who comes for one waiting."""
 
     on: bool
 
 
-class Shut(Struct):
+class CloseListener(Struct):
     """Close the listener; where nobody else has it, take in who is waiting first."""
 
 
-class Dial(Struct):
+class ConnectWorker(Struct):
     conn: int
     endpoint: tuple[str, int]
 
 
-class Transmit(Struct):
+class SendAttempt(Struct):
     conn: int
     client: int  # whose job it is: nothing is written once that one has gone
     message: object
-    wait: int  # us that the answer is waited for
+    timeout: int  # us that the answer is waited for
 
 
-class Ask(Struct):
+class SendProbe(Struct):
     """Send a probe."""
 
     conn: int
 
 
-class Hangup(Struct):
+class DisconnectWorker(Struct):
     conn: int
 
 
-class Follow(Struct):
+class StartWatch(Struct):
     """Watch the directory for what has changed since `rev`; another watch ends with that."""
 
     endpoint: tuple[str, int]
-    rev: int
+    revision: int
 
 
-class Unfollow(Struct):
+class StopWatch(Struct):
     pass
 
 
-class Reread(Struct):
+class ReloadConfiguration(Struct):
     """Read the configuration again."""
 
 
-class Ring(Struct):
+class SetTimer(Struct):
     key: TimerKey
     at: int
 
 
-class Quiet(Struct):
+class CancelTimer(Struct):
     key: TimerKey
 
 
-class Say(Struct):
+class WriteLog(Struct):
     """A line for the log."""
 
     text: str
     fault: bool = False
 
 
-class Reply(Struct):
+class ReplyToOperator(Struct):
     """Answer an operator's call."""
 
     caller: int
-    word: Word
+    result: CallResult
     figures: bool = False  # with all figures as its text
     text: str = ""  # in place of the word's own
     status: int = 0  # in place of the word's own
-    form: str = ""  # content type, where it is not plain text
+    content_type: str = ""  # content type, where it is not plain text
 
 
-class Dismiss(Struct):
+class DisconnectOperator(Struct):
     """End an operator's connection that has not called."""
 
     caller: int
 
 
-class Record(Struct):
+class RecordOrder(Struct):
     """Keep an operator's order where both processes see it."""
 
     caller: int
-    order: Order
+    command: OperatorCommand
     host: str = ""
     endpoint: tuple[str, int] = ("", 0)
-    tries: int = 0  # that have failed, as the other process was at it
+    retries: int = 0  # that have failed, as the other process was at it
 
 
-class Look(Struct):
+class ReadSharedState(Struct):
     """See what the other process, if there is one, has left for this one."""
 
 
-class Hold(Struct):
+class PublishUsage(Struct):
     """Tell the other process what this one holds."""
 
     leaving: bool
@@ -433,7 +464,7 @@
     learned: api.LearnedState
 
 
-class Unclaim(Struct):
+class ReleaseRequestId(Struct):
     """An authorisation is not open any more."""
 
     name: str
@@ -444,27 +475,27 @@
 
 
 Effect = (
-    Answer
-    | Drop
-    | Accept
-    | Admit
-    | Shut
-    | Dial
-    | Transmit
-    | Ask
-    | Hangup
-    | Follow
-    | Unfollow
-    | Reread
-    | Ring
-    | Quiet
-    | Say
-    | Reply
-    | Dismiss
-    | Record
-    | Look
-    | Hold
-    | Unclaim
+    SendResponse
+    | CloseClient
+    | SetAccepting
+    | SetHandshaking
+    | CloseListener
+    | ConnectWorker
+    | SendAttempt
+    | SendProbe
+    | DisconnectWorker
+    | StartWatch
+    | StopWatch
+    | ReloadConfiguration
+    | SetTimer
+    | CancelTimer
+    | WriteLog
+    | ReplyToOperator
+    | DisconnectOperator
+    | RecordOrder
+    | ReadSharedState
+    | PublishUsage
+    | ReleaseRequestId
     | Exit
-    | FurtherEffect
+    | ExtensionEffect
 )
--- a/reedspoke/net/handover.py
+++ b/reedspoke/net/handover.py
@@ -76,7 +76,7 @@
         self._orders = Orders(name, 0, {}, False)
         self._seen: tuple[int, ...] = ()  # the file of orders as looked at last
         self._skipped: set[str] = set()  # files that were told to be unusable
-        self._partners: list[fx.Partner] = []
+        self._partners: list[fx.SiblingProcess] = []
         self._locks = -1
         self._token = secrets.token_hex(8)
         if folder is not None:
@@ -88,7 +88,12 @@
                 self.folder = None
 
     def effects(self) -> dict[type, Callable[[Any], None]]:
-        return {fx.Record: self._record, fx.Look: self._look, fx.Hold: self._hold, fx.Unclaim: self._unclaim}
+        return {
+            fx.RecordOrder: self._record,
+            fx.ReadSharedState: self._look,
+            fx.PublishUsage: self._hold,
+            fx.ReleaseRequestId: self._unclaim,
+        }
 
     # ---- records that are locked ----
 
@@ -103,7 +108,7 @@
         """Whether an authorisation of that id may be taken: not where it is open in the other process."""
         return self._locks < 0 or self._lock(IDS | record(name))
 
-    def _unclaim(self, effect: fx.Unclaim) -> None:
+    def _unclaim(self, effect: fx.ReleaseRequestId) -> None:
         if self._locks >= 0:
             fcntl.lockf(self._locks, fcntl.LOCK_UN, 1, IDS | record(effect.name))
 
@@ -161,7 +166,7 @@
         finally:
             os.close(lock)
 
-    def _record(self, effect: fx.Record) -> None:
+    def _record(self, effect: fx.RecordOrder) -> None:
         """Change the orders where both processes see them."""
         try:
             if self.folder is None:
@@ -172,29 +177,31 @@
                     self._replace(self.folder / ORDERS, msgspec.json.encode(orders))
                     self._orders = orders
         except BlockingIOError:  # the other process is at it: a matter of moments
-            self.runtime.emit(fx.Unrecorded(effect, again=True))
+            self.runtime.emit(fx.OrderNotRecorded(effect, again=True))
         except OSError as error:
             log.error("handover: orders cannot be kept: %s", error)
-            self.runtime.emit(fx.Unrecorded(effect, again=False))
+            self.runtime.emit(fx.OrderNotRecorded(effect, again=False))
         else:
-            self.runtime.emit(fx.Ordered(dict(self._orders.suspended), self._orders.drained, effect.caller))
+            self.runtime.emit(
+                fx.OrdersRecorded(dict(self._orders.suspended), self._orders.drained, effect.caller)
+            )
 
-    def _changed(self, old: Orders, effect: fx.Record) -> Orders:
+    def _changed(self, old: Orders, effect: fx.RecordOrder) -> Orders:
         suspended, drained = dict(old.suspended), old.drained
-        match effect.order:
-            case fx.Order.SUSPEND:
+        match effect.command:
+            case fx.OperatorCommand.SUSPEND:
                 suspended.setdefault(effect.host, effect.endpoint)
-            case fx.Order.RESUME:
+            case fx.OperatorCommand.RESUME:
                 suspended.pop(effect.host, None)
-            case fx.Order.DRAIN:
+            case fx.OperatorCommand.DRAIN:
                 drained = True
-            case fx.Order.ACTIVATE:
+            case fx.OperatorCommand.ACTIVATE:
                 drained = False
         if (suspended, drained) == (old.suspended, old.drained):
             return old
         return Orders(self.name, old.version + 1, suspended, drained)
 
-    def _look(self, _: fx.Look) -> None:
+    def _look(self, _: fx.ReadSharedState) -> None:
         if self.folder is None:
             return
         seen: tuple[int, ...] = ()
@@ -205,15 +212,15 @@
             self._seen = seen
             if seen and (orders := self._read_orders()) is not None and orders != self._orders:
                 self._orders = orders
-                self.runtime.emit(fx.Ordered(dict(orders.suspended), orders.drained))
+                self.runtime.emit(fx.OrdersRecorded(dict(orders.suspended), orders.drained))
         partners = list(self._others())
         if partners != self._partners:
             self._partners = partners
-            self.runtime.emit(fx.Accompanied(tuple(partners)))
+            self.runtime.emit(fx.SiblingsReported(tuple(partners)))
 
     # ---- the other process ----
 
-    def _hold(self, effect: fx.Hold) -> None:
+    def _hold(self, effect: fx.PublishUsage) -> None:
         if self.folder is None:
             return
         held = Holding(self.name, effect.leaving, effect.descriptors, effect.slots, effect.learned)
@@ -222,7 +229,7 @@
         except OSError as error:
             self._skip(self.folder / PROCESS, error)
 
-    def _others(self) -> Iterator[fx.Partner]:
+    def _others(self) -> Iterator[fx.SiblingProcess]:
         """The processes of this scheduler that live beside this one; what dead ones left goes."""
         assert self.folder is not None
         try:
@@ -246,7 +253,7 @@
                 self._skip(path, error)
                 continue
             if held.name == self.name:
-                yield fx.Partner(held.leaving, held.descriptors, held.slots, held.learned)
+                yield fx.SiblingProcess(held.leaving, held.descriptors, held.slots, held.learned)
 
     def close(self) -> None:
         if self.folder is not None:
--- a/reedspoke/net/lifecycle.py
+++ b/reedspoke/net/lifecycle.py
@@ -8,98 +8,111 @@
 from __future__ import annotations
 
 from reedspoke.net import effects as fx
-from reedspoke.net.core import MS, SECOND, Concern, Core, Reactions, Rings
-from reedspoke.net.hosts import Hosts
-from reedspoke.net.legs import Legs
-from reedspoke.net.state import Life, Standing
-
-PATIENCE = 3 * SECOND  # of a successor with the directory, before it makes do with the list it was given
-LEAVE = 500 * MS  # clients keep connecting for up to 400 ms after SIGTERM
-LAST_CALL = 200 * MS  # for the first bytes of those taken in last
-KILL = (
-    3 * SECOND + LEAVE + LAST_CALL
+from reedspoke.net.attempts import Attempts
+from reedspoke.net.core import MS, SECOND, Component, Core, EventHandlers, TimerHandlers
+from reedspoke.net.state import IdleState, ProcessPhase
+from reedspoke.net.workers import Workers
+
+DIRECTORY_WAIT = (
+    3 * SECOND
+)  # of a successor with the directory, before it makes do with the list it was given
+ACCEPT_AFTER_STOP = 500 * MS  # clients keep connecting for up to 400 ms after SIGTERM
+LAST_REQUEST_WAIT = 200 * MS  # for the first bytes of those taken in last
+KILL_DELAY = (
+    3 * SECOND + ACCEPT_AFTER_STOP + LAST_REQUEST_WAIT
 )  # from SIGTERM to SIGKILL, or the longest deadline where that is shorter
-KILL_SPARE = 100 * MS  # for the answers that have to be out by then
+KILL_MARGIN = 100 * MS  # for the answers that have to be out by then
 
 
-class Lifecycle(Concern):
-    def __init__(self, core: Core, legs: Legs, hosts: Hosts) -> None:
+class Lifecycle(Component):
+    def __init__(self, core: Core, attempts: Attempts, workers: Workers) -> None:
         super().__init__(core)
-        self.legs, self.hosts = legs, hosts
+        self.attempts, self.workers = attempts, workers
 
-    def reactions(self) -> Reactions:
+    def event_handlers(self) -> EventHandlers:
         return {
-            fx.Listening: self._on_listening, fx.Stop: self._on_stop, fx.Reload: self._on_reload,
-            fx.Reloaded: self._on_reloaded, fx.Unloaded: self._on_unloaded,
-        }  # fmt: skip
-
-    def rings(self) -> Rings:
-        return {"leave": self._ring_leave, "last call": self._ring_last_call, "end": self._ring_end}
-
-    def _on_listening(self, _: fx.Listening) -> None:
-        self.state.life = Life.SERVING
-        if self.hosts.pushed:  # else the module asks by itself
-            self.hosts.follow()
-        if not self.state.settled:
-            self.core.ring(("settle", 0), self.core.now + PATIENCE)
-
-    def _on_reload(self, _: fx.Reload) -> None:
-        self.core.ask(fx.Reread())
-
-    def _on_reloaded(self, event: fx.Reloaded) -> None:
+            fx.ListenerOpened: self._on_listener_opened,
+            fx.ShutdownRequested: self._on_shutdown_requested,
+            fx.ReloadRequested: self._on_reload_requested,
+            fx.ConfigurationReloaded: self._on_configuration_reloaded,
+            fx.ConfigurationRejected: self._on_configuration_rejected,
+        }
+
+    def timer_handlers(self) -> TimerHandlers:
+        return {
+            "leave": self._on_leave_timer,
+            "last call": self._on_last_call_timer,
+            "end": self._on_end_timer,
+        }
+
+    def _on_listener_opened(self, _: fx.ListenerOpened) -> None:
+        self.state.phase = ProcessPhase.SERVING
+        if self.workers.pushed:  # else the module asks by itself
+            self.workers.follow()
+        if not self.state.workers_known:
+            self.core.set_timer(("settle", 0), self.core.now + DIRECTORY_WAIT)
+
+    def _on_reload_requested(self, _: fx.ReloadRequested) -> None:
+        self.core.request_effect(fx.ReloadConfiguration())
+
+    def _on_configuration_reloaded(self, event: fx.ConfigurationReloaded) -> None:
         """Moves the watch; the module keeps what it knows, and its legs and clients go on."""
         state = self.state
-        self.core.tally("sighup_applied")
+        self.core.count_metric("sighup_applied")
         moved = event.directory != state.directory
         host, port = event.directory
-        self.core.ask(
-            fx.Say(f"reload: directory {'moves to' if moved else 'stays at'} {host}:{port}")
-        )  # fmt: skip
+        self.core.request_effect(
+            fx.WriteLog(f"reload: directory {'moves to' if moved else 'stays at'} {host}:{port}")
+        )
         if moved:
-            self.hosts.move(event.directory)
+            self.workers.move(event.directory)
 
-    def _on_unloaded(self, _: fx.Unloaded) -> None:
-        self.core.tally("sighup_rejected")
+    def _on_configuration_rejected(self, _: fx.ConfigurationRejected) -> None:
+        self.core.count_metric("sighup_rejected")
 
-    def _on_stop(self, _: fx.Stop) -> None:
-        if self.state.life not in (Life.STARTING, Life.SERVING):
+    def _on_shutdown_requested(self, _: fx.ShutdownRequested) -> None:
+        if self.state.phase not in (ProcessPhase.STARTING, ProcessPhase.SERVING):
             return
-        self.state.life = Life.LEAVING
-        self.core.ask(fx.Say(f"stopping: {len(self.state.names)} authorisations open"))
+        self.state.phase = ProcessPhase.DRAINING
+        self.core.request_effect(
+            fx.WriteLog(f"stopping: {len(self.state.open_request_ids)} authorisations open")
+        )
         if self.state.inherited:  # from now on its successor takes clients in
-            self.core.ask(fx.Shut())
+            self.core.request_effect(fx.CloseListener())
         self._drop_waiting(kept=True)
-        self.core.ring(("leave", 0), self.core.now + LEAVE)
+        self.core.set_timer(("leave", 0), self.core.now + ACCEPT_AFTER_STOP)
         longest = max(cls.deadline for cls in self.core.settings.classes)
-        self.state.kill_at = self.core.now + min(KILL, longest + LEAVE + LAST_CALL) - KILL_SPARE
-        self.core.ring(("end", 0), self.core.now + LEAVE + longest + SECOND)
+        self.state.kill_at = (
+            self.core.now + min(KILL_DELAY, longest + ACCEPT_AFTER_STOP + LAST_REQUEST_WAIT) - KILL_MARGIN
+        )
+        self.core.set_timer(("end", 0), self.core.now + ACCEPT_AFTER_STOP + longest + SECOND)
 
     def _drop_waiting(self, *, kept: bool) -> None:
         """`kept`: only those that were answered before; a new client's first bytes may be on their way."""
-        for standing in (Standing.ANSWERED, Standing.KEPT) if kept else Standing:
-            for client in self.state.resting[standing]:
-                self.core.ask(fx.Drop(client))
+        for idle_state in (IdleState.ANSWERED, IdleState.SERVED) if kept else IdleState:
+            for client in self.state.idle_clients[idle_state]:
+                self.core.request_effect(fx.CloseClient(client))
 
-    def _ring_leave(self, _: int) -> None:
+    def _on_leave_timer(self, _: int) -> None:
         if not self.state.inherited:
-            self.core.ask(fx.Shut())
-        self.core.ring(("last call", 0), self.core.now + LAST_CALL)
+            self.core.request_effect(fx.CloseListener())
+        self.core.set_timer(("last call", 0), self.core.now + LAST_REQUEST_WAIT)
 
-    def _ring_last_call(self, _: int) -> None:
-        self.state.life = Life.SHUT
+    def _on_last_call_timer(self, _: int) -> None:
+        self.state.phase = ProcessPhase.LISTENER_CLOSED
         self._drop_waiting(kept=False)
 
-    def _ring_end(self, _: int) -> None:
+    def _on_end_timer(self, _: int) -> None:
         self._over()
 
-    def after(self) -> None:
-        if self.state.life is Life.SHUT and not self.state.clients:
+    def after_event(self) -> None:
+        if self.state.phase is ProcessPhase.LISTENER_CLOSED and not self.state.clients:
             self._over()
 
     def _over(self) -> None:
-        if self.state.life is not Life.OVER:
-            self.state.life = Life.OVER
-            for conn in list(self.state.conns.values()):
-                self.legs.hang_up(conn)
-            self.core.ask(fx.Unfollow())
-            self.core.ask(fx.Exit())
+        if self.state.phase is not ProcessPhase.ENDED:
+            self.state.phase = ProcessPhase.ENDED
+            for conn in list(self.state.connections.values()):
+                self.attempts.hang_up(conn)
+            self.core.request_effect(fx.StopWatch())
+            self.core.request_effect(fx.Exit())
--- a/reedspoke/net/message.py
+++ b/reedspoke/net/message.py
@@ -39,8 +39,8 @@
     body: memoryview = field(default_factory=lambda: memoryview(b""))
     hidden: frozenset[bytes] = frozenset()  # further fields that do not go on to issuer hosts
 
-    def arrived(self, client: int) -> fx.Arrived:
-        return fx.Arrived(
+    def arrived(self, client: int) -> fx.RequestReceived:
+        return fx.RequestReceived(
             client, self.name, self, self.cls, self.span, self.hint, self.slots, self.memory,
             self.tenant, self.key,
         )  # fmt: skip
--- a/reedspoke/net/metrics.py
+++ b/reedspoke/net/metrics.py
@@ -37,14 +37,14 @@
 def text(state: State, classes: Iterable[str], avoided: Iterable[str]) -> str:
     """Every class and every name is there from the start, at 0: a missing one looks like a dead process."""
     classes = tuple(classes)
-    counted = state.counted
+    counted = state.metric_counters
     parts = [
         family(f"{end}_total", [(f"{{service={label(cls)}}}", counted[end, cls]) for cls in classes])
         for end in ENDS
     ]
     parts += [family(f"{name}_total", [("", counted[name, ""])]) for name in ("forwards", "sighup_applied")]
     parts.append(family("sighup_rejected_total", [("", counted["sighup_rejected", ""])]))
-    parts.append(family("outstanding", [("", len(state.names))]))
-    parts.append(family("discovered", [("", len(state.hosts))]))
-    parts.append(family("ejected", [("", len(state.hosts.keys() & set(avoided)))]))
+    parts.append(family("outstanding", [("", len(state.open_request_ids))]))
+    parts.append(family("discovered", [("", len(state.workers))]))
+    parts.append(family("ejected", [("", len(state.workers.keys() & set(avoided)))]))
     return "".join(parts)
--- a/reedspoke/net/node.py
+++ b/reedspoke/net/node.py
@@ -13,16 +13,16 @@
 
 from reedspoke import interface as api
 from reedspoke.net import effects as fx
-from reedspoke.net.acquirer import Acquirer
+from reedspoke.net.client_server import ClientServer
 from reedspoke.net.config import Config, ConfigError, reload
-from reedspoke.net.core import DOOR, Budget, Further
+from reedspoke.net.core import OPERATOR_DESCRIPTORS, Budget, ExtensionLimits
 from reedspoke.net.directory import Directory, listed
 from reedspoke.net.handover import Handover, inherited
-from reedspoke.net.issuer import Issuer
 from reedspoke.net.operators import Door
 from reedspoke.net.reducer import Reducer
 from reedspoke.net.runtime import Clock, Runtime
 from reedspoke.net.subsystem import Extension, Subsystem
+from reedspoke.net.worker_connections import WorkerConnector
 
 log = logging.getLogger("reedspoke")
 
@@ -30,9 +30,11 @@
 class Node:
     """Make it inside a running loop. `further`: what parts that will be attached take of the limits."""
 
-    def __init__(self, config: Config, further: Further | None = None) -> None:
+    def __init__(self, config: Config, further: ExtensionLimits | None = None) -> None:
         self.config = config
-        budget = Budget.of(config.sockets, config.memory_mb, DOOR if config.ops else 0, further)
+        budget = Budget.of(
+            config.sockets, config.memory_mb, OPERATOR_DESCRIPTORS if config.ops else 0, further
+        )
         self._extensions: list[Extension] = []
         given = config.inherited
         reducer = Reducer(
@@ -41,11 +43,13 @@
         self.runtime = Runtime(Clock(), reducer)
         self.handover = Handover(self.runtime, config.name, Path(config.folder) if config.folder else None)
         classes = {cls.name: cls for cls in config.settings.classes}
-        self.acquirer = Acquirer(self.runtime, classes, config.listen, self.handover.claim)
+        self.client_server = ClientServer(self.runtime, classes, config.listen, self.handover.claim)
         self.directory = Directory(self.runtime)
-        issuer = Issuer(self.runtime, config.settings.report_fields, self.acquirer.present)
+        worker_connector = WorkerConnector(
+            self.runtime, config.settings.report_fields, self.client_server.is_connected
+        )
         self.door = Door(self.runtime, config.ops) if config.ops else None
-        for part in (self.acquirer, self.directory, issuer, self.handover, self):
+        for part in (self.client_server, self.directory, worker_connector, self.handover, self):
             self.runtime.attach(part)
         if self.door is not None:
             self.runtime.attach(self.door)
@@ -59,59 +63,59 @@
         """Before `run`: all that it brings. Raises ValueError where another part has one of its events,
         timers or calls."""
         reducer = self.runtime.reducer
-        for concern in part.concerns:
-            reducer.add(concern)
+        for component in part.components:
+            reducer.add(component)
         for extension in part.parts:
             self.extend(extension)
         for call in part.calls:
-            if call.which in reducer.upkeep.further:
+            if call.which in reducer.administration.extension_calls:
                 raise ValueError(f"two parts for {call.which}")
-            reducer.upkeep.further[call.which] = call.answer
+            reducer.administration.extension_calls[call.which] = call.answer
         if self.door is not None:
             self.door.calls += part.calls
             self.door.figures += [part.figures] if part.figures is not None else []
 
     def stop(self) -> None:
         """Begin a planned end: answer what was taken, then let `run` return."""
-        self.runtime.emit(fx.Stop())
+        self.runtime.emit(fx.ShutdownRequested())
 
     def reload(self) -> None:
         """Read the configuration again and take up what can change in service."""
-        self.runtime.emit(fx.Reload())
+        self.runtime.emit(fx.ReloadRequested())
         for extension in self._extensions:
             extension.reload()
 
     def effects(self) -> dict[type, Callable[[Any], None]]:
-        return {fx.Reread: self._reread}
+        return {fx.ReloadConfiguration: self._reread}
 
-    def _reread(self, _: fx.Reread) -> None:
+    def _reread(self, _: fx.ReloadConfiguration) -> None:
         try:
             self.config = reload(self.config)
         except ConfigError as error:  # half a file, say: what is in force goes on
             log.error("reload: the old configuration stays in force: %s", error, extra=error.fields())
-            self.runtime.emit(fx.Unloaded())
+            self.runtime.emit(fx.ConfigurationRejected())
         else:
-            self.runtime.emit(fx.Reloaded(self.config.discovery))
+            self.runtime.emit(fx.ConfigurationReloaded(self.config.discovery))
 
     async def run(self) -> None:
         try:
             known = listed(self.config.known, api.ListKind.STALE)
         except ValueError as error:  # an old list is a help, not a need
             log.warning("directory: known list skipped: %s", error)
-            known = fx.Listed(api.ListKind.STALE, 0, [])
-        self.runtime.emit(fx.Rung(("look", 0)))  # what operators have ordered comes before any list
+            known = fx.WorkersListed(api.ListKind.STALE, 0, [])
+        self.runtime.emit(fx.TimerFired(("look", 0)))  # what operators have ordered comes before any list
         self.runtime.emit(known)
         if self.door is not None:
             self.door.open()
         for extension in self._extensions:
             extension.open()
         given = self.config.inherited
-        self.acquirer.open(inherited(given) if given is not None else None)
+        self.client_server.open(inherited(given) if given is not None else None)
         log.info(
             "serving: %s on %s:%d, %d hosts known", self.config.name, *self.config.listen, len(known.targets)
         )
         await self.runtime.over.wait()
-        self.acquirer.close()
+        self.client_server.close()
         for extension in self._extensions:
             extension.close()
         if self.door is not None:
--- a/reedspoke/net/operators.py
+++ b/reedspoke/net/operators.py
@@ -43,15 +43,20 @@
     501: "Not Implemented", 503: "Service Unavailable", 505: "HTTP Version Not Supported",
 }  # fmt: skip
 PLAIN = "text/plain; version=0.0.4; charset=utf-8"
-STATUS = {fx.Word.YES: 200, fx.Word.UNKNOWN: 404, fx.Word.ABSENT: 404, fx.Word.NO: 503}
+STATUS = {
+    fx.CallResult.YES: 200,
+    fx.CallResult.UNKNOWN_WORKER: 404,
+    fx.CallResult.NOT_FOUND: 404,
+    fx.CallResult.NO: 503,
+}
 ORDERS = {
-    (b"v1", b"readyz"): (b"GET", fx.Order.READY),
-    (b"v1", b"metrics"): (b"GET", fx.Order.FIGURES),
-    (b"v1", b"scheduler", b"drain"): (b"POST", fx.Order.DRAIN),
-    (b"v1", b"scheduler", b"activate"): (b"POST", fx.Order.ACTIVATE),
+    (b"v1", b"readyz"): (b"GET", fx.OperatorCommand.READY),
+    (b"v1", b"metrics"): (b"GET", fx.OperatorCommand.METRICS),
+    (b"v1", b"scheduler", b"drain"): (b"POST", fx.OperatorCommand.DRAIN),
+    (b"v1", b"scheduler", b"activate"): (b"POST", fx.OperatorCommand.ACTIVATE),
 }
 NAMED_ORDERS = {
-    (b"workers", b"suspend"): fx.Order.SUSPEND, (b"workers", b"resume"): fx.Order.RESUME,
+    (b"workers", b"suspend"): fx.OperatorCommand.SUSPEND, (b"workers", b"resume"): fx.OperatorCommand.RESUME,
 }  # fmt: skip
 
 
@@ -75,7 +80,7 @@
 class Asked:
     """What a call asks for: of which host, or which call of a further part and what it names."""
 
-    order: fx.Order
+    order: fx.OperatorCommand
     host: str = ""
     which: str = ""
     names: tuple[str, ...] = ()
@@ -96,7 +101,7 @@
         call, names = next((one for one in found if one[0].method == head.method), found[0])
         method = call.method
         asked = Asked(
-            fx.Order.FURTHER,
+            fx.OperatorCommand.EXTENSION,
             "",
             call.which,
             tuple(name_of(name) for name in names),
@@ -142,7 +147,7 @@
             await self._end(reply(500, "a defect: see the log\n"))
         finally:
             self.stream.close()
-            self.door.runtime.emit(fx.Hungup(self.number))
+            self.door.runtime.emit(fx.OperatorDisconnected(self.number))
 
     async def _serve_one(self) -> None:
         buffer = Buffer()
@@ -161,7 +166,7 @@
         if len(body) > asked.most_body:
             raise MalformedError(413, "the body is too large")
         self.door.runtime.emit(
-            fx.Called(self.number, asked.order, asked.host, asked.which, asked.names, bytes(body))
+            fx.OperatorCall(self.number, asked.order, asked.host, asked.which, asked.names, bytes(body))
         )
         status, text, form = await self.reply
         await self._end(reply(status, text, form=form))
@@ -188,7 +193,7 @@
         self.figures: list[Callable[[], str]] = []
 
     def effects(self) -> dict[type, Callable[[Any], None]]:
-        return {fx.Reply: self._reply, fx.Dismiss: self._dismiss}
+        return {fx.ReplyToOperator: self._reply, fx.DisconnectOperator: self._dismiss}
 
     def open(self) -> None:
         self._listener = listen(self._address, BACKLOG)
@@ -205,13 +210,13 @@
                 return
             caller = Caller(self, next(self._numbers), stream(connection))
             self._callers[caller.number] = caller
-            self.runtime.emit(fx.Rang(caller.number))
+            self.runtime.emit(fx.OperatorConnected(caller.number))
             task = asyncio.ensure_future(caller.serve())
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
             task.add_done_callback(lambda _, number=caller.number: self._callers.pop(number, None))  # type: ignore[misc]
 
-    def _reply(self, effect: fx.Reply) -> None:
+    def _reply(self, effect: fx.ReplyToOperator) -> None:
         caller = self._callers.get(effect.caller)
         if caller is not None and not caller.reply.done():
             told = effect.text
@@ -222,10 +227,12 @@
                     reducer.state, classes, reducer.module.avoided_workers(self.runtime.clock.now())
                 )
                 told += "".join(more() for more in self.figures)
-            status = effect.status or STATUS[effect.word]
-            caller.reply.set_result((status, told or f"{effect.word.value}\n", effect.form or PLAIN))
+            status = effect.status or STATUS[effect.result]
+            caller.reply.set_result(
+                (status, told or f"{effect.result.value}\n", effect.content_type or PLAIN)
+            )
 
-    def _dismiss(self, effect: fx.Dismiss) -> None:
+    def _dismiss(self, effect: fx.DisconnectOperator) -> None:
         if (caller := self._callers.get(effect.caller)) is not None:
             caller.stream.close()
 
--- a/reedspoke/net/problems.py
+++ b/reedspoke/net/problems.py
@@ -48,10 +48,10 @@
 
 
 # Of final answers: made once, as many of them are given at the worst time.
-OF_VERDICT = {
-    fx.Verdict.DECLINED: body(503, "refused"),
-    fx.Verdict.FAILED: body(502, "failed"),
-    fx.Verdict.LATE: body(504, "late"),
-    fx.Verdict.INVALID: body(400, "invalid"),
-    fx.Verdict.WITHDRAWN: body(401, "unauthenticated"),
+OF_OUTCOME = {
+    fx.Outcome.REJECTED: body(503, "refused"),
+    fx.Outcome.FAILED: body(502, "failed"),
+    fx.Outcome.TIMED_OUT: body(504, "late"),
+    fx.Outcome.INVALID: body(400, "invalid"),
+    fx.Outcome.REVOKED: body(401, "unauthenticated"),
 }
--- a/reedspoke/net/reducer.py
+++ b/reedspoke/net/reducer.py
@@ -2,8 +2,9 @@
 
 Only here is the decision module called. It picks hosts, repeats, declines and delays; what stands around it
 keeps the platform's rules: what counts as sent, what is told of it, and that each authorisation gets one
-answer. Each concern is a module of its own, composed here: `clients`, `legs`, `hosts`, `lifecycle`, `upkeep`.
-A further front brings a concern of its own by `add`.
+answer. Each component is a module of its own, composed here: `clients`, `attempts`, `workers`,
+`lifecycle`, `administration`.
+A further front brings a component of its own by `add`.
 """
 
 from __future__ import annotations
@@ -13,13 +14,13 @@
 from reedspoke import interface as api
 from reedspoke.logic import Dispatcher
 from reedspoke.net import effects as fx
+from reedspoke.net.administration import Administration
+from reedspoke.net.attempts import Attempts
 from reedspoke.net.clients import Clients
-from reedspoke.net.core import Budget, Concern, Core, Reactions, Rings
-from reedspoke.net.hosts import Hosts
-from reedspoke.net.legs import Legs
+from reedspoke.net.core import Budget, Component, Core, EventHandlers, TimerHandlers
 from reedspoke.net.lifecycle import Lifecycle
 from reedspoke.net.state import State
-from reedspoke.net.upkeep import Upkeep
+from reedspoke.net.workers import Workers
 
 
 class Reducer:
@@ -34,27 +35,29 @@
     ) -> None:
         self.core = core = Core(settings, seed, budget, directory, inherited)
         self.clients = Clients(core)
-        self.legs = Legs(core, self.clients, conn_idle)
-        self.hosts = Hosts(core, self.clients, self.legs)
-        self.lifecycle = Lifecycle(core, self.legs, self.hosts)
-        self.upkeep = Upkeep(core, self.clients, self.hosts)
-        self._reactions: Reactions = {fx.Rung: self._on_rung}
-        self._watchful: list[Concern] = []
-        self._rings: Rings = {"module": self._ring_module}
-        for concern in (self.clients, self.legs, self.hosts, self.lifecycle, self.upkeep):
-            self.add(concern)
-
-    def add(self, concern: Concern) -> None:
+        self.attempts = Attempts(core, self.clients, conn_idle)
+        self.workers = Workers(core, self.clients, self.attempts)
+        self.lifecycle = Lifecycle(core, self.attempts, self.workers)
+        self.administration = Administration(core, self.clients, self.workers)
+        self._event_handlers: EventHandlers = {fx.TimerFired: self._on_timer_fired}
+        self._after_event: list[Component] = []
+        self._timer_handlers: TimerHandlers = {"module": self._on_module_timer}
+        for component in (self.clients, self.attempts, self.workers, self.lifecycle, self.administration):
+            self.add(component)
+
+    def add(self, component: Component) -> None:
         """From now on its events and timers are handled; one that has a home already keeps it.
 
-        Raises ValueError where another concern has one of them."""
-        reactions, rings = concern.reactions(), concern.rings()
-        if twice := (self._reactions.keys() & reactions.keys()) or (self._rings.keys() & rings.keys()):
-            raise ValueError(f"two concerns for {twice}")
-        self._reactions.update(reactions)
-        self._rings.update(rings)
-        if type(concern).after is not Concern.after:
-            self._watchful.append(concern)
+        Raises ValueError where another component has one of them."""
+        event_handlers, timer_handlers = component.event_handlers(), component.timer_handlers()
+        if twice := (self._event_handlers.keys() & event_handlers.keys()) or (
+            self._timer_handlers.keys() & timer_handlers.keys()
+        ):
+            raise ValueError(f"two components handle {twice}")
+        self._event_handlers.update(event_handlers)
+        self._timer_handlers.update(timer_handlers)
+        if type(component).after_event is not Component.after_event:
+            self._after_event.append(component)
 
     @property
     def state(self) -> State:
@@ -75,11 +78,11 @@
     def handle(self, event: fx.Event, now: int) -> list[fx.Effect]:
         core = self.core
         core.now, core.effects = now, []
-        self._reactions[type(event)](event)
-        while core.told:
-            self._tell(core.told.popleft())
-        for concern in self._watchful:
-            concern.after()
+        self._event_handlers[type(event)](event)
+        while core.module_events:
+            self._tell(core.module_events.popleft())
+        for component in self._after_event:
+            component.after_event()
         return core.effects
 
     # ---- the module ----
@@ -89,9 +92,9 @@
         try:
             actions = core.module.handle(core.now, event)
         except Exception:  # a fault there costs one authorisation, not all the others
-            core.fault(f"decision module, at {type(event).__name__}: {traceback.format_exc(limit=-3)}")
-            if isinstance(event, api.Request) and (auth := core.state.authorisations.get(event.id)):
-                self.clients.answer(auth, fx.Verdict.FAILED)
+            core.log_fault(f"decision module, at {type(event).__name__}: {traceback.format_exc(limit=-3)}")
+            if isinstance(event, api.Request) and (request := core.state.requests.get(event.id)):
+                self.clients.answer(request, fx.Outcome.FAILED)
             actions = []
         for action in actions:
             self._carry_out(action)
@@ -100,34 +103,34 @@
         core = self.core
         match action:
             case api.Send():
-                self.legs.send(action)
+                self.attempts.send(action)
             case api.SetTimer():
                 timer = core.state.next_id()
                 core.state.timers[timer] = action.token
-                core.ring(("module", timer), core.now + action.delay)
+                core.set_timer(("module", timer), core.now + action.delay)
             case api.Cancel():
-                self.legs.cancel(action)
+                self.attempts.cancel(action)
             case api.Refuse():
-                self._final(action.id, fx.Verdict.DECLINED, action.retry_after)
+                self._final(action.id, fx.Outcome.REJECTED, action.retry_after)
             case api.Fail():
-                self._final(action.id, fx.Verdict.FAILED)
+                self._final(action.id, fx.Outcome.FAILED)
             case api.Watch():
-                self.hosts.watch()
+                self.workers.watch()
             case api.Probe():
-                self.legs.probe(action)
+                self.attempts.probe(action)
             case api.Log():
-                core.ask(fx.Say(f"module: {action.text}"))
+                core.request_effect(fx.WriteLog(f"module: {action.text}"))
 
-    def _final(self, number: int, verdict: fx.Verdict, retry_after: int = 0) -> None:
-        auth = self.core.state.authorisations.get(number)
-        if auth is None or not auth.open:
-            self.core.fault(f"the module answers an authorisation that is not open ({verdict.value})")
+    def _final(self, number: int, outcome: fx.Outcome, retry_after: int = 0) -> None:
+        request = self.core.state.requests.get(number)
+        if request is None or not request.open:
+            self.core.log_fault(f"the module answers an authorisation that is not open ({outcome.value})")
             return
-        self.clients.answer(auth, verdict, retry_after=retry_after)
+        self.clients.answer(request, outcome, retry_after=retry_after)
 
-    def _on_rung(self, event: fx.Rung) -> None:
+    def _on_timer_fired(self, event: fx.TimerFired) -> None:
         what, number = event.key
-        self._rings[what](number)
+        self._timer_handlers[what](number)
 
-    def _ring_module(self, number: int) -> None:
-        self.core.tell(api.Timer(self.core.state.timers.pop(number)))
+    def _on_module_timer(self, number: int) -> None:
+        self.core.notify_module(api.Timer(self.core.state.timers.pop(number)))
--- a/reedspoke/net/runtime.py
+++ b/reedspoke/net/runtime.py
@@ -13,7 +13,7 @@
 from reedspoke.net import effects as fx
 from reedspoke.net.core import MS, SECOND
 from reedspoke.net.reducer import Reducer
-from reedspoke.net.state import Life
+from reedspoke.net.state import ProcessPhase
 from reedspoke.net.wheel import Wheel
 
 log = logging.getLogger("reedspoke")
@@ -51,9 +51,9 @@
         self._lag = 0
         self._told_at = clock.now()
         self._doing: dict[type, Callable[[Any], None]] = {
-            fx.Ring: self._ring,
-            fx.Quiet: lambda effect: self._wheel.stop(effect.key),
-            fx.Say: self._say,
+            fx.SetTimer: self._ring,
+            fx.CancelTimer: lambda effect: self._wheel.stop(effect.key),
+            fx.WriteLog: self._say,
             fx.Exit: lambda _: self.over.set(),
         }
 
@@ -80,7 +80,7 @@
         except Exception:  # one effect that fails must not take the others with it
             log.exception("fault: effect %s", type(effect).__name__)
 
-    def _say(self, effect: fx.Say) -> None:
+    def _say(self, effect: fx.WriteLog) -> None:
         if effect.fault:
             log.error("fault: %s", effect.text)
         else:
@@ -88,7 +88,7 @@
 
     # ---- time ----
 
-    def _ring(self, effect: fx.Ring) -> None:
+    def _ring(self, effect: fx.SetTimer) -> None:
         self._wheel.set(effect.key, effect.at)
         if not self._turning:
             self._turning = True
@@ -103,7 +103,7 @@
         now = self.clock.now()
         self._lag = max(self._lag, now - due)
         for key in self._wheel.advance(now):
-            self.emit(fx.Rung(key))  # type: ignore[arg-type]
+            self.emit(fx.TimerFired(key))  # type: ignore[arg-type]
         if now - self._told_at >= FIGURES_EVERY:
             self.tell_figures()
         self._turning = len(self._wheel) > 0 and not self.over.is_set()
@@ -117,13 +117,19 @@
         rss = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss // 1024
         state = self.reducer.state
         counted = " ".join(
-            f"{name.replace(' ', '_')}={count}" for name, count in sorted(state.figures.items())
+            f"{name.replace(' ', '_')}={count}" for name, count in sorted(state.log_counters.items())
+        )
+        log.info(
+            "figures: lag_ms=%.1f rss_mb=%d open=%d %s",
+            self._lag / MS,
+            rss,
+            len(state.open_request_ids),
+            counted,
         )
-        log.info("figures: lag_ms=%.1f rss_mb=%d open=%d %s", self._lag / MS, rss, len(state.names), counted)
         self._lag, self._told_at = 0, self.clock.now()
 
     def ready(self) -> bool:
         return self.reducer.state.ready()
 
     def leaving(self) -> bool:
-        return self.reducer.state.leaving() or self.reducer.state.life is Life.OVER
+        return self.reducer.state.leaving() or self.reducer.state.phase is ProcessPhase.ENDED
--- a/reedspoke/net/subsystem.py
+++ b/reedspoke/net/subsystem.py
@@ -1,6 +1,7 @@
-"""A part beyond the platform's program, and all that it brings, in one place: concerns of the reducer, parts
-with sockets, calls at the operators' door, figures. Its events and effects are its own (`FurtherEvent`,
-`FurtherEffect`), its part of the operator file as well; nothing here knows any of them."""
+"""A part beyond the platform's program, and all that it brings, in one place: components of the reducer,
+parts with sockets, calls at the operators' door, figures. Its events and effects are its own
+(`ExtensionEvent`, `ExtensionEffect`), its part of the operator file as well; nothing here knows any of
+them."""
 
 from __future__ import annotations
 
@@ -9,7 +10,7 @@
 from typing import Any, Protocol
 
 from reedspoke.net import effects as fx
-from reedspoke.net.core import Concern
+from reedspoke.net.core import Component
 
 NAME = b"*"  # in a call's path: a part that the caller chooses
 
@@ -33,7 +34,7 @@
 
     method: bytes
     path: tuple[bytes, ...]
-    answer: Callable[[fx.Called], fx.Reply | None]
+    answer: Callable[[fx.OperatorCall], fx.ReplyToOperator | None]
     most_body: int = 0
 
     @property
@@ -55,7 +56,7 @@
     """`figures`: Prometheus text, asked for where a door is open."""
 
     name: str
-    concerns: tuple[Concern, ...] = ()
+    components: tuple[Component, ...] = ()
     parts: tuple[Extension, ...] = ()
     calls: tuple[Call, ...] = ()
     figures: Callable[[], str] | None = None
--- a/reedspoke/net/issuer.py
+++ b/reedspoke/net/worker_connections.py
@@ -23,7 +23,7 @@
 
 
 class Connection:
-    def __init__(self, side: Issuer, number: int, endpoint: tuple[str, int]) -> None:
+    def __init__(self, side: WorkerConnector, number: int, endpoint: tuple[str, int]) -> None:
         self.side, self.number, self.endpoint = side, number, endpoint
         self.stream: IOStream | None = None
         self.asked = ""  # the id that answers must bear, "": it is a probe
@@ -40,7 +40,7 @@
         try:
             self.stream = connect(self.endpoint)
             await self.stream.connect(self.endpoint)
-            self.emit(fx.Opened(self.number))
+            self.emit(fx.WorkerConnected(self.number))
             await self._read()
         except (StreamClosedError, OSError):
             pass
@@ -53,7 +53,7 @@
         finally:
             if self.stream is not None:
                 self.stream.close()
-            self.emit(fx.Broken(self.number))
+            self.emit(fx.WorkerDisconnected(self.number))
             self.side.forget(self)
 
     async def _read(self) -> None:
@@ -68,7 +68,7 @@
             for item in answers.feed():
                 if isinstance(item, Head):
                     lines, status, told = Lines(), item.status, bytearray()
-                    self.emit(fx.Heard(self.number))
+                    self.emit(fx.ResponseStarted(self.number))
                     if status != 200 or not self.asked and item.get(b"x-load") is not None:
                         self._conclude_by_status(item)
                 elif isinstance(item, End):
@@ -82,7 +82,7 @@
                         # of one that names no job and says that it never ran.
                         return
                     self.busy = False
-                    self.emit(fx.Freed(self.number))
+                    self.emit(fx.ResponseCompleted(self.number))
                 elif not self.asked:
                     if len(told) + len(item) > MOST_REPORT:
                         raise MalformedError(400, "a load report is too long")
@@ -100,16 +100,16 @@
         else:
             reason = words.reason_of(head.status, head.get(b"x-not-run") == b"1")
             if invalid := head.status in words.AT_FAULT:
-                self.emit(fx.Refused(head.status, "an issuer host says so"))
+                self.emit(fx.RequestMalformed(head.status, "an issuer host says so"))
             elif reason is api.Reason.ERROR and head.status != 500:
                 log.warning("issuer host %s:%d: status %d", *self.endpoint, head.status)
-        self.emit(fx.Concluded(self.number, reason, report, invalid=invalid))
+        self.emit(fx.OutcomeReceived(self.number, reason, report, invalid=invalid))
 
     def _conclude_probe(self, told: bytearray, free: bool) -> None:
         """A load report is the body of its answer; one that cannot be read is none."""
         self.told, self.busy = True, not free
         report = words.report(words.load_field(bytes(told)), self.side.report_fields)
-        self.emit(fx.Concluded(self.number, api.Reason.OK, report, free=free))
+        self.emit(fx.OutcomeReceived(self.number, api.Reason.OK, report, free=free))
 
     def _take_line(self, raw: memoryview | bytes) -> None:
         if self.told:
@@ -118,22 +118,22 @@
         if told.id != self.asked:
             raise MalformedError(400, "an answer to something else")
         if (kind := words.NOTES.get(told.state)) is not None:
-            self.emit(fx.Noted(self.number, kind, told.share))
+            self.emit(fx.AttemptProgress(self.number, kind, told.share))
         elif (reason := words.STATES.get(told.state)) is not None:
             self.told = True
             report = words.report(told.load, self.side.report_fields)
             result = words.result(told.result) if reason is api.Reason.OK else b""
-            self.emit(fx.Concluded(self.number, reason, report, result))
+            self.emit(fx.OutcomeReceived(self.number, reason, report, result))
 
     def transmit(self, client: int, message: Message, wait: int) -> None:
         assert self.stream is not None
-        if not self.side.present(client):
-            self.emit(fx.Unsent(self.number))
+        if not self.side.is_connected(client):
+            self.emit(fx.AttemptNotSent(self.number))
             return
         if not is_quiet(self.stream):
             # Guards jobs that must never run twice: the host has ended this connection, or speaks unasked,
             # and we have not read that yet. Not a byte of the leg goes out, so it never ran.
-            self.emit(fx.Unsent(self.number, ended=True))
+            self.emit(fx.AttemptNotSent(self.number, ended=True))
             return
         self.asked, self.busy, self.told = message.name, True, False
         try:
@@ -143,13 +143,13 @@
         except StreamClosedError:
             return  # its coroutine tells
         if written.done() and written.exception() is None:
-            self.emit(fx.Written(self.number))
+            self.emit(fx.AttemptWritten(self.number))
         else:
             written.add_done_callback(self._written)
 
     def _written(self, written: asyncio.Future[None]) -> None:
         if not written.cancelled() and written.exception() is None:
-            self.emit(fx.Written(self.number))
+            self.emit(fx.AttemptWritten(self.number))
 
     def probe(self) -> None:
         assert self.stream is not None
@@ -161,22 +161,22 @@
             return
 
 
-class Issuer:
+class WorkerConnector:
     def __init__(
-        self, runtime: Runtime, report_fields: tuple[str, ...], present: Callable[[int], bool]
+        self, runtime: Runtime, report_fields: tuple[str, ...], is_connected: Callable[[int], bool]
     ) -> None:
-        """`present`: whether a client, by its number, is there still."""
-        self.runtime, self.present = runtime, present
+        """`is_connected`: whether a client, by its number, is there still."""
+        self.runtime, self.is_connected = runtime, is_connected
         self.report_fields = report_fields
         self._connections: dict[int, Connection] = {}
         self._tasks: set[asyncio.Task[None]] = set()
 
     def effects(self) -> dict[type, Callable[[Any], None]]:
         return {
-            fx.Dial: self._dial,
-            fx.Transmit: self._transmit,
-            fx.Ask: lambda effect: self._connections[effect.conn].probe(),
-            fx.Hangup: self._hang_up,
+            fx.ConnectWorker: self._dial,
+            fx.SendAttempt: self._transmit,
+            fx.SendProbe: lambda effect: self._connections[effect.conn].probe(),
+            fx.DisconnectWorker: self._hang_up,
         }
 
     def holds(self, connection: Connection) -> bool:
@@ -185,18 +185,18 @@
     def forget(self, connection: Connection) -> None:
         self._connections.pop(connection.number, None)
 
-    def _dial(self, effect: fx.Dial) -> None:
+    def _dial(self, effect: fx.ConnectWorker) -> None:
         connection = Connection(self, effect.conn, effect.endpoint)
         self._connections[effect.conn] = connection
         task = asyncio.ensure_future(connection.serve())
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    def _transmit(self, effect: fx.Transmit) -> None:
+    def _transmit(self, effect: fx.SendAttempt) -> None:
         assert isinstance(effect.message, Message)
-        self._connections[effect.conn].transmit(effect.client, effect.message, effect.wait)
+        self._connections[effect.conn].transmit(effect.client, effect.message, effect.timeout)
 
-    def _hang_up(self, effect: fx.Hangup) -> None:
+    def _hang_up(self, effect: fx.DisconnectWorker) -> None:
         if (
             connection := self._connections.pop(effect.conn, None)
         ) is not None and connection.stream is not None:
--- a/reedspoke/tls/front.py
+++ b/reedspoke/tls/front.py
@@ -20,7 +20,7 @@
 from tornado.iostream import SSLIOStream, StreamClosedError
 
 from reedspoke.net import effects as fx
-from reedspoke.net.acquirer import Acquirer, Client
+from reedspoke.net.client_server import Client, ClientServer
 from reedspoke.net.listener import Listener
 from reedspoke.net.streams import MOST_BUFFERED
 from reedspoke.tls.certificate import Pair
@@ -75,7 +75,7 @@
 class Handshake:
     """A client that has no keys yet."""
 
-    answer: asyncio.Future[fx.Answer] | None = None
+    answer: asyncio.Future[fx.SendResponse] | None = None
 
     def __init__(self, front: Front, number: int, raw: socket.socket) -> None:
         self.front, self.number = front, number
@@ -86,7 +86,7 @@
     def gone(self) -> bool:
         return self._dropped
 
-    def drop(self, _: fx.Farewell) -> None:
+    def drop(self, _: fx.CloseMode) -> None:
         self._dropped = True
         if self._stream is not None:
             self._stream.close()
@@ -94,7 +94,7 @@
             self._raw.close()
 
     async def serve(self) -> None:
-        front, emit = self.front, self.front.acquirer.runtime.emit
+        front, emit = self.front, self.front.client_server.runtime.emit
         since, outcome = time.monotonic(), "failed"
         try:
             sock = front.wrap(self._raw)
@@ -117,11 +117,11 @@
             front.tell(outcome)
             with suppress(OSError):
                 self._raw.close() if self._stream is None else self._stream.close()
-            emit(fx.Parted(self.number))
+            emit(fx.ClientDisconnected(self.number))
             return
-        client = Client(front.acquirer, self.number, self._stream)
-        front.acquirer.enter(self.number, client)
-        emit(fx.Secured(self.number))
+        client = Client(front.client_server, self.number, self._stream)
+        front.client_server.register(self.number, client)
+        emit(fx.HandshakeCompleted(self.number))
         await client.serve()
 
 
@@ -129,22 +129,24 @@
     """Made before the node runs; `open` it behind the node's own listener."""
 
     def __init__(
-        self, acquirer: Acquirer, listen: tuple[str, int], minimum: str, meters: Meters,
+        self, client_server: ClientServer, listen: tuple[str, int], minimum: str, meters: Meters,
         now: Callable[[], int] = lambda: time.time_ns() // 1000, partners: str = "",
     ) -> None:  # fmt: skip
         """`now`: us of the wall clock, by which certificates expire."""
-        self.acquirer, self.meters, self.now = acquirer, meters, now
+        self.client_server, self.meters, self.now = client_server, meters, now
         self.names: Names[ssl.SSLContext] = Names()
         self.refused: WeakKeyDictionary[ssl.SSLSocket, str] = WeakKeyDictionary()
         self.minimum, self.partners = minimum, partners
-        self._listener = Listener(listen, BACKLOG, self._take, acquirer.scarce, " over TLS")
+        self._listener = Listener(
+            listen, BACKLOG, self._take, client_server.descriptors_exhausted, " over TLS"
+        )
         self._base = context(minimum, partners)
         self._base.sni_callback = self._choose
         self._told: dict[str, float] = {}
-        acquirer.join(self._listener)
+        client_server.add_listener(self._listener)
 
     def effects(self) -> dict[type, Callable[[Any], None]]:
-        return {fx.Admit: lambda effect: self._listener.hold("handshakes", not effect.on)}
+        return {fx.SetHandshaking: lambda effect: self._listener.hold("handshakes", not effect.on)}
 
     def open(self) -> None:
         self._listener.open()
@@ -164,11 +166,11 @@
         return self._base.wrap_socket(raw, server_side=True, do_handshake_on_connect=False)
 
     def _take(self, raw: socket.socket) -> None:
-        number = self.acquirer.number()
+        number = self.client_server.number()
         handshake = Handshake(self, number, raw)
-        self.acquirer.enter(number, handshake)
-        self.acquirer.runtime.emit(fx.Greeted(number))
-        self.acquirer.start(number, handshake.serve())
+        self.client_server.register(number, handshake)
+        self.client_server.runtime.emit(fx.HandshakeStarted(number))
+        self.client_server.start(number, handshake.serve())
 
     def _choose(self, sock: ssl.SSLSocket | ssl.SSLObject, host: str | None, _: ssl.SSLContext) -> int | None:
         assert isinstance(sock, ssl.SSLSocket)
--- a/reedspoke/tls/handshakes.py
+++ b/reedspoke/tls/handshakes.py
@@ -12,15 +12,15 @@
 from __future__ import annotations
 
 from reedspoke.net import effects as fx
-from reedspoke.net.clients import CLIENT_FIRST, Clients
-from reedspoke.net.core import MS, Concern, Core, Reactions, Rings
-from reedspoke.net.state import Standing
+from reedspoke.net.clients import FIRST_REQUEST_TIMEOUT, Clients
+from reedspoke.net.core import MS, Component, Core, EventHandlers, TimerHandlers
+from reedspoke.net.state import IdleState
 
 FRESH = 250 * MS  # that a handshake has at the least, however many wait behind it: two rounds to a far client
-FIRST = 1000 * MS  # for the first authorisation behind a handshake that took most of CLIENT_FIRST
+FIRST = 1000 * MS  # for the first authorisation behind a handshake that took most of FIRST_REQUEST_TIMEOUT
 
 
-class Handshakes(Concern):
+class Handshakes(Component):
     def __init__(self, core: Core, clients: Clients, limit: int, most: int) -> None:
         """`limit`: us for one handshake; `most`: at once."""
         super().__init__(core)
@@ -31,51 +31,53 @@
     def bound(self, limit: int, most: int) -> None:
         """New bounds; those that are under way keep the time they were given."""
         self.limit = limit
-        self.most = max(1, min(most, self.core.whole.clients // 2))
+        self.most = max(1, min(most, self.core.full_budget.clients // 2))
 
-    def reactions(self) -> Reactions:
-        return {fx.Greeted: self._on_greeted, fx.Secured: self._on_secured}
+    def event_handlers(self) -> EventHandlers:
+        return {fx.HandshakeStarted: self._on_greeted, fx.HandshakeCompleted: self._on_secured}
 
-    def rings(self) -> Rings:
+    def timer_handlers(self) -> TimerHandlers:
         return {"handshake": self._ring_handshake, "admit": lambda _: None}
 
-    def _on_greeted(self, event: fx.Greeted) -> None:
-        self.clients.enter(event.client, Standing.SHAKING)
+    def _on_greeted(self, event: fx.HandshakeStarted) -> None:
+        self.clients.add(event.client, IdleState.HANDSHAKING)
         self.core.count("handshakes")
-        self.core.quiet(("client", event.client))
-        self.core.ring(("handshake", event.client), self.core.now + self.limit)
+        self.core.cancel_timer(("client", event.client))
+        self.core.set_timer(("handshake", event.client), self.core.now + self.limit)
 
-    def _on_secured(self, event: fx.Secured) -> None:
+    def _on_secured(self, event: fx.HandshakeCompleted) -> None:
         client = self.state.clients.get(event.client)
-        if client is None or client.standing is not Standing.SHAKING:
+        if client is None or client.idle_state is not IdleState.HANDSHAKING:
             return
-        self.core.quiet(("handshake", client.id))
-        if client.id in self.state.parting:
+        self.core.cancel_timer(("handshake", client.id))
+        if client.id in self.state.closing_clients:
             return
-        self.clients.rest(client, Standing.SILENT)
+        self.clients.set_idle_state(client, IdleState.NOTHING_ASKED)
         now = self.core.now
-        self.core.ring(("client", client.id), max(client.joined + CLIENT_FIRST, now + FIRST))
+        self.core.set_timer(
+            ("client", client.id), max(client.connected_at + FIRST_REQUEST_TIMEOUT, now + FIRST)
+        )
 
     def _ring_handshake(self, number: int) -> None:
         client = self.state.clients.get(number)
-        if client is not None and client.standing is Standing.SHAKING:
+        if client is not None and client.idle_state is IdleState.HANDSHAKING:
             self.core.count("handshakes late")
-            self.core.ask(fx.Drop(number, fx.Farewell.NOW))
+            self.core.request_effect(fx.CloseClient(number, fx.CloseMode.IMMEDIATELY))
 
-    def after(self) -> None:
+    def after_event(self) -> None:
         """Guards against clients that stop half way."""
-        shaking = self.state.resting[Standing.SHAKING]
+        shaking = self.state.idle_clients[IdleState.HANDSHAKING]
         if len(shaking) >= self.most:
             oldest = self.state.clients[next(iter(shaking))]
-            if self.core.now >= oldest.joined + FRESH:
+            if self.core.now >= oldest.connected_at + FRESH:
                 self.core.count("handshakes crowded out")
-                self.clients.rest(oldest, None)
-                self.state.parting.add(oldest.id)
-                self.core.quiet(("handshake", oldest.id))
-                self.core.ask(fx.Drop(oldest.id, fx.Farewell.NOW))
+                self.clients.set_idle_state(oldest, None)
+                self.state.closing_clients.add(oldest.id)
+                self.core.cancel_timer(("handshake", oldest.id))
+                self.core.request_effect(fx.CloseClient(oldest.id, fx.CloseMode.IMMEDIATELY))
             elif self._admitting:
-                self.core.ring(("admit", 0), oldest.joined + FRESH)
+                self.core.set_timer(("admit", 0), oldest.connected_at + FRESH)
         admitting = len(shaking) < self.most
         if admitting != self._admitting:
             self._admitting = admitting
-            self.core.ask(fx.Admit(admitting))
+            self.core.request_effect(fx.SetHandshaking(admitting))
--- a/tests/test_acquirer.py
+++ b/tests/test_client_server.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from reedspoke.net.core import DOOR
+from reedspoke.net.core import OPERATOR_DESCRIPTORS
 from tests.peers import WAIT, Start, Wire, ask, took
 
 HEAD = "POST /quote HTTP/1.1\r\nHost: n\r\nX-Request-Id: 1a\r\nX-Deadline: 1\r\n"
@@ -183,7 +183,7 @@
 
 def test_more_clients_than_descriptors(start: Start) -> None:
     """Guards against running out of descriptors: nobody is taken in that could not be answered."""
-    node = start(hosts=1, sockets=40 + DOOR)
+    node = start(hosts=1, sockets=40 + OPERATOR_DESCRIPTORS)
     waiting = [node.client(ask(f"{n}")) for n in range(12)]
     wires: list[Wire] = []
     answers = []
@@ -229,7 +229,7 @@
 )  # fmt: skip
 def test_clients_that_hold_connections_crowd_nobody_out(start: Start, sent: bytes) -> None:
     """Guards the usual clients: far more connections than places, none of which is owed an answer."""
-    node = start(hosts=1, sockets=40 + DOOR)
+    node = start(hosts=1, sockets=40 + OPERATOR_DESCRIPTORS)
     usual = node.client(ask("0a"))
     wire = node.leg()
     wire.serve()
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from reedspoke.net.core import DOOR
+from reedspoke.net.core import OPERATOR_DESCRIPTORS
 from tests.peers import Node, Peer, Start, Wire, ask, took
 
 READY = b"GET /ready HTTP/1.1\r\nHost: n\r\n\r\n"
@@ -146,7 +146,7 @@
 
 def test_eviction_leaves_a_last_answer_whole(start: Start) -> None:
     """Guards the answer of one that makes room in the moment of its end."""
-    node = start(hosts=1, sockets=40 + DOOR)
+    node = start(hosts=1, sockets=40 + OPERATOR_DESCRIPTORS)
     more = "Connection: close\r\n"
     client = node.client(ask(more=more) + ask("2b", body=b"x" * 9000))
     wire = node.leg()
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -14,7 +14,7 @@
 from reedspoke import interface as api
 from reedspoke.net import effects as fx
 from reedspoke.net import handover
-from reedspoke.net.core import DOOR, Budget
+from reedspoke.net.core import OPERATOR_DESCRIPTORS, Budget
 from reedspoke.net.handover import ORDERS, Handover
 from tests.peers import Node, Start, ask, took
 from tests.test_reducer import Play, arrived, listed
@@ -164,7 +164,7 @@
     part.effects()[type(effect)](effect)
 
 
-SUSPEND = fx.Record(7, fx.Order.SUSPEND, "s-1", ("10.0.0.1", 80))
+SUSPEND = fx.RecordOrder(7, fx.OperatorCommand.SUSPEND, "s-1", ("10.0.0.1", 80))
 GOOD = {"name": "n0", "version": 5, "suspended": {"s-9": ["10.0.0.9", 80]}, "drained": False}
 
 
@@ -180,16 +180,16 @@
         (tmp_path / ORDERS).mkdir()
     else:
         (tmp_path / ORDERS).write_bytes(found)
-    do(part, fx.Look())
+    do(part, fx.ReadSharedState())
     assert not told
     do(part, SUSPEND)
     if found is None:
-        assert told == [fx.Unrecorded(SUSPEND, again=False)]
+        assert told == [fx.OrderNotRecorded(SUSPEND, again=False)]
     else:
-        assert told == [fx.Ordered({"s-1": ("10.0.0.1", 80)}, False, 7)]
+        assert told == [fx.OrdersRecorded({"s-1": ("10.0.0.1", 80)}, False, 7)]
         other, heard = make(tmp_path)
-        do(other, fx.Look())
-        assert heard == [fx.Ordered({"s-1": ("10.0.0.1", 80)}, False)]
+        do(other, fx.ReadSharedState())
+        assert heard == [fx.OrdersRecorded({"s-1": ("10.0.0.1", 80)}, False)]
 
 
 def test_orders_wait_for_the_other_process_and_repeat(tmp_path: Path) -> None:
@@ -197,10 +197,10 @@
     with (tmp_path / f"{ORDERS}.lock").open("w") as lock:
         fcntl.flock(lock, fcntl.LOCK_EX)
         do(part, SUSPEND)
-        assert told == [fx.Unrecorded(SUSPEND, again=True)]
+        assert told == [fx.OrderNotRecorded(SUSPEND, again=True)]
     for _ in range(2):
         do(part, SUSPEND)
-    assert told[1:] == [fx.Ordered({"s-1": ("10.0.0.1", 80)}, False, 7)] * 2
+    assert told[1:] == [fx.OrdersRecorded({"s-1": ("10.0.0.1", 80)}, False, 7)] * 2
 
 
 def test_an_order_that_cannot_be_kept_is_answered_no_in_time(start: Start) -> None:
@@ -219,18 +219,18 @@
 @pytest.mark.parametrize("folder", [None, "/proc/none"])
 def test_alone_without_a_folder(folder: str | None) -> None:
     part, told = make(Path(folder) if folder else None)
-    do(part, fx.Look())
-    do(part, fx.Hold(False, 1, {}, api.LearnedState()))
+    do(part, fx.ReadSharedState())
+    do(part, fx.PublishUsage(False, 1, {}, api.LearnedState()))
     do(part, SUSPEND)
     assert part.claim("a")
-    assert told == [fx.Ordered({"s-1": ("10.0.0.1", 80)}, False, 7)]
+    assert told == [fx.OrdersRecorded({"s-1": ("10.0.0.1", 80)}, False, 7)]
 
 
 def test_what_a_dead_process_left_goes(tmp_path: Path) -> None:
     part, told = make(tmp_path)
     left = tmp_path / f"{handover.PROCESS}dead"
     left.write_bytes(b'{"name":"n0","leaving":false,"descriptors":9,"slots":{}}')
-    do(part, fx.Look())
+    do(part, fx.ReadSharedState())
     assert not told
     assert not left.exists()
 
@@ -242,26 +242,33 @@
     leaving: bool, left: Callable[[int, int], int]
 ) -> None:
     """Guards the limit, which is one for both: together they never hold more."""
-    play = Play(Budget.of(256, 80, DOOR))
-    partner = fx.Partner(leaving, 100, {"a": 2}, api.LearnedState())
-    play.tell(listed("a"), fx.Accompanied((partner,)))
-    assert play.reducer.budget == Budget.of(left(256, 100), 40, DOOR)
-    play.tell(fx.Accompanied(()))
-    assert play.reducer.budget == Budget.of(256, 80, DOOR)
+    play = Play(Budget.of(256, 80, OPERATOR_DESCRIPTORS))
+    partner = fx.SiblingProcess(leaving, 100, {"a": 2}, api.LearnedState())
+    play.tell(listed("a"), fx.SiblingsReported((partner,)))
+    assert play.reducer.budget == Budget.of(left(256, 100), 40, OPERATOR_DESCRIPTORS)
+    play.tell(fx.SiblingsReported(()))
+    assert play.reducer.budget == Budget.of(256, 80, OPERATOR_DESCRIPTORS)
 
 
 def test_the_module_counts_what_the_other_process_has_at_a_host() -> None:
-    play = Play(Budget.of(256, 80, DOOR))
-    play.tell(listed("a"), *[fx.Joined(n) for n in range(1, 6)])
-    play.tell(fx.Accompanied((fx.Partner(True, 50, {"a": 1}, api.LearnedState()),)))
-    dialled = [effect for n in range(1, 4) for effect in play.tell(arrived(n)) if isinstance(effect, fx.Dial)]
+    play = Play(Budget.of(256, 80, OPERATOR_DESCRIPTORS))
+    play.tell(listed("a"), *[fx.ClientConnected(n) for n in range(1, 6)])
+    play.tell(fx.SiblingsReported((fx.SiblingProcess(True, 50, {"a": 1}, api.LearnedState()),)))
+    dialled = [
+        effect
+        for n in range(1, 4)
+        for effect in play.tell(arrived(n))
+        if isinstance(effect, fx.ConnectWorker)
+    ]
     assert len(dialled) == 1, "its cap is 2, of which the other process has 1"
-    dialled = [effect for effect in play.tell(fx.Accompanied(())) if isinstance(effect, fx.Dial)]
+    dialled = [
+        effect for effect in play.tell(fx.SiblingsReported(())) if isinstance(effect, fx.ConnectWorker)
+    ]
     assert len(dialled) == 1
 
 
 def test_a_worker_put_back_counts_as_cold_with_its_failures_forgotten() -> None:
-    play = Play(Budget.of(256, 80, DOOR))
+    play = Play(Budget.of(256, 80, OPERATOR_DESCRIPTORS))
     play.tell(listed("a"))
     module = play.reducer.module
     worker = module.workers["a"]
--- a/tests/test_interleavings.py
+++ b/tests/test_interleavings.py
@@ -16,7 +16,7 @@
 from reedspoke.logic import NOT_EXECUTED_REASONS
 from reedspoke.net import effects as fx
 from reedspoke.net.core import SECOND, Budget
-from reedspoke.net.state import Life
+from reedspoke.net.state import ProcessPhase
 from tests.test_reducer import Play
 from tests.world import CLASSES, MS, settings
 
@@ -67,13 +67,13 @@
         self.over = self.stopping = False
         self.config = settings(can_cancel=cancel, scheduler_count=schedulers, list_on_request=ask)
         self.play = Play(Budget(places, places + 4), self.config)
-        self.tell(self.list_of(api.ListKind.STALE, *HOSTS), fx.Listening(), fx.Beaten())
+        self.tell(self.list_of(api.ListKind.STALE, *HOSTS), fx.ListenerOpened(), fx.DirectoryHeartbeat())
 
     # ---- what is told, and what comes of it ----
 
     def list_of(
         self, kind: api.ListKind, *uids: str, state: api.WorkerState = api.WorkerState.UP, born: int = 0
-    ) -> fx.Listed:
+    ) -> fx.WorkersListed:
         self.rev += 1
         entries = [api.WorkerEntry(uid, "here", "big", 0, state, 1.0, born) for uid in uids]
         for uid in uids:
@@ -81,7 +81,9 @@
                 self.told_off.pop(uid, None)
             else:
                 self.told_off.setdefault(uid, self.play.now)
-        return fx.Listed(kind, self.rev, [fx.Target(entry, ("127.0.0.1", 80)) for entry in entries])
+        return fx.WorkersListed(
+            kind, self.rev, [fx.ListedWorker(entry, ("127.0.0.1", 80)) for entry in entries]
+        )
 
     def tell(self, *events: fx.Event) -> None:
         for event in events:
@@ -90,34 +92,34 @@
     def heed(self, effects: list[fx.Effect]) -> None:
         for effect in effects:
             match effect:
-                case fx.Answer():
+                case fx.SendResponse():
                     self.on_answer(effect)
-                case fx.Dial():
+                case fx.ConnectWorker():
                     assert effect.conn not in self.wires
-                    self.wires[effect.conn] = Wire(self.play.reducer.state.conns[effect.conn].host)
-                case fx.Transmit():
+                    self.wires[effect.conn] = Wire(self.play.reducer.state.connections[effect.conn].host)
+                case fx.SendAttempt():
                     self.on_transmit(effect)
-                case fx.Ask():
+                case fx.SendProbe():
                     wire = self.wires[effect.conn]
                     assert wire.up
                     assert not wire.busy
                     wire.busy, wire.written, wire.job = True, True, ""
-                case fx.Hangup():
+                case fx.DisconnectWorker():
                     self.on_hangup(effect.conn)
                 case fx.Exit():
                     assert not self.over
                     self.over = True
-                case fx.Say():
+                case fx.WriteLog():
                     assert not effect.fault, effect.text
 
-    def on_answer(self, effect: fx.Answer) -> None:
+    def on_answer(self, effect: fx.SendResponse) -> None:
         client = self.clients[effect.client]
         assert client.waiting, "an answer that nobody waits for"
         assert not client.answered, "a second answer"
         client.answered = True
         self.jobs[client.waiting].ended = True
 
-    def on_transmit(self, effect: fx.Transmit) -> None:
+    def on_transmit(self, effect: fx.SendAttempt) -> None:
         wire, name = self.wires[effect.conn], str(effect.message)
         assert wire.up
         assert not wire.busy
@@ -159,10 +161,14 @@
 
     def join(self) -> None:
         state = self.play.reducer.state
-        if state.accepting and state.life in (Life.SERVING, Life.LEAVING) and len(self.clients) < 8:
+        if (
+            state.accepting
+            and state.phase in (ProcessPhase.SERVING, ProcessPhase.DRAINING)
+            and len(self.clients) < 8
+        ):
             self.number += 1
             self.clients[self.number] = Asker()
-            self.tell(fx.Joined(self.number))
+            self.tell(fx.ClientConnected(self.number))
 
     def arrive(self, which: int, cls: str, span: int) -> None:
         free = [n for n, client in self.clients.items() if not client.waiting and not client.gone]
@@ -173,22 +179,22 @@
         name = f"j{self.number}"
         self.clients[number].waiting = name
         self.jobs[name], self.classes[name] = Sent(), EFFECTS[cls]
-        self.tell(fx.Reading(number))
-        event = fx.Arrived(number, name, name, cls, span * 50 * MS, 50 * MS, 1, 0.0, "", "k")
+        self.tell(fx.RequestStarted(number))
+        event = fx.RequestReceived(number, name, name, cls, span * 50 * MS, 50 * MS, 1, 0.0, "", "k")
         self.tell(event)
 
     def written_answer(self, which: int) -> None:
         done = [n for n, client in self.clients.items() if client.answered and not client.gone]
         if (number := self.pick(which, done)) is not None:
             self.clients[number].waiting, self.clients[number].answered = "", False
-            self.tell(fx.Answered(number))
+            self.tell(fx.ResponseSent(number))
 
     def part(self, which: int) -> None:
         if (number := self.pick(which, list(self.clients))) is not None:
             client = self.clients.pop(number)
             if client.waiting:
                 self.jobs[client.waiting].ended = True
-            self.tell(fx.Parted(number))
+            self.tell(fx.ClientDisconnected(number))
 
     # ---- hosts ----
 
@@ -203,12 +209,12 @@
     def open(self, which: int) -> None:
         if (found := self.wires_that(which, up=False)) is not None:
             found[1].up = True
-            self.tell(fx.Opened(found[0]))
+            self.tell(fx.WorkerConnected(found[0]))
 
     def write(self, which: int) -> None:
         if (found := self.wires_that(which, busy=True, written=False)) is not None:
             found[1].written = True
-            self.tell(fx.Written(found[0]))
+            self.tell(fx.AttemptWritten(found[0]))
 
     def find_an_end(self, which: int, ended: bool) -> None:
         """As a leg is to be written its connection has ended, or its client has gone."""
@@ -223,13 +229,13 @@
             self.jobs[name].ended = True
         elif not ended:
             return
-        self.tell(fx.Unsent(number, ended=ended))
+        self.tell(fx.AttemptNotSent(number, ended=ended))
 
     def hear(self, which: int) -> None:
         if (found := self.wires_that(which, busy=True, written=True)) is not None:
-            self.tell(fx.Heard(found[0]))
+            self.tell(fx.ResponseStarted(found[0]))
             if found[1].job:
-                self.tell(fx.Noted(found[0], api.UpdateKind.STARTED, 0.0))
+                self.tell(fx.AttemptProgress(found[0], api.UpdateKind.STARTED, 0.0))
 
     def conclude(self, which: int, how: api.Reason, invalid: bool) -> None:
         if (found := self.wires_that(which, busy=True, written=True)) is None:
@@ -238,29 +244,31 @@
         wire.busy, wire.ending = False, True
         if wire.job:
             self.end(wire, unrun=how in NOT_EXECUTED_REASONS)
-            self.tell(fx.Concluded(number, how, (), b"result", invalid=invalid and how is api.Reason.ERROR))
+            self.tell(
+                fx.OutcomeReceived(number, how, (), b"result", invalid=invalid and how is api.Reason.ERROR)
+            )
         else:
             wire.ending = False
-            self.tell(fx.Concluded(number, how, (), free=True))
+            self.tell(fx.OutcomeReceived(number, how, (), free=True))
 
     def free(self, which: int) -> None:
         if (found := self.wires_that(which, ending=True)) is not None:
             found[1].ending = False
-            self.tell(fx.Freed(found[0]))
+            self.tell(fx.ResponseCompleted(found[0]))
 
     def break_one(self, which: int) -> None:
         if (number := self.pick(which, list(self.wires))) is not None:
             wire = self.wires.pop(number)
             if wire.job:
                 self.end(wire, unrun=not wire.written)
-            self.tell(fx.Broken(number))
+            self.tell(fx.WorkerDisconnected(number))
 
     def come_late(self, which: int, what: Any) -> None:
         """What is told of a connection that was given up changes nothing."""
         late = [number for number in self.past if number not in self.wires]
         if (number := self.pick(which, late)) is not None:
             effects = self.play.tell(what(number))
-            assert not [effect for effect in effects if not isinstance(effect, fx.Quiet | fx.Exit)]
+            assert not [effect for effect in effects if not isinstance(effect, fx.CancelTimer | fx.Exit)]
 
     # ---- lists, signals, time ----
 
@@ -274,13 +282,13 @@
         self.tell(self.list_of(api.ListKind.FULL, *HOSTS[first:]))
 
     def watch(self, event: fx.Event) -> None:
-        if isinstance(event, fx.Reloaded):
-            self.rev = max(self.rev, self.play.reducer.state.rev)
+        if isinstance(event, fx.ConfigurationReloaded):
+            self.rev = max(self.rev, self.play.reducer.state.revision)
         self.tell(event)
 
     def stop(self) -> None:
         self.stopping = True
-        self.tell(fx.Stop())
+        self.tell(fx.ShutdownRequested())
 
     def wait(self, span: int) -> None:
         for _ in range(span):
@@ -288,42 +296,42 @@
             self.every_answer_in_time()
 
     def every_answer_in_time(self) -> None:
-        for auth in self.play.reducer.state.authorisations.values():
+        for auth in self.play.reducer.state.requests.values():
             late = auth.deadline + self.config.rules.answer_slack
             assert not auth.open or self.play.now <= late, "owed beyond its time"
 
     def tables_agree(self) -> None:
         state = self.play.reducer.state
-        assert state.conns.keys() == self.wires.keys()
+        assert state.connections.keys() == self.wires.keys()
         assert state.clients.keys() == self.clients.keys()
         owed = {c.waiting for c in self.clients.values() if c.waiting and not c.answered and not c.gone}
-        assert state.names == owed
-        kept = {number for host in state.hosts.values() for number in host.idle}
-        assert kept == set(state.idle)
+        assert state.open_request_ids == owed
+        kept = {number for host in state.workers.values() for number in host.idle}
+        assert kept == set(state.idle_connections)
         assert all(not self.wires[number].busy for number in kept)
-        assert len(state.conns) <= self.play.reducer.budget.legs
+        assert len(state.connections) <= self.play.reducer.budget.attempts
 
     def teardown(self) -> None:
         """All leave, and nothing of them stays."""
         for number in list(self.clients):
             self.clients.pop(number)
-            self.tell(fx.Parted(number))
+            self.tell(fx.ClientDisconnected(number))
         for number in list(self.wires):
             if number in self.wires:
                 wire = self.wires.pop(number)
                 if wire.job:
                     self.end(wire, unrun=not wire.written)
-                self.tell(fx.Broken(number))
+                self.tell(fx.WorkerDisconnected(number))
         self.heed(self.play.advance(20 * SECOND))
         for number in list(self.wires):  # probes of zones out of reach
             self.wires.pop(number)
-            self.tell(fx.Broken(number))
+            self.tell(fx.WorkerDisconnected(number))
         state, module = self.play.reducer.state, self.play.reducer.module
         if self.over:
             assert not self.wires
             return
-        assert not [*state.clients, *state.authorisations, *state.names, *state.parting]
-        assert not [*state.conns, *state.idle]
+        assert not [*state.clients, *state.requests, *state.open_request_ids, *state.closing_clients]
+        assert not [*state.connections, *state.idle_connections]
         assert not module.jobs
         assert not module.in_flight
         assert all(worker.used_slots == worker.running_slots == 0 for worker in module.workers.values())
@@ -363,7 +371,14 @@
         case "break":
             play.break_one(which)
         case "late":
-            late = (fx.Opened, fx.Written, fx.Heard, fx.Freed, fx.Broken, fx.Unsent)
+            late = (
+                fx.WorkerConnected,
+                fx.AttemptWritten,
+                fx.ResponseStarted,
+                fx.ResponseCompleted,
+                fx.WorkerDisconnected,
+                fx.AttemptNotSent,
+            )
             play.come_late(which, late[more % len(late)])
         case "find":
             play.find_an_end(which, ended=more % 2 == 0)
@@ -374,7 +389,11 @@
         case "list":
             play.list_all(which % 3)
         case "watch":
-            events = (fx.Unlisted("it ended"), fx.Beaten(), fx.Reloaded(("127.0.0.1", 9)))
+            events = (
+                fx.WatchLost("it ended"),
+                fx.DirectoryHeartbeat(),
+                fx.ConfigurationReloaded(("127.0.0.1", 9)),
+            )
             play.watch(events[more % 3])
         case "stop" if which > 45 and not play.over:
             play.stop()
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -56,16 +56,16 @@
         running = asyncio.ensure_future(node.run())
         await asyncio.sleep(0)  # it listens then
         await come_and_leave(1)
-        while node.runtime.reducer.state.clients or node.runtime.reducer.state.callers:
+        while node.runtime.reducer.state.clients or node.runtime.reducer.state.operator_calls:
             await asyncio.sleep(0)
         gc.collect()
         gc.disable()
         try:
             before = left()
             await come_and_leave(10)
-            while node.runtime.reducer.state.clients or node.runtime.reducer.state.callers:
+            while node.runtime.reducer.state.clients or node.runtime.reducer.state.operator_calls:
                 await asyncio.sleep(0)
-            await asyncio.gather(*node.acquirer._tasks, *node.door._tasks)  # type: ignore[union-attr]
+            await asyncio.gather(*node.client_server._tasks, *node.door._tasks)  # type: ignore[union-attr]
             await asyncio.sleep(0)
             return left() - before
         finally:
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -8,7 +8,7 @@
 import pytest
 
 from reedspoke.net import metrics
-from reedspoke.net.state import Host, State
+from reedspoke.net.state import State, Worker
 from tests.peers import Message, Node, Start, Wire, ask, nodes, took
 
 WHOLE = b"GET /v1/readyz HTTP/1.1\r\nHost: ops\r\n\r\n"
@@ -103,12 +103,12 @@
 )
 def test_label_values_are_escaped(cls: str, shown: str) -> None:
     state = State()
-    state.counted["declined", cls] = 3
+    state.metric_counters["declined", cls] = 3
     assert f"scheduler_declined_total{{service={shown}}} 3\n" in metrics.text(state, [cls], [])
 
 
 def test_only_listed_hosts_count_as_ejected() -> None:
-    state = State(hosts={"a": Host("a", ("127.0.0.1", 1), 0, 0)})  # type: ignore[arg-type]
+    state = State(workers={"a": Worker("a", ("127.0.0.1", 1), 0, 0)})  # type: ignore[arg-type]
     assert "scheduler_ejected 1\n" in metrics.text(state, [], ["a", "gone"])
 
 
--- a/tests/test_outages.py
+++ b/tests/test_outages.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from reedspoke.net.core import DOOR
+from reedspoke.net.core import OPERATOR_DESCRIPTORS
 from tests.peers import WAIT, Node, Peer, Start, Wire, ask, took
 
 TOLD, ANSWER = 6.0, 2.0  # s: what discovery has counts as told; of these, that its answer may take
@@ -114,7 +114,7 @@
 @pytest.mark.parametrize("pushed", [False, True], ids=["asked", "pushed"])
 def test_idle_clients_may_fill_the_descriptors_while_discovery_is_down(start: Start, pushed: bool) -> None:
     """Guards discovery's own place: whoever holds connections, the watch is back on time, and jobs run."""
-    node = start(hosts=2, sockets=60 + DOOR, pushed=pushed)
+    node = start(hosts=2, sockets=60 + OPERATOR_DESCRIPTORS, pushed=pushed)
     node.watch.begin()
     node.list(node.hosts[0].entry())
     node.watch.reset()
--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -7,25 +7,34 @@
 
 from reedspoke import interface as api
 from reedspoke.net import effects as fx
-from reedspoke.net.clients import CLIENT_FRESH
+from reedspoke.net.attempts import ACKNOWLEDGE_TIMEOUT
+from reedspoke.net.clients import NEW_CLIENT_GRACE
 from reedspoke.net.core import SECOND, Budget
-from reedspoke.net.hosts import ANSWER, MISSED, MOVED, OLDER, SILENCE, UNHEARD
-from reedspoke.net.legs import MUTE
 from reedspoke.net.reducer import Reducer
 from reedspoke.net.wheel import Wheel
+from reedspoke.net.workers import (
+    AGENT_START_TIMEOUT,
+    ANSWER_TIMEOUT,
+    MOVE_DEADLINE,
+    OUTDATED_LIMIT,
+    UPDATE_DEADLINE,
+    WATCH_TIMEOUT,
+)
 from tests.world import MS, settings
 
 NOW = 1_700_000_000 * SECOND
 
 
-def listed(*uids: str, state: api.WorkerState = api.WorkerState.UP, full: bool = True) -> fx.Listed:
+def listed(*uids: str, state: api.WorkerState = api.WorkerState.UP, full: bool = True) -> fx.WorkersListed:
     kind = api.ListKind.FULL if full else api.ListKind.CHANGES
     entries = [api.WorkerEntry(uid, "here", "big", 0, state, 1.0, 0) for uid in uids]
-    return fx.Listed(kind, 7, [fx.Target(entry, ("127.0.0.1", 80)) for entry in entries])
+    return fx.WorkersListed(kind, 7, [fx.ListedWorker(entry, ("127.0.0.1", 80)) for entry in entries])
 
 
-def arrived(client: int, cls: str = "read", name: str = "") -> fx.Arrived:
-    return fx.Arrived(client, name or f"n{client}", "message", cls, 2 * SECOND, 50 * MS, 1, 0.0, "", "")
+def arrived(client: int, cls: str = "read", name: str = "") -> fx.RequestReceived:
+    return fx.RequestReceived(
+        client, name or f"n{client}", "message", cls, 2 * SECOND, 50 * MS, 1, 0.0, "", ""
+    )
 
 
 class Play:
@@ -42,9 +51,9 @@
             effects = self.reducer.handle(event, self.now)
             self.asked += effects
             for effect in effects:
-                if isinstance(effect, fx.Ring):
+                if isinstance(effect, fx.SetTimer):
                     self.wheel.set(effect.key, effect.at)
-                elif isinstance(effect, fx.Quiet):
+                elif isinstance(effect, fx.CancelTimer):
                     self.wheel.stop(effect.key)
         return self.asked[begun:]
 
@@ -52,34 +61,34 @@
         begun, end = len(self.asked), self.now + span
         while self.now < end:
             self.now += 5 * MS
-            self.tell(*[fx.Rung(key) for key in self.wheel.advance(self.now)])  # type: ignore[arg-type]
+            self.tell(*[fx.TimerFired(key) for key in self.wheel.advance(self.now)])  # type: ignore[arg-type]
         return self.asked[begun:]
 
-    def answers(self) -> list[fx.Verdict]:
-        return [effect.verdict for effect in self.asked if isinstance(effect, fx.Answer)]
+    def answers(self) -> list[fx.Outcome]:
+        return [effect.outcome for effect in self.asked if isinstance(effect, fx.SendResponse)]
 
     def faults(self) -> list[str]:
-        return [effect.text for effect in self.asked if isinstance(effect, fx.Say) and effect.fault]
+        return [effect.text for effect in self.asked if isinstance(effect, fx.WriteLog) and effect.fault]
 
 
 def conn_of(effects: list[fx.Effect]) -> int:
-    return next(effect.conn for effect in effects if isinstance(effect, fx.Dial))
+    return next(effect.conn for effect in effects if isinstance(effect, fx.ConnectWorker))
 
 
 def test_module_that_never_answers_is_covered_by_the_last_guard(monkeypatch: pytest.MonkeyPatch) -> None:
     play = Play()
     monkeypatch.setattr(play.reducer.module, "handle", lambda now, event: [])
-    play.tell(listed("a"), fx.Joined(1), arrived(1))
+    play.tell(listed("a"), fx.ClientConnected(1), arrived(1))
     play.advance(2 * SECOND - 5 * MS)
     assert play.answers() == []
     play.advance(20 * MS)  # the answer slack is 16 ms
-    assert play.answers() == [fx.Verdict.LATE]
+    assert play.answers() == [fx.Outcome.TIMED_OUT]
     assert len(play.faults()) == 1
 
 
 def test_module_that_fails_costs_one_authorisation(monkeypatch: pytest.MonkeyPatch) -> None:
     play, handle = Play(), Reducer(settings(), 1, Budget(10, 12)).module.handle
-    play.tell(listed("a"), fx.Joined(1), fx.Joined(2))
+    play.tell(listed("a"), fx.ClientConnected(1), fx.ClientConnected(2))
 
     def fails(now: int, event: api.Event) -> list[api.Action]:
         if isinstance(event, api.Request) and event.class_name == "pay":
@@ -88,7 +97,7 @@
 
     monkeypatch.setattr(play.reducer.module, "handle", fails)
     play.tell(arrived(1, "pay"))
-    assert play.answers() == [fx.Verdict.FAILED]
+    assert play.answers() == [fx.Outcome.FAILED]
     assert "out of order" in play.faults()[0]
     play.tell(arrived(2))
     play.advance(3 * SECOND)
@@ -100,30 +109,30 @@
 def test_break_counts_as_run_from_the_last_byte_on(cls: str, written: bool) -> None:
     """Guards jobs that must never run twice, and those that may go out again because they never ran."""
     play = Play()
-    play.tell(listed("a", "b"), fx.Joined(1))
+    play.tell(listed("a", "b"), fx.ClientConnected(1))
     conn = conn_of(play.tell(arrived(1, cls)))
-    assert any(isinstance(effect, fx.Transmit) for effect in play.tell(fx.Opened(conn)))
-    effects = play.tell(*([fx.Written(conn)] if written else []), fx.Broken(conn))
-    again = any(isinstance(effect, fx.Dial) for effect in effects)
+    assert any(isinstance(effect, fx.SendAttempt) for effect in play.tell(fx.WorkerConnected(conn)))
+    effects = play.tell(*([fx.AttemptWritten(conn)] if written else []), fx.WorkerDisconnected(conn))
+    again = any(isinstance(effect, fx.ConnectWorker) for effect in effects)
     assert again == (cls == "read" or not written)
-    assert play.answers() == ([] if again else [fx.Verdict.FAILED])
+    assert play.answers() == ([] if again else [fx.Outcome.FAILED])
 
 
 def test_events_of_a_connection_that_was_given_up_change_nothing() -> None:
     play = Play()
-    play.tell(listed("a"), fx.Joined(1))
+    play.tell(listed("a"), fx.ClientConnected(1))
     conn = conn_of(play.tell(arrived(1)))
-    play.tell(fx.Opened(conn), fx.Written(conn), fx.Parted(1))
+    play.tell(fx.WorkerConnected(conn), fx.AttemptWritten(conn), fx.ClientDisconnected(1))
     late: list[fx.Event] = [
-        fx.Concluded(conn, api.Reason.OK, (), b"late"),
-        fx.Freed(conn),
-        fx.Broken(conn),
-        fx.Written(conn),
+        fx.OutcomeReceived(conn, api.Reason.OK, (), b"late"),
+        fx.ResponseCompleted(conn),
+        fx.WorkerDisconnected(conn),
+        fx.AttemptWritten(conn),
     ]
-    assert not [effect for effect in play.tell(*late) if not isinstance(effect, fx.Quiet)]
+    assert not [effect for effect in play.tell(*late) if not isinstance(effect, fx.CancelTimer)]
     assert play.answers() == []
     state = play.reducer.state
-    assert not [*state.authorisations, *state.conns, *state.names, *state.clients]
+    assert not [*state.requests, *state.connections, *state.open_request_ids, *state.clients]
 
 
 def test_hosts_that_are_gone_are_forgotten() -> None:
@@ -132,24 +141,29 @@
     for deploy in range(50):
         play.tell(listed(f"s-{deploy}", full=False))
         play.tell(listed(f"s-{deploy}", state=api.WorkerState.GONE, full=False))
-    assert not play.reducer.state.hosts
+    assert not play.reducer.state.workers
 
 
 def test_idle_connection_makes_room_for_a_leg_elsewhere(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards the budget of descriptors: the longest idle goes; where none is idle, nobody is dialled."""
     play, hosts = Play(Budget(10, 1)), iter("abc")
-    play.tell(listed("a", "b", "c"), *[fx.Joined(n) for n in range(1, 4)])
+    play.tell(listed("a", "b", "c"), *[fx.ClientConnected(n) for n in range(1, 4)])
     monkeypatch.setattr(
         play.reducer.module,
         "handle",
         lambda now, event: [api.Send(event.id, next(hosts))] if isinstance(event, api.Request) else [],
     )
     first = conn_of(play.tell(arrived(1)))
-    play.tell(fx.Opened(first), fx.Written(first), fx.Concluded(first, api.Reason.OK), fx.Freed(first))
+    play.tell(
+        fx.WorkerConnected(first),
+        fx.AttemptWritten(first),
+        fx.OutcomeReceived(first, api.Reason.OK),
+        fx.ResponseCompleted(first),
+    )
     effects = play.tell(arrived(2))
-    assert fx.Hangup(first) in effects
+    assert fx.DisconnectWorker(first) in effects
     assert conn_of(effects) != first
-    assert not any(isinstance(effect, fx.Dial) for effect in play.tell(arrived(3)))
+    assert not any(isinstance(effect, fx.ConnectWorker) for effect in play.tell(arrived(3)))
     assert play.faults() == ["no descriptor is left for a leg"]
 
 
@@ -160,7 +174,7 @@
     for number, tenant in enumerate(["acme", *(f"made-up-{n}" for n in range(30))]):
         event = arrived(number)
         event.tenant = tenant
-        reducer.handle(fx.Joined(number), NOW)
+        reducer.handle(fx.ClientConnected(number), NOW)
         reducer.handle(event, NOW)
     assert set(reducer.module.flows) == {"acme", ""}
 
@@ -173,8 +187,8 @@
 @pytest.mark.parametrize("sockets", [32, 64, 1024])
 def test_budget_leaves_a_leg_for_each_client(sockets: int) -> None:
     budget = Budget.of(sockets)
-    assert budget.legs > budget.clients >= 4
-    assert budget.legs + budget.clients <= sockets - 20
+    assert budget.attempts > budget.clients >= 4
+    assert budget.attempts + budget.clients <= sockets - 20
 
 
 def test_wheel_rings_in_order_and_never_early() -> None:
@@ -209,49 +223,65 @@
     play = Play(config=replace(config, rules=replace(config.rules, answer_slack=8 * MS)))
     play.tell(listed("a"))
     for client in range(1, 5):
-        play.tell(fx.Joined(client))
+        play.tell(fx.ClientConnected(client))
         play.now += MS
         conn = conn_of(play.tell(arrived(client, "pay")))
-        play.tell(fx.Opened(conn), fx.Written(conn))
+        play.tell(fx.WorkerConnected(conn), fx.AttemptWritten(conn))
         play.now += 4 * MS
         play.advance(3 * SECOND)
-        play.tell(fx.Parted(client))
-    assert play.answers() == [fx.Verdict.FAILED] * 4
+        play.tell(fx.ClientDisconnected(client))
+    assert play.answers() == [fx.Outcome.FAILED] * 4
     assert not play.faults()
 
 
 def test_full_budget_parts_with_the_least_missed_client_first() -> None:
     """Guards who was served, and who has only just connected: the others go before them."""
     play = Play(Budget(5, 8))
-    play.tell(listed("a"), fx.Joined(1), fx.Joined(2), fx.Joined(3), fx.Joined(4))
+    play.tell(
+        listed("a"),
+        fx.ClientConnected(1),
+        fx.ClientConnected(2),
+        fx.ClientConnected(3),
+        fx.ClientConnected(4),
+    )
     conn = conn_of(play.tell(arrived(1)))
-    play.tell(fx.Opened(conn), fx.Written(conn), fx.Concluded(conn, api.Reason.OK), fx.Answered(1))
-    play.tell(fx.Answered(2), fx.Ending(3))
-    play.advance(CLIENT_FRESH)
-    play.tell(*[fx.Joined(number) for number in (5, 6, 7)])
-    assert [drop.client for drop in play.asked if isinstance(drop, fx.Drop)] == [3, 2, 4]
-    play.tell(fx.Joined(8))
-    drops = [drop.client for drop in play.asked if isinstance(drop, fx.Drop)]
+    play.tell(
+        fx.WorkerConnected(conn),
+        fx.AttemptWritten(conn),
+        fx.OutcomeReceived(conn, api.Reason.OK),
+        fx.ResponseSent(1),
+    )
+    play.tell(fx.ResponseSent(2), fx.ClientClosing(3))
+    play.advance(NEW_CLIENT_GRACE)
+    play.tell(*[fx.ClientConnected(number) for number in (5, 6, 7)])
+    assert [drop.client for drop in play.asked if isinstance(drop, fx.CloseClient)] == [3, 2, 4]
+    play.tell(fx.ClientConnected(8))
+    drops = [drop.client for drop in play.asked if isinstance(drop, fx.CloseClient)]
     assert drops[3:] == [1], "even the one that was served before those that are fresh"
-    play.tell(*[fx.Parted(number) for number in drops], fx.Joined(9))
-    assert fx.Accept(False) in play.asked
-    assert not any(isinstance(effect, fx.Drop) for effect in play.advance(CLIENT_FRESH - 5 * MS))
-    assert fx.Accept(True) in play.advance(10 * MS), "those who said nothing are fresh no longer"
+    play.tell(*[fx.ClientDisconnected(number) for number in drops], fx.ClientConnected(9))
+    assert fx.SetAccepting(False) in play.asked
+    assert not any(isinstance(effect, fx.CloseClient) for effect in play.advance(NEW_CLIENT_GRACE - 5 * MS))
+    assert fx.SetAccepting(True) in play.advance(10 * MS), "those who said nothing are fresh no longer"
 
 
 def test_lines_that_clients_cause_are_few() -> None:
     play = Play()
-    play.tell(*[fx.Refused(400, "why")] * 50, fx.Refused(413, "large"))
-    assert len([effect for effect in play.asked if isinstance(effect, fx.Say)]) == 2
-    assert play.reducer.state.figures["malformed 400"] == 50
+    play.tell(*[fx.RequestMalformed(400, "why")] * 50, fx.RequestMalformed(413, "large"))
+    assert len([effect for effect in play.asked if isinstance(effect, fx.WriteLog)]) == 2
+    assert play.reducer.state.log_counters["malformed 400"] == 50
 
 
 def kept(play: Play) -> int:
     """A connection that has carried a leg and is idle."""
-    play.tell(listed("a"), fx.Joined(1))
+    play.tell(listed("a"), fx.ClientConnected(1))
     conn = conn_of(play.tell(arrived(1, "pay")))
-    play.tell(fx.Opened(conn), fx.Written(conn), fx.Heard(conn), fx.Concluded(conn, api.Reason.OK))
-    play.tell(fx.Freed(conn), fx.Answered(1))
+    play.tell(
+        fx.WorkerConnected(conn),
+        fx.AttemptWritten(conn),
+        fx.ResponseStarted(conn),
+        fx.OutcomeReceived(conn, api.Reason.OK),
+    )
+    play.tell(fx.ResponseCompleted(conn), fx.ResponseSent(1))
     return conn
 
 
@@ -259,10 +289,10 @@
     """Guards the module's belief: a kept connection that ended says nothing of its host."""
     play = Play()
     conn = kept(play)
-    assert fx.Transmit(conn, 1, "message", 2 * SECOND) in play.tell(arrived(1, "pay", "2b"))
-    other = conn_of(play.tell(fx.Broken(conn)))
-    assert not any(key.startswith("leg connect") for key in play.reducer.state.figures)
-    assert any(isinstance(effect, fx.Transmit) for effect in play.tell(fx.Opened(other)))
+    assert fx.SendAttempt(conn, 1, "message", 2 * SECOND) in play.tell(arrived(1, "pay", "2b"))
+    other = conn_of(play.tell(fx.WorkerDisconnected(conn)))
+    assert not any(key.startswith("leg connect") for key in play.reducer.state.log_counters)
+    assert any(isinstance(effect, fx.SendAttempt) for effect in play.tell(fx.WorkerConnected(other)))
 
 
 @pytest.mark.parametrize(("heard", "told"), [(False, True), (True, False)])
@@ -277,47 +307,54 @@
         return [api.Send(event.id, "a")] if isinstance(event, api.Request) else []
 
     monkeypatch.setattr(play.reducer.module, "handle", handle)
-    play.tell(listed("a"), fx.Joined(1))
+    play.tell(listed("a"), fx.ClientConnected(1))
     conn = conn_of(play.tell(arrived(1)))
-    play.tell(fx.Opened(conn), fx.Written(conn), *([fx.Heard(conn)] if heard else []))
-    play.advance(MUTE + 5 * MS)
+    play.tell(
+        fx.WorkerConnected(conn), fx.AttemptWritten(conn), *([fx.ResponseStarted(conn)] if heard else [])
+    )
+    play.advance(ACKNOWLEDGE_TIMEOUT + 5 * MS)
     notes = [event.kind for event in events if isinstance(event, api.AttemptUpdate)]
     assert notes == ([api.UpdateKind.UNACKNOWLEDGED] if told else [])
 
 
 def test_withdrawn_is_what_has_no_leg_and_nothing_else() -> None:
     play = Play()
-    play.tell(fx.Joined(1), arrived(1))
-    play.tell(fx.Withdrawn(1))
-    assert play.answers() == [fx.Verdict.WITHDRAWN]
-    play.tell(fx.Answered(1), listed("a"))
+    play.tell(fx.ClientConnected(1), arrived(1))
+    play.tell(fx.CredentialRevoked(1))
+    assert play.answers() == [fx.Outcome.REVOKED]
+    play.tell(fx.ResponseSent(1), listed("a"))
     dialled = conn_of(play.tell(arrived(1, name="again")) + play.advance(100 * MS))
-    play.tell(fx.Opened(dialled), fx.Written(dialled), fx.Withdrawn(1), fx.Withdrawn(9))
-    assert play.answers() == [fx.Verdict.WITHDRAWN], "taken is taken"
+    play.tell(
+        fx.WorkerConnected(dialled),
+        fx.AttemptWritten(dialled),
+        fx.CredentialRevoked(1),
+        fx.CredentialRevoked(9),
+    )
+    assert play.answers() == [fx.Outcome.REVOKED], "taken is taken"
     assert not play.faults()
 
 
 # ---- pushed lists: an agent has them and nobody is asked ----
 
 
-KNOWN = fx.Listed(api.ListKind.STALE, 7, listed("a", "b").targets)
+KNOWN = fx.WorkersListed(api.ListKind.STALE, 7, listed("a", "b").targets)
 
 
 def pushed(*events: fx.Event) -> Play:
     """At an agent that has said something already."""
     play = Play(config=settings(list_on_request=False))
-    play.tell(KNOWN, fx.Listening(), fx.Beaten(), *events)
+    play.tell(KNOWN, fx.ListenerOpened(), fx.DirectoryHeartbeat(), *events)
     return play
 
 
-def follows(effects: list[fx.Effect]) -> list[fx.Follow]:
-    return [effect for effect in effects if isinstance(effect, fx.Follow)]
+def follows(effects: list[fx.Effect]) -> list[fx.StartWatch]:
+    return [effect for effect in effects if isinstance(effect, fx.StartWatch)]
 
 
 def test_pushed_lists_are_followed_from_the_start() -> None:
     """Guards drains: the module asks for no list that is pushed, so nobody followed the agent, and the
     scheduler lived on the list of its configuration."""
-    assert [follow.rev for follow in follows(pushed().asked)] == [7]
+    assert [follow.revision for follow in follows(pushed().asked)] == [7]
 
 
 @pytest.mark.parametrize("how", ["silent", "gone"])
@@ -326,17 +363,17 @@
     begun = len(play.asked)
     for _ in range(60):
         for _ in follows(play.asked[begun:]) if how == "gone" else ():
-            play.tell(fx.Unlisted("connection refused"))
+            play.tell(fx.WatchLost("connection refused"))
         begun = len(play.asked)
         play.advance(SECOND)
     again = follows(play.asked)
     assert 12 <= len(again) <= 70, "each second at the most, and not given up"
-    assert {follow.rev for follow in again} == {7}
+    assert {follow.revision for follow in again} == {7}
     assert not [text for text in play.faults() if text]
     play.tell(listed("a", full=False))
     assert play.reducer.state.watch_losses == 0
     begun = len(play.asked)
-    play.tell(fx.Unlisted("it ended"))
+    play.tell(fx.WatchLost("it ended"))
     assert follows(play.advance(60 * MS)), "the first time at once"
 
 
@@ -349,20 +386,20 @@
         return handle(now, event)
 
     monkeypatch.setattr(play.reducer.module, "handle", hear)
-    play.tell(fx.Unlisted("it ended"), listed("a", "b"), fx.Unlisted("it ended"))
+    play.tell(fx.WatchLost("it ended"), listed("a", "b"), fx.WatchLost("it ended"))
     play.advance(SECOND)
     kinds = [event.kind for event in told if isinstance(event, api.WorkerListUpdate)]
     assert kinds == [api.ListKind.FULL]
 
 
 def test_lost_watch_on_pushed_lists_moves_with_the_configuration() -> None:
-    play = pushed(fx.Unlisted("it ended"))
-    moved = follows(play.tell(fx.Reloaded(("127.0.0.1", 9))))
-    assert [(follow.endpoint[1], follow.rev) for follow in moved] == [(9, 0)]
+    play = pushed(fx.WatchLost("it ended"))
+    moved = follows(play.tell(fx.ConfigurationReloaded(("127.0.0.1", 9))))
+    assert [(follow.endpoint[1], follow.revision) for follow in moved] == [(9, 0)]
 
 
 def test_nothing_is_followed_behind_the_end() -> None:
-    play = pushed(fx.Unlisted("it ended"), fx.Stop())
+    play = pushed(fx.WatchLost("it ended"), fx.ShutdownRequested())
     play.advance(10 * SECOND)
     end = next(i for i, effect in enumerate(play.asked) if isinstance(effect, fx.Exit))
     assert not follows(play.asked[end:])
@@ -370,17 +407,21 @@
 
 def test_older_list_brings_nobody_back() -> None:
     """Guards drains against an agent that has fallen behind; who leaves by its list is heeded still."""
-    play = pushed(fx.Listed(api.ListKind.CHANGES, 50, listed("a", state=api.WorkerState.DRAINING).targets))
-    hosts = play.reducer.state.hosts
-    old = fx.Listed(api.ListKind.FULL, 45, listed("a", "b", "c").targets)
-    play.tell(old, fx.Listed(api.ListKind.CHANGES, 46, listed("b", state=api.WorkerState.GONE).targets))
+    play = pushed(
+        fx.WorkersListed(api.ListKind.CHANGES, 50, listed("a", state=api.WorkerState.DRAINING).targets)
+    )
+    hosts = play.reducer.state.workers
+    old = fx.WorkersListed(api.ListKind.FULL, 45, listed("a", "b", "c").targets)
+    play.tell(
+        old, fx.WorkersListed(api.ListKind.CHANGES, 46, listed("b", state=api.WorkerState.GONE).targets)
+    )
     assert {uid: host.state for uid, host in hosts.items()} == {"a": api.WorkerState.DRAINING}
     assert play.reducer.module.workers["a"].state is api.WorkerState.DRAINING
     assert play.reducer.module.workers["b"].state is api.WorkerState.GONE
-    play.advance(OLDER)
+    play.advance(OUTDATED_LIMIT)
     play.tell(old)
     assert sorted(hosts) == ["a", "b", "c"], "it has begun its versions anew"
-    assert play.reducer.state.rev == 45
+    assert play.reducer.state.revision == 45
 
 
 def heard(play: Play, monkeypatch: pytest.MonkeyPatch) -> list[api.WorkerListUpdate]:
@@ -401,8 +442,8 @@
     [
         (listed("a", state=api.WorkerState.DRAINING, full=False), "b"),
         (listed("b", full=True), "b"),
-        (fx.Listed(api.ListKind.CHANGES, 5, listed("a", state=api.WorkerState.GONE).targets), "b"),
-        (fx.Beaten(), "ab"),
+        (fx.WorkersListed(api.ListKind.CHANGES, 5, listed("a", state=api.WorkerState.GONE).targets), "b"),
+        (fx.DirectoryHeartbeat(), "ab"),
         (None, "ab"),
     ],
     ids=["changes", "whole list", "older list", "beat", "nothing"],
@@ -414,21 +455,21 @@
     configuration may name a host that drains. A silent agent holds the start up for 2 s."""
     play = Play(config=settings(list_on_request=False))
     told = heard(play, monkeypatch)
-    play.tell(KNOWN, fx.Listening(), fx.Joined(1), arrived(1))
-    assert not [effect for effect in play.asked if isinstance(effect, fx.Dial)]
+    play.tell(KNOWN, fx.ListenerOpened(), fx.ClientConnected(1), arrived(1))
+    assert not [effect for effect in play.asked if isinstance(effect, fx.ConnectWorker)]
     assert not play.reducer.state.ready()
     if word is None:
-        play.advance(UNHEARD - 10 * MS)
+        play.advance(AGENT_START_TIMEOUT - 10 * MS)
         assert not told
         play.advance(20 * MS)
-        play.tell(fx.Joined(2), arrived(2))
+        play.tell(fx.ClientConnected(2), arrived(2))
     else:
         play.tell(word)
     assert play.reducer.state.ready()
     assert [event.kind for event in told] == [api.ListKind.FULL], "one list, never the old one before the new"
-    dials = [effect for effect in play.asked if isinstance(effect, fx.Dial)]
+    dials = [effect for effect in play.asked if isinstance(effect, fx.ConnectWorker)]
     assert len(dials) == 1
-    assert play.reducer.state.conns[dials[0].conn].host in sent
+    assert play.reducer.state.connections[dials[0].conn].host in sent
 
 
 FLEETS = pytest.mark.parametrize("schedulers", [1, 5, 40, 200])
@@ -448,7 +489,7 @@
     for me in range(schedulers):
         config = replace(settings(list_on_request=True, scheduler_count=schedulers), scheduler_index=me)
         plays.append(Play(config=config))
-        plays[-1].tell(fx.Listed(api.ListKind.STALE, 7, listed("a", "b").targets), fx.Listening())
+        plays[-1].tell(fx.WorkersListed(api.ListKind.STALE, 7, listed("a", "b").targets), fx.ListenerOpened())
         plays[-1].tell(listed("a", "b"))
         plays[-1].reducer.state.watching = plays[-1].reducer.module.list_requested = True
     return plays
@@ -463,10 +504,10 @@
 def test_a_silent_watch_is_opened_anew_before_what_it_missed_counts_as_told(schedulers: int) -> None:
     """Guards drains: silence was noticed in time, and the call that followed came 11.5 to 21.8 s later where
     200 schedulers ask, so a host that drained meanwhile still got jobs. Nor do all call at one moment."""
-    calls = [called(play, MISSED) for play in fleet(schedulers)]
+    calls = [called(play, UPDATE_DEADLINE) for play in fleet(schedulers)]
     first = [at[0] for at in calls]
-    assert max(first) <= MISSED - ANSWER, "an answer may take 2 s"
-    assert min(first) >= SILENCE
+    assert max(first) <= UPDATE_DEADLINE - ANSWER_TIMEOUT, "an answer may take 2 s"
+    assert min(first) >= WATCH_TIMEOUT
     assert crowd(first, 10 * MS) <= 3, "they share one directory"
 
 
@@ -476,9 +517,9 @@
     late."""
     calls = []
     for play in fleet(schedulers):
-        play.tell(fx.Reloaded(("127.0.0.1", 9)))
-        calls.append(called(play, MOVED)[0])
-    assert max(calls) <= MOVED - ANSWER
+        play.tell(fx.ConfigurationReloaded(("127.0.0.1", 9)))
+        calls.append(called(play, MOVE_DEADLINE)[0])
+    assert max(calls) <= MOVE_DEADLINE - ANSWER_TIMEOUT
     assert crowd(calls, 10 * MS) <= 3
 
 
@@ -495,15 +536,15 @@
     """Its watch is lost now, discovery is back after `OUTAGE`: when it calls, up to the first call that can
     be answered. At `reload_at` a new address is told, 0: none is."""
     begun, at, ends = play.now, list[int](), list[int]()
-    play.tell(fx.Unlisted("reset"))
+    play.tell(fx.WatchLost("reset"))
     while not at or at[-1] < OUTAGE:
-        assert play.now < begun + OUTAGE + MISSED, "it calls no more"
+        assert play.now < begun + OUTAGE + UPDATE_DEADLINE, "it calls no more"
         effects = play.advance(5 * MS)
         past = play.now - begun
         if past == reload_at:
             ends.clear()
-            effects += play.tell(fx.Reloaded(("127.0.0.1", 9)))
-        if any(isinstance(effect, fx.Unfollow) for effect in effects):
+            effects += play.tell(fx.ConfigurationReloaded(("127.0.0.1", 9)))
+        if any(isinstance(effect, fx.StopWatch) for effect in effects):
             ends.clear()  # it gave the call up itself
         for _ in follows(effects):
             at.append(past)
@@ -511,7 +552,7 @@
                 ends.append(past + fails)
         if ends and past >= ends[0]:
             ends.clear()
-            play.tell(fx.Unlisted("it failed"))
+            play.tell(fx.WatchLost("it failed"))
     return at
 
 
@@ -527,7 +568,7 @@
     plays = fleet(schedulers)[:: max(1, schedulers // 20)]
     calls = [calls_in_an_outage(play, FAILS[how], reload_at) for play in plays]
     back = [at[-1] - OUTAGE for at in calls]
-    assert max(back) <= MISSED - ANSWER
+    assert max(back) <= UPDATE_DEADLINE - ANSWER_TIMEOUT
     every = sorted(at for times in calls for at in times if at >= SECOND)
     rate = crowd(every, SECOND) * schedulers / len(plays)
     assert rate <= max(3 * schedulers, 40) if schedulers <= 40 else rate <= 1.2 * schedulers
@@ -541,8 +582,8 @@
     """Guards discovery: the module may ask while the next call is planned here."""
     (play,) = fleet(1)
     monkeypatch.setattr(play.reducer.module, "handle", lambda now, event: [api.Watch()])
-    play.tell(fx.Unlisted("reset"))
-    assert not follows(play.tell(fx.Joined(1), arrived(1)))
+    play.tell(fx.WatchLost("reset"))
+    assert not follows(play.tell(fx.ClientConnected(1), arrived(1)))
     assert len(follows(play.advance(SECOND))) == 1
 
 
@@ -552,10 +593,10 @@
     s."""
     config = settings(list_on_request=False)
     play = Play(config=replace(config, rules=replace(config.rules, drain_grace=grace)))
-    play.tell(KNOWN, fx.Listening(), fx.Beaten())
+    play.tell(KNOWN, fx.ListenerOpened(), fx.DirectoryHeartbeat())
     times = []
     for _ in range(200):
-        play.tell(fx.Unlisted("connection refused"))
+        play.tell(fx.WatchLost("connection refused"))
         times.append(called(play, 2 * SECOND)[0])
     assert max(times) <= most
     assert min(times[3:]) >= 40 * MS, "no busy loop"
@@ -564,31 +605,31 @@
 def test_a_beat_that_never_completes_a_list_is_a_silence() -> None:
     play = pushed()
     begun = len(play.asked)
-    play.advance(SILENCE + 200 * MS)
-    assert any(isinstance(effect, fx.Unfollow) for effect in play.asked[begun:])
+    play.advance(WATCH_TIMEOUT + 200 * MS)
+    assert any(isinstance(effect, fx.StopWatch) for effect in play.asked[begun:])
     assert len(follows(play.asked[begun:])) == 1, "it is opened anew"
-    play.tell(fx.Beaten())
+    play.tell(fx.DirectoryHeartbeat())
     assert not play.reducer.state.watch_losses
 
 
 def test_older_whole_list_takes_out_whom_it_does_not_name() -> None:
     """Guards drains where the directory has begun anew: who is missing from its list has left."""
-    play = pushed(fx.Listed(api.ListKind.CHANGES, 50, listed("c").targets))
-    assert set(play.reducer.state.hosts) == {"a", "b", "c"}
-    play.tell(fx.Listed(api.ListKind.FULL, 45, listed("a", "b", "d").targets))
-    assert set(play.reducer.state.hosts) == {"a", "b"}
+    play = pushed(fx.WorkersListed(api.ListKind.CHANGES, 50, listed("c").targets))
+    assert set(play.reducer.state.workers) == {"a", "b", "c"}
+    play.tell(fx.WorkersListed(api.ListKind.FULL, 45, listed("a", "b", "d").targets))
+    assert set(play.reducer.state.workers) == {"a", "b"}
 
 
 def test_connection_whose_answer_never_ends_makes_room(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards legs: a result is known, and the rest of its answer held the last place for a leg."""
     play, hosts = Play(Budget(10, 1)), iter("ab")
-    play.tell(listed("a", "b"), fx.Joined(1), fx.Joined(2))
+    play.tell(listed("a", "b"), fx.ClientConnected(1), fx.ClientConnected(2))
     monkeypatch.setattr(
         play.reducer.module,
         "handle",
         lambda now, event: [api.Send(event.id, next(hosts))] if isinstance(event, api.Request) else [],
     )
     first = conn_of(play.tell(arrived(1)))
-    play.tell(fx.Opened(first), fx.Written(first), fx.Concluded(first, api.Reason.OK))
+    play.tell(fx.WorkerConnected(first), fx.AttemptWritten(first), fx.OutcomeReceived(first, api.Reason.OK))
     assert conn_of(play.tell(arrived(2))) != first
     assert not play.faults()
--- a/tests/test_subsystem.py
+++ b/tests/test_subsystem.py
@@ -5,28 +5,28 @@
 import pytest
 
 from reedspoke.net import effects as fx
-from reedspoke.net.core import Concern, Core, Reactions
+from reedspoke.net.core import Component, Core, EventHandlers
 from reedspoke.net.http import Head
 from reedspoke.net.node import Node
 from reedspoke.net.operators import Asked, NoSuchCallError, order_of
 from reedspoke.net.subsystem import NAME, Call, Subsystem
 
 
-class Heard(fx.FurtherEvent):
+class Heard(fx.ExtensionEvent):
     word: str
 
 
-class Told(fx.FurtherEffect):
+class Told(fx.ExtensionEffect):
     word: str
 
 
-class Echo(Concern):
-    def reactions(self) -> Reactions:
-        return {Heard: lambda event: self.core.ask(Told(event.word))}
+class Echo(Component):
+    def event_handlers(self) -> EventHandlers:
+        return {Heard: lambda event: self.core.request_effect(Told(event.word))}
 
 
-def yes(event: fx.Called) -> fx.Reply:
-    return fx.Reply(event.caller, fx.Word.YES)
+def yes(event: fx.OperatorCall) -> fx.ReplyToOperator:
+    return fx.ReplyToOperator(event.caller, fx.CallResult.YES)
 
 
 SHOW, MAKE = Call(b"GET", (b"notes", NAME), yes), Call(b"POST", (b"notes", NAME), yes, 9000)
@@ -38,10 +38,10 @@
 
 
 def test_calls_are_told_apart_by_method_and_path_and_carry_what_they_name() -> None:
-    assert asked(b"GET", b"/v1/notes/a%20b") == Asked(fx.Order.FURTHER, "", SHOW.which, ("a b",))
+    assert asked(b"GET", b"/v1/notes/a%20b") == Asked(fx.OperatorCommand.EXTENSION, "", SHOW.which, ("a b",))
     assert asked(b"POST", b"/v1/notes/a").most_body == 9000
     assert asked(b"POST", b"/v1/notes/a/again").which == NESTED.which
-    assert asked(b"GET", b"/v1/readyz") == Asked(fx.Order.READY), "the platform's own go first"
+    assert asked(b"GET", b"/v1/readyz") == Asked(fx.OperatorCommand.READY), "the platform's own go first"
 
 
 @pytest.mark.parametrize(
@@ -79,6 +79,6 @@
     node.add(Subsystem("first", (Echo(play.reducer.core),), (), (SHOW,)))
     with pytest.raises(ValueError, match="two parts for GET /notes"):
         node.add(Subsystem("second", (), (), (SHOW,)))
-    with pytest.raises(ValueError, match="two concerns"):
+    with pytest.raises(ValueError, match="two components"):
         node.add(Subsystem("third", (Echo(play.reducer.core),)))
     assert isinstance(play.reducer.core, Core)
