--- a/tests/test_issuer.py
+++ b/tests/test_worker_connections.py
@@ -11,9 +11,9 @@
 
 from reedspoke.net import effects as fx
 from reedspoke.net.http import Head
-from reedspoke.net.issuer import Issuer
 from reedspoke.net.message import Message
 from reedspoke.net.runtime import Runtime
+from reedspoke.net.worker_connections import WorkerConnector
 
 LEG = Message(Head(1, b"POST", memoryview(b"/quote")), "quote", "1a", 1_000_000, 0, 1, 0.0, "", "")
 
@@ -32,25 +32,25 @@
     """The host ends its connection, or a client has gone, and the loop has not come to read it: what is told,
     and what the host reads."""
     told = Told()
-    issuer = Issuer(cast(Runtime, told), (), lambda client: present)
-    doing = issuer.effects()
+    connector = WorkerConnector(cast(Runtime, told), (), lambda client: present)
+    doing = connector.effects()
     with socket.create_server(("127.0.0.1", 0)) as host:
-        doing[fx.Dial](fx.Dial(1, host.getsockname()))
+        doing[fx.ConnectWorker](fx.ConnectWorker(1, host.getsockname()))
         while not told.events:
             await asyncio.sleep(0)
-        assert told.events == [fx.Opened(1)]
+        assert told.events == [fx.WorkerConnected(1)]
         wire, _ = host.accept()
         if ends == "fin":
             wire.shutdown(socket.SHUT_WR)
         elif ends == "bytes":
             wire.sendall(b"HTTP/1.1 408 Idle\r\n\r\n")
-        ours = next(iter(issuer._connections.values())).stream
+        ours = next(iter(connector._connections.values())).stream
         assert ours is not None
         if ends:
             assert select.select([ours.socket], [], [], 5)[0], "it lies there unread"
-        doing[fx.Transmit](fx.Transmit(1, 7, LEG, 1_000_000))
+        doing[fx.SendAttempt](fx.SendAttempt(1, 7, LEG, 1_000_000))
         events = told.events[1:]
-        doing[fx.Hangup](fx.Hangup(1))
+        doing[fx.DisconnectWorker](fx.DisconnectWorker(1))
         wire.settimeout(5)
         with wire:
             try:
@@ -62,10 +62,10 @@
 @pytest.mark.parametrize(
     ("ends", "present", "event"),
     [
-        ("", True, fx.Written(1)),
-        ("fin", True, fx.Unsent(1, ended=True)),
-        ("bytes", True, fx.Unsent(1, ended=True)),
-        ("", False, fx.Unsent(1)),
+        ("", True, fx.AttemptWritten(1)),
+        ("fin", True, fx.AttemptNotSent(1, ended=True)),
+        ("bytes", True, fx.AttemptNotSent(1, ended=True)),
+        ("", False, fx.AttemptNotSent(1)),
     ],
 )
 def test_nothing_is_written_where_either_end_has_gone(ends: str, present: bool, event: fx.Event) -> None:
@@ -73,4 +73,4 @@
     lie unread while others are served; a leg written then may have run, or runs for nobody."""
     events, sent = asyncio.run(crossing(ends, present))
     assert events == [event]
-    assert (b"POST /quote" in sent) == isinstance(event, fx.Written)
+    assert (b"POST /quote" in sent) == isinstance(event, fx.AttemptWritten)
