--- a/reedspoke/net/administration.py
+++ b/reedspoke/net/administration.py
@@ -131,7 +131,7 @@
                 fx.WriteLog(f"operators: issuer host {uid} {'suspended' if on else 'resumed'}")
             )
         state.suspended = event.suspended
-        self.workers.heed_bans()
+        self.workers.apply_suspensions()
         self._drain(event.drained)
         if event.caller:
             self.core.request_effect(fx.ReplyToOperator(event.caller, fx.CallResult.YES))
@@ -182,7 +182,9 @@
         if any(not partner.leaving for partner in event.partners):
             left = min(left, whole.sockets // 2)
         memory = whole.memory_mb / (1 + len(event.partners))
-        self.core.budget = Budget.of(left, memory, whole.door, whole.extensions) if event.partners else whole
+        self.core.budget = (
+            Budget.of(left, memory, whole.operator_descriptors, whole.extensions) if event.partners else whole
+        )
         slots: dict[str, int] = {}
         for partner in event.partners:
             for uid, count in partner.slots.items():
--- a/reedspoke/net/attempts.py
+++ b/reedspoke/net/attempts.py
@@ -247,7 +247,7 @@
                 self.clients.answer(request, fx.Outcome.INVALID)
             self.outcome(attempt, api.Reason.NOT_EXECUTED if event.invalid else event.reason, event.report)
         else:
-            if event.free:  # before the module hears: the leg that follows a look goes on its connection
+            if event.reusable:  # before the module hears: the leg that follows a look goes on its connection
                 self._rest(conn)
             self._probed(conn, event.reason, event.report)
 
--- a/reedspoke/net/client_server.py
+++ b/reedspoke/net/client_server.py
@@ -223,7 +223,7 @@
         """The answer; meanwhile what the client sends ahead is read, and so is its leaving."""
         self.answer = asyncio.get_running_loop().create_future()
         arrived = message.arrived(self.number)
-        arrived.elsewhere = not self.side.claim(message.name)
+        arrived.open_in_sibling = not self.side.claim(message.name)
         self.side.runtime.emit(arrived)
         try:
             while not self.answer.done():
--- a/reedspoke/net/clients.py
+++ b/reedspoke/net/clients.py
@@ -135,7 +135,7 @@
     def _on_request_received(self, event: fx.RequestReceived) -> None:
         state = self.state
         if (client := state.clients.get(event.client)) is None:
-            if not event.elsewhere and event.name not in state.open_request_ids:
+            if not event.open_in_sibling and event.name not in state.open_request_ids:
                 self.core.request_effect(fx.ReleaseRequestId(event.name))
             return
         client.reading = False
@@ -143,7 +143,7 @@
         self.set_idle_state(client, None)
         self.core.cancel_timer(("client", client.id))
         self.core.count("authorisations")
-        if event.elsewhere or event.name in state.open_request_ids:  # its twin is out and might run twice
+        if event.open_in_sibling or event.name in state.open_request_ids:  # it might run twice
             self.core.count("invalid")
             self.core.request_effect(
                 fx.SendResponse(client.id, fx.Outcome.INVALID, last=self.state.leaving())
--- a/reedspoke/net/core.py
+++ b/reedspoke/net/core.py
@@ -46,23 +46,27 @@
     attempts: int
     sockets: int = 0  # what it was made of
     memory_mb: float = 0
-    door: int = 0
+    operator_descriptors: int = 0
     extensions: ExtensionLimits = ExtensionLimits()
 
     @classmethod
     def of(
-        cls, sockets: int, memory_mb: float = 192, door: int = 0, extensions: ExtensionLimits | None = None
+        cls,
+        sockets: int,
+        memory_mb: float = 192,
+        operator_descriptors: int = 0,
+        extensions: ExtensionLimits | None = None,
     ) -> Budget:
         """Each client may hold the largest body. Usual ones take a third of the descriptors at most, and that
         many are always taken in."""
         extensions = extensions or ExtensionLimits()
         sockets_left = sockets - extensions.descriptors
-        clients = (sockets_left - OWN_DESCRIPTORS - door - SPARE_ATTEMPTS) // 2
+        clients = (sockets_left - OWN_DESCRIPTORS - operator_descriptors - SPARE_ATTEMPTS) // 2
         own, each = OWN_MEMORY_MB + extensions.memory_mb, CLIENT_MEMORY_KB + extensions.client_kb
         held = int((memory_mb - own) * 1024 / each)
         clients = min(clients, max(held, sockets_left // 3))
         clients = max(1, clients)
-        return cls(clients, clients + SPARE_ATTEMPTS, sockets, memory_mb, door, extensions)
+        return cls(clients, clients + SPARE_ATTEMPTS, sockets, memory_mb, operator_descriptors, extensions)
 
 
 class Core:
--- a/reedspoke/net/effects.py
+++ b/reedspoke/net/effects.py
@@ -102,7 +102,7 @@
     memory: float
     tenant: str
     key: str
-    elsewhere: bool = False  # one of that id is open in this scheduler's other process
+    open_in_sibling: bool = False  # one of that id is open in this scheduler's other process
 
 
 class CredentialRevoked(Struct):
@@ -181,7 +181,7 @@
     report: tuple[float, ...] = ()
     result: bytes = b""
     invalid: bool = False  # the host says that the authorisation itself is at fault
-    free: bool = False  # its answer has ended, and the connection may carry the next leg
+    reusable: bool = False  # its answer has ended, and the connection may carry the next leg
 
 
 class ResponseCompleted(Struct):
--- a/reedspoke/net/worker_connections.py
+++ b/reedspoke/net/worker_connections.py
@@ -109,7 +109,7 @@
         """A load report is the body of its answer; one that cannot be read is none."""
         self.told, self.busy = True, not free
         report = words.report(words.load_field(bytes(told)), self.side.report_fields)
-        self.emit(fx.OutcomeReceived(self.number, api.Reason.OK, report, free=free))
+        self.emit(fx.OutcomeReceived(self.number, api.Reason.OK, report, reusable=free))
 
     def _take_line(self, raw: memoryview | bytes) -> None:
         if self.told:
--- a/reedspoke/net/workers.py
+++ b/reedspoke/net/workers.py
@@ -144,7 +144,7 @@
         for uid in [uid for uid in state.ever_listed if uid not in state.workers][: -MAX_REMOVED_IDS or None]:
             del state.ever_listed[uid]
         state.workers_listed = state.workers_listed or bool(state.workers)
-        self.heed_bans()  # before the list, or the module might use who is new on it
+        self.apply_suspensions()  # before the list, or the module might use who is new on it
         if event.kind is api.ListKind.STALE and self.pushed:
             # Guards drains at a start: what the agent holds is told from the first moment, and this list may
             # be old. Until the agent has spoken, or has not for a while, the module holds what comes.
@@ -203,7 +203,7 @@
             self.state.workers_known = True
             self.clients.make_room()
 
-    def heed_bans(self) -> None:
+    def apply_suspensions(self) -> None:
         """Guards the operators' ban: it is for the machine as well as for its id, which may come back with a
         fresh one at the same address."""
         state, none = self.state, ("", 0)
--- a/tests/acme/test_process.py
+++ b/tests/acme/test_process.py
@@ -32,7 +32,7 @@
     node = start(hosts=1, operator=world.operator())
     client = world.secure()
     client.send(ask())
-    node.leg().serve()
+    node.next_wire().serve()
     assert client.message().body == b"fine"
     assert authority.counts["orders"] == authority.counts["issued"] == 1
     key = world.store / "api.pem"
@@ -54,7 +54,7 @@
     client = world.secure()
     before = world.serial()
     client.send(ask(cls="book"))
-    wire = node.leg()
+    wire = node.next_wire()
     leg = wire.message()
     half = socket.create_connection(("127.0.0.1", world.tls), WAIT)
     half.send(b"\x16\x03\x01\x01\x00\x01\x00")
@@ -63,7 +63,7 @@
     wire.serve(leg, result="booked")
     assert client.message().body == b"booked"
     client.send(ask("2b"))
-    node.leg(wire).serve()
+    node.next_wire(wire).serve()
     assert client.message().status == 200
     half.close()
 
@@ -76,7 +76,7 @@
         world.dial()
     node.logged("certificate api has no certificate yet")
     plain = node.client(ask())
-    node.leg().serve()
+    node.next_wire().serve()
     assert plain.message().status == 200, "the plain front serves"
     world.authorities[0].hang(False)
     world.secure()
@@ -267,7 +267,7 @@
     def served(*clients: Wire) -> None:
         since = time.monotonic()
         for _ in clients:
-            wires.append(node.leg(*wires))
+            wires.append(node.next_wire(*wires))
             wires[-1].serve()
         assert [client.message().status for client in clients] == [200] * len(clients)
         assert time.monotonic() - since < 1
--- a/tests/fleet/test_load_sharing_processes.py
+++ b/tests/fleet/test_load_sharing_processes.py
@@ -61,7 +61,7 @@
 def start_job(node: Node, name: str) -> tuple[Wire, int]:
     """A job that goes on running: the connection of its attempt, and the port of its worker."""
     node.client(ask(name))
-    leg = node.leg()
+    leg = node.next_wire()
     told = leg.message()
     leg.begin()
     leg.state(told, "started")
--- a/tests/identity/test_extension.py
+++ b/tests/identity/test_extension.py
@@ -65,7 +65,7 @@
 
 
 def served(node: Node, client: Wire, *wires: Wire) -> Wire:
-    wire = node.leg(*wires)
+    wire = node.next_wire(*wires)
     leg = wire.message()
     assert "authorization" not in leg.fields, "what a caller proves with does not go on"
     wire.serve(leg)
@@ -196,7 +196,7 @@
     """Taken is taken once a leg is out; what has none is refused at once."""
     node = start(hosts=1, operator={"version": 1, "identity": identity(tmp_path)})
     running = node.client(with_token(token()))
-    wire = node.leg()
+    wire = node.next_wire()
     leg = wire.message()
     wire.begin()
     wire.state(leg, "started")
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -241,7 +241,7 @@
         lines = self.call("/v1/metrics").body.decode().splitlines()
         return {name: int(value) for name, value in (line.rsplit(" ", 1) for line in lines if line[0] != "#")}
 
-    def leg(self, *wires: Wire) -> Wire:
+    def next_wire(self, *wires: Wire) -> Wire:
         """Where the next leg comes: on one of these connections, or on a new one to any host."""
         sources = [host.sock for host in self.hosts if host.sock.fileno() >= 0] + [
             wire.sock for wire in wires
@@ -255,7 +255,7 @@
         that came up for nobody does, are passed over."""
         known = list(wires)
         while True:
-            wire = self.leg(*known)
+            wire = self.next_wire(*known)
             try:
                 return wire, wire.message()
             except (EOFError, ConnectionError):
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -88,7 +88,7 @@
     """Guards the rule that a job which may have run goes out again only where its class allows it."""
     node = start(hosts=2)
     client = node.client(ask(cls=cls))
-    wire = node.leg()
+    wire = node.next_wire()
     act(wire, wire.message())
     if never or cls == "quote":
         again, leg = node.attempt(*([wire] if act not in ENDS else []))
@@ -109,7 +109,7 @@
     wires: list[Wire] = []
     for number in range(4):
         client = node.client(ask(f"{number}", cls))
-        wires = [node.leg(*wires)]
+        wires = [node.next_wire(*wires)]
         wires[0].serve()
         assert client.message().status == 200
 
@@ -216,21 +216,21 @@
     """Guards jobs that must never run twice: where one kept connection failed at its next leg, more will."""
     node = start(hosts=2)
     clients = [node.client(ask(f"{n}")) for n in range(2)]
-    wires = [node.leg() for _ in clients]
+    wires = [node.next_wire() for _ in clients]
     for wire in wires:
         wire.serve()
     for client in clients:
         assert client.message().status == 200
     clients[0].send(ask("2b"))
-    failing = node.leg(*wires)
+    failing = node.next_wire(*wires)
     failing.message()
     if fails == "reset":
         resets(failing, Message("", {}))
     assert next(wire for wire in wires if wire is not failing).ended()
-    assert node.leg().serve().fields["x-request-id"] == "2b", "a safe job goes out again at once, elsewhere"
+    assert node.next_wire().serve().fields["x-request-id"] == "2b", "a safe job is retried at once, elsewhere"
     assert clients[0].message().status == 200
     clients[1].send(ask("3c", cls="book"))
-    node.leg().serve()
+    node.next_wire().serve()
     assert clients[1].message().status == 200
     node.logged("kept connections fail")
 
--- a/tests/test_client_server.py
+++ b/tests/test_client_server.py
@@ -80,7 +80,7 @@
     assert ("allow" in answer.fields) == (status == 405)
     assert node.quiet(0.02), "nothing of it goes out"
     other = node.client(ask())
-    node.leg().serve()
+    node.next_wire().serve()
     assert other.message().status == 200
 
 
@@ -89,7 +89,7 @@
     client = node.client()
     for byte in b"\r\n" + ask(body=b"slowly"):
         client.send(bytes([byte]))
-    wire = node.leg()
+    wire = node.next_wire()
     leg = wire.message()
     assert leg.body == b"slowly"
     wire.serve(leg)
@@ -99,7 +99,7 @@
 def test_authorisations_sent_ahead_are_answered_in_order(start: Start) -> None:
     node = start(hosts=1)
     client = node.client(b"".join(ask(f"{n}", body=b"%d" % n * 3000) for n in range(4)))
-    wire = node.leg()
+    wire = node.next_wire()
     for n in range(4):
         leg = wire.message()
         assert (leg.fields["x-request-id"], leg.body) == (f"{n}", b"%d" % n * 3000)
@@ -118,7 +118,7 @@
         node.client(post("Transfer-Encoding: chunked\r\n") + coded)
     else:
         node.client(ask(body=body))
-    leg = node.leg().message()
+    leg = node.next_wire().message()
     assert leg.body == body
     assert "transfer-encoding" not in leg.fields
 
@@ -128,7 +128,7 @@
     client = node.client(post("Expect: 100-continue\r\nContent-Length: 4\r\n"))
     assert client.head().status == 100
     client.send(b"work")
-    wire = node.leg()
+    wire = node.next_wire()
     leg = wire.message()
     assert leg.body == b"work"
     assert "expect" not in leg.fields
@@ -144,7 +144,7 @@
 def test_connection_is_kept_as_the_client_asks(start: Start, version: str, field: str, kept: bool) -> None:
     node = start(hosts=1)
     client = node.client(ask(more=field).replace(b"HTTP/1.1", f"HTTP/{version}".encode()))
-    wire = node.leg()
+    wire = node.next_wire()
     wire.serve()
     assert client.message().body == b"fine"
     if kept:
@@ -159,7 +159,7 @@
     """Guards a job that must never run twice against a twin that comes while it is out."""
     node = start(hosts=2)
     first = node.client(ask(cls="book"))
-    wire = node.leg()
+    wire = node.next_wire()
     leg = wire.message()
     assert node.client(ask(cls="book")).message().status == 400
     assert node.quiet()
@@ -231,14 +231,14 @@
     """Guards the usual clients: far more connections than places, none of which is owed an answer."""
     node = start(hosts=1, sockets=40 + OPERATOR_DESCRIPTORS)
     usual = node.client(ask("0a"))
-    wire = node.leg()
+    wire = node.next_wire()
     wire.serve()
     assert usual.message().status == 200
     for _ in range(30):
         node.client(sent)
     since = time.monotonic()
     client = node.client(ask())
-    wire = node.leg(wire)
+    wire = node.next_wire(wire)
     wire.serve()
     assert client.message().status == 200
     assert took(since) < 1
@@ -265,7 +265,7 @@
     """Guards the hosts' slots: no other host would find it usable, so it does not go out again."""
     node = start(hosts=2)
     client = node.client(ask(cls=cls))
-    wire = node.leg()
+    wire = node.next_wire()
     wire.message()
     wire.send(b"HTTP/1.1 %d Any\r\nContent-Length: 0\r\n\r\n" % status)
     assert client.message().status == 400
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -18,7 +18,7 @@
     node.watch.begin()
     node.list(node.hosts[0].entry())
     client = node.client(ask())
-    node.leg().serve()
+    node.next_wire().serve()
     assert client.message().status == 200
 
 
@@ -45,7 +45,7 @@
     wires: list[Wire] = []
     for number in range(5):
         client = node.client(ask(f"{number}"))
-        wires = [node.leg(*wires)]
+        wires = [node.next_wire(*wires)]
         assert wires[0].sock.getsockname() == node.hosts[1].sock.getsockname()
         wires[0].serve()
         assert client.message().status == 200
@@ -54,7 +54,7 @@
 def test_host_that_drains_finishes_what_it_has(start: Start) -> None:
     node = start(hosts=1)
     client = node.client(ask())
-    wire = node.leg()
+    wire = node.next_wire()
     leg = wire.message()
     told_off(node, 0, "Terminating")
     wire.serve(leg)
@@ -89,7 +89,7 @@
     node.watch.chunk(b"\n")
     node.hosts = [moved]
     client = node.client(ask())
-    node.leg().serve()
+    node.next_wire().serve()
     assert client.message().status == 200
 
 
@@ -112,7 +112,7 @@
     node.list(bad, node.hosts[0].entry(), full=True)
     node.watch.chunk(b"\n")
     client = node.client(ask())
-    node.leg().serve()
+    node.next_wire().serve()
     assert client.message().status == 200
     assert "entry skipped" in node.log()
 
@@ -148,7 +148,7 @@
             pass
     assert node.ready() == 200
     client = node.client(ask())
-    node.leg().serve()
+    node.next_wire().serve()
     assert client.message().status == 200, "the last list stays in force"
 
 
@@ -159,7 +159,7 @@
     node.watch.begin()
     node.watch.chunk(b"\n")  # else a new process would wait for its agent's first word
     idle, busy = node.client(ask("0a")), node.client()
-    wire = node.leg()
+    wire = node.next_wire()
     wire.serve()
     assert idle.message().status == 200
     busy.send(ask())
@@ -178,7 +178,7 @@
     assert busy.message().status == 200
     idle.send(ask("2b"))
     node.hosts = [host]
-    node.leg().serve()
+    node.next_wire().serve()
     assert idle.message().status == 200, "the new list counts"
     assert node.process.poll() is None
     assert node.stop() == 0, "SIGTERM may follow"
@@ -205,7 +205,7 @@
     node.watch.begin()
     node.list(node.hosts[0].entry())
     client = node.client(ask())
-    node.leg().serve()
+    node.next_wire().serve()
     assert client.message().status == 200
     node.reload(json.dumps(node.told))
     node.logged("reload: directory stays at ")
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -23,7 +23,7 @@
 def kept(node: Node, cls: str = "book") -> tuple[Wire, Wire]:
     """A client that was served, and the connection to its host; both are kept."""
     client = node.client(ask("0a", cls))
-    wire = node.leg()
+    wire = node.next_wire()
     wire.serve()
     assert client.message().status == 200
     return client, wire
@@ -44,7 +44,7 @@
     """Guards what was taken: the first end goes on, no answer is cut off."""
     node = start(hosts=1)
     client = node.client(ask())
-    wire = node.leg()
+    wire = node.next_wire()
     leg = wire.message()
     node.process.terminate()
     node.logged("stopping")
@@ -60,7 +60,7 @@
     """Guards drains to the last: a host that leaves by the new address gets no further attempt."""
     node = start(hosts=2)
     client = node.client(ask(cls="book"))
-    wire = node.leg()
+    wire = node.next_wire()
     leg = wire.message()
     node.process.terminate()
     node.logged("stopping")
@@ -102,7 +102,7 @@
         assert closed_unread(client)
         assert node.quiet(0.1), "and not sent on"
     else:
-        again = node.leg(wire)
+        again = node.next_wire(wire)
         again.serve()
         answer = client.message()
         assert (answer.status, answer.fields["connection"]) == (200, "close")
@@ -117,7 +117,7 @@
     clients = [node.client(ask(f"{n}", "book")) for n in range(4)]
     wires: list[Wire] = []
     for _ in clients:
-        wires.append(node.leg())
+        wires.append(node.next_wire())
     legs = [wire.message() for wire in wires]
     with node.stopped():
         for wire, leg in zip(wires, legs, strict=True):
@@ -136,7 +136,7 @@
     """Guards the answer: a close over unread bytes would reset the connection."""
     node = start(hosts=1)
     client = node.client(ask(more="Connection: close\r\n") + ask("2b", body=b"x" * 40_000))
-    wire = node.leg()
+    wire = node.next_wire()
     wire.serve(result="y" * 60_000)
     answer = client.message()
     assert (answer.status, len(answer.body)) == (200, 60_000)
@@ -149,7 +149,7 @@
     node = start(hosts=1, sockets=40 + OPERATOR_DESCRIPTORS)
     more = "Connection: close\r\n"
     client = node.client(ask(more=more) + ask("2b", body=b"x" * 9000))
-    wire = node.leg()
+    wire = node.next_wire()
     wire.serve(result="y" * 60_000)
     for _ in range(30):  # many more than there are places
         node.client(READY)
@@ -166,7 +166,7 @@
     with node.stopped():
         client.send(ask("2b", cls))  # this is seen first
         wire.close()
-    node.leg().serve()
+    node.next_wire().serve()
     assert client.message().status == 200
     assert "kept connections fail" not in node.log()
 
@@ -177,7 +177,7 @@
     with node.stopped():
         client.send(ask("2b", "book"))
         wire.send(b"HTTP/1.1 408 Idle\r\nContent-Length: 0\r\n\r\n")
-    node.leg().serve()
+    node.next_wire().serve()
     assert client.message().status == 200
     assert wire.ended()
 
@@ -187,10 +187,10 @@
     the next job on that connection that it never ran."""
     node = start(hosts=2)
     first = node.client(ask("0a", "book"))
-    wire = node.leg()
+    wire = node.next_wire()
     wire.message()
     wire.send(HANDED_BACK)
-    again = node.leg()
+    again = node.next_wire()
     assert wire.ended(), "the connection is not used again"
     again.serve()
     assert first.message().status == 200
@@ -213,13 +213,13 @@
     """Guards against half a word taken for a whole one: it may have run, and goes again only where safe."""
     node = start(hosts=2)
     client = node.client(ask(cls=cls))
-    wire = node.leg()
+    wire = node.next_wire()
     wire.message()
     with node.stopped():
         wire.send(said)
         wire.reset() if ends == "reset" else wire.close()
     if cls == "quote":
-        node.leg().serve()
+        node.next_wire().serve()
         assert client.message().status == 200
     else:
         assert client.message().status == 502
@@ -230,7 +230,7 @@
     """Guards descriptors: the answer goes out with the result; the connection is not waited for for ever."""
     node = start(hosts=1)
     client = node.client(ask())
-    wire = node.leg()
+    wire = node.next_wire()
     leg = wire.message()
     wire.begin()
     wire.state(leg, "done", result="fine")
@@ -239,7 +239,7 @@
     assert wire.ended()
     assert took(since) < 2
     client.send(ask("2b"))
-    node.leg().serve()
+    node.next_wire().serve()
     assert client.message().status == 200
 
 
@@ -247,7 +247,7 @@
     """Guards the one final answer: the host's result and the end of the client's time in one moment."""
     node = start(hosts=1)
     client = node.client(ask(cls="book", deadline=0.5))
-    wire = node.leg()
+    wire = node.next_wire()
     leg = wire.message()
     with node.stopped():
         time.sleep(0.55)  # the time is the matter here
@@ -266,7 +266,7 @@
     node = start(hosts=1, connect_timeout=8_000_000)
     host = node.hosts[0]
     client = node.client(ask(cls="store", more="Idempotency-Key: k\r\n"))
-    wire = node.leg()
+    wire = node.next_wire()
     wire.message()
     since = time.monotonic()
     host.sock.listen(0)
@@ -288,7 +288,7 @@
     """Guards hosts that leave: told while one attempt looks first or dials, nothing goes there."""
     node = start(hosts=2, balancers=20)
     client = node.client(ask())
-    wire = node.leg()
+    wire = node.next_wire()
     assert wire.message().first.startswith("GET ")
     draining = next(host for host in node.hosts if host.sock.getsockname() == wire.sock.getsockname())
     node.watch.begin()
@@ -334,7 +334,7 @@
         pass
     node.hosts = node.hosts[1:]
     client = node.client(ask())
-    node.leg().serve()
+    node.next_wire().serve()
     assert client.message().status == 200
 
 
@@ -350,7 +350,7 @@
         node.hosts = [moved]
     assert wire.ended(), "kept to the machine before"
     client.send(ask("2b", "book"))
-    node.leg().serve()
+    node.next_wire().serve()
     assert client.message().status == 200
 
 
@@ -368,7 +368,7 @@
         assert client.message().status == 408
         assert node.quiet(0.1), "told off, and not sent on"
     else:
-        node.leg().serve()
+        node.next_wire().serve()
         assert client.message().status == 200
 
 
@@ -376,7 +376,7 @@
     """SIGHUP and SIGTERM in one moment: both are heeded."""
     node = start(hosts=1)
     client = node.client(ask())
-    wire = node.leg()
+    wire = node.next_wire()
     leg = wire.message()
     with node.stopped():
         node.process.send_signal(signal.SIGHUP)
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -87,7 +87,7 @@
     """Guards further attempts: the outcome and the client's end come in one moment."""
     node = start(hosts=2)
     client = node.client(ask(cls="book"))
-    wire = node.leg()
+    wire = node.next_wire()
     leg = wire.message()
     with node.stopped():
         leaves(client)
@@ -117,7 +117,7 @@
 def test_client_that_leaves_as_its_probe_is_answered(start: Start, leaves: Leaves) -> None:
     node = start(hosts=1, balancers=20)
     client = node.client(ask())
-    wire = node.leg()
+    wire = node.next_wire()
     assert wire.message().first.startswith("GET ")
     with node.stopped():
         leaves(client)
@@ -139,7 +139,7 @@
     """Guards those who wait: bytes behind a request are no sign that its client has gone."""
     node = start(hosts=1)
     client = node.client(ask() + AHEAD)
-    wire = node.leg()
+    wire = node.next_wire()
     wire.serve()
     assert client.message().status == 200
-    assert node.leg(wire).serve().fields["x-request-id"] == "9e"
+    assert node.next_wire(wire).serve().fields["x-request-id"] == "9e"
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -17,7 +17,7 @@
 from reedspoke.net.core import OPERATOR_DESCRIPTORS, Budget
 from reedspoke.net.handover import ORDERS, Handover
 from tests.peers import Node, Start, ask, took
-from tests.test_reducer import Play, arrived, listed
+from tests.test_reducer import ReducerHarness, arrived, listed
 
 
 def settled(node: Node) -> None:
@@ -35,7 +35,7 @@
     old = start(hosts=1, inherits=True)
     settled(old)
     kept, busy = old.client(ask("1a")), old.client(ask("2b"))
-    wires = [old.leg(), old.leg()]
+    wires = [old.next_wire(), old.next_wire()]
     legs = {leg.fields["x-request-id"]: (wire, leg) for wire, leg in ((w, w.message()) for w in wires)}
     legs["1a"][0].serve(legs["1a"][1])
     assert kept.message().status == 200
@@ -46,7 +46,7 @@
     old.process.terminate()
     assert kept.ended()
     early = new.client(ask("3c"))
-    wire = new.leg(*wires)
+    wire = new.next_wire(*wires)
     wire.serve()
     assert early.message().status == 200
     legs["2b"][0].state(legs["2b"][1], "done", result="late")
@@ -56,7 +56,7 @@
     busy.close()
     assert old.process.wait(8) == 0
     again = new.client(ask("4d"))
-    new.leg(wire).serve()
+    new.next_wire(wire).serve()
     assert again.message().status == 200, "the listener outlives the old one"
 
 
@@ -65,14 +65,14 @@
     node = start(hosts=1, inherits=True)
     settled(node)
     client = node.client(ask("1a"))
-    wire = node.leg()
+    wire = node.next_wire()
     wire.serve()
     assert client.message().status == 200
     node.process.send_signal(signal.SIGSTOP)
     client.send(ask("2b"))
     node.process.terminate()
     node.process.send_signal(signal.SIGCONT)
-    node.leg(wire).serve()
+    node.next_wire(wire).serve()
     answer = client.message()
     assert (answer.status, answer.fields["connection"]) == (200, "close")
 
@@ -83,7 +83,7 @@
     assert node.call("/v1/readyz").status == 503
     assert node.quiet()
     since = time.monotonic()
-    node.leg().serve()
+    node.next_wire().serve()
     assert client.message().status == 200
     assert took(since) < 3.5, "the directory is waited for, but not for long"
 
@@ -113,7 +113,7 @@
     old = start(hosts=1, inherits=True)
     settled(old)
     first = old.client(ask("1a", cls="book"))
-    wire = old.leg()
+    wire = old.next_wire()
     leg = wire.message()
     wire.begin()
     new = start(beside=old)
@@ -126,7 +126,7 @@
     wire.end()
     assert first.message().body == b"once"
     again = new.client(ask("1a", cls="book"))
-    new.leg(wire).serve()
+    new.next_wire(wire).serve()
     assert again.message().status == 200, "once it is not open any more the id is free"
 
 
@@ -134,7 +134,7 @@
     old = start(hosts=1, inherits=True)
     settled(old)
     busy = old.client(ask("1a"))
-    wire = old.leg()
+    wire = old.next_wire()
     old.process.kill()
     old.process.wait(8)
     busy.close()
@@ -142,7 +142,7 @@
     new = start(beside=old)
     settled(new)
     client = new.client(ask("1a"))
-    new.leg().serve()
+    new.next_wire().serve()
     assert client.message().status == 200
     old.process = new.process  # it was to die
 
@@ -242,7 +242,7 @@
     leaving: bool, left: Callable[[int, int], int]
 ) -> None:
     """Guards the limit, which is one for both: together they never hold more."""
-    play = Play(Budget.of(256, 80, OPERATOR_DESCRIPTORS))
+    play = ReducerHarness(Budget.of(256, 80, OPERATOR_DESCRIPTORS))
     partner = fx.SiblingProcess(leaving, 100, {"a": 2}, api.LearnedState())
     play.tell(listed("a"), fx.SiblingsReported((partner,)))
     assert play.reducer.budget == Budget.of(left(256, 100), 40, OPERATOR_DESCRIPTORS)
@@ -251,7 +251,7 @@
 
 
 def test_the_module_counts_what_the_other_process_has_at_a_host() -> None:
-    play = Play(Budget.of(256, 80, OPERATOR_DESCRIPTORS))
+    play = ReducerHarness(Budget.of(256, 80, OPERATOR_DESCRIPTORS))
     play.tell(listed("a"), *[fx.ClientConnected(n) for n in range(1, 6)])
     play.tell(fx.SiblingsReported((fx.SiblingProcess(True, 50, {"a": 1}, api.LearnedState()),)))
     dialled = [
@@ -268,7 +268,7 @@
 
 
 def test_a_worker_put_back_counts_as_cold_with_its_failures_forgotten() -> None:
-    play = Play(Budget.of(256, 80, OPERATOR_DESCRIPTORS))
+    play = ReducerHarness(Budget.of(256, 80, OPERATOR_DESCRIPTORS))
     play.tell(listed("a"))
     module = play.reducer.module
     worker = module.workers["a"]
--- a/tests/test_interleavings.py
+++ b/tests/test_interleavings.py
@@ -17,7 +17,7 @@
 from reedspoke.net import effects as fx
 from reedspoke.net.core import SECOND, Budget
 from reedspoke.net.state import ProcessPhase
-from tests.test_reducer import Play
+from tests.test_reducer import ReducerHarness
 from tests.world import CLASSES, MS, settings
 
 HOSTS = ("a", "b", "c")
@@ -66,7 +66,7 @@
         self.number = self.rev = 0
         self.over = self.stopping = False
         self.config = settings(can_cancel=cancel, scheduler_count=schedulers, list_on_request=ask)
-        self.play = Play(Budget(places, places + 4), self.config)
+        self.play = ReducerHarness(Budget(places, places + 4), self.config)
         self.tell(self.list_of(api.ListKind.STALE, *HOSTS), fx.ListenerOpened(), fx.DirectoryHeartbeat())
 
     # ---- what is told, and what comes of it ----
@@ -249,7 +249,7 @@
             )
         else:
             wire.ending = False
-            self.tell(fx.OutcomeReceived(number, how, (), free=True))
+            self.tell(fx.OutcomeReceived(number, how, (), reusable=True))
 
     def free(self, which: int) -> None:
         if (found := self.wires_that(which, ending=True)) is not None:
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -27,14 +27,14 @@
     node = start(hosts=1)
     idle, busy, ready = node.client(READY), node.client(ask()), node.client(READY)
     assert (idle.message().status, ready.message().status) == (200, 200)
-    wire = node.leg()
+    wire = node.next_wire()
     leg = wire.message()
     node.process.terminate()
     since = time.monotonic()
     assert idle.ended(), "idle connections are closed"
     late = node.client(ask("2b", deadline=2.0))
     assert node.ready() == 503
-    other = node.leg()
+    other = node.next_wire()
     other.serve()
     answer = late.message()
     assert (answer.status, answer.fields["connection"]) == (200, "close")
@@ -89,7 +89,7 @@
     closed before its bytes are read; nothing is taken and then dropped, up to SIGKILL."""
     node = start(hosts=2)
     busy = node.client(ask("0a", cls="book", deadline=4.0))
-    held = node.leg()  # a job that is out holds the process up
+    held = node.next_wire()  # a job that is out holds the process up
     first = held.message()
     held.begin()
     held.state(first, "started")
@@ -97,7 +97,7 @@
     if standing.before == READY:
         assert client.message().status == 200
     elif standing.before == WHOLE:
-        other = node.leg()
+        other = node.next_wire()
         leg = other.message()
     assert node.ready() == 200, "what came before this is read by now"
     node.process.terminate()
@@ -112,7 +112,7 @@
     else:
         if standing.status == 200:
             if standing.before != WHOLE:
-                other = node.leg()
+                other = node.next_wire()
                 leg = other.message()
             other.serve(leg)
         answer = client.message()
@@ -137,7 +137,7 @@
     since = time.monotonic()
     time.sleep(1.0)  # the time is the matter here
     client.send(whole[-10:])
-    wire = node.leg()
+    wire = node.next_wire()
     leg = wire.message()
     wire.begin()
     wire.state(leg, "started")  # and it never ends
@@ -150,7 +150,7 @@
     """Guards a request on its way as its connection is closed: its client hears of it, and sends it again."""
     node = start(hosts=1)
     client, busy = node.client(READY), node.client(ask())
-    leg = node.leg()
+    leg = node.next_wire()
     assert client.message().status == 200
     node.process.terminate()
     assert client.ended()
@@ -182,7 +182,7 @@
     while node.ready() != 200:
         pass
     client = node.client(ask())
-    node.leg().serve()
+    node.next_wire().serve()
     assert client.message().status == 200
 
 
--- a/tests/test_looks.py
+++ b/tests/test_looks.py
@@ -31,7 +31,7 @@
     """Guards hosts that hold few connections: each look had one of its own, 10546 in a day of 4000 jobs."""
     node = start(1)
     client = node.client(ask("a1"))
-    wire = node.leg()
+    wire = node.next_wire()
     for name in ("a1", "a2"):
         look(wire)
         answer()(wire)
@@ -58,10 +58,10 @@
     """Guards bookings: a bad host took one from each scheduler that met it."""
     node = start(2)
     client = node.client(ask(cls="book"))
-    first = node.leg()
+    first = node.next_wire()
     look(first)
     bad(first)
-    other = node.leg()
+    other = node.next_wire()
     look(other)
     answer()(other)
     other.serve()
@@ -72,7 +72,7 @@
 def test_a_look_without_a_report_that_can_be_read_is_one_all_the_same(start: Start, body: bytes) -> None:
     node = start(1)
     client = node.client(ask())
-    wire = node.leg()
+    wire = node.next_wire()
     look(wire)
     answer(200, body)(wire)
     wire.serve()
@@ -83,7 +83,7 @@
     """Guards sound hosts: that a connection ended while it was kept says nothing of its host."""
     node = start(1)
     client = node.client(ask("a1"))
-    wire = node.leg()
+    wire = node.next_wire()
     look(wire)
     answer()(wire)
     wire.serve()
@@ -92,7 +92,7 @@
     client.send(ask("a2"))
     look(wire)
     wire.close()
-    again = node.leg()
+    again = node.next_wire()
     look(again)
     answer()(again)
     assert again.serve().fields["x-request-id"] == "a2"
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -84,7 +84,7 @@
         "scheduler_ejected": 0,
     }  # fmt: skip
     served, lost = node.client(ask("1a")), node.client(ask("2b", cls="book"))
-    legs = legs_by_name(node.leg(), node.leg())
+    legs = legs_by_name(node.next_wire(), node.next_wire())
     assert node.figures()["scheduler_outstanding"] == 2
     legs["1a"][0].serve(legs["1a"][1])
     legs["2b"][0].close()
@@ -153,7 +153,7 @@
 def test_a_drained_scheduler_sends_clients_away_and_comes_back(start: Start) -> None:
     node = start(hosts=1)
     kept, busy = node.client(ask("1a")), node.client(ask("2b"))
-    first, second = node.leg(), node.leg()
+    first, second = node.next_wire(), node.next_wire()
     legs = legs_by_name(first, second)
     legs["2b"][0].begin()  # else it would be given up as mute
     legs["2b"][0].state(legs["2b"][1], "started")
@@ -164,7 +164,7 @@
     assert node.ready() == 503
     assert node.call("/v1/readyz").status == 200, "it can serve"
     late = node.client(ask("3c"))
-    node.leg(legs["1a"][0]).serve()
+    node.next_wire(legs["1a"][0]).serve()
     assert late.message().fields["connection"] == "close"
     assert took(since) < 0.5, "the front may send for a while, and is served"
     assert kept.ended()
@@ -176,5 +176,5 @@
     assert node.call("/v1/scheduler/activate").status == 200
     assert node.ready() == 200
     again = node.client(ask("4d"))
-    node.leg(first, second).serve()
+    node.next_wire(first, second).serve()
     assert again.message().fields["connection"] == "keep-alive"
--- a/tests/test_outages.py
+++ b/tests/test_outages.py
@@ -69,7 +69,7 @@
     for number in range(3):
         client = node.client(ask(f"{number}"))
         while True:  # of many schedulers each looks before it sends
-            wires = [node.leg(*wires)]
+            wires = [node.next_wire(*wires)]
             told = wires[0].message()
             if told.first.startswith("POST"):
                 break
@@ -141,7 +141,7 @@
     while node.ready() != 200:
         assert took(since) < WAIT
     client = node.client(ask())
-    node.leg().serve()
+    node.next_wire().serve()
     assert client.message().status == 200
 
 
@@ -162,7 +162,7 @@
     resource.prlimit(node.process.pid, resource.RLIMIT_NOFILE, (used, used))
     before, waiting = spent(node), node.client(ask())
     node.logged("tried again in")
-    wire = node.leg()  # it has been taken in, and another's descriptor carries its attempt
+    wire = node.next_wire()  # it has been taken in, and another's descriptor carries its attempt
     wire.serve()
     assert waiting.message().status == 200
     assert sum(client.ended() for client in idle[:2]) == 2, "those who were idle the longest made room"
@@ -175,7 +175,7 @@
     """The same where nobody can be let go: all that are there wait for their answers."""
     node = start(hosts=1, sockets=256)
     busy_ones = [node.client(ask(f"{n}", cls="book")) for n in range(2)]
-    wires = [node.leg() for _ in busy_ones]
+    wires = [node.next_wire() for _ in busy_ones]
     legs = [wire.message() for wire in wires]
     used = len(list(Path(f"/proc/{node.process.pid}/fd").iterdir()))
     resource.prlimit(node.process.pid, resource.RLIMIT_NOFILE, (used, used))
@@ -189,6 +189,6 @@
         wire.serve(leg)
         assert client.message().status == 200
         client.sock.shutdown(socket.SHUT_RDWR)
-    wire = node.leg(*wires)
+    wire = node.next_wire(*wires)
     wire.serve()
     assert waiting.message().status == 200
--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -37,7 +37,7 @@
     )
 
 
-class Play:
+class ReducerHarness:
     """A reducer whose timers ring; keeps what it asked for."""
 
     def __init__(self, budget: Budget | None = None, config: api.Settings | None = None) -> None:
@@ -76,7 +76,7 @@
 
 
 def test_module_that_never_answers_is_covered_by_the_last_guard(monkeypatch: pytest.MonkeyPatch) -> None:
-    play = Play()
+    play = ReducerHarness()
     monkeypatch.setattr(play.reducer.module, "handle", lambda now, event: [])
     play.tell(listed("a"), fx.ClientConnected(1), arrived(1))
     play.advance(2 * SECOND - 5 * MS)
@@ -87,7 +87,7 @@
 
 
 def test_module_that_fails_costs_one_authorisation(monkeypatch: pytest.MonkeyPatch) -> None:
-    play, handle = Play(), Reducer(settings(), 1, Budget(10, 12)).module.handle
+    play, handle = ReducerHarness(), Reducer(settings(), 1, Budget(10, 12)).module.handle
     play.tell(listed("a"), fx.ClientConnected(1), fx.ClientConnected(2))
 
     def fails(now: int, event: api.Event) -> list[api.Action]:
@@ -108,7 +108,7 @@
 @pytest.mark.parametrize("cls", ["read", "pay"])
 def test_break_counts_as_run_from_the_last_byte_on(cls: str, written: bool) -> None:
     """Guards jobs that must never run twice, and those that may go out again because they never ran."""
-    play = Play()
+    play = ReducerHarness()
     play.tell(listed("a", "b"), fx.ClientConnected(1))
     conn = conn_of(play.tell(arrived(1, cls)))
     assert any(isinstance(effect, fx.SendAttempt) for effect in play.tell(fx.WorkerConnected(conn)))
@@ -119,7 +119,7 @@
 
 
 def test_events_of_a_connection_that_was_given_up_change_nothing() -> None:
-    play = Play()
+    play = ReducerHarness()
     play.tell(listed("a"), fx.ClientConnected(1))
     conn = conn_of(play.tell(arrived(1)))
     play.tell(fx.WorkerConnected(conn), fx.AttemptWritten(conn), fx.ClientDisconnected(1))
@@ -137,7 +137,7 @@
 
 def test_hosts_that_are_gone_are_forgotten() -> None:
     """Guards against a table that grows with every deploy."""
-    play = Play()
+    play = ReducerHarness()
     for deploy in range(50):
         play.tell(listed(f"s-{deploy}", full=False))
         play.tell(listed(f"s-{deploy}", state=api.WorkerState.GONE, full=False))
@@ -146,7 +146,7 @@
 
 def test_idle_connection_makes_room_for_a_leg_elsewhere(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards the budget of descriptors: the longest idle goes; where none is idle, nobody is dialled."""
-    play, hosts = Play(Budget(10, 1)), iter("abc")
+    play, hosts = ReducerHarness(Budget(10, 1)), iter("abc")
     play.tell(listed("a", "b", "c"), *[fx.ClientConnected(n) for n in range(1, 4)])
     monkeypatch.setattr(
         play.reducer.module,
@@ -220,7 +220,7 @@
     """Guards the answer: with a slack of 8 ms the guard fell into the tick of the deadline and rang first, as
     it had been set first; 1,325 jobs of a day were answered as late that the module would have refused."""
     config = settings()
-    play = Play(config=replace(config, rules=replace(config.rules, answer_slack=8 * MS)))
+    play = ReducerHarness(config=replace(config, rules=replace(config.rules, answer_slack=8 * MS)))
     play.tell(listed("a"))
     for client in range(1, 5):
         play.tell(fx.ClientConnected(client))
@@ -236,7 +236,7 @@
 
 def test_full_budget_parts_with_the_least_missed_client_first() -> None:
     """Guards who was served, and who has only just connected: the others go before them."""
-    play = Play(Budget(5, 8))
+    play = ReducerHarness(Budget(5, 8))
     play.tell(
         listed("a"),
         fx.ClientConnected(1),
@@ -265,13 +265,13 @@
 
 
 def test_lines_that_clients_cause_are_few() -> None:
-    play = Play()
+    play = ReducerHarness()
     play.tell(*[fx.RequestMalformed(400, "why")] * 50, fx.RequestMalformed(413, "large"))
     assert len([effect for effect in play.asked if isinstance(effect, fx.WriteLog)]) == 2
     assert play.reducer.state.log_counters["malformed 400"] == 50
 
 
-def kept(play: Play) -> int:
+def kept(play: ReducerHarness) -> int:
     """A connection that has carried a leg and is idle."""
     play.tell(listed("a"), fx.ClientConnected(1))
     conn = conn_of(play.tell(arrived(1, "pay")))
@@ -287,7 +287,7 @@
 
 def test_leg_that_a_kept_connection_could_not_carry_goes_on_another() -> None:
     """Guards the module's belief: a kept connection that ended says nothing of its host."""
-    play = Play()
+    play = ReducerHarness()
     conn = kept(play)
     assert fx.SendAttempt(conn, 1, "message", 2 * SECOND) in play.tell(arrived(1, "pay", "2b"))
     other = conn_of(play.tell(fx.WorkerDisconnected(conn)))
@@ -299,7 +299,7 @@
 def test_leg_that_its_host_does_not_acknowledge_is_told(
     monkeypatch: pytest.MonkeyPatch, heard: bool, told: bool
 ) -> None:
-    play = Play()
+    play = ReducerHarness()
     events = list[api.Event]()
 
     def handle(now: int, event: api.Event) -> list[api.Action]:
@@ -318,7 +318,7 @@
 
 
 def test_withdrawn_is_what_has_no_leg_and_nothing_else() -> None:
-    play = Play()
+    play = ReducerHarness()
     play.tell(fx.ClientConnected(1), arrived(1))
     play.tell(fx.CredentialRevoked(1))
     assert play.answers() == [fx.Outcome.REVOKED]
@@ -340,9 +340,9 @@
 KNOWN = fx.WorkersListed(api.ListKind.STALE, 7, listed("a", "b").targets)
 
 
-def pushed(*events: fx.Event) -> Play:
+def pushed(*events: fx.Event) -> ReducerHarness:
     """At an agent that has said something already."""
-    play = Play(config=settings(list_on_request=False))
+    play = ReducerHarness(config=settings(list_on_request=False))
     play.tell(KNOWN, fx.ListenerOpened(), fx.DirectoryHeartbeat(), *events)
     return play
 
@@ -424,7 +424,7 @@
     assert play.reducer.state.revision == 45
 
 
-def heard(play: Play, monkeypatch: pytest.MonkeyPatch) -> list[api.WorkerListUpdate]:
+def heard(play: ReducerHarness, monkeypatch: pytest.MonkeyPatch) -> list[api.WorkerListUpdate]:
     """What its module is told of lists from now on."""
     told, handle = list[api.WorkerListUpdate](), play.reducer.module.handle
 
@@ -453,7 +453,7 @@
 ) -> None:
     """Guards drains at a restart: what the agent holds is told from the first moment, and the list in the
     configuration may name a host that drains. A silent agent holds the start up for 2 s."""
-    play = Play(config=settings(list_on_request=False))
+    play = ReducerHarness(config=settings(list_on_request=False))
     told = heard(play, monkeypatch)
     play.tell(KNOWN, fx.ListenerOpened(), fx.ClientConnected(1), arrived(1))
     assert not [effect for effect in play.asked if isinstance(effect, fx.ConnectWorker)]
@@ -475,7 +475,7 @@
 FLEETS = pytest.mark.parametrize("schedulers", [1, 5, 40, 200])
 
 
-def called(play: Play, span: int) -> list[int]:
+def called(play: ReducerHarness, span: int) -> list[int]:
     """When it asks for a watch within that time, from now on."""
     begun, at = play.now, list[int]()
     while play.now < begun + span:
@@ -483,12 +483,12 @@
     return at
 
 
-def fleet(schedulers: int) -> list[Play]:
+def fleet(schedulers: int) -> list[ReducerHarness]:
     """Each with a watch that has just said something."""
     plays = []
     for me in range(schedulers):
         config = replace(settings(list_on_request=True, scheduler_count=schedulers), scheduler_index=me)
-        plays.append(Play(config=config))
+        plays.append(ReducerHarness(config=config))
         plays[-1].tell(fx.WorkersListed(api.ListKind.STALE, 7, listed("a", "b").targets), fx.ListenerOpened())
         plays[-1].tell(listed("a", "b"))
         plays[-1].reducer.state.watching = plays[-1].reducer.module.list_requested = True
@@ -532,7 +532,7 @@
 }
 
 
-def calls_in_an_outage(play: Play, fails: int | None, reload_at: int) -> list[int]:
+def calls_in_an_outage(play: ReducerHarness, fails: int | None, reload_at: int) -> list[int]:
     """Its watch is lost now, discovery is back after `OUTAGE`: when it calls, up to the first call that can
     be answered. At `reload_at` a new address is told, 0: none is."""
     begun, at, ends = play.now, list[int](), list[int]()
@@ -592,7 +592,7 @@
     """Guards drains after an outage: what the agent holds is told at once, and the pauses had grown to 1
     s."""
     config = settings(list_on_request=False)
-    play = Play(config=replace(config, rules=replace(config.rules, drain_grace=grace)))
+    play = ReducerHarness(config=replace(config, rules=replace(config.rules, drain_grace=grace)))
     play.tell(KNOWN, fx.ListenerOpened(), fx.DirectoryHeartbeat())
     times = []
     for _ in range(200):
@@ -622,7 +622,7 @@
 
 def test_connection_whose_answer_never_ends_makes_room(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards legs: a result is known, and the rest of its answer held the last place for a leg."""
-    play, hosts = Play(Budget(10, 1)), iter("ab")
+    play, hosts = ReducerHarness(Budget(10, 1)), iter("ab")
     play.tell(listed("a", "b"), fx.ClientConnected(1), fx.ClientConnected(2))
     monkeypatch.setattr(
         play.reducer.module,
--- a/tests/test_subsystem.py
+++ b/tests/test_subsystem.py
@@ -58,17 +58,17 @@
 
 
 def test_events_and_effects_of_a_part_go_through_the_reducer() -> None:
-    from tests.test_reducer import Play
+    from tests.test_reducer import ReducerHarness
 
-    play = Play()
+    play = ReducerHarness()
     play.reducer.add(Echo(play.reducer.core))
     assert play.tell(Heard("word")) == [Told("word")]
 
 
 def test_two_parts_for_one_call_or_event_are_refused(monkeypatch: pytest.MonkeyPatch) -> None:
-    from tests.test_reducer import Play
+    from tests.test_reducer import ReducerHarness
 
-    play = Play()
+    play = ReducerHarness()
 
     class Bare(Node):
         def __init__(self) -> None:
--- a/tests/tls/test_front.py
+++ b/tests/tls/test_front.py
@@ -58,7 +58,7 @@
     node = start(hosts=1, operator=world.operator())
     client = world.secure()
     client.send(b"".join(ask(f"{n}", body=b"%d" % n * 200) for n in range(6)))
-    wire = node.leg()
+    wire = node.next_wire()
     for n in range(6):
         wire.serve(result=f"result {n}")
     assert [client.message().body for _ in range(6)] == [b"result %d" % n for n in range(6)]
@@ -81,7 +81,7 @@
     raw.close()
     other = world.dial()
     other.send(ask())
-    node.leg().serve()
+    node.next_wire().serve()
     assert other.message().status == 200
 
 
@@ -111,7 +111,7 @@
     node = start(hosts=1, operator=world.operator())
     busy, idle = world.secure(), world.dial()
     busy.send(ask(cls="book"))
-    wire: Wire = node.leg()
+    wire: Wire = node.next_wire()
     leg = wire.message()
     node.process.terminate()
     assert idle.ended()
--- a/tests/tls/test_handshakes.py
+++ b/tests/tls/test_handshakes.py
@@ -5,13 +5,13 @@
 from reedspoke.net import effects as fx
 from reedspoke.net.core import MS, SECOND, Budget, ExtensionLimits
 from reedspoke.tls.handshakes import FRESH, Handshakes
-from tests.test_reducer import Play, arrived, listed
+from tests.test_reducer import ReducerHarness, arrived, listed
 
 LIMIT = 1500 * MS
 
 
-def play(most: int = 4, budget: Budget | None = None) -> Play:
-    made = Play(budget or Budget(20, 24))
+def play(most: int = 4, budget: Budget | None = None) -> ReducerHarness:
+    made = ReducerHarness(budget or Budget(20, 24))
     core = made.reducer.core
     made.reducer.add(Handshakes(core, made.reducer.clients, LIMIT, most))
     made.tell(listed("a"), fx.ListenerOpened())
