--- a/reedspoke/net/administration.py
+++ b/reedspoke/net/administration.py
@@ -1,8 +1,8 @@
-"""What operators ask for: hosts left out by hand, clients sent away, and the door's callers themselves.
+"""Operator calls, suspended workers, draining, and the resources shared with sibling processes.
 
-A caller has rung, has called, and is gone (Hungup) or dismissed. An order counts as given only once it is
-recorded for both processes (`Record` -> `Ordered` or `Unrecorded`): until then nothing changes here. What
-the other process holds (`Accompanied`) changes the budget and is told to the module.
+An operator connects, sends one call, and disconnects or is disconnected. A command takes effect only once it
+is recorded for both processes (`RecordOrder` -> `OrdersRecorded` or `OrderNotRecorded`). The resources of the
+sibling process (`SiblingsReported`) reduce the budget and are passed to the decision module.
 """
 
 from __future__ import annotations
@@ -29,23 +29,25 @@
 from reedspoke.net.state import IdleState, ProcessPhase
 from reedspoke.net.workers import Workers
 
-CALL_TIMEOUT = 2 * SECOND  # for the bytes of one call, and for the end of its connection
-RECORD_RETRY_DELAY = 20 * MS  # the other process holds its lock for far less
+CALL_TIMEOUT = 2 * SECOND  # from connecting to the close of the connection
+RECORD_RETRY_DELAY = 20 * MS  # the sibling process holds the lock for far less
 MAX_RECORD_RETRIES = 30
 SHARED_STATE_INTERVAL = (
     100 * MS
-)  # a suspension told to one process is in force in the other well within a drain's window
-DRAIN_DELAY = 600 * MS  # from the drain on: the front asks ten times a second and stops 0.2 s after a no
-DRAIN_INTERVAL = 200 * MS  # between looks at who is idle, or has connected and says nothing
+)  # a suspension takes effect in the sibling process well within a drain's grace period
+DRAIN_DELAY = 600 * MS  # the front polls ten times a second and stops 0.2 s after a negative answer
+DRAIN_INTERVAL = 200 * MS  # between checks for clients to disconnect
 
 
 class Administration(Component):
+    """Operator calls and commands, and coordination with sibling processes."""
+
     def __init__(self, core: Core, clients: Clients, workers: Workers) -> None:
         super().__init__(core)
         self.clients, self.workers = clients, workers
         self.extension_calls: dict[
             str, Callable[[fx.OperatorCall], fx.ReplyToOperator | None]
-        ] = {}  # calls of other parts
+        ] = {}  # calls of extensions
 
     def event_handlers(self) -> EventHandlers:
         return {
@@ -65,11 +67,12 @@
             "look": self._on_look_timer,
         }
 
-    # ---- the door ----
+    # ---- operator connections ----
 
     def _on_operator_connected(self, event: fx.OperatorConnected) -> None:
-        """Guards the door against callers that never end their call: the one that waits longest goes for the
-        newest, so that a whole call is always read at once."""
+        """Accept an operator connection, and evict the oldest one at the limit.
+
+        Connections that never send a complete call thus cannot block further calls."""
         callers = self.state.operator_calls
         while len(callers) >= MAX_OPERATOR_CALLS:
             waiting = (caller for caller, called in callers.items() if not called)
@@ -120,15 +123,16 @@
             fx.ReplyToOperator(event.caller, word, event.command is fx.OperatorCommand.METRICS)
         )
 
-    # ---- orders, as kept for both processes ----
+    # ---- recorded commands ----
 
     def _on_orders_recorded(self, event: fx.OrdersRecorded) -> None:
-        """In force once this has returned: nothing that is queued or still dials goes to a suspended host."""
+        """Apply the recorded commands: once this returns, no queued or connecting attempt goes to a suspended
+        worker."""
         state = self.state
         for uid in sorted(event.suspended.keys() ^ state.suspended.keys()):
             on = uid in event.suspended
             self.core.request_effect(
-                fx.WriteLog(f"operators: issuer host {uid} {'suspended' if on else 'resumed'}")
+                fx.WriteLog(f"operators: worker {uid} {'suspended' if on else 'resumed'}")
             )
         state.suspended = event.suspended
         self.workers.apply_suspensions()
@@ -137,8 +141,9 @@
             self.core.request_effect(fx.ReplyToOperator(event.caller, fx.CallResult.YES))
 
     def _on_order_not_recorded(self, event: fx.OrderNotRecorded) -> None:
-        """An order that the other process could not be told of is not in force here either. Guards the caller
-        against one that holds its lock and stands still: the answer is owed within 1 s."""
+        """Retry, or report the failure to the operator: a command that is not recorded is not in force here.
+
+        Retries are bounded since the response is due within 1 s, even if a stalled sibling holds the lock."""
         caller = event.record.caller
         if caller not in self.state.operator_calls:
             return
@@ -152,10 +157,12 @@
         if (record := self.state.pending_orders.pop(caller, None)) is not None:
             self.core.request_effect(record)
 
-    # ---- the other process, while one replaces the other ----
+    # ---- the sibling process during a handover ----
 
     def _on_look_timer(self, _: int) -> None:
-        """What is held is told whenever it has changed: the other process counts it as its own."""
+        """Read the shared state, and publish this process's resources whenever they changed.
+
+        The sibling process subtracts them from its limits."""
         state = self.state
         self.core.request_effect(fx.ReadSharedState())
         slots: dict[str, int] = {}
@@ -175,8 +182,10 @@
         self.core.set_timer(("look", 0), self.core.now + SHARED_STATE_INTERVAL)
 
     def _on_siblings_reported(self, event: fx.SiblingsReported) -> None:
-        """Guards the limits, which hold for all processes together: while another one takes clients in as
-        well, half is ours; once it leaves, what it still holds is not. The module hears of its legs."""
+        """Adjust the limits, which all processes share, and report the siblings' attempts to the module.
+
+        While a sibling accepts clients, this process gets at most half; once the sibling leaves, this process
+        gets all that the sibling does not still use."""
         self.state.siblings, whole = event.partners, self.core.full_budget
         left = whole.sockets - sum(partner.descriptors for partner in event.partners)
         if any(not partner.leaving for partner in event.partners):
@@ -194,7 +203,7 @@
         self.core.notify_module(api.SiblingProcesses(staying, slots, learned))
         self.clients.make_room()
 
-    # ---- clients sent away ----
+    # ---- draining ----
 
     def _drain(self, on: bool) -> None:
         if on == self.state.drained:
@@ -207,7 +216,7 @@
             self.core.cancel_timer(("away", 0))
 
     def _on_away_timer(self, _: int) -> None:
-        """Sends away those who are owed nothing; who has only just connected may be about to ask."""
+        """Disconnect idle clients; a client that has just connected may be about to send a request."""
         state = self.state
         if not state.drained:
             return
--- a/reedspoke/net/attempts.py
+++ b/reedspoke/net/attempts.py
@@ -1,10 +1,10 @@
-"""Attempts and probes, and the connections to issuer hosts that carry them.
+"""Attempts and probes, and the connections to workers that carry them.
 
-A connection goes CONNECTING -> BUSY (WorkerConnected) -> RESPONSE_ENDING (OutcomeReceived)
--> IDLE (ResponseCompleted) -> BUSY ..., and is
-forgotten by `hang_up` from any of them; events of one that is forgotten change nothing. A leg has exactly
-one outcome: `Concluded` in BUSY, `Broken` or its timer before that. `Written` decides what the outcome
-says: before it the job never ran, after it the job may have run and only the module may repeat it.
+A connection goes CONNECTING -> BUSY (WorkerConnected) -> RESPONSE_ENDING (OutcomeReceived) -> IDLE
+(ResponseCompleted) -> BUSY ..., and is removed by `disconnect` in any phase; later events of a removed
+connection have no effect. An attempt has exactly one outcome: `OutcomeReceived` in BUSY, or before that
+`WorkerDisconnected` or its timer. `AttemptWritten` decides what the outcome means: before it the job never
+ran; after it the job may have run, and only the decision module may retry it.
 """
 
 from __future__ import annotations
@@ -16,22 +16,24 @@
 from reedspoke.net.core import MS, SECOND, SPARE_ATTEMPTS, Component, Core, EventHandlers, TimerHandlers
 from reedspoke.net.state import Attempt, ConnectionPhase, Worker, WorkerConnection
 
-DEFAULT_IDLE_TIMEOUT = 300 * SECOND  # that a connection is kept where the settings do not say
-IDLE_SHARE = 0.75  # of `conn_idle`: a leg written as its host closes the connection would end as a reset
-RESPONSE_END_TIMEOUT = SECOND  # how long the rest of an answer may take behind its outcome
+DEFAULT_IDLE_TIMEOUT = 300 * SECOND  # of an idle connection, if the settings give none
+IDLE_SHARE = 0.75  # of `conn_idle`: an attempt written as the worker closes the connection ends as a reset
+RESPONSE_END_TIMEOUT = SECOND  # for the rest of a response after its outcome
 PROBE_TIMEOUT = 500 * MS
 ACKNOWLEDGE_TIMEOUT = (
     300 * MS
-)  # a host that lives begins to answer at once, also what it queues; it may pause for 170 ms
-NO_REUSE_PERIOD = 60 * SECOND  # for kept connections, since the last one that failed
+)  # a healthy worker responds at once, even to jobs that it queues, but may pause for 170 ms
+NO_REUSE_PERIOD = 60 * SECOND  # without reuse of idle connections, after the last one that failed
 
 
 class Attempts(Component):
+    """Attempts, probes and worker connections."""
+
     def __init__(self, core: Core, clients: Clients, conn_idle: int = 0) -> None:
         super().__init__(core)
         self.clients = clients
         self.conn_idle = int(conn_idle * IDLE_SHARE) or DEFAULT_IDLE_TIMEOUT
-        self.windows = {  # us from a leg that may have run to the last that may follow
+        self.windows = {  # us in which a keyed job that may have run may be retried
             cls.name: cls.dedup_window
             for cls in core.settings.classes
             if cls.idempotency is api.Idempotency.KEYED
@@ -50,12 +52,17 @@
         }
 
     def timer_handlers(self) -> TimerHandlers:
-        return {"leg": self._on_leg_timer, "idle": self._on_idle_timer, "mute": self._on_mute_timer}
+        return {
+            "attempt": self._on_attempt_timer,
+            "idle": self._on_idle_timer,
+            "acknowledge": self._on_acknowledge_timer,
+        }
 
     def send(self, action: api.Send) -> None:
+        """Start an attempt that the decision module requests."""
         request, host = self.state.requests.get(action.id), self.state.workers.get(action.worker)
         if request is None:
-            self.core.log_fault("the module sends an authorisation that is not known")
+            self.core.log_fault("decision module: sends an unknown request")
             return
         until = (
             min(request.deadline, self.core.now + action.timeout) if action.timeout > 0 else request.deadline
@@ -67,24 +74,24 @@
         request.in_flight[attempt.number] = attempt
         self.core.count("legs")
         if host is None or not request.open:
-            self.core.log_fault("the module sends to a host that is not listed, or what has its answer")
+            self.core.log_fault("decision module: sends to an unlisted worker, or an answered request")
             self.outcome(attempt, api.Reason.NOT_EXECUTED)
         else:
-            self._carry(attempt, host)
+            self._assign_connection(attempt, host)
 
-    def _carry(self, attempt: Attempt, host: Worker) -> None:
-        if (conn := self._kept(host)) is not None:
+    def _assign_connection(self, attempt: Attempt, host: Worker) -> None:
+        if (conn := self._take_idle(host)) is not None:
             conn.attempt, attempt.conn = attempt, conn.id
-            self._transmit(conn, attempt)
-        elif (dialled := self._dial(host)) is not None:
-            dialled.attempt, attempt.conn = attempt, dialled.id
+            self._write_attempt(conn, attempt)
+        elif (connecting := self._connect(host)) is not None:
+            connecting.attempt, attempt.conn = attempt, connecting.id
             wait = self.core.settings.limits.connect_timeout or SECOND
-            self.core.set_timer(("leg", dialled.id), min(attempt.wait_until, self.core.now + wait))
+            self.core.set_timer(("attempt", connecting.id), min(attempt.wait_until, self.core.now + wait))
         else:
             self.outcome(attempt, api.Reason.CONNECT_FAILED)
 
-    def _kept(self, host: Worker) -> WorkerConnection | None:
-        """One that is idle, no more to be counted so: the latest used, farthest from its end."""
+    def _take_idle(self, host: Worker) -> WorkerConnection | None:
+        """Take the most recently used idle connection, which is farthest from its idle time-out."""
         if not host.idle:
             return None
         conn = self.state.connections[host.idle.pop()]
@@ -92,25 +99,25 @@
         self.core.cancel_timer(("idle", conn.id))
         return conn
 
-    def _dial(self, host: Worker) -> WorkerConnection | None:
-        """A new connection, at an idle one's cost where the budget is full."""
+    def _connect(self, host: Worker) -> WorkerConnection | None:
+        """Open a connection; at the limit, the longest idle connection is closed to make room."""
         state = self.state
-        # More clients than the budget has stay in service where another process has come to share it.
+        # Clients beyond a budget that a sibling process has reduced stay in service.
         most = self.core.budget.attempts
         if state.siblings:
             most = max(most, len(state.clients) + SPARE_ATTEMPTS)
         if len(state.connections) >= most and state.idle_connections:
-            self.hang_up(state.connections[next(iter(state.idle_connections))])
+            self.disconnect(state.connections[next(iter(state.idle_connections))])
         elif len(state.connections) >= most:
-            # Guards legs against hosts that never end their answers: the outcome is known, the rest is not
-            # waited for where its place is needed.
+            # Some workers never end their responses: the outcome is known, so the connection can be closed
+            # when its descriptor is needed.
             ending = (
                 conn for conn in state.connections.values() if conn.phase is ConnectionPhase.RESPONSE_ENDING
             )
             if (rest := next(ending, None)) is not None:
-                self.hang_up(rest)
+                self.disconnect(rest)
         if len(state.connections) >= most:
-            self.core.log_fault("no descriptor is left for a leg")
+            self.core.log_fault("no descriptor is left for an attempt")
             return None
         conn = WorkerConnection(state.next_id(), host.uid, host.endpoint)
         state.connections[conn.id] = conn
@@ -119,62 +126,65 @@
         self.core.request_effect(fx.ConnectWorker(conn.id, conn.endpoint))
         return conn
 
-    def _transmit(self, conn: WorkerConnection, attempt: Attempt) -> None:
+    def _write_attempt(self, conn: WorkerConnection, attempt: Attempt) -> None:
         request = attempt.request
         if not request.open or attempt.start_before and self.core.now >= attempt.start_before:
-            # Guards hosts: its client has gone or has its answer, and the settings forbid the module to call
-            # the leg off; or a keyed job's window ended while its connection came up: hosts forget its key
-            # with it, and it would run once more.
+            # The client has disconnected or has its response, and the settings forbid the module to cancel
+            # the attempt; or the deduplication window of a keyed job ended while the connection was being
+            # established: workers forget the key with it, and the job would run again.
             conn.attempt = None
-            self._rest(conn)
+            self._release(conn)
             self.outcome(attempt, api.Reason.NOT_EXECUTED)
             return
         conn.phase, conn.responding = ConnectionPhase.BUSY, False
         self.core.request_effect(
             fx.SendAttempt(conn.id, request.client, request.message, attempt.wait_until - self.core.now)
         )
-        self.core.set_timer(("leg", conn.id), attempt.wait_until)
+        self.core.set_timer(("attempt", conn.id), attempt.wait_until)
 
     def _on_worker_connected(self, event: fx.WorkerConnected) -> None:
         if (conn := self.state.connections.get(event.conn)) is None:
             return
         host = self.state.workers.get(conn.host)
         if conn.probe_requested_at:
-            self._ask(conn)
+            self._send_probe(conn)
         elif conn.attempt is not None:
-            # The list, or the operators' mind, may have changed while the connection came up, and a drain
-            # counts from the first byte.
+            # The list or a suspension may have changed while the connection was being established, and the
+            # first byte decides whether a drain was obeyed.
             if host is None or not host.accepts_attempts() or host.endpoint != conn.endpoint:
                 attempt = conn.attempt
-                self.hang_up(conn)
+                self.disconnect(conn)
                 self.outcome(attempt, api.Reason.CONNECT_FAILED)
             else:
-                self._transmit(conn, conn.attempt)
+                self._write_attempt(conn, conn.attempt)
 
     def _on_attempt_written(self, event: fx.AttemptWritten) -> None:
         if (conn := self.state.connections.get(event.conn)) is not None and conn.attempt is not None:
             conn.attempt.written = True
             self.core.count_metric("forwards")
             if not conn.responding:
-                self.core.set_timer(("mute", conn.id), self.core.now + ACKNOWLEDGE_TIMEOUT)
+                self.core.set_timer(("acknowledge", conn.id), self.core.now + ACKNOWLEDGE_TIMEOUT)
 
     def _on_attempt_not_sent(self, event: fx.AttemptNotSent) -> None:
-        """Guards a client that has gone while its end is still unread, in a burst of others, say: the module
-        hears of that before it hears of the attempt, or it would send the job elsewhere."""
+        """Report the client's disconnect before the outcome of its attempt.
+
+        The disconnect may still be unread, for example in a burst of events. In the other order the decision
+        module would retry the job at another worker."""
         if (conn := self.state.connections.get(event.conn)) is None or (attempt := conn.attempt) is None:
             return
         conn.attempt = None
         if event.ended:
-            self.hang_up(conn)
-            self._carry_on(conn, attempt, api.Reason.CONNECT_FAILED)
+            self.disconnect(conn)
+            self._retry_unwritten(conn, attempt, api.Reason.CONNECT_FAILED)
             return
         self.clients.abandon(attempt.request)
-        self._rest(conn)
+        self._release(conn)
         self.outcome(attempt, api.Reason.NOT_EXECUTED)
 
-    def _carry_on(self, conn: WorkerConnection, attempt: Attempt, reason: api.Reason) -> None:
-        """A kept connection had ended before it could carry the attempt: that says nothing of its
-        host, and as nothing was sent wholly this is the same attempt on another connection."""
+    def _retry_unwritten(self, conn: WorkerConnection, attempt: Attempt, reason: api.Reason) -> None:
+        """Retry on another connection if an idle connection had closed before the attempt was fully written.
+
+        That says nothing about the worker, and the job cannot have run, so this is the same attempt."""
         host = self.state.workers.get(conn.host)
         ours = host is not None and host.accepts_attempts() and attempt.request.open
         if (
@@ -184,20 +194,20 @@
             and host is not None
             and self.core.now < attempt.wait_until
         ):
-            self._carry(attempt, host)
+            self._assign_connection(attempt, host)
         else:
             self.outcome(attempt, reason if attempt.written else api.Reason.CONNECT_FAILED)
 
     def _on_response_started(self, event: fx.ResponseStarted) -> None:
         if (conn := self.state.connections.get(event.conn)) is not None:
             conn.responding = True
-            self.core.cancel_timer(("mute", conn.id))
+            self.core.cancel_timer(("acknowledge", conn.id))
 
-    def _on_mute_timer(self, number: int) -> None:
+    def _on_acknowledge_timer(self, number: int) -> None:
         conn = self.state.connections.get(number)
         if conn is not None and conn.attempt is not None and not conn.responding:
             self.core.count("mute")
-            self._distrust(conn)
+            self._suspend_reuse(conn)
             attempt = conn.attempt
             self.core.notify_module(
                 api.AttemptUpdate(
@@ -205,19 +215,20 @@
                 )
             )
 
-    def _distrust(self, conn: WorkerConnection) -> None:
-        """Guards legs against connections that died unseen while they were kept: nothing tells so before the
-        next attempt is written, and then its job may have run. Where one did, more will: for a while each leg
-        gets a connection of its own."""
+    def _suspend_reuse(self, conn: WorkerConnection) -> None:
+        """Stop the reuse of idle connections for a while after one failed.
+
+        A connection that failed while idle is noticed only after the next attempt is written, when its job
+        may have run. If one failed, others probably did, so attempts get new connections for a while."""
         state = self.state
         if not conn.reused or conn.responding:
-            return  # not a kept one, or it lived
+            return  # it was not reused, or it worked
         if self.core.now >= state.no_reuse_until:
             self.core.request_effect(
-                fx.WriteLog(f"kept connections fail: none is used for {NO_REUSE_PERIOD // SECOND} s")
+                fx.WriteLog(f"idle connections fail: none is reused for {NO_REUSE_PERIOD // SECOND} s")
             )
             for kept in list(state.idle_connections):
-                self.hang_up(state.connections[kept])
+                self.disconnect(state.connections[kept])
         self.core.count("kept failed")
         state.no_reuse_until = self.core.now + NO_REUSE_PERIOD
 
@@ -233,7 +244,7 @@
         if conn is None or conn.phase is not ConnectionPhase.BUSY:
             return
         conn.phase = ConnectionPhase.RESPONSE_ENDING
-        self.core.set_timer(("leg", conn.id), self.core.now + RESPONSE_END_TIMEOUT)
+        self.core.set_timer(("attempt", conn.id), self.core.now + RESPONSE_END_TIMEOUT)
         if (attempt := conn.attempt) is not None:
             conn.attempt = None
             request = attempt.request
@@ -241,17 +252,18 @@
                 del request.in_flight[attempt.number]
                 self.clients.answer(request, fx.Outcome.SERVED, event.result)
             elif event.invalid and request.open:
-                # Guards the hosts: what one of them finds unusable is so for all, and further legs would only
-                # hold their slots. It is the host's outcome, passed on as a result is, and no failure of it.
+                # What one worker rejects as invalid is invalid for all; further attempts would only occupy
+                # slots. The outcome is passed on like a result, and is not a failure of the worker.
                 del request.in_flight[attempt.number]
                 self.clients.answer(request, fx.Outcome.INVALID)
             self.outcome(attempt, api.Reason.NOT_EXECUTED if event.invalid else event.reason, event.report)
         else:
-            if event.reusable:  # before the module hears: the leg that follows a look goes on its connection
-                self._rest(conn)
-            self._probed(conn, event.reason, event.report)
+            if event.reusable:  # release it first, so that the attempt after a probe reuses the connection
+                self._release(conn)
+            self._report_probe(conn, event.reason, event.report)
 
     def outcome(self, attempt: Attempt, reason: api.Reason, report: tuple[float, ...] = ()) -> None:
+        """Report the only outcome of an attempt to the decision module."""
         request = attempt.request
         request.in_flight.pop(attempt.number, None)
         if reason not in NOT_EXECUTED_REASONS and not request.first_run_at:
@@ -273,38 +285,38 @@
     def _on_response_completed(self, event: fx.ResponseCompleted) -> None:
         conn = self.state.connections.get(event.conn)
         if conn is not None and conn.phase is ConnectionPhase.RESPONSE_ENDING:
-            self._rest(conn)
+            self._release(conn)
 
-    def _rest(self, conn: WorkerConnection) -> None:
+    def _release(self, conn: WorkerConnection) -> None:
         host = self.state.workers.get(conn.host)
         if host is None or not host.accepts_attempts() or host.endpoint != conn.endpoint:
-            self.hang_up(conn)
+            self.disconnect(conn)
             return
         if self.core.now < self.state.no_reuse_until:
-            self.hang_up(conn)
+            self.disconnect(conn)
             return
         conn.phase, conn.reused = ConnectionPhase.IDLE, True
         host.idle.append(conn.id)
         self.state.idle_connections[conn.id] = None
-        self.core.cancel_timer(("leg", conn.id))
+        self.core.cancel_timer(("attempt", conn.id))
         self.core.set_timer(("idle", conn.id), self.core.now + self.conn_idle)
 
     def _on_worker_disconnected(self, event: fx.WorkerDisconnected) -> None:
         if (conn := self.state.connections.get(event.conn)) is not None:
-            self.hang_up(conn)
-            self._give_up(conn, api.Reason.RESET)
+            self.disconnect(conn)
+            self._on_connection_lost(conn, api.Reason.RESET)
 
-    def _on_leg_timer(self, number: int) -> None:
+    def _on_attempt_timer(self, number: int) -> None:
         if (conn := self.state.connections.get(number)) is not None:
-            self.hang_up(conn)
-            self._give_up(conn, api.Reason.TIMEOUT)
+            self.disconnect(conn)
+            self._on_connection_lost(conn, api.Reason.TIMEOUT)
 
-    def _give_up(self, conn: WorkerConnection, reason: api.Reason) -> None:
-        """What a connection carried ends with it; before its last byte was written it never ran."""
+    def _on_connection_lost(self, conn: WorkerConnection, reason: api.Reason) -> None:
+        """End the attempt or probe of a closed connection; an attempt not fully written never ran."""
         host = self.state.workers.get(conn.host)
         if conn.attempt is not None:
-            self._distrust(conn)
-            self._carry_on(conn, conn.attempt, reason)
+            self._suspend_reuse(conn)
+            self._retry_unwritten(conn, conn.attempt, reason)
         elif (
             conn.probe_requested_at
             and conn.reused
@@ -314,34 +326,39 @@
         ):
             self._probe(
                 host, conn.probe_requested_at
-            )  # the connection had ended, which says nothing of its host
+            )  # an idle connection had closed, which says nothing about the worker
         elif conn.probe_requested_at and conn.phase in (ConnectionPhase.CONNECTING, ConnectionPhase.BUSY):
-            self._probed(conn, reason if conn.phase is ConnectionPhase.BUSY else api.Reason.CONNECT_FAILED)
+            self._report_probe(
+                conn, reason if conn.phase is ConnectionPhase.BUSY else api.Reason.CONNECT_FAILED
+            )
 
     def _on_idle_timer(self, number: int) -> None:
         if (conn := self.state.connections.get(number)) is not None and conn.phase is ConnectionPhase.IDLE:
-            self.hang_up(conn)
+            self.disconnect(conn)
 
-    def hang_up(self, conn: WorkerConnection) -> None:
+    def disconnect(self, conn: WorkerConnection) -> None:
+        """Close a connection and remove it; its later events have no effect."""
         state = self.state
         state.connections.pop(conn.id, None)
         if conn.id in state.idle_connections:
             del state.idle_connections[conn.id]
             if (host := state.workers.get(conn.host)) is not None:
                 host.idle.remove(conn.id)
-        self.core.cancel_timer(("leg", conn.id))
+        self.core.cancel_timer(("attempt", conn.id))
         self.core.cancel_timer(("idle", conn.id))
-        self.core.cancel_timer(("mute", conn.id))
+        self.core.cancel_timer(("acknowledge", conn.id))
         self.core.request_effect(fx.DisconnectWorker(conn.id))
 
     def cancel(self, action: api.Cancel) -> None:
+        """Cancel an attempt in flight by closing its connection."""
         request = self.state.requests.get(action.id)
         attempt = request.in_flight.get(action.attempt) if request else None
         if attempt is not None:
-            self.hang_up(self.state.connections[attempt.conn])
+            self.disconnect(self.state.connections[attempt.conn])
             self.outcome(attempt, api.Reason.CANCELLED)
 
     def probe(self, action: api.Probe) -> None:
+        """Probe a worker for the decision module."""
         host = self.state.workers.get(action.worker)
         self.core.count("probes")
         if host is None:
@@ -350,24 +367,26 @@
             self._probe(host, self.core.now)
 
     def _probe(self, host: Worker, asked: int) -> None:
-        """On a kept connection where there is one: a handshake costs its host more than the probe."""
-        conn = self._kept(host) or self._dial(host)
+        """Probe on an idle connection if possible: a new connection costs the worker more than the probe."""
+        conn = self._take_idle(host) or self._connect(host)
         if conn is None:
             self.core.notify_module(api.ProbeResult(host.uid, api.Reason.NOT_EXECUTED, 0))
             return
         conn.probe_requested_at = asked
         if conn.phase is ConnectionPhase.IDLE:
-            self._ask(conn)
+            self._send_probe(conn)
         else:
             wait = self.core.settings.limits.connect_timeout or SECOND
-            self.core.set_timer(("leg", conn.id), self.core.now + wait)
+            self.core.set_timer(("attempt", conn.id), self.core.now + wait)
 
-    def _ask(self, conn: WorkerConnection) -> None:
+    def _send_probe(self, conn: WorkerConnection) -> None:
         conn.phase, conn.responding = ConnectionPhase.BUSY, False
         self.core.request_effect(fx.SendProbe(conn.id))
-        self.core.set_timer(("leg", conn.id), self.core.now + PROBE_TIMEOUT)
+        self.core.set_timer(("attempt", conn.id), self.core.now + PROBE_TIMEOUT)
 
-    def _probed(self, conn: WorkerConnection, reason: api.Reason, report: tuple[float, ...] = ()) -> None:
+    def _report_probe(
+        self, conn: WorkerConnection, reason: api.Reason, report: tuple[float, ...] = ()
+    ) -> None:
         self.core.notify_module(
             api.ProbeResult(conn.host, reason, self.core.now - conn.probe_requested_at, report)
         )
--- a/reedspoke/net/client_server.py
+++ b/reedspoke/net/client_server.py
@@ -1,4 +1,4 @@
-"""The acquirer side: the listener, authorisations that come in over HTTP, and the answers to them."""
+"""The client-facing HTTP server: its listener, client requests and the responses to them."""
 
 from __future__ import annotations
 
@@ -26,11 +26,11 @@
 log = logging.getLogger("reedspoke")
 
 BACKLOG = 512
-LINGER = 1.0  # s that a connection stays half open, so that its last answer is not lost to a reset
-WRITING = 10.0  # s for a client to take its answer
-MOST_LINGER = 256 * 1024  # bytes read and forgotten behind a last answer
-MOST_PIPELINED = 16 * 1024  # bytes read ahead of the answer in hand
-LOOK = 0.05  # s between looks for the end of a client of which no more is read ahead
+LINGER_S = 1.0  # s that a connection stays half open, so that a reset does not discard its last response
+WRITE_TIMEOUT_S = 10.0  # s for a client to read its response
+MAX_DISCARDED = 256 * 1024  # bytes discarded after a last response
+MAX_PIPELINED = 16 * 1024  # bytes read ahead while a response is pending
+DISCONNECT_POLL_S = 0.05  # s between checks for the disconnect of a client whose input is paused
 REASONS = {
     200: "OK", 400: "Bad Request", 401: "Unauthorized", 403: "Forbidden", 404: "Not Found",
     405: "Method Not Allowed", 408: "Request Timeout", 411: "Length Required", 413: "Content Too Large",
@@ -49,13 +49,14 @@
 
 
 def answer_head(status: int, length: int, *, close: bool, more: bytes = b"") -> bytes:
+    """Return the header of a response; `more`: further header lines."""
     end = b"Connection: close\r\n" if close else b"Connection: keep-alive\r\n"
     first = f"HTTP/1.1 {status} {REASONS[status]}\r\nContent-Length: {length}\r\n".encode()
     return first + more + end + b"\r\n"
 
 
 class ForbiddenError(ReedspokeError):
-    """A gate does not let an authorisation in; `after`: us until it may be tried again, 0: not by waiting."""
+    """A gate rejects a request; `after`: us until a retry may succeed, 0: waiting does not help."""
 
     code = "not-admitted"
     remedy = "the caller has to prove who it is: docs/identity.md"
@@ -66,64 +67,66 @@
 
 
 class Gate(Protocol):
-    """Whether an authorisation may come in, and as whose."""
+    """Authenticates client requests."""
 
     def admit(self, head: Head, message: Message, source: IOStream, number: int) -> Callable[[], None]:
-        """Raises ForbiddenError. What comes back is called once the authorisation has its answer, or its
-        client is gone."""
+        """Admit a request, or raise ForbiddenError.
+
+        The returned function is called once the request is answered or its client has disconnected."""
 
 
 class ClientDroppedError(ReedspokeError):
-    """A client that is owed nothing is sent away."""
+    """The connection of a client that is owed no response is being closed."""
 
     code = "client-sent-away"
     remedy = "nothing: a client that was owed nothing made room, or the process ends"
 
 
 class Client:
-    """One connection of a client, served by one coroutine."""
+    """One client connection, served by one coroutine."""
 
     def __init__(self, side: ClientServer, number: int, stream: IOStream) -> None:
         self.side, self.number, self.stream = side, number, stream
         self.buffer = Buffer()
         self.requests = Requests(self.buffer)
         self.answer: asyncio.Future[fx.SendResponse] | None = None
-        self.begun = False  # an authorisation has begun to come in
-        self.replied = False  # the writing of its answer has begun
+        self.begun = False  # bytes of a request have been received
+        self.replied = False  # the response is being written
         self._reading: asyncio.Future[int] | None = None
         self._dropped: asyncio.Future[fx.CloseMode] = asyncio.get_running_loop().create_future()
 
     async def serve(self) -> None:
+        """Serve requests until the connection ends."""
         emit = self.side.runtime.emit
         try:
             while await self._serve_one():
                 pass
         except MalformedError as error:
             emit(fx.RequestMalformed(error.status, str(error)))
-            await self._last(error.status, str(error))
+            await self._send_error(error.status, str(error))
         except ClientDroppedError:
-            # Guards what crosses the end of a client that is owed nothing: it is never read, so that its
-            # other side hears of a reset and sends again elsewhere. To read and forget would be to take it.
+            # A request that crosses the close stays unread, so that the client gets a reset and retries
+            # elsewhere. Once read, it would count as accepted.
             if not self.stream.closed():
                 end_sending(self.stream)
         except (StreamClosedError, TimeoutError):
             pass
         except Exception:
-            # Guards the others, and what this client has asked: it gets an answer whatever went wrong here.
+            # A defect must not affect other clients, and this client still gets a response.
             log.exception("fault: client connection")
-            if not self.replied:  # half an answer, or one and a half, would be worse than none
-                await self._last(500)
+            if not self.replied:  # a partial or second response would be worse than none
+                await self._send_error(500)
         finally:
             self.stream.close()
             emit(fx.ClientDisconnected(self.number))
 
     async def _serve_one(self) -> bool:
-        """One authorisation and its answer; False where the connection ends with it."""
+        """Serve one request; return False if the connection ends with it."""
         while (head := self._head()) is None:
             await self._read()
         if not self.begun:
             self._begin()
-        plain = self._plain(head)
+        plain = self._plain_answer(head)
         if plain is not None:
             status, last, allow = plain
             ready = path(head) == b"/ready" and status != 405
@@ -132,7 +135,7 @@
             data = answer_head(status, len(told), close=last, more=more)
             await self._write(data if head.method == b"HEAD" else data + told)
             self._answered()
-            return await self._end(last)
+            return await self._finish(last)
         length = head.length()
         if length is None:
             raise MalformedError(411, "no length")
@@ -161,10 +164,12 @@
         while body is None:
             await self._read(self.requests.wanted())
             body = self.requests.body()
-        if forbidden is not None:  # the next authorisation on the connection may be another caller's
-            return await self._forbid(forbidden, not head.keeps_alive() or self.side.runtime.leaving())
+        if forbidden is not None:  # the next request on this connection may be another caller's
+            return await self._send_forbidden(
+                forbidden, not head.keeps_alive() or self.side.runtime.leaving()
+            )
         message.body = body
-        answer = await self._ask(message)
+        answer = await self._wait_for_answer(message)
         last = answer.last or not head.keeps_alive()
         result, more = answer.result, b""
         if answer.outcome is not fx.Outcome.SERVED:
@@ -174,10 +179,10 @@
         self.replied = True
         await self._write(answer_head(STATUS[answer.outcome], len(result), close=last, more=more) + result)
         self._answered()
-        return await self._end(last)
+        return await self._finish(last)
 
-    async def _forbid(self, forbidden: ForbiddenError, last: bool) -> bool:
-        """The decision module never hears of it. Who is not believed has to connect again."""
+    async def _send_forbidden(self, forbidden: ForbiddenError, last: bool) -> bool:
+        """Reject a request before the decision module sees it; after a 401 the client must reconnect."""
         last = last or forbidden.status == 401
         told, more = problems.of_status(forbidden.status), problems.FIELD
         if forbidden.status == 401:
@@ -187,7 +192,7 @@
         self.replied = True
         await self._write(answer_head(forbidden.status, len(told), close=last, more=more) + told)
         self._answered()
-        return await self._end(last)
+        return await self._finish(last)
 
     def _head(self) -> Head | None:
         head = self.requests.head()
@@ -203,9 +208,9 @@
         self.begun = False
         self.side.runtime.emit(fx.ResponseSent(self.number))
 
-    def _plain(self, head: Head) -> tuple[int, bool, bytes] | None:
-        """The answer to what is no authorisation: its status, whether the connection ends with it, and the
-        field that says which method is taken."""
+    def _plain_answer(self, head: Head) -> tuple[int, bool, bytes] | None:
+        """Return the response to what is not a job request: its status, whether the connection ends with it,
+        and the Allow field."""
         named = path(head)
         bare = head.length() in (None, 0)
         last = not head.keeps_alive() or not bare or self.side.runtime.leaving()
@@ -219,8 +224,8 @@
             return 405, last, b"Allow: POST\r\n"
         return None
 
-    async def _ask(self, message: Message) -> fx.SendResponse:
-        """The answer; meanwhile what the client sends ahead is read, and so is its leaving."""
+    async def _wait_for_answer(self, message: Message) -> fx.SendResponse:
+        """Wait for the response; meanwhile read what the client sends ahead, and notice its disconnect."""
         self.answer = asyncio.get_running_loop().create_future()
         arrived = message.arrived(self.number)
         arrived.open_in_sibling = not self.side.claim(message.name)
@@ -228,10 +233,10 @@
         try:
             while not self.answer.done():
                 waits: set[asyncio.Future[Any]] = {self.answer}
-                if reads := len(self.buffer) < MOST_PIPELINED:
+                if reads := len(self.buffer) < MAX_PIPELINED:
                     waits.add(self._start_reading())
                 await asyncio.wait(
-                    waits, timeout=None if reads else LOOK, return_when=asyncio.FIRST_COMPLETED
+                    waits, timeout=None if reads else DISCONNECT_POLL_S, return_when=asyncio.FIRST_COMPLETED
                 )
                 waits.clear()
                 if not reads and not self.answer.done() and self.gone():
@@ -248,8 +253,10 @@
         return self._reading
 
     def _take_read(self) -> None:
-        """Guards the memory: a read that failed, kept in a frame that its error keeps, would stay with all of
-        its client until the collector comes by, which many clients that come and go outrun."""
+        """Take the bytes of a finished read.
+
+        A failed read must not stay in a local variable: the frame and the error would refer to each other and
+        keep the client's memory until a garbage collection, which many short connections outrun."""
         assert self._reading is not None
         reading, self._reading = self._reading, None
         try:
@@ -258,7 +265,7 @@
             del reading
 
     async def _read(self, room: int = SCANT) -> None:
-        """More bytes. A read that began while the last answer was awaited goes on where it was to go."""
+        """Read more bytes; a read that began while the last response was pending is continued."""
         waits: set[asyncio.Future[Any]] = {self._start_reading(room), self._dropped}
         await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
         waits.clear()
@@ -269,27 +276,29 @@
         self._take_read()
 
     async def _write(self, data: bytes) -> None:
-        await asyncio.wait_for(asyncio.shield(self.stream.write(data)), WRITING)
+        await asyncio.wait_for(asyncio.shield(self.stream.write(data)), WRITE_TIMEOUT_S)
 
-    async def _last(self, status: int, why: str = "") -> None:
-        """Tell a client what is wrong with what it sent, as far as it still listens."""
+    async def _send_error(self, status: int, why: str = "") -> None:
+        """Send an error response and close, if the client is still connected."""
         told = problems.of_status(status, why)
         with suppress(StreamClosedError, TimeoutError):
             await self._write(answer_head(status, len(told), close=True, more=problems.FIELD) + told)
-            await self._end(True)
+            await self._finish(True)
 
-    async def _end(self, last: bool) -> bool:
-        """Guards the last answer: closing with bytes unread would reset the connection and take it along."""
+    async def _finish(self, last: bool) -> bool:
+        """End a connection after its last response.
+
+        Closing with unread bytes would reset the connection and could discard the response."""
         if not last:
             return True
-        if self.stream.closed():  # the client was faster: seen at a planned end, when all leave at once
+        if self.stream.closed():  # the client closed first, as happens at a shutdown
             return False
         self.side.runtime.emit(fx.ClientClosing(self.number))
-        if self.stream.closed():  # its place was needed at once
+        if self.stream.closed():  # it was evicted at once
             return False
         end_sending(self.stream)
         with suppress(TimeoutError):
-            await asyncio.wait_for(self._drain(), LINGER)
+            await asyncio.wait_for(self._drain(), LINGER_S)
         return False
 
     async def _drain(self) -> None:
@@ -298,37 +307,38 @@
             if self._reading.exception() is not None:
                 return
             self._reading = None
-        await drain(self.stream, MOST_LINGER)
+        await drain(self.stream, MAX_DISCARDED)
 
     def gone(self) -> bool:
+        """Whether the client has disconnected, even if that is still unread."""
         return has_gone(self.stream)
 
-    def drop(self, how: fx.CloseMode) -> None:
+    def drop(self, mode: fx.CloseMode) -> None:
+        """Close the connection in the given mode, unless a response is owed."""
         read = self._reading is not None and self._reading.done()
         if self.answer is not None or read:
-            return  # what has been read is taken: it gets its answer
+            return  # bytes that were read count as accepted: the request is answered
         idle = not (self.begun or len(self.buffer))
-        if how is fx.CloseMode.IMMEDIATELY:
+        if mode is fx.CloseMode.IMMEDIATELY:
             self.stream.close()
         elif not self._dropped.done() and (
-            not waits_unread(self.stream) if idle else how is fx.CloseMode.WITH_ERROR
+            not waits_unread(self.stream) if idle else mode is fx.CloseMode.WITH_ERROR
         ):
-            self._dropped.set_result(fx.CloseMode.IF_IDLE if idle else how)
+            self._dropped.set_result(fx.CloseMode.IF_IDLE if idle else mode)
 
 
 class ClientHandler(Protocol):
-    """Whoever stands behind a client's number: a connection that is served, or one that is not so far yet."""
+    """What handles a client id: a connection, or one still in its TLS handshake."""
 
     answer: asyncio.Future[fx.SendResponse] | None
 
     def gone(self) -> bool: ...
 
-    def drop(self, how: fx.CloseMode) -> None: ...
+    def drop(self, mode: fx.CloseMode) -> None: ...
 
 
 class ClientServer:
-    """The clients of all fronts. Each front has a listener of its own and hands its connections on to
-    `serve`."""
+    """The clients of all listeners; `start` serves a connection of any of them."""
 
     def __init__(
         self,
@@ -338,8 +348,8 @@
         claim: Callable[[str], bool] = lambda _: True,
     ) -> None:
         self.runtime = runtime
-        self.claim = claim  # whether an authorisation of that id may be taken
-        self.gate: Gate | None = None  # where callers have to prove who they are
+        self.claim = claim  # claims a request id; False: a sibling process holds it
+        self.gate: Gate | None = None  # None: callers are not authenticated
         self.classes = classes
         self._plain = Listener(listen, BACKLOG, self._take, self.descriptors_exhausted)
         self._listeners = [self._plain]
@@ -348,6 +358,7 @@
         self._numbers = count(1)
 
     def effects(self) -> dict[type, Callable[[Any], None]]:
+        """Return the effects that it carries out."""
         return {
             fx.SendResponse: self._on_send_response,
             fx.CloseClient: self._on_close_client,
@@ -356,13 +367,14 @@
         }
 
     def add_listener(self, listener: Listener) -> None:
-        """A further front's listener: it takes nobody in while the budget is full, and ends with the
-        others."""
+        """Add a listener that is held at the connection limit and closed with the others."""
         self._listeners.append(listener)
 
     def open(self, inherited: socket.socket | None = None) -> None:
-        """With a listener of its own, or with one that is given; from that it takes nobody in before it is
-        told to, as another process may serve them until then."""
+        """Open a new listener or use an inherited one.
+
+        An inherited listener accepts no client before a `SetAccepting` effect, since a sibling process may
+        serve them until then."""
         if inherited is not None:
             self._on_set_accepting(fx.SetAccepting(False))
         self._plain.open(inherited)
@@ -376,25 +388,26 @@
         self.start(number, client.serve())
 
     def descriptors_exhausted(self) -> None:
+        """Report that no descriptor is left to accept a client."""
         self.runtime.emit(fx.DescriptorsExhausted())
 
     def number(self) -> int:
-        """Of a client, whatever its front."""
+        """Return a new client id, unique over all listeners."""
         return next(self._numbers)
 
     def register(self, number: int, handler: ClientHandler) -> None:
-        """From now on this is who is meant by that number."""
+        """Set the handler of a client id."""
         self._handlers[number] = handler
 
     def start(self, number: int, work: Coroutine[Any, Any, None]) -> None:
-        """Serve a client to its end; then its number means nobody."""
+        """Run a client's coroutine, and remove its handler when it ends."""
         task = asyncio.ensure_future(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         task.add_done_callback(lambda _: self._handlers.pop(number, None))
 
     def is_connected(self, number: int) -> bool:
-        """Guards what is about to begin for a client: it may have gone, and its end not have been read."""
+        """Whether a client is connected; its disconnect may be still unread by its coroutine."""
         return (handler := self._handlers.get(number)) is not None and not handler.gone()
 
     def _on_send_response(self, effect: fx.SendResponse) -> None:
@@ -407,7 +420,7 @@
             handler.drop(effect.mode)
 
     def _on_set_accepting(self, effect: fx.SetAccepting) -> None:
-        for listener in self._listeners:  # a place is free as soon as one answer is given
+        for listener in self._listeners:  # on all listeners, since they share one limit
             listener.hold("clients", not effect.on)
 
     def _on_close_listener(self, _: fx.CloseListener) -> None:
@@ -415,5 +428,6 @@
             listener.shut()
 
     def close(self) -> None:
+        """Close all listeners."""
         for listener in self._listeners:
             listener.close()
--- a/reedspoke/net/clients.py
+++ b/reedspoke/net/clients.py
@@ -1,14 +1,15 @@
-"""The acquirer side's state: who is connected, what they are owed, who makes room, and the final answers.
+"""Client connections: states, eviction at the connection limit, and the final response of each request.
 
-A client's connection is, from its first event on:
+The states of a client connection:
 
-    (Joined) -> SILENT -> reading -> waiting -> KEPT, or ANSWERED where no answer was a result -> reading ...
-                                             -> ENDING, where the answer was its last
-    any -> parting (its room is needed) -> gone (Parted)
+    (ClientConnected) -> NOTHING_ASKED -> reading -> waiting -> SERVED, or ANSWERED without any result
+                                                             -> CLOSING, if the response was its last
+    SERVED, ANSWERED -> reading ...
+    any -> closing (evicted) -> removed (ClientDisconnected)
 
-`Arrived` makes it wait and is counted whatever stood before, `Answered` ends the wait, and `Parted` is the
-last word about it in any state. Only who is owed no answer rests in a `IdleState`, and only who rests is
-ever dropped for room. An authorisation is open from `Arrived` to its one final answer, or to `Parted`.
+`RequestReceived` starts the wait from any state, `ResponseSent` ends it, and `ClientDisconnected` is the last
+event in any state. Only clients that are owed no response have an `IdleState`, and only these are evicted. A
+request is open from `RequestReceived` to its final response or to `ClientDisconnected`.
 """
 
 from __future__ import annotations
@@ -21,11 +22,11 @@
 CLIENT_IDLE_TIMEOUT = 300 * SECOND
 FIRST_REQUEST_TIMEOUT = (
     2 * SECOND
-)  # from connecting to the last byte of a first authorisation: an answer is due in 3 s
-REQUEST_READ_TIMEOUT = 2 * SECOND  # for the bytes of one authorisation
-NEW_CLIENT_GRACE = 50 * MS  # a client that means to ask has sent its first bytes by then
-NEW = (IdleState.HANDSHAKING, IdleState.NOTHING_ASKED)  # what these were sent may be on its way
-ENDS = {  # the figure that a job's end counts under
+)  # from connecting to the last byte of the first request: a response is due in 3 s
+REQUEST_READ_TIMEOUT = 2 * SECOND  # from the first to the last byte of a request
+NEW_CLIENT_GRACE = 50 * MS  # a client with a request has sent its first bytes by then
+NEW_STATES = (IdleState.HANDSHAKING, IdleState.NOTHING_ASKED)  # a first request may be in flight
+OUTCOME_METRICS = {  # the metric that counts each outcome
     fx.Outcome.SERVED: "succeeded",
     fx.Outcome.REJECTED: "declined",
     fx.Outcome.FAILED: "aborted",
@@ -33,10 +34,12 @@
     fx.Outcome.INVALID: "aborted",
     fx.Outcome.REVOKED: "declined",
 }
-GUARD = 0.5  # of the answer slack: where the last guard stands
+TIMEOUT_SLACK_SHARE = 0.5  # share of the answer slack, after which an open request is answered
 
 
 class Clients(Component):
+    """Client connections and their requests."""
+
     def event_handlers(self) -> EventHandlers:
         return {
             fx.ClientConnected: self._on_client_connected,
@@ -53,7 +56,7 @@
     def timer_handlers(self) -> TimerHandlers:
         return {
             "client": self._on_client_timer,
-            "guard": self._on_guard_timer,
+            "deadline": self._on_deadline_timer,
             "room": lambda _: self.make_room(),
         }
 
@@ -61,7 +64,7 @@
         self.add(event.client, IdleState.NOTHING_ASKED)
 
     def add(self, number: int, idle_state: IdleState) -> None:
-        """A new client; it holds a place from now on, whatever its front still has to do."""
+        """Add a new client; it counts towards the limit at once, also during its handshake."""
         client = self.state.clients[number] = Client(number, self.core.now)
         self.set_idle_state(client, idle_state)
         self.core.record_maximum("clients", len(self.state.clients))
@@ -69,6 +72,7 @@
         self.make_room()
 
     def set_idle_state(self, client: Client, idle_state: IdleState | None) -> None:
+        """Set the idle state of a client; None: it is reading, or owed a response, or being closed."""
         if client.idle_state is not None:
             self.state.idle_clients[client.idle_state].pop(client.id, None)
         client.idle_state = idle_state
@@ -76,13 +80,14 @@
             self.state.idle_clients[idle_state][client.id] = None
 
     def make_room(self) -> None:
-        """Guards against clients that crowd out others by holding connections: where the budget is full, one
-        that is owed nothing goes. Only where all wait for answers nobody else is taken in meanwhile."""
+        """Evict idle clients at the connection limit, so that they cannot crowd out other clients.
+
+        Accepting is suspended only while no client can be evicted."""
         state = self.state
         while len(state.clients) - len(state.closing_clients) >= self.core.budget.clients:
-            if (client := self._least_missed()) is None:
+            if (client := self._eviction_candidate()) is None:
                 break
-            self._send_away(client)
+            self._evict(client)
         free = len(state.clients) - len(state.closing_clients) < self.core.budget.clients
         accepting = free and state.workers_known
         if accepting != state.accepting:
@@ -92,15 +97,17 @@
                 self.core.count("budget full")
                 self.core.log_rate_limited("full", "clients: budget is full")
 
-    def _send_away(self, client: Client) -> None:
+    def _evict(self, client: Client) -> None:
         self.core.count("crowded out")
         self.set_idle_state(client, None)
         self.state.closing_clients.add(client.id)
         self.core.request_effect(fx.CloseClient(client.id, fx.CloseMode.IMMEDIATELY))
 
-    def _least_missed(self) -> Client | None:
-        """Who was answered before sends again elsewhere what crosses the end. Who has only just connected
-        would have failed: it stays until its first bytes had the time to come, and meanwhile others wait."""
+    def _eviction_candidate(self) -> Client | None:
+        """Return the client that eviction hurts least.
+
+        A client that was answered before retries elsewhere if its next request crosses the close. A request
+        on a new connection would fail, so a new client is kept until its first bytes had time to arrive."""
         state = self.state
         for idle_state in (
             IdleState.CLOSING,
@@ -112,9 +119,9 @@
             if (number := next(iter(state.idle_clients[idle_state]), None)) is None:
                 continue
             client = state.clients[number]
-            if idle_state not in NEW or self.core.now >= client.connected_at + NEW_CLIENT_GRACE:
+            if idle_state not in NEW_STATES or self.core.now >= client.connected_at + NEW_CLIENT_GRACE:
                 return client
-        if any(state.idle_clients[idle_state] for idle_state in NEW):
+        if any(state.idle_clients[idle_state] for idle_state in NEW_STATES):
             self.core.set_timer(("room", 0), self.core.now + NEW_CLIENT_GRACE)
         return None
 
@@ -122,14 +129,14 @@
         if (client := self.state.clients.get(event.client)) is not None:
             client.reading = True
             self.state.closing_clients.discard(client.id)
-            if client.answered:  # else its time runs since it has connected
+            if client.answered:  # the time-out of a first request runs from the connect
                 self.set_idle_state(client, None)
                 self.core.set_timer(("client", client.id), self.core.now + REQUEST_READ_TIMEOUT)
 
     def _on_request_malformed(self, event: fx.RequestMalformed) -> None:
         self.core.count(f"malformed {event.status}")
         self.core.log_rate_limited(
-            f"malformed {event.status}", f"authorisation malformed: {event.status} {event.reason}"
+            f"malformed {event.status}", f"request malformed: {event.status} {event.reason}"
         )
 
     def _on_request_received(self, event: fx.RequestReceived) -> None:
@@ -143,7 +150,7 @@
         self.set_idle_state(client, None)
         self.core.cancel_timer(("client", client.id))
         self.core.count("authorisations")
-        if event.open_in_sibling or event.name in state.open_request_ids:  # it might run twice
+        if event.open_in_sibling or event.name in state.open_request_ids:  # the job might run twice
             self.core.count("invalid")
             self.core.request_effect(
                 fx.SendResponse(client.id, fx.Outcome.INVALID, last=self.state.leaving())
@@ -151,8 +158,7 @@
             return
         deadline = self.core.now + event.timeout
         if state.phase is ProcessPhase.LISTENER_CLOSED:
-            # Guards those who were slow to ask: what comes 0.7 s behind SIGTERM is owed its answer before
-            # SIGKILL.
+            # A request that arrives 0.7 s after SIGTERM must be answered before SIGKILL.
             deadline = min(deadline, state.kill_at)
         request = ClientRequest(
             state.next_id(), event.name, event.cls, client.id, event.message, deadline, event.slots
@@ -160,8 +166,8 @@
         state.requests[request.id] = client.request = request
         state.open_request_ids.add(event.name)
         self.core.record_maximum("open", len(state.open_request_ids))
-        slack = int(GUARD * self.core.settings.rules.answer_slack)
-        self.core.set_timer(("guard", request.id), request.deadline + slack)
+        slack = int(TIMEOUT_SLACK_SHARE * self.core.settings.rules.answer_slack)
+        self.core.set_timer(("deadline", request.id), request.deadline + slack)
         self.core.notify_module(
             api.Request(
                 request.id,
@@ -178,9 +184,9 @@
     def answer(
         self, request: ClientRequest, outcome: fx.Outcome, result: bytes = b"", retry_after: int = 0
     ) -> None:
-        """The one final answer."""
+        """Send the final response of a request."""
         self.core.count(outcome.value)
-        self.core.count_metric(ENDS[outcome], request.cls)
+        self.core.count_metric(OUTCOME_METRICS[outcome], request.cls)
         self._close(request)
         if (client := self.state.clients.get(request.client)) is not None and client.request is request:
             client.request = None
@@ -194,10 +200,11 @@
         request.message = None
         self.state.open_request_ids.discard(request.name)
         self.core.request_effect(fx.ReleaseRequestId(request.name))
-        self.core.cancel_timer(("guard", request.id))
+        self.core.cancel_timer(("deadline", request.id))
         self.forget(request)
 
     def forget(self, request: ClientRequest) -> None:
+        """Remove a request that is answered and has no attempt in flight."""
         if not request.open and not request.in_flight:
             self.state.requests.pop(request.id, None)
 
@@ -218,7 +225,7 @@
             self.make_room()
 
     def _on_credential_revoked(self, event: fx.CredentialRevoked) -> None:
-        """Taken is taken: only what has no leg as yet is answered, and the module forgets it."""
+        """Reject the request of a client whose credential was revoked, unless an attempt was created."""
         client = self.state.clients.get(event.client)
         if (
             client is not None
@@ -241,7 +248,7 @@
             self.make_room()
 
     def abandon(self, request: ClientRequest) -> None:
-        """Its client has gone: no answer is owed, and no leg begins from now on."""
+        """Close a request whose client has disconnected: no response is owed, no further attempt starts."""
         if not request.open:
             return
         self.core.count("gone")
@@ -251,10 +258,9 @@
         self.core.notify_module(api.ClientDisconnected(request.id))
 
     def _on_descriptors_exhausted(self, _: fx.DescriptorsExhausted) -> None:
-        """Guards who waits outside against a system that gives out fewer descriptors than were promised: one
-        that is owed nothing goes."""
-        if (client := self._least_missed()) is not None:
-            self._send_away(client)
+        """Evict an idle client: the system provides fewer descriptors than configured, and clients wait."""
+        if (client := self._eviction_candidate()) is not None:
+            self._evict(client)
 
     def _on_client_timer(self, number: int) -> None:
         client = self.state.clients.get(number)
@@ -265,18 +271,18 @@
                 fx.CloseClient(number, fx.CloseMode.WITH_ERROR if client.reading else fx.CloseMode.IF_IDLE)
             )
 
-    def _on_guard_timer(self, number: int) -> None:
-        """Guards against an authorisation that nobody answers: its time is up whatever the module does."""
+    def _on_deadline_timer(self, number: int) -> None:
+        """Answer a request that the decision module has left unanswered past its deadline."""
         request = self.state.requests.get(number)
         if request is not None and request.open:
             self.core.log_fault(
-                "no final answer in time, the last guard gives one "
-                f"(legs {request.attempts}, out {len(request.in_flight)})"
+                "no response by the deadline: answered as timed out "
+                f"(attempts {request.attempts}, in flight {len(request.in_flight)})"
             )
             self.answer(request, fx.Outcome.TIMED_OUT)
             self.core.notify_module(api.ClientDisconnected(request.id))
 
     def _tenant(self, name: str) -> str:
-        """Guards the module's tables: where the settings name the tenants, all others are one to it."""
+        """Map all tenants that the settings do not name to one, to bound the decision module's tables."""
         tenants = self.core.settings.tenants
         return name if not tenants or any(tenant.name == name for tenant in tenants) else ""
--- a/reedspoke/net/core.py
+++ b/reedspoke/net/core.py
@@ -1,4 +1,4 @@
-"""What each component of the reducer stands on: state, the effects asked for, and what the module is told."""
+"""The base of all reducer components: state, requested effects, and events for the decision module."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 
 MS = 1000
 SECOND = 1000 * MS
-OWN_DESCRIPTORS = 20  # standard streams, the loop's own, listener, directory, the configuration
-OWN_MEMORY_MB = 24  # MB; 17 MB were measured on calm days
-CLIENT_MEMORY_KB = 80  # KB: a body of 64 KB, a head, a stream and its coroutine
-MAX_OPERATOR_CALLS = 16  # at the operators' door at once; those it needs and no more, each holds a descriptor
+OWN_DESCRIPTORS = 20  # standard streams, event loop, listener, directory, configuration
+OWN_MEMORY_MB = 24  # an idle process uses 17 MB
+CLIENT_MEMORY_KB = 80  # a body of 64 KB, a header, a stream and its coroutine
+MAX_OPERATOR_CALLS = 16  # concurrent operator connections; each holds a descriptor
 OPERATOR_DESCRIPTORS = (
     MAX_OPERATOR_CALLS + 2
-)  # descriptors set aside for it: its listener, and a caller taken in before one goes
-SPARE_ATTEMPTS = 4  # for probes, beyond one leg for each client
-LOG_INTERVAL = 10 * SECOND  # between lines on the same matter that clients or hosts can cause at will
+)  # plus the listener, and a connection accepted before one closes
+SPARE_ATTEMPTS = 4  # for probes, beyond one attempt for each client
+LOG_INTERVAL = 10 * SECOND  # between log lines on one subject that clients or workers can trigger
 
 
 EventHandlers = dict[type, Callable[[Any], None]]  # by the type of the event
@@ -31,7 +31,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ExtensionLimits:
-    """What parts beyond the platform's program take of the limits."""
+    """The share of the limits that is reserved for extensions."""
 
     descriptors: int = 0
     memory_mb: float = 0
@@ -40,11 +40,12 @@
 
 @dataclass(slots=True, frozen=True)
 class Budget:
-    """Descriptors: a client that is served needs one of its own and one for its leg."""
+    """Limits on clients and attempts. A client needs one descriptor for its connection and one for its
+    attempt."""
 
     clients: int
     attempts: int
-    sockets: int = 0  # what it was made of
+    sockets: int = 0  # the descriptor limit that it was derived from
     memory_mb: float = 0
     operator_descriptors: int = 0
     extensions: ExtensionLimits = ExtensionLimits()
@@ -57,8 +58,10 @@
         operator_descriptors: int = 0,
         extensions: ExtensionLimits | None = None,
     ) -> Budget:
-        """Each client may hold the largest body. Usual ones take a third of the descriptors at most, and that
-        many are always taken in."""
+        """Derive the budget from the descriptor and memory limits.
+
+        Memory is calculated for the largest body of each client. Clients always get a third of the
+        descriptors, since usual bodies are much smaller."""
         extensions = extensions or ExtensionLimits()
         sockets_left = sockets - extensions.descriptors
         clients = (sockets_left - OWN_DESCRIPTORS - operator_descriptors - SPARE_ATTEMPTS) // 2
@@ -87,54 +90,64 @@
         self.budget = self.full_budget = budget
         self.now = 0
         self.effects: list[fx.Effect] = []
-        self.module_events: deque[api.Event] = deque()  # for the module, in the order in which it happened
+        self.module_events: deque[api.Event] = (
+            deque()
+        )  # events for the decision module, in order of occurrence
 
     def request_effect(self, effect: fx.Effect) -> None:
+        """Add an effect to those that the runtime will carry out."""
         self.effects.append(effect)
 
     def notify_module(self, event: api.Event) -> None:
-        """The module hears of it once the event in hand is handled."""
+        """Queue an event for the decision module, delivered after the current event is handled."""
         self.module_events.append(event)
 
     def set_timer(self, key: fx.TimerKey, at: int) -> None:
+        """Set or replace the timer of this key; `at` is in us of Unix time."""
         self.effects.append(fx.SetTimer(key, at))
 
     def cancel_timer(self, key: fx.TimerKey) -> None:
+        """Cancel the timer of this key, if it is set."""
         self.effects.append(fx.CancelTimer(key))
 
     def log_fault(self, text: str) -> None:
+        """Count and log a defect of this program or of the decision module."""
         self.count("faults")
         self.effects.append(fx.WriteLog(text, fault=True))
 
     def log_rate_limited(self, about: str, text: str) -> None:
-        """Guards the log against those who can cause a line as often as they like."""
+        """Log at most one line per `LOG_INTERVAL` about a subject that clients or workers can trigger."""
         if self.now - self.state.last_logged_at.get(about, 0) >= LOG_INTERVAL:
             self.state.last_logged_at[about] = self.now
             self.effects.append(fx.WriteLog(text))
 
     def count(self, what: str) -> None:
+        """Increment a counter of the periodic log line."""
         self.state.log_counters[what] += 1
 
     def count_metric(self, what: str, cls: str = "") -> None:
-        """For the operators' figures."""
+        """Increment a metric that operators read."""
         self.state.metric_counters[what, cls] += 1
 
     def record_maximum(self, what: str, number: int) -> None:
+        """Record the highest value of a number in the periodic log line."""
         self.state.log_counters[f"most {what}"] = max(self.state.log_counters[f"most {what}"], number)
 
 
 class Component:
-    """One subject of the reducer. It names the events and the timers that are its own, and knows the
-    components that it is given; nothing is inherited from them."""
+    """One component of the reducer. It declares the events and timers that it handles, and calls the other
+    components that it is given."""
 
     def __init__(self, core: Core) -> None:
         self.core, self.state = core, core.state
 
     def event_handlers(self) -> EventHandlers:
+        """Return the handlers of its events."""
         return {}
 
     def timer_handlers(self) -> TimerHandlers:
+        """Return the handlers of its timers."""
         return {}
 
     def after_event(self) -> None:
-        """Called behind each event, whosever it was."""
+        """Run after each event, whichever component handled it."""
--- a/reedspoke/net/effects.py
+++ b/reedspoke/net/effects.py
@@ -1,4 +1,4 @@
-"""What the reducer is told (events) and what it asks for (effects). Both know nothing of HTTP."""
+"""Events, the reducer's inputs, and effects, its outputs. Neither depends on HTTP."""
 
 from __future__ import annotations
 
@@ -12,26 +12,26 @@
 
 
 class CloseMode(Enum):
-    """How a client's connection is ended. One whose authorisation waits for its answer is never dropped."""
+    """When a client connection is closed. A connection that is owed a response is never closed."""
 
-    IF_IDLE = "idle"  # unless bytes of an authorisation have come
-    WITH_ERROR = "told"  # also half an authorisation, with an answer that says so
-    IMMEDIATELY = "now"  # also half an authorisation, at once
+    IF_IDLE = "idle"  # only if no byte of a request has been received
+    WITH_ERROR = "told"  # a partly received request gets an error response
+    IMMEDIATELY = "now"  # at once, even if a request has been partly received
 
 
 class Outcome(Enum):
-    """The final answer to an authorisation."""
+    """The final outcome of a client request."""
 
     SERVED = "served"
-    REJECTED = "declined"  # trying again is harmless
+    REJECTED = "declined"  # it was not executed, so a retry is safe
     FAILED = "failed"
-    TIMED_OUT = "late"  # the last guard's
-    INVALID = "invalid"  # it should not have come
-    REVOKED = "withdrawn"  # it never ran, and its caller is believed no longer
+    TIMED_OUT = "late"  # the deadline timer of `clients` answered it
+    INVALID = "invalid"  # the request itself is invalid
+    REVOKED = "withdrawn"  # the caller's credential was revoked before any attempt
 
 
 class OperatorCommand(Enum):
-    """What operators ask for."""
+    """A command of an operator call."""
 
     READY = "ready"
     METRICS = "figures"
@@ -39,27 +39,27 @@
     RESUME = "resume"
     DRAIN = "drain"
     ACTIVATE = "activate"
-    EXTENSION = "further"  # of a part beyond the platform's program
+    EXTENSION = "further"  # a call that an extension handles
 
 
 class CallResult(Enum):
-    """What operators are told."""
+    """The result of an operator call."""
 
     YES = "yes"
     NO = "no"
     UNKNOWN_WORKER = "no such worker"
-    NOT_FOUND = "not here"  # the part that would know is not in use, or knows nothing of that name
+    NOT_FOUND = "not here"  # the extension is not in use, or does not know the name
 
 
-# ---- what parts beyond the platform's program bring (`subsystem.py`) ----
+# ---- base classes for extensions (`subsystem.py`) ----
 
 
 class ExtensionEvent(Struct):
-    """The base of their events."""
+    """Base class of extension events."""
 
 
 class ExtensionEffect(Struct):
-    """The base of their effects."""
+    """Base class of extension effects."""
 
 
 # ---- events ----
@@ -72,101 +72,102 @@
 
 
 class HandshakeStarted(Struct):
-    """A client has connected at a front that has to agree with it on keys first."""
+    """A client has connected and its TLS handshake has begun."""
 
     client: int
 
 
 class HandshakeCompleted(Struct):
-    """It has: from here on the client is as any other."""
+    """The TLS handshake has succeeded: the client is now handled like any other."""
 
     client: int
 
 
 class RequestStarted(Struct):
-    """The first bytes of an authorisation have come from a client."""
+    """The first bytes of a request have been received."""
 
     client: int
 
 
 class RequestReceived(Struct):
-    """The last byte of an authorisation has come. `message` is what its legs will carry."""
+    """The last byte of a request has been received. `message` is what its attempts send."""
 
     client: int
     name: str
     message: object
     cls: str
-    timeout: int  # us that the client will wait
+    timeout: int  # us until the client's deadline
     cost_hint: int
     slots: int
     memory: float
     tenant: str
     key: str
-    open_in_sibling: bool = False  # one of that id is open in this scheduler's other process
+    open_in_sibling: bool = False  # a request of that id is open in a sibling process
 
 
 class CredentialRevoked(Struct):
-    """What a client proved itself with counts no longer: nothing of it may go out that has not yet."""
+    """The credential of a client has been revoked: its request may not start a first attempt."""
 
     client: int
 
 
 class ResponseSent(Struct):
-    """An answer has been written, or an ill-formed authorisation has been told so."""
+    """A response has been written, including error responses to malformed requests."""
 
     client: int
 
 
 class ClientClosing(Struct):
-    """The last answer on a client's connection is given; what still comes is read and forgotten."""
+    """The last response on a client connection has been sent; further input is discarded."""
 
     client: int
 
 
 class RequestMalformed(Struct):
-    """What a client sent is no authorisation; `status` tells it so."""
+    """A client sent an invalid request, or a worker reported one; `status` is the HTTP status."""
 
     status: int
     reason: str
 
 
 class DescriptorsExhausted(Struct):
-    """The system has no descriptor for a client that waits to be taken in."""
+    """The system has no file descriptor left to accept a waiting client."""
 
 
 class ClientDisconnected(Struct):
-    """A client's connection has ended."""
+    """A client connection has closed."""
 
     client: int
 
 
 class WorkerConnected(Struct):
-    """A connection to an issuer host has come up."""
+    """A connection to a worker has been established."""
 
     conn: int
 
 
 class AttemptWritten(Struct):
-    """The last byte of a leg is written."""
+    """The last byte of an attempt has been written."""
 
     conn: int
 
 
 class AttemptNotSent(Struct):
-    """Not a byte of a leg was written: its client had gone by then, or the connection had ended."""
+    """No byte of an attempt was written: its client had disconnected, or, with `ended`, the connection had
+    closed or carried unexpected input."""
 
     conn: int
     ended: bool = False
 
 
 class ResponseStarted(Struct):
-    """A host has begun to answer a leg: it has taken it."""
+    """A worker has begun to respond to an attempt or a probe."""
 
     conn: int
 
 
 class AttemptProgress(Struct):
-    """A leg tells that its job has started, or how far it is."""
+    """A worker reports that a job has started, or its progress."""
 
     conn: int
     kind: api.UpdateKind
@@ -174,82 +175,86 @@
 
 
 class OutcomeReceived(Struct):
-    """A leg or a probe has its outcome; the rest of the answer may still be on its way."""
+    """The outcome of an attempt or a probe is known; the rest of the response may still be in flight."""
 
     conn: int
     reason: api.Reason
     report: tuple[float, ...] = ()
     result: bytes = b""
-    invalid: bool = False  # the host says that the authorisation itself is at fault
-    reusable: bool = False  # its answer has ended, and the connection may carry the next leg
+    invalid: bool = False  # the worker rejects the request itself as invalid
+    reusable: bool = False  # the response has ended; the connection may be reused
 
 
 class ResponseCompleted(Struct):
-    """The whole answer has come: the connection can carry the next leg."""
+    """The response has been read completely: the connection can be reused."""
 
     conn: int
 
 
 class WorkerDisconnected(Struct):
-    """A connection to an issuer host never came up or has ended."""
+    """A connection to a worker could not be established, or has closed."""
 
     conn: int
 
 
 class ListedWorker(Struct):
-    """An issuer host as the directory lists it."""
+    """A worker as the directory lists it."""
 
     entry: api.WorkerEntry
     endpoint: tuple[str, int]
 
 
 class WorkersListed(Struct):
+    """A complete list of workers, or changes of it."""
+
     kind: api.ListKind
     revision: int
     targets: list[ListedWorker]
 
 
 class DirectoryHeartbeat(Struct):
-    """The directory gives a sign of life."""
+    """The directory has sent a heartbeat on the watch."""
 
 
 class WatchLost(Struct):
-    """The watch has failed or has ended."""
+    """The watch on the directory has failed or has closed."""
 
     reason: str
 
 
 class TimerFired(Struct):
+    """A timer has expired."""
+
     key: TimerKey
 
 
 class ListenerOpened(Struct):
-    """The listener is open."""
+    """The client listener is open."""
 
 
 class ShutdownRequested(Struct):
-    """The platform asks for a planned end."""
+    """The platform requests a graceful shutdown (SIGTERM)."""
 
 
 class ReloadRequested(Struct):
-    """The platform has a new configuration."""
+    """The platform has a new configuration (SIGHUP)."""
 
 
 class ConfigurationReloaded(Struct):
-    """It is read and holds; so far only the directory's address can change in service."""
+    """The new configuration is valid; only the directory's address can change while in service."""
 
     directory: tuple[str, int]
 
 
 class OperatorConnected(Struct):
-    """An operator has connected at the door."""
+    """An operator has connected to the operator listener."""
 
     caller: int
 
 
 class OperatorCall(Struct):
-    """A whole call has come; `host` is the issuer host that it names, if any. Of a further one: which, what
-    it names and its body."""
+    """An operator call has been received; `host` is the worker that it names, if any. `which`, `names` and
+    `body` are the call, its path parameters and its body where an extension handles it."""
 
     caller: int
     command: OperatorCommand
@@ -260,40 +265,40 @@
 
 
 class OperatorDisconnected(Struct):
-    """An operator's connection has ended."""
+    """An operator connection has closed."""
 
     caller: int
 
 
 class ConfigurationRejected(Struct):
-    """The new configuration is unusable: the old one stays in force."""
+    """The new configuration is invalid: the old one stays in force."""
 
 
 class SiblingProcess(Struct):
-    """What another process of this scheduler holds, while one replaces the other."""
+    """The resources that a sibling process of this scheduler uses during a handover."""
 
     leaving: bool
     descriptors: int
-    slots: dict[str, int]  # at each issuer host
+    slots: dict[str, int]  # in use at each worker
     learned: api.LearnedState
 
 
 class SiblingsReported(Struct):
-    """Which other processes of this scheduler live, and what they hold."""
+    """The live sibling processes of this scheduler, and their resources."""
 
     partners: tuple[SiblingProcess, ...]
 
 
 class OrdersRecorded(Struct):
-    """All that operators have ordered, as kept for both processes."""
+    """All operator commands in force, as recorded for both processes."""
 
     suspended: dict[str, tuple[str, int]]
     drained: bool
-    caller: int = 0  # whose call changed it, 0: none here
+    caller: int = 0  # the operator call that changed it, 0: none of this process
 
 
 class OrderNotRecorded(Struct):
-    """An order could not be kept; `again`: for the moment."""
+    """An operator command could not be recorded; `again`: a retry may succeed."""
 
     record: RecordOrder
     again: bool
@@ -341,122 +346,134 @@
 
 
 class SendResponse(Struct):
+    """Send the final response to a client."""
+
     client: int
     outcome: Outcome
     result: bytes = b""
     retry_after: int = 0
-    last: bool = False  # the connection ends with it
+    last: bool = False  # the connection is closed after it
 
 
 class CloseClient(Struct):
-    """End a client's connection."""
+    """Close a client connection."""
 
     client: int
     mode: CloseMode = CloseMode.IF_IDLE
 
 
 class SetAccepting(Struct):
-    """Take clients from now on, or leave them waiting while no descriptor is free."""
+    """Accept clients, or leave them in the backlog while no descriptor is free."""
 
     on: bool
 
 
 class SetHandshaking(Struct):
-    """Begin further handshakes from now on, or leave who comes for one waiting."""
+    """Accept TLS clients, or leave them in the backlog while too many handshakes are in flight."""
 
     on: bool
 
 
 class CloseListener(Struct):
-    """Close the listener; where nobody else has it, take in who is waiting first."""
+    """Close the listener; where no other process holds it, accept its backlog first."""
 
 
 class ConnectWorker(Struct):
+    """Open a connection to a worker."""
+
     conn: int
     endpoint: tuple[str, int]
 
 
 class SendAttempt(Struct):
+    """Write an attempt to a worker connection."""
+
     conn: int
-    client: int  # whose job it is: nothing is written once that one has gone
+    client: int  # nothing is written once this client has disconnected
     message: object
-    timeout: int  # us that the answer is waited for
+    timeout: int  # us that the attempt may take
 
 
 class SendProbe(Struct):
-    """Send a probe."""
+    """Write a probe to a worker connection."""
 
     conn: int
 
 
 class DisconnectWorker(Struct):
+    """Close a connection to a worker."""
+
     conn: int
 
 
 class StartWatch(Struct):
-    """Watch the directory for what has changed since `rev`; another watch ends with that."""
+    """Watch the directory for changes since `revision`; this replaces any other watch."""
 
     endpoint: tuple[str, int]
     revision: int
 
 
 class StopWatch(Struct):
-    pass
+    """Close the watch on the directory."""
 
 
 class ReloadConfiguration(Struct):
-    """Read the configuration again."""
+    """Read the configuration file again."""
 
 
 class SetTimer(Struct):
+    """Set a timer; it replaces a timer of the same key."""
+
     key: TimerKey
     at: int
 
 
 class CancelTimer(Struct):
+    """Cancel a timer, if it is set."""
+
     key: TimerKey
 
 
 class WriteLog(Struct):
-    """A line for the log."""
+    """Write a log line; `fault` marks a defect of this program."""
 
     text: str
     fault: bool = False
 
 
 class ReplyToOperator(Struct):
-    """Answer an operator's call."""
+    """Respond to an operator call."""
 
     caller: int
     result: CallResult
-    figures: bool = False  # with all figures as its text
-    text: str = ""  # in place of the word's own
-    status: int = 0  # in place of the word's own
-    content_type: str = ""  # content type, where it is not plain text
+    figures: bool = False  # the body is all metrics
+    text: str = ""  # in place of the text of `result`
+    status: int = 0  # in place of the HTTP status of `result`
+    content_type: str = ""  # "" for plain text
 
 
 class DisconnectOperator(Struct):
-    """End an operator's connection that has not called."""
+    """Close an operator connection that has not sent a call."""
 
     caller: int
 
 
 class RecordOrder(Struct):
-    """Keep an operator's order where both processes see it."""
+    """Record an operator command where sibling processes read it."""
 
     caller: int
     command: OperatorCommand
     host: str = ""
     endpoint: tuple[str, int] = ("", 0)
-    retries: int = 0  # that have failed, as the other process was at it
+    retries: int = 0  # attempts that failed because the sibling process held the lock
 
 
 class ReadSharedState(Struct):
-    """See what the other process, if there is one, has left for this one."""
+    """Read what sibling processes have published, and the recorded operator commands."""
 
 
 class PublishUsage(Struct):
-    """Tell the other process what this one holds."""
+    """Publish the resources that this process uses to its sibling processes."""
 
     leaving: bool
     descriptors: int
@@ -465,13 +482,13 @@
 
 
 class ReleaseRequestId(Struct):
-    """An authorisation is not open any more."""
+    """Release the claim on a request id: the request is no longer open."""
 
     name: str
 
 
 class Exit(Struct):
-    pass
+    """End the process."""
 
 
 Effect = (
--- a/reedspoke/net/lifecycle.py
+++ b/reedspoke/net/lifecycle.py
@@ -1,8 +1,8 @@
-"""The start, a new configuration, and the planned end.
+"""Start, configuration reload and graceful shutdown.
 
-STARTING -> SERVING (Listening) -> LEAVING (Stop) -> SHUT (0.7 s later: no listener, nobody idle) -> OVER
-(no client left, or the longest deadline has passed). `Stop` counts once; a new configuration may come in
-any of them and moves the watch alone.
+STARTING -> SERVING (ListenerOpened) -> DRAINING (ShutdownRequested) -> LISTENER_CLOSED (0.7 s later: idle
+clients are disconnected) -> ENDED (no client is left, or the longest deadline has passed). Only the first
+`ShutdownRequested` has an effect. A new configuration is applied in any phase and only moves the watch.
 """
 
 from __future__ import annotations
@@ -13,18 +13,18 @@
 from reedspoke.net.state import IdleState, ProcessPhase
 from reedspoke.net.workers import Workers
 
-DIRECTORY_WAIT = (
-    3 * SECOND
-)  # of a successor with the directory, before it makes do with the list it was given
+DIRECTORY_WAIT = 3 * SECOND  # for the directory, before a successor process uses its configured list
 ACCEPT_AFTER_STOP = 500 * MS  # clients keep connecting for up to 400 ms after SIGTERM
-LAST_REQUEST_WAIT = 200 * MS  # for the first bytes of those taken in last
+LAST_REQUEST_WAIT = 200 * MS  # for the first bytes of the clients accepted last
 KILL_DELAY = (
     3 * SECOND + ACCEPT_AFTER_STOP + LAST_REQUEST_WAIT
-)  # from SIGTERM to SIGKILL, or the longest deadline where that is shorter
-KILL_MARGIN = 100 * MS  # for the answers that have to be out by then
+)  # from SIGTERM to SIGKILL, unless the longest deadline is shorter than 3 s
+KILL_MARGIN = 100 * MS  # to write the last responses
 
 
 class Lifecycle(Component):
+    """The phases of the process."""
+
     def __init__(self, core: Core, attempts: Attempts, workers: Workers) -> None:
         super().__init__(core)
         self.attempts, self.workers = attempts, workers
@@ -47,16 +47,16 @@
 
     def _on_listener_opened(self, _: fx.ListenerOpened) -> None:
         self.state.phase = ProcessPhase.SERVING
-        if self.workers.pushed:  # else the module asks by itself
-            self.workers.follow()
+        if self.workers.pushed:  # otherwise the decision module requests the watch
+            self.workers.start_watch()
         if not self.state.workers_known:
-            self.core.set_timer(("settle", 0), self.core.now + DIRECTORY_WAIT)
+            self.core.set_timer(("start accepting", 0), self.core.now + DIRECTORY_WAIT)
 
     def _on_reload_requested(self, _: fx.ReloadRequested) -> None:
         self.core.request_effect(fx.ReloadConfiguration())
 
     def _on_configuration_reloaded(self, event: fx.ConfigurationReloaded) -> None:
-        """Moves the watch; the module keeps what it knows, and its legs and clients go on."""
+        """Move the watch; the decision module's state, attempts and clients are unaffected."""
         state = self.state
         self.core.count_metric("sighup_applied")
         moved = event.directory != state.directory
@@ -74,12 +74,10 @@
         if self.state.phase not in (ProcessPhase.STARTING, ProcessPhase.SERVING):
             return
         self.state.phase = ProcessPhase.DRAINING
-        self.core.request_effect(
-            fx.WriteLog(f"stopping: {len(self.state.open_request_ids)} authorisations open")
-        )
-        if self.state.inherited:  # from now on its successor takes clients in
+        self.core.request_effect(fx.WriteLog(f"stopping: {len(self.state.open_request_ids)} requests open"))
+        if self.state.inherited:  # from now on the successor process accepts clients
             self.core.request_effect(fx.CloseListener())
-        self._drop_waiting(kept=True)
+        self._disconnect_idle(answered_only=True)
         self.core.set_timer(("leave", 0), self.core.now + ACCEPT_AFTER_STOP)
         longest = max(cls.deadline for cls in self.core.settings.classes)
         self.state.kill_at = (
@@ -87,9 +85,11 @@
         )
         self.core.set_timer(("end", 0), self.core.now + ACCEPT_AFTER_STOP + longest + SECOND)
 
-    def _drop_waiting(self, *, kept: bool) -> None:
-        """`kept`: only those that were answered before; a new client's first bytes may be on their way."""
-        for idle_state in (IdleState.ANSWERED, IdleState.SERVED) if kept else IdleState:
+    def _disconnect_idle(self, *, answered_only: bool) -> None:
+        """Disconnect idle clients; `answered_only`: only those that were answered before.
+
+        The first request of a new client may be in flight."""
+        for idle_state in (IdleState.ANSWERED, IdleState.SERVED) if answered_only else IdleState:
             for client in self.state.idle_clients[idle_state]:
                 self.core.request_effect(fx.CloseClient(client))
 
@@ -100,19 +100,19 @@
 
     def _on_last_call_timer(self, _: int) -> None:
         self.state.phase = ProcessPhase.LISTENER_CLOSED
-        self._drop_waiting(kept=False)
+        self._disconnect_idle(answered_only=False)
 
     def _on_end_timer(self, _: int) -> None:
-        self._over()
+        self._end_process()
 
     def after_event(self) -> None:
         if self.state.phase is ProcessPhase.LISTENER_CLOSED and not self.state.clients:
-            self._over()
+            self._end_process()
 
-    def _over(self) -> None:
+    def _end_process(self) -> None:
         if self.state.phase is not ProcessPhase.ENDED:
             self.state.phase = ProcessPhase.ENDED
             for conn in list(self.state.connections.values()):
-                self.attempts.hang_up(conn)
+                self.attempts.disconnect(conn)
             self.core.request_effect(fx.StopWatch())
             self.core.request_effect(fx.Exit())
--- a/reedspoke/net/reducer.py
+++ b/reedspoke/net/reducer.py
@@ -1,10 +1,9 @@
-"""The one place where state changes: takes an event and the time, returns the effects to carry out.
+"""The reducer, the only place where state changes: it takes an event and the time, and returns effects.
 
-Only here is the decision module called. It picks hosts, repeats, declines and delays; what stands around it
-keeps the platform's rules: what counts as sent, what is told of it, and that each authorisation gets one
-answer. Each component is a module of its own, composed here: `clients`, `attempts`, `workers`,
-`lifecycle`, `administration`.
-A further front brings a component of its own by `add`.
+The decision module is called only here. It selects workers, retries, rejects and delays requests; the code
+around it enforces the platform's rules: what counts as sent, what the module is notified of, and that each
+request gets exactly one response. Each component is a module of its own, composed here: `clients`,
+`attempts`, `workers`, `lifecycle`, `administration`. Extensions add components with `add`.
 """
 
 from __future__ import annotations
@@ -24,6 +23,8 @@
 
 
 class Reducer:
+    """Dispatches events to the components, and carries out the decision module's actions."""
+
     def __init__(
         self,
         settings: api.Settings,
@@ -46,9 +47,9 @@
             self.add(component)
 
     def add(self, component: Component) -> None:
-        """From now on its events and timers are handled; one that has a home already keeps it.
+        """Register the event and timer handlers of a component.
 
-        Raises ValueError where another component has one of them."""
+        Raises ValueError if another component already handles one of them."""
         event_handlers, timer_handlers = component.event_handlers(), component.timer_handlers()
         if twice := (self._event_handlers.keys() & event_handlers.keys()) or (
             self._timer_handlers.keys() & timer_handlers.keys()
@@ -61,21 +62,26 @@
 
     @property
     def state(self) -> State:
+        """The reducer's state."""
         return self.core.state
 
     @property
     def module(self) -> Dispatcher:
+        """The decision module."""
         return self.core.module
 
     @property
     def settings(self) -> api.Settings:
+        """The platform's settings."""
         return self.core.settings
 
     @property
     def budget(self) -> Budget:
+        """The limits currently in force."""
         return self.core.budget
 
     def handle(self, event: fx.Event, now: int) -> list[fx.Effect]:
+        """Handle one event at the time `now` (us) and return the requested effects."""
         core = self.core
         core.now, core.effects = now, []
         self._event_handlers[type(event)](event)
@@ -85,13 +91,13 @@
             component.after_event()
         return core.effects
 
-    # ---- the module ----
+    # ---- the decision module ----
 
     def _tell(self, event: api.Event) -> None:
         core = self.core
         try:
             actions = core.module.handle(core.now, event)
-        except Exception:  # a fault there costs one authorisation, not all the others
+        except Exception:  # a defect in the module fails one request and no others
             core.log_fault(f"decision module, at {type(event).__name__}: {traceback.format_exc(limit=-3)}")
             if isinstance(event, api.Request) and (request := core.state.requests.get(event.id)):
                 self.clients.answer(request, fx.Outcome.FAILED)
@@ -124,7 +130,7 @@
     def _final(self, number: int, outcome: fx.Outcome, retry_after: int = 0) -> None:
         request = self.core.state.requests.get(number)
         if request is None or not request.open:
-            self.core.log_fault(f"the module answers an authorisation that is not open ({outcome.value})")
+            self.core.log_fault(f"decision module: answers a request that is not open ({outcome.value})")
             return
         self.clients.answer(request, outcome, retry_after=retry_after)
 
--- a/reedspoke/net/state.py
+++ b/reedspoke/net/state.py
@@ -1,4 +1,4 @@
-"""What the reducer remembers. Only the reducer changes it."""
+"""The reducer's state. Only the reducer changes it."""
 
 from __future__ import annotations
 
@@ -12,25 +12,27 @@
 
 
 class ConnectionPhase(Enum):
-    """Of a connection to an issuer host."""
+    """The phase of a connection to a worker."""
 
     CONNECTING = "dialling"
-    BUSY = "busy"  # its leg or probe is out
-    RESPONSE_ENDING = "ending"  # its leg has its outcome, the rest of the answer has not come
+    BUSY = "busy"  # an attempt or a probe is in flight
+    RESPONSE_ENDING = "ending"  # the outcome is known, the rest of the response is not read yet
     IDLE = "idle"
 
 
 class IdleState(Enum):
-    """Of a client's connection on which no answer is owed."""
+    """The state of a client connection on which no response is owed."""
 
-    HANDSHAKING = "shaking"  # it has not agreed on keys with a front that needs them
-    CLOSING = "ending"  # it has its last answer
-    ANSWERED = "answered"  # it has had answers, and none of them was a result
-    NOTHING_ASKED = "silent"  # it has not asked anything as yet, or not wholly
-    SERVED = "kept"  # it was served
+    HANDSHAKING = "shaking"  # its TLS handshake has not completed
+    CLOSING = "ending"  # its last response has been sent
+    ANSWERED = "answered"  # it has had responses, none of which was a result
+    NOTHING_ASKED = "silent"  # no complete request has been received yet
+    SERVED = "kept"  # it has had a result
 
 
 class Client(Struct, eq=False):
+    """A client connection."""
+
     id: int
     connected_at: int
     request: ClientRequest | None = None
@@ -41,6 +43,8 @@
 
 
 class ClientRequest(Struct, eq=False):
+    """A job that a client requested, until it is answered and its last attempt has ended."""
+
     id: int
     name: str
     cls: str
@@ -48,114 +52,129 @@
     message: object
     deadline: int
     slots: int = 1
-    attempts: int = 0  # made so far
-    first_run_at: int = 0  # when the first leg that may have run was made, 0: none may have
+    attempts: int = 0  # created so far
+    first_run_at: int = 0  # when the first attempt that may have run was created, 0: none may have run
     in_flight: dict[int, Attempt] = field(default_factory=dict)
-    open: bool = True  # owed its final answer
+    open: bool = True  # its final response is owed
 
 
 class Attempt(Struct, eq=False):
+    """One attempt of a request at one worker."""
+
     request: ClientRequest
     number: int
     host: str
     created_at: int
-    wait_until: int  # nobody waits for it any longer
-    start_before: int = 0  # it may not begin later, 0: whenever it comes up
+    wait_until: int  # when it is given up
+    start_before: int = 0  # it must not be sent at or after this time, 0: no limit
     conn: int = 0
-    written: bool = False  # its last byte: from here on its job may have run
+    written: bool = False  # its last byte has been written: from then on its job may have run
 
 
 class WorkerConnection(Struct, eq=False):
+    """A connection to a worker."""
+
     id: int
     host: str
     endpoint: tuple[str, int]
     phase: ConnectionPhase = ConnectionPhase.CONNECTING
     attempt: Attempt | None = None
-    reused: bool = False  # it has been idle: it may have died unseen
-    responding: bool = False  # its host has begun to answer the leg in hand
-    probe_requested_at: int = 0  # when its probe was asked for, 0: it carries none
+    reused: bool = False  # it has been idle: it may have failed without notice
+    responding: bool = False  # the worker has begun to respond to the attempt in flight
+    probe_requested_at: int = 0  # when its probe was requested, 0: it carries none
 
 
 class Worker(Struct, eq=False):
-    """An issuer host as listed last."""
+    """A worker as listed last."""
 
     uid: str
     endpoint: tuple[str, int]
     state: api.WorkerState
     started_at: int
-    suspended: bool = False  # by hand, whatever the list says
-    idle: list[int] = field(default_factory=list)  # its idle connections, the latest used last
+    suspended: bool = False  # by an operator, whatever the list says
+    idle: list[int] = field(default_factory=list)  # ids of its idle connections, the most recently used last
 
     def accepts_attempts(self) -> bool:
-        """Legs may go there, as far as the list and the operators say."""
+        """Whether the list and the operators allow attempts to this worker."""
         return self.state is api.WorkerState.UP and not self.suspended
 
 
 class ProcessPhase(Enum):
+    """The phase of this process."""
+
     STARTING = "starting"
     SERVING = "serving"
-    DRAINING = "leaving"  # SIGTERM has come; clients still connect
+    DRAINING = "leaving"  # SIGTERM has been received; clients may still connect
     LISTENER_CLOSED = "shut"  # the listener is closed
     ENDED = "over"
 
 
 class State(Struct):
+    """All that the reducer knows."""
+
     phase: ProcessPhase = ProcessPhase.STARTING
-    workers_listed: bool = False  # a list that names an issuer host has been told to the module
-    inherited: bool = False  # the listener is the platform's, and another process may have it as well
-    workers_known: bool = True  # what is known of the hosts will do to take clients in
+    workers_listed: bool = False  # a list with at least one worker has been received
+    inherited: bool = False  # the platform owns the listener, and a sibling process may hold it too
+    workers_known: bool = True  # enough is known of the workers to accept clients
     accepting: bool = True
-    last_logged_at: dict[str, int] = field(
-        default_factory=dict
-    )  # when a line that may come often was logged last
+    last_logged_at: dict[str, int] = field(default_factory=dict)  # of each rate-limited log line
     directory: tuple[str, int] = ("", 0)
-    watching: bool = False  # a watch is asked for and has not been lost
+    watching: bool = False  # a watch was requested and has not been lost
     revision: int = 0
-    outdated_since: int = 0  # since when the directory has told of versions before `rev` alone, 0: it has not
-    watch_active_at: int = 0  # the directory's last word on the watch, or when that was asked for
+    outdated_since: int = (
+        0  # since when all received lists are older than `revision`, 0: the last one was not
+    )
+    watch_active_at: int = 0  # the last message on the watch, or when the watch was requested
     unannounced_list: fx.WorkersListed | None = (
-        None  # the list as given at the start, which the module has not heard as yet
+        None  # the configured list, while the module has not received it
     )
-    watch_losses: int = 0  # calls made in vain, and watches lost, since the directory's last sign of life
+    watch_losses: int = 0  # failed calls and lost watches since the directory's last message
     clients: dict[int, Client] = field(default_factory=dict)
     idle_clients: dict[IdleState, dict[int, None]] = (
-        field(  # clients that are owed nothing, the longest first
+        field(  # clients that are owed no response, the longest idle first
             default_factory=lambda: {standing: {} for standing in IdleState}
         )
     )
-    closing_clients: set[int] = field(default_factory=set)  # clients that are to be dropped
+    closing_clients: set[int] = field(default_factory=set)  # ids of clients whose connection is to be closed
     requests: dict[int, ClientRequest] = field(default_factory=dict)
-    open_request_ids: set[str] = field(default_factory=set)  # of the authorisations that are open
+    open_request_ids: set[str] = field(default_factory=set)  # ids of the requests that are owed a response
     workers: dict[str, Worker] = field(default_factory=dict)
     connections: dict[int, WorkerConnection] = field(default_factory=dict)
     idle_connections: dict[int, None] = field(
         default_factory=dict
-    )  # idle connections of all hosts, the longest first
-    no_reuse_until: int = 0  # until then kept connections to issuer hosts are not used again
-    timers: dict[int, str] = field(default_factory=dict)  # the module's, with their tokens
+    )  # idle connections of all workers, the longest idle first
+    no_reuse_until: int = 0  # until then idle connections to workers are not reused
+    timers: dict[int, str] = field(default_factory=dict)  # timers of the decision module, with their tokens
     log_counters: Counter[str] = field(default_factory=Counter)
     metric_counters: Counter[tuple[str, str]] = field(
         default_factory=Counter
-    )  # what operators see: (what, class)
-    operator_calls: dict[int, bool] = field(default_factory=dict)  # the longest first; True: has called
-    suspended: dict[str, tuple[str, int]] = field(default_factory=dict)  # by hand; with its endpoint then
-    excluded: set[str] = field(default_factory=set)  # those, and who stands at their endpoints by another id
+    )  # metrics for operators: (metric, class)
+    operator_calls: dict[int, bool] = field(
+        default_factory=dict
+    )  # by connection, the oldest first; True: its call has been received
+    suspended: dict[str, tuple[str, int]] = field(
+        default_factory=dict
+    )  # workers suspended by operators, with their endpoint at that time
+    excluded: set[str] = field(
+        default_factory=set
+    )  # suspended workers, and workers listed at their endpoints under another id
     ever_listed: dict[str, None] = field(default_factory=dict)
-    kill_at: int = 0  # SIGKILL may come soon after that, once SIGTERM has
-    drained: bool = False  # by hand: clients are sent away
+    kill_at: int = 0  # after SIGTERM: SIGKILL may follow soon after this time
+    drained: bool = False  # by an operator: clients are disconnected
     pending_orders: dict[int, fx.RecordOrder] = field(
         default_factory=dict
-    )  # of callers, waiting for the other process
-    siblings: tuple[fx.SiblingProcess, ...] = ()  # other processes of this scheduler
-    published_usage: fx.PublishUsage | None = None  # what they were told last
+    )  # by operator call: commands that wait for the sibling process's lock
+    siblings: tuple[fx.SiblingProcess, ...] = ()  # the other processes of this scheduler
+    published_usage: fx.PublishUsage | None = None  # what was last published to them
     last_id: int = 0
 
     def next_id(self) -> int:
+        """Return a new id, unique in this process."""
         self.last_id += 1
         return self.last_id
 
     def able_to_serve(self) -> bool:
-        """This process can serve, whether or not clients are sent to it."""
+        """Whether this process can serve, drained or not."""
         return (
             self.phase is ProcessPhase.SERVING
             and self.workers_listed
@@ -164,9 +183,9 @@
         )
 
     def ready(self) -> bool:
-        """Clients may be sent here."""
+        """Whether new clients may be sent to this process."""
         return self.able_to_serve() and not self.drained
 
     def leaving(self) -> bool:
-        """Each answer is its client's last here."""
+        """Whether each response closes its client connection."""
         return self.drained or self.phase in (ProcessPhase.DRAINING, ProcessPhase.LISTENER_CLOSED)
--- a/reedspoke/net/workers.py
+++ b/reedspoke/net/workers.py
@@ -1,16 +1,16 @@
-"""Issuer hosts as the directory lists them, and the watch on it.
-
-The watch is off, asked for (`follow`), or alive: `Listed` and `Beaten` keep it alive, `Unlisted` or a
-silence ends it. Where discovery is asked, a call costs one service that all share: the module asks for the
-first watch (`Watch`). Where lists are pushed, an agent on this machine has them and answers at no cost: the
-watch is opened at the start. One that is lost is opened again here in both cases, and the module hears of
-lists alone. A host stands in the table from the first list that names it until one says that it is gone, or
-leaves it out of a whole list. The module hears of operators' bans before it hears of the list that they bear
-on.
-
-What discovery has counts as told 6 s after it could be reached, arrived or not, whatever failed before. So
-there is one deadline for the next call, from the last word or the last call made in vain (`word_at`), and no
-lot or doubling goes beyond it (`docs/watching.md` has the arithmetic).
+"""Workers as the directory lists them, and the watch on the directory.
+
+The watch is closed, requested (`start_watch`), or alive: `WorkersListed` and `DirectoryHeartbeat` keep it
+alive, `WatchLost` or a time-out ends it. Where discovery is called on request, each call loads a service that
+all schedulers share, so the decision module requests the first watch (`Watch`). Where lists are pushed, an
+agent on this machine serves them at no cost, and the watch is opened at the start. A lost watch is reopened
+here in both cases; the decision module only receives lists. A worker is kept from the first list that names
+it until a list says that it is gone or a complete list omits it. The decision module is notified of
+suspensions before the list that they apply to.
+
+Updates count as delivered 6 s after the directory became reachable, received or not, whatever failed before.
+So there is one deadline for the next call, counted from the last message or the last failed call
+(`watch_active_at`), and no delay or backoff exceeds it (`docs/watching.md` has the calculation).
 """
 
 from __future__ import annotations
@@ -22,28 +22,26 @@
 from reedspoke.net.core import MS, SECOND, Component, Core, EventHandlers, TimerHandlers
 from reedspoke.net.state import ProcessPhase, Worker
 
-MAX_REMOVED_IDS = 1000  # ids of hosts that have gone and are known still, for the operators' calls
-WATCH_TIMEOUT = 3 * SECOND  # of the directory, which beats every 2 s and may keep a call waiting for as long
-UPDATE_DEADLINE = 6 * SECOND  # what the directory has counts as told so long after it could be reached
-MOVE_DEADLINE = 4 * SECOND  # from a new address of the directory's
-ANSWER_TIMEOUT = 2 * SECOND  # that a call may wait at a directory that many ask
-MAX_CALL_INTERVAL = (
-    UPDATE_DEADLINE - ANSWER_TIMEOUT
-)  # from a word, or from a call made in vain, to the next call at the most
-CALL_SPACING = 6 * MS  # of one directory's time, for each scheduler that may call at the same moment
-AGENT_FIRST_TIMEOUT = SECOND  # for the first word of an agent on this machine, which answers at once
-AGENT_START_TIMEOUT = (
-    2 * SECOND
-)  # of an agent at the start, before its scheduler goes by the list it was given
-RETRY_DELAY, MAX_RETRY_DELAY = 50 * MS, SECOND  # until a lost watch is opened again, doubled each time
-DRAIN_RETRIES = 3  # while a drain's window lasts; doublings of a lot
-SLOT_STEP = 0.618  # of all lots, from one to the next: who came first comes later the next time
+MAX_REMOVED_IDS = 1000  # ids of removed workers that operator calls may still name
+WATCH_TIMEOUT = 3 * SECOND  # the directory sends a heartbeat every 2 s and may delay a response as long
+UPDATE_DEADLINE = 6 * SECOND  # updates count as delivered this long after the directory became reachable
+MOVE_DEADLINE = 4 * SECOND  # the same, after the directory moved to a new address
+ANSWER_TIMEOUT = 2 * SECOND  # for the response of a directory under load
+MAX_CALL_INTERVAL = UPDATE_DEADLINE - ANSWER_TIMEOUT  # from the last message or failed call to the next call
+CALL_SPACING = 6 * MS  # directory time per call, for all schedulers that may call at once
+AGENT_FIRST_TIMEOUT = SECOND  # for the first message of a local agent, which responds at once
+AGENT_START_TIMEOUT = 2 * SECOND  # for an agent at the start, before the configured list is used
+RETRY_DELAY, MAX_RETRY_DELAY = 50 * MS, SECOND  # before a lost watch is reopened, doubled each time
+DRAIN_RETRIES = 3  # retries within a drain's grace period; doublings of the call delay
+SLOT_STEP = 0.618  # shift of all call slots per failure, so that the order of schedulers changes
 OUTDATED_LIMIT = (
     10 * SECOND
-)  # of lists older than ours and nothing else: the directory has begun its versions anew
+)  # after only outdated lists for so long, the directory has restarted its versions
 
 
 class Workers(Component):
+    """The table of workers and the watch on the directory."""
+
     def __init__(self, core: Core, clients: Clients, attempts: Attempts) -> None:
         super().__init__(core)
         self.clients, self.attempts = clients, attempts
@@ -57,24 +55,24 @@
 
     def timer_handlers(self) -> TimerHandlers:
         return {
-            "silence": self._on_silence_timer,
-            "settle": lambda _: self.settle(),
-            "watch": lambda _: self.follow(),
-            "unheard": lambda _: self._tell(api.ListKind.CHANGES, []),
+            "watch timeout": self._on_watch_timer,
+            "start accepting": lambda _: self.start_accepting(),
+            "watch": lambda _: self.start_watch(),
+            "agent start": lambda _: self._notify_list(api.ListKind.CHANGES, []),
         }
 
     @property
     def pushed(self) -> bool:
-        """Lists are an agent's to push: nobody is asked for them, and a watch costs nothing."""
+        """Whether an agent pushes the lists, so that a watch costs nothing."""
         return not self.core.settings.list_on_request
 
     def watch(self) -> None:
-        """The module asks for the list; a watch that is open, or will be opened again here, is not opened
-        twice."""
+        """Open the watch that the decision module requests, unless it is open or about to be reopened."""
         if not self.state.watching and not self.state.watch_losses:
-            self.follow()
+            self.start_watch()
 
-    def follow(self) -> None:
+    def start_watch(self) -> None:
+        """Request a watch on the directory."""
         if self.state.phase is ProcessPhase.ENDED:
             return
         self.core.count("watches")
@@ -82,56 +80,58 @@
         self.core.cancel_timer(("watch", 0))
         self.core.request_effect(fx.StartWatch(self.state.directory, self.state.revision))
         self.core.set_timer(
-            ("silence", 0), self.core.now + (AGENT_FIRST_TIMEOUT if self.pushed else WATCH_TIMEOUT)
+            ("watch timeout", 0), self.core.now + (AGENT_FIRST_TIMEOUT if self.pushed else WATCH_TIMEOUT)
         )
 
     def move(self, directory: tuple[str, int]) -> None:
-        """Versions are the old one's: asked for changes since 0, the new one tells all that it has. All
-        schedulers move at the same moment, so each calls by its own lot."""
+        """Move to another directory, and request its complete list, since versions are per directory.
+
+        All schedulers move at the same time, so each calls in its own slot."""
         state = self.state
         state.directory, state.revision, state.outdated_since = directory, 0, 0
         state.watch_losses = 0
         if self.pushed:
-            self.follow()
+            self.start_watch()
         else:
             self.core.request_effect(fx.StopWatch())
-            self.core.cancel_timer(("silence", 0))
+            self.core.cancel_timer(("watch timeout", 0))
             state.watching = False
             state.watch_active_at = self.core.now + MOVE_DEADLINE - UPDATE_DEADLINE
-            self._follow_by_lot()
+            self._schedule_call()
 
-    def _follow_by_lot(self) -> None:
-        self.core.set_timer(("watch", 0), self.core.now + self._lot())
+    def _schedule_call(self) -> None:
+        self.core.set_timer(("watch", 0), self.core.now + self._call_delay())
         self.state.watch_losses += 1
 
-    def _lot(self) -> int:
-        """This scheduler's part of the time in which all of them may call a directory that answers one after
-        another: as long as they need, longer each time they call in vain, and never beyond the deadline of
-        the next call. Guards against back-offs: a drain told right behind a call that failed has to be heard
-        of before it counts as told."""
+    def _call_delay(self) -> int:
+        """Return the delay until this scheduler's call slot.
+
+        A directory answers calls one after another, so the calls of all schedulers are spread over the time
+        that it needs for them, doubled with each failure. The delay never exceeds the deadline of the next
+        call: a drain published right after a failed call must be received before it counts as delivered."""
         schedulers, losses = self.core.settings.scheduler_count, self.state.watch_losses
         left = max(0, self.state.watch_active_at + MAX_CALL_INTERVAL - self.core.now)
         part = (self.core.settings.scheduler_index + 0.5) / schedulers + losses * SLOT_STEP
         if not losses:
             return int(min(schedulers * CALL_SPACING, max(RETRY_DELAY, left)) * (part % 1))
-        span = max(schedulers * CALL_SPACING * 2 ** min(losses, DRAIN_RETRIES), self._again())
+        span = max(schedulers * CALL_SPACING * 2 ** min(losses, DRAIN_RETRIES), self._retry_delay())
         return int(min(span, left / 1.5) * (part % 1 + 0.5))
 
-    def _again(self) -> int:
+    def _retry_delay(self) -> int:
         doubled: int = RETRY_DELAY * 2 ** min(self.state.watch_losses, 8)
         return min(MAX_RETRY_DELAY, doubled)
 
-    def _heard(self) -> None:
-        """A sign of life of the directory: the watch is alive."""
+    def _on_watch_alive(self) -> None:
+        """Record a message of the directory: the watch is alive."""
         self.state.watch_losses, self.state.watch_active_at = 0, self.core.now
-        self.core.set_timer(("silence", 0), self.core.now + WATCH_TIMEOUT)
-        self.settle()
+        self.core.set_timer(("watch timeout", 0), self.core.now + WATCH_TIMEOUT)
+        self.start_accepting()
 
     def _on_workers_listed(self, event: fx.WorkersListed) -> None:
         state = self.state
         if event.kind is not api.ListKind.STALE:
-            self._heard()
-        if self._older(event):
+            self._on_watch_alive()
+        if self._is_outdated(event):
             return
         state.revision = event.revision
         full = event.kind is not api.ListKind.CHANGES
@@ -140,34 +140,37 @@
             if full and host.uid not in named:
                 self._remove(host)
         for target in event.targets:
-            self._learn(target)
+            self._update(target)
         for uid in [uid for uid in state.ever_listed if uid not in state.workers][: -MAX_REMOVED_IDS or None]:
             del state.ever_listed[uid]
         state.workers_listed = state.workers_listed or bool(state.workers)
-        self.apply_suspensions()  # before the list, or the module might use who is new on it
+        self.apply_suspensions()  # before the list, or the module might use a suspended worker
         if event.kind is api.ListKind.STALE and self.pushed:
-            # Guards drains at a start: what the agent holds is told from the first moment, and this list may
-            # be old. Until the agent has spoken, or has not for a while, the module holds what comes.
+            # The configured list may be old, while the agent's updates count as delivered at once. Until the
+            # agent's first message or a time-out, requests are held, so that no drain is missed at a start.
             state.unannounced_list = event
-            self.core.set_timer(("unheard", 0), self.core.now + AGENT_START_TIMEOUT)
+            self.core.set_timer(("agent start", 0), self.core.now + AGENT_START_TIMEOUT)
         else:
-            self._tell(event.kind, event.targets)
+            self._notify_list(event.kind, event.targets)
+
+    def _notify_list(self, kind: api.ListKind, targets: list[fx.ListedWorker]) -> None:
+        """Pass a list to the decision module.
 
-    def _tell(self, kind: api.ListKind, targets: list[fx.ListedWorker]) -> None:
-        """To the module; changes of a list that it has not heard as one list, or it might use the old one
-        before them."""
+        Changes of a list that it has not received yet are merged into it, or the module might use the
+        outdated list before the changes."""
         entries = {target.entry.worker: target.entry for target in targets}
         if (known := self.state.unannounced_list) is not None:
             self.state.unannounced_list = None
-            self.core.cancel_timer(("unheard", 0))
+            self.core.cancel_timer(("agent start", 0))
             if kind is api.ListKind.CHANGES:
                 kind = api.ListKind.FULL
                 entries = {target.entry.worker: target.entry for target in known.targets} | entries
         self.core.notify_module(api.WorkerListUpdate(kind, list(entries.values())))
 
-    def _older(self, event: fx.WorkersListed) -> bool:
-        """Guards drains against a directory that has fallen behind us, an agent just restarted, say: hosts
-        that have left by a newer list would come back by an older one. Only departures are heeded in it."""
+    def _is_outdated(self, event: fx.WorkersListed) -> bool:
+        """Whether a list is outdated, as after an agent restart; only its departures are applied.
+
+        Otherwise workers that a newer list had drained or removed would return."""
         state = self.state
         if event.kind is api.ListKind.STALE or event.revision >= state.revision:
             state.outdated_since = 0
@@ -175,9 +178,7 @@
         if not state.outdated_since:
             state.outdated_since = self.core.now
             self.core.request_effect(
-                fx.WriteLog(
-                    f"directory: version {event.revision} is older than {state.revision}: passed over"
-                )
+                fx.WriteLog(f"directory: version {event.revision} is older than {state.revision}: ignored")
             )
         if self.core.now >= state.outdated_since + OUTDATED_LIMIT:
             state.outdated_since = 0
@@ -187,9 +188,9 @@
             named = {target.entry.worker for target in event.targets}
             left += [self._gone(host) for uid, host in state.workers.items() if uid not in named]
         for target in left:
-            self._learn(target)
+            self._update(target)
         if left or state.unannounced_list:
-            self._tell(api.ListKind.CHANGES, left)
+            self._notify_list(api.ListKind.CHANGES, left)
         return True
 
     @staticmethod
@@ -197,15 +198,14 @@
         entry = api.WorkerEntry(host.uid, "", "", 0, api.WorkerState.GONE, 1.0, host.started_at)
         return fx.ListedWorker(entry, host.endpoint)
 
-    def settle(self) -> None:
-        """From now on clients are taken in."""
+    def start_accepting(self) -> None:
+        """Start to accept clients."""
         if not self.state.workers_known:
             self.state.workers_known = True
             self.clients.make_room()
 
     def apply_suspensions(self) -> None:
-        """Guards the operators' ban: it is for the machine as well as for its id, which may come back with a
-        fresh one at the same address."""
+        """Apply the operators' suspensions, by id and by endpoint: a machine may return under a new id."""
         state, none = self.state, ("", 0)
         for uid in state.suspended:
             if (host := state.workers.get(uid)) is not None:
@@ -216,13 +216,13 @@
         }
         for uid in sorted(barred ^ state.excluded):
             if (host := state.workers.get(uid)) is not None:
-                self._drop_idle(host)  # it is worked on: their other end will be another process
+                self._disconnect_idle(host)  # under maintenance: another process will listen there
             self.core.notify_module(api.SuspensionChange(uid, uid in barred))
         state.excluded = barred
         for host in state.workers.values():
             host.suspended = host.uid in barred
 
-    def _learn(self, target: fx.ListedWorker) -> None:
+    def _update(self, target: fx.ListedWorker) -> None:
         entry = target.entry
         host = self.state.workers.get(entry.worker)
         if entry.state is api.WorkerState.GONE:
@@ -238,38 +238,38 @@
             host.endpoint,
             host.started_at,
         ):
-            self._drop_idle(host)  # their other end may be another process by now
+            self._disconnect_idle(host)  # another process may listen there by now
         host.endpoint, host.state, host.started_at = target.endpoint, entry.state, entry.started_at
 
     def _remove(self, host: Worker) -> None:
-        """Forgotten at once, or the table would grow with every deploy; legs that are out go on."""
-        self._drop_idle(host)
+        """Remove a worker at once, or the table would grow with every deployment; its attempts continue."""
+        self._disconnect_idle(host)
         del self.state.workers[host.uid]
 
-    def _drop_idle(self, host: Worker) -> None:
+    def _disconnect_idle(self, host: Worker) -> None:
         for conn in list(host.idle):
-            self.attempts.hang_up(self.state.connections[conn])
+            self.attempts.disconnect(self.state.connections[conn])
 
     def _on_directory_heartbeat(self, _: fx.DirectoryHeartbeat) -> None:
-        self._heard()
+        self._on_watch_alive()
         if self.state.unannounced_list:
-            self._tell(api.ListKind.CHANGES, [])
+            self._notify_list(api.ListKind.CHANGES, [])
 
     def _on_watch_lost(self, event: fx.WatchLost) -> None:
         self.state.watching = False
-        self.core.cancel_timer(("silence", 0))
+        self.core.cancel_timer(("watch timeout", 0))
         self.core.count("watches lost")
         self.core.log_rate_limited("watch lost", f"directory: watch lost: {event.reason}")
         if self.pushed:
-            # What an agent holds is told meanwhile: some times in a drain's window.
+            # The agent's updates count as delivered meanwhile: retry several times per drain grace period.
             pause = min(
-                self._again(), max(RETRY_DELAY, self.core.settings.rules.drain_grace // DRAIN_RETRIES)
+                self._retry_delay(), max(RETRY_DELAY, self.core.settings.rules.drain_grace // DRAIN_RETRIES)
             )
             self.core.set_timer(("watch", 0), self.core.now + pause)
             self.state.watch_losses += 1
         else:
-            self._follow_by_lot()
+            self._schedule_call()
 
-    def _on_silence_timer(self, _: int) -> None:
+    def _on_watch_timer(self, _: int) -> None:
         self.core.request_effect(fx.StopWatch())
-        self._on_watch_lost(fx.WatchLost("silence"))
+        self._on_watch_lost(fx.WatchLost("time-out"))
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -232,7 +232,7 @@
     clients[1].send(ask("3c", cls="book"))
     node.next_wire().serve()
     assert clients[1].message().status == 200
-    node.logged("kept connections fail")
+    node.logged("idle connections fail")
 
 
 def test_client_that_leaves_ends_its_leg(start: Start) -> None:
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -168,7 +168,7 @@
         wire.close()
     node.next_wire().serve()
     assert client.message().status == 200
-    assert "kept connections fail" not in node.log()
+    assert "idle connections fail" not in node.log()
 
 
 def test_host_that_speaks_unasked_as_a_job_comes(start: Start) -> None:
--- a/tests/test_interleavings.py
+++ b/tests/test_interleavings.py
@@ -336,7 +336,7 @@
         assert not module.in_flight
         assert all(worker.used_slots == worker.running_slots == 0 for worker in module.workers.values())
         owners = {str(key[0]) for key in self.play.wheel._due}  # type: ignore[index]
-        assert owners <= {"silence", "watch", "module", "end", "unheard", "room"}
+        assert owners <= {"watch timeout", "watch", "module", "end", "agent start", "room"}
         assert len(state.timers) <= 1, "the module's beat"
         if self.stopping:
             self.heed(self.play.advance(20 * SECOND))
--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -164,7 +164,7 @@
     assert fx.DisconnectWorker(first) in effects
     assert conn_of(effects) != first
     assert not any(isinstance(effect, fx.ConnectWorker) for effect in play.tell(arrived(3)))
-    assert play.faults() == ["no descriptor is left for a leg"]
+    assert play.faults() == ["no descriptor is left for an attempt"]
 
 
 def test_tenants_that_nobody_knows_are_one() -> None:
