--- a/reedspoke/net/administration.py
+++ b/reedspoke/net/administration.py
@@ -99,19 +99,19 @@
         if event.caller not in state.operator_calls:
             return
         state.operator_calls[event.caller] = True
-        word = fx.CallResult.YES
+        result = fx.CallResult.YES
         match event.command:
             case fx.OperatorCommand.READY:
-                word = fx.CallResult.YES if state.able_to_serve() else fx.CallResult.NO
+                result = fx.CallResult.YES if state.able_to_serve() else fx.CallResult.NO
             case fx.OperatorCommand.SUSPEND | fx.OperatorCommand.RESUME:
                 if event.host in state.ever_listed or event.host in state.suspended:
-                    host = state.workers.get(event.host)
-                    endpoint = host.endpoint if host is not None else ("", 0)
+                    worker = state.workers.get(event.host)
+                    endpoint = worker.endpoint if worker is not None else ("", 0)
                     self.core.request_effect(
                         fx.RecordOrder(event.caller, event.command, event.host, endpoint)
                     )
                     return
-                word = fx.CallResult.UNKNOWN_WORKER
+                result = fx.CallResult.UNKNOWN_WORKER
             case fx.OperatorCommand.DRAIN | fx.OperatorCommand.ACTIVATE:
                 self.core.request_effect(fx.RecordOrder(event.caller, event.command))
                 return
@@ -120,7 +120,7 @@
                     self.core.request_effect(reply)
                 return
         self.core.request_effect(
-            fx.ReplyToOperator(event.caller, word, event.command is fx.OperatorCommand.METRICS)
+            fx.ReplyToOperator(event.caller, result, event.command is fx.OperatorCommand.METRICS)
         )
 
     # ---- recorded commands ----
@@ -169,7 +169,7 @@
         if state.siblings:
             for request in state.requests.values():
                 for attempt in request.in_flight.values():
-                    slots[attempt.host] = slots.get(attempt.host, 0) + request.slots
+                    slots[attempt.worker_id] = slots.get(attempt.worker_id, 0) + request.slots
         clients, door = len(state.clients), len(state.operator_calls) + 2
         descriptors = OWN_DESCRIPTORS + door + clients + max(clients + SPARE_ATTEMPTS, len(state.connections))
         learned = self.core.module.learned_state() if state.siblings else api.LearnedState()
--- a/reedspoke/net/attempts.py
+++ b/reedspoke/net/attempts.py
@@ -60,7 +60,7 @@
 
     def send(self, action: api.Send) -> None:
         """Start an attempt that the decision module requests."""
-        request, host = self.state.requests.get(action.id), self.state.workers.get(action.worker)
+        request, worker = self.state.requests.get(action.id), self.state.workers.get(action.worker)
         if request is None:
             self.core.log_fault("decision module: sends an unknown request")
             return
@@ -73,33 +73,33 @@
         request.attempts += 1
         request.in_flight[attempt.number] = attempt
         self.core.count("legs")
-        if host is None or not request.open:
+        if worker is None or not request.open:
             self.core.log_fault("decision module: sends to an unlisted worker, or an answered request")
             self.outcome(attempt, api.Reason.NOT_EXECUTED)
         else:
-            self._assign_connection(attempt, host)
+            self._assign_connection(attempt, worker)
 
-    def _assign_connection(self, attempt: Attempt, host: Worker) -> None:
-        if (conn := self._take_idle(host)) is not None:
+    def _assign_connection(self, attempt: Attempt, worker: Worker) -> None:
+        if (conn := self._take_idle(worker)) is not None:
             conn.attempt, attempt.conn = attempt, conn.id
             self._write_attempt(conn, attempt)
-        elif (connecting := self._connect(host)) is not None:
+        elif (connecting := self._connect(worker)) is not None:
             connecting.attempt, attempt.conn = attempt, connecting.id
             wait = self.core.settings.limits.connect_timeout or SECOND
             self.core.set_timer(("attempt", connecting.id), min(attempt.wait_until, self.core.now + wait))
         else:
             self.outcome(attempt, api.Reason.CONNECT_FAILED)
 
-    def _take_idle(self, host: Worker) -> WorkerConnection | None:
+    def _take_idle(self, worker: Worker) -> WorkerConnection | None:
         """Take the most recently used idle connection, which is farthest from its idle time-out."""
-        if not host.idle:
+        if not worker.idle:
             return None
-        conn = self.state.connections[host.idle.pop()]
+        conn = self.state.connections[worker.idle.pop()]
         del self.state.idle_connections[conn.id]
         self.core.cancel_timer(("idle", conn.id))
         return conn
 
-    def _connect(self, host: Worker) -> WorkerConnection | None:
+    def _connect(self, worker: Worker) -> WorkerConnection | None:
         """Open a connection; at the limit, the longest idle connection is closed to make room."""
         state = self.state
         # Clients beyond a budget that a sibling process has reduced stay in service.
@@ -119,7 +119,7 @@
         if len(state.connections) >= most:
             self.core.log_fault("no descriptor is left for an attempt")
             return None
-        conn = WorkerConnection(state.next_id(), host.uid, host.endpoint)
+        conn = WorkerConnection(state.next_id(), worker.uid, worker.endpoint)
         state.connections[conn.id] = conn
         self.core.count("dials")
         self.core.record_maximum("conns", len(state.connections))
@@ -145,13 +145,13 @@
     def _on_worker_connected(self, event: fx.WorkerConnected) -> None:
         if (conn := self.state.connections.get(event.conn)) is None:
             return
-        host = self.state.workers.get(conn.host)
+        worker = self.state.workers.get(conn.worker_id)
         if conn.probe_requested_at:
             self._send_probe(conn)
         elif conn.attempt is not None:
             # The list or a suspension may have changed while the connection was being established, and the
             # first byte decides whether a drain was obeyed.
-            if host is None or not host.accepts_attempts() or host.endpoint != conn.endpoint:
+            if worker is None or not worker.accepts_attempts() or worker.endpoint != conn.endpoint:
                 attempt = conn.attempt
                 self.disconnect(conn)
                 self.outcome(attempt, api.Reason.CONNECT_FAILED)
@@ -185,16 +185,16 @@
         """Retry on another connection if an idle connection had closed before the attempt was fully written.
 
         That says nothing about the worker, and the job cannot have run, so this is the same attempt."""
-        host = self.state.workers.get(conn.host)
-        ours = host is not None and host.accepts_attempts() and attempt.request.open
+        worker = self.state.workers.get(conn.worker_id)
+        ours = worker is not None and worker.accepts_attempts() and attempt.request.open
         if (
             conn.reused
             and not attempt.written
             and ours
-            and host is not None
+            and worker is not None
             and self.core.now < attempt.wait_until
         ):
-            self._assign_connection(attempt, host)
+            self._assign_connection(attempt, worker)
         else:
             self.outcome(attempt, reason if attempt.written else api.Reason.CONNECT_FAILED)
 
@@ -211,7 +211,7 @@
             attempt = conn.attempt
             self.core.notify_module(
                 api.AttemptUpdate(
-                    attempt.request.id, attempt.number, attempt.host, api.UpdateKind.UNACKNOWLEDGED
+                    attempt.request.id, attempt.number, attempt.worker_id, api.UpdateKind.UNACKNOWLEDGED
                 )
             )
 
@@ -236,7 +236,9 @@
         conn = self.state.connections.get(event.conn)
         if conn is not None and (attempt := conn.attempt) is not None:
             self.core.notify_module(
-                api.AttemptUpdate(attempt.request.id, attempt.number, attempt.host, event.kind, event.share)
+                api.AttemptUpdate(
+                    attempt.request.id, attempt.number, attempt.worker_id, event.kind, event.share
+                )
             )
 
     def _on_outcome_received(self, event: fx.OutcomeReceived) -> None:
@@ -273,7 +275,7 @@
             api.AttemptOutcome(
                 request.id,
                 attempt.number,
-                attempt.host,
+                attempt.worker_id,
                 reason,
                 self.core.now - attempt.created_at,
                 not request.open,
@@ -288,15 +290,15 @@
             self._release(conn)
 
     def _release(self, conn: WorkerConnection) -> None:
-        host = self.state.workers.get(conn.host)
-        if host is None or not host.accepts_attempts() or host.endpoint != conn.endpoint:
+        worker = self.state.workers.get(conn.worker_id)
+        if worker is None or not worker.accepts_attempts() or worker.endpoint != conn.endpoint:
             self.disconnect(conn)
             return
         if self.core.now < self.state.no_reuse_until:
             self.disconnect(conn)
             return
         conn.phase, conn.reused = ConnectionPhase.IDLE, True
-        host.idle.append(conn.id)
+        worker.idle.append(conn.id)
         self.state.idle_connections[conn.id] = None
         self.core.cancel_timer(("attempt", conn.id))
         self.core.set_timer(("idle", conn.id), self.core.now + self.conn_idle)
@@ -313,7 +315,7 @@
 
     def _on_connection_lost(self, conn: WorkerConnection, reason: api.Reason) -> None:
         """End the attempt or probe of a closed connection; an attempt not fully written never ran."""
-        host = self.state.workers.get(conn.host)
+        worker = self.state.workers.get(conn.worker_id)
         if conn.attempt is not None:
             self._suspend_reuse(conn)
             self._retry_unwritten(conn, conn.attempt, reason)
@@ -321,11 +323,11 @@
             conn.probe_requested_at
             and conn.reused
             and not conn.responding
-            and host is not None
+            and worker is not None
             and reason is api.Reason.RESET
         ):
             self._probe(
-                host, conn.probe_requested_at
+                worker, conn.probe_requested_at
             )  # an idle connection had closed, which says nothing about the worker
         elif conn.probe_requested_at and conn.phase in (ConnectionPhase.CONNECTING, ConnectionPhase.BUSY):
             self._report_probe(
@@ -342,8 +344,8 @@
         state.connections.pop(conn.id, None)
         if conn.id in state.idle_connections:
             del state.idle_connections[conn.id]
-            if (host := state.workers.get(conn.host)) is not None:
-                host.idle.remove(conn.id)
+            if (worker := state.workers.get(conn.worker_id)) is not None:
+                worker.idle.remove(conn.id)
         self.core.cancel_timer(("attempt", conn.id))
         self.core.cancel_timer(("idle", conn.id))
         self.core.cancel_timer(("acknowledge", conn.id))
@@ -359,18 +361,18 @@
 
     def probe(self, action: api.Probe) -> None:
         """Probe a worker for the decision module."""
-        host = self.state.workers.get(action.worker)
+        worker = self.state.workers.get(action.worker)
         self.core.count("probes")
-        if host is None:
+        if worker is None:
             self.core.notify_module(api.ProbeResult(action.worker, api.Reason.NOT_EXECUTED, 0))
         else:
-            self._probe(host, self.core.now)
+            self._probe(worker, self.core.now)
 
-    def _probe(self, host: Worker, asked: int) -> None:
+    def _probe(self, worker: Worker, asked: int) -> None:
         """Probe on an idle connection if possible: a new connection costs the worker more than the probe."""
-        conn = self._take_idle(host) or self._connect(host)
+        conn = self._take_idle(worker) or self._connect(worker)
         if conn is None:
-            self.core.notify_module(api.ProbeResult(host.uid, api.Reason.NOT_EXECUTED, 0))
+            self.core.notify_module(api.ProbeResult(worker.uid, api.Reason.NOT_EXECUTED, 0))
             return
         conn.probe_requested_at = asked
         if conn.phase is ConnectionPhase.IDLE:
@@ -388,6 +390,6 @@
         self, conn: WorkerConnection, reason: api.Reason, report: tuple[float, ...] = ()
     ) -> None:
         self.core.notify_module(
-            api.ProbeResult(conn.host, reason, self.core.now - conn.probe_requested_at, report)
+            api.ProbeResult(conn.worker_id, reason, self.core.now - conn.probe_requested_at, report)
         )
         conn.probe_requested_at = 0
--- a/reedspoke/net/client_server.py
+++ b/reedspoke/net/client_server.py
@@ -59,7 +59,7 @@
     """A gate rejects a request; `after`: us until a retry may succeed, 0: waiting does not help."""
 
     code = "not-admitted"
-    remedy = "the caller has to prove who it is: docs/identity.md"
+    remedy = "authenticate the caller: docs/identity.md"
 
     def __init__(self, status: int, after: int = 0) -> None:
         super().__init__(str(status))
@@ -79,14 +79,14 @@
     """The connection of a client that is owed no response is being closed."""
 
     code = "client-sent-away"
-    remedy = "nothing: a client that was owed nothing made room, or the process ends"
+    remedy = "nothing: an idle client was disconnected to make room, or at a shutdown"
 
 
 class Client:
     """One client connection, served by one coroutine."""
 
-    def __init__(self, side: ClientServer, number: int, stream: IOStream) -> None:
-        self.side, self.number, self.stream = side, number, stream
+    def __init__(self, server: ClientServer, number: int, stream: IOStream) -> None:
+        self.server, self.number, self.stream = server, number, stream
         self.buffer = Buffer()
         self.requests = Requests(self.buffer)
         self.answer: asyncio.Future[fx.SendResponse] | None = None
@@ -97,7 +97,7 @@
 
     async def serve(self) -> None:
         """Serve requests until the connection ends."""
-        emit = self.side.runtime.emit
+        emit = self.server.runtime.emit
         try:
             while await self._serve_one():
                 pass
@@ -130,22 +130,22 @@
         if plain is not None:
             status, last, allow = plain
             ready = path(head) == b"/ready" and status != 405
-            told = b"" if ready else problems.of_status(status)
+            body = b"" if ready else problems.of_status(status)
             more = allow + b"Cache-Control: no-store\r\n" + (b"" if ready else problems.FIELD)
-            data = answer_head(status, len(told), close=last, more=more)
-            await self._write(data if head.method == b"HEAD" else data + told)
+            data = answer_head(status, len(body), close=last, more=more)
+            await self._write(data if head.method == b"HEAD" else data + body)
             self._answered()
             return await self._finish(last)
         length = head.length()
         if length is None:
             raise MalformedError(411, "no length")
         self.requests.expect(length)
-        message = authorisation(head, self.side.classes)
+        message = authorisation(head, self.server.classes)
         done: Callable[[], None] | None = None
         forbidden: ForbiddenError | None = None
-        if self.side.gate is not None:
+        if self.server.gate is not None:
             try:
-                done = self.side.gate.admit(head, message, self.stream, self.number)
+                done = self.server.gate.admit(head, message, self.stream, self.number)
             except ForbiddenError as error:
                 forbidden = error
         try:
@@ -166,7 +166,7 @@
             body = self.requests.body()
         if forbidden is not None:  # the next request on this connection may be another caller's
             return await self._send_forbidden(
-                forbidden, not head.keeps_alive() or self.side.runtime.leaving()
+                forbidden, not head.keeps_alive() or self.server.runtime.leaving()
             )
         message.body = body
         answer = await self._wait_for_answer(message)
@@ -184,13 +184,13 @@
     async def _send_forbidden(self, forbidden: ForbiddenError, last: bool) -> bool:
         """Reject a request before the decision module sees it; after a 401 the client must reconnect."""
         last = last or forbidden.status == 401
-        told, more = problems.of_status(forbidden.status), problems.FIELD
+        body, more = problems.of_status(forbidden.status), problems.FIELD
         if forbidden.status == 401:
             more += b"WWW-Authenticate: Bearer\r\n"
         if forbidden.after:
             more += b"Retry-After: %.3f\r\n" % (forbidden.after / SECOND)
         self.replied = True
-        await self._write(answer_head(forbidden.status, len(told), close=last, more=more) + told)
+        await self._write(answer_head(forbidden.status, len(body), close=last, more=more) + body)
         self._answered()
         return await self._finish(last)
 
@@ -202,23 +202,23 @@
 
     def _begin(self) -> None:
         self.begun, self.replied = True, False
-        self.side.runtime.emit(fx.RequestStarted(self.number))
+        self.server.runtime.emit(fx.RequestStarted(self.number))
 
     def _answered(self) -> None:
         self.begun = False
-        self.side.runtime.emit(fx.ResponseSent(self.number))
+        self.server.runtime.emit(fx.ResponseSent(self.number))
 
     def _plain_answer(self, head: Head) -> tuple[int, bool, bytes] | None:
         """Return the response to what is not a job request: its status, whether the connection ends with it,
         and the Allow field."""
         named = path(head)
         bare = head.length() in (None, 0)
-        last = not head.keeps_alive() or not bare or self.side.runtime.leaving()
+        last = not head.keeps_alive() or not bare or self.server.runtime.leaving()
         if named == b"/ready":
             if head.method not in (b"GET", b"HEAD"):
                 return 405, True, b"Allow: GET, HEAD\r\n"
-            return (200 if self.side.runtime.ready() else 503), last, b""
-        if class_of(named) not in self.side.classes:
+            return (200 if self.server.runtime.ready() else 503), last, b""
+        if class_of(named) not in self.server.classes:
             return 404, last, b""
         if head.method != b"POST":
             return 405, last, b"Allow: POST\r\n"
@@ -228,8 +228,8 @@
         """Wait for the response; meanwhile read what the client sends ahead, and notice its disconnect."""
         self.answer = asyncio.get_running_loop().create_future()
         arrived = message.arrived(self.number)
-        arrived.open_in_sibling = not self.side.claim(message.name)
-        self.side.runtime.emit(arrived)
+        arrived.open_in_sibling = not self.server.claim(message.name)
+        self.server.runtime.emit(arrived)
         try:
             while not self.answer.done():
                 waits: set[asyncio.Future[Any]] = {self.answer}
@@ -280,9 +280,9 @@
 
     async def _send_error(self, status: int, why: str = "") -> None:
         """Send an error response and close, if the client is still connected."""
-        told = problems.of_status(status, why)
+        body = problems.of_status(status, why)
         with suppress(StreamClosedError, TimeoutError):
-            await self._write(answer_head(status, len(told), close=True, more=problems.FIELD) + told)
+            await self._write(answer_head(status, len(body), close=True, more=problems.FIELD) + body)
             await self._finish(True)
 
     async def _finish(self, last: bool) -> bool:
@@ -293,7 +293,7 @@
             return True
         if self.stream.closed():  # the client closed first, as happens at a shutdown
             return False
-        self.side.runtime.emit(fx.ClientClosing(self.number))
+        self.server.runtime.emit(fx.ClientClosing(self.number))
         if self.stream.closed():  # it was evicted at once
             return False
         end_sending(self.stream)
--- a/reedspoke/net/state.py
+++ b/reedspoke/net/state.py
@@ -63,7 +63,7 @@
 
     request: ClientRequest
     number: int
-    host: str
+    worker_id: str
     created_at: int
     wait_until: int  # when it is given up
     start_before: int = 0  # it must not be sent at or after this time, 0: no limit
@@ -75,7 +75,7 @@
     """A connection to a worker."""
 
     id: int
-    host: str
+    worker_id: str
     endpoint: tuple[str, int]
     phase: ConnectionPhase = ConnectionPhase.CONNECTING
     attempt: Attempt | None = None
--- a/reedspoke/net/workers.py
+++ b/reedspoke/net/workers.py
@@ -136,9 +136,9 @@
         state.revision = event.revision
         full = event.kind is not api.ListKind.CHANGES
         named = {target.entry.worker for target in event.targets}
-        for host in list(state.workers.values()):
-            if full and host.uid not in named:
-                self._remove(host)
+        for worker in list(state.workers.values()):
+            if full and worker.uid not in named:
+                self._remove(worker)
         for target in event.targets:
             self._update(target)
         for uid in [uid for uid in state.ever_listed if uid not in state.workers][: -MAX_REMOVED_IDS or None]:
@@ -186,7 +186,7 @@
         left = [target for target in event.targets if target.entry.state is not api.WorkerState.UP]
         if event.kind is api.ListKind.FULL:
             named = {target.entry.worker for target in event.targets}
-            left += [self._gone(host) for uid, host in state.workers.items() if uid not in named]
+            left += [self._gone(worker) for uid, worker in state.workers.items() if uid not in named]
         for target in left:
             self._update(target)
         if left or state.unannounced_list:
@@ -194,9 +194,9 @@
         return True
 
     @staticmethod
-    def _gone(host: Worker) -> fx.ListedWorker:
-        entry = api.WorkerEntry(host.uid, "", "", 0, api.WorkerState.GONE, 1.0, host.started_at)
-        return fx.ListedWorker(entry, host.endpoint)
+    def _gone(worker: Worker) -> fx.ListedWorker:
+        entry = api.WorkerEntry(worker.uid, "", "", 0, api.WorkerState.GONE, 1.0, worker.started_at)
+        return fx.ListedWorker(entry, worker.endpoint)
 
     def start_accepting(self) -> None:
         """Start to accept clients."""
@@ -208,46 +208,46 @@
         """Apply the operators' suspensions, by id and by endpoint: a machine may return under a new id."""
         state, none = self.state, ("", 0)
         for uid in state.suspended:
-            if (host := state.workers.get(uid)) is not None:
-                state.suspended[uid] = host.endpoint
-        places = set(state.suspended.values()) - {none}
-        barred = set(state.suspended) | {
-            host.uid for host in state.workers.values() if host.endpoint in places
+            if (worker := state.workers.get(uid)) is not None:
+                state.suspended[uid] = worker.endpoint
+        endpoints = set(state.suspended.values()) - {none}
+        excluded = set(state.suspended) | {
+            worker.uid for worker in state.workers.values() if worker.endpoint in endpoints
         }
-        for uid in sorted(barred ^ state.excluded):
-            if (host := state.workers.get(uid)) is not None:
-                self._disconnect_idle(host)  # under maintenance: another process will listen there
-            self.core.notify_module(api.SuspensionChange(uid, uid in barred))
-        state.excluded = barred
-        for host in state.workers.values():
-            host.suspended = host.uid in barred
+        for uid in sorted(excluded ^ state.excluded):
+            if (worker := state.workers.get(uid)) is not None:
+                self._disconnect_idle(worker)  # under maintenance: another process will listen there
+            self.core.notify_module(api.SuspensionChange(uid, uid in excluded))
+        state.excluded = excluded
+        for worker in state.workers.values():
+            worker.suspended = worker.uid in excluded
 
     def _update(self, target: fx.ListedWorker) -> None:
         entry = target.entry
-        host = self.state.workers.get(entry.worker)
+        worker = self.state.workers.get(entry.worker)
         if entry.state is api.WorkerState.GONE:
-            if host is not None:
-                self._remove(host)
+            if worker is not None:
+                self._remove(worker)
             return
-        if host is None:
-            host = Worker(entry.worker, target.endpoint, entry.state, entry.started_at)
-            self.state.workers[host.uid] = host
-            self.state.ever_listed[host.uid] = None
+        if worker is None:
+            worker = Worker(entry.worker, target.endpoint, entry.state, entry.started_at)
+            self.state.workers[worker.uid] = worker
+            self.state.ever_listed[worker.uid] = None
             return
         if entry.state is not api.WorkerState.UP or (target.endpoint, entry.started_at) != (
-            host.endpoint,
-            host.started_at,
+            worker.endpoint,
+            worker.started_at,
         ):
-            self._disconnect_idle(host)  # another process may listen there by now
-        host.endpoint, host.state, host.started_at = target.endpoint, entry.state, entry.started_at
+            self._disconnect_idle(worker)  # another process may listen there by now
+        worker.endpoint, worker.state, worker.started_at = target.endpoint, entry.state, entry.started_at
 
-    def _remove(self, host: Worker) -> None:
+    def _remove(self, worker: Worker) -> None:
         """Remove a worker at once, or the table would grow with every deployment; its attempts continue."""
-        self._disconnect_idle(host)
-        del self.state.workers[host.uid]
+        self._disconnect_idle(worker)
+        del self.state.workers[worker.uid]
 
-    def _disconnect_idle(self, host: Worker) -> None:
-        for conn in list(host.idle):
+    def _disconnect_idle(self, worker: Worker) -> None:
+        for conn in list(worker.idle):
             self.attempts.disconnect(self.state.connections[conn])
 
     def _on_directory_heartbeat(self, _: fx.DirectoryHeartbeat) -> None:
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -1,4 +1,4 @@
-"""The real program as a process, and its scripted peers on loopback: a client, issuer hosts, discovery."""
+"""The program as a process, and its scripted peers on loopback: clients, workers and discovery."""
 
 from __future__ import annotations
 
@@ -21,11 +21,12 @@
 
 from tests.ports import free_port
 
-WAIT = 8.0  # s after which a peer gives up: far more than anything here takes
+WAIT = 8.0  # s: the time-out of all peers, far longer than any step of a test
 ROOT = Path(__file__).parent.parent
 
 
 def category(name: str, repeat: str) -> dict[str, Any]:
+    """Return the settings of one job class."""
     return {
         "name": name, "repeat": repeat, "hard_limit": 5_000_000, "aim": 400_000, "importance": 1.0,
         "group": "zone", "window": 2_000_000,
@@ -53,26 +54,31 @@
 
 @dataclass
 class Message:
+    """A parsed HTTP request or response."""
+
     first: str
     fields: dict[str, str]
     body: bytes = b""
 
     @property
     def status(self) -> int:
+        """The status of a response."""
         return int(self.first.split()[1])
 
 
 class Wire:
-    """One connection as its other end sees it."""
+    """The peer's side of a connection to the program."""
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock, self.data = sock, b""
         sock.settimeout(WAIT)
 
     def send(self, data: bytes) -> None:
+        """Send all bytes."""
         self.sock.sendall(data)
 
     def until(self, enough: Callable[[bytes], bool]) -> None:
+        """Read until the buffered data satisfies a condition; raise EOFError if the connection ends first."""
         while not enough(self.data):
             got = self.sock.recv(65536)
             if not got:
@@ -80,6 +86,7 @@
             self.data += got
 
     def head(self) -> Message:
+        """Read a start line and header."""
         self.until(lambda data: b"\r\n\r\n" in data)
         head, _, self.data = self.data.partition(b"\r\n\r\n")
         first, *lines = head.decode("latin-1").split("\r\n")
@@ -87,6 +94,7 @@
         return Message(first, fields)
 
     def message(self) -> Message:
+        """Read a message with its body."""
         got = self.head()
         length = int(got.fields.get("content-length", "0"))
         self.until(lambda data: len(data) >= length)
@@ -94,46 +102,52 @@
         return got
 
     def ended(self) -> bool:
-        """The other end closes without another byte."""
+        """Whether the program closes without another byte."""
         try:
             return not self.data and self.sock.recv(1) == b""
         except ConnectionResetError:
             return True
 
     def close(self) -> None:
+        """Close the connection."""
         self.sock.close()
 
     def reset(self) -> None:
+        """Reset the connection."""
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self.sock.close()
 
-    # ---- as an issuer host or discovery ----
+    # ---- as a worker or discovery ----
 
     def begin(self, status: int = 200, fields: str = "") -> None:
+        """Send the header of a chunked response."""
         self.send(f"HTTP/1.1 {status} Any\r\n{fields}Transfer-Encoding: chunked\r\n\r\n".encode())
 
-    def chunk(self, told: object) -> None:
-        data = told if isinstance(told, bytes) else json.dumps(told).encode() + b"\n"
+    def chunk(self, content: object) -> None:
+        """Send one chunk: bytes, or an object as a JSON line."""
+        data = content if isinstance(content, bytes) else json.dumps(content).encode() + b"\n"
         self.send(b"%x\r\n%b\r\n" % (len(data), data))
 
     def end(self) -> None:
+        """Send the last chunk."""
         self.send(b"0\r\n\r\n")
 
-    def state(self, leg: Message, state: str, **more: object) -> None:
-        self.chunk({"id": leg.fields["x-request-id"], "from": "peer", "state": state, **more})
+    def state(self, attempt: Message, state: str, **more: object) -> None:
+        """Send a state line of an attempt."""
+        self.chunk({"id": attempt.fields["x-request-id"], "from": "peer", "state": state, **more})
 
-    def serve(self, leg: Message | None = None, result: object = "fine") -> Message:
-        """Run a leg to its end."""
-        leg = leg or self.message()
+    def serve(self, attempt: Message | None = None, result: object = "fine") -> Message:
+        """Complete an attempt with a result."""
+        attempt = attempt or self.message()
         self.begin()
-        self.state(leg, "started")
-        self.state(leg, "done", result=result)
+        self.state(attempt, "started")
+        self.state(attempt, "done", result=result)
         self.end()
-        return leg
+        return attempt
 
 
 class Peer:
-    """A listening address of an issuer host or of discovery."""
+    """The listener of a worker or of discovery."""
 
     def __init__(self, uid: str = "", backlog: int = 64) -> None:
         self.uid, self.backlog = uid, backlog
@@ -144,15 +158,17 @@
         self.endpoint = f"127.0.0.1:{self.sock.getsockname()[1]}"
 
     def accept(self) -> Wire:
+        """Accept a connection."""
         return Wire(self.sock.accept()[0])
 
     def listen(self) -> None:
-        """At the same address, after an end."""
+        """Listen again at the same address after a close."""
         host, port = self.endpoint.split(":")
         self.sock = socket.create_server((host, int(port)), backlog=self.backlog)
         self.sock.settimeout(WAIT)
 
     def entry(self, state: str = "Ready", **more: object) -> dict[str, Any]:
+        """Return the directory entry of this worker."""
         fixed = {"az": "a", "model": "fast", "pod_group": 0, "capacity_hint": 1.0, "boot_ms": 0}
         return {"uid": self.uid, "endpoint": self.endpoint, "state": state, **fixed, **more}
 
@@ -160,6 +176,7 @@
 def ask(
     name: str = "1a", cls: str = "quote", body: bytes = b"work", deadline: float = 5.0, more: str = ""
 ) -> bytes:
+    """Return a job request."""
     return (
         f"POST /{cls} HTTP/1.1\r\nHost: origin.svc\r\nX-Request-Id: {name}\r\nX-Class: {cls}\r\n"
         f"X-Tenant: acme\r\nX-Deadline: {deadline:.3f}\r\nX-Cost-Hint: 50000\r\n"
@@ -168,7 +185,7 @@
 
 
 class Node:
-    """The program, started as the platform does."""
+    """The program, started as the platform starts it."""
 
     def __init__(
         self, folder: Path, hosts: int, sockets: int, ceilings: dict[str, Any],
@@ -176,11 +193,11 @@
         pushed: bool = False, me: int = 0, balancers: int | None = None, more: dict[str, Any] | None = None,
         hosts_of: Node | None = None,
     ) -> None:  # fmt: skip
-        """`more`: further keys of the configuration; `hosts_of`: another scheduler of the same hosts."""
+        """`more`: further configuration keys; `hosts_of`: another scheduler of the same workers."""
         shared = beside or hosts_of
         self.hosts: list[Peer] = shared.hosts if shared else [Peer(f"s-{i}") for i in range(hosts)]
         self.discovery = Peer()
-        self.indent: int | None = None  # of the lists that discovery writes
+        self.indent: int | None = None  # JSON indentation of discovery's lists
         self.clients: list[Wire] = []
         self.listener: socket.socket | None = beside.listener if beside else listener
         self.port, self.door = free_port(), free_port()
@@ -198,7 +215,7 @@
         }  # fmt: skip
         self.told, self.config = told, folder / f"config-{me}.json"
         self.config.write_text(json.dumps(told))
-        own = folder / f"n{me}" if me else folder  # of this scheduler alone: its successor shares it
+        own = folder / f"n{me}" if me else folder  # private to this scheduler and its successor process
         own.mkdir(exist_ok=True)
         self.errors = folder / f"log-{self.door}"
         self.operator = folder / f"operator-{self.door}.json"
@@ -214,45 +231,49 @@
                 **named, **({"REEDSPOKE_OPERATOR": str(self.operator)} if operator is not None else {}),
             }, pass_fds=inherited,
         )  # fmt: skip
-        self.watch = self.discovery.accept()  # it asks soon after it has begun to listen
+        self.watch = self.discovery.accept()  # the program calls soon after its listener opens
         self.followed = self.watch.message().first
 
     def client(self, data: bytes = b"") -> Wire:
+        """Connect as a client and send data."""
         wire = Wire(socket.create_connection(("127.0.0.1", self.port), WAIT))
         wire.send(data)
-        self.clients.append(wire)  # one that is dropped would close, and its client be gone
+        self.clients.append(wire)  # an unreferenced socket would be closed
         return wire
 
     def caller(self, data: bytes = b"") -> Wire:
+        """Connect to the operator listener and send data."""
         wire = Wire(socket.create_connection(("127.0.0.1", self.door), WAIT))
         wire.send(data)
         self.clients.append(wire)
         return wire
 
     def call(self, path: str, method: str = "") -> Message:
-        """A whole call at the operators' door."""
+        """Make an operator call."""
         method = method or ("GET" if path in ("/v1/readyz", "/v1/metrics") else "POST")
         wire = self.caller(f"{method} {path} HTTP/1.1\r\nHost: ops\r\n\r\n".encode())
         answer = wire.message()
-        assert wire.ended(), "one call to a connection"
+        assert wire.ended(), "one call per connection"
         return answer
 
     def figures(self) -> dict[str, int]:
+        """Return the metrics."""
         lines = self.call("/v1/metrics").body.decode().splitlines()
         return {name: int(value) for name, value in (line.rsplit(" ", 1) for line in lines if line[0] != "#")}
 
     def next_wire(self, *wires: Wire) -> Wire:
-        """Where the next leg comes: on one of these connections, or on a new one to any host."""
+        """Return the connection with the next attempt or probe: one of these, or a new one to any worker."""
         sources = [host.sock for host in self.hosts if host.sock.fileno() >= 0] + [
             wire.sock for wire in wires
         ]
         ready = select.select(sources, [], [], WAIT)[0]
-        assert ready, "no leg comes"
+        assert ready, "no attempt arrives"
         return next((wire for wire in wires if wire.sock is ready[-1]), None) or Wire(ready[0].accept()[0])
 
     def attempt(self, *wires: Wire) -> tuple[Wire, Message]:
-        """The next attempt, on one of these or on a new connection. Those that end without a byte, as one
-        that came up for nobody does, are passed over."""
+        """Read the next attempt, on one of these connections or a new one.
+
+        Connections that close without a byte, such as unneeded ones, are skipped."""
         known = list(wires)
         while True:
             wire = self.next_wire(*known)
@@ -263,26 +284,28 @@
                 known = [other for other in known if other is not wire]
 
     def quiet(self, wait: float = 0.3) -> bool:
-        """No host is connected to for a while."""
+        """Whether no worker gets a new connection for a while."""
         return not select.select([host.sock for host in self.hosts], [], [], wait)[0]
 
     def list(self, *entries: object, rev: int = 42, full: bool = False) -> None:
-        told = json.dumps({"rev": rev, "all": full, "targets": entries}, indent=self.indent).encode()
-        for at in range(0, len(told), 100):
-            self.watch.chunk(told[at : at + 100])
+        """Send a list on the watch, in pieces."""
+        listed = json.dumps({"rev": rev, "all": full, "targets": entries}, indent=self.indent).encode()
+        for at in range(0, len(listed), 100):
+            self.watch.chunk(listed[at : at + 100])
         self.watch.chunk(b"\n")
 
     def ready(self) -> int:
+        """Return the status of `GET /ready`."""
         return self.client(b"GET /ready HTTP/1.1\r\nHost: n\r\n\r\n").message().status
 
     def reload(self, text: str) -> None:
-        """Replace the configuration and tell the program so."""
+        """Replace the configuration and send SIGHUP."""
         self.config.write_text(text)
         self.process.send_signal(signal.SIGHUP)
 
     @contextmanager
     def stopped(self) -> Iterator[None]:
-        """The process stands still: all that is done meanwhile comes to it in one moment."""
+        """Stop the process, so that it sees all that happens meanwhile at once."""
         self.process.send_signal(signal.SIGSTOP)
         stat = Path(f"/proc/{self.process.pid}/stat")
         while stat.read_text().rpartition(")")[2].split()[0] != "T":
@@ -293,22 +316,24 @@
             self.process.send_signal(signal.SIGCONT)
 
     def logged(self, text: str) -> None:
-        """Wait until the log says so."""
+        """Wait until the log contains a text."""
         end = time.monotonic() + WAIT
         while text not in self.log():
             assert time.monotonic() < end, self.log()
 
     def nothing_outstanding(self) -> None:
-        """Wait until no job is owed its answer."""
+        """Wait until no request is open."""
         end = time.monotonic() + WAIT
         while self.figures()["scheduler_outstanding"]:
             assert time.monotonic() < end, self.log()
 
     def stop(self) -> int:
+        """Send SIGTERM and return the exit status."""
         self.process.terminate()
         return self.process.wait(WAIT)
 
     def log(self) -> str:
+        """Return the log."""
         return self.errors.read_text()
 
 
@@ -317,7 +342,7 @@
 
 @contextmanager
 def nodes(folder: Path) -> Iterator[Start]:
-    """Starts nodes; at the end each must be sound still: it runs or has ended well, and logged no fault."""
+    """Start nodes; at the end each must be running or have exited with 0, and have logged no fault."""
     started: list[Node] = []
 
     def start(
@@ -333,7 +358,7 @@
         hosts_of: Node | None = None,
         **ceilings: Any,
     ) -> Node:
-        """`inherits`: the platform holds the listener; `beside`: the successor of such a node."""
+        """`inherits`: the platform holds the listener; `beside`: the node whose successor this is."""
         listener = Peer().sock if inherits else None
         started.append(Node(
                 folder, hosts, sockets, ceilings, listener, beside, operator, pushed, me, balancers, more,
@@ -355,9 +380,11 @@
 
 @pytest.fixture
 def start(tmp_path: Path) -> Iterator[Start]:
+    """Return a function that starts nodes."""
     with nodes(tmp_path) as starter:
         yield starter
 
 
 def took(since: float) -> float:
+    """Return the seconds since a monotonic time."""
     return time.monotonic() - since
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -1,4 +1,4 @@
-"""Legs to issuer hosts: PROTOCOL's outcome table, connections, cancels and deadlines."""
+"""Attempts at workers: PROTOCOL's outcome table, connections, cancels and deadlines."""
 
 from __future__ import annotations
 
@@ -16,46 +16,46 @@
 
 
 def status(code: int, fields: str = "") -> Callable[[Wire, Message], None]:
-    return lambda wire, leg: wire.send(
+    return lambda wire, attempt: wire.send(
         f"HTTP/1.1 {code} Any\r\n{fields}Content-Length: 3\r\n\r\nno\n".encode()
     )
 
 
-def told(state: str) -> Callable[[Wire, Message], None]:
-    def act(wire: Wire, leg: Message) -> None:
+def sends_state(state: str) -> Callable[[Wire, Message], None]:
+    def act(wire: Wire, attempt: Message) -> None:
         wire.begin()
-        wire.state(leg, state)
+        wire.state(attempt, state)
         wire.end()
 
     return act
 
 
-def breaks(wire: Wire, leg: Message) -> None:
+def breaks(wire: Wire, attempt: Message) -> None:
     wire.begin()
-    wire.state(leg, "started")
+    wire.state(attempt, "started")
     wire.close()
 
 
-def resets(wire: Wire, leg: Message) -> None:
+def resets(wire: Wire, attempt: Message) -> None:
     wire.reset()
 
 
-def ends_early(wire: Wire, leg: Message) -> None:
+def ends_early(wire: Wire, attempt: Message) -> None:
     wire.begin()
-    wire.state(leg, "started")
+    wire.state(attempt, "started")
     wire.end()
 
 
-def answers_another(wire: Wire, leg: Message) -> None:
+def answers_another(wire: Wire, attempt: Message) -> None:
     wire.begin()
     wire.chunk({"id": "ffff", "state": "done", "result": "not yours"})
 
 
-def talks_nonsense(wire: Wire, leg: Message) -> None:
+def sends_nonsense(wire: Wire, attempt: Message) -> None:
     wire.send(b"\x00\x01 nonsense\r\n\r\n")
 
 
-def cuts_json(wire: Wire, leg: Message) -> None:
+def truncates_json(wire: Wire, attempt: Message) -> None:
     wire.begin()
     wire.chunk(b'{"id":"1a","state":\n')
 
@@ -64,11 +64,11 @@
 @pytest.mark.parametrize(
     ("act", "never"),
     [
-        (told("returned"), NEVER),
+        (sends_state("returned"), NEVER),
         (status(503, NOT_RUN), NEVER),
         (status(504, NOT_RUN), NEVER),
-        (told("failed"), MAYBE),
-        (told("lost"), MAYBE),
+        (sends_state("failed"), MAYBE),
+        (sends_state("lost"), MAYBE),
         (status(500), MAYBE),
         (status(500, NOT_RUN), MAYBE),
         (status(503), MAYBE),
@@ -78,32 +78,39 @@
         (resets, MAYBE),
         (ends_early, MAYBE),
         (answers_another, MAYBE),
-        (talks_nonsense, MAYBE),
-        (cuts_json, MAYBE),
+        (sends_nonsense, MAYBE),
+        (truncates_json, MAYBE),
     ],
 )
-def test_outcome_decides_whether_a_job_goes_out_again(
+def test_outcome_decides_whether_a_job_is_retried(
     start: Start, cls: str, act: Callable[[Wire, Message], None], never: bool
 ) -> None:
-    """Guards the rule that a job which may have run goes out again only where its class allows it."""
+    """A job that may have run is retried only if its class allows it."""
     node = start(hosts=2)
     client = node.client(ask(cls=cls))
     wire = node.next_wire()
     act(wire, wire.message())
     if never or cls == "quote":
-        again, leg = node.attempt(*([wire] if act not in ENDS else []))
-        assert again.serve(leg).fields["x-request-id"] == "1a"
+        again, attempt = node.attempt(*([wire] if act not in CLOSING_ACTS else []))
+        assert again.serve(attempt).fields["x-request-id"] == "1a"
         assert client.message().body == b"fine"
     else:
         assert client.message().status == 502
         assert node.quiet()
 
 
-ENDS = (breaks, resets, ends_early, answers_another, talks_nonsense, cuts_json)  # the connection, too
+CLOSING_ACTS = (
+    breaks,
+    resets,
+    ends_early,
+    answers_another,
+    sends_nonsense,
+    truncates_json,
+)  # the connection closes, too
 
 
 @pytest.mark.parametrize("cls", ["quote", "book"])
-def test_host_that_refuses_connections_never_ran_the_job(start: Start, cls: str) -> None:
+def test_worker_that_refuses_connections_never_ran_the_job(start: Start, cls: str) -> None:
     node = start(hosts=2)
     node.hosts[0].sock.close()
     wires: list[Wire] = []
@@ -132,43 +139,43 @@
     assert client.message().body == body
 
 
-def test_leg_carries_what_came_and_how_long_it_is_waited_for(start: Start) -> None:
+def test_attempt_has_the_request_and_the_time_left(start: Start) -> None:
     node = start(hosts=1)
     body = bytes(range(256)) * 200
     data = ask(
         body=body, deadline=3.0, more="X-Odd: kept\r\nKeep-Alive: 5\r\nConnection: X-Hop\r\nX-Hop: no\r\n"
     )
     node.client(data.replace(b"POST /quote ", b"POST /quote/7?b=%20c&d "))
-    leg = node.hosts[0].accept().message()
-    assert leg.first == "POST /quote/7?b=%20c&d HTTP/1.1"
-    assert leg.body == body
-    assert leg.fields["x-request-id"] == "1a"
-    assert leg.fields["x-odd"] == "kept"
-    assert leg.fields["host"] == node.hosts[0].endpoint
-    assert not leg.fields.keys() & {"keep-alive", "x-hop", "connection"}
-    assert 2.9 < float(leg.fields["x-deadline"]) <= 3.0
+    attempt = node.hosts[0].accept().message()
+    assert attempt.first == "POST /quote/7?b=%20c&d HTTP/1.1"
+    assert attempt.body == body
+    assert attempt.fields["x-request-id"] == "1a"
+    assert attempt.fields["x-odd"] == "kept"
+    assert attempt.fields["host"] == node.hosts[0].endpoint
+    assert not attempt.fields.keys() & {"keep-alive", "x-hop", "connection"}
+    assert 2.9 < float(attempt.fields["x-deadline"]) <= 3.0
 
 
 @pytest.mark.parametrize(
     "key", ["5c0f6e1a2b3d4c59", '\u00e9 \t;,="%00', "k" * 2000], ids=["hex", "odd", "long"]
 )
-def test_key_goes_unchanged_to_each_leg(start: Start, key: str) -> None:
-    """Guards a keyed job against running twice: hosts of its zone know its repeat by this key alone."""
+def test_key_is_sent_unchanged_with_each_attempt(start: Start, key: str) -> None:
+    """Workers of a zone detect the repeat of a keyed job only by this key."""
     node = start(hosts=1)
     client = node.client(ask(cls="store", more=f"Idempotency-Key: {key}\r\n"))
     first = node.hosts[0].accept()
-    told = [first.message().fields["idempotency-key"]]
+    sends_state = [first.message().fields["idempotency-key"]]
     first.begin()
-    first.close()  # it may have run: the host's zone drops the repeat
+    first.close()  # it may have run: the workers of the zone drop the repeat
     again = node.hosts[0].accept()
-    leg = again.message()
-    told.append(leg.fields["idempotency-key"])
-    again.serve(leg)
+    attempt = again.message()
+    sends_state.append(attempt.fields["idempotency-key"])
+    again.serve(attempt)
     assert client.message().status == 200
-    assert told == [key.encode().decode("latin-1")] * 2
+    assert sends_state == [key.encode().decode("latin-1")] * 2
 
 
-def test_answer_in_pieces_is_read_like_one_in_one(start: Start) -> None:
+def test_response_in_pieces_is_read_like_one_in_one(start: Start) -> None:
     node = start(hosts=1)
     client = node.client(ask())
     wire = node.hosts[0].accept()
@@ -182,18 +189,18 @@
     assert client.message().body == b"in pieces"
     client.send(ask("2b"))
     wire.serve()
-    assert client.message().body == b"fine", "the connection carries the next leg"
+    assert client.message().body == b"fine", "the connection is reused for the next attempt"
 
 
 @pytest.mark.parametrize("how", ["host closes", "idle too long", "host speaks unasked", "host goes on"])
-def test_idle_connection_is_not_used_beyond_its_time(start: Start, how: str) -> None:
-    """Guards against a leg on a connection that its host has closed or is about to: it ends as a reset."""
+def test_idle_connection_is_not_used_beyond_its_time_out(start: Start, how: str) -> None:
+    """An attempt on a connection that the worker has closed or is about to close ends as a reset."""
     node = start(hosts=1, **({"conn_idle": 400_000} if how == "idle too long" else {}))
     client = node.client(ask(cls="book"))
     wire = node.hosts[0].accept()
-    leg = wire.message()
+    attempt = wire.message()
     wire.begin()
-    wire.state(leg, "done", result="fine")
+    wire.state(attempt, "done", result="fine")
     wire.send(b"0\r\n\r\n" + (b"HTTP/1.1 200 OK\r\n" if how == "host goes on" else b""))
     assert client.message().status == 200
     since = time.monotonic()
@@ -201,7 +208,7 @@
         wire.close()
     elif how == "idle too long":
         assert wire.ended()
-        assert took(since) < 0.39, "dropped clearly before the host would"
+        assert took(since) < 0.39, "closed well before the worker would"
     else:
         if how == "host speaks unasked":
             wire.send(b"HTTP/1.1 408 Idle\r\n\r\n")
@@ -212,8 +219,8 @@
 
 
 @pytest.mark.parametrize("fails", ["reset", "mute"])
-def test_kept_connections_are_let_be_once_one_failed(start: Start, fails: str) -> None:
-    """Guards jobs that must never run twice: where one kept connection failed at its next leg, more will."""
+def test_idle_connections_are_not_reused_after_one_failed(start: Start, fails: str) -> None:
+    """After one idle connection failed at its next attempt, others would too, and unsafe jobs fail."""
     node = start(hosts=2)
     clients = [node.client(ask(f"{n}")) for n in range(2)]
     wires = [node.next_wire() for _ in clients]
@@ -235,7 +242,7 @@
     node.logged("idle connections fail")
 
 
-def test_client_that_leaves_ends_its_leg(start: Start) -> None:
+def test_disconnect_of_a_client_cancels_its_attempt(start: Start) -> None:
     node = start(hosts=1)
     client = node.client(ask())
     wire = node.hosts[0].accept()
@@ -243,27 +250,25 @@
     client.close()
     assert wire.ended()
     node.client(ask("2b"))
-    assert node.hosts[0].accept().message().fields["x-request-id"] == "2b", (
-        "that connection is not used again"
-    )
+    assert node.hosts[0].accept().message().fields["x-request-id"] == "2b", "that connection is not reused"
 
 
 @pytest.mark.parametrize(("cls", "answer"), [("quote", 503), ("book", 502)])
-def test_silent_host_is_waited_for_until_the_deadline(start: Start, cls: str, answer: int) -> None:
+def test_unresponsive_worker_times_out_at_the_deadline(start: Start, cls: str, answer: int) -> None:
     node = start(hosts=1)
     since = time.monotonic()
     client = node.client(ask(cls=cls, deadline=0.6))
     wire = node.hosts[0].accept()
-    leg = wire.message()
+    attempt = wire.message()
     wire.begin()
-    wire.state(leg, "started")
+    wire.state(attempt, "started")
     assert client.message().status == answer
     assert 0.59 < took(since) < 0.67
-    assert wire.ended(), "nobody waits for that leg any more"
+    assert wire.ended(), "the attempt is abandoned"
 
 
-def test_connection_that_never_comes_up_is_given_up(start: Start) -> None:
-    """Guards against a host that fell silent: a dial takes `connect_timeout` and no longer."""
+def test_connection_that_is_never_established_times_out(start: Start) -> None:
+    """A connection attempt to an unresponsive worker takes at most `connect_timeout`."""
     node = start(hosts=1, connect_timeout=100_000)
     host = node.hosts[0]
     host.sock.listen(0)
@@ -273,7 +278,7 @@
         filler.connect_ex(host.sock.getsockname())
     since = time.monotonic()
     client = node.client(ask(cls="book", deadline=1.0))
-    assert client.message().status == 503, "it never ran: trying again is harmless"
+    assert client.message().status == 503, "it never ran: a retry is safe"
     assert took(since) < 1.05
     for filler in fillers:
         filler.close()
--- a/tests/test_client_server.py
+++ b/tests/test_client_server.py
@@ -1,4 +1,4 @@
-"""The acquirer side: what is an authorisation, what is none, and how answers come back."""
+"""The client-facing HTTP server: valid and invalid requests, and their responses."""
 
 from __future__ import annotations
 
@@ -66,7 +66,7 @@
         (b"POST /ready HTTP/1.1\r\nHost: n\r\nContent-Length: 0\r\n\r\n", 405),
     ],
 )
-def test_what_is_no_authorisation_is_told_so_and_hurts_nobody_else(
+def test_invalid_requests_are_rejected_and_affect_no_other_client(
     start: Start, data: bytes, status: int
 ) -> None:
     node = start(hosts=1)
@@ -78,7 +78,7 @@
     assert answer.fields["content-type"] == "application/problem+json"
     assert (told["status"], told["type"].startswith("urn:reedspoke:problem:")) == (status, True)
     assert ("allow" in answer.fields) == (status == 405)
-    assert node.quiet(0.02), "nothing of it goes out"
+    assert node.quiet(0.02), "no attempt is sent"
     other = node.client(ask())
     node.next_wire().serve()
     assert other.message().status == 200
@@ -90,20 +90,20 @@
     for byte in b"\r\n" + ask(body=b"slowly"):
         client.send(bytes([byte]))
     wire = node.next_wire()
-    leg = wire.message()
-    assert leg.body == b"slowly"
-    wire.serve(leg)
+    attempt = wire.message()
+    assert attempt.body == b"slowly"
+    wire.serve(attempt)
     assert client.message().body == b"fine"
 
 
-def test_authorisations_sent_ahead_are_answered_in_order(start: Start) -> None:
+def test_pipelined_requests_are_answered_in_order(start: Start) -> None:
     node = start(hosts=1)
     client = node.client(b"".join(ask(f"{n}", body=b"%d" % n * 3000) for n in range(4)))
     wire = node.next_wire()
     for n in range(4):
-        leg = wire.message()
-        assert (leg.fields["x-request-id"], leg.body) == (f"{n}", b"%d" % n * 3000)
-        wire.serve(leg, result=f"result {n}")
+        attempt = wire.message()
+        assert (attempt.fields["x-request-id"], attempt.body) == (f"{n}", b"%d" % n * 3000)
+        wire.serve(attempt, result=f"result {n}")
     assert [client.message().body for _ in range(4)] == [b"result %d" % n for n in range(4)]
 
 
@@ -118,21 +118,21 @@
         node.client(post("Transfer-Encoding: chunked\r\n") + coded)
     else:
         node.client(ask(body=body))
-    leg = node.next_wire().message()
-    assert leg.body == body
-    assert "transfer-encoding" not in leg.fields
+    attempt = node.next_wire().message()
+    assert attempt.body == body
+    assert "transfer-encoding" not in attempt.fields
 
 
-def test_expectation_is_met_before_the_body_comes(start: Start) -> None:
+def test_expect_continue_is_answered_before_the_body(start: Start) -> None:
     node = start(hosts=1)
     client = node.client(post("Expect: 100-continue\r\nContent-Length: 4\r\n"))
     assert client.head().status == 100
     client.send(b"work")
     wire = node.next_wire()
-    leg = wire.message()
-    assert leg.body == b"work"
-    assert "expect" not in leg.fields
-    wire.serve(leg)
+    attempt = wire.message()
+    assert attempt.body == b"work"
+    assert "expect" not in attempt.fields
+    wire.serve(attempt)
     assert client.message().status == 200
 
 
@@ -156,20 +156,20 @@
 
 
 def test_same_id_twice_at_once_runs_once(start: Start) -> None:
-    """Guards a job that must never run twice against a twin that comes while it is out."""
+    """A job that must not run twice must not start again while a request of its id is in flight."""
     node = start(hosts=2)
     first = node.client(ask(cls="book"))
     wire = node.next_wire()
-    leg = wire.message()
+    attempt = wire.message()
     assert node.client(ask(cls="book")).message().status == 400
     assert node.quiet()
-    wire.serve(leg)
+    wire.serve(attempt)
     assert first.message().status == 200
 
 
 @pytest.mark.parametrize("deadline", [0.0, 0.05])
-def test_decline_is_told_at_once_and_when_to_come_back(start: Start, deadline: float) -> None:
-    """What the module has given up on is not held back until its deadline."""
+def test_rejection_is_immediate_and_has_retry_after(start: Start, deadline: float) -> None:
+    """A rejection by the module is not delayed until the deadline."""
     node = start(hosts=1)
     node.list(node.hosts[0].entry("Terminating"), full=True)
     node.list(node.hosts[0].entry("Gone", endpoint=""))
@@ -182,7 +182,7 @@
 
 
 def test_more_clients_than_descriptors(start: Start) -> None:
-    """Guards against running out of descriptors: nobody is taken in that could not be answered."""
+    """No client is accepted beyond the descriptors that its response needs."""
     node = start(hosts=1, sockets=40 + OPERATOR_DESCRIPTORS)
     waiting = [node.client(ask(f"{n}")) for n in range(12)]
     wires: list[Wire] = []
@@ -190,18 +190,18 @@
     while waiting:
         sources = [wire.sock for wire in waiting + wires]
         ready = select.select([node.hosts[0].sock, *sources], [], [], WAIT)[0]
-        assert ready, "nobody is left without an answer"
+        assert ready, "every client gets a response"
         for wire in [wire for wire in waiting if wire.sock in ready]:
             answers.append(wire.message().status)
             waiting.remove(wire)
         for wire in [wire for wire in wires if wire.sock in ready]:
             try:
                 wire.serve()
-            except (EOFError, OSError):  # called off, or dropped for a leg elsewhere
+            except (EOFError, OSError):  # cancelled, or closed for an attempt at another worker
                 wires.remove(wire)
         if node.hosts[0].sock in ready:
             wires.append(node.hosts[0].accept())
-    assert set(answers) <= {200, 503}, "served, or declined by the module: the queue is long"
+    assert set(answers) <= {200, 503}, "served, or rejected by the module as the queue is long"
     assert 200 in answers
     assert "budget is full" in node.log()
 
@@ -212,8 +212,8 @@
 @pytest.mark.parametrize(
     "sent", [b"", HALF, ask("2b", body=b"x" * 9000)[:-8000]], ids=["silent", "head", "body"]
 )
-def test_who_does_not_ask_is_let_go_within_three_seconds(start: Start, sent: bytes) -> None:
-    """Guards descriptors against clients that connect and never send a whole authorisation."""
+def test_client_without_a_request_is_disconnected_within_three_seconds(start: Start, sent: bytes) -> None:
+    """Clients that never send a complete request must not hold descriptors."""
     node = start(hosts=1)
     since = time.monotonic()
     client = node.client(sent)
@@ -227,8 +227,8 @@
     "sent", [b"", HALF, b"GET /nothing HTTP/1.1\r\nHost: n\r\n\r\n", b"nonsense\r\n"],
     ids=["silent", "half", "answered", "ending"],
 )  # fmt: skip
-def test_clients_that_hold_connections_crowd_nobody_out(start: Start, sent: bytes) -> None:
-    """Guards the usual clients: far more connections than places, none of which is owed an answer."""
+def test_idle_connections_do_not_crowd_out_other_clients(start: Start, sent: bytes) -> None:
+    """Far more idle connections than the limit, none of which is owed a response."""
     node = start(hosts=1, sockets=40 + OPERATOR_DESCRIPTORS)
     usual = node.client(ask("0a"))
     wire = node.next_wire()
@@ -244,25 +244,23 @@
     assert took(since) < 1
 
 
-def test_body_of_60_mb_is_told_off_at_its_head(start: Start) -> None:
-    """Guards memory and core: it is neither kept nor read to its end."""
+def test_body_of_60_mb_is_rejected_at_its_header(start: Start) -> None:
+    """The body is neither kept in memory nor read completely."""
     node = start(hosts=1)
     client = node.client(post(f"Content-Length: {60 << 20}\r\n"))
     since, sent = time.monotonic(), 0
     with suppress(ConnectionError):
         while sent < 60 << 20:
             sent += client.sock.send(b"x" * 65536)
-    assert sent < 16 << 20, "what the system holds for both ends, and little more"
+    assert sent < 16 << 20, "the socket buffers of both ends, and little more"
     assert took(since) < 3
     assert client.message().status == 413
 
 
 @pytest.mark.parametrize("cls", ["quote", "book"])
 @pytest.mark.parametrize("status", [400, 404])
-def test_host_that_finds_an_authorisation_unusable_has_the_last_word(
-    start: Start, cls: str, status: int
-) -> None:
-    """Guards the hosts' slots: no other host would find it usable, so it does not go out again."""
+def test_rejection_of_an_invalid_request_by_a_worker_is_final(start: Start, cls: str, status: int) -> None:
+    """No other worker would accept the request, so retries would only occupy slots."""
     node = start(hosts=2)
     client = node.client(ask(cls=cls))
     wire = node.next_wire()
@@ -270,14 +268,14 @@
     wire.send(b"HTTP/1.1 %d Any\r\nContent-Length: 0\r\n\r\n" % status)
     assert client.message().status == 400
     client.send(ask("2b"))
-    wire, leg = node.attempt(wire)
-    wire.serve(leg)
-    assert leg.fields["x-request-id"] == "2b"
+    wire, attempt = node.attempt(wire)
+    wire.serve(attempt)
+    assert attempt.fields["x-request-id"] == "2b"
     assert client.message().status == 200
 
 
 def test_an_answer_to_head_has_no_body(start: Start) -> None:
-    """Guards the next answer on that connection: bytes of a body nobody expects would be taken for it."""
+    """Bytes of an unexpected body would be taken for the next response on the connection."""
     node = start(hosts=1)
     client = node.client(b"HEAD /nothing HTTP/1.1\r\nHost: n\r\n\r\n")
     assert client.head().status == 404
--- a/tests/test_cuts.py
+++ b/tests/test_cuts.py
@@ -1,4 +1,4 @@
-"""Messages arrive cut at any byte: what is read from pieces is what is read from one."""
+"""Messages split at any byte parse like unsplit ones."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 ]  # fmt: skip
 
 
-def cuts(data: bytes) -> Iterable[list[bytes]]:
+def splits(data: bytes) -> Iterable[list[bytes]]:
     yield [data]
     yield [data[at : at + 1] for at in range(len(data))]
     for at in range(1, len(data)):
@@ -37,7 +37,7 @@
 
 
 def requests(pieces: list[bytes]) -> list[object]:
-    """What has been read in the end: heads, bodies, or the status of what is malformed."""
+    """Return the parsed headers and bodies, or the status of a malformed request."""
     buffer, found = Buffer(64), list[object]()
     reader, head = Requests(buffer), None
     try:
@@ -59,10 +59,10 @@
 
 
 @pytest.mark.parametrize("data", [ask() * 2, CHUNKED + ask("2b"), *BAD], ids=lambda data: repr(data[-24:]))
-def test_authorisations_cut_at_every_byte(data: bytes) -> None:
+def test_requests_split_at_every_byte(data: bytes) -> None:
     whole = requests([data])
     assert len(whole) == (1 if data in BAD else 4)
-    for pieces in cuts(data):
+    for pieces in splits(data):
         assert requests(pieces) == whole
 
 
@@ -83,9 +83,9 @@
 
 
 @pytest.mark.parametrize("data", [STREAM * 2, PLAIN + STREAM], ids=["streams", "refusal and stream"])
-def test_answers_and_lists_cut_at_every_byte(data: bytes) -> None:
-    """Discovery's list is read by the same parsers."""
+def test_responses_and_lists_split_at_every_byte(data: bytes) -> None:
+    """Discovery's lists are read by the same parsers."""
     whole = answers([data])
     assert whole[-4:] == [200, b'{"state":"started"}', b'{"state":"done"}', True]
-    for pieces in cuts(data):
+    for pieces in splits(data):
         assert answers(pieces) == whole
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -60,7 +60,7 @@
 SEEN = {  # raised in a process, or behind a door: by the test that sees what becomes of them
     "TroubleError": "acme/test_process.py::test_each_misbehaviour_of_the_authority_is_got_over",
     "ForbiddenError": "identity/test_extension.py::test_callers_of_one_connection_are_told_apart",
-    "ClientDroppedError": "test_lifecycle.py::test_each_standing_of_a_client_at_a_planned_end",
+    "ClientDroppedError": "test_lifecycle.py::test_each_client_state_at_a_shutdown",
     "WireError": "test_adapter.py::test_malformed_input_ends_with_one_plain_message",
     "KeySetError": "identity/test_extension.py::test_an_identity_that_cannot_be_used_ends_the_start",
     "SigningError": (
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -1,4 +1,4 @@
-"""A client that has gone: from 0.1 s later on no attempt begins for it, whatever stands between."""
+"""Disconnected clients: from 0.1 s after the disconnect no attempt starts for them."""
 
 from __future__ import annotations
 
@@ -10,29 +10,31 @@
 
 from tests.peers import Node, Start, Wire, ask
 
-AHEAD = ask("9e", body=b"x" * 9000) * 6  # far more than is read ahead of an answer
+AHEAD = ask("9e", body=b"x" * 9000) * 6  # far more than is read ahead while a response is pending
 
 
 def fin(client: Wire) -> None:
+    """Close."""
     client.close()
 
 
 def reset(client: Wire) -> None:
+    """Reset."""
     client.reset()
 
 
 def half(client: Wire) -> None:
-    """It ends its sending and would listen still: nothing on the wire tells this from a close."""
+    """Half-close: the client could still read, but this looks like a close to the server."""
     client.sock.shutdown(socket.SHUT_WR)
 
 
-LEAVES = pytest.mark.parametrize("leaves", [fin, reset, half])
-Leaves = Callable[[Wire], None]
+DISCONNECTS = pytest.mark.parametrize("disconnect", [fin, reset, half])
+Disconnect = Callable[[Wire], None]
 
 
 @contextmanager
-def slow_dial(node: Node) -> Iterator[None]:
-    """No connection to its host comes up meanwhile: the system lets all wait. Those it has come first."""
+def blocked_connect(node: Node) -> Iterator[None]:
+    """Fill the worker's backlog, so that no new connection to it is established meanwhile."""
     host = node.hosts[0]
     host.sock.listen(0)
     filler = socket.create_connection(host.sock.getsockname())
@@ -42,64 +44,67 @@
 
 
 def serves(node: Node, *wires: Wire) -> None:
-    """Nothing has been sent for those before: the next attempt is another client's."""
+    """Check that the next attempt is for a new client."""
     client = node.client(ask("7c"))
-    wire, leg = node.attempt(*wires)
-    assert leg.fields["x-request-id"] == "7c", "an attempt began for a client that has gone"
-    wire.serve(leg)
+    wire, attempt = node.attempt(*wires)
+    assert attempt.fields["x-request-id"] == "7c", "an attempt started for a disconnected client"
+    wire.serve(attempt)
     assert client.message().status == 200
 
 
-@LEAVES
+@DISCONNECTS
 @pytest.mark.parametrize("ahead", [b"", AHEAD], ids=["", "read ahead to the brim"])
-def test_client_that_leaves_during_a_dial(start: Start, ahead: bytes, leaves: Leaves) -> None:
-    """Guards the hosts: who had sent more than is read ahead was not seen to leave, and its job went out."""
+def test_disconnect_during_a_connect(start: Start, ahead: bytes, disconnect: Disconnect) -> None:
+    """The disconnect of a client that had sent more than is read ahead was missed, and its job was sent."""
     node = start(hosts=1, connect_timeout=4_000_000)
-    with slow_dial(node):
+    with blocked_connect(node):
         client = node.client(ask() + ahead)
         assert node.ready() == 200
-        leaves(client)
+        disconnect(client)
         node.nothing_outstanding()
     serves(node)
 
 
-@LEAVES
+@DISCONNECTS
 @pytest.mark.parametrize("ahead", [b"", AHEAD], ids=["", "read ahead to the brim"])
-def test_client_that_leaves_as_the_dial_comes_up(start: Start, ahead: bytes, leaves: Leaves) -> None:
-    """Guards against a loop that was busy: both ends are unread when it comes to look, and the host's is
-    read first."""
+def test_disconnect_as_the_connection_is_established(
+    start: Start, ahead: bytes, disconnect: Disconnect
+) -> None:
+    """After a busy period of the event loop both events are unread, and the worker's is read first."""
     node = start(hosts=1, connect_timeout=4_000_000)
     host = node.hosts[0]
     host.sock.listen(0)
     filler = socket.create_connection(host.sock.getsockname())
     client = node.client(ask() + ahead)
-    assert node.ready() == node.ready() == 200, "it has read the first, and dials, before it reads the second"
+    assert node.ready() == node.ready() == 200, (
+        "the request is read and the connection requested before the second call"
+    )
     with node.stopped():
-        leaves(client)
+        disconnect(client)
         host.accept().close()
         filler.close()
-        wire = host.accept()  # it has come up
+        wire = host.accept()  # the connection is established
     serves(node, wire)
 
 
-@LEAVES
-def test_client_that_leaves_as_its_first_attempt_is_handed_back(start: Start, leaves: Leaves) -> None:
-    """Guards further attempts: the outcome and the client's end come in one moment."""
+@DISCONNECTS
+def test_disconnect_as_the_first_attempt_is_returned(start: Start, disconnect: Disconnect) -> None:
+    """The outcome of the first attempt and the disconnect arrive at the same time; no retry may start."""
     node = start(hosts=2)
     client = node.client(ask(cls="book"))
     wire = node.next_wire()
-    leg = wire.message()
+    attempt = wire.message()
     with node.stopped():
-        leaves(client)
+        disconnect(client)
         wire.begin()
-        wire.state(leg, "returned")
+        wire.state(attempt, "returned")
         wire.end()
     serves(node, wire)
 
 
-@LEAVES
-def test_client_that_leaves_as_the_list_comes(start: Start, leaves: Leaves) -> None:
-    """Guards jobs that were held for want of a host."""
+@DISCONNECTS
+def test_disconnect_as_the_list_arrives(start: Start, disconnect: Disconnect) -> None:
+    """Jobs that waited for a worker must not be sent after the disconnect."""
     node = start(hosts=1)
     node.watch.begin()
     node.list(node.hosts[0].entry("Terminating"))
@@ -108,35 +113,35 @@
     client = node.client(ask())
     assert node.quiet(0.05)
     with node.stopped():
-        leaves(client)
+        disconnect(client)
         node.list(node.hosts[0].entry(), rev=43)
     serves(node)
 
 
-@LEAVES
-def test_client_that_leaves_as_its_probe_is_answered(start: Start, leaves: Leaves) -> None:
+@DISCONNECTS
+def test_disconnect_as_the_probe_is_answered(start: Start, disconnect: Disconnect) -> None:
     node = start(hosts=1, balancers=20)
     client = node.client(ask())
     wire = node.next_wire()
     assert wire.message().first.startswith("GET ")
     with node.stopped():
-        leaves(client)
+        disconnect(client)
         wire.send(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
     serves(node, wire)
 
 
-@LEAVES
-def test_client_that_leaves_behind_its_request(start: Start, leaves: Leaves) -> None:
-    """It has gone by the time the request is read: not even the first attempt begins."""
+@DISCONNECTS
+def test_disconnect_right_after_the_request(start: Start, disconnect: Disconnect) -> None:
+    """The client has disconnected when its request is read: not even the first attempt starts."""
     node = start(hosts=1)
     with node.stopped():
         for number in range(3):
-            leaves(node.client(ask(f"{number}")))
+            disconnect(node.client(ask(f"{number}")))
     serves(node)
 
 
-def test_client_that_stays_is_served_whatever_it_has_sent_ahead(start: Start) -> None:
-    """Guards those who wait: bytes behind a request are no sign that its client has gone."""
+def test_connected_client_is_served_whatever_it_has_sent_ahead(start: Start) -> None:
+    """Bytes after a request must not be taken for a disconnect."""
     node = start(hosts=1)
     client = node.client(ask() + AHEAD)
     wire = node.next_wire()
--- a/tests/test_interleavings.py
+++ b/tests/test_interleavings.py
@@ -1,5 +1,5 @@
-"""Any interleaving of what the reducer is told: clients, hosts, lists, signals and time, in the orders that
-the wire allows. What each event may be is told by the effects that came before it."""
+"""Random interleavings of reducer events: clients, workers, lists, signals and time, in any order that the
+protocols allow. Earlier effects determine which events are possible."""
 
 from __future__ import annotations
 
@@ -26,19 +26,19 @@
 PICK = st.integers(0, 30)
 
 
-class Asker(Struct):
-    """A client as the other side of its connection sees it."""
+class ClientModel(Struct):
+    """A client, as its own side sees the connection."""
 
-    waiting: str = ""  # the name of the job that is owed its answer
-    answered: bool = False  # its answer is being written
-    gone: bool = False  # it has closed, and that is not read as yet
+    waiting: str = ""  # the name of the job that waits for its response
+    answered: bool = False  # its response is being written
+    gone: bool = False  # it has closed, and that is still unread
 
 
-class Wire(Struct):
-    """A connection to a host."""
+class ConnectionModel(Struct):
+    """A connection to a worker."""
 
     host: str
-    job: str = ""  # "": nothing, or a probe
+    job: str = ""  # "": none, or a probe
     client: int = 0
     up: bool = False
     busy: bool = False
@@ -46,30 +46,30 @@
     ending: bool = False
 
 
-class Sent(Struct):
-    """What went out of a job."""
+class JobModel(Struct):
+    """The attempts of a job."""
 
-    at: int = 0  # when the first that may have run began
+    at: int = 0  # when the first attempt that may have run ended
     out: int = 0
-    maybe: bool = False  # one may have run
-    ended: bool = False  # it has its final answer, or its client has gone
+    maybe: bool = False  # an attempt may have run
+    ended: bool = False  # it has its final response, or its client has disconnected
 
 
 class Interleavings:
     def __init__(self, cancel: bool, schedulers: int, ask: bool, places: int) -> None:
-        self.clients: dict[int, Asker] = {}
-        self.wires: dict[int, Wire] = {}
-        self.past: list[int] = []  # connections that were given up
-        self.jobs: dict[str, Sent] = {}
+        self.clients: dict[int, ClientModel] = {}
+        self.wires: dict[int, ConnectionModel] = {}
+        self.past: list[int] = []  # ids of removed connections
+        self.jobs: dict[str, JobModel] = {}
         self.classes: dict[str, api.ClassSettings] = {}
-        self.told_off: dict[str, int] = {}
+        self.left_at: dict[str, int] = {}
         self.number = self.rev = 0
         self.over = self.stopping = False
         self.config = settings(can_cancel=cancel, scheduler_count=schedulers, list_on_request=ask)
         self.play = ReducerHarness(Budget(places, places + 4), self.config)
         self.tell(self.list_of(api.ListKind.STALE, *HOSTS), fx.ListenerOpened(), fx.DirectoryHeartbeat())
 
-    # ---- what is told, and what comes of it ----
+    # ---- events and effects ----
 
     def list_of(
         self, kind: api.ListKind, *uids: str, state: api.WorkerState = api.WorkerState.UP, born: int = 0
@@ -78,48 +78,50 @@
         entries = [api.WorkerEntry(uid, "here", "big", 0, state, 1.0, born) for uid in uids]
         for uid in uids:
             if state is api.WorkerState.UP:
-                self.told_off.pop(uid, None)
+                self.left_at.pop(uid, None)
             else:
-                self.told_off.setdefault(uid, self.play.now)
+                self.left_at.setdefault(uid, self.play.now)
         return fx.WorkersListed(
             kind, self.rev, [fx.ListedWorker(entry, ("127.0.0.1", 80)) for entry in entries]
         )
 
     def tell(self, *events: fx.Event) -> None:
         for event in events:
-            self.heed(self.play.tell(event))
+            self.check_effects(self.play.tell(event))
 
-    def heed(self, effects: list[fx.Effect]) -> None:
+    def check_effects(self, effects: list[fx.Effect]) -> None:
         for effect in effects:
             match effect:
                 case fx.SendResponse():
-                    self.on_answer(effect)
+                    self.on_response(effect)
                 case fx.ConnectWorker():
                     assert effect.conn not in self.wires
-                    self.wires[effect.conn] = Wire(self.play.reducer.state.connections[effect.conn].host)
+                    self.wires[effect.conn] = ConnectionModel(
+                        self.play.reducer.state.connections[effect.conn].worker_id
+                    )
                 case fx.SendAttempt():
-                    self.on_transmit(effect)
+                    self.on_attempt(effect)
                 case fx.SendProbe():
                     wire = self.wires[effect.conn]
                     assert wire.up
                     assert not wire.busy
                     wire.busy, wire.written, wire.job = True, True, ""
                 case fx.DisconnectWorker():
-                    self.on_hangup(effect.conn)
+                    self.on_disconnect(effect.conn)
                 case fx.Exit():
                     assert not self.over
                     self.over = True
                 case fx.WriteLog():
                     assert not effect.fault, effect.text
 
-    def on_answer(self, effect: fx.SendResponse) -> None:
+    def on_response(self, effect: fx.SendResponse) -> None:
         client = self.clients[effect.client]
-        assert client.waiting, "an answer that nobody waits for"
-        assert not client.answered, "a second answer"
+        assert client.waiting, "a response that no client waits for"
+        assert not client.answered, "a second response"
         client.answered = True
         self.jobs[client.waiting].ended = True
 
-    def on_transmit(self, effect: fx.SendAttempt) -> None:
+    def on_attempt(self, effect: fx.SendAttempt) -> None:
         wire, name = self.wires[effect.conn], str(effect.message)
         assert wire.up
         assert not wire.busy
@@ -127,26 +129,26 @@
         job, cls = self.jobs[name], self.classes[name]
         client = self.clients.get(effect.client)
         assert client is not None
-        assert client.waiting == name, "for a client that was read to have gone, or has its answer"
+        assert client.waiting == name, "for a client that is known to have disconnected, or has its response"
         assert not job.ended
-        assert not job.out, "a second copy"
+        assert not job.out, "two attempts at once"
         if job.maybe:
             assert cls.idempotency is not api.Idempotency.UNSAFE, "it may have run"
             assert (
                 cls.idempotency is not api.Idempotency.KEYED or self.play.now < job.at + cls.dedup_window
-            ), "too late"
-        if (since := self.told_off.get(wire.host)) is not None:
+            ), "the deduplication window has ended"
+        if (since := self.left_at.get(wire.host)) is not None:
             assert self.play.now <= since + self.config.rules.drain_grace
         wire.busy, wire.written, wire.job, wire.client = True, False, name, effect.client
         job.out += 1
 
-    def on_hangup(self, number: int) -> None:
+    def on_disconnect(self, number: int) -> None:
         wire = self.wires.pop(number, None)
         self.past.append(number)
         if wire is not None and wire.job:
             self.end(wire, unrun=not wire.written)
 
-    def end(self, wire: Wire, unrun: bool) -> None:
+    def end(self, wire: ConnectionModel, unrun: bool) -> None:
         job = self.jobs[wire.job]
         job.out -= 1
         if not unrun:
@@ -159,7 +161,7 @@
 
     # ---- clients ----
 
-    def join(self) -> None:
+    def connect_client(self) -> None:
         state = self.play.reducer.state
         if (
             state.accepting
@@ -167,10 +169,10 @@
             and len(self.clients) < 8
         ):
             self.number += 1
-            self.clients[self.number] = Asker()
+            self.clients[self.number] = ClientModel()
             self.tell(fx.ClientConnected(self.number))
 
-    def arrive(self, which: int, cls: str, span: int) -> None:
+    def send_request(self, which: int, cls: str, span: int) -> None:
         free = [n for n, client in self.clients.items() if not client.waiting and not client.gone]
         kill_at = self.play.reducer.state.kill_at
         if (number := self.pick(which, free)) is None or kill_at and self.play.now >= kill_at:
@@ -178,12 +180,12 @@
         self.number += 1
         name = f"j{self.number}"
         self.clients[number].waiting = name
-        self.jobs[name], self.classes[name] = Sent(), EFFECTS[cls]
+        self.jobs[name], self.classes[name] = JobModel(), EFFECTS[cls]
         self.tell(fx.RequestStarted(number))
         event = fx.RequestReceived(number, name, name, cls, span * 50 * MS, 50 * MS, 1, 0.0, "", "k")
         self.tell(event)
 
-    def written_answer(self, which: int) -> None:
+    def finish_response(self, which: int) -> None:
         done = [n for n, client in self.clients.items() if client.answered and not client.gone]
         if (number := self.pick(which, done)) is not None:
             self.clients[number].waiting, self.clients[number].answered = "", False
@@ -196,9 +198,9 @@
                 self.jobs[client.waiting].ended = True
             self.tell(fx.ClientDisconnected(number))
 
-    # ---- hosts ----
+    # ---- workers ----
 
-    def wires_that(self, which: int, **state: bool) -> tuple[int, Wire] | None:
+    def connections_with(self, which: int, **state: bool) -> tuple[int, ConnectionModel] | None:
         found = [
             (number, wire)
             for number, wire in self.wires.items()
@@ -207,18 +209,18 @@
         return self.pick(which, found)  # type: ignore[no-any-return]
 
     def open(self, which: int) -> None:
-        if (found := self.wires_that(which, up=False)) is not None:
+        if (found := self.connections_with(which, up=False)) is not None:
             found[1].up = True
             self.tell(fx.WorkerConnected(found[0]))
 
     def write(self, which: int) -> None:
-        if (found := self.wires_that(which, busy=True, written=False)) is not None:
+        if (found := self.connections_with(which, busy=True, written=False)) is not None:
             found[1].written = True
             self.tell(fx.AttemptWritten(found[0]))
 
-    def find_an_end(self, which: int, ended: bool) -> None:
-        """As a leg is to be written its connection has ended, or its client has gone."""
-        if (found := self.wires_that(which, busy=True, written=False)) is None:
+    def fail_to_send(self, which: int, ended: bool) -> None:
+        """When an attempt is to be written, its connection has closed or its client has disconnected."""
+        if (found := self.connections_with(which, busy=True, written=False)) is None:
             return
         number, wire = found
         name, client = wire.job, wire.client
@@ -232,13 +234,13 @@
         self.tell(fx.AttemptNotSent(number, ended=ended))
 
     def hear(self, which: int) -> None:
-        if (found := self.wires_that(which, busy=True, written=True)) is not None:
+        if (found := self.connections_with(which, busy=True, written=True)) is not None:
             self.tell(fx.ResponseStarted(found[0]))
             if found[1].job:
                 self.tell(fx.AttemptProgress(found[0], api.UpdateKind.STARTED, 0.0))
 
     def conclude(self, which: int, how: api.Reason, invalid: bool) -> None:
-        if (found := self.wires_that(which, busy=True, written=True)) is None:
+        if (found := self.connections_with(which, busy=True, written=True)) is None:
             return
         number, wire = found
         wire.busy, wire.ending = False, True
@@ -252,7 +254,7 @@
             self.tell(fx.OutcomeReceived(number, how, (), reusable=True))
 
     def free(self, which: int) -> None:
-        if (found := self.wires_that(which, ending=True)) is not None:
+        if (found := self.connections_with(which, ending=True)) is not None:
             found[1].ending = False
             self.tell(fx.ResponseCompleted(found[0]))
 
@@ -263,8 +265,8 @@
                 self.end(wire, unrun=not wire.written)
             self.tell(fx.WorkerDisconnected(number))
 
-    def come_late(self, which: int, what: Any) -> None:
-        """What is told of a connection that was given up changes nothing."""
+    def send_late_event(self, which: int, what: Any) -> None:
+        """Events of a removed connection have no effect."""
         late = [number for number in self.past if number not in self.wires]
         if (number := self.pick(which, late)) is not None:
             effects = self.play.tell(what(number))
@@ -278,7 +280,7 @@
 
     def list_all(self, first: int) -> None:
         for uid in HOSTS[:first]:
-            self.told_off.setdefault(uid, self.play.now)
+            self.left_at.setdefault(uid, self.play.now)
         self.tell(self.list_of(api.ListKind.FULL, *HOSTS[first:]))
 
     def watch(self, event: fx.Event) -> None:
@@ -292,15 +294,15 @@
 
     def wait(self, span: int) -> None:
         for _ in range(span):
-            self.heed(self.play.advance(5 * MS))
-            self.every_answer_in_time()
+            self.check_effects(self.play.advance(5 * MS))
+            self.check_deadlines()
 
-    def every_answer_in_time(self) -> None:
-        for auth in self.play.reducer.state.requests.values():
-            late = auth.deadline + self.config.rules.answer_slack
-            assert not auth.open or self.play.now <= late, "owed beyond its time"
+    def check_deadlines(self) -> None:
+        for request in self.play.reducer.state.requests.values():
+            late = request.deadline + self.config.rules.answer_slack
+            assert not request.open or self.play.now <= late, "no response by the deadline"
 
-    def tables_agree(self) -> None:
+    def check_tables(self) -> None:
         state = self.play.reducer.state
         assert state.connections.keys() == self.wires.keys()
         assert state.clients.keys() == self.clients.keys()
@@ -312,7 +314,7 @@
         assert len(state.connections) <= self.play.reducer.budget.attempts
 
     def teardown(self) -> None:
-        """All leave, and nothing of them stays."""
+        """Disconnect everything, and check that no state is left."""
         for number in list(self.clients):
             self.clients.pop(number)
             self.tell(fx.ClientDisconnected(number))
@@ -322,8 +324,8 @@
                 if wire.job:
                     self.end(wire, unrun=not wire.written)
                 self.tell(fx.WorkerDisconnected(number))
-        self.heed(self.play.advance(20 * SECOND))
-        for number in list(self.wires):  # probes of zones out of reach
+        self.check_effects(self.play.advance(20 * SECOND))
+        for number in list(self.wires):  # probes of unreachable zones
             self.wires.pop(number)
             self.tell(fx.WorkerDisconnected(number))
         state, module = self.play.reducer.state, self.play.reducer.module
@@ -337,9 +339,9 @@
         assert all(worker.used_slots == worker.running_slots == 0 for worker in module.workers.values())
         owners = {str(key[0]) for key in self.play.wheel._due}  # type: ignore[index]
         assert owners <= {"watch timeout", "watch", "module", "end", "agent start", "room"}
-        assert len(state.timers) <= 1, "the module's beat"
+        assert len(state.timers) <= 1, "the module's periodic timer"
         if self.stopping:
-            self.heed(self.play.advance(20 * SECOND))
+            self.check_effects(self.play.advance(20 * SECOND))
             assert self.over
 
 
@@ -352,8 +354,8 @@
 def step(play: Interleavings, what: str, which: int, more: int) -> None:
     match what:
         case "ask" if not play.over:
-            play.join()
-            play.arrive(which, sorted(EFFECTS)[more % len(EFFECTS)], which)
+            play.connect_client()
+            play.send_request(which, sorted(EFFECTS)[more % len(EFFECTS)], which)
         case "open":
             play.open(which)
         case "write":
@@ -363,7 +365,7 @@
         case "free":
             play.free(which)
         case "answered" if not play.over:
-            play.written_answer(which)
+            play.finish_response(which)
         case "wait":
             play.wait(1 + which // 3 if more < 50 else 10 * which)
         case "hear":
@@ -379,9 +381,9 @@
                 fx.WorkerDisconnected,
                 fx.AttemptNotSent,
             )
-            play.come_late(which, late[more % len(late)])
+            play.send_late_event(which, late[more % len(late)])
         case "find":
-            play.find_an_end(which, ended=more % 2 == 0)
+            play.fail_to_send(which, ended=more % 2 == 0)
         case "part" if not play.over:
             play.part(which)
         case "change":
@@ -399,9 +401,11 @@
             play.stop()
 
 
-def drawn(lot: Random) -> tuple[Interleavings, list[tuple[str, int, int]]]:
-    play = Interleavings(lot.random() < 0.5, lot.choice([1, 1, 20]), lot.random() < 0.5, lot.randint(2, 6))
-    return play, [(lot.choice(WHAT), lot.randrange(61), lot.randrange(61)) for _ in range(80)]
+def generate(random: Random) -> tuple[Interleavings, list[tuple[str, int, int]]]:
+    play = Interleavings(
+        random.random() < 0.5, random.choice([1, 1, 20]), random.random() < 0.5, random.randint(2, 6)
+    )
+    return play, [(random.choice(WHAT), random.randrange(61), random.randrange(61)) for _ in range(80)]
 
 
 @hypothesis_settings(
@@ -409,26 +413,27 @@
 )
 @given(st.integers(0, 2**32))
 def test_any_interleaving(seed: int) -> None:
-    """By seed: lists of steps that hypothesis draws itself are so short that 120 of them sent 15 attempts."""
-    play, steps = drawn(Random(seed))
+    """Steps are generated from a seed: hypothesis generates such short lists that 120 of them sent 15
+    attempts."""
+    play, steps = generate(Random(seed))
     for what, which, more in steps:
         step(play, what, which, more)
-        play.tables_agree()
+        play.check_tables()
     play.teardown()
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_two_nodes_of_different_settings_in_one_process_share_nothing(seed: int) -> None:
-    """Guards one customer against another's settings: each asks for the same as if it were alone, to the last
-    effect, with the steps of the other between its own."""
+def test_two_nodes_with_different_settings_in_one_process_are_independent(seed: int) -> None:
+    """The settings of one customer must not affect another: with interleaved steps, each node requests the
+    same effects as alone."""
 
     def asked(*seeds: int) -> list[list[str]]:
-        plays = [drawn(Random(number)) for number in seeds]
+        plays = [generate(Random(number)) for number in seeds]
         for steps in zip(*(steps for _, steps in plays), strict=True):
             for (play, _), (what, which, more) in zip(plays, steps, strict=True):
                 step(play, what, which, more)
         return [[repr(effect) for effect in play.play.asked] for play, _ in plays]
 
-    first, config = seed, drawn(Random(seed))[0].config
-    second = next(n for n in range(seed + 100, seed + 200) if drawn(Random(n))[0].config != config)
+    first, config = seed, generate(Random(seed))[0].config
+    second = next(n for n in range(seed + 100, seed + 200) if generate(Random(n))[0].config != config)
     assert asked(first, second) == asked(first) + asked(second)
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -1,4 +1,4 @@
-"""Start, readiness, the planned end, and the limits."""
+"""Start, readiness, graceful shutdown, and the limits."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
 READY = b"GET /ready HTTP/1.1\r\nHost: n\r\n\r\n"
 
 
-def test_planned_end_answers_all_that_was_taken(start: Start) -> None:
+def test_shutdown_answers_all_accepted_requests(start: Start) -> None:
     node = start(hosts=1)
     idle, busy, ready = node.client(READY), node.client(ask()), node.client(READY)
     assert (idle.message().status, ready.message().status) == (200, 200)
     wire = node.next_wire()
-    leg = wire.message()
+    attempt = wire.message()
     node.process.terminate()
     since = time.monotonic()
     assert idle.ended(), "idle connections are closed"
@@ -39,24 +39,24 @@
     answer = late.message()
     assert (answer.status, answer.fields["connection"]) == (200, "close")
     assert late.ended()
-    wire.serve(leg)
+    wire.serve(attempt)
     answer = busy.message()
     assert (answer.status, answer.fields["connection"]) == (200, "close")
     busy.close()
     late.close()
     assert node.process.wait(8) == 0
-    assert 0.5 < took(since) < 2.5, "clients that still come are taken in for a while"
+    assert 0.5 < took(since) < 2.5, "new clients are still accepted for a while"
     assert "stopped" in node.log()
 
 
 @dataclass
-class Standing:
-    """Of a client at SIGTERM: what it has sent by then, what it sends how long after, and what it gets."""
+class ClientCase:
+    """A client at SIGTERM: what it has sent, what it sends `wait` s later, and what it receives."""
 
     before: bytes
     after: bytes
     wait: float
-    status: int  # of its answer, which is its last; 0: an end, and not a byte
+    status: int  # of its last response; 0: a close without a byte
 
 
 WHOLE = ask("5e", body=b"x" * 3000, deadline=4.0)
@@ -64,19 +64,19 @@
 
 
 @pytest.mark.parametrize(
-    "standing",
+    "case",
     [
-        Standing(b"", WHOLE, 0.3, 200),
-        Standing(b"", b"", 0.0, 0),
-        Standing(b"", WHOLE, 1.0, 0),
-        Standing(WHOLE[:HEAD_CUT], WHOLE[HEAD_CUT:], 0.3, 200),
-        Standing(WHOLE[:HEAD_CUT], WHOLE[HEAD_CUT:], 1.0, 503),
-        Standing(WHOLE[:BODY_CUT], WHOLE[BODY_CUT:], 0.3, 200),
-        Standing(WHOLE[:BODY_CUT], WHOLE[BODY_CUT:], 1.0, 503),
-        Standing(WHOLE[:BODY_CUT], b"", 0.0, 408),
-        Standing(WHOLE, b"", 0.0, 200),
-        Standing(READY, WHOLE, 0.2, 0),
-        Standing(b"\r\n", b"", 0.0, 0),
+        ClientCase(b"", WHOLE, 0.3, 200),
+        ClientCase(b"", b"", 0.0, 0),
+        ClientCase(b"", WHOLE, 1.0, 0),
+        ClientCase(WHOLE[:HEAD_CUT], WHOLE[HEAD_CUT:], 0.3, 200),
+        ClientCase(WHOLE[:HEAD_CUT], WHOLE[HEAD_CUT:], 1.0, 503),
+        ClientCase(WHOLE[:BODY_CUT], WHOLE[BODY_CUT:], 0.3, 200),
+        ClientCase(WHOLE[:BODY_CUT], WHOLE[BODY_CUT:], 1.0, 503),
+        ClientCase(WHOLE[:BODY_CUT], b"", 0.0, 408),
+        ClientCase(WHOLE, b"", 0.0, 200),
+        ClientCase(READY, WHOLE, 0.2, 0),
+        ClientCase(b"\r\n", b"", 0.0, 0),
     ],
     ids=[
         "never spoke, asks", "never spoke", "never spoke, asks late", "half a head", "half a head, late",
@@ -84,39 +84,39 @@
         "a blank line",
     ],
 )  # fmt: skip
-def test_each_standing_of_a_client_at_a_planned_end(start: Start, standing: Standing) -> None:
-    """Guards those whose connection stays open behind SIGTERM: each is answered with `Connection: close`, or
-    closed before its bytes are read; nothing is taken and then dropped, up to SIGKILL."""
+def test_each_client_state_at_a_shutdown(start: Start, case: ClientCase) -> None:
+    """After SIGTERM each client is answered with `Connection: close`, or closed before its bytes are read; no
+    request is read and then dropped, up to SIGKILL."""
     node = start(hosts=2)
     busy = node.client(ask("0a", cls="book", deadline=4.0))
-    held = node.next_wire()  # a job that is out holds the process up
+    held = node.next_wire()  # an attempt in flight keeps the process running
     first = held.message()
     held.begin()
     held.state(first, "started")
-    client = node.client(standing.before)
-    if standing.before == READY:
+    client = node.client(case.before)
+    if case.before == READY:
         assert client.message().status == 200
-    elif standing.before == WHOLE:
+    elif case.before == WHOLE:
         other = node.next_wire()
-        leg = other.message()
-    assert node.ready() == 200, "what came before this is read by now"
+        attempt = other.message()
+    assert node.ready() == 200, "earlier input has been read"
     node.process.terminate()
     node.logged("stopping")
     since = time.monotonic()
-    if standing.after:
-        time.sleep(standing.wait)  # the time is the matter here
+    if case.after:
+        time.sleep(case.wait)  # relative to SIGTERM
         with suppress(OSError):
-            client.send(standing.after)
-    if standing.status == 0:
+            client.send(case.after)
+    if case.status == 0:
         assert client.ended()
     else:
-        if standing.status == 200:
-            if standing.before != WHOLE:
+        if case.status == 200:
+            if case.before != WHOLE:
                 other = node.next_wire()
-                leg = other.message()
-            other.serve(leg)
+                attempt = other.message()
+            other.serve(attempt)
         answer = client.message()
-        assert (answer.status, answer.fields["connection"]) == (standing.status, "close")
+        assert (answer.status, answer.fields["connection"]) == (case.status, "close")
         assert client.ended()
         client.close()
     held.state(first, "done", result="fine")
@@ -125,8 +125,8 @@
     assert took(since) < 3.7, "SIGKILL may follow"
 
 
-def test_what_comes_late_is_answered_before_the_kill(start: Start) -> None:
-    """Guards those whose last byte came 0.7 s behind SIGTERM: SIGKILL found them unanswered at their own
+def test_late_requests_are_answered_before_sigkill(start: Start) -> None:
+    """Requests whose last byte arrived 0.7 s after SIGTERM were still unanswered at SIGKILL, before their
     deadline."""
     node = start(hosts=2)
     whole = ask("5e", cls="book", body=b"x" * 3000, deadline=5.0)
@@ -135,22 +135,22 @@
     node.process.terminate()
     node.logged("stopping")
     since = time.monotonic()
-    time.sleep(1.0)  # the time is the matter here
+    time.sleep(1.0)  # past the 0.7 s in which new requests are accepted
     client.send(whole[-10:])
     wire = node.next_wire()
-    leg = wire.message()
+    attempt = wire.message()
     wire.begin()
-    wire.state(leg, "started")  # and it never ends
+    wire.state(attempt, "started")  # and it never completes
     answer = client.message()
     assert (answer.status, answer.fields["connection"]) == (502, "close")
     assert took(since) < 3.7
 
 
-def test_request_that_crosses_the_end_is_never_read(start: Start) -> None:
-    """Guards a request on its way as its connection is closed: its client hears of it, and sends it again."""
+def test_request_that_crosses_the_close_is_never_read(start: Start) -> None:
+    """The client of a request in flight as its connection is closed gets an error, so that it can retry."""
     node = start(hosts=1)
     client, busy = node.client(READY), node.client(ask())
-    leg = node.next_wire()
+    attempt = node.next_wire()
     assert client.message().status == 200
     node.process.terminate()
     assert client.ended()
@@ -158,12 +158,12 @@
         for _ in range(50):
             client.send(ask("2b"))
             select.select([], [], [], 0.01)
-    leg.serve()
+    attempt.serve()
     assert busy.message().status == 200
-    assert node.quiet(), "and it has no leg"
+    assert node.quiet(), "no attempt is sent"
 
 
-def test_planned_end_does_not_wait_for_a_client_that_says_nothing(start: Start) -> None:
+def test_shutdown_does_not_wait_for_a_client_without_a_request(start: Start) -> None:
     node = start(hosts=1)
     node.client()
     since = time.monotonic()
@@ -171,7 +171,7 @@
     assert took(since) < 2
 
 
-def test_not_ready_without_any_host(start: Start) -> None:
+def test_not_ready_without_any_worker(start: Start) -> None:
     node = start(hosts=0)
     assert node.ready() == 503
     host = Peer("s-9")
@@ -187,10 +187,10 @@
 
 
 def serve_all(host: Peer, result: str) -> None:
-    """A host that takes every connection, and answers each job as it comes, until its listener is closed."""
+    """Run a worker that accepts every connection and answers each job until its listener is closed."""
 
     def serve(wire: Wire) -> None:
-        with suppress(OSError, EOFError):  # the program has ended the connection
+        with suppress(OSError, EOFError):  # the program has closed the connection
             while True:
                 wire.serve(result=result)
 
@@ -202,8 +202,8 @@
     threading.Thread(target=accept, daemon=True).start()
 
 
-def until_served(node: Node, client: Wire, asked: bytes) -> bool:
-    """On a busy machine jobs that would wait for long are declined: their clients ask again, as they may."""
+def retry_until_served(node: Node, client: Wire, asked: bytes) -> bool:
+    """Retry requests that are rejected since they would wait too long on a busy machine."""
     end = time.monotonic() + 20.0
     while (answer := client.message()).status == 503 and time.monotonic() < end:
         time.sleep(0.05)
@@ -211,17 +211,17 @@
     return answer.status == 200
 
 
-def test_memory_stays_bounded_under_large_authorisations(start: Start) -> None:
-    """Guards the limit of 192 MB: many clients at once, each with the largest body and a large answer."""
+def test_memory_stays_bounded_under_large_requests(start: Start) -> None:
+    """The limit is 192 MB: many clients at once, each with the largest body and a large result."""
     node = start(hosts=1, sockets=256)
     serve_all(node.hosts[0], result="y" * 65000)
     body = b"x" * 65536
     asked = {f"{n}": ask(f"{n}", body=body, deadline=30.0) for n in range(60)}
     clients = {name: node.client(data) for name, data in asked.items()}
-    assert sum(until_served(node, clients[name], data) for name, data in asked.items()) == 60
+    assert sum(retry_until_served(node, clients[name], data) for name, data in asked.items()) == 60
     status = Path(f"/proc/{node.process.pid}/status").read_text()
     peak = int(next(line for line in status.splitlines() if line.startswith("VmHWM")).split()[1])
-    assert peak < 96 * 1024, "half of what there is"
+    assert peak < 96 * 1024, "half of the limit"
 
 
 @pytest.mark.parametrize(
@@ -258,7 +258,7 @@
 
 
 def test_build_leaves_the_program_compiled(tmp_path: Path) -> None:
-    """Guards the time of a restart: where nothing can be written each start would compile anew."""
+    """On a read-only file system each start would compile all modules again, which delays restarts."""
     shutil.copytree(ROOT / "reedspoke", tmp_path / "reedspoke", ignore=shutil.ignore_patterns("__pycache__"))
     (tmp_path / ".venv").symlink_to(sys.prefix)
     build = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["build"]
--- a/tests/test_looks.py
+++ b/tests/test_looks.py
@@ -1,4 +1,4 @@
-"""Where many schedulers share the hosts: looks at them, on the connections that legs use."""
+"""Probes of workers that many schedulers share, on the connections that attempts use."""
 
 from __future__ import annotations
 
@@ -21,26 +21,26 @@
     return lambda wire: wire.send(head + body)
 
 
-def look(wire: Wire) -> Message:
+def read_probe(wire: Wire) -> Message:
     asked = wire.message()
     assert asked.first == "GET /status/load HTTP/1.1"
     return asked
 
 
-def test_a_leg_follows_its_look_on_one_connection_and_so_does_the_next_look(start: Start) -> None:
-    """Guards hosts that hold few connections: each look had one of its own, 10546 in a day of 4000 jobs."""
+def test_attempts_and_probes_share_one_connection(start: Start) -> None:
+    """Each probe had its own connection, 10546 in a day of 4000 jobs, while workers allow few connections."""
     node = start(1)
     client = node.client(ask("a1"))
     wire = node.next_wire()
     for name in ("a1", "a2"):
-        look(wire)
+        read_probe(wire)
         answer()(wire)
         assert wire.serve().fields["x-request-id"] == name
         assert client.message().status == 200
-        client.send(ask(name + "b"))  # what was seen a moment ago serves for this one
+        client.send(ask(name + "b"))  # the recent probe result is reused
         assert wire.serve().fields["x-request-id"] == name + "b"
         assert client.message().status == 200
-        assert node.quiet(0.6), "no other connection, and the look is too old for the next"
+        assert node.quiet(0.6), "no other connection, and the probe result expires"
         client.send(ask("a2"))
 
 
@@ -54,46 +54,46 @@
     ],
     ids=["says no", "too long", "closes", "nonsense"],
 )
-def test_a_host_whose_look_fails_gets_no_leg(start: Start, bad: Callable[[Wire], None]) -> None:
-    """Guards bookings: a bad host took one from each scheduler that met it."""
+def test_worker_whose_probe_fails_gets_no_attempt(start: Start, bad: Callable[[Wire], None]) -> None:
+    """A failing worker took one unsafe job from each scheduler that used it."""
     node = start(2)
     client = node.client(ask(cls="book"))
     first = node.next_wire()
-    look(first)
+    read_probe(first)
     bad(first)
     other = node.next_wire()
-    look(other)
+    read_probe(other)
     answer()(other)
     other.serve()
     assert client.message().status == 200
 
 
 @pytest.mark.parametrize("body", [b"", b"no report", b"TEXT mean_ms=x, depth=, x0", b"\xff\xfe TEXT"])
-def test_a_look_without_a_report_that_can_be_read_is_one_all_the_same(start: Start, body: bytes) -> None:
+def test_probe_without_a_readable_report_succeeds(start: Start, body: bytes) -> None:
     node = start(1)
     client = node.client(ask())
     wire = node.next_wire()
-    look(wire)
+    read_probe(wire)
     answer(200, body)(wire)
     wire.serve()
     assert client.message().status == 200
 
 
-def test_a_kept_connection_that_has_ended_is_no_failed_look(start: Start) -> None:
-    """Guards sound hosts: that a connection ended while it was kept says nothing of its host."""
+def test_closed_idle_connection_is_no_failed_probe(start: Start) -> None:
+    """The close of an idle connection is no sign of a failed worker."""
     node = start(1)
     client = node.client(ask("a1"))
     wire = node.next_wire()
-    look(wire)
+    read_probe(wire)
     answer()(wire)
     wire.serve()
     assert client.message().status == 200
     assert node.quiet(0.6)
     client.send(ask("a2"))
-    look(wire)
+    read_probe(wire)
     wire.close()
     again = node.next_wire()
-    look(again)
+    read_probe(again)
     answer()(again)
     assert again.serve().fields["x-request-id"] == "a2"
     assert client.message().status == 200
--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -1,4 +1,4 @@
-"""The reducer without sockets: events go in, effects come out."""
+"""The reducer without sockets: events in, effects out."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 class ReducerHarness:
-    """A reducer whose timers ring; keeps what it asked for."""
+    """A reducer with a timer wheel; records the requested effects."""
 
     def __init__(self, budget: Budget | None = None, config: api.Settings | None = None) -> None:
         config = config or settings(list_on_request=True)
@@ -75,7 +75,7 @@
     return next(effect.conn for effect in effects if isinstance(effect, fx.ConnectWorker))
 
 
-def test_module_that_never_answers_is_covered_by_the_last_guard(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_request_that_the_module_never_answers_times_out(monkeypatch: pytest.MonkeyPatch) -> None:
     play = ReducerHarness()
     monkeypatch.setattr(play.reducer.module, "handle", lambda now, event: [])
     play.tell(listed("a"), fx.ClientConnected(1), arrived(1))
@@ -86,7 +86,7 @@
     assert len(play.faults()) == 1
 
 
-def test_module_that_fails_costs_one_authorisation(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_exception_in_the_module_fails_one_request(monkeypatch: pytest.MonkeyPatch) -> None:
     play, handle = ReducerHarness(), Reducer(settings(), 1, Budget(10, 12)).module.handle
     play.tell(listed("a"), fx.ClientConnected(1), fx.ClientConnected(2))
 
@@ -106,8 +106,8 @@
 
 @pytest.mark.parametrize("written", [False, True])
 @pytest.mark.parametrize("cls", ["read", "pay"])
-def test_break_counts_as_run_from_the_last_byte_on(cls: str, written: bool) -> None:
-    """Guards jobs that must never run twice, and those that may go out again because they never ran."""
+def test_disconnect_after_the_last_byte_counts_as_run(cls: str, written: bool) -> None:
+    """Unsafe jobs must not run twice, and jobs that never ran may be retried."""
     play = ReducerHarness()
     play.tell(listed("a", "b"), fx.ClientConnected(1))
     conn = conn_of(play.tell(arrived(1, cls)))
@@ -118,7 +118,7 @@
     assert play.answers() == ([] if again else [fx.Outcome.FAILED])
 
 
-def test_events_of_a_connection_that_was_given_up_change_nothing() -> None:
+def test_events_of_a_removed_connection_have_no_effect() -> None:
     play = ReducerHarness()
     play.tell(listed("a"), fx.ClientConnected(1))
     conn = conn_of(play.tell(arrived(1)))
@@ -135,8 +135,8 @@
     assert not [*state.requests, *state.connections, *state.open_request_ids, *state.clients]
 
 
-def test_hosts_that_are_gone_are_forgotten() -> None:
-    """Guards against a table that grows with every deploy."""
+def test_removed_workers_leave_the_table() -> None:
+    """Otherwise the table grows with every deployment."""
     play = ReducerHarness()
     for deploy in range(50):
         play.tell(listed(f"s-{deploy}", full=False))
@@ -144,8 +144,8 @@
     assert not play.reducer.state.workers
 
 
-def test_idle_connection_makes_room_for_a_leg_elsewhere(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards the budget of descriptors: the longest idle goes; where none is idle, nobody is dialled."""
+def test_idle_connection_is_closed_for_an_attempt_at_another_worker(monkeypatch: pytest.MonkeyPatch) -> None:
+    """At the descriptor limit the longest idle connection is closed; without one, no connection is opened."""
     play, hosts = ReducerHarness(Budget(10, 1)), iter("abc")
     play.tell(listed("a", "b", "c"), *[fx.ClientConnected(n) for n in range(1, 4)])
     monkeypatch.setattr(
@@ -167,8 +167,8 @@
     assert play.faults() == ["no descriptor is left for an attempt"]
 
 
-def test_tenants_that_nobody_knows_are_one() -> None:
-    """Guards the module's tables against a name made up for each authorisation."""
+def test_unknown_tenants_share_one_flow() -> None:
+    """Otherwise a new tenant name in each request would grow the module's tables."""
     reducer = Reducer(settings(tenants={"acme": 1.0}), 1, Budget(40, 44))
     reducer.handle(listed("a"), NOW)
     for number, tenant in enumerate(["acme", *(f"made-up-{n}" for n in range(30))]):
@@ -185,13 +185,13 @@
 
 
 @pytest.mark.parametrize("sockets", [32, 64, 1024])
-def test_budget_leaves_a_leg_for_each_client(sockets: int) -> None:
+def test_budget_allows_an_attempt_for_each_client(sockets: int) -> None:
     budget = Budget.of(sockets)
     assert budget.attempts > budget.clients >= 4
     assert budget.attempts + budget.clients <= sockets - 20
 
 
-def test_wheel_rings_in_order_and_never_early() -> None:
+def test_wheel_fires_in_order_and_never_early() -> None:
     wheel = Wheel(5, 1000)
     for key, at in (
         ("far", 9000),
@@ -216,9 +216,9 @@
     assert wheel.advance(60_005) == ["deadline", "guard"], "within a tick as well"
 
 
-def test_last_guard_stands_behind_the_deadline_where_the_slack_is_short() -> None:
-    """Guards the answer: with a slack of 8 ms the guard fell into the tick of the deadline and rang first, as
-    it had been set first; 1,325 jobs of a day were answered as late that the module would have refused."""
+def test_deadline_timer_fires_after_the_deadline_if_the_slack_is_short() -> None:
+    """With a slack of 8 ms the timer fell into the tick of the deadline and fired first, as it had been set
+    first: 1,325 jobs per day were answered as timed out that the module would have rejected."""
     config = settings()
     play = ReducerHarness(config=replace(config, rules=replace(config.rules, answer_slack=8 * MS)))
     play.tell(listed("a"))
@@ -234,8 +234,8 @@
     assert not play.faults()
 
 
-def test_full_budget_parts_with_the_least_missed_client_first() -> None:
-    """Guards who was served, and who has only just connected: the others go before them."""
+def test_eviction_order_at_the_connection_limit() -> None:
+    """Clients that were served or have just connected are evicted last."""
     play = ReducerHarness(Budget(5, 8))
     play.tell(
         listed("a"),
@@ -257,22 +257,22 @@
     assert [drop.client for drop in play.asked if isinstance(drop, fx.CloseClient)] == [3, 2, 4]
     play.tell(fx.ClientConnected(8))
     drops = [drop.client for drop in play.asked if isinstance(drop, fx.CloseClient)]
-    assert drops[3:] == [1], "even the one that was served before those that are fresh"
+    assert drops[3:] == [1], "served clients are evicted before new ones"
     play.tell(*[fx.ClientDisconnected(number) for number in drops], fx.ClientConnected(9))
     assert fx.SetAccepting(False) in play.asked
     assert not any(isinstance(effect, fx.CloseClient) for effect in play.advance(NEW_CLIENT_GRACE - 5 * MS))
-    assert fx.SetAccepting(True) in play.advance(10 * MS), "those who said nothing are fresh no longer"
+    assert fx.SetAccepting(True) in play.advance(10 * MS), "clients without a request are no longer new"
 
 
-def test_lines_that_clients_cause_are_few() -> None:
+def test_log_lines_that_clients_cause_are_rate_limited() -> None:
     play = ReducerHarness()
     play.tell(*[fx.RequestMalformed(400, "why")] * 50, fx.RequestMalformed(413, "large"))
     assert len([effect for effect in play.asked if isinstance(effect, fx.WriteLog)]) == 2
     assert play.reducer.state.log_counters["malformed 400"] == 50
 
 
-def kept(play: ReducerHarness) -> int:
-    """A connection that has carried a leg and is idle."""
+def idle_connection(play: ReducerHarness) -> int:
+    """Return a connection that has completed an attempt and is idle."""
     play.tell(listed("a"), fx.ClientConnected(1))
     conn = conn_of(play.tell(arrived(1, "pay")))
     play.tell(
@@ -285,10 +285,10 @@
     return conn
 
 
-def test_leg_that_a_kept_connection_could_not_carry_goes_on_another() -> None:
-    """Guards the module's belief: a kept connection that ended says nothing of its host."""
+def test_attempt_on_a_closed_idle_connection_moves_to_another() -> None:
+    """A closed idle connection must not be reported to the module as a failure of the worker."""
     play = ReducerHarness()
-    conn = kept(play)
+    conn = idle_connection(play)
     assert fx.SendAttempt(conn, 1, "message", 2 * SECOND) in play.tell(arrived(1, "pay", "2b"))
     other = conn_of(play.tell(fx.WorkerDisconnected(conn)))
     assert not any(key.startswith("leg connect") for key in play.reducer.state.log_counters)
@@ -296,9 +296,7 @@
 
 
 @pytest.mark.parametrize(("heard", "told"), [(False, True), (True, False)])
-def test_leg_that_its_host_does_not_acknowledge_is_told(
-    monkeypatch: pytest.MonkeyPatch, heard: bool, told: bool
-) -> None:
+def test_unacknowledged_attempt_is_reported(monkeypatch: pytest.MonkeyPatch, heard: bool, told: bool) -> None:
     play = ReducerHarness()
     events = list[api.Event]()
 
@@ -317,7 +315,7 @@
     assert notes == ([api.UpdateKind.UNACKNOWLEDGED] if told else [])
 
 
-def test_withdrawn_is_what_has_no_leg_and_nothing_else() -> None:
+def test_revocation_only_rejects_requests_without_attempts() -> None:
     play = ReducerHarness()
     play.tell(fx.ClientConnected(1), arrived(1))
     play.tell(fx.CredentialRevoked(1))
@@ -330,54 +328,54 @@
         fx.CredentialRevoked(1),
         fx.CredentialRevoked(9),
     )
-    assert play.answers() == [fx.Outcome.REVOKED], "taken is taken"
+    assert play.answers() == [fx.Outcome.REVOKED], "a request with an attempt is not rejected"
     assert not play.faults()
 
 
-# ---- pushed lists: an agent has them and nobody is asked ----
+# ---- lists pushed by an agent ----
 
 
 KNOWN = fx.WorkersListed(api.ListKind.STALE, 7, listed("a", "b").targets)
 
 
 def pushed(*events: fx.Event) -> ReducerHarness:
-    """At an agent that has said something already."""
+    """Return a harness whose agent has sent its first message."""
     play = ReducerHarness(config=settings(list_on_request=False))
     play.tell(KNOWN, fx.ListenerOpened(), fx.DirectoryHeartbeat(), *events)
     return play
 
 
-def follows(effects: list[fx.Effect]) -> list[fx.StartWatch]:
+def watch_requests(effects: list[fx.Effect]) -> list[fx.StartWatch]:
     return [effect for effect in effects if isinstance(effect, fx.StartWatch)]
 
 
-def test_pushed_lists_are_followed_from_the_start() -> None:
-    """Guards drains: the module asks for no list that is pushed, so nobody followed the agent, and the
-    scheduler lived on the list of its configuration."""
-    assert [follow.revision for follow in follows(pushed().asked)] == [7]
+def test_pushed_lists_are_watched_from_the_start() -> None:
+    """The module requests no pushed list, so the agent was never watched and the scheduler kept its
+    configured list, missing all drains."""
+    assert [follow.revision for follow in watch_requests(pushed().asked)] == [7]
 
 
 @pytest.mark.parametrize("how", ["silent", "gone"])
-def test_agent_that_says_nothing_for_a_minute_is_followed_anew(how: str) -> None:
+def test_agent_without_messages_for_a_minute_is_watched_again(how: str) -> None:
     play = pushed()
     begun = len(play.asked)
     for _ in range(60):
-        for _ in follows(play.asked[begun:]) if how == "gone" else ():
+        for _ in watch_requests(play.asked[begun:]) if how == "gone" else ():
             play.tell(fx.WatchLost("connection refused"))
         begun = len(play.asked)
         play.advance(SECOND)
-    again = follows(play.asked)
-    assert 12 <= len(again) <= 70, "each second at the most, and not given up"
+    again = watch_requests(play.asked)
+    assert 12 <= len(again) <= 70, "at most once per second, and without end"
     assert {follow.revision for follow in again} == {7}
     assert not [text for text in play.faults() if text]
     play.tell(listed("a", full=False))
     assert play.reducer.state.watch_losses == 0
     begun = len(play.asked)
     play.tell(fx.WatchLost("it ended"))
-    assert follows(play.advance(60 * MS)), "the first time at once"
+    assert watch_requests(play.advance(60 * MS)), "the first retry is immediate"
 
 
-def test_module_hears_of_pushed_lists_alone(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_module_only_receives_pushed_lists(monkeypatch: pytest.MonkeyPatch) -> None:
     play, told = pushed(), list[api.Event]()
     handle = play.reducer.module.handle
 
@@ -392,21 +390,21 @@
     assert kinds == [api.ListKind.FULL]
 
 
-def test_lost_watch_on_pushed_lists_moves_with_the_configuration() -> None:
+def test_lost_watch_on_pushed_lists_moves_on_reload() -> None:
     play = pushed(fx.WatchLost("it ended"))
-    moved = follows(play.tell(fx.ConfigurationReloaded(("127.0.0.1", 9))))
+    moved = watch_requests(play.tell(fx.ConfigurationReloaded(("127.0.0.1", 9))))
     assert [(follow.endpoint[1], follow.revision) for follow in moved] == [(9, 0)]
 
 
-def test_nothing_is_followed_behind_the_end() -> None:
+def test_no_watch_is_opened_after_the_end() -> None:
     play = pushed(fx.WatchLost("it ended"), fx.ShutdownRequested())
     play.advance(10 * SECOND)
     end = next(i for i, effect in enumerate(play.asked) if isinstance(effect, fx.Exit))
-    assert not follows(play.asked[end:])
+    assert not watch_requests(play.asked[end:])
 
 
-def test_older_list_brings_nobody_back() -> None:
-    """Guards drains against an agent that has fallen behind; who leaves by its list is heeded still."""
+def test_outdated_list_returns_no_worker() -> None:
+    """Drained workers must not return by the list of an agent that lags; departures in it still apply."""
     play = pushed(
         fx.WorkersListed(api.ListKind.CHANGES, 50, listed("a", state=api.WorkerState.DRAINING).targets)
     )
@@ -420,12 +418,12 @@
     assert play.reducer.module.workers["b"].state is api.WorkerState.GONE
     play.advance(OUTDATED_LIMIT)
     play.tell(old)
-    assert sorted(hosts) == ["a", "b", "c"], "it has begun its versions anew"
+    assert sorted(hosts) == ["a", "b", "c"], "it has restarted its versions"
     assert play.reducer.state.revision == 45
 
 
 def heard(play: ReducerHarness, monkeypatch: pytest.MonkeyPatch) -> list[api.WorkerListUpdate]:
-    """What its module is told of lists from now on."""
+    """Record the lists that the module receives from now on."""
     told, handle = list[api.WorkerListUpdate](), play.reducer.module.handle
 
     def hear(now: int, event: api.Event) -> list[api.Action]:
@@ -448,11 +446,11 @@
     ],
     ids=["changes", "whole list", "older list", "beat", "nothing"],
 )
-def test_a_new_process_hears_its_agent_before_a_job_goes_out(
+def test_new_process_waits_for_its_agent_before_the_first_attempt(
     word: fx.Event | None, sent: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Guards drains at a restart: what the agent holds is told from the first moment, and the list in the
-    configuration may name a host that drains. A silent agent holds the start up for 2 s."""
+    """The agent's updates count as delivered at once, and the configured list may name a draining worker. An
+    agent without messages delays the start by 2 s."""
     play = ReducerHarness(config=settings(list_on_request=False))
     told = heard(play, monkeypatch)
     play.tell(KNOWN, fx.ListenerOpened(), fx.ClientConnected(1), arrived(1))
@@ -466,25 +464,27 @@
     else:
         play.tell(word)
     assert play.reducer.state.ready()
-    assert [event.kind for event in told] == [api.ListKind.FULL], "one list, never the old one before the new"
+    assert [event.kind for event in told] == [api.ListKind.FULL], (
+        "one merged list, never the outdated one first"
+    )
     dials = [effect for effect in play.asked if isinstance(effect, fx.ConnectWorker)]
     assert len(dials) == 1
-    assert play.reducer.state.connections[dials[0].conn].host in sent
+    assert play.reducer.state.connections[dials[0].conn].worker_id in sent
 
 
 FLEETS = pytest.mark.parametrize("schedulers", [1, 5, 40, 200])
 
 
-def called(play: ReducerHarness, span: int) -> list[int]:
-    """When it asks for a watch within that time, from now on."""
+def watch_times(play: ReducerHarness, span: int) -> list[int]:
+    """Return the times of the watch requests within the span."""
     begun, at = play.now, list[int]()
     while play.now < begun + span:
-        at += [play.now - begun for _ in follows(play.advance(5 * MS))]
+        at += [play.now - begun for _ in watch_requests(play.advance(5 * MS))]
     return at
 
 
 def fleet(schedulers: int) -> list[ReducerHarness]:
-    """Each with a watch that has just said something."""
+    """Return schedulers whose watch has just received a message."""
     plays = []
     for me in range(schedulers):
         config = replace(settings(list_on_request=True, scheduler_count=schedulers), scheduler_index=me)
@@ -496,35 +496,34 @@
 
 
 def crowd(times: list[int], span: int) -> int:
-    """Most of them within any such span."""
+    """Return the highest number of times within any such span."""
     return max(sum(at <= other < at + span for other in times) for at in times)
 
 
 @FLEETS
-def test_a_silent_watch_is_opened_anew_before_what_it_missed_counts_as_told(schedulers: int) -> None:
-    """Guards drains: silence was noticed in time, and the call that followed came 11.5 to 21.8 s later where
-    200 schedulers ask, so a host that drained meanwhile still got jobs. Nor do all call at one moment."""
-    calls = [called(play, UPDATE_DEADLINE) for play in fleet(schedulers)]
+def test_timed_out_watch_is_reopened_before_missed_updates_count_as_delivered(schedulers: int) -> None:
+    """With 200 schedulers the call after a time-out came 11.5 to 21.8 s late, and a worker that drained
+    meanwhile still got jobs. The calls must also be spread over time."""
+    calls = [watch_times(play, UPDATE_DEADLINE) for play in fleet(schedulers)]
     first = [at[0] for at in calls]
-    assert max(first) <= UPDATE_DEADLINE - ANSWER_TIMEOUT, "an answer may take 2 s"
+    assert max(first) <= UPDATE_DEADLINE - ANSWER_TIMEOUT, "a response may take 2 s"
     assert min(first) >= WATCH_TIMEOUT
-    assert crowd(first, 10 * MS) <= 3, "they share one directory"
+    assert crowd(first, 10 * MS) <= 3, "all schedulers share one directory"
 
 
 @FLEETS
-def test_schedulers_call_a_new_address_by_lot_and_in_time(schedulers: int) -> None:
-    """Guards drains after SIGHUP, when all of 200 called at once: most calls failed and came again too
-    late."""
+def test_schedulers_call_a_new_address_spread_and_in_time(schedulers: int) -> None:
+    """After SIGHUP all 200 schedulers called at once: most calls failed, and the retries were too late."""
     calls = []
     for play in fleet(schedulers):
         play.tell(fx.ConfigurationReloaded(("127.0.0.1", 9)))
-        calls.append(called(play, MOVE_DEADLINE)[0])
+        calls.append(watch_times(play, MOVE_DEADLINE)[0])
     assert max(calls) <= MOVE_DEADLINE - ANSWER_TIMEOUT
     assert crowd(calls, 10 * MS) <= 3
 
 
 OUTAGE = 8 * SECOND
-FAILS = {  # how a call ends while discovery is down: when, or never
+FAILS = {  # when a call fails while discovery is down; None: never
     "refused": 0,
     "cut in the middle of a list": 100 * MS,
     "503": 2 * SECOND,
@@ -533,20 +532,21 @@
 
 
 def calls_in_an_outage(play: ReducerHarness, fails: int | None, reload_at: int) -> list[int]:
-    """Its watch is lost now, discovery is back after `OUTAGE`: when it calls, up to the first call that can
-    be answered. At `reload_at` a new address is told, 0: none is."""
+    """Return the times of the calls from a lost watch to the first call after `OUTAGE`.
+
+    At `reload_at` the directory moves to a new address; 0: it does not."""
     begun, at, ends = play.now, list[int](), list[int]()
     play.tell(fx.WatchLost("reset"))
     while not at or at[-1] < OUTAGE:
-        assert play.now < begun + OUTAGE + UPDATE_DEADLINE, "it calls no more"
+        assert play.now < begun + OUTAGE + UPDATE_DEADLINE, "it has stopped calling"
         effects = play.advance(5 * MS)
         past = play.now - begun
         if past == reload_at:
             ends.clear()
             effects += play.tell(fx.ConfigurationReloaded(("127.0.0.1", 9)))
         if any(isinstance(effect, fx.StopWatch) for effect in effects):
-            ends.clear()  # it gave the call up itself
-        for _ in follows(effects):
+            ends.clear()  # the call was abandoned
+        for _ in watch_requests(effects):
             at.append(past)
             if fails is not None:
                 ends.append(past + fails)
@@ -559,12 +559,12 @@
 @pytest.mark.parametrize("reload_at", [0, 3 * SECOND], ids=["", "a new address meanwhile"])
 @pytest.mark.parametrize("how", FAILS)
 @FLEETS
-def test_after_an_outage_discovery_is_called_before_what_it_has_counts_as_told(
+def test_discovery_is_called_after_an_outage_before_updates_count_as_delivered(
     schedulers: int, how: str, reload_at: int
 ) -> None:
-    """Guards drains: what discovery has counts as told 6 s after it can be reached, whatever failed before,
-    and an answer may take 2 s of these. The module's pauses came to 19 s at 200 schedulers, doubled lots to
-    14 s. Nor do so many call at once that one directory could not answer them."""
+    """Updates count as delivered 6 s after discovery is reachable, whatever failed before, and a response may
+    take 2 s of these. The module's backoff reached 19 s at 200 schedulers, doubled call delays 14 s. The
+    call rate must also stay within what one directory can answer."""
     plays = fleet(schedulers)[:: max(1, schedulers // 20)]
     calls = [calls_in_an_outage(play, FAILS[how], reload_at) for play in plays]
     back = [at[-1] - OUTAGE for at in calls]
@@ -572,56 +572,57 @@
     every = sorted(at for times in calls for at in times if at >= SECOND)
     rate = crowd(every, SECOND) * schedulers / len(plays)
     assert rate <= max(3 * schedulers, 40) if schedulers <= 40 else rate <= 1.2 * schedulers
-    assert max(len(times) for times in calls) <= 25, "each calls ever more seldom"
+    assert max(len(times) for times in calls) <= 25, "the backoff grows"
     play = plays[0]
     play.tell(listed("a"))
-    assert play.reducer.state.watch_losses == 0, "the next time it begins anew"
+    assert play.reducer.state.watch_losses == 0, "the backoff is reset"
 
 
-def test_a_watch_that_is_lost_is_not_asked_for_twice(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards discovery: the module may ask while the next call is planned here."""
+def test_lost_watch_is_not_requested_twice(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The module may request a watch while the next call is already scheduled."""
     (play,) = fleet(1)
     monkeypatch.setattr(play.reducer.module, "handle", lambda now, event: [api.Watch()])
     play.tell(fx.WatchLost("reset"))
-    assert not follows(play.tell(fx.ClientConnected(1), arrived(1)))
-    assert len(follows(play.advance(SECOND))) == 1
+    assert not watch_requests(play.tell(fx.ClientConnected(1), arrived(1)))
+    assert len(watch_requests(play.advance(SECOND))) == 1
 
 
 @pytest.mark.parametrize(("grace", "most"), [(250 * MS, 100 * MS), (3 * SECOND, SECOND)])
-def test_an_agent_that_is_back_is_heard_within_the_window_of_a_drain(grace: int, most: int) -> None:
-    """Guards drains after an outage: what the agent holds is told at once, and the pauses had grown to 1
-    s."""
+def test_restarted_agent_is_watched_within_the_drain_grace_period(grace: int, most: int) -> None:
+    """After an outage the agent's updates count as delivered at once, but the backoff had grown to 1 s."""
     config = settings(list_on_request=False)
     play = ReducerHarness(config=replace(config, rules=replace(config.rules, drain_grace=grace)))
     play.tell(KNOWN, fx.ListenerOpened(), fx.DirectoryHeartbeat())
     times = []
     for _ in range(200):
         play.tell(fx.WatchLost("connection refused"))
-        times.append(called(play, 2 * SECOND)[0])
+        times.append(watch_times(play, 2 * SECOND)[0])
     assert max(times) <= most
     assert min(times[3:]) >= 40 * MS, "no busy loop"
 
 
-def test_a_beat_that_never_completes_a_list_is_a_silence() -> None:
+def test_heartbeats_that_stop_time_the_watch_out() -> None:
     play = pushed()
     begun = len(play.asked)
     play.advance(WATCH_TIMEOUT + 200 * MS)
     assert any(isinstance(effect, fx.StopWatch) for effect in play.asked[begun:])
-    assert len(follows(play.asked[begun:])) == 1, "it is opened anew"
+    assert len(watch_requests(play.asked[begun:])) == 1, "it is reopened"
     play.tell(fx.DirectoryHeartbeat())
     assert not play.reducer.state.watch_losses
 
 
-def test_older_whole_list_takes_out_whom_it_does_not_name() -> None:
-    """Guards drains where the directory has begun anew: who is missing from its list has left."""
+def test_outdated_complete_list_removes_workers_that_it_omits() -> None:
+    """After a directory restart, workers missing from its list have left and must get no jobs."""
     play = pushed(fx.WorkersListed(api.ListKind.CHANGES, 50, listed("c").targets))
     assert set(play.reducer.state.workers) == {"a", "b", "c"}
     play.tell(fx.WorkersListed(api.ListKind.FULL, 45, listed("a", "b", "d").targets))
     assert set(play.reducer.state.workers) == {"a", "b"}
 
 
-def test_connection_whose_answer_never_ends_makes_room(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards legs: a result is known, and the rest of its answer held the last place for a leg."""
+def test_connection_with_an_unfinished_response_is_closed_for_another(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """The rest of a response whose result is known must not hold the last descriptor for attempts."""
     play, hosts = ReducerHarness(Budget(10, 1)), iter("ab")
     play.tell(listed("a", "b"), fx.ClientConnected(1), fx.ClientConnected(2))
     monkeypatch.setattr(
--- a/tests/test_worker_connections.py
+++ b/tests/test_worker_connections.py
@@ -1,4 +1,4 @@
-"""A connection to an issuer host, in the moment in which a leg is to be written on it."""
+"""A worker connection at the time when an attempt is to be written on it."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 from reedspoke.net.runtime import Runtime
 from reedspoke.net.worker_connections import WorkerConnector
 
-LEG = Message(Head(1, b"POST", memoryview(b"/quote")), "quote", "1a", 1_000_000, 0, 1, 0.0, "", "")
+ATTEMPT = Message(Head(1, b"POST", memoryview(b"/quote")), "quote", "1a", 1_000_000, 0, 1, 0.0, "", "")
 
 
-class Told:
-    """What the reducer would hear."""
+class RecordedEvents:
+    """Records the events for the reducer."""
 
     def __init__(self) -> None:
         self.events: list[Any] = []
@@ -28,17 +28,17 @@
         self.events.append(event)
 
 
-async def crossing(ends: str, present: bool) -> tuple[list[Any], bytes]:
-    """The host ends its connection, or a client has gone, and the loop has not come to read it: what is told,
-    and what the host reads."""
-    told = Told()
-    connector = WorkerConnector(cast(Runtime, told), (), lambda client: present)
+async def write_attempt(ends: str, connected: bool) -> tuple[list[Any], bytes]:
+    """Return the events, and the bytes that the worker receives, after the worker has closed its connection
+    or the client has disconnected, and before the event loop has read that."""
+    recorded = RecordedEvents()
+    connector = WorkerConnector(cast(Runtime, recorded), (), lambda client: connected)
     doing = connector.effects()
     with socket.create_server(("127.0.0.1", 0)) as host:
         doing[fx.ConnectWorker](fx.ConnectWorker(1, host.getsockname()))
-        while not told.events:
+        while not recorded.events:
             await asyncio.sleep(0)
-        assert told.events == [fx.WorkerConnected(1)]
+        assert recorded.events == [fx.WorkerConnected(1)]
         wire, _ = host.accept()
         if ends == "fin":
             wire.shutdown(socket.SHUT_WR)
@@ -47,20 +47,20 @@
         ours = next(iter(connector._connections.values())).stream
         assert ours is not None
         if ends:
-            assert select.select([ours.socket], [], [], 5)[0], "it lies there unread"
-        doing[fx.SendAttempt](fx.SendAttempt(1, 7, LEG, 1_000_000))
-        events = told.events[1:]
+            assert select.select([ours.socket], [], [], 5)[0], "the event is unread"
+        doing[fx.SendAttempt](fx.SendAttempt(1, 7, ATTEMPT, 1_000_000))
+        events = recorded.events[1:]
         doing[fx.DisconnectWorker](fx.DisconnectWorker(1))
         wire.settimeout(5)
         with wire:
             try:
                 return events, wire.recv(65536)
-            except ConnectionResetError:  # what it had said was never read
+            except ConnectionResetError:  # the worker's bytes were never read
                 return events, b""
 
 
 @pytest.mark.parametrize(
-    ("ends", "present", "event"),
+    ("ends", "connected", "event"),
     [
         ("", True, fx.AttemptWritten(1)),
         ("fin", True, fx.AttemptNotSent(1, ended=True)),
@@ -68,9 +68,11 @@
         ("", False, fx.AttemptNotSent(1)),
     ],
 )
-def test_nothing_is_written_where_either_end_has_gone(ends: str, present: bool, event: fx.Event) -> None:
-    """Guards jobs that must never run twice, and hosts: the end of a kept connection, or of the client, may
-    lie unread while others are served; a leg written then may have run, or runs for nobody."""
-    events, sent = asyncio.run(crossing(ends, present))
+def test_no_attempt_is_written_after_either_side_has_closed(
+    ends: str, connected: bool, event: fx.Event
+) -> None:
+    """The close of an idle connection or of the client may be unread while other events are handled. An
+    attempt written then may run twice, or for no client."""
+    events, sent = asyncio.run(write_attempt(ends, connected))
     assert events == [event]
     assert (b"POST /quote" in sent) == isinstance(event, fx.AttemptWritten)
