--- a/reedspoke/net/effects.py
+++ b/reedspoke/net/effects.py
@@ -1,4 +1,4 @@
-"""What the reducer is told (events) and what it asks for (effects). Both know nothing of HTTP."""
+"""Events, the reducer's inputs, and effects, its outputs. Neither depends on HTTP."""
 
 from __future__ import annotations
 
@@ -11,421 +11,469 @@
 TimerKey = tuple[str, int]
 
 
-class Farewell(Enum):
-    """How a client's connection is ended. One whose authorisation waits for its answer is never dropped."""
+class CloseMode(Enum):
+    """When a client connection is closed. A connection that is owed a response is never closed."""
 
-    IDLE = "idle"  # unless bytes of an authorisation have come
-    TOLD = "told"  # also half an authorisation, with an answer that says so
-    NOW = "now"  # also half an authorisation, at once
+    IF_IDLE = "idle"  # only if no byte of a request has been received
+    WITH_ERROR = "told"  # a partly received request gets an error response
+    IMMEDIATELY = "now"  # at once, even if a request has been partly received
 
 
-class Verdict(Enum):
-    """The final answer to an authorisation."""
+class Outcome(Enum):
+    """The final outcome of a client request."""
 
     SERVED = "served"
-    DECLINED = "declined"  # trying again is harmless
+    REJECTED = "declined"  # it was not executed, so a retry is safe
     FAILED = "failed"
-    LATE = "late"  # the last guard's
-    INVALID = "invalid"  # it should not have come
-    WITHDRAWN = "withdrawn"  # it never ran, and its caller is believed no longer
+    TIMED_OUT = "late"  # the deadline timer of `clients` answered it
+    INVALID = "invalid"  # the request itself is invalid
+    REVOKED = "withdrawn"  # the caller's credential was revoked before any attempt
 
 
-class Order(Enum):
-    """What operators ask for."""
+class OperatorCommand(Enum):
+    """A command of an operator call."""
 
     READY = "ready"
-    FIGURES = "figures"
+    METRICS = "figures"
     SUSPEND = "suspend"
     RESUME = "resume"
     DRAIN = "drain"
     ACTIVATE = "activate"
-    FURTHER = "further"  # of a part beyond the platform's program
+    EXTENSION = "further"  # a call that an extension handles
 
 
-class Word(Enum):
-    """What operators are told."""
+class CallResult(Enum):
+    """The result of an operator call."""
 
     YES = "yes"
     NO = "no"
-    UNKNOWN = "no such worker"
-    ABSENT = "not here"  # the part that would know is not in use, or knows nothing of that name
+    UNKNOWN_WORKER = "no such worker"
+    NOT_FOUND = "not here"  # the extension is not in use, or does not know the name
 
 
-# ---- what parts beyond the platform's program bring (`subsystem.py`) ----
+# ---- base classes for extensions (`subsystem.py`) ----
 
 
-class FurtherEvent(Struct):
-    """The base of their events."""
+class ExtensionEvent(Struct):
+    """Base class of extension events."""
 
 
-class FurtherEffect(Struct):
-    """The base of their effects."""
+class ExtensionEffect(Struct):
+    """Base class of extension effects."""
 
 
 # ---- events ----
 
 
-class Joined(Struct):
+class ClientConnected(Struct):
     """A client has connected."""
 
     client: int
 
 
-class Greeted(Struct):
-    """A client has connected at a front that has to agree with it on keys first."""
+class HandshakeStarted(Struct):
+    """A client has connected and its TLS handshake has begun."""
 
     client: int
 
 
-class Secured(Struct):
-    """It has: from here on the client is as any other."""
+class HandshakeCompleted(Struct):
+    """The TLS handshake has succeeded: the client is now handled like any other."""
 
     client: int
 
 
-class Reading(Struct):
-    """The first bytes of an authorisation have come from a client."""
+class RequestStarted(Struct):
+    """The first bytes of a request have been received."""
 
     client: int
 
 
-class Arrived(Struct):
-    """The last byte of an authorisation has come. `message` is what its legs will carry."""
+class RequestReceived(Struct):
+    """The last byte of a request has been received. `message` is what its attempts send."""
 
     client: int
     name: str
     message: object
     cls: str
-    span: int  # us that the client will wait
-    hint: int
+    timeout: int  # us until the client's deadline
+    cost_hint: int
     slots: int
     memory: float
     tenant: str
     key: str
-    elsewhere: bool = False  # one of that id is open in this scheduler's other process
+    open_in_sibling: bool = False  # a request of that id is open in a sibling process
 
 
-class Withdrawn(Struct):
-    """What a client proved itself with counts no longer: nothing of it may go out that has not yet."""
+class CredentialRevoked(Struct):
+    """The credential of a client has been revoked: its request may not start a first attempt."""
 
     client: int
 
 
-class Answered(Struct):
-    """An answer has been written, or an ill-formed authorisation has been told so."""
+class ResponseSent(Struct):
+    """A response has been written, including error responses to malformed requests."""
 
     client: int
 
 
-class Ending(Struct):
-    """The last answer on a client's connection is given; what still comes is read and forgotten."""
+class ClientClosing(Struct):
+    """The last response on a client connection has been sent; further input is discarded."""
 
     client: int
 
 
-class Refused(Struct):
-    """What a client sent is no authorisation; `status` tells it so."""
+class RequestMalformed(Struct):
+    """A client sent an invalid request, or a worker reported one; `status` is the HTTP status."""
 
     status: int
-    why: str
+    reason: str
 
 
-class Scarce(Struct):
-    """The system has no descriptor for a client that waits to be taken in."""
+class DescriptorsExhausted(Struct):
+    """The system has no file descriptor left to accept a waiting client."""
 
 
-class Parted(Struct):
-    """A client's connection has ended."""
+class ClientDisconnected(Struct):
+    """A client connection has closed."""
 
     client: int
 
 
-class Opened(Struct):
-    """A connection to an issuer host has come up."""
+class WorkerConnected(Struct):
+    """A connection to a worker has been established."""
 
     conn: int
 
 
-class Written(Struct):
-    """The last byte of a leg is written."""
+class AttemptWritten(Struct):
+    """The last byte of an attempt has been written."""
 
     conn: int
 
 
-class Unsent(Struct):
-    """Not a byte of a leg was written: its client had gone by then, or the connection had ended."""
+class AttemptNotSent(Struct):
+    """No byte of an attempt was written: its client had disconnected, or, with `ended`, the connection had
+    closed or carried unexpected input."""
 
     conn: int
     ended: bool = False
 
 
-class Heard(Struct):
-    """A host has begun to answer a leg: it has taken it."""
+class ResponseStarted(Struct):
+    """A worker has begun to respond to an attempt or a probe."""
 
     conn: int
 
 
-class Noted(Struct):
-    """A leg tells that its job has started, or how far it is."""
+class AttemptProgress(Struct):
+    """A worker reports that a job has started, or its progress."""
 
     conn: int
     kind: api.UpdateKind
     share: float
 
 
-class Concluded(Struct):
-    """A leg or a probe has its outcome; the rest of the answer may still be on its way."""
+class OutcomeReceived(Struct):
+    """The outcome of an attempt or a probe is known; the rest of the response may still be in flight."""
 
     conn: int
     reason: api.Reason
     report: tuple[float, ...] = ()
     result: bytes = b""
-    invalid: bool = False  # the host says that the authorisation itself is at fault
-    free: bool = False  # its answer has ended, and the connection may carry the next leg
+    invalid: bool = False  # the worker rejects the request itself as invalid
+    reusable: bool = False  # the response has ended; the connection may be reused
 
 
-class Freed(Struct):
-    """The whole answer has come: the connection can carry the next leg."""
+class ResponseCompleted(Struct):
+    """The response has been read completely: the connection can be reused."""
 
     conn: int
 
 
-class Broken(Struct):
-    """A connection to an issuer host never came up or has ended."""
+class WorkerDisconnected(Struct):
+    """A connection to a worker could not be established, or has closed."""
 
     conn: int
 
 
-class Target(Struct):
-    """An issuer host as the directory lists it."""
+class ListedWorker(Struct):
+    """A worker as the directory lists it."""
 
     entry: api.WorkerEntry
     endpoint: tuple[str, int]
 
 
-class Listed(Struct):
+class WorkersListed(Struct):
+    """A complete list of workers, or changes of it."""
+
     kind: api.ListKind
-    rev: int
-    targets: list[Target]
+    revision: int
+    targets: list[ListedWorker]
+
 
+class DirectoryHeartbeat(Struct):
+    """The directory has sent a heartbeat on the watch."""
 
-class Beaten(Struct):
-    """The directory gives a sign of life."""
 
+class WatchLost(Struct):
+    """The watch on the directory has failed or has closed."""
 
-class Unlisted(Struct):
-    """The watch has failed or has ended."""
+    reason: str
 
-    why: str
 
+class TimerFired(Struct):
+    """A timer has expired."""
 
-class Rung(Struct):
     key: TimerKey
 
 
-class Listening(Struct):
-    """The listener is open."""
+class ListenerOpened(Struct):
+    """The client listener is open."""
 
 
-class Stop(Struct):
-    """The platform asks for a planned end."""
+class ShutdownRequested(Struct):
+    """The platform requests a graceful shutdown (SIGTERM)."""
 
 
-class Reload(Struct):
-    """The platform has a new configuration."""
+class ReloadRequested(Struct):
+    """The platform has a new configuration (SIGHUP)."""
 
 
-class Reloaded(Struct):
-    """It is read and holds; so far only the directory's address can change in service."""
+class ConfigurationReloaded(Struct):
+    """The new configuration is valid; only the directory's address can change while in service."""
 
     directory: tuple[str, int]
 
 
-class Rang(Struct):
-    """An operator has connected at the door."""
+class OperatorConnected(Struct):
+    """An operator has connected to the operator listener."""
 
     caller: int
 
 
-class Called(Struct):
-    """A whole call has come; `host` is the issuer host that it names, if any. Of a further one: which, what
-    it names and its body."""
+class OperatorCall(Struct):
+    """An operator call has been received; `host` is the worker that it names, if any. `which`, `names` and
+    `body` are the call, its path parameters and its body where an extension handles it."""
 
     caller: int
-    order: Order
+    command: OperatorCommand
     host: str = ""
     which: str = ""
     names: tuple[str, ...] = ()
     body: bytes = b""
 
 
-class Hungup(Struct):
-    """An operator's connection has ended."""
+class OperatorDisconnected(Struct):
+    """An operator connection has closed."""
 
     caller: int
 
 
-class Unloaded(Struct):
-    """The new configuration is unusable: the old one stays in force."""
+class ConfigurationRejected(Struct):
+    """The new configuration is invalid: the old one stays in force."""
 
 
-class Partner(Struct):
-    """What another process of this scheduler holds, while one replaces the other."""
+class SiblingProcess(Struct):
+    """The resources that a sibling process of this scheduler uses during a handover."""
 
     leaving: bool
     descriptors: int
-    slots: dict[str, int]  # at each issuer host
+    slots: dict[str, int]  # in use at each worker
     learned: api.LearnedState
 
 
-class Accompanied(Struct):
-    """Which other processes of this scheduler live, and what they hold."""
+class SiblingsReported(Struct):
+    """The live sibling processes of this scheduler, and their resources."""
 
-    partners: tuple[Partner, ...]
+    partners: tuple[SiblingProcess, ...]
 
 
-class Ordered(Struct):
-    """All that operators have ordered, as kept for both processes."""
+class OrdersRecorded(Struct):
+    """All operator commands in force, as recorded for both processes."""
 
     suspended: dict[str, tuple[str, int]]
     drained: bool
-    caller: int = 0  # whose call changed it, 0: none here
+    caller: int = 0  # the operator call that changed it, 0: none of this process
 
 
-class Unrecorded(Struct):
-    """An order could not be kept; `again`: for the moment."""
+class OrderNotRecorded(Struct):
+    """An operator command could not be recorded; `again`: a retry may succeed."""
 
-    record: Record
+    record: RecordOrder
     again: bool
 
 
 Event = (
-    FurtherEvent | Joined | Greeted | Secured | Withdrawn | Reading | Arrived | Answered | Ending |
-    Refused | Parted | Scarce | Opened | Written | Unsent | Heard | Noted | Concluded | Freed | Broken |
-    Listed | Beaten | Unlisted | Rung | Listening | Stop | Reload | Reloaded | Unloaded | Rang | Called |
-    Hungup | Accompanied | Ordered | Unrecorded
-)  # fmt: skip
+    ExtensionEvent
+    | ClientConnected
+    | HandshakeStarted
+    | HandshakeCompleted
+    | CredentialRevoked
+    | RequestStarted
+    | RequestReceived
+    | ResponseSent
+    | ClientClosing
+    | RequestMalformed
+    | ClientDisconnected
+    | DescriptorsExhausted
+    | WorkerConnected
+    | AttemptWritten
+    | AttemptNotSent
+    | ResponseStarted
+    | AttemptProgress
+    | OutcomeReceived
+    | ResponseCompleted
+    | WorkerDisconnected
+    | WorkersListed
+    | DirectoryHeartbeat
+    | WatchLost
+    | TimerFired
+    | ListenerOpened
+    | ShutdownRequested
+    | ReloadRequested
+    | ConfigurationReloaded
+    | ConfigurationRejected
+    | OperatorConnected
+    | OperatorCall
+    | OperatorDisconnected
+    | SiblingsReported
+    | OrdersRecorded
+    | OrderNotRecorded
+)
 
 # ---- effects ----
 
 
-class Answer(Struct):
+class SendResponse(Struct):
+    """Send the final response to a client."""
+
     client: int
-    verdict: Verdict
+    outcome: Outcome
     result: bytes = b""
     retry_after: int = 0
-    last: bool = False  # the connection ends with it
+    last: bool = False  # the connection is closed after it
 
 
-class Drop(Struct):
-    """End a client's connection."""
+class CloseClient(Struct):
+    """Close a client connection."""
 
     client: int
-    how: Farewell = Farewell.IDLE
+    mode: CloseMode = CloseMode.IF_IDLE
 
 
-class Accept(Struct):
-    """Take clients from now on, or leave them waiting while no descriptor is free."""
+class SetAccepting(Struct):
+    """Accept clients, or leave them in the backlog while no descriptor is free."""
 
     on: bool
 
 
-class Admit(Struct):
-    """Begin further handshakes from now on, or leave who comes for one waiting."""
+class SetHandshaking(Struct):
+    """Accept TLS clients, or leave them in the backlog while too many handshakes are in flight."""
 
     on: bool
 
 
-class Shut(Struct):
-    """Close the listener; where nobody else has it, take in who is waiting first."""
+class CloseListener(Struct):
+    """Close the listener; where no other process holds it, accept its backlog first."""
+
 
+class ConnectWorker(Struct):
+    """Open a connection to a worker."""
 
-class Dial(Struct):
     conn: int
     endpoint: tuple[str, int]
 
 
-class Transmit(Struct):
+class SendAttempt(Struct):
+    """Write an attempt to a worker connection."""
+
     conn: int
-    client: int  # whose job it is: nothing is written once that one has gone
+    client: int  # nothing is written once this client has disconnected
     message: object
-    wait: int  # us that the answer is waited for
+    timeout: int  # us that the attempt may take
 
 
-class Ask(Struct):
-    """Send a probe."""
+class SendProbe(Struct):
+    """Write a probe to a worker connection."""
 
     conn: int
 
 
-class Hangup(Struct):
+class DisconnectWorker(Struct):
+    """Close a connection to a worker."""
+
     conn: int
 
 
-class Follow(Struct):
-    """Watch the directory for what has changed since `rev`; another watch ends with that."""
+class StartWatch(Struct):
+    """Watch the directory for changes since `revision`; this replaces any other watch."""
 
     endpoint: tuple[str, int]
-    rev: int
+    revision: int
 
 
-class Unfollow(Struct):
-    pass
+class StopWatch(Struct):
+    """Close the watch on the directory."""
 
 
-class Reread(Struct):
-    """Read the configuration again."""
+class ReloadConfiguration(Struct):
+    """Read the configuration file again."""
 
 
-class Ring(Struct):
+class SetTimer(Struct):
+    """Set a timer; it replaces a timer of the same key."""
+
     key: TimerKey
     at: int
 
 
-class Quiet(Struct):
+class CancelTimer(Struct):
+    """Cancel a timer, if it is set."""
+
     key: TimerKey
 
 
-class Say(Struct):
-    """A line for the log."""
+class WriteLog(Struct):
+    """Write a log line; `fault` marks a defect of this program."""
 
     text: str
     fault: bool = False
 
 
-class Reply(Struct):
-    """Answer an operator's call."""
+class ReplyToOperator(Struct):
+    """Respond to an operator call."""
 
     caller: int
-    word: Word
-    figures: bool = False  # with all figures as its text
-    text: str = ""  # in place of the word's own
-    status: int = 0  # in place of the word's own
-    form: str = ""  # content type, where it is not plain text
+    result: CallResult
+    figures: bool = False  # the body is all metrics
+    text: str = ""  # in place of the text of `result`
+    status: int = 0  # in place of the HTTP status of `result`
+    content_type: str = ""  # "" for plain text
 
 
-class Dismiss(Struct):
-    """End an operator's connection that has not called."""
+class DisconnectOperator(Struct):
+    """Close an operator connection that has not sent a call."""
 
     caller: int
 
 
-class Record(Struct):
-    """Keep an operator's order where both processes see it."""
+class RecordOrder(Struct):
+    """Record an operator command where sibling processes read it."""
 
     caller: int
-    order: Order
+    command: OperatorCommand
     host: str = ""
     endpoint: tuple[str, int] = ("", 0)
-    tries: int = 0  # that have failed, as the other process was at it
+    retries: int = 0  # attempts that failed because the sibling process held the lock
 
 
-class Look(Struct):
-    """See what the other process, if there is one, has left for this one."""
+class ReadSharedState(Struct):
+    """Read what sibling processes have published, and the recorded operator commands."""
 
 
-class Hold(Struct):
-    """Tell the other process what this one holds."""
+class PublishUsage(Struct):
+    """Publish the resources that this process uses to its sibling processes."""
 
     leaving: bool
     descriptors: int
@@ -433,38 +481,38 @@
     learned: api.LearnedState
 
 
-class Unclaim(Struct):
-    """An authorisation is not open any more."""
+class ReleaseRequestId(Struct):
+    """Release the claim on a request id: the request is no longer open."""
 
     name: str
 
 
 class Exit(Struct):
-    pass
+    """End the process."""
 
 
 Effect = (
-    Answer
-    | Drop
-    | Accept
-    | Admit
-    | Shut
-    | Dial
-    | Transmit
-    | Ask
-    | Hangup
-    | Follow
-    | Unfollow
-    | Reread
-    | Ring
-    | Quiet
-    | Say
-    | Reply
-    | Dismiss
-    | Record
-    | Look
-    | Hold
-    | Unclaim
+    SendResponse
+    | CloseClient
+    | SetAccepting
+    | SetHandshaking
+    | CloseListener
+    | ConnectWorker
+    | SendAttempt
+    | SendProbe
+    | DisconnectWorker
+    | StartWatch
+    | StopWatch
+    | ReloadConfiguration
+    | SetTimer
+    | CancelTimer
+    | WriteLog
+    | ReplyToOperator
+    | DisconnectOperator
+    | RecordOrder
+    | ReadSharedState
+    | PublishUsage
+    | ReleaseRequestId
     | Exit
-    | FurtherEffect
+    | ExtensionEffect
 )
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -14,10 +14,10 @@
 from reedspoke import interface as api
 from reedspoke.net import effects as fx
 from reedspoke.net import handover
-from reedspoke.net.core import DOOR, Budget
+from reedspoke.net.core import OPERATOR_DESCRIPTORS, Budget
 from reedspoke.net.handover import ORDERS, Handover
 from tests.peers import Node, Start, ask, took
-from tests.test_reducer import Play, arrived, listed
+from tests.test_reducer import ReducerHarness, arrived, listed
 
 
 def settled(node: Node) -> None:
@@ -35,7 +35,7 @@
     old = start(hosts=1, inherits=True)
     settled(old)
     kept, busy = old.client(ask("1a")), old.client(ask("2b"))
-    wires = [old.leg(), old.leg()]
+    wires = [old.next_wire(), old.next_wire()]
     legs = {leg.fields["x-request-id"]: (wire, leg) for wire, leg in ((w, w.message()) for w in wires)}
     legs["1a"][0].serve(legs["1a"][1])
     assert kept.message().status == 200
@@ -46,7 +46,7 @@
     old.process.terminate()
     assert kept.ended()
     early = new.client(ask("3c"))
-    wire = new.leg(*wires)
+    wire = new.next_wire(*wires)
     wire.serve()
     assert early.message().status == 200
     legs["2b"][0].state(legs["2b"][1], "done", result="late")
@@ -56,7 +56,7 @@
     busy.close()
     assert old.process.wait(8) == 0
     again = new.client(ask("4d"))
-    new.leg(wire).serve()
+    new.next_wire(wire).serve()
     assert again.message().status == 200, "the listener outlives the old one"
 
 
@@ -65,14 +65,14 @@
     node = start(hosts=1, inherits=True)
     settled(node)
     client = node.client(ask("1a"))
-    wire = node.leg()
+    wire = node.next_wire()
     wire.serve()
     assert client.message().status == 200
     node.process.send_signal(signal.SIGSTOP)
     client.send(ask("2b"))
     node.process.terminate()
     node.process.send_signal(signal.SIGCONT)
-    node.leg(wire).serve()
+    node.next_wire(wire).serve()
     answer = client.message()
     assert (answer.status, answer.fields["connection"]) == (200, "close")
 
@@ -83,7 +83,7 @@
     assert node.call("/v1/readyz").status == 503
     assert node.quiet()
     since = time.monotonic()
-    node.leg().serve()
+    node.next_wire().serve()
     assert client.message().status == 200
     assert took(since) < 3.5, "the directory is waited for, but not for long"
 
@@ -113,7 +113,7 @@
     old = start(hosts=1, inherits=True)
     settled(old)
     first = old.client(ask("1a", cls="book"))
-    wire = old.leg()
+    wire = old.next_wire()
     leg = wire.message()
     wire.begin()
     new = start(beside=old)
@@ -126,7 +126,7 @@
     wire.end()
     assert first.message().body == b"once"
     again = new.client(ask("1a", cls="book"))
-    new.leg(wire).serve()
+    new.next_wire(wire).serve()
     assert again.message().status == 200, "once it is not open any more the id is free"
 
 
@@ -134,7 +134,7 @@
     old = start(hosts=1, inherits=True)
     settled(old)
     busy = old.client(ask("1a"))
-    wire = old.leg()
+    wire = old.next_wire()
     old.process.kill()
     old.process.wait(8)
     busy.close()
@@ -142,7 +142,7 @@
     new = start(beside=old)
     settled(new)
     client = new.client(ask("1a"))
-    new.leg().serve()
+    new.next_wire().serve()
     assert client.message().status == 200
     old.process = new.process  # it was to die
 
@@ -164,7 +164,7 @@
     part.effects()[type(effect)](effect)
 
 
-SUSPEND = fx.Record(7, fx.Order.SUSPEND, "s-1", ("10.0.0.1", 80))
+SUSPEND = fx.RecordOrder(7, fx.OperatorCommand.SUSPEND, "s-1", ("10.0.0.1", 80))
 GOOD = {"name": "n0", "version": 5, "suspended": {"s-9": ["10.0.0.9", 80]}, "drained": False}
 
 
@@ -180,16 +180,16 @@
         (tmp_path / ORDERS).mkdir()
     else:
         (tmp_path / ORDERS).write_bytes(found)
-    do(part, fx.Look())
+    do(part, fx.ReadSharedState())
     assert not told
     do(part, SUSPEND)
     if found is None:
-        assert told == [fx.Unrecorded(SUSPEND, again=False)]
+        assert told == [fx.OrderNotRecorded(SUSPEND, again=False)]
     else:
-        assert told == [fx.Ordered({"s-1": ("10.0.0.1", 80)}, False, 7)]
+        assert told == [fx.OrdersRecorded({"s-1": ("10.0.0.1", 80)}, False, 7)]
         other, heard = make(tmp_path)
-        do(other, fx.Look())
-        assert heard == [fx.Ordered({"s-1": ("10.0.0.1", 80)}, False)]
+        do(other, fx.ReadSharedState())
+        assert heard == [fx.OrdersRecorded({"s-1": ("10.0.0.1", 80)}, False)]
 
 
 def test_orders_wait_for_the_other_process_and_repeat(tmp_path: Path) -> None:
@@ -197,10 +197,10 @@
     with (tmp_path / f"{ORDERS}.lock").open("w") as lock:
         fcntl.flock(lock, fcntl.LOCK_EX)
         do(part, SUSPEND)
-        assert told == [fx.Unrecorded(SUSPEND, again=True)]
+        assert told == [fx.OrderNotRecorded(SUSPEND, again=True)]
     for _ in range(2):
         do(part, SUSPEND)
-    assert told[1:] == [fx.Ordered({"s-1": ("10.0.0.1", 80)}, False, 7)] * 2
+    assert told[1:] == [fx.OrdersRecorded({"s-1": ("10.0.0.1", 80)}, False, 7)] * 2
 
 
 def test_an_order_that_cannot_be_kept_is_answered_no_in_time(start: Start) -> None:
@@ -219,18 +219,18 @@
 @pytest.mark.parametrize("folder", [None, "/proc/none"])
 def test_alone_without_a_folder(folder: str | None) -> None:
     part, told = make(Path(folder) if folder else None)
-    do(part, fx.Look())
-    do(part, fx.Hold(False, 1, {}, api.LearnedState()))
+    do(part, fx.ReadSharedState())
+    do(part, fx.PublishUsage(False, 1, {}, api.LearnedState()))
     do(part, SUSPEND)
     assert part.claim("a")
-    assert told == [fx.Ordered({"s-1": ("10.0.0.1", 80)}, False, 7)]
+    assert told == [fx.OrdersRecorded({"s-1": ("10.0.0.1", 80)}, False, 7)]
 
 
 def test_what_a_dead_process_left_goes(tmp_path: Path) -> None:
     part, told = make(tmp_path)
     left = tmp_path / f"{handover.PROCESS}dead"
     left.write_bytes(b'{"name":"n0","leaving":false,"descriptors":9,"slots":{}}')
-    do(part, fx.Look())
+    do(part, fx.ReadSharedState())
     assert not told
     assert not left.exists()
 
@@ -242,26 +242,33 @@
     leaving: bool, left: Callable[[int, int], int]
 ) -> None:
     """Guards the limit, which is one for both: together they never hold more."""
-    play = Play(Budget.of(256, 80, DOOR))
-    partner = fx.Partner(leaving, 100, {"a": 2}, api.LearnedState())
-    play.tell(listed("a"), fx.Accompanied((partner,)))
-    assert play.reducer.budget == Budget.of(left(256, 100), 40, DOOR)
-    play.tell(fx.Accompanied(()))
-    assert play.reducer.budget == Budget.of(256, 80, DOOR)
+    play = ReducerHarness(Budget.of(256, 80, OPERATOR_DESCRIPTORS))
+    partner = fx.SiblingProcess(leaving, 100, {"a": 2}, api.LearnedState())
+    play.tell(listed("a"), fx.SiblingsReported((partner,)))
+    assert play.reducer.budget == Budget.of(left(256, 100), 40, OPERATOR_DESCRIPTORS)
+    play.tell(fx.SiblingsReported(()))
+    assert play.reducer.budget == Budget.of(256, 80, OPERATOR_DESCRIPTORS)
 
 
 def test_the_module_counts_what_the_other_process_has_at_a_host() -> None:
-    play = Play(Budget.of(256, 80, DOOR))
-    play.tell(listed("a"), *[fx.Joined(n) for n in range(1, 6)])
-    play.tell(fx.Accompanied((fx.Partner(True, 50, {"a": 1}, api.LearnedState()),)))
-    dialled = [effect for n in range(1, 4) for effect in play.tell(arrived(n)) if isinstance(effect, fx.Dial)]
+    play = ReducerHarness(Budget.of(256, 80, OPERATOR_DESCRIPTORS))
+    play.tell(listed("a"), *[fx.ClientConnected(n) for n in range(1, 6)])
+    play.tell(fx.SiblingsReported((fx.SiblingProcess(True, 50, {"a": 1}, api.LearnedState()),)))
+    dialled = [
+        effect
+        for n in range(1, 4)
+        for effect in play.tell(arrived(n))
+        if isinstance(effect, fx.ConnectWorker)
+    ]
     assert len(dialled) == 1, "its cap is 2, of which the other process has 1"
-    dialled = [effect for effect in play.tell(fx.Accompanied(())) if isinstance(effect, fx.Dial)]
+    dialled = [
+        effect for effect in play.tell(fx.SiblingsReported(())) if isinstance(effect, fx.ConnectWorker)
+    ]
     assert len(dialled) == 1
 
 
 def test_a_worker_put_back_counts_as_cold_with_its_failures_forgotten() -> None:
-    play = Play(Budget.of(256, 80, DOOR))
+    play = ReducerHarness(Budget.of(256, 80, OPERATOR_DESCRIPTORS))
     play.tell(listed("a"))
     module = play.reducer.module
     worker = module.workers["a"]
