--- a/reedspoke/__main__.py
+++ b/reedspoke/__main__.py
@@ -11,9 +11,9 @@
     # collector begin once it stands.
     gc.disable()
     if len(sys.argv) < 2 and not os.environ.get("REEDSPOKE_OPERATOR"):
-        from reedspoke.start import main as platform
+        from reedspoke.start import main as run_scheduler
 
-        return platform()
+        return run_scheduler()
     gc.enable()
     try:
         from reedspoke.cli.main import main as command
--- a/reedspoke/acme/account.py
+++ b/reedspoke/acme/account.py
@@ -13,7 +13,7 @@
 from msgspec import Struct
 
 from reedspoke.acme.record import packed, unpacked
-from reedspoke.sealed import TornError
+from reedspoke.sealed import CorruptFileError
 from reedspoke.tls.certificate import UnfitError
 from reedspoke.tls.store import Store
 
@@ -43,18 +43,18 @@
 
 
 def load(store: Store, authority: str) -> Account | None:
-    """None where there is none. Raises TornError for what is no account of ours, OSError."""
+    """None where there is none. Raises CorruptFileError for what is no account of ours, OSError."""
     try:
         raw = store.read(file_of(authority))
     except UnfitError as error:
-        raise TornError(str(error)) from None
+        raise CorruptFileError(str(error)) from None
     if raw is None:
         return None
     found = unpacked(raw, Account)
     try:
         jwk(found.key)
     except (ValueError, TypeError):
-        raise TornError("its key is unreadable") from None
+        raise CorruptFileError("its key is unreadable") from None
     return found
 
 
--- a/reedspoke/acme/challenges.py
+++ b/reedspoke/acme/challenges.py
@@ -17,9 +17,9 @@
 from tornado.iostream import StreamClosedError
 
 from reedspoke.errors import ReedspokeError
-from reedspoke.net.http import Buffer, MalformedError, Requests
+from reedspoke.net.http import Buffer, MalformedError, RequestParser
 from reedspoke.net.listener import Listener
-from reedspoke.net.message import path
+from reedspoke.net.message import request_path
 from reedspoke.net.streams import end_sending, read, stream
 
 log = logging.getLogger("reedspoke")
@@ -98,13 +98,13 @@
 
     async def _answer(self, source: object) -> tuple[bytes, bytes]:
         buffer = Buffer()
-        requests = Requests(buffer)
+        requests = RequestParser(buffer)
         try:
             while (head := requests.head()) is None:
                 if len(buffer) > MOST_HEAD:
                     return b"431 Request Header Fields Too Large", b""
                 await read(source, buffer)  # type: ignore[arg-type]
-            named = path(head)
+            named = request_path(head)
         except MalformedError:
             return b"400 Bad Request", b""
         if head.method not in (b"GET", b"HEAD"):
--- a/reedspoke/acme/network.py
+++ b/reedspoke/acme/network.py
@@ -33,7 +33,7 @@
 from reedspoke.acme.words import Trouble
 from reedspoke.errors import ReedspokeError
 from reedspoke.operator.types import Authority
-from reedspoke.sealed import TornError
+from reedspoke.sealed import CorruptFileError
 from reedspoke.tls.store import Store
 from reedspoke.units import parse_seconds
 
@@ -173,7 +173,7 @@
         self._stamp = self._stamped()
         try:
             return accounts.load(self.store, self.authority.name)
-        except TornError as error:
+        except CorruptFileError as error:
             file = accounts.file_of(self.authority.name)
             log.error("acme: %s is unusable, a new account is made: %s", file, error)
             return None
--- a/reedspoke/acme/record.py
+++ b/reedspoke/acme/record.py
@@ -8,7 +8,7 @@
 from msgspec import Struct
 
 from reedspoke.acme.limits import Pause
-from reedspoke.sealed import TornError, seal, unseal
+from reedspoke.sealed import CorruptFileError, seal, unseal
 
 FORM = 1
 MARK = b"reedspoke-acme"
@@ -52,9 +52,9 @@
 
 
 def unpacked(raw: bytes, kind: type[T]) -> T:
-    """Raises TornError for what is torn, foreign, or of another form."""
+    """Raises CorruptFileError for what is torn, foreign, or of another form."""
     body = unseal(MARK, FORM, raw)
     try:
         return msgspec.json.decode(body, type=kind)
     except (msgspec.MsgspecError, ValueError) as error:
-        raise TornError(f"it is malformed: {error}") from None
+        raise CorruptFileError(f"it is malformed: {error}") from None
--- a/reedspoke/acme/service.py
+++ b/reedspoke/acme/service.py
@@ -22,7 +22,7 @@
 from reedspoke.net.config import address
 from reedspoke.operator.check import OperatorError, reloaded
 from reedspoke.operator.types import Acme, Certificate, Operator
-from reedspoke.sealed import TornError
+from reedspoke.sealed import CorruptFileError
 from reedspoke.tls.certificate import Pair, UnfitError, fit
 from reedspoke.tls.front import Front
 from reedspoke.tls.handshakes import Handshakes
@@ -159,7 +159,7 @@
         try:
             raw = self.store.read(file)
             return unpacked(raw, kind) if raw is not None else None
-        except (TornError, UnfitError, OSError) as error:
+        except (CorruptFileError, UnfitError, OSError) as error:
             log.error("acme: %s is unusable and passed over: %s", file, error)
             return None
 
--- a/reedspoke/adapter.py
+++ b/reedspoke/adapter.py
@@ -16,7 +16,7 @@
 from reedspoke import interface as api
 from reedspoke.errors import ReedspokeError
 from reedspoke.logic import Dispatcher
-from reedspoke.settings import Info, known, settings
+from reedspoke.settings import PlatformSettings, convert_settings, lookup
 
 if TYPE_CHECKING:
     from reedspoke.fleet.simulator_transport import SimulatorTransport
@@ -66,7 +66,7 @@
 
     who: str
     nonce64: int
-    info: Info
+    info: PlatformSettings
 
 
 class ListedWorker(Struct):
@@ -206,7 +206,7 @@
 
 def to_entry(listed: ListedWorker) -> api.WorkerEntry:
     """Translate a listed worker."""
-    state = known(STATES, listed.condition, "condition")
+    state = lookup(STATES, listed.condition, "condition")
     return api.WorkerEntry(
         listed.worker, listed.az, listed.sku, listed.bay, state, listed.power_hint, listed.born
     )
@@ -223,7 +223,7 @@
 
 def to_outcome(received: AttemptEnded) -> api.AttemptOutcome:
     """Translate the end of an attempt."""
-    reason = known(REASONS, received.reason, "reason")
+    reason = lookup(REASONS, received.reason, "reason")
     report = tuple(received.stats)
     return api.AttemptOutcome(
         received.handle,
@@ -254,11 +254,11 @@
             return api.Timer(received.key_back)
         case WorkerListReceived():
             entries = [to_entry(member) for member in received.members_list]
-            return api.WorkerListUpdate(known(LISTS, received.kind, "kind"), entries)
+            return api.WorkerListUpdate(lookup(LISTS, received.kind, "kind"), entries)
         case ClientLeft():
             return api.ClientDisconnected(received.handle)
         case ProbeEnded():
-            reason = known(REASONS, received.reason, "reason")
+            reason = lookup(REASONS, received.reason, "reason")
             return api.ProbeResult(received.worker, reason, received.cost_time, tuple(received.stats))
         case ResponseBegun():
             return api.ResponseStarted(received.handle, received.copy)
@@ -330,7 +330,7 @@
 
     def _handle(self, received: WireEvent) -> None:
         if isinstance(received, SchedulerStarted):
-            self._instances[received.who] = Dispatcher(settings(received.info), received.nonce64)
+            self._instances[received.who] = Dispatcher(convert_settings(received.info), received.nonce64)
             self._transports.pop(received.who, None)
             if received.info.ceilings.peer_messages:
                 from reedspoke.fleet.simulator_transport import SimulatorTransport
--- a/reedspoke/assembly.py
+++ b/reedspoke/assembly.py
@@ -31,7 +31,7 @@
 FLEET_MB = 8  # measured in the rig: 35 MB, 29 without an operator file
 
 
-def further(operator: Operator) -> Further:
+def extra_resources(operator: Operator) -> Further:
     """What the operator's parts take of the limits."""
     fleet = (FLEET_DESCRIPTORS, FLEET_MB) if operator.fleet is not None else (0, 0)
     if operator.tls is None:
@@ -41,14 +41,14 @@
 
 def assemble(config: Config, operator: Operator, path: Path) -> Node:
     """Inside a running loop. Raises ConfigError, its text names the key."""
-    peers = peers_by(config, operator.fleet) if operator.fleet is not None else None
-    node = furnish(replace(config, peers=None) if peers is not None else config, operator, path)
+    peers = select_peers(config, operator.fleet) if operator.fleet is not None else None
+    node = build_node(replace(config, peers=None) if peers is not None else config, operator, path)
     if operator.fleet is not None and peers is not None:
         from reedspoke.fleet.service import build_fleet
 
         me = operator.fleet.me if operator.fleet.members else config.settings.scheduler_index
         zone = config.settings.zone
-        options = fleet_options(operator.fleet, len(peers.each), zone)
+        options = fleet_options(operator.fleet, len(peers.addresses), zone)
         try:
             fleet_node, part = build_fleet(node.runtime, peers, me, options, config.name or str(me), zone)
             node.add(part)
@@ -61,16 +61,16 @@
     return node
 
 
-def peers_by(config: Config, fleet: Fleet) -> Peers:
+def select_peers(config: Config, fleet: Fleet) -> Peers:
     """The operator's members, or the platform's peers where he names none. Raises ConfigError."""
     if fleet.members:
         if config.peers is not None:
             raise ConfigError("fleet.members: the platform names peers already; leave it out")
         each = tuple(address(text, f"fleet.members[{at}]") for at, text in enumerate(fleet.members))
         return Peers(address(fleet.listen, "fleet.listen") if fleet.listen else each[fleet.me], each)
-    if config.peers is None or not config.peers.each:
+    if config.peers is None or not config.peers.addresses:
         raise ConfigError("fleet.members: is missing, and the platform names no peers")
-    if config.settings.scheduler_index >= len(config.peers.each):
+    if config.settings.scheduler_index >= len(config.peers.addresses):
         raise ConfigError(
             f"fleet: scheduler {config.settings.scheduler_index} has no place among the platform's peers"
         )
@@ -114,13 +114,13 @@
     )
 
 
-def furnish(config: Config, operator: Operator, path: Path) -> Node:
+def build_node(config: Config, operator: Operator, path: Path) -> Node:
     """The node and its fronts."""
-    extra = further(operator)
+    extra = extra_resources(operator)
     if operator.tls is None:
         node = Node(config, extra)
         join_peers(node)
-        keep(node, operator, path)
+        require_identity(node, operator, path)
         return node
     if config.sockets < extra.descriptors + 64:
         raise ConfigError(
@@ -157,13 +157,13 @@
     )  # fmt: skip
     node.extend(front)
     node.extend(service)
-    keep(node, operator, path)
-    if node.door is not None:
-        node.door.figures.append(meters.text)
+    require_identity(node, operator, path)
+    if node.operator_api is not None:
+        node.operator_api.figures.append(meters.text)
     return node
 
 
-def keep(node: Node, operator: Operator, path: Path) -> None:
+def require_identity(node: Node, operator: Operator, path: Path) -> None:
     """The gate, where callers have to prove who they are. Raises ConfigError."""
     if operator.identity is None:
         return
@@ -176,8 +176,8 @@
         raise ConfigError(str(error)) from None
     node.acquirer.gate = extension
     node.extend(extension)
-    if node.door is not None:
-        node.door.figures.append(extension.text)
+    if node.operator_api is not None:
+        node.operator_api.figures.append(extension.text)
 
 
 def run(load: Callable[[], Config], operator: Operator, path: Path) -> int:
--- a/reedspoke/booking/component.py
+++ b/reedspoke/booking/component.py
@@ -19,8 +19,7 @@
 )
 from reedspoke.booking.messages import BookingCommand, BookingOutcome, BookingStatus
 from reedspoke.booking.recurrence import RecurrenceError
-from reedspoke.errors import FORM as PROBLEM_CONTENT_TYPE
-from reedspoke.errors import ReedspokeError
+from reedspoke.errors import PROBLEM_CONTENT_TYPE, ReedspokeError
 from reedspoke.fleet.events import LogStoreFailed
 from reedspoke.net import effects as fx
 from reedspoke.net.core import Concern, Core, Reactions
--- a/reedspoke/cli/certs.py
+++ b/reedspoke/cli/certs.py
@@ -56,19 +56,19 @@
     try:
         operator = load(operator_file)
     except OperatorError as error:
-        raise click.UsageError(error.told()) from None
+        raise click.UsageError(error.one_line()) from None
     if operator.tls is None:
         raise click.UsageError(f"{operator_file}: tls: is missing, so there is no store")
     try:
         context.obj = Place(operator, Store(operator.tls.store))
     except StoreError as error:
-        raise click.ClickException(error.told()) from None
+        raise click.ClickException(error.one_line()) from None
 
 
 def standing(place: Place, name: str, hosts: list[str]) -> dict[str, Any]:
     """One certificate as it lies in the store, for people and for scripts."""
     from reedspoke.acme.record import Record, unpacked
-    from reedspoke.sealed import TornError
+    from reedspoke.sealed import CorruptFileError
     from reedspoke.tls.certificate import UnfitError, fit
 
     now = time.time_ns() // 1000
@@ -89,7 +89,7 @@
             told |= {"issuer": record.issuer, "order": bool(record.order), "failures": record.failures}
             if record.problem:
                 told["problem"] = record.problem
-    except (TornError, UnfitError, OSError) as error:
+    except (CorruptFileError, UnfitError, OSError) as error:
         told["problem"] = f"{name}.order: {error}"
     told["ordered_by"] = place.store.owner(name)
     return told
--- a/reedspoke/cli/config.py
+++ b/reedspoke/cli/config.py
@@ -52,7 +52,7 @@
     try:
         load_operator(file)
     except OperatorError as error:
-        return error.told()
+        return error.one_line()
     return None
 
 
--- a/reedspoke/cli/keys.py
+++ b/reedspoke/cli/keys.py
@@ -63,7 +63,7 @@
         try:
             return super().invoke(ctx)
         except SigningError as error:
-            raise click.ClickException(error.told()) from None
+            raise click.ClickException(error.one_line()) from None
 
 
 @click.group(cls=Told)
@@ -184,7 +184,7 @@
     except OSError as error:
         raise click.ClickException(f"{file}: {error.strerror}") from None
     except KeySetError as error:
-        raise click.ClickException(error.told()) from None
+        raise click.ClickException(error.one_line()) from None
     except tokens.TokenRejectedError as error:
         click.echo(f"reedspoke: refused: {error.reason}", err=True)
         return 1
--- a/reedspoke/cli/lab.py
+++ b/reedspoke/cli/lab.py
@@ -73,7 +73,7 @@
     try:
         plan.timelines(seed)
     except TimelineError as error:
-        raise click.ClickException(error.told()) from None
+        raise click.ClickException(error.one_line()) from None
     return run(partial(play, plan=plan), 0, seed, json_file)
 
 
--- a/reedspoke/cli/run.py
+++ b/reedspoke/cli/run.py
@@ -33,6 +33,6 @@
     try:
         operator = load_operator(operator_file)
     except OperatorError as error:
-        raise click.UsageError(error.told()) from None
+        raise click.UsageError(error.one_line()) from None
     logs.configure(operator.log.form, operator.log.level)
     return assembly.run(lambda: load(environ), operator, Path(operator_file))
--- a/reedspoke/control_plane/api/http_connection.py
+++ b/reedspoke/control_plane/api/http_connection.py
@@ -14,7 +14,7 @@
 from reedspoke.common.json_log import ERROR, log
 from reedspoke.common.lingering_close import LingeringClose
 from reedspoke.control_plane.api.http_messages import Request, Response, build_request, encode_response
-from reedspoke.net.http import Buffer, Head, MalformedError, Requests
+from reedspoke.net.http import Buffer, Head, MalformedError, RequestParser
 
 MAX_BODY_BYTES = 8 * 1024 * 1024
 MAX_ALLOCATION_BYTES = 256 * 1024  # the most buffer space allocated ahead for a body that may never arrive
@@ -52,7 +52,7 @@
     def __init__(self, server: ConnectionOwner) -> None:
         self._server = server
         self._buffer = Buffer()
-        self._requests = Requests(self._buffer, MAX_BODY_BYTES)
+        self._requests = RequestParser(self._buffer, MAX_BODY_BYTES)
         self._head: Head | None = None  # of the request whose body is being received
         self._transport: asyncio.Transport | None = None
         self._task: asyncio.Task[None] | None = None  # runs the handler
--- a/reedspoke/control_plane/workers/platform_client.py
+++ b/reedspoke/control_plane/workers/platform_client.py
@@ -11,7 +11,7 @@
 from reedspoke.common.errors import ErrorCode, FleetError
 from reedspoke.common.node_settings import split_address
 from reedspoke.control_plane.workers.platform_messages import PlatformPage, parse_page
-from reedspoke.net.http import Answers, Buffer, End, Head, MalformedError
+from reedspoke.net.http import Buffer, Head, MalformedError, ResponseEnd, ResponseParser
 
 LIST_PATH = "/workers"
 PAGE_PARAMETER = "page_token"
@@ -86,7 +86,7 @@
     async def _read_response(self) -> tuple[int, bytes]:
         """Read one response, and return its status and body."""
         buffer = Buffer()
-        parser = Answers(buffer)
+        parser = ResponseParser(buffer)
         status = 0
         body = bytearray()
         while True:
@@ -94,7 +94,7 @@
                 match event:
                     case Head():
                         status = event.status
-                    case End(reusable):
+                    case ResponseEnd(reusable):
                         if not reusable:
                             self.close()
                         return status, bytes(body)
--- a/reedspoke/data_plane/answer_reader.py
+++ b/reedspoke/data_plane/answer_reader.py
@@ -12,7 +12,7 @@
 from msgspec import Struct
 
 from reedspoke.data_plane.headers import ATTEMPT_ID, text_of
-from reedspoke.net.http import STATUS_LINE, Answers, Buffer, End, Head, MalformedError
+from reedspoke.net.http import STATUS_LINE, Buffer, Head, MalformedError, ResponseEnd, ResponseParser
 
 ANSWER_START = b"HTTP/1."
 SUCCESS_STATUS = range(200, 300)
@@ -67,7 +67,7 @@
     def __init__(self) -> None:
         self.state = State.IDLE
         self._buffer = Buffer()
-        self._answers = Answers(self._buffer)
+        self._answers = ResponseParser(self._buffer)
         self._expected_id = ""
         self._requests = 0  # sent on this connection, the one that is out included
         self._closes = False  # the worker ends the connection, or is not to be believed any further
@@ -149,7 +149,7 @@
             return True
         return any(name in FRAMING_FIELDS for name, _ in head.fields)
 
-    def _take_end(self, end: End) -> AnswerEnd | None:
+    def _take_end(self, end: ResponseEnd) -> AnswerEnd | None:
         self._closes = self._closes or not end.reusable
         if self.state is State.FOREIGN:
             self.state = State.WAITING
--- a/reedspoke/data_plane/client_connection.py
+++ b/reedspoke/data_plane/client_connection.py
@@ -12,7 +12,7 @@
 from reedspoke.common.errors import ErrorCode
 from reedspoke.common.lingering_close import LingeringClose
 from reedspoke.data_plane.answers import WholeAnswer, own_answer
-from reedspoke.net.http import Buffer, Head, MalformedError, Requests
+from reedspoke.net.http import Buffer, Head, MalformedError, RequestParser
 from reedspoke.telemetry.invariants import Invariant, check
 
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
@@ -68,7 +68,7 @@
         self._frontend = frontend
         self._loop = loop
         self._buffer = Buffer()
-        self._requests = Requests(self._buffer, DEFAULT_BODY_BYTES)
+        self._requests = RequestParser(self._buffer, DEFAULT_BODY_BYTES)
         self._transport: asyncio.Transport | None = None
         self._head: Head | None = None
         self._exchange: Exchange | None = None
@@ -166,7 +166,7 @@
 
     def _read_head(self) -> None:
         limit = self._frontend.limits().get("max_header_bytes", DEFAULT_HEADER_BYTES)
-        self._requests.most_head = limit
+        self._requests.max_head_bytes = limit
         first_bytes = len(self._buffer)
         head = self._requests.head()
         if head is None:
@@ -182,7 +182,7 @@
         if head.get(b"host") is None:
             raise MalformedError(400, "there is no host field")
         length = head.length()
-        self._requests.most_body = self._frontend.limits().get("max_body_bytes", DEFAULT_BODY_BYTES)
+        self._requests.max_body_bytes = self._frontend.limits().get("max_body_bytes", DEFAULT_BODY_BYTES)
         self._requests.expect(0 if length is None else length)
         self._head = head
         self._wait(BODY_TIMEOUT_S)
--- a/reedspoke/errors.py
+++ b/reedspoke/errors.py
@@ -1,7 +1,8 @@
 """The base of all this program's errors: what went wrong, what an operator can do, and a code that stays.
 
 They go out as `application/problem+json` at the doors (`problem`), as fields of a line in the log (`fields`),
-and as one line with an exit status on the command line (`line`). `docs/oncall.md` has a row for each code.
+and as one line with an exit status on the command line (`one_line`). `docs/oncall.md` has a row for each
+code.
 """
 
 from __future__ import annotations
@@ -9,7 +10,7 @@
 import json
 from typing import Any, ClassVar
 
-FORM = "application/problem+json"
+PROBLEM_CONTENT_TYPE = "application/problem+json"
 
 
 class ReedspokeError(Exception):
@@ -22,7 +23,7 @@
     def what(self) -> str:
         return str(self)
 
-    def told(self) -> str:
+    def one_line(self) -> str:
         """For the command line."""
         return f"{self.what} [{self.code}: {self.remedy}]"
 
--- a/reedspoke/fleet/replicated_log/log_store.py
+++ b/reedspoke/fleet/replicated_log/log_store.py
@@ -27,7 +27,7 @@
 from reedspoke.errors import ReedspokeError
 from reedspoke.fleet.replicated_log.log_state import ChangeKind, LogChange, LogEntry, PersistentState
 from reedspoke.fleet.replicated_log.replicated_log import ReplicatedLog
-from reedspoke.sealed import TornError, seal, unseal
+from reedspoke.sealed import CorruptFileError, seal, unseal
 
 STATE_KIND, STATE_FORMAT = b"reedspoke-record", 1  # in the first line of the state file
 ITEM_HEADER_BYTES = 8  # length and checksum
@@ -149,7 +149,7 @@
             return ""
         except OSError as error:
             return self._unreadable(error.strerror)
-        except (TornError, msgspec.MsgspecError, zstandard.ZstdError, ValueError) as error:
+        except (CorruptFileError, msgspec.MsgspecError, zstandard.ZstdError, ValueError) as error:
             return self._unreadable(error)
         self._generation = replay.stored.generation
         for change in self._read_changes(self._generation):
--- a/reedspoke/fleet/service.py
+++ b/reedspoke/fleet/service.py
@@ -74,7 +74,7 @@
     where the settings allow it, everything else where there are `options`. Raises FrameKeysError.
     """
     settings, now = runtime.reducer.settings, runtime.clock.now()
-    members = max(len(peers.each), settings.scheduler_count if settings.limits.peer_messages else 0)
+    members = max(len(peers.addresses), settings.scheduler_count if settings.limits.peer_messages else 0)
     key_file = options.key_file if options is not None else ""
     keys = load_keys(key_file) if key_file else None
     channel = FrameChannel(node_id, members, now // US_PER_INCARNATION & FIELD_MASK, keys)
@@ -83,14 +83,14 @@
     node = FleetNode(channel)
     parts: list[PeerSocket | RoleCallClient] = [peer_socket]
     if options is not None:
-        _add_protocols(node, options, len(peers.each), zone, now)
+        _add_protocols(node, options, len(peers.addresses), zone, now)
         targets = {role: call.target for role, call in options.calls.items()}
         parts.append(RoleCallClient(runtime, scheduler, targets))
     component = FleetComponent(runtime.reducer.core, node, load_sharing)
     return node, Subsystem(
         name="fleet",
         concerns=(component,),
-        parts=tuple(parts),
+        extensions=tuple(parts),
         calls=_operator_calls(component) if options is not None else (),
         figures=lambda: metrics_text(node, load_sharing, peer_socket.counters, runtime.clock.now()),
     )
--- a/reedspoke/fleet/transport/udp_socket.py
+++ b/reedspoke/fleet/transport/udp_socket.py
@@ -45,9 +45,9 @@
         """`node_id` is this scheduler's position among the peers."""
         self.runtime, self.peers, self.channel, self.key_file = runtime, peers, channel, key_file
         self.counters = SocketCounters()
-        self._member_by_address = {address: member for member, address in enumerate(peers.each)}
-        others = tuple(address for member, address in enumerate(peers.each) if member != node_id)
-        self._every_peer = (peers.all,) if peers.all is not None else others
+        self._member_by_address = {address: member for member, address in enumerate(peers.addresses)}
+        others = tuple(address for member, address in enumerate(peers.addresses) if member != node_id)
+        self._every_peer = (peers.all_peers,) if peers.all_peers is not None else others
         self._socket: socket.socket | None = None
 
     def effects(self) -> dict[type, Callable[[Any], None]]:
@@ -109,7 +109,7 @@
         if self._socket is None:
             return
         to_all = effect.recipient < 0
-        addresses = self._every_peer if to_all else (self.peers.each[effect.recipient],)
+        addresses = self._every_peer if to_all else (self.peers.addresses[effect.recipient],)
         for body in effect.bodies:
             for address in addresses:
                 try:
--- a/reedspoke/identity/signing.py
+++ b/reedspoke/identity/signing.py
@@ -31,7 +31,7 @@
 from reedspoke.errors import ReedspokeError
 from reedspoke.identity.key_files import LEAKED_MEMBER, TIME_MEMBERS, VALIDITY_MEMBER
 from reedspoke.identity.keys import KeyState, KeyValidity, UnusableKeyError
-from reedspoke.sealed import TornError, seal, unseal
+from reedspoke.sealed import CorruptFileError, seal, unseal
 from reedspoke.tls.certificate import UnfitError
 from reedspoke.tls.store import Store
 
@@ -93,7 +93,7 @@
                 return []
             body = unseal(INDEX_KIND, INDEX_FORMAT, raw)
             return msgspec.json.decode(body, type=list[SigningKeyEntry])
-        except (TornError, UnfitError, OSError, msgspec.MsgspecError) as error:
+        except (CorruptFileError, UnfitError, OSError, msgspec.MsgspecError) as error:
             raise SigningError(f"{INDEX_FILE}: {error}") from None
 
     def generate(self, algorithm: str, starts: int) -> SigningKeyEntry:
--- a/reedspoke/lab/fleet_emulator/http_messages.py
+++ b/reedspoke/lab/fleet_emulator/http_messages.py
@@ -9,7 +9,7 @@
 
 from msgspec import Struct
 
-from reedspoke.net.http import Answers, Buffer, End, Head, Requests
+from reedspoke.net.http import Buffer, Head, RequestParser, ResponseEnd, ResponseParser
 
 CHUNK = 1 << 16
 NO_LINGER = struct.pack("ii", 1, 0)
@@ -101,7 +101,7 @@
         self.reader = reader
         self.writer = writer
         self._buffer = Buffer()
-        self._requests = Requests(self._buffer)
+        self._requests = RequestParser(self._buffer)
 
     async def fill(self) -> bool:
         """Read more; False at the end of the connection."""
@@ -125,10 +125,10 @@
 
     async def read_answer(self) -> AsyncIterator[AnswerHead | bytes | AnswerEnd]:
         """The parts of the next answer; no `AnswerEnd` comes where the connection ends before it is whole."""
-        answers = Answers(self._buffer)
+        answers = ResponseParser(self._buffer)
         while True:
             for part in answers.feed():
-                if isinstance(part, End):
+                if isinstance(part, ResponseEnd):
                     yield AnswerEnd()
                     return
                 if isinstance(part, Head):
--- a/reedspoke/lab/mutation/command.py
+++ b/reedspoke/lab/mutation/command.py
@@ -21,7 +21,7 @@
         mutants = matching(load_mutants(list_file), pattern)
         results = asyncio.run(_run_until_signal(settings, mutants))
     except (MutantListError, UnmutatedTestsError) as error:
-        raise click.ClickException(error.told()) from None
+        raise click.ClickException(error.one_line()) from None
     except asyncio.CancelledError:
         raise click.Abort from None
     click.echo()
--- a/reedspoke/logs.py
+++ b/reedspoke/logs.py
@@ -12,11 +12,13 @@
 if TYPE_CHECKING:
     from structlog.typing import EventDict, Processor
 
-QUIET = ("urllib3", "acme", "asyncio", "requests")  # of them only warnings and worse
-SILENT = ("tornado.general",)  # it has a line for each handshake that fails; the front counts and tells them
+WARNINGS_ONLY = ("urllib3", "acme", "asyncio", "requests")  # of them only warnings and worse
+ERRORS_ONLY = (
+    "tornado.general",
+)  # it has a line for each handshake that fails; the front counts and tells them
 
 
-def subject(_: Any, __: str, event: EventDict) -> EventDict:
+def split_subject(_: Any, __: str, event: EventDict) -> EventDict:
     """`tls: ...` as a field of its own: what a line is about can be filtered without reading its text."""
     text = str(event.get("event", ""))
     about, colon, rest = text.partition(": ")
@@ -41,7 +43,7 @@
     else:
         last: list[Processor] = [structlog.stdlib.ProcessorFormatter.remove_processors_meta]
         if form == "json":
-            last += [structlog.processors.format_exc_info, subject, structlog.processors.JSONRenderer()]
+            last += [structlog.processors.format_exc_info, split_subject, structlog.processors.JSONRenderer()]
         else:
             last += [structlog.dev.ConsoleRenderer(colors=stream.isatty())]
         handler.setFormatter(structlog.stdlib.ProcessorFormatter(foreign_pre_chain=shared, processors=last))
@@ -60,7 +62,7 @@
     root = logging.getLogger()
     root.handlers[:] = [handler]
     root.setLevel(level.upper())
-    for name in QUIET:
+    for name in WARNINGS_ONLY:
         logging.getLogger(name).setLevel(logging.WARNING)
-    for name in SILENT:
+    for name in ERRORS_ONLY:
         logging.getLogger(name).setLevel(logging.ERROR)
--- a/reedspoke/net/acquirer.py
+++ b/reedspoke/net/acquirer.py
@@ -17,11 +17,11 @@
 from reedspoke.net import effects as fx
 from reedspoke.net import problems
 from reedspoke.net.core import SECOND
-from reedspoke.net.http import SCANT, Buffer, Head, MalformedError, Requests
+from reedspoke.net.http import MIN_READ_BYTES, Buffer, Head, MalformedError, RequestParser
 from reedspoke.net.listener import Listener
-from reedspoke.net.message import Message, authorisation, class_of, path
+from reedspoke.net.message import Message, class_of_path, parse_authorisation, request_path
 from reedspoke.net.runtime import Runtime
-from reedspoke.net.streams import drain, end_sending, has_gone, start_read, stream, waits_unread
+from reedspoke.net.streams import drain, end_sending, has_unread_bytes, peer_has_closed, start_read, stream
 
 log = logging.getLogger("reedspoke")
 
@@ -86,7 +86,7 @@
     def __init__(self, side: Acquirer, number: int, stream: IOStream) -> None:
         self.side, self.number, self.stream = side, number, stream
         self.buffer = Buffer()
-        self.requests = Requests(self.buffer)
+        self.requests = RequestParser(self.buffer)
         self.answer: asyncio.Future[fx.Answer] | None = None
         self.begun = False  # an authorisation has begun to come in
         self.replied = False  # the writing of its answer has begun
@@ -126,7 +126,7 @@
         plain = self._plain(head)
         if plain is not None:
             status, last, allow = plain
-            ready = path(head) == b"/ready" and status != 405
+            ready = request_path(head) == b"/ready" and status != 405
             told = b"" if ready else problems.of_status(status)
             more = allow + b"Cache-Control: no-store\r\n" + (b"" if ready else problems.FIELD)
             data = answer_head(status, len(told), close=last, more=more)
@@ -137,7 +137,7 @@
         if length is None:
             raise MalformedError(411, "no length")
         self.requests.expect(length)
-        message = authorisation(head, self.side.classes)
+        message = parse_authorisation(head, self.side.classes)
         done: Callable[[], None] | None = None
         forbidden: ForbiddenError | None = None
         if self.side.gate is not None:
@@ -206,14 +206,14 @@
     def _plain(self, head: Head) -> tuple[int, bool, bytes] | None:
         """The answer to what is no authorisation: its status, whether the connection ends with it, and the
         field that says which method is taken."""
-        named = path(head)
+        named = request_path(head)
         bare = head.length() in (None, 0)
         last = not head.keeps_alive() or not bare or self.side.runtime.leaving()
         if named == b"/ready":
             if head.method not in (b"GET", b"HEAD"):
                 return 405, True, b"Allow: GET, HEAD\r\n"
             return (200 if self.side.runtime.ready() else 503), last, b""
-        if class_of(named) not in self.side.classes:
+        if class_of_path(named) not in self.side.classes:
             return 404, last, b""
         if head.method != b"POST":
             return 405, last, b"Allow: POST\r\n"
@@ -242,7 +242,7 @@
         finally:
             self.answer = None
 
-    def _start_reading(self, room: int = SCANT) -> asyncio.Future[int]:
+    def _start_reading(self, room: int = MIN_READ_BYTES) -> asyncio.Future[int]:
         if self._reading is None:
             self._reading = start_read(self.stream, self.buffer, room)
         return self._reading
@@ -257,7 +257,7 @@
         finally:
             del reading
 
-    async def _read(self, room: int = SCANT) -> None:
+    async def _read(self, room: int = MIN_READ_BYTES) -> None:
         """More bytes. A read that began while the last answer was awaited goes on where it was to go."""
         waits: set[asyncio.Future[Any]] = {self._start_reading(room), self._dropped}
         await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
@@ -301,7 +301,7 @@
         await drain(self.stream, MOST_LINGER)
 
     def gone(self) -> bool:
-        return has_gone(self.stream)
+        return peer_has_closed(self.stream)
 
     def drop(self, how: fx.Farewell) -> None:
         read = self._reading is not None and self._reading.done()
@@ -311,7 +311,7 @@
         if how is fx.Farewell.NOW:
             self.stream.close()
         elif not self._dropped.done() and (
-            not waits_unread(self.stream) if idle else how is fx.Farewell.TOLD
+            not has_unread_bytes(self.stream) if idle else how is fx.Farewell.TOLD
         ):
             self._dropped.set_result(fx.Farewell.IDLE if idle else how)
 
--- a/reedspoke/net/config.py
+++ b/reedspoke/net/config.py
@@ -14,9 +14,9 @@
 from reedspoke import interface as api
 from reedspoke.errors import ReedspokeError
 from reedspoke.net.core import DOOR
-from reedspoke.settings import Info, settings
+from reedspoke.settings import PlatformSettings, convert_settings
 
-LEAST_SOCKETS = 32
+MIN_SOCKETS = 32
 
 
 class ConfigError(ReedspokeError):
@@ -31,8 +31,8 @@
     sockets: int = 1024
 
 
-class Told(Struct):
-    settings: Info
+class ConfigFile(Struct):
+    settings: PlatformSettings
     name: str = ""
     listen: str = ""
     discovery: str = ""
@@ -50,8 +50,8 @@
     """The other schedulers' addresses for messages, and ours."""
 
     listen: tuple[str, int]
-    each: tuple[tuple[str, int], ...]
-    all: tuple[str, int] | None = None  # reaches every one of them
+    addresses: tuple[tuple[str, int], ...]
+    all_peers: tuple[str, int] | None = None  # reaches every one of them
 
 
 @dataclass(slots=True, frozen=True)
@@ -59,10 +59,10 @@
     name: str
     listen: tuple[str, int]
     discovery: tuple[str, int]
-    filed_discovery: str  # as the file itself has it: a change of it goes before the variable
+    discovery_in_file: str  # as the file itself has it: a change of it goes before the variable
     ops: tuple[str, int] | None  # the operators' door, None: there is none
     inherited: int | None  # descriptor of a listener that the platform holds
-    folder: str  # what it shares with its other process, "": nothing
+    shared_folder: str  # what it shares with its other process, "": nothing
     seed: int
     sockets: int
     memory_mb: float
@@ -86,7 +86,7 @@
     return host, number
 
 
-def peers_of(told: Told) -> Peers | None:
+def parse_peers(told: ConfigFile) -> Peers | None:
     """None where the settings forbid messages, or nobody is named. Raises ConfigError that names the key."""
     if not told.settings.ceilings.peer_messages or not (told.peers or told.peers_all):
         return None
@@ -99,8 +99,8 @@
     """The configuration after SIGHUP. Guards against the environment, which is as old as the process: what is
     new in the file as discovery's address counts, whatever PROXY_DISCOVERY said at the start."""
     new = load(environ)
-    if new.filed_discovery and new.filed_discovery != old.filed_discovery:
-        return replace(new, discovery=address(new.filed_discovery, "discovery"))
+    if new.discovery_in_file and new.discovery_in_file != old.discovery_in_file:
+        return replace(new, discovery=address(new.discovery_in_file, "discovery"))
     return replace(new, discovery=old.discovery)
 
 
@@ -109,15 +109,15 @@
     if not path:
         raise ConfigError("PROXY_CONFIG is not set")
     try:
-        told = msgspec.json.decode(Path(path).read_bytes(), type=Told)
-        meant = settings(told.settings)
+        told = msgspec.json.decode(Path(path).read_bytes(), type=ConfigFile)
+        meant = convert_settings(told.settings)
         seed = int(told.seed or "0", 16)
     except OSError as error:
         raise ConfigError(f"PROXY_CONFIG cannot be read: {error}") from None
     except ValueError as error:  # msgspec's errors are ValueErrors too
         raise ConfigError(f"PROXY_CONFIG is malformed: {error}") from None
     ops = environ.get("PROXY_OPS") or told.ops
-    least = LEAST_SOCKETS + (DOOR if ops else 0)
+    least = MIN_SOCKETS + (DOOR if ops else 0)
     if told.limits.sockets < least:
         raise ConfigError(f"limits.sockets is {told.limits.sockets}, at least {least} are needed")
     inherited = environ.get("PROXY_FD", "")
@@ -127,15 +127,15 @@
         name=environ.get("PROXY_NAME") or told.name,
         listen=address(environ.get("PROXY_LISTEN") or told.listen, "PROXY_LISTEN"),
         discovery=address(environ.get("PROXY_DISCOVERY") or told.discovery, "PROXY_DISCOVERY"),
-        filed_discovery=told.discovery,
+        discovery_in_file=told.discovery,
         ops=address(ops, "PROXY_OPS") if ops else None,
         inherited=int(inherited) if inherited else None,
-        folder=environ.get("TMPDIR", ""),
+        shared_folder=environ.get("TMPDIR", ""),
         seed=seed,
         sockets=told.limits.sockets,
         memory_mb=told.limits.memory_mb,
         known=bytes(told.known),
         settings=meant,
-        peers=peers_of(told),
+        peers=parse_peers(told),
         conn_idle=told.settings.ceilings.conn_idle,
     )
--- a/reedspoke/net/directory.py
+++ b/reedspoke/net/directory.py
@@ -14,11 +14,11 @@
 from reedspoke import interface as api
 from reedspoke.net import effects as fx
 from reedspoke.net.config import ConfigError, address
-from reedspoke.net.http import Answers, Buffer, End, Head, MalformedError
+from reedspoke.net.http import Buffer, Head, MalformedError, ResponseEnd, ResponseParser
 from reedspoke.net.message import authority
 from reedspoke.net.runtime import Runtime
 from reedspoke.net.streams import connect, read
-from reedspoke.net.values import Values
+from reedspoke.net.values import JsonObjectSplitter
 
 log = logging.getLogger("reedspoke")
 
@@ -27,8 +27,8 @@
     "Terminating": api.WorkerState.DRAINING,
     "Gone": api.WorkerState.GONE,
 }
-MOST_LIST = 4 * 1024 * 1024  # bytes of one object of a watch
-LEAST_SIZE, MOST_SIZE = 0.01, 10_000.0  # of a host, as listed; what lies outside says nothing
+MAX_OBJECT_BYTES = 4 * 1024 * 1024  # bytes of one object of a watch
+MIN_CAPACITY_HINT, MAX_CAPACITY_HINT = 0.01, 10_000.0  # of a host, as listed; what lies outside says nothing
 
 
 class Entry(Struct):
@@ -42,17 +42,17 @@
     boot_ms: float = 0
 
 
-class List(Struct):
+class TargetList(Struct):
     rev: int
     all: bool
     targets: list[msgspec.Raw] = []
 
 
 ENTRY = msgspec.json.Decoder(Entry).decode
-LIST = msgspec.json.Decoder(List).decode
+LIST = msgspec.json.Decoder(TargetList).decode
 
 
-def target(raw: msgspec.Raw) -> fx.Target | None:
+def parse_target(raw: msgspec.Raw) -> fx.Target | None:
     """None, and a line in the log, for what is no entry: the others count all the same."""
     try:
         told = ENTRY(raw)
@@ -64,15 +64,15 @@
         return None
     born = int(told.boot_ms * 1000)
     size = (
-        told.capacity_hint if LEAST_SIZE <= told.capacity_hint <= MOST_SIZE else 1.0
+        told.capacity_hint if MIN_CAPACITY_HINT <= told.capacity_hint <= MAX_CAPACITY_HINT else 1.0
     )  # speeds follow from it
     entry = api.WorkerEntry(told.uid, told.az, told.model, told.pod_group, state, size, born)
     return fx.Target(entry, endpoint)
 
 
-def listed(raw: bytes | memoryview, kind: api.ListKind | None = None) -> fx.Listed:
+def parse_list(raw: bytes | memoryview, kind: api.ListKind | None = None) -> fx.Listed:
     told = LIST(raw)
-    targets = [found for entry in told.targets if (found := target(entry)) is not None]
+    targets = [found for entry in told.targets if (found := parse_target(entry)) is not None]
     return fx.Listed(kind or (api.ListKind.FULL if told.all else api.ListKind.CHANGES), told.rev, targets)
 
 
@@ -117,7 +117,7 @@
 
     async def _read(self, stream: IOStream, task: asyncio.Task[None] | None) -> str:
         buffer = Buffer()
-        answers, values = Answers(buffer), Values(MOST_LIST)
+        answers, values = ResponseParser(buffer), JsonObjectSplitter(MAX_OBJECT_BYTES)
         while True:
             buffer.recycle()
             await read(stream, buffer)
@@ -127,9 +127,9 @@
                 if isinstance(item, Head):
                     if item.status != 200:
                         return f"status {item.status}"
-                elif isinstance(item, End):
+                elif isinstance(item, ResponseEnd):
                     return "the answer ended"
                 else:
                     # Guards against a list over several lines, which a reader of lines never gets whole.
                     for raw in values.feed(item):
-                        self.runtime.emit(fx.Beaten() if raw is None else listed(raw))
+                        self.runtime.emit(fx.Beaten() if raw is None else parse_list(raw))
--- a/reedspoke/net/handover.py
+++ b/reedspoke/net/handover.py
@@ -29,11 +29,12 @@
 
 log = logging.getLogger("reedspoke")
 
-ORDERS = "reedspoke-orders"
-PROCESS = "reedspoke-process-"
-LOCKS = "reedspoke-locks"
-MOST_FILE = 1024 * 1024
-IDS = 1 << 61  # locked records from here on stand for authorisations, those before it for processes
+ORDERS_FILE = "reedspoke-orders"
+PROCESS_FILE_PREFIX = "reedspoke-process-"
+LOCKS_FILE = "reedspoke-locks"
+MAX_FILE_BYTES = 1024 * 1024
+# Locked records from here on stand for authorisations, those before it for processes.
+AUTHORISATION_LOCKS = 1 << 61
 
 
 class Orders(msgspec.Struct, forbid_unknown_fields=True):
@@ -45,7 +46,7 @@
     drained: bool
 
 
-class Holding(msgspec.Struct, forbid_unknown_fields=True):
+class ProcessHoldings(msgspec.Struct, forbid_unknown_fields=True):
     """The form of the file with what one process holds."""
 
     name: str
@@ -66,7 +67,7 @@
     return listener
 
 
-def record(name: str) -> int:
+def lock_offset(name: str) -> int:
     return int.from_bytes(hashlib.blake2b(name.encode(), digest_size=8).digest(), "big") >> 4
 
 
@@ -74,15 +75,15 @@
     def __init__(self, runtime: Runtime, name: str, folder: Path | None) -> None:
         self.runtime, self.name, self.folder = runtime, name, folder
         self._orders = Orders(name, 0, {}, False)
-        self._seen: tuple[int, ...] = ()  # the file of orders as looked at last
-        self._skipped: set[str] = set()  # files that were told to be unusable
+        self._orders_stat: tuple[int, ...] = ()  # the file of orders as looked at last
+        self._reported: set[str] = set()  # files that were told to be unusable
         self._partners: list[fx.Partner] = []
         self._locks = -1
         self._token = secrets.token_hex(8)
         if folder is not None:
             try:
-                self._locks = os.open(folder / LOCKS, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
-                self._lock(record(self._token))
+                self._locks = os.open(folder / LOCKS_FILE, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
+                self._lock(lock_offset(self._token))
             except OSError as error:  # a folder that cannot be written: this process serves alone
                 log.error("handover: nothing is shared: %s", error)
                 self.folder = None
@@ -101,11 +102,11 @@
 
     def claim(self, name: str) -> bool:
         """Whether an authorisation of that id may be taken: not where it is open in the other process."""
-        return self._locks < 0 or self._lock(IDS | record(name))
+        return self._locks < 0 or self._lock(AUTHORISATION_LOCKS | lock_offset(name))
 
     def _unclaim(self, effect: fx.Unclaim) -> None:
         if self._locks >= 0:
-            fcntl.lockf(self._locks, fcntl.LOCK_UN, 1, IDS | record(effect.name))
+            fcntl.lockf(self._locks, fcntl.LOCK_UN, 1, AUTHORISATION_LOCKS | lock_offset(effect.name))
 
     # ---- files ----
 
@@ -121,17 +122,17 @@
 
     def _skip(self, path: Path, why: object) -> None:
         """Guards the log: a file that stays unusable is told once."""
-        if path.name not in self._skipped:
-            self._skipped.add(path.name)
+        if path.name not in self._reported:
+            self._reported.add(path.name)
             log.warning("handover: %s is unusable and skipped: %s", path.name, why)
 
     def _read_orders(self) -> Orders | None:
         """What the file says, None where it is torn, another scheduler's or older than what is in force."""
         assert self.folder is not None
-        path = self.folder / ORDERS
+        path = self.folder / ORDERS_FILE
         try:
             with path.open("rb") as file:
-                told = msgspec.json.decode(file.read(MOST_FILE), type=Orders)
+                told = msgspec.json.decode(file.read(MAX_FILE_BYTES), type=Orders)
         except FileNotFoundError:
             return None
         except (OSError, ValueError) as error:  # msgspec's errors are ValueErrors too
@@ -144,17 +145,17 @@
                 path, f"version {told.version} is older than {self._orders.version}, which is in force"
             )
         else:
-            self._skipped.discard(path.name)
+            self._reported.discard(path.name)
             return told
         return None
 
     # ---- orders ----
 
     @contextmanager
-    def _alone(self) -> Iterator[None]:
+    def _exclusive(self) -> Iterator[None]:
         """No other process changes the orders meanwhile."""
         assert self.folder is not None
-        lock = os.open(self.folder / f"{ORDERS}.lock", os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
+        lock = os.open(self.folder / f"{ORDERS_FILE}.lock", os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         try:
             fcntl.flock(lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
             yield
@@ -167,9 +168,9 @@
             if self.folder is None:
                 self._orders = self._changed(self._orders, effect)
             else:
-                with self._alone():
+                with self._exclusive():
                     orders = self._changed(self._read_orders() or self._orders, effect)
-                    self._replace(self.folder / ORDERS, msgspec.json.encode(orders))
+                    self._replace(self.folder / ORDERS_FILE, msgspec.json.encode(orders))
                     self._orders = orders
         except BlockingIOError:  # the other process is at it: a matter of moments
             self.runtime.emit(fx.Unrecorded(effect, again=True))
@@ -199,10 +200,10 @@
             return
         seen: tuple[int, ...] = ()
         with suppress(OSError):
-            found = os.stat(self.folder / ORDERS)
+            found = os.stat(self.folder / ORDERS_FILE)
             seen = (found.st_ino, found.st_mtime_ns, found.st_size)
-        if seen != self._seen:
-            self._seen = seen
+        if seen != self._orders_stat:
+            self._orders_stat = seen
             if seen and (orders := self._read_orders()) is not None and orders != self._orders:
                 self._orders = orders
                 self.runtime.emit(fx.Ordered(dict(orders.suspended), orders.drained))
@@ -216,30 +217,30 @@
     def _hold(self, effect: fx.Hold) -> None:
         if self.folder is None:
             return
-        held = Holding(self.name, effect.leaving, effect.descriptors, effect.slots, effect.learned)
+        held = ProcessHoldings(self.name, effect.leaving, effect.descriptors, effect.slots, effect.learned)
         try:
-            self._replace(self.folder / (PROCESS + self._token), msgspec.json.encode(held))
+            self._replace(self.folder / (PROCESS_FILE_PREFIX + self._token), msgspec.json.encode(held))
         except OSError as error:
-            self._skip(self.folder / PROCESS, error)
+            self._skip(self.folder / PROCESS_FILE_PREFIX, error)
 
     def _others(self) -> Iterator[fx.Partner]:
         """The processes of this scheduler that live beside this one; what dead ones left goes."""
         assert self.folder is not None
         try:
-            names = sorted(name for name in os.listdir(self.folder) if name.startswith(PROCESS))
+            names = sorted(name for name in os.listdir(self.folder) if name.startswith(PROCESS_FILE_PREFIX))
         except OSError:
             return
         for name in names:
-            token, path = name.removeprefix(PROCESS), self.folder / name
+            token, path = name.removeprefix(PROCESS_FILE_PREFIX), self.folder / name
             if token == self._token or "." in token:
                 continue
-            if self._lock(record(token)):
-                fcntl.lockf(self._locks, fcntl.LOCK_UN, 1, record(token))
+            if self._lock(lock_offset(token)):
+                fcntl.lockf(self._locks, fcntl.LOCK_UN, 1, lock_offset(token))
                 with suppress(OSError):
                     path.unlink()
                 continue
             try:
-                held = msgspec.json.decode(path.read_bytes()[:MOST_FILE], type=Holding)
+                held = msgspec.json.decode(path.read_bytes()[:MAX_FILE_BYTES], type=ProcessHoldings)
             except FileNotFoundError:
                 continue
             except (OSError, ValueError) as error:
@@ -251,6 +252,6 @@
     def close(self) -> None:
         if self.folder is not None:
             with suppress(OSError):
-                (self.folder / (PROCESS + self._token)).unlink()
+                (self.folder / (PROCESS_FILE_PREFIX + self._token)).unlink()
             os.close(self._locks)
             self.folder, self._locks = None, -1
--- a/reedspoke/net/http.py
+++ b/reedspoke/net/http.py
@@ -8,11 +8,11 @@
 
 from reedspoke.errors import ReedspokeError
 
-SMALL = 4096  # a buffer's first size
-SCANT = 1024  # with less room than this a buffer moves
-MOST_HEAD = 16 * 1024
-MOST_BODY = 64 * 1024
-MOST_CHUNK_LINE = 256
+INITIAL_BUFFER_BYTES = 4096  # a buffer's first size
+MIN_READ_BYTES = 1024  # with less room than this a buffer moves
+MAX_HEAD_BYTES = 16 * 1024
+MAX_BODY_BYTES = 64 * 1024
+MAX_CHUNK_LINE_BYTES = 256
 
 REQUEST_LINE = re.compile(rb"([!#$%&'*+\-.^_`|~0-9A-Za-z]+) ([\x21-\x7e]+) HTTP/([0-9])\.([0-9])\r\n")
 STATUS_LINE = re.compile(rb"HTTP/1\.([01]) ([1-5][0-9][0-9])(?: [^\r\n]*)?\r\n")
@@ -21,7 +21,7 @@
 CHUNK_LINE = re.compile(rb"([0-9A-Fa-f]{1,8})[ \t]*(?:;[^\x00-\x08\x0a-\x1f\x7f]*)?\r\n")
 NEWLINE = re.compile(rb"\n")
 NUMBER = re.compile(rb"[0-9]{1,18}")
-ONCE = frozenset((b"host", b"content-length", b"transfer-encoding"))
+SINGLE_FIELDS = frozenset((b"host", b"content-length", b"transfer-encoding"))
 
 
 class MalformedError(ReedspokeError):
@@ -38,18 +38,18 @@
 class Buffer:
     """Bytes read and not yet used. A slice taken stays as it is, unless its owner calls `recycle`."""
 
-    def __init__(self, size: int = SMALL) -> None:
+    def __init__(self, size: int = INITIAL_BUFFER_BYTES) -> None:
         self.data = bytearray(size)
         self.start = self.end = 0
 
     def __len__(self) -> int:
         return self.end - self.start
 
-    def room(self, wanted: int = SCANT) -> memoryview:
+    def room(self, wanted: int = MIN_READ_BYTES) -> memoryview:
         """Where to read to. Where too little is left, the rest moves to a fresh buffer."""
         if len(self.data) - self.end < wanted:
             used = len(self)
-            fresh = bytearray(max(SMALL, used + max(used, wanted)))
+            fresh = bytearray(max(INITIAL_BUFFER_BYTES, used + max(used, wanted)))
             fresh[:used] = memoryview(self.data)[self.start : self.end]
             self.data, self.start, self.end = fresh, 0, used
         return memoryview(self.data)[self.end :]
@@ -64,8 +64,8 @@
     def recycle(self) -> None:
         """No slice is in use any more: an empty buffer may be written from its beginning."""
         if self.start == self.end:
-            if len(self.data) > 4 * SMALL:
-                self.data = bytearray(SMALL)
+            if len(self.data) > 4 * INITIAL_BUFFER_BYTES:
+                self.data = bytearray(INITIAL_BUFFER_BYTES)
             self.start = self.end = 0
 
 
@@ -93,7 +93,7 @@
 
     def length(self) -> int | None:
         """Of the body: -1 where it comes in chunks, None where nothing tells."""
-        for name in ONCE:
+        for name in SINGLE_FIELDS:
             if sum(key == name for key, _ in self.fields) > 1:
                 raise MalformedError(400, f"field {name.decode()} twice")
         told, coding = self.get(b"content-length"), self.tokens(b"transfer-encoding")
@@ -110,7 +110,7 @@
         return int(told)
 
 
-def parse_head(buffer: Buffer, *, answer: bool = False, most: int = MOST_HEAD) -> Head | None:
+def parse_head(buffer: Buffer, *, answer: bool = False, most: int = MAX_HEAD_BYTES) -> Head | None:
     """The head at the front of the buffer, None until it is whole."""
     data = buffer.data
     while not answer and data.startswith(b"\r\n", buffer.start, buffer.end):
@@ -155,7 +155,7 @@
         raise MalformedError(400, "the first line is malformed")
 
 
-class Chunks:
+class ChunkedDecoder:
     """Takes a chunked body apart."""
 
     def __init__(self) -> None:
@@ -180,7 +180,7 @@
             else:
                 end = buffer.data.find(b"\r\n", buffer.start, buffer.end)
                 if end < 0:
-                    if len(buffer) > (MOST_HEAD if self.trailer else MOST_CHUNK_LINE):
+                    if len(buffer) > (MAX_HEAD_BYTES if self.trailer else MAX_CHUNK_LINE_BYTES):
                         raise MalformedError(400, "a chunk's line is too long")
                     return
                 self._line(buffer, end + 2)
@@ -192,7 +192,7 @@
         if self.trailer:
             self.trailer += size
             self.done = size == 2
-            if self.trailer > MOST_HEAD:
+            if self.trailer > MAX_HEAD_BYTES:
                 raise MalformedError(431, "the trailer is too large")
         elif line is None:
             raise MalformedError(400, "a chunk's size is malformed")
@@ -201,47 +201,47 @@
             self.trailer = int(self.left == -1)
 
 
-class Requests:
+class RequestParser:
     """Requests one after another: `head` until there is one, then `body` until it is whole."""
 
-    def __init__(self, buffer: Buffer, most_body: int = MOST_BODY) -> None:
+    def __init__(self, buffer: Buffer, max_body_bytes: int = MAX_BODY_BYTES) -> None:
         self.buffer = buffer
-        self.most_body = most_body
-        self.most_head = MOST_HEAD
+        self.max_body_bytes = max_body_bytes
+        self.max_head_bytes = MAX_HEAD_BYTES
         self._length = 0
-        self._chunks: Chunks | None = None
+        self._chunks: ChunkedDecoder | None = None
         self._joined = bytearray()
 
     def head(self) -> Head | None:
-        return parse_head(self.buffer, most=self.most_head)
+        return parse_head(self.buffer, most=self.max_head_bytes)
 
     def expect(self, length: int) -> None:
         """A body comes, of this length or, with -1, in chunks."""
-        if length > self.most_body:
+        if length > self.max_body_bytes:
             raise MalformedError(413, "the body is too large")
         self._length = length
-        self._chunks, self._joined = (Chunks() if length < 0 else None), bytearray()
+        self._chunks, self._joined = (ChunkedDecoder() if length < 0 else None), bytearray()
 
     def wanted(self) -> int:
         """Room to ask for: a whole body lies in one piece."""
-        return max(SCANT, self._length - len(self.buffer))
+        return max(MIN_READ_BYTES, self._length - len(self.buffer))
 
     def body(self) -> memoryview | None:
         if self._chunks is None:
             return self.buffer.take(self._length) if len(self.buffer) >= self._length else None
         for part in self._chunks.feed(self.buffer):  # joined in a copy: pieces don't lie side by side
-            if len(self._joined) + len(part) > self.most_body:
+            if len(self._joined) + len(part) > self.max_body_bytes:
                 raise MalformedError(413, "the body is too large")
             self._joined += part
         return memoryview(self._joined) if self._chunks.done else None
 
 
 @dataclass(slots=True)
-class End:
+class ResponseEnd:
     reusable: bool
 
 
-class Answers:
+class ResponseParser:
     """Answers on one connection: yields the head, slices of the body, then End."""
 
     def __init__(self, buffer: Buffer) -> None:
@@ -249,9 +249,9 @@
         self.head_only = False  # answers to HEAD have no body, whatever their fields say
         self._head: Head | None = None
         self._left: int | None = None  # None: until the connection ends
-        self._chunks: Chunks | None = None
+        self._chunks: ChunkedDecoder | None = None
 
-    def feed(self) -> Iterator[Head | memoryview | End]:
+    def feed(self) -> Iterator[Head | memoryview | ResponseEnd]:
         """What has come by now; a slice holds until the next step."""
         while len(self.buffer) or self._head is not None:
             if self._head is None:
@@ -263,7 +263,7 @@
                 self._head, length = head, head.length()
                 if head.status in (204, 304) or self.head_only:
                     length = 0
-                self._chunks = Chunks() if length == -1 else None
+                self._chunks = ChunkedDecoder() if length == -1 else None
                 self._left = length if length != -1 else None
                 yield head
             if self._chunks is not None:
@@ -280,10 +280,10 @@
                 if self._left:
                     return
             reusable, self._head = self._head.keeps_alive(), None
-            yield End(reusable)
+            yield ResponseEnd(reusable)
 
 
-class Lines:
+class LineSplitter:
     """Joins slices to lines; only a line that lies across two slices is copied."""
 
     def __init__(self, most: int = 256 * 1024) -> None:
--- a/reedspoke/net/issuer.py
+++ b/reedspoke/net/issuer.py
@@ -12,10 +12,10 @@
 from reedspoke import interface as api
 from reedspoke.net import effects as fx
 from reedspoke.net import message as words
-from reedspoke.net.http import Answers, Buffer, End, Head, Lines, MalformedError
+from reedspoke.net.http import Buffer, Head, LineSplitter, MalformedError, ResponseEnd, ResponseParser
 from reedspoke.net.message import Message
 from reedspoke.net.runtime import Runtime
-from reedspoke.net.streams import connect, is_quiet, read
+from reedspoke.net.streams import connect, nothing_to_read, read
 
 MOST_REPORT = 4096  # bytes of a load report as the body of a probe's answer
 
@@ -59,7 +59,7 @@
     async def _read(self) -> None:
         assert self.stream is not None
         buffer = Buffer()
-        answers, lines, status, told = Answers(buffer), Lines(), 0, bytearray()
+        answers, lines, status, told = ResponseParser(buffer), LineSplitter(), 0, bytearray()
         while True:
             buffer.recycle()
             await read(self.stream, buffer)
@@ -67,11 +67,11 @@
                 raise MalformedError(400, "bytes that nobody asked for")
             for item in answers.feed():
                 if isinstance(item, Head):
-                    lines, status, told = Lines(), item.status, bytearray()
+                    lines, status, told = LineSplitter(), item.status, bytearray()
                     self.emit(fx.Heard(self.number))
                     if status != 200 or not self.asked and item.get(b"x-load") is not None:
                         self._conclude_by_status(item)
-                elif isinstance(item, End):
+                elif isinstance(item, ResponseEnd):
                     free = item.reusable and not len(buffer)
                     if not self.asked and not self.told:
                         self._conclude_probe(told, free)
@@ -94,12 +94,12 @@
 
     def _conclude_by_status(self, head: Head) -> None:
         self.told, invalid = True, False
-        report = words.report(words.load_field(head.get(b"x-load")), self.side.report_fields)
+        report = words.ordered_report(words.load_field(head.get(b"x-load")), self.side.report_fields)
         if not self.asked:
             reason = api.Reason.OK if head.status == 200 else api.Reason.FULL
         else:
             reason = words.reason_of(head.status, head.get(b"x-not-run") == b"1")
-            if invalid := head.status in words.AT_FAULT:
+            if invalid := head.status in words.INVALID_REQUEST_STATUSES:
                 self.emit(fx.Refused(head.status, "an issuer host says so"))
             elif reason is api.Reason.ERROR and head.status != 500:
                 log.warning("issuer host %s:%d: status %d", *self.endpoint, head.status)
@@ -108,21 +108,21 @@
     def _conclude_probe(self, told: bytearray, free: bool) -> None:
         """A load report is the body of its answer; one that cannot be read is none."""
         self.told, self.busy = True, not free
-        report = words.report(words.load_field(bytes(told)), self.side.report_fields)
+        report = words.ordered_report(words.load_field(bytes(told)), self.side.report_fields)
         self.emit(fx.Concluded(self.number, api.Reason.OK, report, free=free))
 
     def _take_line(self, raw: memoryview | bytes) -> None:
         if self.told:
             return
-        told = words.line(raw)
+        told = words.parse_line(raw)
         if told.id != self.asked:
             raise MalformedError(400, "an answer to something else")
         if (kind := words.NOTES.get(told.state)) is not None:
             self.emit(fx.Noted(self.number, kind, told.share))
-        elif (reason := words.STATES.get(told.state)) is not None:
+        elif (reason := words.REASONS.get(told.state)) is not None:
             self.told = True
-            report = words.report(told.load, self.side.report_fields)
-            result = words.result(told.result) if reason is api.Reason.OK else b""
+            report = words.ordered_report(told.load, self.side.report_fields)
+            result = words.result_body(told.result) if reason is api.Reason.OK else b""
             self.emit(fx.Concluded(self.number, reason, report, result))
 
     def transmit(self, client: int, message: Message, wait: int) -> None:
@@ -130,14 +130,14 @@
         if not self.side.present(client):
             self.emit(fx.Unsent(self.number))
             return
-        if not is_quiet(self.stream):
+        if not nothing_to_read(self.stream):
             # Guards jobs that must never run twice: the host has ended this connection, or speaks unasked,
             # and we have not read that yet. Not a byte of the leg goes out, so it never ran.
             self.emit(fx.Unsent(self.number, ended=True))
             return
         self.asked, self.busy, self.told = message.name, True, False
         try:
-            written = self.stream.write(message.leg_head(self.endpoint, wait))
+            written = self.stream.write(message.request_head(self.endpoint, wait))
             if len(message.body):
                 written = self.stream.write(message.body)
         except StreamClosedError:
--- a/reedspoke/net/node.py
+++ b/reedspoke/net/node.py
@@ -16,10 +16,10 @@
 from reedspoke.net.acquirer import Acquirer
 from reedspoke.net.config import Config, ConfigError, reload
 from reedspoke.net.core import DOOR, Budget, Further
-from reedspoke.net.directory import Directory, listed
+from reedspoke.net.directory import Directory, parse_list
 from reedspoke.net.handover import Handover, inherited
 from reedspoke.net.issuer import Issuer
-from reedspoke.net.operators import Door
+from reedspoke.net.operators import OperatorApi
 from reedspoke.net.reducer import Reducer
 from reedspoke.net.runtime import Clock, Runtime
 from reedspoke.net.subsystem import Extension, Subsystem
@@ -39,16 +39,18 @@
             config.settings, config.seed, budget, config.conn_idle, config.discovery, given is not None
         )
         self.runtime = Runtime(Clock(), reducer)
-        self.handover = Handover(self.runtime, config.name, Path(config.folder) if config.folder else None)
+        self.handover = Handover(
+            self.runtime, config.name, Path(config.shared_folder) if config.shared_folder else None
+        )
         classes = {cls.name: cls for cls in config.settings.classes}
         self.acquirer = Acquirer(self.runtime, classes, config.listen, self.handover.claim)
         self.directory = Directory(self.runtime)
         issuer = Issuer(self.runtime, config.settings.report_fields, self.acquirer.present)
-        self.door = Door(self.runtime, config.ops) if config.ops else None
+        self.operator_api = OperatorApi(self.runtime, config.ops) if config.ops else None
         for part in (self.acquirer, self.directory, issuer, self.handover, self):
             self.runtime.attach(part)
-        if self.door is not None:
-            self.runtime.attach(self.door)
+        if self.operator_api is not None:
+            self.runtime.attach(self.operator_api)
 
     def extend(self, extension: Extension) -> None:
         """Before `run`."""
@@ -61,15 +63,15 @@
         reducer = self.runtime.reducer
         for concern in part.concerns:
             reducer.add(concern)
-        for extension in part.parts:
+        for extension in part.extensions:
             self.extend(extension)
         for call in part.calls:
             if call.which in reducer.upkeep.further:
                 raise ValueError(f"two parts for {call.which}")
             reducer.upkeep.further[call.which] = call.answer
-        if self.door is not None:
-            self.door.calls += part.calls
-            self.door.figures += [part.figures] if part.figures is not None else []
+        if self.operator_api is not None:
+            self.operator_api.calls += part.calls
+            self.operator_api.figures += [part.figures] if part.figures is not None else []
 
     def stop(self) -> None:
         """Begin a planned end: answer what was taken, then let `run` return."""
@@ -95,14 +97,14 @@
 
     async def run(self) -> None:
         try:
-            known = listed(self.config.known, api.ListKind.STALE)
+            known = parse_list(self.config.known, api.ListKind.STALE)
         except ValueError as error:  # an old list is a help, not a need
             log.warning("directory: known list skipped: %s", error)
             known = fx.Listed(api.ListKind.STALE, 0, [])
         self.runtime.emit(fx.Rung(("look", 0)))  # what operators have ordered comes before any list
         self.runtime.emit(known)
-        if self.door is not None:
-            self.door.open()
+        if self.operator_api is not None:
+            self.operator_api.open()
         for extension in self._extensions:
             extension.open()
         given = self.config.inherited
@@ -110,14 +112,14 @@
         log.info(
             "serving: %s on %s:%d, %d hosts known", self.config.name, *self.config.listen, len(known.targets)
         )
-        await self.runtime.over.wait()
+        await self.runtime.stopped.wait()
         self.acquirer.close()
         for extension in self._extensions:
             extension.close()
-        if self.door is not None:
-            self.door.close()
+        if self.operator_api is not None:
+            self.operator_api.close()
         self.handover.close()
-        self.runtime.tell_figures()
+        self.runtime.log_counters()
         log.info("stopped")
 
 
@@ -139,7 +141,7 @@
     try:
         asyncio.run(serve(load()))
     except ConfigError as error:
-        print(f"reedspoke: {error.told()}", file=sys.stderr)
+        print(f"reedspoke: {error.one_line()}", file=sys.stderr)
         return 2
     except OSError as error:
         print(f"reedspoke: cannot listen: {error}", file=sys.stderr)
--- a/reedspoke/net/operators.py
+++ b/reedspoke/net/operators.py
@@ -18,11 +18,11 @@
 
 from tornado.iostream import IOStream, StreamClosedError
 
-from reedspoke.errors import FORM, ReedspokeError
+from reedspoke.errors import PROBLEM_CONTENT_TYPE, ReedspokeError
 from reedspoke.net import effects as fx
 from reedspoke.net import metrics
-from reedspoke.net.http import Buffer, Head, MalformedError, Requests
-from reedspoke.net.message import path
+from reedspoke.net.http import Buffer, Head, MalformedError, RequestParser
+from reedspoke.net.message import request_path
 from reedspoke.net.runtime import Runtime
 from reedspoke.net.streams import drain, listen, read, stream
 from reedspoke.net.subsystem import Call
@@ -30,11 +30,11 @@
 log = logging.getLogger("reedspoke")
 
 BACKLOG = 128
-AT_ONCE = 8  # callers taken in between two looks at what has come
-MOST_HEAD = 4 * 1024
-MOST_BODY = 4 * 1024  # no call needs one; a small one is read and forgotten
-MOST_LINGER = 64 * 1024
-LINGER = 0.5  # s that a connection stays half open, so that its answer is not lost to a reset
+ACCEPT_BATCH = 8  # callers taken in between two looks at what has come
+MAX_HEAD_BYTES = 4 * 1024
+MAX_BODY_BYTES = 4 * 1024  # no call needs one; a small one is read and forgotten
+MAX_LINGER_BYTES = 64 * 1024
+LINGER_S = 0.5  # s that a connection stays half open, so that its answer is not lost to a reset
 REASONS = {
     200: "OK", 201: "Created", 202: "Accepted", 400: "Bad Request", 404: "Not Found",
     405: "Method Not Allowed", 408: "Request Timeout", 409: "Conflict",
@@ -43,14 +43,14 @@
     501: "Not Implemented", 503: "Service Unavailable", 505: "HTTP Version Not Supported",
 }  # fmt: skip
 PLAIN = "text/plain; version=0.0.4; charset=utf-8"
-STATUS = {fx.Word.YES: 200, fx.Word.UNKNOWN: 404, fx.Word.ABSENT: 404, fx.Word.NO: 503}
-ORDERS = {
+STATUS_BY_RESULT = {fx.Word.YES: 200, fx.Word.UNKNOWN: 404, fx.Word.ABSENT: 404, fx.Word.NO: 503}
+CALLS = {
     (b"v1", b"readyz"): (b"GET", fx.Order.READY),
     (b"v1", b"metrics"): (b"GET", fx.Order.FIGURES),
     (b"v1", b"scheduler", b"drain"): (b"POST", fx.Order.DRAIN),
     (b"v1", b"scheduler", b"activate"): (b"POST", fx.Order.ACTIVATE),
 }
-NAMED_ORDERS = {
+WORKER_CALLS = {
     (b"workers", b"suspend"): fx.Order.SUSPEND, (b"workers", b"resume"): fx.Order.RESUME,
 }  # fmt: skip
 
@@ -64,7 +64,7 @@
         self.status, self.allow = status, allow
 
 
-def name_of(part: bytes) -> str:
+def decode_name(part: bytes) -> str:
     try:
         return unquote_to_bytes(part).decode()
     except UnicodeDecodeError:
@@ -72,35 +72,35 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Asked:
+class ParsedCall:
     """What a call asks for: of which host, or which call of a further part and what it names."""
 
     order: fx.Order
     host: str = ""
     which: str = ""
     names: tuple[str, ...] = ()
-    most_body: int = MOST_BODY
+    max_body_bytes: int = MAX_BODY_BYTES
 
 
-def order_of(head: Head, further: Iterable[Call] = ()) -> Asked:
-    parts = tuple(path(head).split(b"/")[1:])
-    if parts in ORDERS:
-        method, order = ORDERS[parts]
-        asked = Asked(order)
-    elif len(parts) == 4 and parts[0] == b"v1" and parts[1::2] in NAMED_ORDERS and parts[2]:
-        method, asked = b"POST", Asked(NAMED_ORDERS[parts[1::2]], name_of(parts[2]))
+def parse_call(head: Head, further: Iterable[Call] = ()) -> ParsedCall:
+    parts = tuple(request_path(head).split(b"/")[1:])
+    if parts in CALLS:
+        method, order = CALLS[parts]
+        asked = ParsedCall(order)
+    elif len(parts) == 4 and parts[0] == b"v1" and parts[1::2] in WORKER_CALLS and parts[2]:
+        method, asked = b"POST", ParsedCall(WORKER_CALLS[parts[1::2]], decode_name(parts[2]))
     else:
         found = [(call, names) for call in further if (names := call.names(parts[1:])) is not None]
         if parts[0] != b"v1" or not found:
             raise NoSuchCallError(404, "no such call")
         call, names = next((one for one in found if one[0].method == head.method), found[0])
         method = call.method
-        asked = Asked(
+        asked = ParsedCall(
             fx.Order.FURTHER,
             "",
             call.which,
-            tuple(name_of(name) for name in names),
-            max(MOST_BODY, call.most_body),
+            tuple(decode_name(name) for name in names),
+            max(MAX_BODY_BYTES, call.max_body_bytes),
         )
     if head.method != method:
         raise NoSuchCallError(405, f"call it by {method.decode()}", method)
@@ -124,17 +124,19 @@
 class Caller:
     """One connection at the door, served by one coroutine."""
 
-    def __init__(self, door: Door, number: int, source: IOStream) -> None:
-        self.door, self.number, self.stream = door, number, source
+    def __init__(self, operator_api: OperatorApi, number: int, source: IOStream) -> None:
+        self.operator_api, self.number, self.stream = operator_api, number, source
         self.reply: asyncio.Future[tuple[int, str, str]] = asyncio.get_running_loop().create_future()
 
     async def serve(self) -> None:
         try:
             await self._serve_one()
         except NoSuchCallError as error:
-            await self._end(reply(error.status, error.problem(error.status), error.allow, FORM))
+            await self._end(
+                reply(error.status, error.problem(error.status), error.allow, PROBLEM_CONTENT_TYPE)
+            )
         except MalformedError as error:
-            await self._end(reply(error.status, error.problem(error.status), form=FORM))
+            await self._end(reply(error.status, error.problem(error.status), form=PROBLEM_CONTENT_TYPE))
         except (StreamClosedError, OSError):
             pass
         except Exception:  # guards the other callers, and this one: it hears that something went wrong
@@ -142,25 +144,25 @@
             await self._end(reply(500, "a defect: see the log\n"))
         finally:
             self.stream.close()
-            self.door.runtime.emit(fx.Hungup(self.number))
+            self.operator_api.runtime.emit(fx.Hungup(self.number))
 
     async def _serve_one(self) -> None:
         buffer = Buffer()
-        requests = Requests(buffer)
+        requests = RequestParser(buffer)
         while (head := requests.head()) is None:
-            if len(buffer) >= MOST_HEAD:
+            if len(buffer) >= MAX_HEAD_BYTES:
                 raise MalformedError(431, "the head is too large")
             await read(self.stream, buffer)
-        asked = order_of(head, self.door.calls)
+        asked = parse_call(head, self.operator_api.calls)
         length = head.length() or 0
-        if length > asked.most_body:
+        if length > asked.max_body_bytes:
             raise MalformedError(413, "the body is too large")
         requests.expect(length)
         while (body := requests.body()) is None:
             await read(self.stream, buffer, requests.wanted())
-        if len(body) > asked.most_body:
+        if len(body) > asked.max_body_bytes:
             raise MalformedError(413, "the body is too large")
-        self.door.runtime.emit(
+        self.operator_api.runtime.emit(
             fx.Called(self.number, asked.order, asked.host, asked.which, asked.names, bytes(body))
         )
         status, text, form = await self.reply
@@ -169,14 +171,14 @@
     async def _end(self, data: bytes) -> None:
         """Guards the answer: closing with bytes unread would reset the connection and take it along."""
         with suppress(StreamClosedError, OSError, TimeoutError):
-            await asyncio.wait_for(self.stream.write(data), LINGER)
+            await asyncio.wait_for(self.stream.write(data), LINGER_S)
             if self.stream.closed():  # the caller was faster
                 return
             self.stream.socket.shutdown(socket.SHUT_WR)
-            await asyncio.wait_for(drain(self.stream, MOST_LINGER), LINGER)
+            await asyncio.wait_for(drain(self.stream, MAX_LINGER_BYTES), LINGER_S)
 
 
-class Door:
+class OperatorApi:
     def __init__(self, runtime: Runtime, address: tuple[str, int]) -> None:
         self.runtime = runtime
         self._address = address
@@ -192,10 +194,10 @@
 
     def open(self) -> None:
         self._listener = listen(self._address, BACKLOG)
-        asyncio.get_running_loop().add_reader(self._listener.fileno(), self._take_in)
+        asyncio.get_running_loop().add_reader(self._listener.fileno(), self._accept)
 
-    def _take_in(self) -> None:
-        for _ in range(AT_ONCE):
+    def _accept(self) -> None:
+        for _ in range(ACCEPT_BATCH):
             try:
                 connection, _ = self._listener.accept()  # type: ignore[union-attr]
             except BlockingIOError:
@@ -222,7 +224,7 @@
                     reducer.state, classes, reducer.module.avoided_workers(self.runtime.clock.now())
                 )
                 told += "".join(more() for more in self.figures)
-            status = effect.status or STATUS[effect.word]
+            status = effect.status or STATUS_BY_RESULT[effect.word]
             caller.reply.set_result((status, told or f"{effect.word.value}\n", effect.form or PLAIN))
 
     def _dismiss(self, effect: fx.Dismiss) -> None:
--- a/reedspoke/net/runtime.py
+++ b/reedspoke/net/runtime.py
@@ -14,13 +14,13 @@
 from reedspoke.net.core import MS, SECOND
 from reedspoke.net.reducer import Reducer
 from reedspoke.net.state import Life
-from reedspoke.net.wheel import Wheel
+from reedspoke.net.timer_wheel import TimerWheel
 
 log = logging.getLogger("reedspoke")
 
 TICK = 5 * MS
-LAG_TOLD = 50 * MS
-FIGURES_EVERY = 10 * SECOND
+LAG_WARNING = 50 * MS
+COUNTERS_INTERVAL = 10 * SECOND
 
 
 class Clock:
@@ -33,7 +33,7 @@
         return (self._offset + time.monotonic_ns()) // 1000
 
 
-class Part(Protocol):
+class EffectHandler(Protocol):
     """A part with sockets; it takes the effects that it names."""
 
     def effects(self) -> dict[type, Callable[[Any], None]]: ...
@@ -43,22 +43,22 @@
     def __init__(self, clock: Clock, reducer: Reducer) -> None:
         self.clock = clock
         self.reducer = reducer
-        self.over = asyncio.Event()
+        self.stopped = asyncio.Event()
         self._events: deque[tuple[fx.Event, int]] = deque()
         self._busy = False
-        self._wheel = Wheel(TICK, clock.now())
-        self._turning = False
+        self._wheel = TimerWheel(TICK, clock.now())
+        self._ticking = False
         self._lag = 0
-        self._told_at = clock.now()
-        self._doing: dict[type, Callable[[Any], None]] = {
-            fx.Ring: self._ring,
+        self._logged_at = clock.now()
+        self._handlers: dict[type, Callable[[Any], None]] = {
+            fx.Ring: self._set_timer,
             fx.Quiet: lambda effect: self._wheel.stop(effect.key),
-            fx.Say: self._say,
-            fx.Exit: lambda _: self.over.set(),
+            fx.Say: self._log,
+            fx.Exit: lambda _: self.stopped.set(),
         }
 
-    def attach(self, part: Part) -> None:
-        self._doing.update(part.effects())
+    def attach(self, part: EffectHandler) -> None:
+        self._handlers.update(part.effects())
 
     def emit(self, event: fx.Event) -> None:
         """Tell the reducer; what its effects cause at once is told behind it."""
@@ -70,17 +70,17 @@
             while self._events:
                 event, now = self._events.popleft()
                 for effect in self.reducer.handle(event, now):
-                    self._do(effect)
+                    self._execute(effect)
         finally:
             self._busy = False
 
-    def _do(self, effect: fx.Effect) -> None:
+    def _execute(self, effect: fx.Effect) -> None:
         try:
-            self._doing[type(effect)](effect)
+            self._handlers[type(effect)](effect)
         except Exception:  # one effect that fails must not take the others with it
             log.exception("fault: effect %s", type(effect).__name__)
 
-    def _say(self, effect: fx.Say) -> None:
+    def _log(self, effect: fx.Say) -> None:
         if effect.fault:
             log.error("fault: %s", effect.text)
         else:
@@ -88,31 +88,31 @@
 
     # ---- time ----
 
-    def _ring(self, effect: fx.Ring) -> None:
+    def _set_timer(self, effect: fx.Ring) -> None:
         self._wheel.set(effect.key, effect.at)
-        if not self._turning:
-            self._turning = True
-            self._turn_next()
+        if not self._ticking:
+            self._ticking = True
+            self._schedule_tick()
 
-    def _turn_next(self) -> None:
+    def _schedule_tick(self) -> None:
         now = self.clock.now()
         due = (now // TICK + 1) * TICK
-        asyncio.get_running_loop().call_later((due - now) / SECOND, self._turn, due)
+        asyncio.get_running_loop().call_later((due - now) / SECOND, self._on_tick, due)
 
-    def _turn(self, due: int) -> None:
+    def _on_tick(self, due: int) -> None:
         now = self.clock.now()
         self._lag = max(self._lag, now - due)
         for key in self._wheel.advance(now):
             self.emit(fx.Rung(key))  # type: ignore[arg-type]
-        if now - self._told_at >= FIGURES_EVERY:
-            self.tell_figures()
-        self._turning = len(self._wheel) > 0 and not self.over.is_set()
-        if self._turning:
-            self._turn_next()
+        if now - self._logged_at >= COUNTERS_INTERVAL:
+            self.log_counters()
+        self._ticking = len(self._wheel) > 0 and not self.stopped.is_set()
+        if self._ticking:
+            self._schedule_tick()
 
-    def tell_figures(self) -> None:
+    def log_counters(self) -> None:
         """One line: what was counted since the start, and the loop's worst lag since the last such line."""
-        if self._lag > LAG_TOLD:
+        if self._lag > LAG_WARNING:
             log.warning("loop lag: %d ms", self._lag // MS)
         rss = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss // 1024
         state = self.reducer.state
@@ -120,7 +120,7 @@
             f"{name.replace(' ', '_')}={count}" for name, count in sorted(state.figures.items())
         )
         log.info("figures: lag_ms=%.1f rss_mb=%d open=%d %s", self._lag / MS, rss, len(state.names), counted)
-        self._lag, self._told_at = 0, self.clock.now()
+        self._lag, self._logged_at = 0, self.clock.now()
 
     def ready(self) -> bool:
         return self.reducer.state.ready()
--- a/reedspoke/net/streams.py
+++ b/reedspoke/net/streams.py
@@ -11,9 +11,9 @@
 
 from tornado.iostream import IOStream, StreamClosedError
 
-from reedspoke.net.http import SCANT, Buffer
+from reedspoke.net.http import MIN_READ_BYTES, Buffer
 
-MOST_BUFFERED = 512 * 1024
+MAX_BUFFERED_BYTES = 512 * 1024
 
 
 def connect(endpoint: tuple[str, int]) -> IOStream:
@@ -25,7 +25,7 @@
 def stream(raw: socket.socket) -> IOStream:
     raw.setblocking(False)
     raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    return IOStream(raw, max_buffer_size=MOST_BUFFERED, max_write_buffer_size=MOST_BUFFERED)
+    return IOStream(raw, max_buffer_size=MAX_BUFFERED_BYTES, max_write_buffer_size=MAX_BUFFERED_BYTES)
 
 
 def listen(address: tuple[str, int], backlog: int) -> socket.socket:
@@ -42,13 +42,13 @@
     return listener
 
 
-def start_read(source: IOStream, buffer: Buffer, room: int = SCANT) -> asyncio.Future[int]:
+def start_read(source: IOStream, buffer: Buffer, room: int = MIN_READ_BYTES) -> asyncio.Future[int]:
     """Begin to read into the buffer. Tornado takes any writable place, though it names one type."""
     place = cast(Any, buffer.room(room))
     return cast("asyncio.Future[int]", source.read_into(place, partial=True))
 
 
-async def read(source: IOStream, buffer: Buffer, room: int = SCANT) -> None:
+async def read(source: IOStream, buffer: Buffer, room: int = MIN_READ_BYTES) -> None:
     buffer.filled(await start_read(source, buffer, room))
 
 
@@ -63,7 +63,7 @@
             most -= sink.end
 
 
-def waits_unread(source: IOStream) -> bool:
+def has_unread_bytes(source: IOStream) -> bool:
     """Guards a client against a reset: bytes that it has sent wait to be read, and get their answer. Over TLS
     these may be a whole message or a part of one; the socket's own call is asked, as TLS has none for
     this."""
@@ -76,7 +76,7 @@
         return False
 
 
-def has_gone(source: IOStream) -> bool:
+def peer_has_closed(source: IOStream) -> bool:
     """Whether the other end has closed or reset, seen without reading: its end may wait unread while others
     are served, or stand behind bytes that nobody reads ahead. One that has only ended its sending is taken
     for gone as well: nothing on the wire tells the two apart."""
@@ -94,7 +94,7 @@
         return True
 
 
-def is_quiet(source: IOStream) -> bool:
+def nothing_to_read(source: IOStream) -> bool:
     """Whether nothing has come, no byte and no end, that is still unread. A stream that has closed, as at a
     reset whose end has not been told yet, has no socket left."""
     if source.closed():
--- a/reedspoke/net/subsystem.py
+++ b/reedspoke/net/subsystem.py
@@ -29,12 +29,12 @@
 @dataclass(slots=True, frozen=True)
 class Call:
     """At the operators' door. `path`: its parts behind /v1. `answer` returns the reply, or None where an
-    effect brings it later. `most_body`: bytes."""
+    effect brings it later. `max_body_bytes`: bytes."""
 
     method: bytes
     path: tuple[bytes, ...]
     answer: Callable[[fx.Called], fx.Reply | None]
-    most_body: int = 0
+    max_body_bytes: int = 0
 
     @property
     def which(self) -> str:
@@ -56,6 +56,6 @@
 
     name: str
     concerns: tuple[Concern, ...] = ()
-    parts: tuple[Extension, ...] = ()
+    extensions: tuple[Extension, ...] = ()
     calls: tuple[Call, ...] = ()
     figures: Callable[[], str] | None = None
--- a/reedspoke/net/wheel.py
+++ b/reedspoke/net/timer_wheel.py
@@ -7,7 +7,7 @@
 SLOTS = 512
 
 
-class Wheel:
+class TimerWheel:
     def __init__(self, tick: int, now: int) -> None:
         self.tick = tick
         self._turn = now // tick  # the tick that has been served last
--- a/reedspoke/net/values.py
+++ b/reedspoke/net/values.py
@@ -14,10 +14,10 @@
 
 WORD = re.compile(rb"[^ \t\r\n]")  # what is no white space
 TOKEN = re.compile(rb'"[^"\\]*(?:\\.[^"\\]*)*"|["{}\[\]]', re.DOTALL)  # a lone quote opens an unfinished text
-MOST_TEXT = 64 * 1024  # bytes of an unfinished text, which is read again with each slice
+MAX_STRING_BYTES = 64 * 1024  # bytes of an unfinished text, which is read again with each slice
 
 
-class Values:
+class JsonObjectSplitter:
     """Joins slices to objects; only one that lies across two slices is copied."""
 
     def __init__(self, most: int) -> None:
@@ -69,7 +69,7 @@
                 if not self._depth:
                     return at, True
             elif token == b'"':
-                if len(data) - found.start() > MOST_TEXT:
+                if len(data) - found.start() > MAX_STRING_BYTES:
                     raise MalformedError(400, "a text is too long")
                 return found.start(), False
         return len(data), False
--- a/reedspoke/sealed.py
+++ b/reedspoke/sealed.py
@@ -7,7 +7,7 @@
 from reedspoke.errors import ReedspokeError
 
 
-class TornError(ReedspokeError):
+class CorruptFileError(ReedspokeError):
     """What was read is not what was written; the text says why and holds nothing of it."""
 
     code = "file-torn"
@@ -19,13 +19,13 @@
 
 
 def unseal(mark: bytes, form: int, raw: bytes) -> bytes:
-    """The body. Raises TornError for what is torn, foreign, or of another form."""
+    """The body. Raises CorruptFileError for what is torn, foreign, or of another form."""
     first, _, body = raw.partition(b"\n")
     words = first.split(b" ")
     if len(words) != 3 or words[0] != mark or not words[1].isdigit():
-        raise TornError("it is no file of this program")
+        raise CorruptFileError("it is no file of this program")
     if int(words[1][:9]) != form:
-        raise TornError(f"its form is {int(words[1][:9])}, this program knows {form}")
+        raise CorruptFileError(f"its form is {int(words[1][:9])}, this program knows {form}")
     if hashlib.sha256(body).hexdigest().encode() != words[2]:
-        raise TornError("it is torn")
+        raise CorruptFileError("it is torn")
     return body
--- a/reedspoke/settings.py
+++ b/reedspoke/settings.py
@@ -32,7 +32,7 @@
 }
 
 
-class UnknownWordError(ReedspokeError, ValueError):
+class UnknownValueError(ReedspokeError, ValueError):
     """One of the platform's words has no meaning here; the text names it."""
 
     code = "word-unknown"
@@ -97,7 +97,7 @@
     cross_zone: float = 0.0
 
 
-class Info(Struct):
+class PlatformSettings(Struct):
     balancers: int
     categories: list[Category]
     ceilings: Ceilings
@@ -117,12 +117,12 @@
 T = TypeVar("T")
 
 
-def known(table: dict[str, T], word: str, field: str) -> T:
+def lookup(table: dict[str, T], word: str, field: str) -> T:
     """The meaning of one of the platform's words."""
     try:
         return table[word]
     except KeyError:
-        raise UnknownWordError(f"field `{field}` has an unknown value {word!r}") from None
+        raise UnknownValueError(f"field `{field}` has an unknown value {word!r}") from None
 
 
 def class_settings(index: int, told: Category, family: FamilyInfo) -> plain.ClassSettings:
@@ -131,8 +131,8 @@
         stretch = family.class_stretch[index] if index < len(family.class_stretch) else 0.0
     return plain.ClassSettings(
         name=told.name,
-        idempotency=known(EFFECTS, told.repeat, "repeat"),
-        dedup_scope=known(GROUPS, told.group, "group"),
+        idempotency=lookup(EFFECTS, told.repeat, "repeat"),
+        dedup_scope=lookup(GROUPS, told.group, "group"),
         dedup_window=told.window,
         latency_target=told.aim,
         stretch=stretch,
@@ -144,7 +144,7 @@
     )
 
 
-def settings(info: Info) -> plain.Settings:
+def convert_settings(info: PlatformSettings) -> plain.Settings:
     """The platform's settings in the module's words."""
     return plain.Settings(
         scheduler_index=info.me,
@@ -171,11 +171,11 @@
             overload_window=info.safety.fall,
         ),
         min_event_interval=info.resolution,
-        list_on_request=known(DISCOVERY, info.discovery, "discovery"),
+        list_on_request=lookup(DISCOVERY, info.discovery, "discovery"),
         reports_start=info.family_info.tells_start,
         progress_interval=info.family_info.progress,
         report_fields=tuple(REPORT_NAMES.get(name, name) for name in info.report.names),
-        report_in_answers=known(REPORT_HOW, info.report.how, "how"),
-        value_by_work=known(WORTH_BY, info.worth_by, "worth_by"),
+        report_in_answers=lookup(REPORT_HOW, info.report.how, "how"),
+        value_by_work=lookup(WORTH_BY, info.worth_by, "worth_by"),
         cross_zone_cost=info.deductions.cross_zone,
     )
--- a/reedspoke/start.py
+++ b/reedspoke/start.py
@@ -19,7 +19,7 @@
         node.add(build_fleet(node.runtime, config.peers, config.settings.scheduler_index)[1])
 
 
-def platform(config: Config) -> Node:
+def platform_node(config: Config) -> Node:
     node = Node(config)
     join_peers(node)
     return node
@@ -30,4 +30,4 @@
         stream=sys.stderr, level=logging.INFO, format="%(asctime)s.%(msecs)03d %(levelname)s %(message)s",
         datefmt="%H:%M:%S",
     )  # fmt: skip
-    return run(load, lambda config: serve(config, platform))
+    return run(load, lambda config: serve(config, platform_node))
--- a/reedspoke/tls/certificate.py
+++ b/reedspoke/tls/certificate.py
@@ -18,7 +18,7 @@
 )
 
 from reedspoke.errors import ReedspokeError
-from reedspoke.sealed import TornError, seal, unseal
+from reedspoke.sealed import CorruptFileError, seal, unseal
 
 SECOND = 1_000_000
 MOST_CHAIN = 8
@@ -125,7 +125,7 @@
     """Raises UnfitError for what is torn, foreign, or of another form."""
     try:
         body = unseal(MARK, FORM, raw)
-    except TornError as error:
+    except CorruptFileError as error:
         raise UnfitError(str(error)) from None
     at = body.find(b"-----BEGIN CERTIFICATE-----")
     if at < 0:
--- a/reedspoke/tls/front.py
+++ b/reedspoke/tls/front.py
@@ -22,7 +22,7 @@
 from reedspoke.net import effects as fx
 from reedspoke.net.acquirer import Acquirer, Client
 from reedspoke.net.listener import Listener
-from reedspoke.net.streams import MOST_BUFFERED
+from reedspoke.net.streams import MAX_BUFFERED_BYTES
 from reedspoke.tls.certificate import Pair
 from reedspoke.tls.meters import Meters
 from reedspoke.tls.names import Held, Names, Refusal
@@ -99,7 +99,7 @@
         try:
             sock = front.wrap(self._raw)
             self._stream = SSLIOStream(
-                sock, max_buffer_size=MOST_BUFFERED, max_write_buffer_size=MOST_BUFFERED
+                sock, max_buffer_size=MAX_BUFFERED_BYTES, max_write_buffer_size=MAX_BUFFERED_BYTES
             )
             self._stream.set_nodelay(True)
             try:
--- a/tests/acme/test_parts.py
+++ b/tests/acme/test_parts.py
@@ -21,7 +21,7 @@
 from reedspoke.acme.record import Record, packed, unpacked
 from reedspoke.acme.words import Trouble
 from reedspoke.lab.issuing import Issuer
-from reedspoke.sealed import TornError
+from reedspoke.sealed import CorruptFileError
 from reedspoke.tls.certificate import Pair
 from reedspoke.tls.meters import Meters
 from reedspoke.tls.store import Store
@@ -91,7 +91,7 @@
 
 @given(st.binary(max_size=300))
 def test_no_bytes_on_disk_are_fatal_or_taken_for_a_record(raw: bytes) -> None:
-    with pytest.raises(TornError):
+    with pytest.raises(CorruptFileError):
         unpacked(raw, Record)
 
 
@@ -99,9 +99,9 @@
     whole = packed(Record("api", ["api.example.org"], key="secret"))
     assert unpacked(whole, Record).key == "secret"
     for at in range(len(whole)):
-        with pytest.raises(TornError):
+        with pytest.raises(CorruptFileError):
             unpacked(whole[:at], Record)
-    with pytest.raises(TornError, match="its form is 2"):
+    with pytest.raises(CorruptFileError, match="its form is 2"):
         unpacked(whole.replace(b" 1 ", b" 2 ", 1), Record)
 
 
--- a/tests/golden/test_public_names.py
+++ b/tests/golden/test_public_names.py
@@ -24,7 +24,7 @@
 from reedspoke.common.errors import ErrorCode
 from reedspoke.common.node_settings import NodeSettings
 from reedspoke.data_plane.request_trace import AttemptTrace, RequestTrace
-from reedspoke.net.config import Told as NodeConfiguration
+from reedspoke.net.config import ConfigFile as NodeConfiguration
 from reedspoke.operator_cli.arguments import build_parser
 from reedspoke.telemetry.invariants import Invariant
 
--- a/tests/test_cuts.py
+++ b/tests/test_cuts.py
@@ -6,7 +6,15 @@
 
 import pytest
 
-from reedspoke.net.http import Answers, Buffer, End, Head, Lines, MalformedError, Requests
+from reedspoke.net.http import (
+    Buffer,
+    Head,
+    LineSplitter,
+    MalformedError,
+    RequestParser,
+    ResponseEnd,
+    ResponseParser,
+)
 from tests.peers import ask
 
 CHUNKED = ask().partition(b"Content-Length")[0] + (
@@ -39,7 +47,7 @@
 def requests(pieces: list[bytes]) -> list[object]:
     """What has been read in the end: heads, bodies, or the status of what is malformed."""
     buffer, found = Buffer(64), list[object]()
-    reader, head = Requests(buffer), None
+    reader, head = RequestParser(buffer), None
     try:
         for piece in pieces:
             put(buffer, piece)
@@ -68,14 +76,14 @@
 
 def answers(pieces: list[bytes]) -> list[object]:
     buffer, found = Buffer(64), list[object]()
-    reader, lines = Answers(buffer), Lines()
+    reader, lines = ResponseParser(buffer), LineSplitter()
     for piece in pieces:
         put(buffer, piece)
         for item in reader.feed():
             if isinstance(item, Head):
                 found.append(item.status)
-                lines = Lines()
-            elif isinstance(item, End):
+                lines = LineSplitter()
+            elif isinstance(item, ResponseEnd):
                 found.append(item.reusable)
             else:
                 found += [bytes(line) for line in lines.feed(item)]
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -21,8 +21,8 @@
 from reedspoke.lab.program import LabError, Program
 from reedspoke.net.config import ConfigError
 from reedspoke.net.http import Head
-from reedspoke.net.operators import NoSuchCallError, order_of
-from reedspoke.settings import UnknownWordError, known
+from reedspoke.net.operators import NoSuchCallError, parse_call
+from reedspoke.settings import UnknownValueError, lookup
 from tests.peers import ROOT
 
 BASES = ("ReedspokeError", "NumberedError", "FleetError", "PlatformError")
@@ -74,8 +74,8 @@
     "TokenError": "fleet/lease/test_participant.py::test_each_mutation_is_caught",
 }
 RAISED: dict[type[ReedspokeError], Callable[[], object]] = {
-    UnknownWordError: lambda: known({}, "sometimes", "how"),
-    NoSuchCallError: lambda: order_of(Head(1, b"GET", memoryview(b"/v1/nothing"))),
+    UnknownValueError: lambda: lookup({}, "sometimes", "how"),
+    NoSuchCallError: lambda: parse_call(Head(1, b"GET", memoryview(b"/v1/nothing"))),
     CommandError: lambda: command(["false"], "add", "name", "value", 5.0),
     LabError: lambda: asyncio.run(Program.ready(Stopped())),  # type: ignore[arg-type]
 }
@@ -85,7 +85,7 @@
 def test_an_error_is_raised_with_its_remedy(kind: type[ReedspokeError]) -> None:
     with pytest.raises(kind) as found:
         RAISED[kind]()
-    assert kind.remedy in found.value.told()
+    assert kind.remedy in found.value.one_line()
 
 
 @pytest.mark.parametrize("kind", KINDS, ids=lambda kind: kind.__name__)
@@ -127,8 +127,8 @@
 
 def test_the_forms_of_an_error() -> None:
     error = ConfigError("listen: no ip:port")
-    assert error.told().startswith("listen: no ip:port [configuration-unusable: ")
-    assert "\n" not in error.told()
+    assert error.one_line().startswith("listen: no ip:port [configuration-unusable: ")
+    assert "\n" not in error.one_line()
     told = json.loads(error.problem(400, key="listen"))
     assert (told["type"], told["status"], told["key"]) == (
         "urn:reedspoke:configuration-unusable",
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -15,7 +15,7 @@
 from reedspoke.net import effects as fx
 from reedspoke.net import handover
 from reedspoke.net.core import DOOR, Budget
-from reedspoke.net.handover import ORDERS, Handover
+from reedspoke.net.handover import ORDERS_FILE, Handover
 from tests.peers import Node, Start, ask, took
 from tests.test_reducer import Play, arrived, listed
 
@@ -177,9 +177,9 @@
 def test_unusable_orders_are_skipped_and_replaced(tmp_path: Path, found: bytes | None) -> None:
     part, told = make(tmp_path)
     if found is None:
-        (tmp_path / ORDERS).mkdir()
+        (tmp_path / ORDERS_FILE).mkdir()
     else:
-        (tmp_path / ORDERS).write_bytes(found)
+        (tmp_path / ORDERS_FILE).write_bytes(found)
     do(part, fx.Look())
     assert not told
     do(part, SUSPEND)
@@ -194,7 +194,7 @@
 
 def test_orders_wait_for_the_other_process_and_repeat(tmp_path: Path) -> None:
     part, told = make(tmp_path)
-    with (tmp_path / f"{ORDERS}.lock").open("w") as lock:
+    with (tmp_path / f"{ORDERS_FILE}.lock").open("w") as lock:
         fcntl.flock(lock, fcntl.LOCK_EX)
         do(part, SUSPEND)
         assert told == [fx.Unrecorded(SUSPEND, again=True)]
@@ -207,7 +207,7 @@
     """Guards operators against a process that holds the lock and stands still."""
     node = start(hosts=1, inherits=True)
     settled(node)
-    with (node.config.parent / f"{ORDERS}.lock").open("w") as lock:
+    with (node.config.parent / f"{ORDERS_FILE}.lock").open("w") as lock:
         fcntl.flock(lock, fcntl.LOCK_EX)
         since = time.monotonic()
         assert node.call("/v1/workers/s-0/suspend").status == 503
@@ -228,7 +228,7 @@
 
 def test_what_a_dead_process_left_goes(tmp_path: Path) -> None:
     part, told = make(tmp_path)
-    left = tmp_path / f"{handover.PROCESS}dead"
+    left = tmp_path / f"{handover.PROCESS_FILE_PREFIX}dead"
     left.write_bytes(b'{"name":"n0","leaving":false,"descriptors":9,"slots":{}}')
     do(part, fx.Look())
     assert not told
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -65,7 +65,7 @@
             await come_and_leave(10)
             while node.runtime.reducer.state.clients or node.runtime.reducer.state.callers:
                 await asyncio.sleep(0)
-            await asyncio.gather(*node.acquirer._tasks, *node.door._tasks)  # type: ignore[union-attr]
+            await asyncio.gather(*node.acquirer._tasks, *node.operator_api._tasks)  # type: ignore[union-attr]
             await asyncio.sleep(0)
             return left() - before
         finally:
--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -12,7 +12,7 @@
 from reedspoke.net.hosts import ANSWER, MISSED, MOVED, OLDER, SILENCE, UNHEARD
 from reedspoke.net.legs import MUTE
 from reedspoke.net.reducer import Reducer
-from reedspoke.net.wheel import Wheel
+from reedspoke.net.timer_wheel import TimerWheel
 from tests.world import MS, settings
 
 NOW = 1_700_000_000 * SECOND
@@ -34,7 +34,7 @@
     def __init__(self, budget: Budget | None = None, config: api.Settings | None = None) -> None:
         config = config or settings(list_on_request=True)
         self.reducer = Reducer(config, 1, budget or Budget(10, 12), 60 * SECOND, ("127.0.0.1", 8500))
-        self.now, self.wheel, self.asked = NOW, Wheel(5 * MS, NOW), list[fx.Effect]()
+        self.now, self.wheel, self.asked = NOW, TimerWheel(5 * MS, NOW), list[fx.Effect]()
 
     def tell(self, *events: fx.Event) -> list[fx.Effect]:
         begun = len(self.asked)
@@ -178,7 +178,7 @@
 
 
 def test_wheel_rings_in_order_and_never_early() -> None:
-    wheel = Wheel(5, 1000)
+    wheel = TimerWheel(5, 1000)
     for key, at in (
         ("far", 9000),
         ("b", 1012),
--- a/tests/test_streams_quiet.py
+++ b/tests/test_streams_quiet.py
@@ -8,7 +8,7 @@
 import pytest
 from tornado.iostream import IOStream
 
-from reedspoke.net.streams import is_quiet
+from reedspoke.net.streams import nothing_to_read
 
 
 @pytest.mark.parametrize(
@@ -28,7 +28,7 @@
         elif what == "closed here":
             stream.close()
         await asyncio.sleep(0)
-        found = is_quiet(stream)
+        found = nothing_to_read(stream)
         stream.close()
         far.close()
         return found
--- a/tests/test_subsystem.py
+++ b/tests/test_subsystem.py
@@ -8,7 +8,7 @@
 from reedspoke.net.core import Concern, Core, Reactions
 from reedspoke.net.http import Head
 from reedspoke.net.node import Node
-from reedspoke.net.operators import Asked, NoSuchCallError, order_of
+from reedspoke.net.operators import NoSuchCallError, ParsedCall, parse_call
 from reedspoke.net.subsystem import NAME, Call, Subsystem
 
 
@@ -33,15 +33,15 @@
 NESTED = Call(b"POST", (b"notes", NAME, b"again"), yes)
 
 
-def asked(method: bytes, target: bytes) -> Asked:
-    return order_of(Head(1, method, memoryview(target)), (SHOW, MAKE, NESTED))
+def asked(method: bytes, target: bytes) -> ParsedCall:
+    return parse_call(Head(1, method, memoryview(target)), (SHOW, MAKE, NESTED))
 
 
 def test_calls_are_told_apart_by_method_and_path_and_carry_what_they_name() -> None:
-    assert asked(b"GET", b"/v1/notes/a%20b") == Asked(fx.Order.FURTHER, "", SHOW.which, ("a b",))
-    assert asked(b"POST", b"/v1/notes/a").most_body == 9000
+    assert asked(b"GET", b"/v1/notes/a%20b") == ParsedCall(fx.Order.FURTHER, "", SHOW.which, ("a b",))
+    assert asked(b"POST", b"/v1/notes/a").max_body_bytes == 9000
     assert asked(b"POST", b"/v1/notes/a/again").which == NESTED.which
-    assert asked(b"GET", b"/v1/readyz") == Asked(fx.Order.READY), "the platform's own go first"
+    assert asked(b"GET", b"/v1/readyz") == ParsedCall(fx.Order.READY), "the platform's own go first"
 
 
 @pytest.mark.parametrize(
@@ -73,7 +73,7 @@
     class Bare(Node):
         def __init__(self) -> None:
             self.runtime = type("Any", (), {"reducer": play.reducer})()
-            self.door = None
+            self.operator_api = None
 
     node = Bare()
     node.add(Subsystem("first", (Echo(play.reducer.core),), (), (SHOW,)))
--- a/tests/test_values.py
+++ b/tests/test_values.py
@@ -9,9 +9,9 @@
 import pytest
 
 from reedspoke import interface as api
-from reedspoke.net.directory import listed
+from reedspoke.net.directory import parse_list
 from reedspoke.net.http import MalformedError
-from reedspoke.net.values import MOST_TEXT, Values
+from reedspoke.net.values import MAX_STRING_BYTES, JsonObjectSplitter
 
 TARGET = {"uid": "s-0", "endpoint": "127.0.0.1:80", "az": 'a{"]\\', "state": "Ready", "boot_ms": 0}
 ODD = {"rev": 3, "all": False, "targets": [{**TARGET, "uid": '{[\\"}'}], "more": [[], {}, "é\n", None, 1e3]}
@@ -19,7 +19,7 @@
 
 def fed(data: bytes, cuts: list[int], most: int = 1 << 22) -> list[Any]:
     """What comes out: the objects, and None for each beat."""
-    values, out = Values(most), list[Any]()
+    values, out = JsonObjectSplitter(most), list[Any]()
     for begin, end in zip([0, *cuts], [*cuts, len(data)], strict=True):
         out += [
             raw if raw is None else json.loads(bytes(raw)) for raw in values.feed(memoryview(data)[begin:end])
@@ -70,20 +70,20 @@
 
 @pytest.mark.parametrize("bad", [b'{"rev": x}', b"{]", b'{"rev": 1 "all": true}'], ids=repr)
 def test_an_object_that_is_malformed_is_told_as_before(bad: bytes) -> None:
-    (raw,) = [raw for raw in Values(1000).feed(memoryview(bad + b"\n")) if raw is not None]
+    (raw,) = [raw for raw in JsonObjectSplitter(1000).feed(memoryview(bad + b"\n")) if raw is not None]
     with pytest.raises(ValueError, match="JSON"):
-        listed(raw)
+        parse_list(raw)
 
 
 def test_what_never_ends_is_bounded() -> None:
     with pytest.raises(MalformedError, match="too long"):
         fed(b'{"rev": [[[[ ' * 100, list(range(10, 1000, 10)), 1000)
     with pytest.raises(MalformedError, match="too long"):
-        fed(b'{"' + b"x" * (MOST_TEXT + 9), [10])
+        fed(b'{"' + b"x" * (MAX_STRING_BYTES + 9), [10])
 
 
 @pytest.mark.parametrize("indent", [None, 1, 4])
 def test_a_bad_entry_is_skipped_in_an_indented_list(indent: int | None) -> None:
     raw = json.dumps({"rev": 1, "all": True, "targets": [{"uid": 7}, TARGET]}, indent=indent).encode()
-    found = listed(raw, api.ListKind.STALE)  # as the list in the configuration
+    found = parse_list(raw, api.ListKind.STALE)  # as the list in the configuration
     assert [target.entry.worker for target in found.targets] == ["s-0"]
