--- a/reedspoke/assembly.py
+++ b/reedspoke/assembly.py
@@ -51,11 +51,11 @@
         options = fleet_options(operator.fleet, len(peers.addresses), zone)
         try:
             fleet_node, part = build_fleet(node.runtime, peers, me, options, config.name or str(me), zone)
-            node.add(part)
+            node.add_subsystem(part)
             if operator.bookings is not None:
                 from reedspoke.booking.subsystem import build_bookings
 
-                node.add(build_bookings(node.runtime, fleet_node, operator.bookings))
+                node.add_subsystem(build_bookings(node.runtime, fleet_node, operator.bookings))
         except (ValueError, ReedspokeError) as error:  # keys, or duties too like each other
             raise ConfigError(f"fleet: {error}") from None
     return node
@@ -155,8 +155,8 @@
     service = Service(
         operator, path, store, front, handshakes, meters, clock=node.runtime.clock.now
     )  # fmt: skip
-    node.extend(front)
-    node.extend(service)
+    node.add_extension(front)
+    node.add_extension(service)
     require_identity(node, operator, path)
     if node.operator_api is not None:
         node.operator_api.figures.append(meters.text)
@@ -175,7 +175,7 @@
     except (KeySetError, ValueError) as error:
         raise ConfigError(str(error)) from None
     node.acquirer.gate = extension
-    node.extend(extension)
+    node.add_extension(extension)
     if node.operator_api is not None:
         node.operator_api.figures.append(extension.text)
 
--- a/reedspoke/net/acquirer.py
+++ b/reedspoke/net/acquirer.py
@@ -21,7 +21,14 @@
 from reedspoke.net.listener import Listener
 from reedspoke.net.message import Message, class_of_path, parse_authorisation, request_path
 from reedspoke.net.runtime import Runtime
-from reedspoke.net.streams import drain, end_sending, has_unread_bytes, peer_has_closed, start_read, stream
+from reedspoke.net.streams import (
+    discard_input,
+    end_sending,
+    has_unread_bytes,
+    peer_has_closed,
+    start_read,
+    stream,
+)
 
 log = logging.getLogger("reedspoke")
 
@@ -127,7 +134,7 @@
         if plain is not None:
             status, last, allow = plain
             ready = request_path(head) == b"/ready" and status != 405
-            told = b"" if ready else problems.of_status(status)
+            told = b"" if ready else problems.body_for_status(status)
             more = allow + b"Cache-Control: no-store\r\n" + (b"" if ready else problems.FIELD)
             data = answer_head(status, len(told), close=last, more=more)
             await self._write(data if head.method == b"HEAD" else data + told)
@@ -168,7 +175,7 @@
         last = answer.last or not head.keeps_alive()
         result, more = answer.result, b""
         if answer.verdict is not fx.Verdict.SERVED:
-            result, more = problems.OF_VERDICT[answer.verdict], problems.FIELD
+            result, more = problems.BODY_BY_VERDICT[answer.verdict], problems.FIELD
         if answer.retry_after > 0:
             more += b"Retry-After: %.3f\r\n" % (answer.retry_after / SECOND)
         self.replied = True
@@ -179,7 +186,7 @@
     async def _forbid(self, forbidden: ForbiddenError, last: bool) -> bool:
         """The decision module never hears of it. Who is not believed has to connect again."""
         last = last or forbidden.status == 401
-        told, more = problems.of_status(forbidden.status), problems.FIELD
+        told, more = problems.body_for_status(forbidden.status), problems.FIELD
         if forbidden.status == 401:
             more += b"WWW-Authenticate: Bearer\r\n"
         if forbidden.after:
@@ -222,7 +229,7 @@
     async def _ask(self, message: Message) -> fx.Answer:
         """The answer; meanwhile what the client sends ahead is read, and so is its leaving."""
         self.answer = asyncio.get_running_loop().create_future()
-        arrived = message.arrived(self.number)
+        arrived = message.to_event(self.number)
         arrived.elsewhere = not self.side.claim(message.name)
         self.side.runtime.emit(arrived)
         try:
@@ -273,7 +280,7 @@
 
     async def _last(self, status: int, why: str = "") -> None:
         """Tell a client what is wrong with what it sent, as far as it still listens."""
-        told = problems.of_status(status, why)
+        told = problems.body_for_status(status, why)
         with suppress(StreamClosedError, TimeoutError):
             await self._write(answer_head(status, len(told), close=True, more=problems.FIELD) + told)
             await self._end(True)
@@ -298,7 +305,7 @@
             if self._reading.exception() is not None:
                 return
             self._reading = None
-        await drain(self.stream, MOST_LINGER)
+        await discard_input(self.stream, MOST_LINGER)
 
     def gone(self) -> bool:
         return peer_has_closed(self.stream)
--- a/reedspoke/net/handover.py
+++ b/reedspoke/net/handover.py
@@ -56,7 +56,7 @@
     learned: api.LearnedState
 
 
-def inherited(number: int) -> socket.socket:
+def inherited_listener(number: int) -> socket.socket:
     """The listener that the platform holds. It is another process's as well: it is neither bound nor asked to
     listen here, and never shut down."""
     listener = socket.socket(fileno=os.dup(number))
--- a/reedspoke/net/http.py
+++ b/reedspoke/net/http.py
@@ -110,17 +110,17 @@
         return int(told)
 
 
-def parse_head(buffer: Buffer, *, answer: bool = False, most: int = MAX_HEAD_BYTES) -> Head | None:
+def parse_head(buffer: Buffer, *, answer: bool = False, max_bytes: int = MAX_HEAD_BYTES) -> Head | None:
     """The head at the front of the buffer, None until it is whole."""
     data = buffer.data
     while not answer and data.startswith(b"\r\n", buffer.start, buffer.end):
         buffer.take(2)  # a blank line before a request is passed over
     start = buffer.start
     end = data.find(b"\r\n\r\n", start, buffer.end)
-    if end < 0 or end - start > most:
-        if len(buffer) > most:
+    if end < 0 or end - start > max_bytes:
+        if len(buffer) > max_bytes:
             raise MalformedError(431, "the head is too large")
-        if not answer and data.find(b"\n", start, min(buffer.end, start + most)) >= 0:
+        if not answer and data.find(b"\n", start, min(buffer.end, start + max_bytes)) >= 0:
             check_first_line(data, start, buffer.end)
         return None
     end += 2
@@ -213,7 +213,7 @@
         self._joined = bytearray()
 
     def head(self) -> Head | None:
-        return parse_head(self.buffer, most=self.max_head_bytes)
+        return parse_head(self.buffer, max_bytes=self.max_head_bytes)
 
     def expect(self, length: int) -> None:
         """A body comes, of this length or, with -1, in chunks."""
@@ -286,20 +286,20 @@
 class LineSplitter:
     """Joins slices to lines; only a line that lies across two slices is copied."""
 
-    def __init__(self, most: int = 256 * 1024) -> None:
-        self._most = most
-        self._begun = bytearray()
+    def __init__(self, max_bytes: int = 256 * 1024) -> None:
+        self._max_bytes = max_bytes
+        self._partial_line = bytearray()
 
     def feed(self, part: memoryview) -> Iterator[memoryview | bytes]:
         at = 0
         for end in [found.start() for found in NEWLINE.finditer(part)]:
-            if self._begun:
-                self._begun += part[at:end]
-                yield bytes(self._begun)
-                self._begun.clear()
+            if self._partial_line:
+                self._partial_line += part[at:end]
+                yield bytes(self._partial_line)
+                self._partial_line.clear()
             else:
                 yield part[at:end]
             at = end + 1
-        if len(self._begun) + len(part) - at > self._most:
+        if len(self._partial_line) + len(part) - at > self._max_bytes:
             raise MalformedError(400, "a line is too long")
-        self._begun += part[at:]
+        self._partial_line += part[at:]
--- a/reedspoke/net/issuer.py
+++ b/reedspoke/net/issuer.py
@@ -94,11 +94,11 @@
 
     def _conclude_by_status(self, head: Head) -> None:
         self.told, invalid = True, False
-        report = words.ordered_report(words.load_field(head.get(b"x-load")), self.side.report_fields)
+        report = words.ordered_report(words.parse_load_header(head.get(b"x-load")), self.side.report_fields)
         if not self.asked:
             reason = api.Reason.OK if head.status == 200 else api.Reason.FULL
         else:
-            reason = words.reason_of(head.status, head.get(b"x-not-run") == b"1")
+            reason = words.reason_for_status(head.status, head.get(b"x-not-run") == b"1")
             if invalid := head.status in words.INVALID_REQUEST_STATUSES:
                 self.emit(fx.Refused(head.status, "an issuer host says so"))
             elif reason is api.Reason.ERROR and head.status != 500:
@@ -108,7 +108,7 @@
     def _conclude_probe(self, told: bytearray, free: bool) -> None:
         """A load report is the body of its answer; one that cannot be read is none."""
         self.told, self.busy = True, not free
-        report = words.ordered_report(words.load_field(bytes(told)), self.side.report_fields)
+        report = words.ordered_report(words.parse_load_header(bytes(told)), self.side.report_fields)
         self.emit(fx.Concluded(self.number, api.Reason.OK, report, free=free))
 
     def _take_line(self, raw: memoryview | bytes) -> None:
--- a/reedspoke/net/message.py
+++ b/reedspoke/net/message.py
@@ -48,7 +48,7 @@
     body: memoryview = field(default_factory=lambda: memoryview(b""))
     hidden: frozenset[bytes] = frozenset()  # further fields that do not go on to issuer hosts
 
-    def arrived(self, client: int) -> fx.Arrived:
+    def to_event(self, client: int) -> fx.Arrived:
         return fx.Arrived(
             client, self.name, self, self.cls, self.span, self.hint, self.slots, self.memory,
             self.tenant, self.key,
@@ -195,7 +195,7 @@
     return tuple(meant[name] for name in fields) if fields and all(name in meant for name in fields) else ()
 
 
-def load_field(told: bytes | None) -> dict[str, float]:
+def parse_load_header(told: bytes | None) -> dict[str, float]:
     """`TEXT inflight=7, queue=2`."""
     kind, _, rest = (told or b"").decode("utf-8", "replace").strip().partition(" ")
     return parse_extras(rest) if kind == "TEXT" else {}
@@ -205,6 +205,6 @@
 INVALID_REQUEST_STATUSES = frozenset((400, 404, 405, 411, 413, 414, 431))
 
 
-def reason_of(status: int, never_ran: bool) -> api.Reason:
+def reason_for_status(status: int, never_ran: bool) -> api.Reason:
     """What an answer means that is no stream: a 503 that does not say so may have run."""
     return api.Reason.FULL if status in (503, 504) and never_ran else api.Reason.ERROR
--- a/reedspoke/net/node.py
+++ b/reedspoke/net/node.py
@@ -17,7 +17,7 @@
 from reedspoke.net.config import Config, ConfigError, reload
 from reedspoke.net.core import DOOR, Budget, Further
 from reedspoke.net.directory import Directory, parse_list
-from reedspoke.net.handover import Handover, inherited
+from reedspoke.net.handover import Handover, inherited_listener
 from reedspoke.net.issuer import Issuer
 from reedspoke.net.operators import OperatorApi
 from reedspoke.net.reducer import Reducer
@@ -52,19 +52,19 @@
         if self.operator_api is not None:
             self.runtime.attach(self.operator_api)
 
-    def extend(self, extension: Extension) -> None:
+    def add_extension(self, extension: Extension) -> None:
         """Before `run`."""
         self.runtime.attach(extension)
         self._extensions.append(extension)
 
-    def add(self, part: Subsystem) -> None:
+    def add_subsystem(self, part: Subsystem) -> None:
         """Before `run`: all that it brings. Raises ValueError where another part has one of its events,
         timers or calls."""
         reducer = self.runtime.reducer
         for concern in part.concerns:
             reducer.add(concern)
         for extension in part.extensions:
-            self.extend(extension)
+            self.add_extension(extension)
         for call in part.calls:
             if call.which in reducer.upkeep.further:
                 raise ValueError(f"two parts for {call.which}")
@@ -108,7 +108,7 @@
         for extension in self._extensions:
             extension.open()
         given = self.config.inherited
-        self.acquirer.open(inherited(given) if given is not None else None)
+        self.acquirer.open(inherited_listener(given) if given is not None else None)
         log.info(
             "serving: %s on %s:%d, %d hosts known", self.config.name, *self.config.listen, len(known.targets)
         )
--- a/reedspoke/net/operators.py
+++ b/reedspoke/net/operators.py
@@ -24,7 +24,7 @@
 from reedspoke.net.http import Buffer, Head, MalformedError, RequestParser
 from reedspoke.net.message import request_path
 from reedspoke.net.runtime import Runtime
-from reedspoke.net.streams import drain, listen, read, stream
+from reedspoke.net.streams import discard_input, listen, read, stream
 from reedspoke.net.subsystem import Call
 
 log = logging.getLogger("reedspoke")
@@ -175,7 +175,7 @@
             if self.stream.closed():  # the caller was faster
                 return
             self.stream.socket.shutdown(socket.SHUT_WR)
-            await asyncio.wait_for(drain(self.stream, MAX_LINGER_BYTES), LINGER_S)
+            await asyncio.wait_for(discard_input(self.stream, MAX_LINGER_BYTES), LINGER_S)
 
 
 class OperatorApi:
--- a/reedspoke/net/problems.py
+++ b/reedspoke/net/problems.py
@@ -43,12 +43,12 @@
     return json.dumps(told, separators=(",", ":")).encode()
 
 
-def of_status(status: int, detail: str = "") -> bytes:
+def body_for_status(status: int, detail: str = "") -> bytes:
     return body(status, BY_STATUS.get(status, "malformed"), detail)
 
 
 # Of final answers: made once, as many of them are given at the worst time.
-OF_VERDICT = {
+BODY_BY_VERDICT = {
     fx.Verdict.DECLINED: body(503, "refused"),
     fx.Verdict.FAILED: body(502, "failed"),
     fx.Verdict.LATE: body(504, "late"),
--- a/reedspoke/net/streams.py
+++ b/reedspoke/net/streams.py
@@ -52,15 +52,15 @@
     buffer.filled(await start_read(source, buffer, room))
 
 
-async def drain(source: IOStream, most: int) -> None:
+async def discard_input(source: IOStream, max_bytes: int) -> None:
     """Read and forget what still comes, up to `most` bytes: what is far more is cut off. The stream's end is
     no error here: one that passed through a timed wait would keep the frames it came through."""
-    sink = Buffer(most // 4)
+    sink = Buffer(max_bytes // 4)
     with suppress(StreamClosedError):
-        while most > 0:
+        while max_bytes > 0:
             sink.start = sink.end = 0
             await read(source, sink)
-            most -= sink.end
+            max_bytes -= sink.end
 
 
 def has_unread_bytes(source: IOStream) -> bool:
--- a/reedspoke/net/values.py
+++ b/reedspoke/net/values.py
@@ -12,7 +12,7 @@
 
 from reedspoke.net.http import MalformedError
 
-WORD = re.compile(rb"[^ \t\r\n]")  # what is no white space
+NON_SPACE = re.compile(rb"[^ \t\r\n]")  # what is no white space
 TOKEN = re.compile(rb'"[^"\\]*(?:\\.[^"\\]*)*"|["{}\[\]]', re.DOTALL)  # a lone quote opens an unfinished text
 MAX_STRING_BYTES = 64 * 1024  # bytes of an unfinished text, which is read again with each slice
 
@@ -20,10 +20,10 @@
 class JsonObjectSplitter:
     """Joins slices to objects; only one that lies across two slices is copied."""
 
-    def __init__(self, most: int) -> None:
-        self._most = most  # bytes of one object
-        self._begun = bytearray()  # of an object whose end has not come
-        self._seen = 0  # bytes of it that were looked at
+    def __init__(self, max_bytes: int) -> None:
+        self._max_bytes = max_bytes  # bytes of one object
+        self._pending = bytearray()  # of an object whose end has not come
+        self._scanned = 0  # bytes of it that were looked at
         self._depth = 0  # brackets of it that are open
 
     def feed(self, part: memoryview) -> Iterator[memoryview | bytes | None]:
@@ -32,33 +32,33 @@
         what follows could not be told from what was meant."""
         data: memoryview | bytearray = part
         at = begin = 0
-        if self._begun:
-            self._begun += part
-            data, at = self._begun, self._seen
+        if self._pending:
+            self._pending += part
+            data, at = self._pending, self._scanned
         while True:
             if not self._depth:
-                found = WORD.search(data, at)
+                found = NON_SPACE.search(data, at)
                 begin = found.start() if found else len(data)
                 if b"\n" in bytes(data[at:begin]):
                     yield None
                 if found is None:
-                    self._begun, self._seen = bytearray(), 0
+                    self._pending, self._scanned = bytearray(), 0
                     return
                 if found[0] != b"{":
                     raise MalformedError(400, f"no JSON object: {bytes(data[begin : begin + 40])!r}")
                 at = begin
-            at, whole = self._look(data, at)
+            at, whole = self._scan(data, at)
             if not whole:
                 break
             yield data[begin:at] if data is part else bytes(data[begin:at])
-        if len(data) - begin > self._most:
+        if len(data) - begin > self._max_bytes:
             raise MalformedError(400, "a value is too long")
-        self._begun, self._seen = (
-            bytearray(data[begin:]) if data is part or begin else self._begun,
+        self._pending, self._scanned = (
+            bytearray(data[begin:]) if data is part or begin else self._pending,
             at - begin,
         )
 
-    def _look(self, data: memoryview | bytearray, at: int) -> tuple[int, bool]:
+    def _scan(self, data: memoryview | bytearray, at: int) -> tuple[int, bool]:
         """How far its brackets and texts are known, and whether it ends there."""
         for found in TOKEN.finditer(data, at):
             at, token = found.end(), found[0]
--- a/reedspoke/settings.py
+++ b/reedspoke/settings.py
@@ -10,15 +10,15 @@
 import msgspec
 from msgspec import Struct
 
-from reedspoke import interface as plain
+from reedspoke import interface as api
 from reedspoke.errors import ReedspokeError
 
 EFFECTS = {
-    "pure": plain.Idempotency.SAFE,
-    "token": plain.Idempotency.KEYED,
-    "side_effect": plain.Idempotency.UNSAFE,
+    "pure": api.Idempotency.SAFE,
+    "token": api.Idempotency.KEYED,
+    "side_effect": api.Idempotency.UNSAFE,
 }
-GROUPS = {group.value: group for group in plain.DedupScope}
+GROUPS = {group.value: group for group in api.DedupScope}
 DISCOVERY = {"pushed": False, "on_request": True}
 WORTH_BY = {"work": True, "request": False}
 REPORT_HOW = {"answers": True, "probe": False, "none": False}
@@ -125,11 +125,11 @@
         raise UnknownValueError(f"field `{field}` has an unknown value {word!r}") from None
 
 
-def class_settings(index: int, told: Category, family: FamilyInfo) -> plain.ClassSettings:
+def class_settings(index: int, told: Category, family: FamilyInfo) -> api.ClassSettings:
     stretch = told.aim_stretch
     if stretch is None:
         stretch = family.class_stretch[index] if index < len(family.class_stretch) else 0.0
-    return plain.ClassSettings(
+    return api.ClassSettings(
         name=told.name,
         idempotency=lookup(EFFECTS, told.repeat, "repeat"),
         dedup_scope=lookup(GROUPS, told.group, "group"),
@@ -144,16 +144,16 @@
     )
 
 
-def convert_settings(info: PlatformSettings) -> plain.Settings:
+def convert_settings(info: PlatformSettings) -> api.Settings:
     """The platform's settings in the module's words."""
-    return plain.Settings(
+    return api.Settings(
         scheduler_index=info.me,
         scheduler_count=info.balancers,
         zone=info.zone,
         classes=tuple(class_settings(i, told, info.family_info) for i, told in enumerate(info.categories)),
-        tenants=tuple(plain.TenantSettings(told.name, told.portion) for told in info.tenants),
+        tenants=tuple(api.TenantSettings(told.name, told.portion) for told in info.tenants),
         worker_kinds=tuple(info.flavors),
-        limits=plain.Limits(
+        limits=api.Limits(
             max_attempts=info.ceilings.try_limit,
             can_cancel=info.ceilings.cancelling,
             can_probe=info.ceilings.probes,
@@ -161,7 +161,7 @@
             max_retry_after=info.ceilings.max_retry_after if info.ceilings.retry_after else 0,
             connect_timeout=info.ceilings.connect_timeout,
         ),
-        rules=plain.Rules(
+        rules=api.Rules(
             drain_grace=info.safety.drain_grace,
             answer_slack=info.safety.answer_slack,
             list_request_within=info.safety.ask_within,
--- a/reedspoke/start.py
+++ b/reedspoke/start.py
@@ -16,7 +16,7 @@
     if config.peers is not None:
         from reedspoke.fleet.service import build_fleet
 
-        node.add(build_fleet(node.runtime, config.peers, config.settings.scheduler_index)[1])
+        node.add_subsystem(build_fleet(node.runtime, config.peers, config.settings.scheduler_index)[1])
 
 
 def platform_node(config: Config) -> Node:
--- a/tests/test_subsystem.py
+++ b/tests/test_subsystem.py
@@ -76,9 +76,9 @@
             self.operator_api = None
 
     node = Bare()
-    node.add(Subsystem("first", (Echo(play.reducer.core),), (), (SHOW,)))
+    node.add_subsystem(Subsystem("first", (Echo(play.reducer.core),), (), (SHOW,)))
     with pytest.raises(ValueError, match="two parts for GET /notes"):
-        node.add(Subsystem("second", (), (), (SHOW,)))
+        node.add_subsystem(Subsystem("second", (), (), (SHOW,)))
     with pytest.raises(ValueError, match="two concerns"):
-        node.add(Subsystem("third", (Echo(play.reducer.core),)))
+        node.add_subsystem(Subsystem("third", (Echo(play.reducer.core),)))
     assert isinstance(play.reducer.core, Core)
