--- a/reedspoke/net/__init__.py
+++ b/reedspoke/net/__init__.py
@@ -1,1 +1,1 @@
-"""The real scheduler: the decision module on sockets."""
+"""The scheduler in service: the decision module connected to sockets."""
--- a/reedspoke/net/directory.py
+++ b/reedspoke/net/directory.py
@@ -1,4 +1,4 @@
-"""Discovery: the list of issuer hosts, from the configuration at first, then from a watch on its changes."""
+"""Service discovery: the list of issuer hosts, first from the configuration, then from a watch."""
 
 from __future__ import annotations
 
@@ -27,11 +27,13 @@
     "Terminating": api.WorkerState.DRAINING,
     "Gone": api.WorkerState.GONE,
 }
-MAX_OBJECT_BYTES = 4 * 1024 * 1024  # bytes of one object of a watch
-MIN_CAPACITY_HINT, MAX_CAPACITY_HINT = 0.01, 10_000.0  # of a host, as listed; what lies outside says nothing
+MAX_OBJECT_BYTES = 4 * 1024 * 1024  # limit of one JSON object of a watch
+MIN_CAPACITY_HINT, MAX_CAPACITY_HINT = 0.01, 10_000.0  # a hint outside this range is ignored
 
 
 class Entry(Struct):
+    """One issuer host as the directory sends it; the field names are keys of the message."""
+
     uid: str
     state: str
     endpoint: str = ""
@@ -43,6 +45,8 @@
 
 
 class TargetList(Struct):
+    """A list of issuer hosts, complete (`all`) or only the changes, at a revision."""
+
     rev: int
     all: bool
     targets: list[msgspec.Raw] = []
@@ -53,30 +57,32 @@
 
 
 def parse_target(raw: msgspec.Raw) -> fx.Target | None:
-    """None, and a line in the log, for what is no entry: the others count all the same."""
+    """Parse an entry. Returns None for an invalid one and logs it, so that the other entries still count."""
     try:
-        told = ENTRY(raw)
-        state = STATES[told.state]
+        found = ENTRY(raw)
+        state = STATES[found.state]
         gone = state is api.WorkerState.GONE
-        endpoint = ("", 0) if gone else address(told.endpoint, "endpoint")
+        endpoint = ("", 0) if gone else address(found.endpoint, "endpoint")
     except (ValueError, KeyError, ConfigError) as error:
         log.warning("directory: entry skipped: %s: %s", error, bytes(raw)[:200].decode(errors="replace"))
         return None
-    born = int(told.boot_ms * 1000)
-    size = (
-        told.capacity_hint if MIN_CAPACITY_HINT <= told.capacity_hint <= MAX_CAPACITY_HINT else 1.0
-    )  # speeds follow from it
-    entry = api.WorkerEntry(told.uid, told.az, told.model, told.pod_group, state, size, born)
+    born = int(found.boot_ms * 1000)
+    # The speed of the host is derived from its size.
+    size = found.capacity_hint if MIN_CAPACITY_HINT <= found.capacity_hint <= MAX_CAPACITY_HINT else 1.0
+    entry = api.WorkerEntry(found.uid, found.az, found.model, found.pod_group, state, size, born)
     return fx.Target(entry, endpoint)
 
 
 def parse_list(raw: bytes | memoryview, kind: api.ListKind | None = None) -> fx.Listed:
-    told = LIST(raw)
-    targets = [found for entry in told.targets if (found := parse_target(entry)) is not None]
-    return fx.Listed(kind or (api.ListKind.FULL if told.all else api.ListKind.CHANGES), told.rev, targets)
+    """Parse a list of issuer hosts. Raises ValueError for a malformed one."""
+    update = LIST(raw)
+    targets = [found for entry in update.targets if (found := parse_target(entry)) is not None]
+    return fx.Listed(kind or (api.ListKind.FULL if update.all else api.ListKind.CHANGES), update.rev, targets)
 
 
 class Directory:
+    """Follows the directory: one watch at a time, whose updates become events."""
+
     def __init__(self, runtime: Runtime) -> None:
         self.runtime = runtime
         self._stream: IOStream | None = None
@@ -90,6 +96,7 @@
         self._task = asyncio.ensure_future(self._watch(effect.endpoint, effect.rev))
 
     def close(self) -> None:
+        """End the watch, if there is one."""
         self._task = None
         if self._stream is not None:
             self._stream.close()
@@ -98,16 +105,16 @@
     async def _watch(self, endpoint: tuple[str, int], rev: int) -> None:
         task, why = asyncio.current_task(), "it ended"
         if self._task is not task:
-            return  # replaced before it began: nothing would ever close what is opened now
+            return  # replaced before it started: nothing would close a connection opened now
         try:
             self._stream = stream = connect(endpoint)
             await stream.connect(endpoint)
-            ask = b"GET /v1/endpoints?follow=1&since=%d HTTP/1.1\r\nHost: %b\r\n\r\n"
-            await stream.write(ask % (rev, authority(endpoint)))
+            request = b"GET /v1/endpoints?follow=1&since=%d HTTP/1.1\r\nHost: %b\r\n\r\n"
+            await stream.write(request % (rev, authority(endpoint)))
             why = await self._read(stream, task)
         except (StreamClosedError, OSError) as error:
             why = f"connection ended ({error})"
-        except (MalformedError, ValueError) as error:  # msgspec's errors are ValueErrors too
+        except (MalformedError, ValueError) as error:  # msgspec's errors are ValueErrors as well
             why = f"malformed: {error}"
         except Exception:
             log.exception("fault: directory")
@@ -122,7 +129,7 @@
             buffer.recycle()
             await read(stream, buffer)
             if self._task is not task:
-                return "another has begun"
+                return "another watch has started"
             for item in answers.feed():
                 if isinstance(item, Head):
                     if item.status != 200:
@@ -130,6 +137,6 @@
                 elif isinstance(item, ResponseEnd):
                     return "the answer ended"
                 else:
-                    # Guards against a list over several lines, which a reader of lines never gets whole.
+                    # A list may extend over several lines, so it cannot be read line by line.
                     for raw in values.feed(item):
                         self.runtime.emit(fx.Beaten() if raw is None else parse_list(raw))
