--- a/reedspoke/__init__.py
+++ b/reedspoke/__init__.py
@@ -1,1 +1,1 @@
-"""reedspoke: decides, beside each submitter, which worker gets which job and when."""
+"""reedspoke: a scheduler beside each submitter that decides which worker gets which job, and when."""
--- a/reedspoke/__main__.py
+++ b/reedspoke/__main__.py
@@ -1,5 +1,7 @@
-"""`python -m reedspoke` starts one real scheduler; PROXY_* tell it what it needs. With arguments, or with an
-operator file named in the environment, it is the command line."""
+"""`python -m reedspoke` starts one scheduler, which the PROXY_* environment variables configure.
+
+With arguments, or with an operator file named in the environment, it is the command line.
+"""
 
 import gc
 import os
@@ -7,8 +9,9 @@
 
 
 def main() -> int:
-    # Guards the start of hundreds of processes at once: all that is made here stays, and `serve` lets the
-    # collector begin once it stands.
+    """Run the scheduler or a command. Returns the exit status."""
+    # Hundreds of processes may start at once. Everything that is created during the start lives until the
+    # end, so garbage collection is enabled only by `serve`, after the start.
     gc.disable()
     if len(sys.argv) < 2 and not os.environ.get("REEDSPOKE_OPERATOR"):
         from reedspoke.start import main as run_scheduler
@@ -19,7 +22,8 @@
         from reedspoke.cli.main import main as command
     except ModuleNotFoundError as error:
         print(
-            f"reedspoke: {error.name} is not installed: requirements-operator.txt names it", file=sys.stderr
+            f"reedspoke: {error.name} is not installed: it is listed in requirements-operator.txt",
+            file=sys.stderr,
         )
         return 2
     return command()
--- a/reedspoke/assembly.py
+++ b/reedspoke/assembly.py
@@ -1,4 +1,4 @@
-"""Puts a node together from the platform's configuration and an operator file."""
+"""Builds a node from the platform's configuration and an operator file."""
 
 from __future__ import annotations
 
@@ -21,18 +21,19 @@
 if TYPE_CHECKING:
     from reedspoke.fleet.service import FleetOptions
 
-# A listener, the challenge listener with its callers, threads' calls, files and a command's pipe.
+# Descriptors for TLS: a listener, the challenge listener and its connections, calls of threads, files and a
+# command's pipe.
 DESCRIPTORS = 48
-MEMORY_MB = 48  # measured: the libraries of TLS, ACME and figures
-HANDSHAKE_KB = 60  # of OpenSSL, for each connection
-CERTIFICATES = "certificates"  # the duty of ordering them for all of a fleet
+MEMORY_MB = 48  # the libraries for TLS, ACME and metrics
+HANDSHAKE_KB = 60  # memory of OpenSSL for each connection
+CERTIFICATES = "certificates"  # the singleton role that orders certificates for the whole fleet
 CERTIFICATES_TERM = 5_000_000  # us
-FLEET_DESCRIPTORS = 12  # its socket, and calls of duties
-FLEET_MB = 8  # measured in the rig: 35 MB, 29 without an operator file
+FLEET_DESCRIPTORS = 12  # the UDP socket, and calls of singleton roles
+FLEET_MB = 8  # a scheduler takes 35 MB with a fleet section, 29 MB without an operator file
 
 
 def extra_resources(operator: Operator) -> Further:
-    """What the operator's parts take of the limits."""
+    """The share of the resource limits that the optional parts need."""
     fleet = (FLEET_DESCRIPTORS, FLEET_MB) if operator.fleet is not None else (0, 0)
     if operator.tls is None:
         return Further(*fleet)
@@ -40,7 +41,7 @@
 
 
 def assemble(config: Config, operator: Operator, path: Path) -> Node:
-    """Inside a running loop. Raises ConfigError, its text names the key."""
+    """Build a node inside a running event loop. Raises ConfigError that names the key."""
     peers = select_peers(config, operator.fleet) if operator.fleet is not None else None
     node = build_node(replace(config, peers=None) if peers is not None else config, operator, path)
     if operator.fleet is not None and peers is not None:
@@ -56,13 +57,13 @@
                 from reedspoke.booking.subsystem import build_bookings
 
                 node.add_subsystem(build_bookings(node.runtime, fleet_node, operator.bookings))
-        except (ValueError, ReedspokeError) as error:  # keys, or duties too like each other
+        except (ValueError, ReedspokeError) as error:  # unusable keys, or conflicting singleton roles
             raise ConfigError(f"fleet: {error}") from None
     return node
 
 
 def select_peers(config: Config, fleet: Fleet) -> Peers:
-    """The operator's members, or the platform's peers where he names none. Raises ConfigError."""
+    """The members in the operator file or, if it names none, the platform's peers. Raises ConfigError."""
     if fleet.members:
         if config.peers is not None:
             raise ConfigError("fleet.members: the platform names peers already; leave it out")
@@ -72,13 +73,13 @@
         raise ConfigError("fleet.members: is missing, and the platform names no peers")
     if config.settings.scheduler_index >= len(config.peers.addresses):
         raise ConfigError(
-            f"fleet: scheduler {config.settings.scheduler_index} has no place among the platform's peers"
+            f"fleet: scheduler {config.settings.scheduler_index} is not among the platform's peers"
         )
     return config.peers
 
 
 def fleet_options(fleet: Fleet, members: int, zone: str) -> FleetOptions:
-    """What the operator file asks of the fleet: its `duties` are singleton roles, its `granters` the voters.
+    """The options of the fleet: `duties` in the operator file are singleton roles, `granters` are the voters.
 
     Raises ConfigError for a voter that is no member.
     """
@@ -88,7 +89,7 @@
 
     voters = tuple(fleet.granters) or tuple(range(min(DEFAULT_VOTERS, members)))
     if max(voters) >= members:
-        raise ConfigError(f"fleet.granters: {max(voters)} is no place among {members} members")
+        raise ConfigError(f"fleet.granters: there is no member {max(voters)} among {members} members")
     roles = [
         SingletonRole(one.name, parse_microseconds(one.term), not one.zone or one.zone == zone)
         for one in fleet.duties
@@ -115,7 +116,7 @@
 
 
 def build_node(config: Config, operator: Operator, path: Path) -> Node:
-    """The node and its fronts."""
+    """Build the node, and its TLS listener if there is one. Raises ConfigError."""
     extra = extra_resources(operator)
     if operator.tls is None:
         node = Node(config, extra)
@@ -124,7 +125,7 @@
         return node
     if config.sockets < extra.descriptors + 64:
         raise ConfigError(
-            f"limits.sockets is {config.sockets}, with tls at least {extra.descriptors + 64} are needed"
+            f"limits.sockets is {config.sockets}, but with tls at least {extra.descriptors + 64} are needed"
         )
     from reedspoke.acme.service import Service
     from reedspoke.tls.front import Front
@@ -164,7 +165,7 @@
 
 
 def require_identity(node: Node, operator: Operator, path: Path) -> None:
-    """The gate, where callers have to prove who they are. Raises ConfigError."""
+    """Add authentication of callers if the operator file requires it. Raises ConfigError."""
     if operator.identity is None:
         return
     from reedspoke.identity.extension import IdentityExtension
@@ -181,9 +182,9 @@
 
 
 def run(load: Callable[[], Config], operator: Operator, path: Path) -> int:
-    """The exit status, as `reedspoke.net.node.run` has it."""
+    """Run a scheduler with an operator file. Returns the exit status as `reedspoke.net.node.run` does."""
 
     def serve(config: Config) -> Coroutine[Any, Any, None]:
-        return nodes.serve(config, lambda told: assemble(told, operator, path))
+        return nodes.serve(config, lambda loaded: assemble(loaded, operator, path))
 
     return nodes.run(load, serve)
--- a/reedspoke/logs.py
+++ b/reedspoke/logs.py
@@ -1,5 +1,8 @@
-"""The log's form where an operator file asks for another one than the platform's: structlog over the standard
-logging, so that lines of the program, of Tornado and of libraries come out alike."""
+"""Log formats that an operator file can select in place of the platform's.
+
+structlog processes the records of standard logging, so that lines of the program, of Tornado and of libraries
+have the same format.
+"""
 
 from __future__ import annotations
 
@@ -12,14 +15,12 @@
 if TYPE_CHECKING:
     from structlog.typing import EventDict, Processor
 
-WARNINGS_ONLY = ("urllib3", "acme", "asyncio", "requests")  # of them only warnings and worse
-ERRORS_ONLY = (
-    "tornado.general",
-)  # it has a line for each handshake that fails; the front counts and tells them
+WARNINGS_ONLY = ("urllib3", "acme", "asyncio", "requests")  # of these loggers only warnings and errors
+ERRORS_ONLY = ("tornado.general",)  # it logs each failed handshake, which the front already counts and logs
 
 
 def split_subject(_: Any, __: str, event: EventDict) -> EventDict:
-    """`tls: ...` as a field of its own: what a line is about can be filtered without reading its text."""
+    """Move a prefix such as `tls: ` into the field `about`, so that lines can be filtered by it."""
     text = str(event.get("event", ""))
     about, colon, rest = text.partition(": ")
     if colon and about.replace(" ", "").isalpha() and len(about) < 24:
@@ -28,7 +29,7 @@
 
 
 def configure(form: str = "plain", level: str = "info", stream: TextIO | None = None) -> None:
-    """Take over the root logger. `form`: plain (as docs/oncall.md has the lines), console or json."""
+    """Configure the root logger. `form` is plain (the format shown in docs/oncall.md), console or json."""
     stream = stream or sys.stderr
     handler = logging.StreamHandler(stream)
     shared: list[Processor] = [
--- a/reedspoke/net/handover.py
+++ b/reedspoke/net/handover.py
@@ -1,11 +1,11 @@
-"""What two processes of one scheduler share while one replaces the other, and the listener that both inherit.
-
-In `$TMPDIR`, each file replaced whole by a rename:
-- reedspoke-orders: what operators have ordered; changed under a lock, followed by each process.
-- reedspoke-process-TOKEN: what one process holds of the budgets that count for the two together.
-- reedspoke-locks: never written; records of it are locked. One stands for a process, one for each open
-  authorisation. They go with the process that holds them, so nothing waits for one that is dead.
-Without a folder a process is alone and remembers its orders by itself.
+"""State shared by two processes of one scheduler while one replaces the other, and their inherited listener.
+
+The files in `$TMPDIR`, each replaced atomically by a rename:
+- reedspoke-orders: the orders of operators; changed under a lock and read by each process.
+- reedspoke-process-TOKEN: the resources that one process uses of the limits that apply to both together.
+- reedspoke-locks: never written; byte ranges of it are locked, one for each process and one for each open
+  authorisation. The system releases them when the process ends, so nothing waits for a dead process.
+Without a folder a process shares nothing and keeps the orders in memory.
 """
 
 from __future__ import annotations
@@ -33,12 +33,12 @@
 PROCESS_FILE_PREFIX = "reedspoke-process-"
 LOCKS_FILE = "reedspoke-locks"
 MAX_FILE_BYTES = 1024 * 1024
-# Locked records from here on stand for authorisations, those before it for processes.
+# Offsets in the lock file from here on are authorisations, those below are processes.
 AUTHORISATION_LOCKS = 1 << 61
 
 
 class Orders(msgspec.Struct, forbid_unknown_fields=True):
-    """The form of the file with what operators have ordered."""
+    """The format of the file with the orders of operators."""
 
     name: str  # of the scheduler
     version: int
@@ -47,7 +47,7 @@
 
 
 class ProcessHoldings(msgspec.Struct, forbid_unknown_fields=True):
-    """The form of the file with what one process holds."""
+    """The format of the file with the resources that one process uses."""
 
     name: str
     leaving: bool
@@ -57,26 +57,31 @@
 
 
 def inherited_listener(number: int) -> socket.socket:
-    """The listener that the platform holds. It is another process's as well: it is neither bound nor asked to
-    listen here, and never shut down."""
+    """Return the listening socket that the platform owns. Raises OSError if it does not listen.
+
+    Another process uses it as well, so it is not bound, set to listen or shut down here.
+    """
     listener = socket.socket(fileno=os.dup(number))
     if not listener.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
         listener.close()
-        raise OSError(f"PROXY_FD {number} is no socket that listens")
+        raise OSError(f"PROXY_FD {number} is not a listening socket")
     listener.setblocking(False)
     return listener
 
 
 def lock_offset(name: str) -> int:
+    """The offset in the lock file that stands for a name."""
     return int.from_bytes(hashlib.blake2b(name.encode(), digest_size=8).digest(), "big") >> 4
 
 
 class Handover:
+    """Shares orders, resource use and open authorisations with the other process of this scheduler."""
+
     def __init__(self, runtime: Runtime, name: str, folder: Path | None) -> None:
         self.runtime, self.name, self.folder = runtime, name, folder
         self._orders = Orders(name, 0, {}, False)
-        self._orders_stat: tuple[int, ...] = ()  # the file of orders as looked at last
-        self._reported: set[str] = set()  # files that were told to be unusable
+        self._orders_stat: tuple[int, ...] = ()  # identity of the orders file at the last check
+        self._reported: set[str] = set()  # files that have been logged as unusable
         self._partners: list[fx.Partner] = []
         self._locks = -1
         self._token = secrets.token_hex(8)
@@ -84,14 +89,14 @@
             try:
                 self._locks = os.open(folder / LOCKS_FILE, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
                 self._lock(lock_offset(self._token))
-            except OSError as error:  # a folder that cannot be written: this process serves alone
-                log.error("handover: nothing is shared: %s", error)
+            except OSError as error:  # the folder is not writable: this process serves without sharing
+                log.error("handover: nothing is shared with another process: %s", error)
                 self.folder = None
 
     def effects(self) -> dict[type, Callable[[Any], None]]:
         return {fx.Record: self._record, fx.Look: self._look, fx.Hold: self._hold, fx.Unclaim: self._unclaim}
 
-    # ---- records that are locked ----
+    # ---- locks ----
 
     def _lock(self, offset: int) -> bool:
         try:
@@ -101,7 +106,7 @@
         return True
 
     def claim(self, name: str) -> bool:
-        """Whether an authorisation of that id may be taken: not where it is open in the other process."""
+        """Claim an id. Returns False if an authorisation with this id is open in the other process."""
         return self._locks < 0 or self._lock(AUTHORISATION_LOCKS | lock_offset(name))
 
     def _unclaim(self, effect: fx.Unclaim) -> None:
@@ -111,49 +116,49 @@
     # ---- files ----
 
     def _replace(self, path: Path, data: bytes) -> None:
-        fresh = path.with_name(f"{path.name}.{self._token}")
+        temporary = path.with_name(f"{path.name}.{self._token}")
         try:
-            fresh.write_bytes(data)
-            fresh.replace(path)
+            temporary.write_bytes(data)
+            temporary.replace(path)
         except OSError:
             with suppress(OSError):
-                fresh.unlink()
+                temporary.unlink()
             raise
 
     def _skip(self, path: Path, why: object) -> None:
-        """Guards the log: a file that stays unusable is told once."""
+        """Log an unusable file, but only once, so that it does not flood the log."""
         if path.name not in self._reported:
             self._reported.add(path.name)
             log.warning("handover: %s is unusable and skipped: %s", path.name, why)
 
     def _read_orders(self) -> Orders | None:
-        """What the file says, None where it is torn, another scheduler's or older than what is in force."""
+        """Read the orders file. Returns None if it is missing, damaged, outdated or of another scheduler."""
         assert self.folder is not None
         path = self.folder / ORDERS_FILE
         try:
             with path.open("rb") as file:
-                told = msgspec.json.decode(file.read(MAX_FILE_BYTES), type=Orders)
+                orders = msgspec.json.decode(file.read(MAX_FILE_BYTES), type=Orders)
         except FileNotFoundError:
             return None
-        except (OSError, ValueError) as error:  # msgspec's errors are ValueErrors too
+        except (OSError, ValueError) as error:  # msgspec's errors are ValueErrors as well
             self._skip(path, error)
             return None
-        if told.name != self.name:
-            self._skip(path, f"it is of {told.name!r}")
-        elif told.version < self._orders.version:
+        if orders.name != self.name:
+            self._skip(path, f"it belongs to {orders.name!r}")
+        elif orders.version < self._orders.version:
             self._skip(
-                path, f"version {told.version} is older than {self._orders.version}, which is in force"
+                path, f"version {orders.version} is older than {self._orders.version}, which is in force"
             )
         else:
             self._reported.discard(path.name)
-            return told
+            return orders
         return None
 
     # ---- orders ----
 
     @contextmanager
     def _exclusive(self) -> Iterator[None]:
-        """No other process changes the orders meanwhile."""
+        """Lock the orders. Raises BlockingIOError if another process is changing them."""
         assert self.folder is not None
         lock = os.open(self.folder / f"{ORDERS_FILE}.lock", os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         try:
@@ -163,7 +168,7 @@
             os.close(lock)
 
     def _record(self, effect: fx.Record) -> None:
-        """Change the orders where both processes see them."""
+        """Change the orders for both processes."""
         try:
             if self.folder is None:
                 self._orders = self._changed(self._orders, effect)
@@ -172,10 +177,10 @@
                     orders = self._changed(self._read_orders() or self._orders, effect)
                     self._replace(self.folder / ORDERS_FILE, msgspec.json.encode(orders))
                     self._orders = orders
-        except BlockingIOError:  # the other process is at it: a matter of moments
+        except BlockingIOError:  # the other process is changing them, which takes only moments
             self.runtime.emit(fx.Unrecorded(effect, again=True))
         except OSError as error:
-            log.error("handover: orders cannot be kept: %s", error)
+            log.error("handover: orders cannot be stored: %s", error)
             self.runtime.emit(fx.Unrecorded(effect, again=False))
         else:
             self.runtime.emit(fx.Ordered(dict(self._orders.suspended), self._orders.drained, effect.caller))
@@ -200,8 +205,8 @@
             return
         seen: tuple[int, ...] = ()
         with suppress(OSError):
-            found = os.stat(self.folder / ORDERS_FILE)
-            seen = (found.st_ino, found.st_mtime_ns, found.st_size)
+            info = os.stat(self.folder / ORDERS_FILE)
+            seen = (info.st_ino, info.st_mtime_ns, info.st_size)
         if seen != self._orders_stat:
             self._orders_stat = seen
             if seen and (orders := self._read_orders()) is not None and orders != self._orders:
@@ -224,7 +229,7 @@
             self._skip(self.folder / PROCESS_FILE_PREFIX, error)
 
     def _others(self) -> Iterator[fx.Partner]:
-        """The processes of this scheduler that live beside this one; what dead ones left goes."""
+        """The other live processes of this scheduler. Files of dead processes are removed."""
         assert self.folder is not None
         try:
             names = sorted(name for name in os.listdir(self.folder) if name.startswith(PROCESS_FILE_PREFIX))
@@ -250,6 +255,7 @@
                 yield fx.Partner(held.leaving, held.descriptors, held.slots, held.learned)
 
     def close(self) -> None:
+        """Remove the file of this process and release its locks."""
         if self.folder is not None:
             with suppress(OSError):
                 (self.folder / (PROCESS_FILE_PREFIX + self._token)).unlink()
--- a/reedspoke/net/http.py
+++ b/reedspoke/net/http.py
@@ -1,4 +1,4 @@
-"""Incremental HTTP/1.1 parsers over a buffer; no sockets. What they hand out are slices of that buffer."""
+"""Incremental HTTP/1.1 parsers over a buffer, without sockets. Their results are slices of the buffer."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 
 from reedspoke.errors import ReedspokeError
 
-INITIAL_BUFFER_BYTES = 4096  # a buffer's first size
-MIN_READ_BYTES = 1024  # with less room than this a buffer moves
+INITIAL_BUFFER_BYTES = 4096
+MIN_READ_BYTES = 1024  # with less free space than this, a buffer moves its data
 MAX_HEAD_BYTES = 16 * 1024
 MAX_BODY_BYTES = 64 * 1024
 MAX_CHUNK_LINE_BYTES = 256
@@ -25,10 +25,10 @@
 
 
 class MalformedError(ReedspokeError):
-    """The bytes are not HTTP as this program takes it; `status` is the answer that says so."""
+    """The bytes are not HTTP that this program supports; `status` is the status code of the response."""
 
     code = "malformed-http"
-    remedy = "see who sends it: what comes is not HTTP/1.1 as the message says"
+    remedy = "check the sender: the message says how it deviates from HTTP/1.1"
 
     def __init__(self, status: int, text: str) -> None:
         super().__init__(text)
@@ -36,7 +36,7 @@
 
 
 class Buffer:
-    """Bytes read and not yet used. A slice taken stays as it is, unless its owner calls `recycle`."""
+    """Bytes that were read and not yet consumed. A slice taken from it stays valid until `recycle`."""
 
     def __init__(self, size: int = INITIAL_BUFFER_BYTES) -> None:
         self.data = bytearray(size)
@@ -46,7 +46,7 @@
         return self.end - self.start
 
     def room(self, wanted: int = MIN_READ_BYTES) -> memoryview:
-        """Where to read to. Where too little is left, the rest moves to a fresh buffer."""
+        """The free space to read into. If it is too small, the unconsumed bytes move to a new buffer."""
         if len(self.data) - self.end < wanted:
             used = len(self)
             fresh = bytearray(max(INITIAL_BUFFER_BYTES, used + max(used, wanted)))
@@ -55,14 +55,16 @@
         return memoryview(self.data)[self.end :]
 
     def filled(self, count: int) -> None:
+        """Record that `count` bytes were read into the free space."""
         self.end += count
 
     def take(self, count: int) -> memoryview:
+        """Consume `count` bytes."""
         self.start += count
         return memoryview(self.data)[self.start - count : self.start]
 
     def recycle(self) -> None:
-        """No slice is in use any more: an empty buffer may be written from its beginning."""
+        """Reuse the space of an empty buffer. The caller ensures that no slice is in use any more."""
         if self.start == self.end:
             if len(self.data) > 4 * INITIAL_BUFFER_BYTES:
                 self.data = bytearray(INITIAL_BUFFER_BYTES)
@@ -71,50 +73,52 @@
 
 @dataclass(slots=True)
 class Head:
-    """A first line and its fields; names are in small letters."""
+    """The first line and the fields of a request or response; field names are in lower case."""
 
-    version: int  # the minor one
+    version: int  # the minor HTTP version
     method: bytes = b""
     target: memoryview = field(default_factory=lambda: memoryview(b""))
     status: int = 0
     fields: list[tuple[bytes, memoryview]] = field(default_factory=list)
 
     def get(self, name: bytes) -> bytes | None:
-        """The field's value, where it stands more than once the values as a list; a copy."""
+        """A copy of the value of a field; repeated fields are joined to a list. None if it is missing."""
         values = [bytes(value) for key, value in self.fields if key == name]
         return b", ".join(values) if values else None
 
     def tokens(self, name: bytes) -> list[bytes]:
+        """The elements of a comma-separated field, in lower case."""
         return [token.strip().lower() for token in (self.get(name) or b"").split(b",") if token.strip()]
 
     def keeps_alive(self) -> bool:
-        told = self.tokens(b"connection")
-        return b"close" not in told and (self.version == 1 or b"keep-alive" in told)
+        """Whether the connection stays open after this message."""
+        options = self.tokens(b"connection")
+        return b"close" not in options and (self.version == 1 or b"keep-alive" in options)
 
     def length(self) -> int | None:
-        """Of the body: -1 where it comes in chunks, None where nothing tells."""
+        """The length of the body, -1 if it is chunked, None if it is not given. Raises MalformedError."""
         for name in SINGLE_FIELDS:
             if sum(key == name for key, _ in self.fields) > 1:
                 raise MalformedError(400, f"field {name.decode()} twice")
-        told, coding = self.get(b"content-length"), self.tokens(b"transfer-encoding")
+        length, coding = self.get(b"content-length"), self.tokens(b"transfer-encoding")
         if coding:
-            if told is not None or self.version == 0:
+            if length is not None or self.version == 0:
                 raise MalformedError(400, "a length and a transfer coding")
             if coding != [b"chunked"]:
                 raise MalformedError(501, "unknown transfer coding")
             return -1
-        if told is None:
+        if length is None:
             return None
-        if not NUMBER.fullmatch(told):
+        if not NUMBER.fullmatch(length):
             raise MalformedError(400, "a length that is no number")
-        return int(told)
+        return int(length)
 
 
 def parse_head(buffer: Buffer, *, answer: bool = False, max_bytes: int = MAX_HEAD_BYTES) -> Head | None:
-    """The head at the front of the buffer, None until it is whole."""
+    """Consume the head at the front of the buffer. Returns None until it is complete."""
     data = buffer.data
     while not answer and data.startswith(b"\r\n", buffer.start, buffer.end):
-        buffer.take(2)  # a blank line before a request is passed over
+        buffer.take(2)  # a blank line before a request is skipped
     start = buffer.start
     end = data.find(b"\r\n\r\n", start, buffer.end)
     if end < 0 or end - start > max_bytes:
@@ -150,20 +154,21 @@
 
 
 def check_first_line(data: bytearray, start: int, end: int) -> None:
-    """Garbage is told at its first line: its sender may never send the blank line that ends a head."""
+    """Reject a malformed first line at once, because the sender may never complete the head."""
     if REQUEST_LINE.match(data, start, end) is None:
         raise MalformedError(400, "the first line is malformed")
 
 
 class ChunkedDecoder:
-    """Takes a chunked body apart."""
+    """Decodes a chunked body."""
 
     def __init__(self) -> None:
-        self.left = -1  # of the chunk in hand; -1: a size line comes next, -2: the line end behind a chunk
-        self.trailer = 0  # bytes of the trailer so far, from 1 once it has begun
+        self.left = -1  # bytes left of the chunk; -1: a size line is next, -2: the line end after a chunk
+        self.trailer = 0  # bytes of the trailer so far; at least 1 after the last chunk
         self.done = False
 
     def feed(self, buffer: Buffer) -> Iterator[memoryview]:
+        """Yield the decoded parts that have arrived."""
         while not self.done and len(buffer):
             if self.left > 0:
                 part = buffer.take(min(self.left, len(buffer)))
@@ -202,7 +207,7 @@
 
 
 class RequestParser:
-    """Requests one after another: `head` until there is one, then `body` until it is whole."""
+    """Parses consecutive requests: call `head` until it returns one, then `expect`, then `body` likewise."""
 
     def __init__(self, buffer: Buffer, max_body_bytes: int = MAX_BODY_BYTES) -> None:
         self.buffer = buffer
@@ -213,23 +218,25 @@
         self._joined = bytearray()
 
     def head(self) -> Head | None:
+        """The head of the next request, None until it is complete."""
         return parse_head(self.buffer, max_bytes=self.max_head_bytes)
 
     def expect(self, length: int) -> None:
-        """A body comes, of this length or, with -1, in chunks."""
+        """Announce a body of this length, or a chunked one with -1."""
         if length > self.max_body_bytes:
             raise MalformedError(413, "the body is too large")
         self._length = length
         self._chunks, self._joined = (ChunkedDecoder() if length < 0 else None), bytearray()
 
     def wanted(self) -> int:
-        """Room to ask for: a whole body lies in one piece."""
+        """The free space to reserve for the next read, so that a body is contiguous."""
         return max(MIN_READ_BYTES, self._length - len(self.buffer))
 
     def body(self) -> memoryview | None:
+        """The body, None until it is complete."""
         if self._chunks is None:
             return self.buffer.take(self._length) if len(self.buffer) >= self._length else None
-        for part in self._chunks.feed(self.buffer):  # joined in a copy: pieces don't lie side by side
+        for part in self._chunks.feed(self.buffer):  # copied, because the chunks are not contiguous
             if len(self._joined) + len(part) > self.max_body_bytes:
                 raise MalformedError(413, "the body is too large")
             self._joined += part
@@ -238,21 +245,23 @@
 
 @dataclass(slots=True)
 class ResponseEnd:
+    """The end of a response; `reusable` says whether the connection can carry another request."""
+
     reusable: bool
 
 
 class ResponseParser:
-    """Answers on one connection: yields the head, slices of the body, then End."""
+    """Parses the responses on one connection: yields the head, slices of the body, then ResponseEnd."""
 
     def __init__(self, buffer: Buffer) -> None:
         self.buffer = buffer
-        self.head_only = False  # answers to HEAD have no body, whatever their fields say
+        self.head_only = False  # responses to HEAD have no body, whatever their fields say
         self._head: Head | None = None
-        self._left: int | None = None  # None: until the connection ends
+        self._left: int | None = None  # bytes left of the body; None: until the connection ends
         self._chunks: ChunkedDecoder | None = None
 
     def feed(self) -> Iterator[Head | memoryview | ResponseEnd]:
-        """What has come by now; a slice holds until the next step."""
+        """Yield the parts that have arrived. A slice is valid until the next step of the iterator."""
         while len(self.buffer) or self._head is not None:
             if self._head is None:
                 head = parse_head(self.buffer, answer=True)
@@ -284,13 +293,14 @@
 
 
 class LineSplitter:
-    """Joins slices to lines; only a line that lies across two slices is copied."""
+    """Splits slices of a stream into lines; only a line that extends over two slices is copied."""
 
     def __init__(self, max_bytes: int = 256 * 1024) -> None:
         self._max_bytes = max_bytes
         self._partial_line = bytearray()
 
     def feed(self, part: memoryview) -> Iterator[memoryview | bytes]:
+        """Yield the complete lines, without their line ends. Raises MalformedError for one too long."""
         at = 0
         for end in [found.start() for found in NEWLINE.finditer(part)]:
             if self._partial_line:
--- a/reedspoke/net/listener.py
+++ b/reedspoke/net/listener.py
@@ -1,5 +1,4 @@
-"""A listening socket whose connections are taken in some at a time, and held back for as long as anyone
-asks."""
+"""A listening socket that accepts connections in batches and can be paused."""
 
 from __future__ import annotations
 
@@ -13,14 +12,16 @@
 
 log = logging.getLogger("reedspoke")
 
-ACCEPT_BATCH = 16  # connections taken in between two looks at what has come
+ACCEPT_BATCH = 16  # connections accepted per turn of the event loop
 OUT_OF_RESOURCES = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
-ACCEPT_RETRY_S = 0.1  # s until accept is tried again where the system had no descriptor for it
+ACCEPT_RETRY_S = 0.1  # s until accept is retried after the system ran out of descriptors or memory
 
 
 class Listener:
-    """`take` gets each connection; `scarce` hears that the system has no descriptor for the next one; `where`
-    names the listener in the line about one that could not be taken."""
+    """`take` is called with each connection, `scarce` when the system lacks a descriptor for the next one.
+
+    `where` names the listener in log lines about a failed accept.
+    """
 
     def __init__(
         self,
@@ -34,16 +35,16 @@
         self._take, self._scarce = take, scarce
         self._socket: socket.socket | None = None
         self._inherited = False
-        self._hold_reasons: set[str] = set()  # why nobody is taken in now
+        self._hold_reasons: set[str] = set()  # reasons why accepting is paused
 
     def open(self, inherited: socket.socket | None = None) -> None:
-        """With a socket of its own, or with one that the platform holds. Raises OSError."""
+        """Listen on a new socket, or on an inherited one that the platform owns. Raises OSError."""
         self._socket = inherited or listen(self.address, self.backlog)
         self._inherited = inherited is not None
         self._update_reader()
 
     def hold(self, why: str, on: bool) -> None:
-        """Nobody is taken in while any reason to hold stands: the system holds who comes."""
+        """Set or clear a reason to pause; while there is one, new connections wait in the backlog."""
         if on:
             self._hold_reasons.add(why)
         else:
@@ -60,34 +61,35 @@
             loop.add_reader(self._socket.fileno(), self._accept)
 
     def _accept(self) -> None:
-        """Take in some of those who wait: their first bytes are read before others may crowd them out."""
+        """Accept a batch, so that the first bytes of these connections are read before further ones."""
         for _ in range(ACCEPT_BATCH):
             if self._socket is None or self._hold_reasons:
                 return
             try:
                 connection, _ = self._socket.accept()
-            except BlockingIOError:  # nobody waits, or another process that shares the listener was faster
+            except BlockingIOError:  # none waits, or a process that shares the listener has accepted it
                 return
             except OSError as error:
                 if error.errno in OUT_OF_RESOURCES:
-                    # Guards the loop: who waits stays acceptable, so it would turn at once, for ever.
+                    # The socket stays readable, so without a pause the event loop would spin.
                     log.warning("accept%s: %s: tried again in %g s", self.where, error, ACCEPT_RETRY_S)
                     self.hold("descriptors", True)
                     asyncio.get_running_loop().call_later(ACCEPT_RETRY_S, self.hold, "descriptors", False)
                     self._scarce()
-                elif error.errno != errno.ECONNABORTED:  # else the peer is gone again
+                elif error.errno != errno.ECONNABORTED:  # the client has closed the connection already
                     log.error("fault: accept%s: %s", self.where, error)
                 return
             self._take(connection)
 
     def shut(self) -> None:
-        """Take in who waits, unless they are a successor's, and close."""
+        """Accept the waiting connections, or leave those of an inherited socket to a successor, and close."""
         if not self._inherited:
             for _ in range(0, self.backlog, ACCEPT_BATCH):
                 self._accept()
         self.close()
 
     def close(self) -> None:
+        """Close the socket without accepting the waiting connections."""
         if self._socket is not None:
             asyncio.get_running_loop().remove_reader(self._socket.fileno())
             self._socket.close()
--- a/reedspoke/net/message.py
+++ b/reedspoke/net/message.py
@@ -1,4 +1,7 @@
-"""The platform's words for an authorisation, a leg's answer and a load report."""
+"""Formats of the platform: authorisation, response to a leg and load report.
+
+An authorisation is a request of a client; a leg is an attempt of it at an issuer host.
+"""
 
 from __future__ import annotations
 
@@ -13,7 +16,7 @@
 from reedspoke.net import effects as fx
 from reedspoke.net.http import Head, MalformedError
 
-IDEMPOTENCY_KEY = b"idempotency-key"  # of a job whose repeats hosts drop by it
+IDEMPOTENCY_KEY = b"idempotency-key"  # a host drops a repeated job with the same key
 SINGLE_FIELDS = (
     b"x-request-id",
     b"x-deadline",
@@ -24,17 +27,17 @@
     b"x-extras",
     IDEMPOTENCY_KEY,
 )
-CONNECTION_FIELDS = frozenset(  # fields of one connection, and those that a leg writes itself
+CONNECTION_FIELDS = frozenset(  # hop-by-hop fields, and those that each leg sets itself
     (b"connection", b"keep-alive", b"transfer-encoding", b"te", b"trailer", b"upgrade", b"expect", b"host")
     + (b"content-length", b"proxy-connection", b"x-deadline")
 )
 DECIMAL = re.compile(r"[0-9]{1,12}(\.[0-9]{0,12})?|\.[0-9]{1,12}")
-MAX_DEADLINE_S = 86_400.0  # s
+MAX_DEADLINE_S = 86_400.0
 
 
 @dataclass(slots=True)
 class Message:
-    """An authorisation as it came: slices of the buffer that it was read into."""
+    """An authorisation as received; its fields are slices of the read buffer."""
 
     head: Head
     cls: str
@@ -46,16 +49,17 @@
     tenant: str
     key: str
     body: memoryview = field(default_factory=lambda: memoryview(b""))
-    hidden: frozenset[bytes] = frozenset()  # further fields that do not go on to issuer hosts
+    hidden: frozenset[bytes] = frozenset()  # further fields that are not forwarded to issuer hosts
 
     def to_event(self, client: int) -> fx.Arrived:
+        """The event for the reducer."""
         return fx.Arrived(
             client, self.name, self, self.cls, self.span, self.hint, self.slots, self.memory,
             self.tenant, self.key,
         )  # fmt: skip
 
     def request_head(self, endpoint: tuple[str, int], wait: int) -> bytes:
-        """The head of a leg: what came, but for the fields of the connection that it came on."""
+        """The request head of a leg: the received fields without those of the client's connection."""
         own = CONNECTION_FIELDS.union(self.head.tokens(b"connection"), self.hidden)
         first_line = b" ".join((self.head.method, self.head.target, b"HTTP/1.1"))
         lines = [first_line, b"Host: " + authority(endpoint)]
@@ -66,27 +70,30 @@
 
 
 def authority(endpoint: tuple[str, int]) -> bytes:
+    """The value of a Host field."""
     host, port = endpoint
     return (f"[{host}]:{port}" if ":" in host else f"{host}:{port}").encode()
 
 
 def field_text(head: Head, name: bytes) -> str:
+    """A field as text, empty if it is missing."""
     return (head.get(name) or b"").decode("utf-8", "replace")
 
 
 def parse_decimal(head: Head, name: bytes) -> float | None:
-    told = field_text(head, name)
-    if not told:
+    """A field as a decimal number, None if it is missing. Raises MalformedError."""
+    value = field_text(head, name)
+    if not value:
         return None
-    if not DECIMAL.fullmatch(told):
+    if not DECIMAL.fullmatch(value):
         raise MalformedError(400, f"{name.decode()} is no decimal")
-    return float(told)
+    return float(value)
 
 
-def parse_extras(told: str) -> dict[str, float]:
-    """`name=value,name=value`; what is no figure is passed over."""
+def parse_extras(text: str) -> dict[str, float]:
+    """Parse `name=value,name=value`; values that are not finite numbers are skipped."""
     figures = {}
-    for part in told.split(","):
+    for part in text.split(","):
         name, _, value = part.partition("=")
         try:
             figures[name.strip().lower()] = float(value)
@@ -96,7 +103,7 @@
 
 
 def request_path(head: Head) -> bytes:
-    """The target's path, also where it came in absolute form."""
+    """The path of the request target, which may be in absolute form. Raises MalformedError."""
     target = bytes(head.target)
     if target[:7].lower() == b"http://":
         target = b"/" + target[7:].partition(b"/")[2]
@@ -106,16 +113,17 @@
 
 
 def class_of_path(named: bytes) -> str:
-    """The first part of a path."""
+    """The class of an authorisation: the first segment of its path."""
     return named.lstrip(b"/").partition(b"/")[0].decode("ascii")
 
 
 def parse_authorisation(head: Head, classes: Mapping[str, api.ClassSettings]) -> Message:
-    """Reads the head of an authorisation; one of a known class, by POST.
+    """Parse the head of an authorisation of a known class, sent by POST. Raises MalformedError.
 
-    Raises MalformedError. A field that decides what a host does stands there once: of two, one host might go
-    by the first and another by the last. A job of a keyed class without its key could not be told from its
-    own repeat, so it is none."""
+    A field that decides what a host does may occur only once: of two, one host might use the first and
+    another the last. A job of a keyed class needs its key, because without it a repeat of the job could not
+    be recognised.
+    """
     if head.version == 1 and head.get(b"host") is None:
         raise MalformedError(400, "no host")
     for once in SINGLE_FIELDS:
@@ -146,7 +154,7 @@
     )
 
 
-# ---- what comes back ----
+# ---- responses of hosts ----
 
 REPORT_FIELD_NAMES = {
     "concurrent": "inflight",
@@ -164,7 +172,7 @@
 
 
 class Line(msgspec.Struct):
-    """One object of the stream that a host answers with."""
+    """One JSON object of the response stream of a host."""
 
     state: str
     id: str = ""
@@ -177,6 +185,7 @@
 
 
 def parse_line(raw: memoryview | bytes) -> Line:
+    """Parse one object of a response stream. Raises MalformedError."""
     try:
         return LINE(raw)
     except ValueError as error:
@@ -184,27 +193,27 @@
 
 
 def result_body(raw: msgspec.Raw) -> bytes:
-    """The body for the client: a text's own bytes, anything else as it stands."""
-    told = bytes(raw)
-    return msgspec.json.decode(told, type=str).encode() if told[:1] == b'"' else told
+    """The body for the client: the bytes of a JSON string, any other JSON value unchanged."""
+    value = bytes(raw)
+    return msgspec.json.decode(value, type=str).encode() if value[:1] == b'"' else value
 
 
 def ordered_report(load: dict[str, float], fields: tuple[str, ...]) -> tuple[float, ...]:
-    """A load report in the order of the settings; empty where a value is missing."""
-    meant = {REPORT_FIELD_NAMES.get(name, name): value for name, value in load.items()}
-    return tuple(meant[name] for name in fields) if fields and all(name in meant for name in fields) else ()
+    """The values of a load report in the order of the settings; empty if one is missing."""
+    values = {REPORT_FIELD_NAMES.get(name, name): value for name, value in load.items()}
+    return tuple(values[name] for name in fields) if fields and all(name in values for name in fields) else ()
 
 
-def parse_load_header(told: bytes | None) -> dict[str, float]:
-    """`TEXT inflight=7, queue=2`."""
-    kind, _, rest = (told or b"").decode("utf-8", "replace").strip().partition(" ")
+def parse_load_header(value: bytes | None) -> dict[str, float]:
+    """Parse a load report in the form `TEXT inflight=7, queue=2`."""
+    kind, _, rest = (value or b"").decode("utf-8", "replace").strip().partition(" ")
     return parse_extras(rest) if kind == "TEXT" else {}
 
 
-# A host's word that an authorisation is unusable.
+# With one of these a host says that the authorisation is invalid.
 INVALID_REQUEST_STATUSES = frozenset((400, 404, 405, 411, 413, 414, 431))
 
 
 def reason_for_status(status: int, never_ran: bool) -> api.Reason:
-    """What an answer means that is no stream: a 503 that does not say so may have run."""
+    """The outcome of a response without a stream. A 503 not marked as never run may have run."""
     return api.Reason.FULL if status in (503, 504) and never_ran else api.Reason.ERROR
--- a/reedspoke/net/metrics.py
+++ b/reedspoke/net/metrics.py
@@ -1,4 +1,4 @@
-"""What the reducer has counted, as Prometheus text: a pure function of the state and of who is avoided."""
+"""The counters of the reducer as Prometheus text: a pure function of the state and the avoided workers."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from reedspoke.net.state import State
 
 PREFIX = "scheduler"
-ENDS = ("succeeded", "declined", "aborted")  # each job ends under one of them
+ENDS = ("succeeded", "declined", "aborted")  # each job ends in exactly one of these ways
 ESCAPES = str.maketrans({"\\": "\\\\", '"': '\\"', "\n": "\\n"})
 HELP = {
     "succeeded_total": "Jobs served, by class.",
@@ -23,11 +23,12 @@
 
 
 def label(value: str) -> str:
-    """Guards the text against names that would end a label or a line."""
+    """Quote a label value and escape characters that would end the label or the line."""
     return f'"{value.translate(ESCAPES)}"'
 
 
 def family(name: str, samples: Iterable[tuple[str, int]]) -> str:
+    """One metric with its HELP and TYPE lines."""
     kind = "counter" if name.endswith("_total") else "gauge"
     lines = [f"# HELP {PREFIX}_{name} {HELP[name]}", f"# TYPE {PREFIX}_{name} {kind}"]
     lines += [f"{PREFIX}_{name}{labels} {value}" for labels, value in samples]
@@ -35,7 +36,11 @@
 
 
 def text(state: State, classes: Iterable[str], avoided: Iterable[str]) -> str:
-    """Every class and every name is there from the start, at 0: a missing one looks like a dead process."""
+    """All metrics of the scheduler.
+
+    Every class and metric is present from the start with the value 0, because a missing one would look like
+    a dead process.
+    """
     classes = tuple(classes)
     counted = state.counted
     parts = [
--- a/reedspoke/net/node.py
+++ b/reedspoke/net/node.py
@@ -1,4 +1,4 @@
-"""A real scheduler, for a program or to embed: `await Node(config).run()`."""
+"""The scheduler in service, as a program or embedded: `await Node(config).run()`."""
 
 from __future__ import annotations
 
@@ -28,15 +28,18 @@
 
 
 class Node:
-    """Make it inside a running loop. `further`: what parts that will be attached take of the limits."""
+    """One scheduler. Create it inside a running event loop.
+
+    `further` is the share of the resource limits that subsystems need.
+    """
 
     def __init__(self, config: Config, further: Further | None = None) -> None:
         self.config = config
         budget = Budget.of(config.sockets, config.memory_mb, DOOR if config.ops else 0, further)
         self._extensions: list[Extension] = []
-        given = config.inherited
+        descriptor = config.inherited
         reducer = Reducer(
-            config.settings, config.seed, budget, config.conn_idle, config.discovery, given is not None
+            config.settings, config.seed, budget, config.conn_idle, config.discovery, descriptor is not None
         )
         self.runtime = Runtime(Clock(), reducer)
         self.handover = Handover(
@@ -53,13 +56,15 @@
             self.runtime.attach(self.operator_api)
 
     def add_extension(self, extension: Extension) -> None:
-        """Before `run`."""
+        """Attach a further part with sockets or threads; call it before `run`."""
         self.runtime.attach(extension)
         self._extensions.append(extension)
 
     def add_subsystem(self, part: Subsystem) -> None:
-        """Before `run`: all that it brings. Raises ValueError where another part has one of its events,
-        timers or calls."""
+        """Attach a subsystem; call it before `run`.
+
+        Raises ValueError if another subsystem has one of its events, timers or calls.
+        """
         reducer = self.runtime.reducer
         for concern in part.concerns:
             reducer.add(concern)
@@ -74,11 +79,11 @@
             self.operator_api.figures += [part.figures] if part.figures is not None else []
 
     def stop(self) -> None:
-        """Begin a planned end: answer what was taken, then let `run` return."""
+        """Start a graceful shutdown: answer the accepted requests, then let `run` return."""
         self.runtime.emit(fx.Stop())
 
     def reload(self) -> None:
-        """Read the configuration again and take up what can change in service."""
+        """Read the configuration again and apply what can change in service."""
         self.runtime.emit(fx.Reload())
         for extension in self._extensions:
             extension.reload()
@@ -89,26 +94,27 @@
     def _reread(self, _: fx.Reread) -> None:
         try:
             self.config = reload(self.config)
-        except ConfigError as error:  # half a file, say: what is in force goes on
+        except ConfigError as error:  # for example an incomplete file: the old configuration stays in force
             log.error("reload: the old configuration stays in force: %s", error, extra=error.fields())
             self.runtime.emit(fx.Unloaded())
         else:
             self.runtime.emit(fx.Reloaded(self.config.discovery))
 
     async def run(self) -> None:
+        """Serve until the shutdown is complete. Raises OSError if it cannot listen."""
         try:
             known = parse_list(self.config.known, api.ListKind.STALE)
-        except ValueError as error:  # an old list is a help, not a need
+        except ValueError as error:  # the known list is optional
             log.warning("directory: known list skipped: %s", error)
             known = fx.Listed(api.ListKind.STALE, 0, [])
-        self.runtime.emit(fx.Rung(("look", 0)))  # what operators have ordered comes before any list
+        self.runtime.emit(fx.Rung(("look", 0)))  # orders of operators apply before any list
         self.runtime.emit(known)
         if self.operator_api is not None:
             self.operator_api.open()
         for extension in self._extensions:
             extension.open()
-        given = self.config.inherited
-        self.acquirer.open(inherited_listener(given) if given is not None else None)
+        descriptor = self.config.inherited
+        self.acquirer.open(inherited_listener(descriptor) if descriptor is not None else None)
         log.info(
             "serving: %s on %s:%d, %d hosts known", self.config.name, *self.config.listen, len(known.targets)
         )
@@ -124,19 +130,20 @@
 
 
 async def serve(config: Config, make: Callable[[Config], Node] = Node) -> None:
+    """Run a scheduler until a signal ends it; SIGHUP reloads its configuration."""
     node = make(config)
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, node.stop)
     loop.add_signal_handler(signal.SIGHUP, node.reload)
-    gc.freeze()  # what stands now stays: the collector need not look at it
+    gc.freeze()  # existing objects live until the end, so the collector need not visit them
     gc.enable()
     await node.run()
 
 
 def run(load: Callable[[], Config], serve: Callable[[Config], Coroutine[Any, Any, None]]) -> int:
-    """The exit status: 0 ended as planned, 1 cannot listen, 2 cannot start as told."""
-    # Until it is handled; what it would tell is read at the start.
+    """Run the program. Returns the exit status: 0 after a shutdown, 1: cannot listen, 2: misconfigured."""
+    # SIGHUP is ignored until it is handled: the configuration is read at the start anyway.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     try:
         asyncio.run(serve(load()))
--- a/reedspoke/net/operators.py
+++ b/reedspoke/net/operators.py
@@ -1,7 +1,7 @@
-"""The operators' door: a further listener, one call to a connection, each answered at once.
+"""The operator API: an HTTP listener of its own with one call per connection.
 
-It has descriptors of its own, and the reducer bounds how many callers there are and for how long, so that
-callers that never end their call take nothing from the clients and delay no other caller.
+It has descriptors reserved for it, and the reducer limits the number of callers and their time. Callers that
+never complete a call therefore take nothing from the clients and delay no other caller.
 """
 
 from __future__ import annotations
@@ -30,11 +30,11 @@
 log = logging.getLogger("reedspoke")
 
 BACKLOG = 128
-ACCEPT_BATCH = 8  # callers taken in between two looks at what has come
+ACCEPT_BATCH = 8  # connections accepted per turn of the event loop
 MAX_HEAD_BYTES = 4 * 1024
-MAX_BODY_BYTES = 4 * 1024  # no call needs one; a small one is read and forgotten
+MAX_BODY_BYTES = 4 * 1024  # no call of this module needs a body; a small one is read and ignored
 MAX_LINGER_BYTES = 64 * 1024
-LINGER_S = 0.5  # s that a connection stays half open, so that its answer is not lost to a reset
+LINGER_S = 0.5  # time that a connection stays half-open, so that a reset does not destroy its response
 REASONS = {
     200: "OK", 201: "Created", 202: "Accepted", 400: "Bad Request", 404: "Not Found",
     405: "Method Not Allowed", 408: "Request Timeout", 409: "Conflict",
@@ -56,6 +56,8 @@
 
 
 class NoSuchCallError(ReedspokeError):
+    """No call has this path, or none this method."""
+
     code = "no-such-call"
     remedy = "see docs/operators.md for the calls of the door and their methods"
 
@@ -65,6 +67,7 @@
 
 
 def decode_name(part: bytes) -> str:
+    """Decode a segment of a path. Raises MalformedError."""
     try:
         return unquote_to_bytes(part).decode()
     except UnicodeDecodeError:
@@ -73,7 +76,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ParsedCall:
-    """What a call asks for: of which host, or which call of a further part and what it names."""
+    """A call: an order with its host, or the call of a subsystem (`which`) with the names in its path."""
 
     order: fx.Order
     host: str = ""
@@ -83,6 +86,10 @@
 
 
 def parse_call(head: Head, further: Iterable[Call] = ()) -> ParsedCall:
+    """Find the call for a request head; `further` are the calls of subsystems.
+
+    Raises NoSuchCallError, MalformedError.
+    """
     parts = tuple(request_path(head).split(b"/")[1:])
     if parts in CALLS:
         method, order = CALLS[parts]
@@ -108,6 +115,7 @@
 
 
 def reply(status: int, text: str, allow: bytes = b"", form: str = PLAIN) -> bytes:
+    """Encode a response; `form` is its content type."""
     body = text.encode()
     lines = [
         b"HTTP/1.1 %d %b" % (status, REASONS[status].encode()),
@@ -122,13 +130,14 @@
 
 
 class Caller:
-    """One connection at the door, served by one coroutine."""
+    """One connection to the operator API, served by one coroutine."""
 
     def __init__(self, operator_api: OperatorApi, number: int, source: IOStream) -> None:
         self.operator_api, self.number, self.stream = operator_api, number, source
         self.reply: asyncio.Future[tuple[int, str, str]] = asyncio.get_running_loop().create_future()
 
     async def serve(self) -> None:
+        """Answer one call and close the connection."""
         try:
             await self._serve_one()
         except NoSuchCallError as error:
@@ -139,8 +148,8 @@
             await self._end(reply(error.status, error.problem(error.status), form=PROBLEM_CONTENT_TYPE))
         except (StreamClosedError, OSError):
             pass
-        except Exception:  # guards the other callers, and this one: it hears that something went wrong
-            log.exception("fault: operators' door")
+        except Exception:  # a defect must not affect other callers, and this one gets a response
+            log.exception("fault: operator API")
             await self._end(reply(500, "a defect: see the log\n"))
         finally:
             self.stream.close()
@@ -169,16 +178,18 @@
         await self._end(reply(status, text, form=form))
 
     async def _end(self, data: bytes) -> None:
-        """Guards the answer: closing with bytes unread would reset the connection and take it along."""
+        """Send the response and read what still arrives: closing with unread bytes would cause a reset."""
         with suppress(StreamClosedError, OSError, TimeoutError):
             await asyncio.wait_for(self.stream.write(data), LINGER_S)
-            if self.stream.closed():  # the caller was faster
+            if self.stream.closed():  # the caller has closed the connection already
                 return
             self.stream.socket.shutdown(socket.SHUT_WR)
             await asyncio.wait_for(discard_input(self.stream, MAX_LINGER_BYTES), LINGER_S)
 
 
 class OperatorApi:
+    """The listener of the operator API and its connections."""
+
     def __init__(self, runtime: Runtime, address: tuple[str, int]) -> None:
         self.runtime = runtime
         self._address = address
@@ -186,13 +197,14 @@
         self._callers: dict[int, Caller] = {}
         self._tasks: set[asyncio.Task[None]] = set()
         self._numbers = count(1)
-        self.calls: list[Call] = []  # of parts beyond the platform's program, and their figures
-        self.figures: list[Callable[[], str]] = []
+        self.calls: list[Call] = []  # calls of subsystems
+        self.figures: list[Callable[[], str]] = []  # further metrics, as Prometheus text
 
     def effects(self) -> dict[type, Callable[[Any], None]]:
         return {fx.Reply: self._reply, fx.Dismiss: self._dismiss}
 
     def open(self) -> None:
+        """Listen. Raises OSError."""
         self._listener = listen(self._address, BACKLOG)
         asyncio.get_running_loop().add_reader(self._listener.fileno(), self._accept)
 
@@ -203,7 +215,7 @@
             except BlockingIOError:
                 return
             except OSError as error:
-                log.error("fault: accept at the operators' door: %s", error)
+                log.error("fault: accept at the operator API: %s", error)
                 return
             caller = Caller(self, next(self._numbers), stream(connection))
             self._callers[caller.number] = caller
@@ -216,22 +228,23 @@
     def _reply(self, effect: fx.Reply) -> None:
         caller = self._callers.get(effect.caller)
         if caller is not None and not caller.reply.done():
-            told = effect.text
+            text = effect.text
             if effect.figures:
                 reducer = self.runtime.reducer
                 classes = [cls.name for cls in reducer.settings.classes]
-                told = metrics.text(
+                text = metrics.text(
                     reducer.state, classes, reducer.module.avoided_workers(self.runtime.clock.now())
                 )
-                told += "".join(more() for more in self.figures)
+                text += "".join(figures() for figures in self.figures)
             status = effect.status or STATUS_BY_RESULT[effect.word]
-            caller.reply.set_result((status, told or f"{effect.word.value}\n", effect.form or PLAIN))
+            caller.reply.set_result((status, text or f"{effect.word.value}\n", effect.form or PLAIN))
 
     def _dismiss(self, effect: fx.Dismiss) -> None:
         if (caller := self._callers.get(effect.caller)) is not None:
             caller.stream.close()
 
     def close(self) -> None:
+        """Stop listening; open calls are still answered."""
         if self._listener is not None:
             asyncio.get_running_loop().remove_reader(self._listener.fileno())
             self._listener.close()
--- a/reedspoke/net/problems.py
+++ b/reedspoke/net/problems.py
@@ -1,7 +1,7 @@
-"""What a refusal or an error of the acquirer side says of itself (RFC 9457): a short body with a stable type.
+"""Bodies of error responses to clients (RFC 9457): short, each with a stable type.
 
-The types are part of the interface: clients may tell by them what to do, so none is renamed or given
-another meaning. Nothing of what the client sent is repeated, and nothing of what runs here is named.
+The types are part of the interface, because clients may decide by them what to do: none is renamed or given
+another meaning. A body repeats nothing that the client sent and reveals nothing about the scheduler.
 """
 
 from __future__ import annotations
@@ -36,18 +36,19 @@
 
 
 def body(status: int, name: str, detail: str = "") -> bytes:
-    """`name`: one of TITLES; `detail`: a constant text, for people."""
-    told: dict[str, str | int] = {"type": PREFIX + name, "title": TITLES[name], "status": status}
+    """Encode a body; `name` is a key of TITLES, `detail` a constant text for people."""
+    problem: dict[str, str | int] = {"type": PREFIX + name, "title": TITLES[name], "status": status}
     if detail:
-        told["detail"] = detail
-    return json.dumps(told, separators=(",", ":")).encode()
+        problem["detail"] = detail
+    return json.dumps(problem, separators=(",", ":")).encode()
 
 
 def body_for_status(status: int, detail: str = "") -> bytes:
+    """The body for a status code."""
     return body(status, BY_STATUS.get(status, "malformed"), detail)
 
 
-# Of final answers: made once, as many of them are given at the worst time.
+# Encoded once, because most of these responses are needed under overload.
 BODY_BY_VERDICT = {
     fx.Verdict.DECLINED: body(503, "refused"),
     fx.Verdict.FAILED: body(502, "failed"),
--- a/reedspoke/net/runtime.py
+++ b/reedspoke/net/runtime.py
@@ -1,4 +1,4 @@
-"""Feeds events to the reducer and carries out the effects that it asks for, in order, one event at a time."""
+"""Passes events to the reducer, one at a time, and executes the effects that it returns, in order."""
 
 from __future__ import annotations
 
@@ -24,22 +24,27 @@
 
 
 class Clock:
-    """Microseconds of Unix time that never step: taken once, then carried on by the monotonic clock."""
+    """Unix time in microseconds that never jumps: read once, then advanced by the monotonic clock."""
 
     def __init__(self) -> None:
         self._offset = time.time_ns() - time.monotonic_ns()
 
     def now(self) -> int:
+        """The time, us."""
         return (self._offset + time.monotonic_ns()) // 1000
 
 
 class EffectHandler(Protocol):
-    """A part with sockets; it takes the effects that it names."""
+    """A part with sockets that executes the types of effects that it lists."""
 
-    def effects(self) -> dict[type, Callable[[Any], None]]: ...
+    def effects(self) -> dict[type, Callable[[Any], None]]:
+        """The handler of each type of effect."""
+        ...
 
 
 class Runtime:
+    """Connects the reducer to the event loop: events, effects and timers."""
+
     def __init__(self, clock: Clock, reducer: Reducer) -> None:
         self.clock = clock
         self.reducer = reducer
@@ -58,10 +63,11 @@
         }
 
     def attach(self, part: EffectHandler) -> None:
+        """Register the handlers of a part."""
         self._handlers.update(part.effects())
 
     def emit(self, event: fx.Event) -> None:
-        """Tell the reducer; what its effects cause at once is told behind it."""
+        """Handle an event; events that its effects cause at once are queued after it."""
         self._events.append((event, self.clock.now()))
         if self._busy:
             return
@@ -77,7 +83,7 @@
     def _execute(self, effect: fx.Effect) -> None:
         try:
             self._handlers[type(effect)](effect)
-        except Exception:  # one effect that fails must not take the others with it
+        except Exception:  # a failed effect must not prevent the others
             log.exception("fault: effect %s", type(effect).__name__)
 
     def _log(self, effect: fx.Say) -> None:
@@ -111,7 +117,7 @@
             self._schedule_tick()
 
     def log_counters(self) -> None:
-        """One line: what was counted since the start, and the loop's worst lag since the last such line."""
+        """Log the counters since the start and the largest lag of the event loop since the last such line."""
         if self._lag > LAG_WARNING:
             log.warning("loop lag: %d ms", self._lag // MS)
         rss = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss // 1024
@@ -123,7 +129,9 @@
         self._lag, self._logged_at = 0, self.clock.now()
 
     def ready(self) -> bool:
+        """Whether clients may be sent to this process."""
         return self.reducer.state.ready()
 
     def leaving(self) -> bool:
+        """Whether clients are sent away, or the process has ended its service."""
         return self.reducer.state.leaving() or self.reducer.state.life is Life.OVER
--- a/reedspoke/net/streams.py
+++ b/reedspoke/net/streams.py
@@ -1,4 +1,4 @@
-"""What both sides need of Tornado's streams."""
+"""Helpers for Tornado's streams, for connections to clients and to issuer hosts."""
 
 from __future__ import annotations
 
@@ -17,18 +17,20 @@
 
 
 def connect(endpoint: tuple[str, int]) -> IOStream:
-    """A stream that is still to be connected."""
+    """Create a stream that is not connected yet."""
     family = socket.AF_INET6 if ":" in endpoint[0] else socket.AF_INET
     return stream(socket.socket(family, socket.SOCK_STREAM))
 
 
 def stream(raw: socket.socket) -> IOStream:
+    """Wrap a socket in a stream."""
     raw.setblocking(False)
     raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     return IOStream(raw, max_buffer_size=MAX_BUFFERED_BYTES, max_write_buffer_size=MAX_BUFFERED_BYTES)
 
 
 def listen(address: tuple[str, int], backlog: int) -> socket.socket:
+    """Open a listening socket. Raises OSError."""
     family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
     listener = socket.socket(family, socket.SOCK_STREAM)
     listener.setblocking(False)
@@ -43,18 +45,22 @@
 
 
 def start_read(source: IOStream, buffer: Buffer, room: int = MIN_READ_BYTES) -> asyncio.Future[int]:
-    """Begin to read into the buffer. Tornado takes any writable place, though it names one type."""
+    """Start to read into the buffer. Tornado accepts any writable buffer, though it declares bytearray."""
     place = cast(Any, buffer.room(room))
     return cast("asyncio.Future[int]", source.read_into(place, partial=True))
 
 
 async def read(source: IOStream, buffer: Buffer, room: int = MIN_READ_BYTES) -> None:
+    """Read once into the buffer. Raises StreamClosedError."""
     buffer.filled(await start_read(source, buffer, room))
 
 
 async def discard_input(source: IOStream, max_bytes: int) -> None:
-    """Read and forget what still comes, up to `most` bytes: what is far more is cut off. The stream's end is
-    no error here: one that passed through a timed wait would keep the frames it came through."""
+    """Read and discard further bytes until the stream ends, up to about `max_bytes`.
+
+    The end of the stream raises no error: an exception that passed through a timed wait would keep alive the
+    stack frames that it came through.
+    """
     sink = Buffer(max_bytes // 4)
     with suppress(StreamClosedError):
         while max_bytes > 0:
@@ -64,9 +70,11 @@
 
 
 def has_unread_bytes(source: IOStream) -> bool:
-    """Guards a client against a reset: bytes that it has sent wait to be read, and get their answer. Over TLS
-    these may be a whole message or a part of one; the socket's own call is asked, as TLS has none for
-    this."""
+    """Whether received bytes have not been read. Closing the connection now would reset it for the client.
+
+    Over TLS the bytes may be a complete record or a part of one. The plain socket's recv is used, because TLS
+    sockets do not support MSG_PEEK.
+    """
     raw = source.socket
     if isinstance(raw, ssl.SSLSocket) and raw.pending():
         return True
@@ -77,15 +85,17 @@
 
 
 def peer_has_closed(source: IOStream) -> bool:
-    """Whether the other end has closed or reset, seen without reading: its end may wait unread while others
-    are served, or stand behind bytes that nobody reads ahead. One that has only ended its sending is taken
-    for gone as well: nothing on the wire tells the two apart."""
+    """Whether the peer has closed or reset the connection, found without reading from it.
+
+    The end of the stream may not have been read yet, or may follow bytes that nobody reads in advance. A peer
+    that has only shut down its sending side counts as closed as well: on the wire the two look the same.
+    """
     if source.closed():
         return True
     try:
         if not socket.socket.recv(source.socket, 1, socket.MSG_PEEK | socket.MSG_DONTWAIT):
             return True
-        poll = select.poll()  # bytes come before the end
+        poll = select.poll()  # unread bytes hide the end of the stream from recv
         poll.register(source.socket, select.POLLRDHUP)
         return bool(poll.poll(0))
     except BlockingIOError:
@@ -95,8 +105,10 @@
 
 
 def nothing_to_read(source: IOStream) -> bool:
-    """Whether nothing has come, no byte and no end, that is still unread. A stream that has closed, as at a
-    reset whose end has not been told yet, has no socket left."""
+    """Whether the stream is open and has neither unread bytes nor an unread end.
+
+    A stream that has closed has no socket, for example after a reset that has not been reported yet.
+    """
     if source.closed():
         return False
     try:
@@ -109,11 +121,14 @@
 
 
 def end_sending(source: IOStream) -> None:
-    """Say that nothing more comes. Over TLS that is said first in its own words, or the other end would
-    have to take what it has read for cut off; from then on what it sends is read as it is, and forgotten."""
+    """Shut down the sending side of a connection.
+
+    Over TLS a close_notify alert is sent first, without which the peer would have to treat what it has read
+    as truncated. After that, bytes of the peer are read without decryption and discarded.
+    """
     raw = source.socket
     if isinstance(raw, ssl.SSLSocket):
-        with suppress(OSError, ValueError):  # it wants to read the other's word, which nobody waits for
+        with suppress(OSError, ValueError):  # it asks for the peer's close_notify, which is not awaited
             raw.unwrap()
     with suppress(OSError):
         raw.shutdown(socket.SHUT_WR)
--- a/reedspoke/net/subsystem.py
+++ b/reedspoke/net/subsystem.py
@@ -1,6 +1,9 @@
-"""A part beyond the platform's program, and all that it brings, in one place: concerns of the reducer, parts
-with sockets, calls at the operators' door, figures. Its events and effects are its own (`FurtherEvent`,
-`FurtherEffect`), its part of the operator file as well; nothing here knows any of them."""
+"""The interface of optional subsystems, which the platform's program does without.
+
+A subsystem brings concerns of the reducer, parts with sockets or threads, calls of the operator API and
+metrics. It defines its own events and effects (`FurtherEvent`, `FurtherEffect`) and its own section of the
+operator file; this package depends on none of them.
+"""
 
 from __future__ import annotations
 
@@ -11,11 +14,11 @@
 from reedspoke.net import effects as fx
 from reedspoke.net.core import Concern
 
-NAME = b"*"  # in a call's path: a part that the caller chooses
+NAME = b"*"  # a segment of a call's path that the caller chooses
 
 
 class Extension(Protocol):
-    """A part with sockets or threads of its own."""
+    """A part with sockets or threads of its own: opened, reloaded and closed with the scheduler."""
 
     def effects(self) -> dict[type, Callable[[Any], None]]: ...
 
@@ -28,8 +31,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Call:
-    """At the operators' door. `path`: its parts behind /v1. `answer` returns the reply, or None where an
-    effect brings it later. `max_body_bytes`: bytes."""
+    """A call of the operator API; `path` has the segments after /v1.
+
+    `answer` returns the reply, or None if an effect brings it later.
+    """
 
     method: bytes
     path: tuple[bytes, ...]
@@ -38,10 +43,11 @@
 
     @property
     def which(self) -> str:
+        """The method and the path, which identify the call."""
         return (self.method + b" /" + b"/".join(self.path)).decode()
 
     def names(self, parts: tuple[bytes, ...]) -> tuple[bytes, ...] | None:
-        """What the caller chose, None: it is another call's path."""
+        """The segments that the caller chose, None if the path is not that of this call."""
         if len(parts) != len(self.path):
             return None
         pairs = list(zip(self.path, parts, strict=True))
@@ -52,7 +58,7 @@
 
 @dataclass(slots=True)
 class Subsystem:
-    """`figures`: Prometheus text, asked for where a door is open."""
+    """Everything that a subsystem brings; `figures` returns Prometheus text for the operator API."""
 
     name: str
     concerns: tuple[Concern, ...] = ()
--- a/reedspoke/net/values.py
+++ b/reedspoke/net/values.py
@@ -1,8 +1,7 @@
-"""JSON objects out of a stream that is cut anywhere; no sockets. White space lies between them as it likes.
+"""Splits a stream into JSON objects, separated by any white space, wherever its slices begin and end.
 
-Weighed: a streaming reader of the registry (ijson) builds every value in Python to tell where one ends, and
-the list is then decoded once more by its type; finding the ends alone leaves the decoding to msgspec as
-before.
+It only finds where each object ends and leaves the decoding to msgspec. A streaming parser such as ijson
+would build every value in Python to find the end, and the list would then be decoded a second time.
 """
 
 from __future__ import annotations
@@ -12,24 +11,27 @@
 
 from reedspoke.net.http import MalformedError
 
-NON_SPACE = re.compile(rb"[^ \t\r\n]")  # what is no white space
-TOKEN = re.compile(rb'"[^"\\]*(?:\\.[^"\\]*)*"|["{}\[\]]', re.DOTALL)  # a lone quote opens an unfinished text
-MAX_STRING_BYTES = 64 * 1024  # bytes of an unfinished text, which is read again with each slice
+NON_SPACE = re.compile(rb"[^ \t\r\n]")  # anything but white space
+TOKEN = re.compile(rb'"[^"\\]*(?:\\.[^"\\]*)*"|["{}\[\]]', re.DOTALL)  # a lone quote: incomplete string
+MAX_STRING_BYTES = 64 * 1024  # limit of an incomplete string; each slice scans it again
 
 
 class JsonObjectSplitter:
-    """Joins slices to objects; only one that lies across two slices is copied."""
+    """Splits slices of a stream into objects; only one that extends over two slices is copied."""
 
     def __init__(self, max_bytes: int) -> None:
-        self._max_bytes = max_bytes  # bytes of one object
-        self._pending = bytearray()  # of an object whose end has not come
-        self._scanned = 0  # bytes of it that were looked at
-        self._depth = 0  # brackets of it that are open
+        self._max_bytes = max_bytes  # limit of one object
+        self._pending = bytearray()  # the start of an incomplete object
+        self._scanned = 0  # bytes of it that have been scanned
+        self._depth = 0  # its open brackets
 
     def feed(self, part: memoryview) -> Iterator[memoryview | bytes | None]:
-        """The objects that are whole by now, and None for each run of white space with a line end in it that
-        is in none: a beat. A slice holds until the next step. Raises MalformedError for what is no object:
-        what follows could not be told from what was meant."""
+        """Yield the complete objects, and None for each heartbeat, white space with a line end
+        between two objects.
+
+        A slice is valid until the next step of the iterator. Raises MalformedError for anything but an
+        object, because the start of the next one could not be found reliably.
+        """
         data: memoryview | bytearray = part
         at = begin = 0
         if self._pending:
@@ -59,7 +61,7 @@
         )
 
     def _scan(self, data: memoryview | bytearray, at: int) -> tuple[int, bool]:
-        """How far its brackets and texts are known, and whether it ends there."""
+        """Scan an object. Returns the position that was reached, and whether the object ends there."""
         for found in TOKEN.finditer(data, at):
             at, token = found.end(), found[0]
             if token in (b"{", b"["):
--- a/reedspoke/settings.py
+++ b/reedspoke/settings.py
@@ -1,6 +1,7 @@
-"""The settings object of the platform, as the simulator's wire and a node's configuration both hold it.
+"""The settings object of the platform, which the simulator's protocol and a node's configuration contain.
 
-Translated into the module's words for the adapter and the node alike.
+It is converted to the decision module's settings, for the adapter and the node alike. The field names are the
+keys of the object.
 """
 
 from __future__ import annotations
@@ -33,16 +34,18 @@
 
 
 class UnknownValueError(ReedspokeError, ValueError):
-    """One of the platform's words has no meaning here; the text names it."""
+    """A value of the platform is unknown to this version; the text names the field and the value."""
 
-    code = "word-unknown"
-    remedy = "the platform says a word that this version does not know: see the settings' field"
+    code = "value-unknown"
+    remedy = "this version does not know a value of the platform: check the field that the message names"
 
 
-# ---- the object's shape; msgspec checks presence and type of each field and skips unknown ones ----
+# ---- the settings object; msgspec checks presence and type of each field and skips unknown ones ----
 
 
 class Category(Struct):
+    """A job class: how a job may be repeated, its latency target and its deadline."""
+
     name: str
     repeat: str
     hard_limit: int
@@ -56,6 +59,8 @@
 
 
 class Ceilings(Struct):
+    """Limits, and the optional features of the platform that a scheduler may use."""
+
     try_limit: int
     cancelling: bool = False
     probes: bool = False
@@ -67,6 +72,8 @@
 
 
 class Safety(Struct):
+    """Rules for draining, cold workers and overload."""
+
     drain_grace: int
     answer_slack: int
     cold_from: float
@@ -77,11 +84,15 @@
 
 
 class Tenant(Struct):
+    """A tenant and its share."""
+
     name: str
     portion: float
 
 
 class FamilyInfo(Struct):
+    """What holds for the scenario family: worker kind and stretch of each class, and notifications."""
+
     class_kind: list[int] = []
     class_stretch: list[float] = []
     tells_start: bool = False
@@ -89,15 +100,21 @@
 
 
 class Report(Struct):
+    """How workers report their load, and the fields of a report."""
+
     how: str = "none"
     names: list[str] = []
 
 
 class Deductions(Struct):
+    """Costs that reduce the value of a job."""
+
     cross_zone: float = 0.0
 
 
 class PlatformSettings(Struct):
+    """The whole settings object."""
+
     balancers: int
     categories: list[Category]
     ceilings: Ceilings
@@ -117,41 +134,44 @@
 T = TypeVar("T")
 
 
-def lookup(table: dict[str, T], word: str, field: str) -> T:
-    """The meaning of one of the platform's words."""
+def lookup(table: dict[str, T], value: str, field: str) -> T:
+    """Look up a value of the platform. Raises UnknownValueError."""
     try:
-        return table[word]
+        return table[value]
     except KeyError:
-        raise UnknownValueError(f"field `{field}` has an unknown value {word!r}") from None
+        raise UnknownValueError(f"field `{field}` has an unknown value {value!r}") from None
 
 
-def class_settings(index: int, told: Category, family: FamilyInfo) -> api.ClassSettings:
-    stretch = told.aim_stretch
+def class_settings(index: int, category: Category, family: FamilyInfo) -> api.ClassSettings:
+    """Convert a job class; `index` is its place among the classes."""
+    stretch = category.aim_stretch
     if stretch is None:
         stretch = family.class_stretch[index] if index < len(family.class_stretch) else 0.0
     return api.ClassSettings(
-        name=told.name,
-        idempotency=lookup(EFFECTS, told.repeat, "repeat"),
-        dedup_scope=lookup(GROUPS, told.group, "group"),
-        dedup_window=told.window,
-        latency_target=told.aim,
+        name=category.name,
+        idempotency=lookup(EFFECTS, category.repeat, "repeat"),
+        dedup_scope=lookup(GROUPS, category.group, "group"),
+        dedup_window=category.window,
+        latency_target=category.aim,
         stretch=stretch,
-        deadline=told.hard_limit,
-        value=told.importance,
-        late_value_share=told.late_share,
+        deadline=category.hard_limit,
+        value=category.importance,
+        late_value_share=category.late_share,
         worker_kind=family.class_kind[index] if index < len(family.class_kind) else -1,
-        streaming=told.streaming,
+        streaming=category.streaming,
     )
 
 
 def convert_settings(info: PlatformSettings) -> api.Settings:
-    """The platform's settings in the module's words."""
+    """Convert the platform's settings to those of the decision module. Raises UnknownValueError."""
     return api.Settings(
         scheduler_index=info.me,
         scheduler_count=info.balancers,
         zone=info.zone,
-        classes=tuple(class_settings(i, told, info.family_info) for i, told in enumerate(info.categories)),
-        tenants=tuple(api.TenantSettings(told.name, told.portion) for told in info.tenants),
+        classes=tuple(
+            class_settings(i, category, info.family_info) for i, category in enumerate(info.categories)
+        ),
+        tenants=tuple(api.TenantSettings(tenant.name, tenant.portion) for tenant in info.tenants),
         worker_kinds=tuple(info.flavors),
         limits=api.Limits(
             max_attempts=info.ceilings.try_limit,
--- a/reedspoke/start.py
+++ b/reedspoke/start.py
@@ -1,5 +1,4 @@
-"""The platform's program: its log, its exit statuses, and the fleet's part where the settings allow
-messages."""
+"""The program that the platform starts: a scheduler, with load sharing if the settings allow messages."""
 
 from __future__ import annotations
 
@@ -11,7 +10,7 @@
 
 
 def join_peers(node: Node) -> None:
-    """Load sharing, where the configuration names peers and the settings allow messages."""
+    """Add load sharing if the configuration names peers and the settings allow messages."""
     config = node.config
     if config.peers is not None:
         from reedspoke.fleet.service import build_fleet
@@ -20,12 +19,14 @@
 
 
 def platform_node(config: Config) -> Node:
+    """Create the node of the platform's program."""
     node = Node(config)
     join_peers(node)
     return node
 
 
 def main() -> int:
+    """Configure the log and run a scheduler. Returns the exit status."""
     logging.basicConfig(
         stream=sys.stderr, level=logging.INFO, format="%(asctime)s.%(msecs)03d %(levelname)s %(message)s",
         datefmt="%H:%M:%S",
