--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,3 +1,5 @@
+"""Settings and fixtures for all tests."""
+
 from collections.abc import Generator, Iterator
 
 import hypothesis
@@ -11,8 +13,8 @@
 
 __all__ = ["start", "world"]
 
-# How long an example takes is the machine's business: beside load, a test that took 250 ms once and
-# 0.04 ms the next time failed as flaky. What an example shows is judged as before.
+# Examples have no deadline: under load, a test that took 250 ms once and 0.04 ms the next time failed as
+# flaky. The results of the examples are checked all the same.
 hypothesis.settings.register_profile(
     "reedspoke", deadline=None, print_blob=True, suppress_health_check=[hypothesis.HealthCheck.too_slow]
 )
@@ -28,7 +30,7 @@
 def pytest_runtest_makereport(
     item: pytest.Item, call: pytest.CallInfo[None]
 ) -> Generator[None, pytest.TestReport, pytest.TestReport]:
-    """A test that fails shows what its processes have logged."""
+    """Add the logs of the test's processes to the report of a failed test."""
     report = yield
     folder = getattr(item, "funcargs", {}).get("tmp_path")
     if report.failed and folder is not None:
@@ -38,7 +40,7 @@
 
 @pytest.fixture(autouse=True)
 def invariants_hold() -> Iterator[None]:
-    """A test fails if the code under test, in this process, has broken an invariant."""
+    """Fail a test during which code in this process has violated an invariant."""
     monitor.reset_violations()
     yield
     broken = monitor.reset_violations()
--- a/tests/ports.py
+++ b/tests/ports.py
@@ -1,4 +1,4 @@
-"""Ports for the processes that tests start."""
+"""Free ports for the processes that tests start."""
 
 from __future__ import annotations
 
@@ -9,20 +9,19 @@
 from itertools import count
 
 FIRST = 10_000
-WORKERS = 16  # processes that share the tests, each with a range of its own
-SPAN = (
-    1_100  # of a range: all lie below the ports that the system hands out, and below those of the laboratory
-)
+WORKERS = 16  # pytest-xdist workers, each with its own range of ports
+# Size of a range. All ranges lie below the system's ephemeral ports and below the laboratory's ports.
+SPAN = 1_100
 LOOPBACK = ("127.0.0.1",)
 
 _numbers = count(random.randrange(SPAN))
 
 
 def free_port(hosts: tuple[str, ...] = LOOPBACK) -> int:
-    """A port that is free at all of these addresses.
+    """Return a port that is free at all of these addresses.
 
-    A port that the system hands out will not do: until the process listens there, or while it is being
-    restarted, any connection of this machine may be given it. None comes twice within SPAN.
+    Ephemeral ports are unsuitable: until the process listens, or while it restarts, the system may assign
+    the port to any connection of this machine. No port is returned twice within SPAN calls.
     """
     worker = int(os.environ.get("PYTEST_XDIST_WORKER", "gw0").removeprefix("gw")) % WORKERS
     while True:
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -1,4 +1,4 @@
-"""Discovery: the list at the start, its changes, and a watch that breaks."""
+"""Service discovery: the initial list, its changes, and a watch that fails."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from tests.peers import Node, Peer, Start, Wire, ask, took
 
 
-def test_known_list_serves_until_the_watch_tells_more(start: Start) -> None:
+def test_known_list_is_used_until_the_watch_delivers_one(start: Start) -> None:
     node = start(hosts=2)
     assert node.followed == "GET /v1/endpoints?follow=1&since=41 HTTP/1.1"
     assert node.ready() == 200
@@ -22,8 +22,8 @@
     assert client.message().status == 200
 
 
-def told_off(node: Node, uid: int, how: str) -> None:
-    """Tell the node that a host leaves, and let a later line prove that it has read it."""
+def announce_leaving(node: Node, uid: int, how: str) -> None:
+    """Announce that a host leaves, followed by a heartbeat."""
     node.watch.begin()
     others = [host.entry() for host in node.hosts if host.uid != f"s-{uid}"]
     if how == "not in a full list":
@@ -36,12 +36,12 @@
 @pytest.mark.parametrize("indent", [None, 2], ids=["a line", "indented"])
 @pytest.mark.parametrize("pushed", [False, True], ids=["asked", "pushed"])
 @pytest.mark.parametrize("how", ["Terminating", "Gone", "not in a full list"])
-def test_host_that_leaves_gets_nothing_new(start: Start, how: str, pushed: bool, indent: int | None) -> None:
-    """Guards drains where lists are pushed: an agent has them, and nobody but the program can follow it. An
-    indented list was malformed, whoever sent it, and each watch failed on it for ever."""
+def test_leaving_host_gets_no_new_jobs(start: Start, how: str, pushed: bool, indent: int | None) -> None:
+    """Guards draining, also where an agent pushes the lists and only the program can follow them. An indented
+    list was once malformed for the program, so every watch failed on it."""
     node = start(hosts=2, pushed=pushed)
     node.indent = indent
-    told_off(node, 0, how)
+    announce_leaving(node, 0, how)
     wires: list[Wire] = []
     for number in range(5):
         client = node.client(ask(f"{number}"))
@@ -51,37 +51,38 @@
         assert client.message().status == 200
 
 
-def test_host_that_drains_finishes_what_it_has(start: Start) -> None:
+def test_draining_host_finishes_its_jobs(start: Start) -> None:
     node = start(hosts=1)
     client = node.client(ask())
     wire = node.leg()
     leg = wire.message()
-    told_off(node, 0, "Terminating")
+    announce_leaving(node, 0, "Terminating")
     wire.serve(leg)
     assert client.message().status == 200
-    assert wire.ended(), "its connection is not kept for more"
+    assert wire.ended(), "its connection is not reused"
 
 
 @pytest.mark.parametrize("by", ["list", "hand"])
-def test_drain_told_during_a_slow_dial_is_kept(start: Start, by: str) -> None:
-    """Guards the drain rule: a send counts from its first byte, which may be long after the decision."""
+def test_drain_during_a_slow_connect_is_respected(start: Start, by: str) -> None:
+    """Guards the drain rule: a job counts as sent with its first byte, possibly long after the decision."""
     node = start(hosts=1, connect_timeout=4_000_000)
     host = node.hosts[0]
     host.sock.listen(0)
-    filler = socket.create_connection(host.sock.getsockname())  # the system lets all others wait
+    # This connection fills the backlog, so that further ones wait.
+    filler = socket.create_connection(host.sock.getsockname())
     client = node.client(ask())
-    assert node.ready() == 200, "what came before this is on its way by now"
+    assert node.ready() == 200, "the leg is connecting by now"
     if by == "list":
-        told_off(node, 0, "Terminating")
+        announce_leaving(node, 0, "Terminating")
     else:
         assert node.call("/v1/workers/s-0/suspend").status == 200
     host.accept().close()
     filler.close()
-    assert host.accept().ended(), "it comes up in the end, and not a byte is written"
+    assert host.accept().ended(), "it connects in the end, and no byte is written"
     assert client.message().status == 503
 
 
-def test_host_moves_and_restarts_under_its_uid(start: Start) -> None:
+def test_host_restarts_at_another_address_with_its_uid(start: Start) -> None:
     node = start(hosts=2)
     moved = node.hosts.pop()
     node.watch.begin()
@@ -119,7 +120,7 @@
 
 @pytest.mark.parametrize("pushed", [False, True], ids=["asked", "pushed"])
 @pytest.mark.parametrize("how", ["503", "reset", "end", "nonsense", "silence", "refused at first"])
-def test_watch_that_breaks_is_asked_for_again(start: Start, how: str, pushed: bool) -> None:
+def test_failed_watch_is_requested_again(start: Start, how: str, pushed: bool) -> None:
     node = start(hosts=1, pushed=pushed)
     if how != "503":
         node.watch.begin()
@@ -138,8 +139,8 @@
     again = node.discovery.accept()
     assert again.message().first.endswith(f"since={41 if how == '503' else 57} HTTP/1.1")
     if how == "silence":
-        assert node.watch.ended(), "the old watch is closed before the new one is asked for"
-    if pushed and how == "503":  # nothing has come from the agent as yet
+        assert node.watch.ended(), "the old watch is closed before the new one is requested"
+    if pushed and how == "503":  # the agent has sent nothing yet
         assert node.ready() == 503
         again.begin()
         again.chunk(b"\n")
@@ -153,11 +154,11 @@
 
 
 @pytest.mark.parametrize("pushed", [False, True], ids=["asked", "pushed"])
-def test_sighup_moves_the_watch_and_disturbs_nobody(start: Start, pushed: bool) -> None:
-    """Guards against an end by SIGHUP, and against PROXY_DISCOVERY, which names the old address for ever."""
+def test_sighup_moves_the_watch_without_affecting_clients(start: Start, pushed: bool) -> None:
+    """Guards against termination by SIGHUP, and against PROXY_DISCOVERY, which keeps the old address."""
     node = start(hosts=1, pushed=pushed)
     node.watch.begin()
-    node.watch.chunk(b"\n")  # else a new process would wait for its agent's first word
+    node.watch.chunk(b"\n")  # otherwise the process would wait for the first bytes of its agent
     idle, busy = node.client(ask("0a")), node.client()
     wire = node.leg()
     wire.serve()
@@ -169,8 +170,8 @@
     node.reload(json.dumps({**node.told, "discovery": moved.endpoint}))
     watch = moved.accept()
     assert watch.message().first == "GET /v1/endpoints?follow=1&since=0 HTTP/1.1"
-    assert took(since) < 1, "4 s are given for all of it"
-    assert node.watch.ended(), "the old watch is given up"
+    assert took(since) < 1, "4 s are allowed for everything"
+    assert node.watch.ended(), "the old watch is closed"
     node.watch = watch
     node.watch.begin()
     node.list(host.entry(), full=True, rev=3)
@@ -179,13 +180,13 @@
     idle.send(ask("2b"))
     node.hosts = [host]
     node.leg().serve()
-    assert idle.message().status == 200, "the new list counts"
+    assert idle.message().status == 200, "the new list is in force"
     assert node.process.poll() is None
-    assert node.stop() == 0, "SIGTERM may follow"
+    assert node.stop() == 0, "SIGTERM still works"
 
 
 @pytest.mark.parametrize("pushed", [False, True], ids=["asked", "pushed"])
-def test_watch_lost_after_sighup_is_asked_for_at_the_new_address(start: Start, pushed: bool) -> None:
+def test_watch_lost_after_sighup_is_requested_at_the_new_address(start: Start, pushed: bool) -> None:
     node = start(hosts=1, pushed=pushed)
     moved = Peer()
     node.reload(json.dumps({**node.told, "discovery": moved.endpoint}))
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -1,4 +1,4 @@
-"""Two processes of one scheduler: the listener they share, orders that hold for both, and common limits."""
+"""Two processes of one scheduler: their shared listener, orders that apply to both, and common limits."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
 from tests.test_reducer import Play, arrived, listed
 
 
-def settled(node: Node) -> None:
-    """Its watch answers: it takes clients in."""
+def wait_until_serving(node: Node) -> None:
+    """Let the watch deliver a list, and wait until the process accepts clients."""
     node.watch.begin()
     node.list(*[host.entry() for host in node.hosts], full=True)
     node.watch.chunk(b"\n")
@@ -29,11 +29,11 @@
         pass
 
 
-def test_a_successor_takes_over_and_no_client_is_refused_or_reset(start: Start) -> None:
-    """Guards the clients: what the old one accepted it serves, kept clients get an end and no reset, and who
-    comes meanwhile is served by the new one."""
+def test_a_successor_takes_over_without_refused_or_reset_clients(start: Start) -> None:
+    """Guards the clients of a restart: the old process serves what it has accepted, idle connections are
+    closed without a reset, and the new process serves new connections."""
     old = start(hosts=1, inherits=True)
-    settled(old)
+    wait_until_serving(old)
     kept, busy = old.client(ask("1a")), old.client(ask("2b"))
     wires = [old.leg(), old.leg()]
     legs = {leg.fields["x-request-id"]: (wire, leg) for wire, leg in ((w, w.message()) for w in wires)}
@@ -42,7 +42,7 @@
     legs["2b"][0].begin()
     legs["2b"][0].state(legs["2b"][1], "started")
     new = start(beside=old)
-    settled(new)
+    wait_until_serving(new)
     old.process.terminate()
     assert kept.ended()
     early = new.client(ask("3c"))
@@ -57,13 +57,13 @@
     assert old.process.wait(8) == 0
     again = new.client(ask("4d"))
     new.leg(wire).serve()
-    assert again.message().status == 200, "the listener outlives the old one"
+    assert again.message().status == 200, "the listener outlives the old process"
 
 
-def test_a_request_that_crosses_the_end_is_served_and_not_reset(start: Start) -> None:
-    """Guards what lies unread as SIGTERM is handled: the process is stopped while both come."""
+def test_a_request_concurrent_with_sigterm_is_served(start: Start) -> None:
+    """Guards requests that are unread when SIGTERM is handled: both arrive while the process is stopped."""
     node = start(hosts=1, inherits=True)
-    settled(node)
+    wait_until_serving(node)
     client = node.client(ask("1a"))
     wire = node.leg()
     wire.serve()
@@ -77,7 +77,7 @@
     assert (answer.status, answer.fields["connection"]) == (200, "close")
 
 
-def test_takes_nobody_in_before_it_can_serve(start: Start) -> None:
+def test_accepts_no_clients_before_it_can_serve(start: Start) -> None:
     node = start(hosts=1, inherits=True)
     client = node.client(ask(deadline=4.0))
     assert node.call("/v1/readyz").status == 503
@@ -85,39 +85,39 @@
     since = time.monotonic()
     node.leg().serve()
     assert client.message().status == 200
-    assert took(since) < 3.5, "the directory is waited for, but not for long"
+    assert took(since) < 3.5, "it waits for the directory, but not for long"
 
 
-def test_an_order_holds_for_both_and_across_the_change(start: Start) -> None:
+def test_an_order_applies_to_both_processes_and_to_their_successors(start: Start) -> None:
     old = start(hosts=2, inherits=True)
-    settled(old)
+    wait_until_serving(old)
     assert old.call("/v1/workers/s-0/suspend").status == 200
     assert old.call("/v1/scheduler/drain").status == 200
     new = start(beside=old)
-    settled(new)
+    wait_until_serving(new)
     assert new.figures()["scheduler_ejected"] == 1
     assert new.ready() == 503
     assert old.stop() == 0
     assert new.call("/v1/scheduler/activate").status == 200
     newest = start(beside=new)
-    settled(newest)
+    wait_until_serving(newest)
     assert newest.ready() == 200
     assert newest.call("/v1/workers/s-0/resume").status == 200
     since = time.monotonic()
     while new.figures()["scheduler_ejected"]:
-        assert took(since) < 0.5, "both processes look for it all the time"
+        assert took(since) < 0.5, "both processes check for orders continuously"
 
 
-def test_an_id_open_in_one_process_is_not_taken_by_the_other(start: Start) -> None:
+def test_an_id_open_in_one_process_is_refused_by_the_other(start: Start) -> None:
     """Guards jobs that must not run twice."""
     old = start(hosts=1, inherits=True)
-    settled(old)
+    wait_until_serving(old)
     first = old.client(ask("1a", cls="book"))
     wire = old.leg()
     leg = wire.message()
     wire.begin()
     new = start(beside=old)
-    settled(new)
+    wait_until_serving(new)
     old.process.terminate()
     old.logged("stopping")
     twin = new.client(ask("1a", cls="book"))
@@ -127,12 +127,12 @@
     assert first.message().body == b"once"
     again = new.client(ask("1a", cls="book"))
     new.leg(wire).serve()
-    assert again.message().status == 200, "once it is not open any more the id is free"
+    assert again.message().status == 200, "the id is free after the authorisation has ended"
 
 
-def test_a_killed_predecessor_holds_nothing_up(start: Start) -> None:
+def test_a_killed_predecessor_does_not_block_its_successor(start: Start) -> None:
     old = start(hosts=1, inherits=True)
-    settled(old)
+    wait_until_serving(old)
     busy = old.client(ask("1a"))
     wire = old.leg()
     old.process.kill()
@@ -140,24 +140,24 @@
     busy.close()
     wire.close()
     new = start(beside=old)
-    settled(new)
+    wait_until_serving(new)
     client = new.client(ask("1a"))
     new.leg().serve()
     assert client.message().status == 200
-    old.process = new.process  # it was to die
+    old.process = new.process  # the old one has been killed on purpose
 
 
 class Runtime:
     def __init__(self) -> None:
-        self.told: list[fx.Event] = []
+        self.events: list[fx.Event] = []
 
     def emit(self, event: fx.Event) -> None:
-        self.told.append(event)
+        self.events.append(event)
 
 
 def make(folder: Path | None, name: str = "n0") -> tuple[Handover, list[fx.Event]]:
     runtime = Runtime()
-    return Handover(runtime, name, folder), runtime.told  # type: ignore[arg-type]
+    return Handover(runtime, name, folder), runtime.events  # type: ignore[arg-type]
 
 
 def do(part: Handover, effect: fx.Effect) -> None:
@@ -175,38 +175,38 @@
     ids=["empty", "torn", "garbage", "list", "foreign", "wrong", "stale", "folder"],
 )  # fmt: skip
 def test_unusable_orders_are_skipped_and_replaced(tmp_path: Path, found: bytes | None) -> None:
-    part, told = make(tmp_path)
+    part, events = make(tmp_path)
     if found is None:
         (tmp_path / ORDERS_FILE).mkdir()
     else:
         (tmp_path / ORDERS_FILE).write_bytes(found)
     do(part, fx.Look())
-    assert not told
+    assert not events
     do(part, SUSPEND)
     if found is None:
-        assert told == [fx.Unrecorded(SUSPEND, again=False)]
+        assert events == [fx.Unrecorded(SUSPEND, again=False)]
     else:
-        assert told == [fx.Ordered({"s-1": ("10.0.0.1", 80)}, False, 7)]
-        other, heard = make(tmp_path)
+        assert events == [fx.Ordered({"s-1": ("10.0.0.1", 80)}, False, 7)]
+        other, other_events = make(tmp_path)
         do(other, fx.Look())
-        assert heard == [fx.Ordered({"s-1": ("10.0.0.1", 80)}, False)]
+        assert other_events == [fx.Ordered({"s-1": ("10.0.0.1", 80)}, False)]
 
 
-def test_orders_wait_for_the_other_process_and_repeat(tmp_path: Path) -> None:
-    part, told = make(tmp_path)
+def test_orders_fail_while_the_other_process_has_the_lock_and_are_idempotent(tmp_path: Path) -> None:
+    part, events = make(tmp_path)
     with (tmp_path / f"{ORDERS_FILE}.lock").open("w") as lock:
         fcntl.flock(lock, fcntl.LOCK_EX)
         do(part, SUSPEND)
-        assert told == [fx.Unrecorded(SUSPEND, again=True)]
+        assert events == [fx.Unrecorded(SUSPEND, again=True)]
     for _ in range(2):
         do(part, SUSPEND)
-    assert told[1:] == [fx.Ordered({"s-1": ("10.0.0.1", 80)}, False, 7)] * 2
+    assert events[1:] == [fx.Ordered({"s-1": ("10.0.0.1", 80)}, False, 7)] * 2
 
 
-def test_an_order_that_cannot_be_kept_is_answered_no_in_time(start: Start) -> None:
-    """Guards operators against a process that holds the lock and stands still."""
+def test_an_order_that_cannot_be_stored_is_refused_in_time(start: Start) -> None:
+    """Guards operators against a process that holds the lock and hangs."""
     node = start(hosts=1, inherits=True)
-    settled(node)
+    wait_until_serving(node)
     with (node.config.parent / f"{ORDERS_FILE}.lock").open("w") as lock:
         fcntl.flock(lock, fcntl.LOCK_EX)
         since = time.monotonic()
@@ -217,21 +217,21 @@
 
 
 @pytest.mark.parametrize("folder", [None, "/proc/none"])
-def test_alone_without_a_folder(folder: str | None) -> None:
-    part, told = make(Path(folder) if folder else None)
+def test_without_a_folder_nothing_is_shared(folder: str | None) -> None:
+    part, events = make(Path(folder) if folder else None)
     do(part, fx.Look())
     do(part, fx.Hold(False, 1, {}, api.LearnedState()))
     do(part, SUSPEND)
     assert part.claim("a")
-    assert told == [fx.Ordered({"s-1": ("10.0.0.1", 80)}, False, 7)]
+    assert events == [fx.Ordered({"s-1": ("10.0.0.1", 80)}, False, 7)]
 
 
-def test_what_a_dead_process_left_goes(tmp_path: Path) -> None:
-    part, told = make(tmp_path)
+def test_the_file_of_a_dead_process_is_removed(tmp_path: Path) -> None:
+    part, events = make(tmp_path)
     left = tmp_path / f"{handover.PROCESS_FILE_PREFIX}dead"
     left.write_bytes(b'{"name":"n0","leaving":false,"descriptors":9,"slots":{}}')
     do(part, fx.Look())
-    assert not told
+    assert not events
     assert not left.exists()
 
 
@@ -241,7 +241,7 @@
 def test_descriptors_are_shared_with_the_other_process(
     leaving: bool, left: Callable[[int, int], int]
 ) -> None:
-    """Guards the limit, which is one for both: together they never hold more."""
+    """Guards the limit on descriptors, which applies to both processes together."""
     play = Play(Budget.of(256, 80, DOOR))
     partner = fx.Partner(leaving, 100, {"a": 2}, api.LearnedState())
     play.tell(listed("a"), fx.Accompanied((partner,)))
@@ -250,17 +250,17 @@
     assert play.reducer.budget == Budget.of(256, 80, DOOR)
 
 
-def test_the_module_counts_what_the_other_process_has_at_a_host() -> None:
+def test_legs_of_the_other_process_count_towards_the_cap_of_a_host() -> None:
     play = Play(Budget.of(256, 80, DOOR))
     play.tell(listed("a"), *[fx.Joined(n) for n in range(1, 6)])
     play.tell(fx.Accompanied((fx.Partner(True, 50, {"a": 1}, api.LearnedState()),)))
     dialled = [effect for n in range(1, 4) for effect in play.tell(arrived(n)) if isinstance(effect, fx.Dial)]
-    assert len(dialled) == 1, "its cap is 2, of which the other process has 1"
+    assert len(dialled) == 1, "its cap is 2, and the other process uses 1"
     dialled = [effect for effect in play.tell(fx.Accompanied(())) if isinstance(effect, fx.Dial)]
     assert len(dialled) == 1
 
 
-def test_a_worker_put_back_counts_as_cold_with_its_failures_forgotten() -> None:
+def test_a_resumed_worker_is_cold_and_its_failures_are_reset() -> None:
     play = Play(Budget.of(256, 80, DOOR))
     play.tell(listed("a"))
     module = play.reducer.module
--- a/tests/test_hypothesis_profile.py
+++ b/tests/test_hypothesis_profile.py
@@ -1,4 +1,4 @@
-"""Tests of drawn examples are judged by what they show, not by how long the machine took."""
+"""Property-based tests are judged by their results, not by the time that an example takes."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 slow_once = [True]
 
 
-def test_the_profile_is_in_force() -> None:
+def test_the_profile_is_active() -> None:
     assert settings.default is not None
     assert settings.default.deadline is None
     assert HealthCheck.too_slow in settings.default.suppress_health_check
@@ -18,7 +18,8 @@
 
 @given(st.integers())
 def test_one_example_may_take_long(number: int) -> None:
-    """Before, this failed as flaky: DeadlineExceeded, then fast."""
+    """Guards against flaky failures: with a deadline, a slow first example raised DeadlineExceeded and the
+    repetition did not."""
     if slow_once:
         slow_once.pop()
         time.sleep(0.25)
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -1,4 +1,4 @@
-"""The operators' door: its calls, its figures, hosts left out by hand, clients sent away."""
+"""The operator API: its calls and metrics, suspended hosts, and draining of the scheduler."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from reedspoke.net.state import Host, State
 from tests.peers import Message, Node, Start, Wire, ask, nodes, took
 
-WHOLE = b"GET /v1/readyz HTTP/1.1\r\nHost: ops\r\n\r\n"
+COMPLETE_CALL = b"GET /v1/readyz HTTP/1.1\r\nHost: ops\r\n\r\n"
 
 
 @pytest.mark.parametrize(
@@ -48,25 +48,25 @@
 
 @pytest.fixture(scope="module")
 def node(tmp_path_factory: pytest.TempPathFactory) -> Iterator[Node]:
-    with nodes(tmp_path_factory.mktemp("door")) as starter:
+    with nodes(tmp_path_factory.mktemp("operators")) as starter:
         yield starter(hosts=1)
 
 
-def test_a_call_is_read_however_it_is_cut(node: Node) -> None:
-    for at in range(1, len(WHOLE)):
-        wire = node.caller(WHOLE[:at])
-        wire.send(WHOLE[at:])
+def test_a_call_may_arrive_in_parts(node: Node) -> None:
+    for at in range(1, len(COMPLETE_CALL)):
+        wire = node.caller(COMPLETE_CALL[:at])
+        wire.send(COMPLETE_CALL[at:])
         assert wire.message().status == 200
 
 
-def test_callers_that_never_end_their_call_delay_no_other(node: Node) -> None:
-    """Guards the door: more of them than it has places, and each whole call is answered within 1 s."""
-    stalled = [node.caller(WHOLE[: 3 * (at % 2)]) for at in range(40)]
+def test_incomplete_calls_delay_no_other_caller(node: Node) -> None:
+    """Guards the operator API: with more of them than its limit, complete calls are answered within 1 s."""
+    stalled = [node.caller(COMPLETE_CALL[: 3 * (at % 2)]) for at in range(40)]
     for _ in range(5):
         since = time.monotonic()
         assert node.call("/v1/readyz").status == 200
         assert took(since) < 1
-    assert all(wire.ended() for wire in stalled), "they are dropped in time"
+    assert all(wire.ended() for wire in stalled), "they are closed in time"
 
 
 def legs_by_name(*wires: Wire) -> dict[str, tuple[Wire, Message]]:
@@ -74,7 +74,7 @@
     return {leg.fields["x-request-id"]: (wire, leg) for wire, leg in legs}
 
 
-def test_figures_count_what_crosses_the_sockets(start: Start) -> None:
+def test_metrics_count_jobs_and_reloads(start: Start) -> None:
     node = start(hosts=1)
     assert node.figures() == {
         **{f'scheduler_{end}_total{{service="{cls}"}}': 0
@@ -116,7 +116,7 @@
     pass
 
 
-def ready_again(node: Node) -> None:
+def listed_again(node: Node) -> None:
     node.watch.begin()
     node.list(node.hosts[0].entry(boot_ms=int(time.time() * 1000)), node.hosts[1].entry(), full=True)
 
@@ -126,16 +126,16 @@
     node.list({**node.hosts[0].entry(), "uid": "s-new"}, node.hosts[1].entry(), full=True)
 
 
-@pytest.mark.parametrize("news", [no_list, ready_again, fresh_uid], ids=lambda news: news.__name__)
+@pytest.mark.parametrize("update", [no_list, listed_again, fresh_uid], ids=lambda update: update.__name__)
 def test_a_suspended_host_gets_nothing_until_it_is_resumed(
-    start: Start, news: Callable[[Node], None]
+    start: Start, update: Callable[[Node], None]
 ) -> None:
-    """Guards the operators' ban: no list, and no new uid at its address, ends it early."""
+    """Guards suspensions: neither a list nor a new uid at the address of the host ends one."""
     node = start(hosts=2)
     for _ in range(2):
         assert node.call("/v1/workers/s-0/suspend").status == 200
     assert node.figures()["scheduler_ejected"] == 1
-    news(node)
+    update(node)
     node.hosts[0].sock.setblocking(False)
     other = node.hosts.pop(1)
     for number in range(4):
@@ -150,12 +150,12 @@
     assert node.figures()["scheduler_ejected"] == 0
 
 
-def test_a_drained_scheduler_sends_clients_away_and_comes_back(start: Start) -> None:
+def test_a_drained_scheduler_closes_connections_until_it_is_activated(start: Start) -> None:
     node = start(hosts=1)
     kept, busy = node.client(ask("1a")), node.client(ask("2b"))
     first, second = node.leg(), node.leg()
     legs = legs_by_name(first, second)
-    legs["2b"][0].begin()  # else it would be given up as mute
+    legs["2b"][0].begin()  # otherwise it would be cancelled as silent
     legs["2b"][0].state(legs["2b"][1], "started")
     legs["1a"][0].serve(legs["1a"][1])
     assert kept.message().fields["connection"] == "keep-alive"
@@ -166,7 +166,7 @@
     late = node.client(ask("3c"))
     node.leg(legs["1a"][0]).serve()
     assert late.message().fields["connection"] == "close"
-    assert took(since) < 0.5, "the front may send for a while, and is served"
+    assert took(since) < 0.5, "requests that the load balancer still sends are served"
     assert kept.ended()
     assert 0.5 < took(since) < 2
     legs["2b"][0].state(legs["2b"][1], "done", result="fine")
--- a/tests/test_ports.py
+++ b/tests/test_ports.py
@@ -1,4 +1,4 @@
-"""The ports of processes under test: nobody else is given one between its choice and the process's start."""
+"""Ports of processes under test: no other program gets one before the process listens on it."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 from tests.ports import FIRST, SPAN, WORKERS, free_port
 
-HANDED_OUT = Path("/proc/sys/net/ipv4/ip_local_port_range")
+EPHEMERAL_RANGE = Path("/proc/sys/net/ipv4/ip_local_port_range")
 HOSTS = ("127.0.0.1", "127.0.1.2")
 
 
-def test_all_ranges_lie_below_what_the_system_hands_out() -> None:
-    assert int(HANDED_OUT.read_text().split()[0]) >= FIRST + WORKERS * SPAN
+def test_all_ranges_lie_below_the_ephemeral_ports() -> None:
+    assert int(EPHEMERAL_RANGE.read_text().split()[0]) >= FIRST + WORKERS * SPAN
 
 
 def test_workers_do_not_share_a_range(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -26,7 +26,7 @@
 
 
 @pytest.mark.parametrize("taken_at", HOSTS)
-def test_a_port_that_is_taken_at_one_of_the_addresses_is_passed_over(taken_at: str) -> None:
+def test_a_port_in_use_at_one_of_the_addresses_is_skipped(taken_at: str) -> None:
     first = free_port(HOSTS)
     with socket.socket() as taken:
         taken.bind((taken_at, first + 1 if (first + 1 - FIRST) % SPAN else first + 1 - SPAN))
--- a/tests/test_process_logs.py
+++ b/tests/test_process_logs.py
@@ -1,4 +1,4 @@
-"""The logs that are shown with a test that fails."""
+"""The logs in the report of a failed test."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 import pytest
 
-from tests.process_logs import MOST_BYTES, MOST_FILES, log_sections
+from tests.process_logs import MAX_BYTES, MAX_FILES, log_sections
 
 pytest_plugins = ["pytester"]
 
@@ -26,9 +26,9 @@
 """
 
 
-def test_the_ends_of_all_logs_are_taken(tmp_path: Path) -> None:
+def test_the_ends_of_all_logs_are_returned(tmp_path: Path) -> None:
     (tmp_path / "core").mkdir()
-    (tmp_path / "core" / "core-1.log").write_text("x" * MOST_BYTES + "the end")
+    (tmp_path / "core" / "core-1.log").write_text("x" * MAX_BYTES + "the end")
     (tmp_path / "log-7").write_text("short")
     (tmp_path / "data.bin").write_text("no log")
     sections = dict(log_sections(tmp_path))
@@ -38,13 +38,13 @@
     assert sections["log core/core-1.log"].endswith("the end")
 
 
-def test_no_more_than_a_few_files_are_taken(tmp_path: Path) -> None:
-    for number in range(MOST_FILES + 5):
+def test_the_number_of_files_is_limited(tmp_path: Path) -> None:
+    for number in range(MAX_FILES + 5):
         (tmp_path / f"{number:02}.log").write_text("x")
-    assert len(log_sections(tmp_path)) == MOST_FILES
+    assert len(log_sections(tmp_path)) == MAX_FILES
 
 
-def test_they_stand_in_the_report_of_a_test_that_fails(pytester: pytest.Pytester) -> None:
+def test_logs_are_part_of_the_report_of_a_failed_test(pytester: pytest.Pytester) -> None:
     pytester.makeconftest("from tests.conftest import pytest_runtest_makereport\n")
     pytester.makepyfile(FAILING)
     result = pytester.runpytest("-p", "no:xdist")
--- a/tests/test_streams_quiet.py
+++ b/tests/test_streams_quiet.py
@@ -1,4 +1,4 @@
-"""Whether a connection may carry something: one that has closed is told as such, and is no error."""
+"""`nothing_to_read` on open, readable and closed connections."""
 
 from __future__ import annotations
 
@@ -12,13 +12,14 @@
 
 
 @pytest.mark.parametrize(
-    ("what", "quiet"), [("nothing", True), ("a byte", False), ("the end", False), ("closed here", False)]
+    ("what", "expected"),
+    [("nothing", True), ("a byte", False), ("the end", False), ("closed here", False)],
 )
-def test_what_has_come_on_a_connection(what: str, quiet: bool) -> None:
-    """Seen in `lab duties`, twice in 15 minutes: a stream that a reset had closed, as a job was to go out on
-    it, failed with a TypeError in place of sending the job elsewhere."""
+def test_a_connection_is_reported_as_readable_or_closed(what: str, expected: bool) -> None:
+    """Guards against a TypeError for a stream that a reset closed just before a job was sent on it, seen
+    twice in 15 minutes of `lab duties`. The job must be sent on another connection instead."""
 
-    async def play() -> bool:
+    async def check() -> bool:
         near, far = socket.socketpair()
         stream = IOStream(near)
         if what == "a byte":
@@ -33,4 +34,4 @@
         far.close()
         return found
 
-    assert asyncio.run(play()) is quiet
+    assert asyncio.run(check()) is expected
--- a/tests/test_subsystem.py
+++ b/tests/test_subsystem.py
@@ -1,4 +1,4 @@
-"""What a part beyond the platform's program brings, and how its calls are told apart."""
+"""Subsystems: their events, effects and calls of the operator API."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 from reedspoke.net.subsystem import NAME, Call, Subsystem
 
 
-class Heard(fx.FurtherEvent):
-    word: str
+class TextReceived(fx.FurtherEvent):
+    text: str
 
 
-class Told(fx.FurtherEffect):
-    word: str
+class SendText(fx.FurtherEffect):
+    text: str
 
 
 class Echo(Concern):
     def reactions(self) -> Reactions:
-        return {Heard: lambda event: self.core.ask(Told(event.word))}
+        return {TextReceived: lambda event: self.core.ask(SendText(event.text))}
 
 
 def yes(event: fx.Called) -> fx.Reply:
@@ -33,15 +33,15 @@
 NESTED = Call(b"POST", (b"notes", NAME, b"again"), yes)
 
 
-def asked(method: bytes, target: bytes) -> ParsedCall:
+def parsed(method: bytes, target: bytes) -> ParsedCall:
     return parse_call(Head(1, method, memoryview(target)), (SHOW, MAKE, NESTED))
 
 
-def test_calls_are_told_apart_by_method_and_path_and_carry_what_they_name() -> None:
-    assert asked(b"GET", b"/v1/notes/a%20b") == ParsedCall(fx.Order.FURTHER, "", SHOW.which, ("a b",))
-    assert asked(b"POST", b"/v1/notes/a").max_body_bytes == 9000
-    assert asked(b"POST", b"/v1/notes/a/again").which == NESTED.which
-    assert asked(b"GET", b"/v1/readyz") == ParsedCall(fx.Order.READY), "the platform's own go first"
+def test_calls_are_matched_by_method_and_path_and_carry_their_names() -> None:
+    assert parsed(b"GET", b"/v1/notes/a%20b") == ParsedCall(fx.Order.FURTHER, "", SHOW.which, ("a b",))
+    assert parsed(b"POST", b"/v1/notes/a").max_body_bytes == 9000
+    assert parsed(b"POST", b"/v1/notes/a/again").which == NESTED.which
+    assert parsed(b"GET", b"/v1/readyz") == ParsedCall(fx.Order.READY), "built-in calls have priority"
 
 
 @pytest.mark.parametrize(
@@ -51,21 +51,21 @@
         (b"GET", b"/v2/notes/a", 404), (b"GET", b"/v1/notes/a/b", 404),
     ],
 )  # fmt: skip
-def test_what_is_no_call_is_told(method: bytes, target: bytes, status: int) -> None:
+def test_unknown_calls_are_refused(method: bytes, target: bytes, status: int) -> None:
     with pytest.raises(NoSuchCallError) as found:
-        asked(method, target)
+        parsed(method, target)
     assert found.value.status == status
 
 
-def test_events_and_effects_of_a_part_go_through_the_reducer() -> None:
+def test_events_and_effects_of_a_subsystem_pass_through_the_reducer() -> None:
     from tests.test_reducer import Play
 
     play = Play()
     play.reducer.add(Echo(play.reducer.core))
-    assert play.tell(Heard("word")) == [Told("word")]
+    assert play.tell(TextReceived("word")) == [SendText("word")]
 
 
-def test_two_parts_for_one_call_or_event_are_refused(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_two_subsystems_for_one_call_or_event_are_refused(monkeypatch: pytest.MonkeyPatch) -> None:
     from tests.test_reducer import Play
 
     play = Play()
