--- a/reedspoke/settings.py
+++ b/reedspoke/settings.py
@@ -36,7 +36,7 @@
 class UnknownValueError(ReedspokeError, ValueError):
     """A value of the platform is unknown to this version; the text names the field and the value."""
 
-    code = "value-unknown"
+    code = "word-unknown"
     remedy = "this version does not know a value of the platform: check the field that the message names"
 
 
