--- a/reedspoke/assembly.py
+++ b/reedspoke/assembly.py
@@ -185,6 +185,7 @@
     """Run a scheduler with an operator file. Returns the exit status as `reedspoke.net.node.run` does."""
 
     def serve(config: Config) -> Coroutine[Any, Any, None]:
+        """Serve with a node that has the optional parts."""
         return nodes.serve(config, lambda loaded: assemble(loaded, operator, path))
 
     return nodes.run(load, serve)
--- a/reedspoke/net/directory.py
+++ b/reedspoke/net/directory.py
@@ -89,6 +89,7 @@
         self._task: asyncio.Task[None] | None = None
 
     def effects(self) -> dict[type, Callable[[Any], None]]:
+        """The handlers of the effects that this part executes."""
         return {fx.Follow: self._follow, fx.Unfollow: lambda _: self.close()}
 
     def _follow(self, effect: fx.Follow) -> None:
--- a/reedspoke/net/handover.py
+++ b/reedspoke/net/handover.py
@@ -94,6 +94,7 @@
                 self.folder = None
 
     def effects(self) -> dict[type, Callable[[Any], None]]:
+        """The handlers of the effects that this part executes."""
         return {fx.Record: self._record, fx.Look: self._look, fx.Hold: self._hold, fx.Unclaim: self._unclaim}
 
     # ---- locks ----
@@ -222,9 +223,9 @@
     def _hold(self, effect: fx.Hold) -> None:
         if self.folder is None:
             return
-        held = ProcessHoldings(self.name, effect.leaving, effect.descriptors, effect.slots, effect.learned)
+        state = ProcessHoldings(self.name, effect.leaving, effect.descriptors, effect.slots, effect.learned)
         try:
-            self._replace(self.folder / (PROCESS_FILE_PREFIX + self._token), msgspec.json.encode(held))
+            self._replace(self.folder / (PROCESS_FILE_PREFIX + self._token), msgspec.json.encode(state))
         except OSError as error:
             self._skip(self.folder / PROCESS_FILE_PREFIX, error)
 
@@ -245,14 +246,14 @@
                     path.unlink()
                 continue
             try:
-                held = msgspec.json.decode(path.read_bytes()[:MAX_FILE_BYTES], type=ProcessHoldings)
+                state = msgspec.json.decode(path.read_bytes()[:MAX_FILE_BYTES], type=ProcessHoldings)
             except FileNotFoundError:
                 continue
             except (OSError, ValueError) as error:
                 self._skip(path, error)
                 continue
-            if held.name == self.name:
-                yield fx.Partner(held.leaving, held.descriptors, held.slots, held.learned)
+            if state.name == self.name:
+                yield fx.Partner(state.leaving, state.descriptors, state.slots, state.learned)
 
     def close(self) -> None:
         """Remove the file of this process and release its locks."""
--- a/reedspoke/net/node.py
+++ b/reedspoke/net/node.py
@@ -72,7 +72,7 @@
             self.add_extension(extension)
         for call in part.calls:
             if call.which in reducer.upkeep.further:
-                raise ValueError(f"two parts for {call.which}")
+                raise ValueError(f"two subsystems have the call {call.which}")
             reducer.upkeep.further[call.which] = call.answer
         if self.operator_api is not None:
             self.operator_api.calls += part.calls
@@ -89,6 +89,7 @@
             extension.reload()
 
     def effects(self) -> dict[type, Callable[[Any], None]]:
+        """The handlers of the effects that this part executes."""
         return {fx.Reread: self._reread}
 
     def _reread(self, _: fx.Reread) -> None:
--- a/reedspoke/net/operators.py
+++ b/reedspoke/net/operators.py
@@ -59,7 +59,7 @@
     """No call has this path, or none this method."""
 
     code = "no-such-call"
-    remedy = "see docs/operators.md for the calls of the door and their methods"
+    remedy = "see docs/operators.md for the calls of the operator API and their methods"
 
     def __init__(self, status: int, text: str, allow: bytes = b"") -> None:
         super().__init__(text)
@@ -93,16 +93,16 @@
     parts = tuple(request_path(head).split(b"/")[1:])
     if parts in CALLS:
         method, order = CALLS[parts]
-        asked = ParsedCall(order)
+        parsed = ParsedCall(order)
     elif len(parts) == 4 and parts[0] == b"v1" and parts[1::2] in WORKER_CALLS and parts[2]:
-        method, asked = b"POST", ParsedCall(WORKER_CALLS[parts[1::2]], decode_name(parts[2]))
+        method, parsed = b"POST", ParsedCall(WORKER_CALLS[parts[1::2]], decode_name(parts[2]))
     else:
         found = [(call, names) for call in further if (names := call.names(parts[1:])) is not None]
         if parts[0] != b"v1" or not found:
             raise NoSuchCallError(404, "no such call")
         call, names = next((one for one in found if one[0].method == head.method), found[0])
         method = call.method
-        asked = ParsedCall(
+        parsed = ParsedCall(
             fx.Order.FURTHER,
             "",
             call.which,
@@ -111,7 +111,7 @@
         )
     if head.method != method:
         raise NoSuchCallError(405, f"call it by {method.decode()}", method)
-    return asked
+    return parsed
 
 
 def reply(status: int, text: str, allow: bytes = b"", form: str = PLAIN) -> bytes:
@@ -162,17 +162,17 @@
             if len(buffer) >= MAX_HEAD_BYTES:
                 raise MalformedError(431, "the head is too large")
             await read(self.stream, buffer)
-        asked = parse_call(head, self.operator_api.calls)
+        parsed = parse_call(head, self.operator_api.calls)
         length = head.length() or 0
-        if length > asked.max_body_bytes:
+        if length > parsed.max_body_bytes:
             raise MalformedError(413, "the body is too large")
         requests.expect(length)
         while (body := requests.body()) is None:
             await read(self.stream, buffer, requests.wanted())
-        if len(body) > asked.max_body_bytes:
+        if len(body) > parsed.max_body_bytes:
             raise MalformedError(413, "the body is too large")
         self.operator_api.runtime.emit(
-            fx.Called(self.number, asked.order, asked.host, asked.which, asked.names, bytes(body))
+            fx.Called(self.number, parsed.order, parsed.host, parsed.which, parsed.names, bytes(body))
         )
         status, text, form = await self.reply
         await self._end(reply(status, text, form=form))
@@ -201,6 +201,7 @@
         self.figures: list[Callable[[], str]] = []  # further metrics, as Prometheus text
 
     def effects(self) -> dict[type, Callable[[Any], None]]:
+        """The handlers of the effects that this part executes."""
         return {fx.Reply: self._reply, fx.Dismiss: self._dismiss}
 
     def open(self) -> None:
--- a/reedspoke/net/runtime.py
+++ b/reedspoke/net/runtime.py
@@ -19,8 +19,8 @@
 log = logging.getLogger("reedspoke")
 
 TICK = 5 * MS
-LAG_WARNING = 50 * MS
-COUNTERS_INTERVAL = 10 * SECOND
+LAG_WARNING = 50 * MS  # a larger lag of the event loop is logged as a warning
+COUNTERS_INTERVAL = 10 * SECOND  # between log lines with the counters
 
 
 class Clock:
--- a/tests/test_subsystem.py
+++ b/tests/test_subsystem.py
@@ -77,7 +77,7 @@
 
     node = Bare()
     node.add_subsystem(Subsystem("first", (Echo(play.reducer.core),), (), (SHOW,)))
-    with pytest.raises(ValueError, match="two parts for GET /notes"):
+    with pytest.raises(ValueError, match="two subsystems have the call GET /notes"):
         node.add_subsystem(Subsystem("second", (), (), (SHOW,)))
     with pytest.raises(ValueError, match="two concerns"):
         node.add_subsystem(Subsystem("third", (Echo(play.reducer.core),)))
