--- a/reedspoke/net/message.py
+++ b/reedspoke/net/message.py
@@ -41,9 +41,9 @@
 
     head: Head
     cls: str
-    name: str
-    span: int
-    hint: int
+    name: str  # the x-request-id
+    span: int  # us that the client waits
+    hint: int  # expected cost, 0 if unknown
     slots: int
     memory: float
     tenant: str
