--- a/reedspoke/data_plane/answer_reader.py
+++ b/reedspoke/data_plane/answer_reader.py
@@ -12,7 +12,7 @@
 from msgspec import Struct
 
 from reedspoke.data_plane.headers import ATTEMPT_ID, field_text
-from reedspoke.net.http import STATUS_LINE, Answers, Buffer, End, Head, MalformedError
+from reedspoke.net.http import STATUS_LINE, Buffer, Head, MalformedError, ResponseEnd, ResponseParser
 
 ANSWER_START = b"HTTP/1."
 SUCCESS_STATUS = range(200, 300)
@@ -67,7 +67,7 @@
     def __init__(self) -> None:
         self.state = State.IDLE
         self._buffer = Buffer()
-        self._answers = Answers(self._buffer)
+        self._answers = ResponseParser(self._buffer)
         self._expected_id = ""
         self._request_count = 0  # Requests sent on this connection, including the one in flight.
         self._must_close = False  # The worker will close the connection, or sent a foreign answer.
@@ -152,7 +152,7 @@
             return True
         return any(name in FRAMING_FIELDS for name, _ in head.fields)
 
-    def _take_end(self, end: End) -> AnswerEnd | None:
+    def _take_end(self, end: ResponseEnd) -> AnswerEnd | None:
         self._must_close = self._must_close or not end.reusable
         if self.state is State.FOREIGN:
             self.state = State.WAITING
--- a/reedspoke/net/client_server.py
+++ b/reedspoke/net/client_server.py
@@ -17,11 +17,18 @@
 from reedspoke.net import effects as fx
 from reedspoke.net import problems
 from reedspoke.net.core import SECOND
-from reedspoke.net.http import SCANT, Buffer, Head, MalformedError, Requests
+from reedspoke.net.http import MIN_READ_BYTES, Buffer, Head, MalformedError, RequestParser
 from reedspoke.net.listener import Listener
-from reedspoke.net.message import Message, authorisation, class_of, path
+from reedspoke.net.message import Message, class_of_path, parse_authorisation, request_path
 from reedspoke.net.runtime import Runtime
-from reedspoke.net.streams import drain, end_sending, has_gone, start_read, stream, waits_unread
+from reedspoke.net.streams import (
+    discard_input,
+    end_sending,
+    has_unread_bytes,
+    peer_has_closed,
+    start_read,
+    stream,
+)
 
 log = logging.getLogger("reedspoke")
 
@@ -88,7 +95,7 @@
     def __init__(self, server: ClientServer, number: int, stream: IOStream) -> None:
         self.server, self.number, self.stream = server, number, stream
         self.buffer = Buffer()
-        self.requests = Requests(self.buffer)
+        self.requests = RequestParser(self.buffer)
         self.answer: asyncio.Future[fx.SendResponse] | None = None
         self.begun = False  # bytes of a request have been received
         self.replied = False  # the response is being written
@@ -129,8 +136,8 @@
         plain = self._plain_answer(head)
         if plain is not None:
             status, last, allow = plain
-            ready = path(head) == b"/ready" and status != 405
-            body = b"" if ready else problems.of_status(status)
+            ready = request_path(head) == b"/ready" and status != 405
+            body = b"" if ready else problems.body_for_status(status)
             more = allow + b"Cache-Control: no-store\r\n" + (b"" if ready else problems.FIELD)
             data = answer_head(status, len(body), close=last, more=more)
             await self._write(data if head.method == b"HEAD" else data + body)
@@ -140,7 +147,7 @@
         if length is None:
             raise MalformedError(411, "no length")
         self.requests.expect(length)
-        message = authorisation(head, self.server.classes)
+        message = parse_authorisation(head, self.server.classes)
         done: Callable[[], None] | None = None
         forbidden: ForbiddenError | None = None
         if self.server.gate is not None:
@@ -173,7 +180,7 @@
         last = answer.last or not head.keeps_alive()
         result, more = answer.result, b""
         if answer.outcome is not fx.Outcome.SERVED:
-            result, more = problems.OF_OUTCOME[answer.outcome], problems.FIELD
+            result, more = problems.BODY_BY_OUTCOME[answer.outcome], problems.FIELD
         if answer.retry_after > 0:
             more += b"Retry-After: %.3f\r\n" % (answer.retry_after / SECOND)
         self.replied = True
@@ -184,7 +191,7 @@
     async def _send_forbidden(self, forbidden: ForbiddenError, last: bool) -> bool:
         """Reject a request before the decision module sees it; after a 401 the client must reconnect."""
         last = last or forbidden.status == 401
-        body, more = problems.of_status(forbidden.status), problems.FIELD
+        body, more = problems.body_for_status(forbidden.status), problems.FIELD
         if forbidden.status == 401:
             more += b"WWW-Authenticate: Bearer\r\n"
         if forbidden.after:
@@ -211,14 +218,14 @@
     def _plain_answer(self, head: Head) -> tuple[int, bool, bytes] | None:
         """Return the response to what is not a job request: its status, whether the connection ends with it,
         and the Allow field."""
-        named = path(head)
+        named = request_path(head)
         bare = head.length() in (None, 0)
         last = not head.keeps_alive() or not bare or self.server.runtime.leaving()
         if named == b"/ready":
             if head.method not in (b"GET", b"HEAD"):
                 return 405, True, b"Allow: GET, HEAD\r\n"
             return (200 if self.server.runtime.ready() else 503), last, b""
-        if class_of(named) not in self.server.classes:
+        if class_of_path(named) not in self.server.classes:
             return 404, last, b""
         if head.method != b"POST":
             return 405, last, b"Allow: POST\r\n"
@@ -227,7 +234,7 @@
     async def _wait_for_answer(self, message: Message) -> fx.SendResponse:
         """Wait for the response; meanwhile read what the client sends ahead, and notice its disconnect."""
         self.answer = asyncio.get_running_loop().create_future()
-        arrived = message.arrived(self.number)
+        arrived = message.to_event(self.number)
         arrived.open_in_sibling = not self.server.claim(message.name)
         self.server.runtime.emit(arrived)
         try:
@@ -247,7 +254,7 @@
         finally:
             self.answer = None
 
-    def _start_reading(self, room: int = SCANT) -> asyncio.Future[int]:
+    def _start_reading(self, room: int = MIN_READ_BYTES) -> asyncio.Future[int]:
         if self._reading is None:
             self._reading = start_read(self.stream, self.buffer, room)
         return self._reading
@@ -264,7 +271,7 @@
         finally:
             del reading
 
-    async def _read(self, room: int = SCANT) -> None:
+    async def _read(self, room: int = MIN_READ_BYTES) -> None:
         """Read more bytes; a read that began while the last response was pending is continued."""
         waits: set[asyncio.Future[Any]] = {self._start_reading(room), self._dropped}
         await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
@@ -280,7 +287,7 @@
 
     async def _send_error(self, status: int, why: str = "") -> None:
         """Send an error response and close, if the client is still connected."""
-        body = problems.of_status(status, why)
+        body = problems.body_for_status(status, why)
         with suppress(StreamClosedError, TimeoutError):
             await self._write(answer_head(status, len(body), close=True, more=problems.FIELD) + body)
             await self._finish(True)
@@ -307,11 +314,11 @@
             if self._reading.exception() is not None:
                 return
             self._reading = None
-        await drain(self.stream, MAX_DISCARDED)
+        await discard_input(self.stream, MAX_DISCARDED)
 
     def gone(self) -> bool:
         """Whether the client has disconnected, even if that is still unread."""
-        return has_gone(self.stream)
+        return peer_has_closed(self.stream)
 
     def drop(self, mode: fx.CloseMode) -> None:
         """Close the connection in the given mode, unless a response is owed."""
@@ -322,7 +329,7 @@
         if mode is fx.CloseMode.IMMEDIATELY:
             self.stream.close()
         elif not self._dropped.done() and (
-            not waits_unread(self.stream) if idle else mode is fx.CloseMode.WITH_ERROR
+            not has_unread_bytes(self.stream) if idle else mode is fx.CloseMode.WITH_ERROR
         ):
             self._dropped.set_result(fx.CloseMode.IF_IDLE if idle else mode)
 
--- a/reedspoke/net/runtime.py
+++ b/reedspoke/net/runtime.py
@@ -1,4 +1,4 @@
-"""Feeds events to the reducer and carries out the effects that it asks for, in order, one event at a time."""
+"""Passes events to the reducer, one at a time, and executes the effects that it returns, in order."""
 
 from __future__ import annotations
 
@@ -14,54 +14,60 @@
 from reedspoke.net.core import MS, SECOND
 from reedspoke.net.reducer import Reducer
 from reedspoke.net.state import ProcessPhase
-from reedspoke.net.wheel import Wheel
+from reedspoke.net.timer_wheel import TimerWheel
 
 log = logging.getLogger("reedspoke")
 
 TICK = 5 * MS
-LAG_TOLD = 50 * MS
-FIGURES_EVERY = 10 * SECOND
+LAG_WARNING = 50 * MS  # a larger lag of the event loop is logged as a warning
+COUNTERS_INTERVAL = 10 * SECOND  # between log lines with the counters
 
 
 class Clock:
-    """Microseconds of Unix time that never step: taken once, then carried on by the monotonic clock."""
+    """Unix time in microseconds that never jumps: read once, then advanced by the monotonic clock."""
 
     def __init__(self) -> None:
         self._offset = time.time_ns() - time.monotonic_ns()
 
     def now(self) -> int:
+        """The time, us."""
         return (self._offset + time.monotonic_ns()) // 1000
 
 
-class Part(Protocol):
-    """A part with sockets; it takes the effects that it names."""
+class EffectHandler(Protocol):
+    """A part with sockets that executes the types of effects that it lists."""
 
-    def effects(self) -> dict[type, Callable[[Any], None]]: ...
+    def effects(self) -> dict[type, Callable[[Any], None]]:
+        """The handler of each type of effect."""
+        ...
 
 
 class Runtime:
+    """Connects the reducer to the event loop: events, effects and timers."""
+
     def __init__(self, clock: Clock, reducer: Reducer) -> None:
         self.clock = clock
         self.reducer = reducer
-        self.over = asyncio.Event()
+        self.stopped = asyncio.Event()
         self._events: deque[tuple[fx.Event, int]] = deque()
         self._busy = False
-        self._wheel = Wheel(TICK, clock.now())
-        self._turning = False
+        self._wheel = TimerWheel(TICK, clock.now())
+        self._ticking = False
         self._lag = 0
-        self._told_at = clock.now()
-        self._doing: dict[type, Callable[[Any], None]] = {
-            fx.SetTimer: self._ring,
+        self._logged_at = clock.now()
+        self._handlers: dict[type, Callable[[Any], None]] = {
+            fx.SetTimer: self._set_timer,
             fx.CancelTimer: lambda effect: self._wheel.stop(effect.key),
-            fx.WriteLog: self._say,
-            fx.Exit: lambda _: self.over.set(),
+            fx.WriteLog: self._log,
+            fx.Exit: lambda _: self.stopped.set(),
         }
 
-    def attach(self, part: Part) -> None:
-        self._doing.update(part.effects())
+    def attach(self, part: EffectHandler) -> None:
+        """Register the handlers of a part."""
+        self._handlers.update(part.effects())
 
     def emit(self, event: fx.Event) -> None:
-        """Tell the reducer; what its effects cause at once is told behind it."""
+        """Handle an event; events that its effects cause at once are queued after it."""
         self._events.append((event, self.clock.now()))
         if self._busy:
             return
@@ -70,17 +76,17 @@
             while self._events:
                 event, now = self._events.popleft()
                 for effect in self.reducer.handle(event, now):
-                    self._do(effect)
+                    self._execute(effect)
         finally:
             self._busy = False
 
-    def _do(self, effect: fx.Effect) -> None:
+    def _execute(self, effect: fx.Effect) -> None:
         try:
-            self._doing[type(effect)](effect)
-        except Exception:  # one effect that fails must not take the others with it
+            self._handlers[type(effect)](effect)
+        except Exception:  # a failed effect must not prevent the others
             log.exception("fault: effect %s", type(effect).__name__)
 
-    def _say(self, effect: fx.WriteLog) -> None:
+    def _log(self, effect: fx.WriteLog) -> None:
         if effect.fault:
             log.error("fault: %s", effect.text)
         else:
@@ -88,31 +94,31 @@
 
     # ---- time ----
 
-    def _ring(self, effect: fx.SetTimer) -> None:
+    def _set_timer(self, effect: fx.SetTimer) -> None:
         self._wheel.set(effect.key, effect.at)
-        if not self._turning:
-            self._turning = True
-            self._turn_next()
+        if not self._ticking:
+            self._ticking = True
+            self._schedule_tick()
 
-    def _turn_next(self) -> None:
+    def _schedule_tick(self) -> None:
         now = self.clock.now()
         due = (now // TICK + 1) * TICK
-        asyncio.get_running_loop().call_later((due - now) / SECOND, self._turn, due)
+        asyncio.get_running_loop().call_later((due - now) / SECOND, self._on_tick, due)
 
-    def _turn(self, due: int) -> None:
+    def _on_tick(self, due: int) -> None:
         now = self.clock.now()
         self._lag = max(self._lag, now - due)
         for key in self._wheel.advance(now):
             self.emit(fx.TimerFired(key))  # type: ignore[arg-type]
-        if now - self._told_at >= FIGURES_EVERY:
-            self.tell_figures()
-        self._turning = len(self._wheel) > 0 and not self.over.is_set()
-        if self._turning:
-            self._turn_next()
-
-    def tell_figures(self) -> None:
-        """One line: what was counted since the start, and the loop's worst lag since the last such line."""
-        if self._lag > LAG_TOLD:
+        if now - self._logged_at >= COUNTERS_INTERVAL:
+            self.log_counters()
+        self._ticking = len(self._wheel) > 0 and not self.stopped.is_set()
+        if self._ticking:
+            self._schedule_tick()
+
+    def log_counters(self) -> None:
+        """Log the counters since the start and the largest lag of the event loop since the last such line."""
+        if self._lag > LAG_WARNING:
             log.warning("loop lag: %d ms", self._lag // MS)
         rss = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss // 1024
         state = self.reducer.state
@@ -126,10 +132,12 @@
             len(state.open_request_ids),
             counted,
         )
-        self._lag, self._told_at = 0, self.clock.now()
+        self._lag, self._logged_at = 0, self.clock.now()
 
     def ready(self) -> bool:
+        """Whether clients may be sent to this process."""
         return self.reducer.state.ready()
 
     def leaving(self) -> bool:
+        """Whether clients are sent away, or the process has ended its service."""
         return self.reducer.state.leaving() or self.reducer.state.phase is ProcessPhase.ENDED
--- a/reedspoke/net/subsystem.py
+++ b/reedspoke/net/subsystem.py
@@ -1,7 +1,9 @@
-"""A part beyond the platform's program, and all that it brings, in one place: components of the reducer,
-parts with sockets, calls at the operators' door, figures. Its events and effects are its own
-(`ExtensionEvent`, `ExtensionEffect`), its part of the operator file as well; nothing here knows any of
-them."""
+"""The interface of optional subsystems, which the platform's program does without.
+
+A subsystem brings concerns of the reducer, parts with sockets or threads, calls of the operator API and
+metrics. It defines its own events and effects (`FurtherEvent`, `FurtherEffect`) and its own section of the
+operator file; this package depends on none of them.
+"""
 
 from __future__ import annotations
 
@@ -12,37 +14,48 @@
 from reedspoke.net import effects as fx
 from reedspoke.net.core import Component
 
-NAME = b"*"  # in a call's path: a part that the caller chooses
+NAME = b"*"  # a segment of a call's path that the caller chooses
 
 
 class Extension(Protocol):
-    """A part with sockets or threads of its own."""
+    """A part with sockets or threads of its own: opened, reloaded and closed with the scheduler."""
 
-    def effects(self) -> dict[type, Callable[[Any], None]]: ...
+    def effects(self) -> dict[type, Callable[[Any], None]]:
+        """The handlers of the effects that this part executes."""
+        ...
 
-    def open(self) -> None: ...
+    def open(self) -> None:
+        """Start to serve, within the running event loop."""
+        ...
 
-    def reload(self) -> None: ...
+    def reload(self) -> None:
+        """Read the configuration again, after SIGHUP."""
+        ...
 
-    def close(self) -> None: ...
+    def close(self) -> None:
+        """Release all resources, at the end of the process."""
+        ...
 
 
 @dataclass(slots=True, frozen=True)
 class Call:
-    """At the operators' door. `path`: its parts behind /v1. `answer` returns the reply, or None where an
-    effect brings it later. `most_body`: bytes."""
+    """A call of the operator API; `path` has the segments after /v1.
+
+    `answer` returns the reply, or None if an effect brings it later.
+    """
 
     method: bytes
     path: tuple[bytes, ...]
     answer: Callable[[fx.OperatorCall], fx.ReplyToOperator | None]
-    most_body: int = 0
+    max_body_bytes: int = 0
 
     @property
     def which(self) -> str:
+        """The method and the path, which identify the call."""
         return (self.method + b" /" + b"/".join(self.path)).decode()
 
     def names(self, parts: tuple[bytes, ...]) -> tuple[bytes, ...] | None:
-        """What the caller chose, None: it is another call's path."""
+        """The segments that the caller chose, None if the path is not that of this call."""
         if len(parts) != len(self.path):
             return None
         pairs = list(zip(self.path, parts, strict=True))
@@ -53,10 +66,10 @@
 
 @dataclass(slots=True)
 class Subsystem:
-    """`figures`: Prometheus text, asked for where a door is open."""
+    """Everything that a subsystem brings; `figures` returns Prometheus text for the operator API."""
 
     name: str
     components: tuple[Component, ...] = ()
-    parts: tuple[Extension, ...] = ()
+    extensions: tuple[Extension, ...] = ()
     calls: tuple[Call, ...] = ()
     figures: Callable[[], str] | None = None
--- a/reedspoke/net/worker_connections.py
+++ b/reedspoke/net/worker_connections.py
@@ -12,10 +12,10 @@
 from reedspoke import interface as api
 from reedspoke.net import effects as fx
 from reedspoke.net import message as words
-from reedspoke.net.http import Answers, Buffer, End, Head, Lines, MalformedError
+from reedspoke.net.http import Buffer, Head, LineSplitter, MalformedError, ResponseEnd, ResponseParser
 from reedspoke.net.message import Message
 from reedspoke.net.runtime import Runtime
-from reedspoke.net.streams import connect, is_quiet, read
+from reedspoke.net.streams import connect, nothing_to_read, read
 
 MAX_REPORT = 4096  # bytes of a load report in the body of a probe response
 
@@ -61,7 +61,7 @@
     async def _read(self) -> None:
         assert self.stream is not None
         buffer = Buffer()
-        answers, lines, status, body = Answers(buffer), Lines(), 0, bytearray()
+        answers, lines, status, body = ResponseParser(buffer), LineSplitter(), 0, bytearray()
         while True:
             buffer.recycle()
             await read(self.stream, buffer)
@@ -69,11 +69,11 @@
                 raise MalformedError(400, "unexpected bytes on an idle connection")
             for item in answers.feed():
                 if isinstance(item, Head):
-                    lines, status, body = Lines(), item.status, bytearray()
+                    lines, status, body = LineSplitter(), item.status, bytearray()
                     self.emit(fx.ResponseStarted(self.number))
                     if status != 200 or not self.request_id and item.get(b"x-load") is not None:
                         self._conclude_by_status(item)
-                elif isinstance(item, End):
+                elif isinstance(item, ResponseEnd):
                     free = item.reusable and not len(buffer)
                     if not self.request_id and not self.reported:
                         self._conclude_probe(body, free)
@@ -96,12 +96,14 @@
 
     def _conclude_by_status(self, head: Head) -> None:
         self.reported, invalid = True, False
-        report = words.report(words.load_field(head.get(b"x-load")), self.connector.report_fields)
+        report = words.ordered_report(
+            words.parse_load_header(head.get(b"x-load")), self.connector.report_fields
+        )
         if not self.request_id:
             reason = api.Reason.OK if head.status == 200 else api.Reason.FULL
         else:
-            reason = words.reason_of(head.status, head.get(b"x-not-run") == b"1")
-            if invalid := head.status in words.AT_FAULT:
+            reason = words.reason_for_status(head.status, head.get(b"x-not-run") == b"1")
+            if invalid := head.status in words.INVALID_REQUEST_STATUSES:
                 self.emit(fx.RequestMalformed(head.status, "rejected by a worker"))
             elif reason is api.Reason.ERROR and head.status != 500:
                 log.warning("worker %s:%d: unexpected status %d", *self.endpoint, head.status)
@@ -110,21 +112,21 @@
     def _conclude_probe(self, body: bytearray, free: bool) -> None:
         """Report the outcome of a probe; the body is a load report, ignored if it cannot be parsed."""
         self.reported, self.busy = True, not free
-        report = words.report(words.load_field(bytes(body)), self.connector.report_fields)
+        report = words.ordered_report(words.parse_load_header(bytes(body)), self.connector.report_fields)
         self.emit(fx.OutcomeReceived(self.number, api.Reason.OK, report, reusable=free))
 
     def _take_line(self, raw: memoryview | bytes) -> None:
         if self.reported:
             return
-        line = words.line(raw)
+        line = words.parse_line(raw)
         if line.id != self.request_id:
             raise MalformedError(400, "response names another request")
         if (kind := words.NOTES.get(line.state)) is not None:
             self.emit(fx.AttemptProgress(self.number, kind, line.share))
-        elif (reason := words.STATES.get(line.state)) is not None:
+        elif (reason := words.REASONS.get(line.state)) is not None:
             self.reported = True
-            report = words.report(line.load, self.connector.report_fields)
-            result = words.result(line.result) if reason is api.Reason.OK else b""
+            report = words.ordered_report(line.load, self.connector.report_fields)
+            result = words.result_body(line.result) if reason is api.Reason.OK else b""
             self.emit(fx.OutcomeReceived(self.number, reason, report, result))
 
     def transmit(self, client: int, message: Message, wait: int) -> None:
@@ -133,14 +135,14 @@
         if not self.connector.is_connected(client):
             self.emit(fx.AttemptNotSent(self.number))
             return
-        if not is_quiet(self.stream):
+        if not nothing_to_read(self.stream):
             # The worker has closed this connection or sent unexpected bytes, which are still unread. No byte
             # of the attempt is written, so a job that must not run twice can be retried safely.
             self.emit(fx.AttemptNotSent(self.number, ended=True))
             return
         self.request_id, self.busy, self.reported = message.name, True, False
         try:
-            written = self.stream.write(message.leg_head(self.endpoint, wait))
+            written = self.stream.write(message.request_head(self.endpoint, wait))
             if len(message.body):
                 written = self.stream.write(message.body)
         except StreamClosedError:
--- a/reedspoke/sealed.py
+++ b/reedspoke/sealed.py
@@ -1,4 +1,4 @@
-"""The form of files in the store: a first line with the kind, the form's number and a digest of the rest."""
+"""The format of stored files: a first line with the kind, the format version and a digest of the rest."""
 
 from __future__ import annotations
 
@@ -7,25 +7,29 @@
 from reedspoke.errors import ReedspokeError
 
 
-class TornError(ReedspokeError):
-    """What was read is not what was written; the text says why and holds nothing of it."""
+class CorruptFileError(ReedspokeError):
+    """A stored file is damaged or of another format; the text says why without quoting the content."""
 
     code = "file-torn"
-    remedy = "nothing at once: the file is passed over; restore it if the message comes again"
+    remedy = "nothing at first: the file is skipped; restore it if the message is repeated"
 
 
-def seal(mark: bytes, form: int, body: bytes) -> bytes:
-    return b"%b %d %b\n" % (mark, form, hashlib.sha256(body).hexdigest().encode()) + body
+def seal(kind: bytes, format_version: int, body: bytes) -> bytes:
+    """Add the first line to a body."""
+    return b"%b %d %b\n" % (kind, format_version, hashlib.sha256(body).hexdigest().encode()) + body
 
 
-def unseal(mark: bytes, form: int, raw: bytes) -> bytes:
-    """The body. Raises TornError for what is torn, foreign, or of another form."""
+def unseal(kind: bytes, format_version: int, raw: bytes) -> bytes:
+    """Check the first line and return the body.
+
+    Raises CorruptFileError for a damaged file, another kind of file, or another format version.
+    """
     first, _, body = raw.partition(b"\n")
     words = first.split(b" ")
-    if len(words) != 3 or words[0] != mark or not words[1].isdigit():
-        raise TornError("it is no file of this program")
-    if int(words[1][:9]) != form:
-        raise TornError(f"its form is {int(words[1][:9])}, this program knows {form}")
+    if len(words) != 3 or words[0] != kind or not words[1].isdigit():
+        raise CorruptFileError("it is not a file of this program")
+    if int(words[1][:9]) != format_version:
+        raise CorruptFileError(f"its form is {int(words[1][:9])}, this program knows {format_version}")
     if hashlib.sha256(body).hexdigest().encode() != words[2]:
-        raise TornError("it is torn")
+        raise CorruptFileError("its digest does not match its content")
     return body
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -67,7 +67,7 @@
             await connect_and_close(10)
             while node.runtime.reducer.state.clients or node.runtime.reducer.state.operator_calls:
                 await asyncio.sleep(0)
-            await asyncio.gather(*node.client_server._tasks, *node.door._tasks)  # type: ignore[union-attr]
+            await asyncio.gather(*node.client_server._tasks, *node.operator_api._tasks)  # type: ignore[union-attr]
             await asyncio.sleep(0)
             return count_connections() - before
         finally:
