--- a/reedspoke/data_plane/exchange.py
+++ b/reedspoke/data_plane/exchange.py
@@ -1,7 +1,7 @@
-"""One client request and its attempts at workers, from the read request to the end of its answer.
+"""One client request and its attempts at workers, from the complete request to the end of its answer.
 
-An exchange executes the decisions of the dispatcher and reports what it observes of each attempt as an
-`Evidence`. Only `decision.attempt_fate` decides what an evidence proves.
+An exchange executes the decisions of the dispatcher, and reports to its owner what it observed of each
+attempt: an `Evidence`. Only `decision.attempt_fate` decides from it whether the request ran at the worker.
 """
 
 from __future__ import annotations
@@ -47,8 +47,10 @@
 from reedspoke.decision.messages import Expire, Fail, Job, Refuse, WorkerEntry
 from reedspoke.net.http import Head
 
-MAX_BUFFERED_ANSWER_BYTES = 8 * 1024 * 1024  # Answers other than streams are buffered before forwarding.
+# Answers other than streams are buffered completely before they are forwarded; larger ones are malformed.
+MAX_BUFFERED_ANSWER_BYTES = 8 * 1024 * 1024
 STATUS_OK = 200
+# The reason in the request log if it cannot be confirmed that the API key is still valid.
 KEY_IN_DOUBT_REASON = "key in doubt"
 
 
@@ -76,8 +78,9 @@
         self._request = UpstreamRequest(request, self._authorization.tenant)
         self._response = ClientResponse(client, self._request.last_event_id)
         self._attempt: Attempt | None = None
-        self._attempts = 0
-        # The latest worker error that may be forwarded, kept in case all further attempts fail.
+        self._attempts = 0  # The number of attempts started, which is also the number of the latest one.
+        # The latest worker error that may be forwarded. If all further attempts fail, the client gets it in
+        # place of an error of this scheduler.
         self._last_error_answer: CompleteAnswer | None = None
         self._earlier_may_have_run = False  # Whether an attempt that has ended may have run.
         self._client_paused = False  # The write buffer towards the client is full.
@@ -89,7 +92,8 @@
     def send(self, worker: WorkerEntry, urgency: int | None = None, avoided: tuple[str, ...] = ()) -> None:
         """Starts an attempt at a worker.
 
-        `avoided` are the suspected workers that the choice avoided. A stream that cannot be resumed is
+        `urgency` is sent to the worker in the Priority field; None sends no field. `avoided` are the workers
+        that the dispatcher passed over as suspect, for the request log. A stream that cannot be resumed is
         aborted, because another run would start again at the first event.
         """
         if not self._response.resumable:
@@ -205,7 +209,8 @@
         if isinstance(result, ConnectFailure):
             self._abort_attempt(Ending.CONNECT_FAILED)
             return
-        # It was reset while it was opened: nothing was sent, and no later event would report the end.
+        # The connection was reset while it was being opened. Nothing was sent on it, and no later event would
+        # report its end.
         if not result.is_healthy():
             result.close()
             self._abort_attempt(Ending.CONNECT_FAILED)
@@ -237,11 +242,13 @@
         """Refuses a request whose key has been, or may have been, revoked since the request arrived."""
         may_have_run = self._may_have_run()
         self._cancel_attempt()
+        # The answer about the key says that the request has not run, so it is sent only if that is certain.
         answer = worker_failed_answer() if may_have_run else unconfirmed_key_answer()
         self._answer_or_abort(answer, RequestOutcome.REFUSED, KEY_IN_DOUBT_REASON)
         self._owner.exchange_aborted(self)
 
     def _check_drain(self, attempt: Attempt) -> None:
+        """Checks that the worker has not long been known to drain or to be gone."""
         instance_id = attempt.worker.instance_id
         since = self._owner.unavailable_since(instance_id)
         known_s = 0.0 if since is None else self._loop.time() - since
@@ -251,7 +258,7 @@
 
     @contain_errors
     def on_head(self, head: Head) -> None:
-        """Handles the head of the answer; a success without a worker's seal ends the attempt."""
+        """Handles the head of the answer; a success without Reedspoke-Response-Seal ends the attempt."""
         attempt = self._attempt
         assert attempt is not None
         self._note_received(attempt)
@@ -260,7 +267,8 @@
         attempt.not_executed = head.get(NOT_EXECUTED) is not None
         attempt.fields = forwarded_answer_fields(head)
         if head.status in SUCCESS_STATUS and head.get(RESPONSE_SEAL) is None:
-            self._abort_attempt(Ending.MALFORMED)  # Without the seal it may not come from a worker.
+            # Workers add this field to every success. Without it, any other server may have answered.
+            self._abort_attempt(Ending.MALFORMED)
             return
         if head.status == STATUS_OK and self.route.streaming:
             attempt.splitter = EventSplitter()
@@ -355,12 +363,15 @@
         evidence = attempt.evidence(Ending.COMPLETE)
         answer = CompleteAnswer(status_line(attempt.status), attempt.fields, bytes(attempt.body or b""))
         if is_wrong_instance(evidence):
-            self._pool.close_idle(attempt.worker.instance_id)  # They lead to another instance as well.
+            # The pool's idle connections for this worker lead to the other instance as well.
+            self._pool.close_idle(attempt.worker.instance_id)
         action = action_for_answer(evidence, self.job.repeat, self._response.started)
         if action is AnswerAction.NOT_RUN:
             self._record_attempt_end(evidence)
         elif action is AnswerAction.RETRY:
             self._last_error_answer = answer if may_forward(attempt.status) else self._last_error_answer
+            # A complete answer would count as final. Reported as malformed, the attempt may have run, and the
+            # dispatcher may retry.
             self._record_attempt_end(Evidence(Ending.MALFORMED, True, attempt.status))
         else:
             self._record_attempt_end(Evidence(Ending.COMPLETE, True, attempt.status))
--- a/reedspoke/data_plane/request_admission.py
+++ b/reedspoke/data_plane/request_admission.py
@@ -33,12 +33,12 @@
 from reedspoke.net.http import Head
 from reedspoke.telemetry.invariants import Invariant, check
 
-NOT_READY_RETRY_S = 0.3
-IN_DOUBT_RETRY_S = 0.3
-QUOTA_WAIT_FRACTION = (
-    0.2  # of the latency target; the rest is left for the queue, so that refusals are still early
-)
-MAX_QUOTA_WAIT_S = 0.25
+NOT_READY_RETRY_S = 0.3  # Retry-After of a refusal while there is no configuration yet.
+IN_DOUBT_RETRY_S = 0.3  # Retry-After of a refusal while the configuration may be out of date.
+# A request waits for quota for at most this fraction of its latency target. The rest is left for the time in
+# the queue, so that a request refused there still gets its refusal early.
+QUOTA_WAIT_FRACTION = 0.2
+MAX_QUOTA_WAIT_S = 0.25  # The limit of the wait for quota on routes with a long latency target.
 
 
 class NullExchange:
@@ -71,6 +71,7 @@
         self._confirmation = confirmation
         self._quota_client = quota_client
         self._max_key_age_s = max_configuration_age_s(bounds)
+        # After this time no node may accept a revoked key; None if the deployment sets no such strict limit.
         self._revoke_s = bounds.revoke_ms / 1000 if bounds.revoke_strict else None
         self._quota_waits: set[QuotaWait] = set()
 
@@ -81,7 +82,7 @@
         self._forwarder.configure(configuration)
 
     def begin(self, request: ClientRequest, connection: ClientConnection) -> RequestHandler:
-        """Begin the exchange of a request that was read completely."""
+        """Admit or refuse a request that was read completely; return the handler of its further events."""
         trace = self._trace(request)
         if self.routes.configuration is None:
             message = "no configuration received yet"
@@ -127,7 +128,11 @@
         )
 
     def _no_route(self) -> CompleteAnswer:
-        """The response to a request without a route; 404 only if the configuration is not in doubt."""
+        """The response to a request without a route.
+
+        404 tells the client not to try again. So it is sent only while the configuration is certainly up to
+        date, as otherwise a newer one may have the route.
+        """
         if self.in_doubt():
             message = "the configuration in force may be out of date"
             return error_answer(503, ErrorCode.CONFIGURATION_IN_DOUBT, message, IN_DOUBT_RETRY_S)
@@ -159,6 +164,7 @@
         return Authorization(arrived, holder.name, holder.priority, is_valid)
 
     def _check_key_freshness(self, holder: KeyHolder | None, trace: RequestTrace) -> None:
+        """Check the invariant that a key is accepted only while it cannot have been revoked for too long."""
         if holder is not None and self._revoke_s is not None:
             age_s = self._freshness().age_s
             check(Invariant.KEY_IS_CERTAIN, age_s <= self._revoke_s, age_s=age_s, attempt_id=trace.attempt_id)
@@ -173,6 +179,8 @@
         holder: KeyHolder | None,
         trace: RequestTrace,
     ) -> RequestHandler:
+        """Forward the request, at once or after its tenant's quota has granted the units that it costs."""
+        # A client that retries with the same attempt id gets the same upstream of a split route.
         upstream = route.upstream_for(request.head.get(ATTEMPT_ID) or b"")
         authorization = self._authorize(request.head, route, holder, request.first_byte_at)
         self._check_key_freshness(holder, trace)
@@ -237,7 +245,10 @@
 
 
 def quota_refusal(decision: QuotaDecision) -> CompleteAnswer:
-    """The response to a request whose quota is spent, or for which no control plane node could grant any."""
+    """The response to a request, which has not run, as no units of its tenant's quota were granted.
+
+    Either the quota is spent, or no control plane node responded in time.
+    """
     if decision.spent:
         message = "the tenant's quota is spent"
         return error_answer(429, ErrorCode.QUOTA_SPENT, message, decision.retry_after_s)
--- a/reedspoke/data_plane/session_choice.py
+++ b/reedspoke/data_plane/session_choice.py
@@ -1,12 +1,12 @@
 """Selects the control plane nodes to keep sessions with. No I/O, no clock, no randomness of its own.
 
-A session is confirmed while a recent response says that its control plane node has a majority. The target is
-two confirmed sessions, in different zones if possible, and one more while the configuration is in doubt. A
-session that was just opened counts towards the target for a short time only, so that slow connections do not
-prevent others from being tried.
+A session is confirmed while a recent response says that a majority of voters supports its control plane node.
+The target is two confirmed sessions, in different zones if possible, and one more while the configuration is
+in doubt: while it may be older than the deployment allows. A session that was just opened counts towards the
+target for a short time only, so that slow connections do not prevent others from being tried.
 
-The caller calls `next_member` and connects to the result until it is None, and calls `should_close` for each
-open session; it reports events with the other methods.
+The caller connects to what `next_member` returns, again and again until it returns None, and calls
+`should_close` for each open session. It reports events with the other methods.
 """
 
 from __future__ import annotations
@@ -22,19 +22,20 @@
 
 TARGET_SESSIONS = 2
 TARGET_SESSIONS_IN_DOUBT = 3
-MAX_OPEN_SESSIONS = 4  # including unconfirmed sessions
-OPENING_GRACE_S = 0.3  # how long a session counts towards the target before its first response
-DEFAULT_STALE_AFTER_S = 0.8
-POLL_INTERVAL_S = 0.1  # between checks while the sessions are not as wanted
-SURPLUS_GRACE_S = 1.0  # a surplus session is kept this long after the configuration was last in doubt
-CONNECT_BURST = 6.0  # connection attempts that may start at once
-CONNECTS_PER_S = 2.5  # long-term rate of connection attempts
+MAX_OPEN_SESSIONS = 4  # This includes unconfirmed sessions.
+OPENING_GRACE_S = 0.3  # A session without a response counts towards the target for this long.
+DEFAULT_STALE_AFTER_S = 0.8  # A session without a response for longer than this is no longer confirmed.
+# The interval between checks while the configuration is in doubt or the target is not met exactly.
+POLL_INTERVAL_S = 0.1
+SURPLUS_GRACE_S = 1.0  # A surplus session is kept this long after the configuration was last in doubt.
+CONNECT_BURST = 6.0  # Size of the token bucket: this many connection attempts may start at once.
+CONNECTS_PER_S = 2.5  # Refill rate of the token bucket: the long-term rate of connection attempts.
 
 
 class SessionState(Enum):
-    """What the last response on a session said about the control plane node's majority."""
+    """Whether, by the last response on a session, a majority of voters supports the control plane node."""
 
-    OPENING = auto()  # no response yet
+    OPENING = auto()  # There is no response yet.
     CONFIRMED = auto()
     UNCONFIRMED = auto()
 
@@ -75,8 +76,9 @@
 class SessionChoice:
     """The sessions of one data plane node and all addresses that it knows.
 
-    `stale_after_s` is how long a session stays confirmed after its last response. It exceeds the time within
-    which a control plane node responds to each `WatchRequest`.
+    `stale_after_s` is how long a session stays confirmed after its last response. It has to exceed the time
+    within which a control plane node responds to each `WatchRequest`, or idle sessions would lose their
+    confirmation.
     """
 
     def __init__(self, random: Random, stale_after_s: float = DEFAULT_STALE_AFTER_S) -> None:
@@ -113,12 +115,13 @@
         if session is None or entry is None:
             return
         if session.state is SessionState.UNCONFIRMED:
-            entry.last_failure_at = now  # the failure is already counted; the retry delay starts now
+            # The failure was counted when the session became unconfirmed. Only its retry delay starts now.
+            entry.last_failure_at = now
         else:
             entry.record_failure(now, unconfirmed=False)
 
     def record_confirmed(self, address: str, now: float) -> None:
-        """The session received a current `WatchResponse`: its control plane node has a majority."""
+        """The session received a current `WatchResponse`: a majority of voters supports its node."""
         self._record_response(address, SessionState.CONFIRMED, now)
         entry = self._book.get(address)
         if entry is not None:
@@ -158,7 +161,7 @@
         return None if chosen is None else ControlMember(chosen.address, chosen.zone)
 
     def should_close(self, address: str, now: float) -> bool:
-        """Whether to close this session: it is unconfirmed and replaceable, or it is surplus."""
+        """Whether to close this session: it is unconfirmed and not needed, or exceeds the target."""
         session = self._sessions.get(address)
         if session is None:
             return False
@@ -172,7 +175,7 @@
         return [session.address for session in self._sessions.values() if self._is_confirmed(session, now)]
 
     def is_in_own_zone(self, address: str) -> bool:
-        """Whether this control plane node is in the own zone."""
+        """Whether this control plane node is in the zone of this data plane node."""
         return self._zone_of(address) == self._own_zone
 
     def next_check_s(self, now: float) -> float:
@@ -211,7 +214,7 @@
 
     def _candidates(self, now: float) -> list[AddressEntry]:
         """All addresses without a session that may be tried now."""
-        urgent = not self.confirmed_addresses(now)
+        urgent = not self.confirmed_addresses(now)  # Without a confirmed session, retry delays are shorter.
         return [
             entry
             for entry in self._book.entries()
@@ -219,7 +222,11 @@
         ]
 
     def _best_candidate(self, candidates: list[AddressEntry], now: float) -> AddressEntry | None:
-        """Prefer no recent failure, then a zone without an active session, then the own zone."""
+        """The candidate to try first.
+
+        Candidates without a recent failure come first, then those whose failure is the oldest. Among equals a
+        zone without an active session is preferred, then the own zone; the rest is random.
+        """
         zones = {self._zone_of(session.address) for session in self._active_sessions(now)}
         self._random.shuffle(candidates)
         return min(
@@ -238,14 +245,14 @@
         return "" if entry is None else entry.zone
 
     def _should_close_unconfirmed(self, session: Session, now: float) -> bool:
-        """Close it once the target is met, or when a candidate needs its place.
+        """Whether to close this unconfirmed session: the target is met, or a candidate needs its place.
 
-        In the second case only the session that has been unconfirmed for the longest time is closed.
+        A candidate takes the place of the session that has been unconfirmed for the longest time.
         """
         if len(self.confirmed_addresses(now)) >= self._target_count():
             return True
         if len(self._sessions) < self._target_count():
-            return False  # a candidate does not need its place
+            return False  # There is room for the candidate without closing a session.
         if not self._connect_limit.available(now) or not self._candidates(now):
             return False
         return session is min(
@@ -254,7 +261,11 @@
         )
 
     def _surplus_addresses(self, now: float) -> set[str]:
-        """Confirmed sessions beyond the target; kept are different zones first, then the own zone."""
+        """The addresses of the confirmed sessions that exceed the target.
+
+        The sessions to keep are in different zones if possible, preferably in the own one, and the oldest of
+        those that are equal in this.
+        """
         left = sorted(self.confirmed_addresses(now), key=lambda address: self._sessions[address].opened_at)
         zones: set[str] = set()
         for _ in range(min(TARGET_SESSIONS, len(left))):
@@ -264,5 +275,6 @@
         return set(left)
 
     def _keep_priority(self, address: str, zones: set[str]) -> tuple[bool, bool]:
+        """Sort key of a session to keep, the lowest first; `zones` are those of the sessions kept so far."""
         zone = self._zone_of(address)
         return zone in zones, zone != self._own_zone
