--- a/reedspoke/control_plane/replication/chain.py
+++ b/reedspoke/control_plane/replication/chain.py
@@ -38,8 +38,8 @@
 class Chain:
     """Owns this replica's position in the chain, and exchanges entries with its neighbours.
 
-    `on_committed` is called with each newly committed entry, `on_idle` whenever no entry is in flight any
-    more or a store has failed.
+    `on_committed` is called with each newly committed entry, `on_idle` whenever the entry in flight has been
+    committed or its store on the own disk has failed.
     """
 
     def __init__(
@@ -90,7 +90,11 @@
 
     @property
     def complete(self) -> bool:
-        """Whether this replica holds all entries since it was appended."""
+        """Whether this replica holds all entries since it was appended to the chain.
+
+        A member of the first view starts without any entries. A member that was appended later first has to
+        store the snapshot that it gets from its predecessor.
+        """
         if self._position is None or self._register.installing_snapshot or self._outbox.synced_state_lost:
             return False
         joined_view = self._position.own_link.joined_view
@@ -101,7 +105,8 @@
         self._position = position_of(self._own, view)
         self._successor.enter_view()
         if self._position is None:
-            # This replica installs a snapshot before it is complete again.
+            # Lost entries do not matter outside the chain: when this replica is appended again, it installs a
+            # snapshot first.
             self._outbox.synced_state_lost = False
         self._send_status()
         self._forward_or_commit()
@@ -115,7 +120,10 @@
             self._forward()
 
     def append(self, generation: int, document: bytes, on_stored: Callable[[bool], None]) -> None:
-        """At the head: append a change; `on_stored` is called with whether the head's disk has stored it."""
+        """Append a change; only the head may do so.
+
+        `on_stored` is called with whether the change is on the head's own disk. That does not commit it yet.
+        """
         assert self._position is not None
         entry = Entry(self._register.sequence + 1, self._position.view.number, generation, document)
 
@@ -160,7 +168,9 @@
         if register.pending_entry is not None:
             return
         if entry.sequence == register.sequence + 1:
-            self._commit()  # the head accepts a change only once all earlier entries are committed
+            # The head accepts a change only once all earlier entries are committed, so the entry before this
+            # one is committed even if the notification of it was lost.
+            self._commit()
             register.append(entry, self._entry_synced)
         elif entry == register.entry:
             self._send_status()
@@ -210,7 +220,7 @@
         if successor is None or successor.member.folder_id != status.folder_id:
             return
         if successor.joined_view != status.joined_view:
-            return  # sent before the successor was appended again, so it is outdated
+            return  # The successor sent it before it was appended again, so it is outdated.
         self._successor.record_status(status)
         if status.complete and self.complete:
             self._detect_lost_state(status.sequence)
@@ -232,6 +242,7 @@
     # ---- commits ----
 
     def _may_commit(self) -> bool:
+        """Whether this replica is the tail, lacks no entries, and the chain has enough members."""
         return self.is_tail and self.complete and self.can_replicate
 
     def _check_synced(self) -> None:
--- a/reedspoke/control_plane/replication/chain_repair.py
+++ b/reedspoke/control_plane/replication/chain_repair.py
@@ -1,8 +1,8 @@
 """Repair of the chain: which member proposes which next view, and when.
 
-Every member of the chain may propose. To avoid competing proposals, a better view must have been possible for
-`PROPOSAL_DELAY_S`, and members further back in the chain wait longer. Safety does not depend on these delays:
-Paxos decides one of several proposals.
+A view is better than the present one if `choose_next_view` prefers it. Every member of the chain may propose
+it once it has been possible for `PROPOSAL_DELAY_S`. To avoid competing proposals, members further back in the
+chain wait longer. Safety does not depend on these delays: Paxos decides one of several proposals.
 """
 
 from __future__ import annotations
@@ -21,18 +21,24 @@
 from reedspoke.control_plane.views.next_view import MemberCondition, choose_next_view
 from reedspoke.control_plane.views.quorum import majority_size
 
-# A seed whose heartbeats have arrived for longer than this, but which takes no part in the first start, has
-# lost its disk, and the first start proceeds without it.
+# A seed counts as lost if its heartbeats have arrived for longer than this without the mark `bootstrap_seed`:
+# it has lost its disk and takes no part in the first start, which proceeds without it.
 SEED_BOOTSTRAP_TIMEOUT_S = 1.0
-# A seed that has not started by then is lost, and the first start proceeds without it.
+# A seed counts as lost if this replica has been running for this long and the seed has not started. The first
+# start proceeds without it.
 MISSING_SEED_TIMEOUT_S = 2.4
 
-# For this long after its start a seed proposes no first view with fewer voters than there should be.
+# For this long after its own start a seed proposes no first view with fewer voters than
+# `ReplicaSettings.voters_target`, as other replicas may still be starting.
 FIRST_VIEW_GATHERING_S = 0.8
 
 
 class ChainRepair:
-    """Owns the time since which a better view has been possible, and that from which time-outs count."""
+    """Proposes views.
+
+    Owns two times: since when a better view has been possible, and from when on the time-outs of other
+    members are conclusive.
+    """
 
     def __init__(
         self,
@@ -51,12 +57,15 @@
         self._better_view_since: float | None = None
 
     def process_resumed(self) -> None:
-        """Suspend repairs for a time-out after a stop of this process, in which it has received nothing."""
+        """Suspend repairs for `REACHABLE_TIMEOUT_S` after this process was stopped and has resumed.
+
+        It received nothing while it was stopped, so every other member seems to have timed out.
+        """
         self._timeouts_valid_from = self._outbox.now + REACHABLE_TIMEOUT_S
         self._better_view_since = None
 
     def enter_view(self, view: View) -> None:
-        """Start over, as a better view is now one that is better than this one."""
+        """Restart the proposal delay, as it was that of a view better than the previous one."""
         self._better_view_since = None
         # Members of the first view may not have received each other's heartbeats yet.
         if view.number == FIRST_VIEW_NUMBER:
@@ -86,7 +95,7 @@
         return enough or self._outbox.now - self._started >= FIRST_VIEW_GATHERING_S
 
     def _is_seed_lost(self, seed: str) -> bool:
-        """Whether this seed lost its disk, so that it takes no part in the first start, or did not start."""
+        """Whether this seed has lost its disk, or has not started in time."""
         takes_no_part = self._observer.received_for_s(seed) >= SEED_BOOTSTRAP_TIMEOUT_S
         return takes_no_part or self._outbox.now - self._started >= MISSING_SEED_TIMEOUT_S
 
@@ -103,6 +112,8 @@
         if rank is None:
             return
         desired = choose_next_view(view, snapshot)
+        # Voters that have accepted another next view grant no leases. A view with the same members ends that
+        # state, as its proposal decides either it or the view that they have accepted.
         if desired == view and self._is_unfinished(view, list(snapshot.conditions)):
             desired = View(view.number + 1, view.voters, view.chain)
         if desired == view:
@@ -111,11 +122,14 @@
         self._propose_after_delay(desired, rank)
 
     def _is_unfinished(self, view: View, folder_ids: list[str]) -> bool:
-        """Whether a reachable voter has accepted a next view; it grants no lease until that is decided."""
+        """Whether a reachable voter has accepted a next view that may never have been decided."""
         return self._agreement.has_undecided_view or self._observer.sees_undecided_view(view, folder_ids)
 
     def _rank(self, view: View, conditions: dict[str, MemberCondition]) -> int | None:
-        """This replica's rank among the usable members of the chain; draining members rank last."""
+        """This replica's rank among the reachable and healthy members of the chain, from 0 at the head.
+
+        Draining members rank last. None if this replica is not one of these members.
+        """
         folder_ids = [link.member.folder_id for link in view.chain]
         usable = [each for each in folder_ids if each in conditions and conditions[each].healthy]
         usable.sort(key=self._observer.is_draining)
@@ -123,6 +137,7 @@
         return usable.index(own) if own in usable else None
 
     def _propose_after_delay(self, desired: View, rank: int) -> None:
+        """Propose this view if a better one has been possible for the delay of this rank."""
         now = self._outbox.now
         if self._better_view_since is None:
             self._better_view_since = now
--- a/reedspoke/control_plane/views/next_view.py
+++ b/reedspoke/control_plane/views/next_view.py
@@ -1,8 +1,8 @@
 """Choice of the next view, as a pure function of the present view and a snapshot of the members.
 
-Members that are unhealthy or unreachable are removed from the chain; members that can replace them are
-appended one at a time. Each view adds at most one voter and removes at most one. `docs/control-safety.md`
-describes which losses the result has to tolerate.
+Members that are unhealthy or unreachable are removed from the chain. Members that can replace them are
+appended, usually one in each view. Each view adds at most one voter and removes at most one.
+`docs/control-safety.md` describes which losses the result has to tolerate.
 """
 
 from __future__ import annotations
@@ -19,21 +19,24 @@
     """State of a reachable member, as observed by the replica that chooses the view."""
 
     member: Member
-    healthy: bool  # its disk works
-    complete: bool  # it holds all entries since it was appended
-    steady: bool  # reachable for long enough to be appended
-    established: bool  # reachable for long enough to vote although there are already enough voters
+    healthy: bool  # Its disk stores entries in time, and has lost none.
+    complete: bool  # It is in the chain and holds all entries since it was appended.
+    steady: bool  # It knows the present view, and has been reachable for long enough to be appended.
+    established: bool  # It has been reachable for long enough to vote besides a sufficient number of voters.
 
 
 class MembershipSnapshot(Struct, frozen=True):
-    """What the choosing replica knows about members, by folder id; `conditions` has the reachable ones."""
+    """What the choosing replica knows about members, each named by the id of its data folder.
+
+    `conditions` has the reachable members. The functions may be called for any member.
+    """
 
     conditions: dict[str, MemberCondition]
-    is_connected: Callable[[str, str], bool]  # whether two members reach each other
-    is_lost: Callable[[str], bool]
-    is_draining: Callable[[str], bool]  # it is about to shut down
-    chain_minimum: int  # a shorter chain acknowledges no change
-    voters_target: int  # no voter is removed without a replacement at or below this number
+    is_connected: Callable[[str, str], bool]  # Whether two members receive each other's heartbeats.
+    is_lost: Callable[[str], bool]  # Whether the heartbeats of a voter have reached no replica for too long.
+    is_draining: Callable[[str], bool]  # Whether a member is about to shut down.
+    chain_minimum: int  # A chain with fewer members acknowledges no change.
+    voters_target: int  # While there are no more voters than this, none is removed without a replacement.
 
 
 def choose_next_view(view: View, snapshot: MembershipSnapshot) -> View:
@@ -44,7 +47,8 @@
     joined_view = view.number + 1
     chain = (*retained, *(ChainLink(joiner, joined_view) for joiner in _joiners(view, retained, snapshot)))
     if len(chain) < snapshot.chain_minimum and len(chain) < len(view.chain):
-        return view  # the shorter chain could not acknowledge changes either, and has fewer copies
+        # Neither chain can acknowledge changes, and the present one has more copies of the entries.
+        return view
     voters = _next_voters(view, chain, snapshot)
     if chain == view.chain and voters == view.voters:
         return view
@@ -55,7 +59,10 @@
 
 
 def _retained_chain(view: View, snapshot: MembershipSnapshot) -> Links:
-    """The members to keep; a draining one is kept while too few others are complete."""
+    """The members to keep.
+
+    A draining member is kept while fewer than `chain_minimum` others are complete.
+    """
     usable = [link for link in view.chain if _is_usable(link, snapshot)]
     staying = [link for link in usable if not snapshot.is_draining(link.member.folder_id)]
     retained = _connected_chain(staying, view, snapshot)
@@ -68,6 +75,11 @@
 
 
 def _connected_chain(links: list[ChainLink], view: View, snapshot: MembershipSnapshot) -> Links:
+    """The largest part of the links whose members all reach each other, with a complete member as head.
+
+    The present tail is preferred as tail, as voters accept no view with another tail while its read lease
+    lasts.
+    """
     return largest_connected_chain(
         links,
         is_connected=lambda one, other: snapshot.is_connected(one.member.folder_id, other.member.folder_id),
@@ -86,9 +98,9 @@
 
 
 def _joiners(view: View, retained: Links, snapshot: MembershipSnapshot) -> list[Member]:
-    """The first candidates by address; none while a retained member is incomplete.
+    """The members to append: the first candidates by address, none while a retained member is incomplete.
 
-    One is appended at a time, or several if the chain would be too short with one.
+    Each view appends one, or several if the chain would be shorter than `chain_minimum` with one.
     """
     if not all(_is_complete(link, snapshot) for link in retained):
         return []
@@ -170,6 +182,7 @@
     if len(voters) < snapshot.voters_target:
         return candidates[0] if candidates else None
     established = [member for member in candidates if snapshot.conditions[member.folder_id].established]
+    # One view adds one voter, so an odd number needs a second candidate for the view after it.
     needed = 1 if len(voters) % 2 == 0 else 2
     if len(established) < needed or not _all_healthy(voters, snapshot):
         return None
@@ -184,7 +197,11 @@
 def _replaced_voter(
     voters: tuple[Member, ...], candidate: Member, snapshot: MembershipSnapshot
 ) -> Member | None:
-    """The voter at the same address, else a lost voter, else a draining one."""
+    """The voter that this candidate replaces: the one at its address, else a lost one, else a draining one.
+
+    A node that has lost its data folder returns as another member at the same address. While there are too
+    few voters, a candidate replaces no other voter, as it can be added.
+    """
     for voter in voters:
         if voter.address == candidate.address:
             return voter
