--- a/reedspoke/interface.py
+++ b/reedspoke/interface.py
@@ -14,9 +14,9 @@
 class Idempotency(Enum):
     """What happens if a request is executed twice."""
 
-    SAFE = "safe"  # repeated execution does no harm
-    KEYED = "keyed"  # workers of one deduplication scope drop repeats for a limited time
-    UNSAFE = "unsafe"  # it must not be executed twice
+    SAFE = "safe"  # Repeated execution does no harm.
+    KEYED = "keyed"  # Workers of one deduplication scope drop repeats for a limited time.
+    UNSAFE = "unsafe"  # It must not be executed twice.
 
 
 class DedupScope(Enum):
@@ -69,7 +69,10 @@
 
 
 def require(holds: bool, key: str, must: str) -> None:
-    """Raise ValueError for the setting `key` unless the condition holds."""
+    """Raise ValueError for the setting `key` unless the condition holds.
+
+    Here `key` is the name of the setting in the platform's description, which may differ from the field's.
+    """
     if not holds:
         raise ValueError(f"setting `{key}` must {must}")
 
@@ -80,13 +83,13 @@
     name: str
     idempotency: Idempotency
     dedup_scope: DedupScope
-    dedup_window: int  # time for which workers drop repeats of a keyed request
-    latency_target: int  # an answer within latency_target + stretch x work earns the full value
-    stretch: float
-    deadline: int
-    value: float
-    late_value_share: float  # share of the value that a late answer earns
-    worker_kind: int = -1  # index into Settings.worker_kinds of the only kind that runs it, -1: any kind
+    dedup_window: int  # Time for which workers drop repeats of a keyed request.
+    latency_target: int  # An answer within latency_target + stretch x work earns the full value.
+    stretch: float  # It is added to the latency target for each unit of work.
+    deadline: int  # Time from the arrival of a request within which it needs an answer.
+    value: float  # What an answer in time is worth, relative to other classes.
+    late_value_share: float  # Share of the value that a late answer earns.
+    worker_kind: int = -1  # Index into Settings.worker_kinds of the only kind that runs it; -1 for any kind.
     streaming: bool = False
 
     def __post_init__(self) -> None:
@@ -112,9 +115,9 @@
     max_attempts: int
     can_cancel: bool
     can_probe: bool
-    max_retry_after: int  # longest retry delay that clients honour; 0: refusals carry none
+    max_retry_after: int  # Longest retry delay that clients honour; 0 if refusals carry none.
     connect_timeout: int
-    peer_messages: bool = False  # schedulers may report their loads to each other
+    peer_messages: bool = False  # Whether schedulers may report their loads to each other.
 
     def __post_init__(self) -> None:
         require(self.max_attempts >= 1, "max_attempts", "be at least 1")
@@ -186,10 +189,10 @@
     worker: str
     zone: str
     kind: str
-    cell: int
+    cell: int  # The number of its group of workers for `DedupScope.CELL`.
     state: WorkerState
-    weight: float  # its size, relative to other workers
-    started_at: int  # time of its latest start; 0: unknown or long ago
+    weight: float  # Its size, relative to other workers.
+    started_at: int  # Time of its latest start; 0 if it is unknown or long ago.
 
 
 class WorkerListUpdate(Struct):
@@ -281,7 +284,7 @@
     The field names are those of the handover file.
     """
 
-    fleet: tuple[float, float, float] = (0.0, 0.0, 0.0)  # averages: pace, wait before a start, response time
+    fleet: tuple[float, float, float] = (0.0, 0.0, 0.0)  # Averages: pace, start delay, response.
     workers: dict[str, tuple[float, float, int]] = field(default_factory=dict)  # pace, slot cap, peak slots
     cold: dict[str, list[tuple[int, float]]] = field(default_factory=dict)  # (time, work) of sends while cold
 
--- a/reedspoke/logic.py
+++ b/reedspoke/logic.py
@@ -28,33 +28,47 @@
     MAX_SAMPLE_RATIO, SAMPLE_WEIGHT, Attempt, Flow, HintModel, Job, Worker, Zone, moving_average,
 )  # fmt: skip
 
-MAX_COST_DECAY = 0.99  # factor of L_max at each completion, as in the paper
-CHARGE_INTERVAL_US = 10_000  # between charges of running jobs, as in the paper
-RATE_WINDOW_US = 2_000_000  # over which the rate of finished work is averaged for v: the length of a few jobs
-INITIAL_SLOT_CAP = 2.0  # a worker without history gets one job while another is on its way
-# Added to a full cap by a prompt start. It is less than a decrease takes away, so that most starts are prompt
-# in a steady state.
+MAX_COST_DECAY = 0.99  # L_max is multiplied by this at each completion, as in the paper.
+CHARGE_INTERVAL_US = 10_000  # Running jobs are charged this often, as in the paper.
+# The rate of finished work, by which v advances, is averaged over this time: the length of a few jobs.
+RATE_WINDOW_US = 2_000_000
+# A slot cap is the number of slots that the attempts of this scheduler may hold at a worker. It starts with
+# two, so that a worker without history can run one job while the next one is on its way.
+INITIAL_SLOT_CAP = 2.0
+# A prompt start at a full cap adds this to the cap. It is less than a decrease takes away, so that most
+# starts are prompt in a steady state.
 SLOT_CAP_INCREASE = 0.2
-SLOT_CAP_DECREASE_FACTOR = 0.7  # at a late start or a `full` outcome; 0.5 starves a worker after one burst
-MIN_SLOT_CAP = 1.0  # each worker remains usable, however busy the jobs of others keep it
+# A late start or a `full` outcome multiplies the cap by this. 0.5 starves a worker after one burst.
+SLOT_CAP_DECREASE_FACTOR = 0.7
+MIN_SLOT_CAP = 1.0  # Each worker remains usable, however busy the jobs of others keep it.
 # An attempt is overdue after this multiple of its expected time. Errors of hints and speeds are smaller.
 OVERDUE_FACTOR = 3.0
-MEAN_DELAY_WEIGHT = 0.05  # of a new start delay in the mean of the fleet: about the last forty count
-DELAY_HALF_LIFE_FACTOR = 2.0  # in smallest latency targets: a queue of a few jobs is empty after that time
+MEAN_DELAY_WEIGHT = 0.05  # Weight of a new sample in means of the fleet: about the last forty count.
+# Half-life of a measured start delay, in multiples of the smallest latency target. A queue of a few jobs is
+# empty after that time.
+DELAY_HALF_LIFE_FACTOR = 2.0
 # Workers examined for a job, in addition to one for each attempt in flight. With all 298 workers of a fleet
 # ranked at each `full` outcome, congestion cost too much computing time.
 EXTRA_CANDIDATES = 50
-# Used part of this scheduler's budget for a cold worker. Sizes and speeds of workers are estimates.
+# A scheduler uses only this part of its budget for a cold worker, as sizes and speeds of workers are
+# estimates.
 COLD_BUDGET_SHARE = 0.6
-MAX_FEW_SCHEDULERS = 12  # with more of them, each learns too little of a worker from its own jobs
-# Among many schedulers, as many share the budget of a cold worker: an equal part for all would fit no job.
+# With more schedulers than this, each learns too little about a worker from its own jobs.
+MAX_FEW_SCHEDULERS = 12
+# With more schedulers than MAX_FEW_SCHEDULERS, only this many share the budget of a cold worker. If all of
+# them shared it, each part would be too small for a job.
 SCHEDULERS_PER_COLD_WORKER = 3
-CONTENDED_SLOTS = 1.5  # free slots of a report that this and other jobs will have taken before the start
-# Longest time between requests for the worker list. What discovery holds counts as known 6 s after it can be
-# reached, whether or not it has arrived, so that requests have to be closer together than that.
+# So many of the free slots of a load report are taken, by this job and by those of other schedulers, before
+# the job starts.
+CONTENDED_SLOTS = 1.5
+# Longest time between requests for the worker list. By the platform's rules a scheduler counts as informed of
+# a change 6 s after discovery can be reached, whether or not it has received the change. So requests have to
+# be closer together than that.
 MAX_LIST_RETRY_US = 4_000_000
-PROBE_VALIDITY_US = 500_000  # a probe's result is used for that long; reports are renewed about once a second
-PROBE_WAIT_US = 30_000  # after that time without a result a worker is skipped until the result arrives
+# The result of a probe is used for this long. Workers renew their load reports about once a second.
+PROBE_VALIDITY_US = 500_000
+# A worker whose probe has had no result for this long is skipped until the result arrives.
+PROBE_WAIT_US = 30_000
 # Crossing zones has to save this many times its cost in time, as the saved delay is only an estimate.
 CROSS_ZONE_COST_FACTOR = 8.0
 # Weight of a worker's home distance if there are many schedulers. The time for which a worker keeps a job
@@ -63,12 +77,15 @@
 HOME_DISTANCE_WEIGHT = 0.5
 # Least success rate of a worker for jobs that must not be retried; one failure among successes is normal.
 MIN_SUCCESS_RATE = 0.75
-MIN_PARALLEL_RATE = 0.5  # a worker with a lower success rate gets one job at a time
-# In mean responses, doubled for each failed connection: the first failure pauses a worker for a quarter.
+MIN_PARALLEL_RATE = 0.5  # A worker with a lower success rate gets one job at a time.
+# The pause of a worker after failed connections, in multiples of the mean response time. It is doubled for
+# each of them, the first one included, which so pauses the worker for a quarter of that time.
 CONNECT_PAUSE_FACTOR = 0.125
-MAX_PAUSE_FACTOR = 4.0  # in mean responses: a worker that recovers is tried again within about 2 s
-WORKER_REPLY_REASONS = (Reason.OK, Reason.ERROR, Reason.FULL)  # the worker itself has answered
-NOT_EXECUTED_REASONS = (Reason.FULL, Reason.CONNECT_FAILED, Reason.NOT_EXECUTED)  # the job has not run
+# The longest pause, in the same unit: a worker that has recovered is tried again within about 2 s.
+MAX_PAUSE_FACTOR = 4.0
+WORKER_REPLY_REASONS = (Reason.OK, Reason.ERROR, Reason.FULL)  # They prove that the worker has answered.
+# They prove that the job has not run.
+NOT_EXECUTED_REASONS = (Reason.FULL, Reason.CONNECT_FAILED, Reason.NOT_EXECUTED)
 
 
 class Dispatcher:
@@ -77,13 +94,14 @@
     def __init__(self, settings: Settings, seed: int) -> None:
         self.settings, self.rules, self.limits = settings, settings.rules, settings.limits
         self.random = Random(seed)
-        self.now, self.first_event_at = 0, -1  # -1: no event yet
+        self.now, self.first_event_at = 0, -1  # -1 stands for no event yet.
         self.actions: list[Action] = []
         self.classes = {cls.name: cls for cls in settings.classes}
         self.workers: dict[str, Worker] = {}
         self.siblings = SiblingProcesses(0, {}, LearnedState())
-        self.suspended: dict[str, int] = {}  # by operators, with the time; kept when the list changes
-        self.available: list[Worker] = []  # those that are up and not suspended, by home distance
+        # Workers that operators have suspended, and when. Worker list updates do not change it.
+        self.suspended: dict[str, int] = {}
+        self.available: list[Worker] = []  # Workers that are up and not suspended, by home distance.
         self.zones: dict[str, Zone] = {}
         self.hints = {cls.name: HintModel() for cls in settings.classes}
         self.jobs: dict[int, Job] = {}
@@ -101,14 +119,15 @@
             and settings.limits.can_probe
             and not settings.limits.peer_messages
         )
-        self.unreported = self.sparse and not settings.report_fields  # only own jobs show queues
+        # Without load reports only the start delays of own jobs show queues.
+        self.unreported = self.sparse and not settings.report_fields
         # Time between two checks for overdue attempts and late jobs.
         self.check_interval = max(settings.min_event_interval, self.min_target // 4)
         self.timer_set, self.list_requested, self.list_request_at, self.list_losses = False, False, 0, 0
-        self.standard_pace = 1.0  # running time of a unit of work on a worker of weight 1
+        self.standard_pace = 1.0  # Running time of a unit of work on a worker of weight 1.
         # Averages over the fleet: start delay, running time of a unit of work.
         self.mean_delay, self.mean_pace = 0.0, 1.0
-        self.mean_response = 2.0 * self.min_target  # average time from a send to its outcome
+        self.mean_response = 2.0 * self.min_target  # Average time from a send to its successful outcome.
         self.handlers: dict[type, Callable[[Any], None]] = {
             Request: self.on_request, AttemptOutcome: self.on_outcome, AttemptUpdate: self.on_attempt_update,
             Timer: self.on_timer, WorkerListUpdate: self.on_worker_list,
@@ -128,7 +147,7 @@
         self.dispatch_queued()
         if not self.timer_set and (self.jobs or self.settings.list_on_request and not self.list_requested):
             self.timer_set = True
-            self.actions.append(SetTimer(self.check_interval, "beat"))  # the token is part of the wire
+            self.actions.append(SetTimer(self.check_interval, "beat"))  # The token is sent to the platform.
         return self.actions
 
     def on_request(self, request: Request) -> None:
@@ -138,7 +157,7 @@
         if key not in flow.largest:
             flow.largest[key] = float(slots * request.work_hint) or max(flow.largest.values(), default=0.0)
         hint = request.work_hint or flow.largest[key] / slots or float(cls.latency_target)
-        work = self.hints[cls.name].expected_work(hint)  # imprecise hints move towards the class's mean
+        work = self.hints[cls.name].expected_work(hint)  # Imprecise hints move towards the class's mean.
         # A client that retries sets a shorter deadline; its latency target counts from its first try.
         arrived = min(self.now, request.deadline - cls.deadline)
         latest_start = (
@@ -151,7 +170,7 @@
         if not flow.queue and not flow.out:
             flow.start = max(flow.start, self.advance_virtual_time())
         self.enqueue(job)
-        if self.too_late(job):  # it expires before the next check, so it is sent now or never
+        if self.too_late(job):  # It expires before the next check, so it is sent now or never.
             self.dispatch_queued()
             if job.queued:
                 self.answer_unserved(job)
@@ -177,12 +196,13 @@
         job, worker = attempt.job, attempt.worker
         if outcome.report:
             self.record_report(worker, outcome.report, attempt.sent_at)
-        self.advance_virtual_time()  # before the attempt ends: its tenant has to count as active
+        # The virtual time has to advance before the attempt ends, as its tenant counts as active until now.
+        self.advance_virtual_time()
         attempt.mark_ended(not_executed=outcome.reason in NOT_EXECUTED_REASONS)
         self.settle_charge(attempt, outcome.reason)
         if outcome.reason in WORKER_REPLY_REASONS:
             self.record_contact(worker)
-        if outcome.reason is Reason.FULL:  # leave the worker time to work off its queue
+        if outcome.reason is Reason.FULL:  # Leave the worker time to work off its queue.
             self.lower_cap(worker, attempt.sent_at)
             worker.paused_until = self.now + int(self.mean_response)
         elif outcome.reason is Reason.CONNECT_FAILED:
@@ -214,7 +234,8 @@
             self.list_requested, self.list_losses = False, self.list_losses + 1
             return
         listed, self.list_losses = {entry.worker for entry in update.entries}, 0
-        if not self.workers and listed:  # until there are results, a mean worker counts as a standard one
+        # Until there are results, a worker of mean weight is assumed to have the pace 1.
+        if not self.workers and listed:
             self.standard_pace = sum(entry.weight for entry in update.entries) / len(update.entries)
         for worker in list(self.workers.values()):
             if update.kind is not ListKind.CHANGES and worker.id not in listed:
@@ -228,7 +249,8 @@
     def on_suspension_change(self, event: SuspensionChange) -> None:
         """Suspend a worker, or resume it.
 
-        A resumed worker is cold since its start if it has started during the suspension, else since now.
+        A resumed worker counts as cold, with a small budget: since its start if it has started during the
+        suspension, else from now on.
         """
         worker = self.workers.get(event.worker)
         if event.suspended:
@@ -281,7 +303,7 @@
         self.timer_set = False
         if self.settings.list_on_request and not self.list_requested and self.list_request_at <= self.now:
             self.list_requested, self.list_request_at = True, self.now
-            self.actions.append(Watch())  # its result is a list update, if only of kind LOST
+            self.actions.append(Watch())  # It always results in a list update, at least in one of kind LOST.
         for attempt in [attempt for attempt in self.in_flight.values() if not attempt.lost_at]:
             self.check_progress(attempt)
         for zone in [zone for zone in self.zones.values() if zone.unreachable_since]:
@@ -297,7 +319,7 @@
             pace = self.standard_pace / entry.weight if entry.weight > 0 and self.sparse else self.mean_pace
             worker = Worker(entry.worker, crc32(entry.worker.encode()), pace, INITIAL_SLOT_CAP, entry.weight)
             self.workers[worker.id] = worker
-        elif entry.started_at != worker.started_at:  # it has restarted, so its learned load is obsolete
+        elif entry.started_at != worker.started_at:  # It has restarted, so its learned load is obsolete.
             worker.reset(INITIAL_SLOT_CAP)
         worker.zone = self.zones.setdefault(entry.zone, Zone(entry.zone))
         worker.kind, worker.cell, worker.state, worker.started_at = (
@@ -382,7 +404,7 @@
         self.record_success(worker, probe.reason is Reason.OK)
         if probe.reason is Reason.OK:
             self.record_contact(worker)
-        else:  # the probe has shown that it cannot serve before a job was lost there
+        else:  # The worker cannot serve, and the probe has shown it before a job was lost there.
             self.pause_unreachable(worker, self.now)
         zone = worker.zone
         # A connection that is refused at once shows that the zone can be reached.
@@ -398,13 +420,17 @@
         old, worker.start_delay_at = worker.expected_delay(self.now, self.half_life), self.now
         worker.start_delay = old * (1 - SAMPLE_WEIGHT) + delay * SAMPLE_WEIGHT
         self.update_mean_delay(delay)
-        if delay > self.min_target:  # it includes the network latency to other zones
+        if delay > self.min_target:  # The delay includes the network latency to other zones.
             self.lower_cap(worker, sent)
         elif worker.used_slots >= int(worker.slot_cap):
             worker.slot_cap += SLOT_CAP_INCREASE
 
     def update_mean_delay(self, delay: float) -> None:
-        """Add a start delay to the mean of the fleet; outliers are limited."""
+        """Add a start delay to the mean of the fleet.
+
+        Outliers are limited. The limit is four times as high if, for lack of load reports, the mean is
+        assumed at each worker (`best_worker`).
+        """
         self.mean_delay += MEAN_DELAY_WEIGHT * (
             min(delay, MAX_SAMPLE_RATIO * self.min_target * (1 + 3 * self.unreported)) - self.mean_delay
         )
@@ -412,8 +438,9 @@
     def record_report(self, worker: Worker, report: tuple[float, ...], sent: int) -> None:
         """Estimate a worker's start delay from its load report.
 
-        The field `x0` is the number of free slots. One of few schedulers knows from its own jobs how fast the
-        worker is and what they hold there; among many, other jobs take the free slots first.
+        The field `x0` is the number of free slots, `queue` that of waiting jobs, `latency_ms` the mean time
+        of a job there. A scheduler among few knows from its own jobs how fast the worker is and what they
+        hold there. A scheduler among many does not, and jobs of the others may take the free slots first.
         """
         load = dict(zip(self.settings.report_fields, report, strict=False))
         worker.peak_slots = max(worker.peak_slots, round(load.get("x0", 0.0)))
@@ -519,7 +546,10 @@
         return worker.probe_sent_at > 0
 
     def reserve_worker(self, job: Job, reserved: list[Worker]) -> None:
-        """Reserve the least used worker to drain for a job of many slots; small jobs would starve it."""
+        """Reserve the least used worker for a job of many slots, until enough of its slots are free.
+
+        Otherwise small jobs would take each slot that becomes free, and starve the job.
+        """
         usable = [w for w in self.available if job.slots > 1 and w.used_slots and self.can_run(job, w)]
         reserved += sorted(usable, key=lambda worker: worker.used_slots)[:1]
 
@@ -528,7 +558,10 @@
         return flow.start + flow.largest[flow.queue[0].job_key] / flow.phi
 
     def stagger(self, worker: Worker) -> float:
-        """i/n of the worker's next position. Positions are ordered by worker; each has as many as its cap."""
+        """i/n of the worker's next position, by which 2DFQ^E staggers the eligibility of tenants.
+
+        Positions are ordered by worker. Each worker has as many as its slot cap.
+        """
         i = n = 0
         for other in self.available:
             if other is worker:
@@ -544,7 +577,8 @@
         """
         best, least = None, float("inf")
         cross = self.settings.cross_zone_cost * (job.cls.latency_target + job.cls.stretch * job.work)
-        cross *= 1.0 if self.sparse else CROSS_ZONE_COST_FACTOR  # if sparse, relative to the time left
+        # Among many schedulers the cost counts without the factor, as it is divided by the time left below.
+        cross *= 1.0 if self.sparse else CROSS_ZONE_COST_FACTOR
         # A job that would wait longer than this stays queued here, else queues at the workers would grow.
         slack = self.min_target + max(job.latest_start - self.now, 0.0)
         far = HOME_DISTANCE_WEIGHT * (self.mean_response + self.slot_time(job)) * self.sparse
@@ -558,6 +592,8 @@
                 worker.queueing_time(job.slots),
                 max(worker.expected_delay(self.now, self.half_life), usual),
             )
+            # When the job is expected to end, as a time from now with penalties for distance. Among many
+            # schedulers it becomes the part of the time left that passes until the job starts.
             end = far * worker.home_distance + queueing + cross * (worker.zone.name != self.settings.zone)
             left = max(
                 self.check_interval, job.latest_start - self.now + (self.mean_pace - worker.pace) * job.work
@@ -644,16 +680,17 @@
         sent = sum(
             (work for at, work in [*sends, *theirs] if self.now - at <= self.rules.overload_window), 0.0
         )
-        # The schedulers that share the budget of a worker follow from its hash, so they never change.
+        # The schedulers that share the budget of a worker follow from its hash, so they never change:
+        # `sharing` successive ones, the first of which is at the worker's position on the hash ring.
         schedulers = self.settings.scheduler_count
         sharing = SCHEDULERS_PER_COLD_WORKER if schedulers > MAX_FEW_SCHEDULERS else schedulers
-        near = (self.settings.scheduler_index - worker.id_hash * schedulers // 2**32) % schedulers
-        return budget * COLD_BUDGET_SHARE / sharing * (near < sharing) - sent
+        position = (self.settings.scheduler_index - worker.id_hash * schedulers // 2**32) % schedulers
+        return budget * COLD_BUDGET_SHARE / sharing * (position < sharing) - sent
 
     def send(self, job: Job, worker: Worker) -> None:
         """Send a queued job to the worker; every attempt goes through here."""
-        assert job.unanswered, "the request already has its final answer"
-        assert self.may_send(job, worker), "a rule does not permit this attempt"
+        assert job.unanswered, f"request {job.id} already has its final answer"
+        assert self.may_send(job, worker), f"a rule forbids sending request {job.id} to worker {worker.id}"
         self.dequeue(job)
         attempt = Attempt(job, len(job.attempts), worker, self.now)
         self.in_flight[job.id, attempt.number] = attempt
@@ -665,6 +702,7 @@
 
     def answer_unserved(self, job: Job) -> None:
         """Give the final answer to a request without result: refused if a retry is safe, else failed."""
+        # Whichever worker a client's retry of such a job reaches, the worker drops it as a repeat.
         keyed_to_all = job.cls.idempotency is Idempotency.KEYED and job.cls.dedup_scope is DedupScope.ALL
         safe = job.first_maybe_executed() is None or job.cls.idempotency is Idempotency.SAFE or keyed_to_all
         self.actions.append(Refuse(job.id, self.retry_delay(job)) if safe else Fail(job.id))
@@ -737,7 +775,10 @@
         return job.slots * job.work * self.mean_pace
 
     def value_density(self, job: Job) -> float:
-        """Value of the job for each unit of slot time."""
+        """Value of the job for each unit of slot time.
+
+        If the value of a request grows with its work, the work cancels out.
+        """
         return job.cls.value / (job.slots if self.settings.value_by_work else self.slot_time(job))
 
     def close_request(self, job: Job, keep: int = -1) -> None:
--- a/reedspoke/records.py
+++ b/reedspoke/records.py
@@ -12,60 +12,63 @@
 
 from reedspoke.interface import ClassSettings, WorkerState
 
-SAMPLE_WEIGHT = 0.2  # of a new sample in running averages: about the last ten count
+SAMPLE_WEIGHT = 0.2  # Weight of a new sample in running averages: about the last ten count.
 # Weight of the work at a worker that has a free slot: of several such workers the least loaded is preferred.
 FREE_SLOT_LOAD_WEIGHT = 0.1
-MIN_HINT_WEIGHT = 0.03  # least weight of a new hint in the mean of its class
-HINT_DECAY = 0.99  # factor of the sums over hints and costs at each further job
+MIN_HINT_WEIGHT = 0.03  # Least weight of a new hint or cost in the mean of its class.
+HINT_DECAY = 0.99  # The sums over hints and costs are multiplied by this at each further job.
 # Hints count by half until results outweigh this many assumed jobs, each of them with a hint that is one
 # logarithmic unit off the mean.
 HINT_PRIOR = 5.0
-MAX_SAMPLE_RATIO = 3.0  # of a sample to the average, so that a single pause does not look like a slow worker
+# A sample counts as at most this multiple of the average, so that a single pause of a worker does not make it
+# look slow.
+MAX_SAMPLE_RATIO = 3.0
 
 
 class Zone(Struct, eq=False):
     """Whether the workers of a zone can be reached from here."""
 
     name: str = ""
-    contact_at: int = 0  # latest answer of any of its workers
-    unreachable_since: int = 0  # 0: it can be reached
-    next_probe_at: int = 0  # it is not probed before
+    contact_at: int = 0  # Time of the latest answer of any of its workers.
+    unreachable_since: int = 0  # 0 if it can be reached.
+    next_probe_at: int = 0  # Earliest time of its next probe.
 
 
 class Worker(Struct, eq=False):
     """A worker, as listed and as observed by this dispatcher."""
 
     id: str
-    id_hash: int  # CRC-32 of the id, its position on the hash ring
-    pace: float  # running time of a unit of work
-    slot_cap: float  # limit of the slots that our attempts may hold
-    weight: float = 1.0  # its size as listed, relative to other workers
+    id_hash: int  # CRC-32 of the id: its position on the hash ring.
+    pace: float  # Running time of a unit of work.
+    slot_cap: float  # Limit of the slots that attempts of this scheduler may hold.
+    weight: float = 1.0  # Its size as listed, relative to other workers.
     zone: Zone = field(default_factory=Zone)
     kind: str = ""
-    cell: int = 0
+    cell: int = 0  # The number of its group of workers for `DedupScope.CELL`.
     state: WorkerState = WorkerState.GONE
-    started_at: int = 0  # its latest start; 0: unknown or long ago
-    resumed_at: int = 0  # when operators resumed it last; 0: never
-    used_slots: int = 0  # held by our attempts
-    peer_load: tuple[int, float] = (0, 0.0)  # slots and work that other schedulers report to hold there
-    used_memory: float = 0.0  # held by our attempts, in units of memory
-    work_in_flight: float = 0.0  # of our attempts
-    running_slots: int = 0  # held by those of our attempts that have started
-    peak_slots: int = 1  # most slots seen free or running at once
-    start_delay: float = 0.0  # time that a job waits there for its start, as of `start_delay_at`
+    started_at: int = 0  # Time of its latest start; 0 if it is unknown or long ago.
+    resumed_at: int = 0  # When operators resumed it last; 0 if they never did.
+    used_slots: int = 0  # Slots held by attempts of this scheduler.
+    peer_load: tuple[int, float] = (0, 0.0)  # Slots and work that other schedulers report to hold there.
+    used_memory: float = 0.0  # Units of memory held by attempts of this scheduler.
+    work_in_flight: float = 0.0  # Work of the attempts of this scheduler.
+    running_slots: int = 0  # Slots held by those attempts of this scheduler that have started.
+    peak_slots: int = 1  # Most slots seen free or running at once: the estimate of its number of slots.
+    start_delay: float = 0.0  # Time that a job waits there for its start, as of `start_delay_at`.
     start_delay_at: int = 0
-    cap_lowered_at: int = 0
-    contact_at: int = 0  # its latest answer
-    probe_sent_at: int = 0  # start of the probe in flight; 0: none is
-    probe_answered_at: int = 0  # end of the latest probe
-    home_distance: float = 0.0  # from this scheduler's part of the hash ring: 0 to 1
-    paused_until: int = 0  # it gets no attempts before
-    success_rate: float = 1.0  # share of successes among its outcomes, recent ones weighted most
-    connect_failures: int = 0  # failed and unacknowledged connections since its latest answer
-    cold_sends: deque[tuple[int, float]] = field(default_factory=deque)  # (time, work) in the current window
+    cap_lowered_at: int = 0  # When `slot_cap` was lowered last.
+    contact_at: int = 0  # Time of its latest answer.
+    probe_sent_at: int = 0  # When the probe in flight was sent; 0 if there is none.
+    probe_answered_at: int = 0  # When the latest probe ended.
+    home_distance: float = 0.0  # Distance from this scheduler's part of the hash ring, from 0 to 1.
+    paused_until: int = 0  # It gets no attempts before this time.
+    success_rate: float = 1.0  # Share of successes among its outcomes; recent ones have the largest weights.
+    connect_failures: int = 0  # Failed and unacknowledged connections since its latest answer.
+    # Time and work of the attempts sent to it while it was cold, within the current overload window.
+    cold_sends: deque[tuple[int, float]] = field(default_factory=deque)
 
     def reset(self, slot_cap: float, resumed_at: int = 0) -> None:
-        """Forget what was learned of its load and failures: it has restarted or was resumed."""
+        """Forget what was learned of its load and failures, as it has restarted or was resumed."""
         self.slot_cap, self.start_delay, self.paused_until, self.success_rate = slot_cap, 0.0, 0, 1.0
         self.connect_failures, self.resumed_at = 0, resumed_at
 
@@ -80,8 +83,8 @@
     def queueing_time(self, slots: int) -> float:
         """Time until that many slots are free, given our jobs there and those that peers report.
 
-        It serves to compare workers. If the slots are free already it is small, as the jobs there delay no
-        further one, and does not justify a distant worker.
+        It serves to compare workers. While enough slots are free it is small, as the jobs there do not delay
+        a further one. Such a small difference does not justify the choice of a distant worker.
         """
         used, work = self.used_slots + self.peer_load[0], self.work_in_flight + self.peer_load[1]
         over = max(0, used + slots - self.peak_slots) / max(1, used)
@@ -103,9 +106,9 @@
 
     count: int = 0
     mean_log_hint: float = 0.0
-    mean_log_cost: float = 0.0  # on a standard worker
-    variance_sum: float = 0.0  # of squared distances of hints from the mean
-    covariance_sum: float = 0.0  # of products of the distances of hints and costs
+    mean_log_cost: float = 0.0  # Mean cost on a standard worker: one that takes 1 us for a unit of work.
+    variance_sum: float = 0.0  # Sum of squared distances of hints from their mean.
+    covariance_sum: float = 0.0  # Sum of products of the distances of hints and costs from their means.
 
     def expected_work(self, hint: float) -> float:
         """The work to expect, in the unit of the hint; until there are results a hint counts by half."""
@@ -130,11 +133,11 @@
 class Flow(Struct, eq=False):
     """A tenant as a flow of 2DFQ^E."""
 
-    phi: float  # its share; the mean of all tenants is 1
-    start: float = 0.0  # its start tag S_f
-    queue: list[Job] = field(default_factory=list)  # queued jobs by latest start
-    out: int = 0  # attempts in flight
-    largest: dict[str, float] = field(default_factory=dict)  # L_max for each job key
+    phi: float  # Its share; the mean of all tenants is 1.
+    start: float = 0.0  # Its start tag S_f.
+    queue: list[Job] = field(default_factory=list)  # Its queued jobs, ordered by latest start.
+    out: int = 0  # Number of its attempts in flight.
+    largest: dict[str, float] = field(default_factory=dict)  # L_max, the largest recent cost, by job key.
 
 
 class Job(Struct, eq=False):
@@ -144,14 +147,14 @@
     cls: ClassSettings
     flow: Flow
     job_key: str
-    hint: float  # of its work, by the client
-    work: float  # as expected
+    hint: float  # The work that the client has stated, or an estimate if it has stated none.
+    work: float  # The work that is expected, given the hint.
     slots: int
     deadline: int
-    latest_start: float  # to meet the latency target
-    memory: float = 0.0  # units needed
+    latest_start: float  # Latest start that meets the latency target and the deadline.
+    memory: float = 0.0  # Units of memory that it needs.
     attempts: list[Attempt] = field(default_factory=list)
-    unanswered: bool = True  # it needs a final answer
+    unanswered: bool = True  # Whether it still needs a final answer.
     queued: bool = False
 
     def attempts_in_flight(self) -> int:
@@ -170,12 +173,12 @@
     number: int
     worker: Worker
     sent_at: int
-    charged: float = 0.0  # part of its cost that the tenant's start tag includes
-    started_at: int = 0  # 0: not yet reported
+    charged: float = 0.0  # The part of its cost that its tenant has been charged for so far.
+    started_at: int = 0  # 0 until its start is reported.
     ended: bool = False
-    not_executed: bool = False  # proven: it has not run and never will
+    not_executed: bool = False  # Whether it is proven that it has not run and never will.
     cancelled: bool = False
-    lost_at: int = 0  # when it was given up as lost; it holds no slots since
+    lost_at: int = 0  # When it was given up as lost, since when it holds no slots; 0 if it was not.
 
     def register(self) -> None:
         """Add it to its job, tenant and worker."""
