--- a/reedspoke/control_plane/replication/replica.py
+++ b/reedspoke/control_plane/replication/replica.py
@@ -78,6 +78,7 @@
 __all__ = ["TICK_INTERVAL_S", "Replica", "ReplicaSettings"]
 
 NO_MAJORITY = "This machine is not in contact with a majority of voters any more."
+# Errors of a change that remain correct if this replica is no longer in contact with a majority.
 UNCLEAR_ERRORS = (ErrorCode.NO_QUORUM, ErrorCode.WRITE_UNCLEAR)
 
 
@@ -282,6 +283,7 @@
         self._tick_forwarders()
         self._heartbeats.tick()
         now = self._outbox.now
+        # Ticks are not exact. A tick that comes up to half an interval early still counts as due.
         if now - self._last_repair >= REPAIR_INTERVAL_S - TICK_INTERVAL_S / 2:
             self._last_repair = now
             self._propose_view()
@@ -318,7 +320,10 @@
         self._tick_forwarders()
 
     def _detect_process_stop(self, now: float) -> None:
-        """Restart all time-outs after a stop of this process, in which it has received no heartbeats."""
+        """Restart all time-outs after this process was stopped, as it received no heartbeats meanwhile.
+
+        Otherwise it would consider all other replicas lost.
+        """
         if now - self._last_tick > PROCESS_STOP_GAP_S:
             self._failure_detector.process_resumed(now)
             self._repair.process_resumed()
--- a/reedspoke/data_plane/forwarder.py
+++ b/reedspoke/data_plane/forwarder.py
@@ -35,10 +35,10 @@
     WorkerEntry,
 )
 
-MAX_LOGGED_AVOIDED = 8  # Avoided workers in the log line of a request.
-TIMEOUT_CHECK_INTERVAL_S = 0.1  # Interval between the checks of time-outs and deadlines.
-DEFAULT_CAPACITY = 1
-UNAVAILABLE_RETENTION_S = 30.0  # For how long a worker that left the list is remembered as unavailable.
+MAX_LOGGED_AVOIDED = 8  # The log line of a request names at most this many avoided workers.
+TIMEOUT_CHECK_INTERVAL_S = 0.1  # Time-outs and deadlines are checked this often.
+DEFAULT_CAPACITY = 1  # Requests that an engine runs at once if the configuration does not state it.
+UNAVAILABLE_RETENTION_S = 30.0  # A worker that left the list is remembered as unavailable for this long.
 
 
 class Forwarder:
@@ -61,7 +61,7 @@
         self._last_received_from: dict[str, float] = {}
         self._next_job_id = 0
         self._scheduler_count = 1
-        self._max_connections: dict[str, int] = {}  # By service: per worker, from all schedulers.
+        self._max_connections: dict[str, int] = {}  # Per worker, by upstream, for all schedulers together.
         self._dispatcher_timer: asyncio.TimerHandle | None = None
         self._timeout_timer: asyncio.TimerHandle | None = None
 
@@ -130,6 +130,7 @@
         self._dispatcher.set_fleet_size(schedulers, self._loop.time())
 
     def _update_idle_limits(self) -> None:
+        """Limits idle connections to this scheduler's equal part of those that a worker accepts."""
         self._pool.max_idle = {
             name: min(MAX_IDLE_PER_WORKER, max(1, limit // self._scheduler_count))
             for name, worker in self._workers.items()
@@ -266,7 +267,11 @@
             check_idle(self._dispatcher)
 
     def _should_time_out(self, exchange: Exchange, now: float) -> bool:
-        """Whether to end an attempt that timed out: a started stream keeps waiting unless it can be moved."""
+        """Whether to end an attempt that timed out.
+
+        A stream that has started is not aborted for a time-out alone: it continues at another worker, or
+        waits for its worker if there is no other to continue at.
+        """
         return not exchange.stream_started or self._dispatcher.can_move(exchange.job.job_id, now)
 
     def _expire_request(self, expired: Expire) -> None:
--- a/reedspoke/data_plane/quota_client.py
+++ b/reedspoke/data_plane/quota_client.py
@@ -19,19 +19,19 @@
 from reedspoke.common.stall_tolerant_timer import StallTolerantTimer
 from reedspoke.data_plane.quota_outage import OutageAllowance
 
-NEXT_NODE_DELAY_S = 0.012  # without a response, until the next control plane node is tried as well
-UNAVAILABLE_RETRY_S = 0.2
-MAX_CREDITS_PER_TENANT = 256
-CLEANUP_INTERVAL_REQUESTS = 256  # quota requests between removals of expired outage records
+# A control plane node that has not responded for this long is not waited for: the next one is tried as well.
+NEXT_NODE_DELAY_S = 0.012
+UNAVAILABLE_RETRY_S = 0.2  # Retry delay of a refusal if no control plane node granted or refused the units.
+MAX_CREDITS_PER_TENANT = 256  # Further unused units of a tenant are dropped.
+CLEANUP_INTERVAL_REQUESTS = 256  # Expired outage records are removed once in this many quota requests.
 
 
 class QuotaDecision(Struct, frozen=True):
     """Whether a request may be sent to a worker."""
 
     granted: bool
-    spent: bool = (
-        False  # refused because the quota is spent; False: because no control plane node could grant
-    )
+    # Why it was refused: because the quota is spent, or else because no control plane node could grant units.
+    spent: bool = False
     retry_after_s: float = 0.0
 
 
@@ -69,8 +69,9 @@
         self._send = send
         self._pending: dict[int, PendingRequest] = {}
         self._credits: dict[str, list[Credit]] = {}
-        self.admitted_without_response = 0  # requests admitted by the outage allowance
-        self._decided: dict[int, QuotaRequest] = {}  # decided while responses were outstanding
+        self.admitted_without_response = 0  # Requests admitted by the outage allowance.
+        # Requests that were decided while responses were outstanding. A late grant becomes a credit.
+        self._decided: dict[int, QuotaRequest] = {}
         self._next_id = 0
         self._outage = OutageAllowance(window_s)
 
@@ -132,7 +133,11 @@
             self.return_units(request.tenant, request.units)
 
     def _try_next_node(self, pending: PendingRequest) -> None:
-        """Send to a further control plane node; without one, wait for responses or decide without a grant."""
+        """Send the request to a further control plane node.
+
+        If there is no other left, wait for the outstanding responses until the deadline. If there are none
+        outstanding, or the deadline has passed, decide without a grant.
+        """
         now = self._loop.time()
         address = self._send(pending.request, pending.tried) if now < pending.deadline else None
         if address is not None:
@@ -151,6 +156,7 @@
         pending.timer = StallTolerantTimer(self._loop, at, partial(self._try_next_node, pending))
 
     def _decide_without_grant(self, pending: PendingRequest) -> None:
+        """Refuse the request, unless no node refused it as spent and the outage allowance admits it."""
         request = pending.request
         if not pending.spent and self._outage.admit(request.tenant, request.units, self._loop.time()):
             self.admitted_without_response += 1
@@ -172,7 +178,7 @@
             self._loop.call_later(CREDIT_S, self._decided.pop, pending.request.request_id, None)
 
     def _use_credit(self, tenant: str, units: float) -> bool:
-        """Take the units from the tenant's credits if these suffice; whether they did."""
+        """Take the units from the tenant's credits if these suffice; return whether they did."""
         credits = self._credits.pop(tenant, None)
         if credits is None:
             return False
