--- a/reedspoke/data_plane/exchange.py
+++ b/reedspoke/data_plane/exchange.py
@@ -374,6 +374,7 @@
             # dispatcher may retry.
             self._record_attempt_end(Evidence(Ending.MALFORMED, True, attempt.status))
         else:
+            # The answer is final. So the mark `not_executed` is left out, which would permit another attempt.
             self._record_attempt_end(Evidence(Ending.COMPLETE, True, attempt.status))
             self._finish_with_worker_answer(answer, action)
 
--- a/reedspoke/interface.py
+++ b/reedspoke/interface.py
@@ -32,12 +32,12 @@
 
     OK = "ok"
     ERROR = "error"
-    FULL = "full"  # the worker rejected it without executing it
+    FULL = "full"  # The worker rejected it without executing it.
     TIMEOUT = "timeout"
     CONNECT_FAILED = "connect_failed"
     RESET = "reset"
     CANCELLED = "cancelled"
-    NOT_EXECUTED = "moot"  # it was dropped before it was executed, and says nothing about the worker
+    NOT_EXECUTED = "moot"  # It was dropped before it was executed, and says nothing about the worker.
 
 
 class WorkerState(Enum):
@@ -53,8 +53,8 @@
 
     CHANGES = "changes"
     FULL = "full"
-    STALE = "stale"  # the full list as it was known before a restart
-    LOST = "lost"  # no entries: a request for the list failed, or its stream of changes broke
+    STALE = "stale"  # The full list as it was known before a restart.
+    LOST = "lost"  # No entries: a request for the list failed, or its stream of changes broke.
 
 
 class UpdateKind(Enum):
@@ -62,7 +62,7 @@
 
     STARTED = "started"
     PROGRESS = "progress"
-    UNACKNOWLEDGED = "mute"  # the request was sent in full, but not acknowledged in time
+    UNACKNOWLEDGED = "mute"  # The request was sent in full, but not acknowledged in time.
 
 
 # ---- settings ----
@@ -132,8 +132,8 @@
     `overload_multiple` times the work that it can do in that time.
     """
 
-    drain_grace: int  # time after the start of a drain within which a worker may still get attempts
-    answer_slack: int  # time after its deadline within which a request must have its final answer
+    drain_grace: int  # Time after the start of a drain within which a worker may still get attempts.
+    answer_slack: int  # Time after its deadline within which a request must have its final answer.
     # Setting `ask_within` of the platform: time within which a scheduler has to request the worker list; 0 if
     # the list is pushed. The dispatcher does not read it, as it requests the list at its first timer.
     list_request_within: int
@@ -152,22 +152,22 @@
 class Settings(Struct, frozen=True):
     """Settings of one scheduler."""
 
-    scheduler_index: int  # from 0, among scheduler_count
+    scheduler_index: int  # The index of this scheduler, from 0 to scheduler_count - 1.
     scheduler_count: int
-    zone: str  # the scheduler's own zone
+    zone: str  # The scheduler's own zone.
     classes: tuple[ClassSettings, ...]
     tenants: tuple[TenantSettings, ...]
     worker_kinds: tuple[str, ...]
     limits: Limits
     rules: Rules
-    min_event_interval: int  # shortest time between two events
-    list_on_request: bool  # the worker list is sent only on request, else it is pushed
-    reports_start: bool  # workers report that an attempt has started
-    progress_interval: int  # time between progress reports of an attempt; 0: there are none
-    report_fields: tuple[str, ...]  # names of the values of a load report, in order
-    report_in_answers: bool  # load reports come with the outcomes of attempts
-    value_by_work: bool  # a request is worth its class's value for each unit of work, else once
-    cross_zone_cost: float  # share of the total value lost if all attempts were sent to other zones
+    min_event_interval: int  # Shortest time between two events.
+    list_on_request: bool  # Whether the worker list is sent only on request; else it is pushed.
+    reports_start: bool  # Whether workers report that an attempt has started.
+    progress_interval: int  # Time between progress reports of an attempt; 0: there are none.
+    report_fields: tuple[str, ...]  # Names of the values of a load report, in order.
+    report_in_answers: bool  # Whether load reports come with the outcomes of attempts.
+    value_by_work: bool  # Whether a request is worth its class's value for each unit of work, else once.
+    cross_zone_cost: float  # Share of the total value lost if all attempts were sent to other zones.
 
     def __post_init__(self) -> None:
         require(self.scheduler_count >= 1, "schedulers", "be at least 1")
@@ -208,11 +208,11 @@
     id: int
     class_name: str
     deadline: int
-    work_hint: int = 0  # the work that the client expects; 0: unknown
+    work_hint: int = 0  # The work that the client expects; 0: unknown.
     slots: int = 1
     memory: float = 0.0
     tenant: str = ""
-    job_key: str = ""  # requests with the same key share a cost estimate; "": the class's name is the key
+    job_key: str = ""  # Requests with the same key share a cost estimate; "": the class's name is the key.
 
 
 class AttemptOutcome(Struct):
@@ -223,7 +223,7 @@
     worker: str
     reason: Reason
     duration: int
-    request_ended: bool  # the request has its final answer, or needs none any more
+    request_ended: bool  # The request has its final answer, or needs none any more.
     report: tuple[float, ...] = ()
 
 
@@ -285,15 +285,16 @@
     """
 
     fleet: tuple[float, float, float] = (0.0, 0.0, 0.0)  # Averages: pace, start delay, response.
-    workers: dict[str, tuple[float, float, int]] = field(default_factory=dict)  # pace, slot cap, peak slots
-    cold: dict[str, list[tuple[int, float]]] = field(default_factory=dict)  # (time, work) of sends while cold
+    workers: dict[str, tuple[float, float, int]] = field(default_factory=dict)  # Pace, slot cap, peak slots.
+    # Time and work of each attempt that was sent to a worker while it was cold.
+    cold: dict[str, list[tuple[int, float]]] = field(default_factory=dict)
 
 
 class SiblingProcesses(Struct):
     """The other processes of this scheduler, while one process replaces another."""
 
-    accepting: int  # how many of them still accept requests
-    slots_by_worker: dict[str, int]  # slots that their attempts hold at each worker
+    accepting: int  # How many of the other processes still accept requests.
+    slots_by_worker: dict[str, int]  # Slots that attempts of the other processes hold at each worker.
     learned: LearnedState
 
 
@@ -319,7 +320,7 @@
 
     id: int
     worker: str
-    timeout: int = 0  # 0: until the client gives up
+    timeout: int = 0  # 0 sets no limit: the attempt lasts until the client gives up.
 
 
 class Cancel(Struct):
--- a/reedspoke/logic.py
+++ b/reedspoke/logic.py
@@ -450,6 +450,7 @@
             if self.sparse
             else queue / 2
         )
+        # If the report has no `latency_ms`, half of the mean response is assumed.
         latency = (
             load.get("latency_ms", self.mean_response / 2000) * 1000 if self.sparse else self.mean_response
         )
@@ -579,13 +580,15 @@
         cross = self.settings.cross_zone_cost * (job.cls.latency_target + job.cls.stretch * job.work)
         # Among many schedulers the cost counts without the factor, as it is divided by the time left below.
         cross *= 1.0 if self.sparse else CROSS_ZONE_COST_FACTOR
-        # A job that would wait longer than this stays queued here, else queues at the workers would grow.
+        # A job that would wait longer than this at a worker stays queued here, so that queues at workers do
+        # not grow.
         slack = self.min_target + max(job.latest_start - self.now, 0.0)
         far = HOME_DISTANCE_WEIGHT * (self.mean_response + self.slot_time(job)) * self.sparse
         # Workers of the deduplication scope or kind that the job needs may be far from home.
         anywhere = job.first_maybe_executed() or job.cls.worker_kind >= 0
         near = self.available if anywhere else self.available[: EXTRA_CANDIDATES + len(self.in_flight)]
-        # Without load reports the mean delay is assumed at each worker, or a congested fleet got more jobs.
+        # Without load reports the mean delay is assumed at each worker. Otherwise a congested fleet would get
+        # still more jobs.
         usual = self.mean_delay * self.unreported
         for worker in [other for other in near if other not in reserved]:
             queueing, delay = (
@@ -675,7 +678,7 @@
         # After a restart without handover some of the budget may have been used in this window already.
         if self.now - self.first_event_at < self.rules.overload_window and not self.siblings.learned.fleet[0]:
             budget /= 2
-        budget /= 1 + self.siblings.accepting  # the processes of a scheduler share its budget
+        budget /= 1 + self.siblings.accepting  # The processes of a scheduler share its budget.
         theirs = self.siblings.learned.cold.get(worker.id, ())
         sent = sum(
             (work for at, work in [*sends, *theirs] if self.now - at <= self.rules.overload_window), 0.0
