--- a/reedspoke/interface.py
+++ b/reedspoke/interface.py
@@ -14,9 +14,9 @@
 class Idempotency(Enum):
     """What happens if a request is executed twice."""
 
-    SAFE = "safe"  # repeated execution does no harm
-    KEYED = "keyed"  # workers of one deduplication scope drop repeats for a limited time
-    UNSAFE = "unsafe"  # it must not be executed twice
+    SAFE = "safe"  # Repeated execution does no harm.
+    KEYED = "keyed"  # Workers of one deduplication scope drop repeats for a limited time.
+    UNSAFE = "unsafe"  # It must not be executed twice.
 
 
 class DedupScope(Enum):
@@ -32,12 +32,12 @@
 
     OK = "ok"
     ERROR = "error"
-    FULL = "full"  # the worker rejected it without executing it
+    FULL = "full"  # The worker rejected it without executing it.
     TIMEOUT = "timeout"
     CONNECT_FAILED = "connect_failed"
     RESET = "reset"
     CANCELLED = "cancelled"
-    NOT_EXECUTED = "moot"  # it was dropped before it was executed, and says nothing about the worker
+    NOT_EXECUTED = "moot"  # It was dropped before it was executed, and says nothing about the worker.
 
 
 class WorkerState(Enum):
@@ -53,8 +53,8 @@
 
     CHANGES = "changes"
     FULL = "full"
-    STALE = "stale"  # the full list as it was known before a restart
-    LOST = "lost"  # no entries: a request for the list failed, or its stream of changes broke
+    STALE = "stale"  # The full list as it was known before a restart.
+    LOST = "lost"  # No entries: a request for the list failed, or its stream of changes broke.
 
 
 class UpdateKind(Enum):
@@ -62,14 +62,17 @@
 
     STARTED = "started"
     PROGRESS = "progress"
-    UNACKNOWLEDGED = "mute"  # the request was sent in full, but not acknowledged in time
+    UNACKNOWLEDGED = "mute"  # The request was sent in full, but not acknowledged in time.
 
 
 # ---- settings ----
 
 
 def require(holds: bool, key: str, must: str) -> None:
-    """Raise ValueError for the setting `key` unless the condition holds."""
+    """Raise ValueError for the setting `key` unless the condition holds.
+
+    Here `key` is the name of the setting in the platform's description, which may differ from the field's.
+    """
     if not holds:
         raise ValueError(f"setting `{key}` must {must}")
 
@@ -80,13 +83,13 @@
     name: str
     idempotency: Idempotency
     dedup_scope: DedupScope
-    dedup_window: int  # time for which workers drop repeats of a keyed request
-    latency_target: int  # an answer within latency_target + stretch x work earns the full value
-    stretch: float
-    deadline: int
-    value: float
-    late_value_share: float  # share of the value that a late answer earns
-    worker_kind: int = -1  # index into Settings.worker_kinds of the only kind that runs it, -1: any kind
+    dedup_window: int  # Time for which workers drop repeats of a keyed request.
+    latency_target: int  # An answer within latency_target + stretch x work earns the full value.
+    stretch: float  # It is added to the latency target for each unit of work.
+    deadline: int  # Time from the arrival of a request within which it needs an answer.
+    value: float  # What an answer in time is worth, relative to other classes.
+    late_value_share: float  # Share of the value that a late answer earns.
+    worker_kind: int = -1  # Index into Settings.worker_kinds of the only kind that runs it; -1 for any kind.
     streaming: bool = False
 
     def __post_init__(self) -> None:
@@ -112,9 +115,9 @@
     max_attempts: int
     can_cancel: bool
     can_probe: bool
-    max_retry_after: int  # longest retry delay that clients honour; 0: refusals carry none
+    max_retry_after: int  # Longest retry delay that clients honour; 0 if refusals carry none.
     connect_timeout: int
-    peer_messages: bool = False  # schedulers may report their loads to each other
+    peer_messages: bool = False  # Whether schedulers may report their loads to each other.
 
     def __post_init__(self) -> None:
         require(self.max_attempts >= 1, "max_attempts", "be at least 1")
@@ -129,8 +132,8 @@
     `overload_multiple` times the work that it can do in that time.
     """
 
-    drain_grace: int  # time after the start of a drain within which a worker may still get attempts
-    answer_slack: int  # time after its deadline within which a request must have its final answer
+    drain_grace: int  # Time after the start of a drain within which a worker may still get attempts.
+    answer_slack: int  # Time after its deadline within which a request must have its final answer.
     # Setting `ask_within` of the platform: time within which a scheduler has to request the worker list; 0 if
     # the list is pushed. The dispatcher does not read it, as it requests the list at its first timer.
     list_request_within: int
@@ -149,22 +152,22 @@
 class Settings(Struct, frozen=True):
     """Settings of one scheduler."""
 
-    scheduler_index: int  # from 0, among scheduler_count
+    scheduler_index: int  # The index of this scheduler, from 0 to scheduler_count - 1.
     scheduler_count: int
-    zone: str  # the scheduler's own zone
+    zone: str  # The scheduler's own zone.
     classes: tuple[ClassSettings, ...]
     tenants: tuple[TenantSettings, ...]
     worker_kinds: tuple[str, ...]
     limits: Limits
     rules: Rules
-    min_event_interval: int  # shortest time between two events
-    list_on_request: bool  # the worker list is sent only on request, else it is pushed
-    reports_start: bool  # workers report that an attempt has started
-    progress_interval: int  # time between progress reports of an attempt; 0: there are none
-    report_fields: tuple[str, ...]  # names of the values of a load report, in order
-    report_in_answers: bool  # load reports come with the outcomes of attempts
-    value_by_work: bool  # a request is worth its class's value for each unit of work, else once
-    cross_zone_cost: float  # share of the total value lost if all attempts were sent to other zones
+    min_event_interval: int  # Shortest time between two events.
+    list_on_request: bool  # Whether the worker list is sent only on request; else it is pushed.
+    reports_start: bool  # Whether workers report that an attempt has started.
+    progress_interval: int  # Time between progress reports of an attempt; 0: there are none.
+    report_fields: tuple[str, ...]  # Names of the values of a load report, in order.
+    report_in_answers: bool  # Whether load reports come with the outcomes of attempts.
+    value_by_work: bool  # Whether a request is worth its class's value for each unit of work, else once.
+    cross_zone_cost: float  # Share of the total value lost if all attempts were sent to other zones.
 
     def __post_init__(self) -> None:
         require(self.scheduler_count >= 1, "schedulers", "be at least 1")
@@ -186,10 +189,10 @@
     worker: str
     zone: str
     kind: str
-    cell: int
+    cell: int  # The number of its group of workers for `DedupScope.CELL`.
     state: WorkerState
-    weight: float  # its size, relative to other workers
-    started_at: int  # time of its latest start; 0: unknown or long ago
+    weight: float  # Its size, relative to other workers.
+    started_at: int  # Time of its latest start; 0 if it is unknown or long ago.
 
 
 class WorkerListUpdate(Struct):
@@ -205,11 +208,11 @@
     id: int
     class_name: str
     deadline: int
-    work_hint: int = 0  # the work that the client expects; 0: unknown
+    work_hint: int = 0  # The work that the client expects; 0: unknown.
     slots: int = 1
     memory: float = 0.0
     tenant: str = ""
-    job_key: str = ""  # requests with the same key share a cost estimate; "": the class's name is the key
+    job_key: str = ""  # Requests with the same key share a cost estimate; "": the class's name is the key.
 
 
 class AttemptOutcome(Struct):
@@ -220,7 +223,7 @@
     worker: str
     reason: Reason
     duration: int
-    request_ended: bool  # the request has its final answer, or needs none any more
+    request_ended: bool  # The request has its final answer, or needs none any more.
     report: tuple[float, ...] = ()
 
 
@@ -281,16 +284,17 @@
     The field names are those of the handover file.
     """
 
-    fleet: tuple[float, float, float] = (0.0, 0.0, 0.0)  # averages: pace, wait before a start, response time
-    workers: dict[str, tuple[float, float, int]] = field(default_factory=dict)  # pace, slot cap, peak slots
-    cold: dict[str, list[tuple[int, float]]] = field(default_factory=dict)  # (time, work) of sends while cold
+    fleet: tuple[float, float, float] = (0.0, 0.0, 0.0)  # Averages: pace, start delay, response.
+    workers: dict[str, tuple[float, float, int]] = field(default_factory=dict)  # Pace, slot cap, peak slots.
+    # Time and work of each attempt that was sent to a worker while it was cold.
+    cold: dict[str, list[tuple[int, float]]] = field(default_factory=dict)
 
 
 class SiblingProcesses(Struct):
     """The other processes of this scheduler, while one process replaces another."""
 
-    accepting: int  # how many of them still accept requests
-    slots_by_worker: dict[str, int]  # slots that their attempts hold at each worker
+    accepting: int  # How many of the other processes still accept requests.
+    slots_by_worker: dict[str, int]  # Slots that attempts of the other processes hold at each worker.
     learned: LearnedState
 
 
@@ -316,7 +320,7 @@
 
     id: int
     worker: str
-    timeout: int = 0  # 0: until the client gives up
+    timeout: int = 0  # 0 sets no limit: the attempt lasts until the client gives up.
 
 
 class Cancel(Struct):
