--- a/reedspoke/booking/booking_node.py
+++ b/reedspoke/booking/booking_node.py
@@ -23,7 +23,9 @@
 from reedspoke.fleet.roles.singleton_roles import SingletonRole
 from reedspoke.net.effects import FurtherEffect
 
-RETRANSMITS_PER_TTL = 4  # a lost message of the log is sent again that often within the lease of its leader
+RETRANSMITS_PER_LEASE_TTL = (
+    4  # a lost message of the log is sent again that often within the lease of its leader
+)
 
 
 class BookingNode:
@@ -46,7 +48,7 @@
         leader_queue: LeaderQueue | None = None
         if member in self.voters:
             self.table = ReservationTable()
-            retransmit_interval_us = lease_ttl_us // RETRANSMITS_PER_TTL
+            retransmit_interval_us = lease_ttl_us // RETRANSMITS_PER_LEASE_TTL
             self.replicated_log = ReplicatedLog(
                 member, self.voters, incarnation, self.table, retransmit_interval_us
             )
@@ -117,13 +119,13 @@
     # ---- messages ----
 
     def _send_log_messages(self, outbox: Outbox) -> None:
-        self.fleet_node.enqueue(_enveloped(outbox))
+        self.fleet_node.enqueue(_in_envelopes(outbox))
 
     def _on_log_message(self, sender: int, envelope: LogEnvelope, now: int) -> list[OutgoingMessage]:
         if envelope.log_name_hash != name_hash(LEADER_ROLE) or self.replicated_log is None:
             return []
         replies = self.replicated_log.receive(sender, envelope.message, now)
-        return [*_enveloped(replies), *self.service.tick(now)]
+        return [*_in_envelopes(replies), *self.service.tick(now)]
 
     def _on_command_request(self, sender: int, request: CommandRequest, now: int) -> list[OutgoingMessage]:
         return [*self.service.on_request(sender, request, now)]
@@ -134,10 +136,10 @@
 
     def _tick(self, now: int) -> list[OutgoingMessage]:
         outbox = self.replicated_log.tick(now) if self.replicated_log is not None else []
-        return [*_enveloped(outbox), *self.service.tick(now)]
+        return [*_in_envelopes(outbox), *self.service.tick(now)]
 
 
-def _enveloped(outbox: Outbox) -> list[OutgoingMessage]:
+def _in_envelopes(outbox: Outbox) -> list[OutgoingMessage]:
     """Messages of the log, as the fleet sends them."""
     return [
         OutgoingMessage(outgoing.recipient, LogEnvelope(name_hash(LEADER_ROLE), outgoing.message))
--- a/reedspoke/booking/booking_service.py
+++ b/reedspoke/booking/booking_service.py
@@ -22,11 +22,11 @@
     BookingCommand,
     BookingOutcome,
     BookingStatus,
+    booking_name,
     decode_command,
     decode_outcome,
     encode_command,
-    name_of,
-    refused,
+    refused_outcome,
 )
 from reedspoke.fleet.messages.frame import OutgoingMessage
 from reedspoke.fleet.replicated_log.messages import CommandReply, CommandRequest
@@ -83,8 +83,8 @@
     def submit(self, command: BookingCommand, now: int) -> tuple[int, list[OutgoingMessage]]:
         """Take a request; returns its number and what to send. The outcome comes by `completed`."""
         number = self._last_number = (self._last_number + 1) & MAX_REQUEST_NUMBER
-        if reason := self.limits.refusal(command, self._unix_time(now)):
-            self._complete(number, refused(command, reason))
+        if reason := self.limits.refusal_reason(command, self._unix_time(now)):
+            self._complete(number, refused_outcome(command, reason))
             return number, []
         self._pending[number] = PendingRequest(command, now + REQUEST_TIMEOUT_US, now)
         return number, self._send(number, now)
@@ -142,7 +142,7 @@
         messages: list[OutgoingMessage] = []
         for number, request in list(self._pending.items()):
             if now >= request.deadline:
-                self._complete(number, _timed_out(request.command))
+                self._complete(number, _timed_out_outcome(request.command))
             elif now - request.sent_at >= RETRY_INTERVAL_US:
                 messages += self._send(number, now)
         if self._leader_queue is not None:
@@ -150,6 +150,6 @@
         return messages
 
 
-def _timed_out(command: BookingCommand) -> BookingOutcome:
+def _timed_out_outcome(command: BookingCommand) -> BookingOutcome:
     reason = "nobody could say in time: ask again under this name"
-    return BookingOutcome(BookingStatus.UNKNOWN, name_of(command), (reason,))
+    return BookingOutcome(BookingStatus.UNKNOWN, booking_name(command), (reason,))
--- a/reedspoke/booking/component.py
+++ b/reedspoke/booking/component.py
@@ -25,7 +25,7 @@
 from reedspoke.net import effects as fx
 from reedspoke.net.core import Concern, Core, Reactions
 
-MAX_LISTED = 1000  # bookings in one answer
+MAX_LISTED_BOOKINGS = 1000  # bookings in one answer
 US_PER_SECOND = 1_000_000
 BAD_REQUEST, NOT_FOUND, SERVICE_UNAVAILABLE = 400, 404, 503
 
@@ -79,7 +79,7 @@
         self._submit_for(event.caller, command)
         return None
 
-    def on_show(self, event: fx.Called) -> fx.Reply:
+    def on_get(self, event: fx.Called) -> fx.Reply:
         """GET bookings/NAME."""
         if self.node.table is None:
             return self._not_a_voter(event.caller)
@@ -93,7 +93,7 @@
         if table is None:
             return self._not_a_voter(event.caller)
         names = table.active_names()
-        bookings = [outcome_as_json(table.lookup(name)) for name in names[:MAX_LISTED]]
+        bookings = [outcome_as_json(table.lookup(name)) for name in names[:MAX_LISTED_BOOKINGS]]
         return _json_reply(event.caller, {"bookings": bookings, "all": len(names)})
 
     def _submit_for(self, caller: int, command: BookingCommand) -> None:
--- a/reedspoke/booking/http_api.py
+++ b/reedspoke/booking/http_api.py
@@ -34,7 +34,7 @@
     BookingStatus.ABSENT: 404,
     BookingStatus.UNKNOWN: 202,
 }
-NO_LIMIT_YET = 1  # of a command: the leader fills in the limits
+LIMIT_PLACEHOLDER = 1  # of a command: the leader fills in the limits
 
 
 class InvalidBookingError(ReedspokeError):
@@ -114,7 +114,7 @@
     try:
         cancellation = msgspec.json.decode(body, type=CancellationBody)
         command = CancelCommand(name, cancellation.version, now_s)
-        _check(command)
+        _validate(command)
     except (msgspec.DecodeError, ValueError) as error:
         raise InvalidBookingError(str(error)) from error
     return command
@@ -122,13 +122,13 @@
 
 def _reserve_command(name: str, slots: SlotsBody, version: int, begin: int, end: int) -> ReserveCommand:
     command = ReserveCommand(
-        name, version, slots.tenant, slots.zone, slots.slots, begin, end, NO_LIMIT_YET, NO_LIMIT_YET
+        name, version, slots.tenant, slots.zone, slots.slots, begin, end, LIMIT_PLACEHOLDER, LIMIT_PLACEHOLDER
     )
-    _check(command)
+    _validate(command)
     return command
 
 
-def _check(command: BookingCommand) -> None:
+def _validate(command: BookingCommand) -> None:
     """Check the bounds of the fields, as decoding does and constructing does not.
 
     Raises ValueError, ValidationError.
--- a/reedspoke/booking/leader_queue.py
+++ b/reedspoke/booking/leader_queue.py
@@ -12,12 +12,12 @@
 from typing import NamedTuple
 
 from reedspoke.booking.limits import BookingLimits
-from reedspoke.booking.messages import BookingCommand, encode_command, encode_outcome, refused
+from reedspoke.booking.messages import BookingCommand, encode_command, encode_outcome, refused_outcome
 from reedspoke.booking.reservation_table import ReservationTable
 from reedspoke.fleet.replicated_log.messages import Outbox
 from reedspoke.fleet.replicated_log.replicated_log import ReplicatedLog
 
-MAX_QUEUED = 512
+MAX_QUEUED_COMMANDS = 512
 MAX_RECENT_OUTCOMES = 1024
 
 
@@ -68,9 +68,9 @@
             return []
         if key in self._recent_outcomes:
             return [Reply(key, self._recent_outcomes[key])]
-        if key not in self._queue and len(self._queue) < MAX_QUEUED:
-            if reason := self.limits.refusal(command, self._unix_time(now)):
-                return [Reply(key, encode_outcome(refused(command, reason)))]
+        if key not in self._queue and len(self._queue) < MAX_QUEUED_COMMANDS:
+            if reason := self.limits.refusal_reason(command, self._unix_time(now)):
+                return [Reply(key, encode_outcome(refused_outcome(command, reason)))]
             self._queue[key] = command
         return self.advance(now)
 
@@ -110,10 +110,10 @@
         if (applied.index, self.replicated_log.leader_term) != (entry.index, entry.term):
             return []
         outcome = encode_outcome(applied.outcome)
-        self._remember(entry.key, outcome)
+        self._store_outcome(entry.key, outcome)
         return [Reply(entry.key, outcome)]
 
-    def _remember(self, key: RequestKey, outcome: bytes) -> None:
+    def _store_outcome(self, key: RequestKey, outcome: bytes) -> None:
         self._recent_outcomes[key] = outcome
         while len(self._recent_outcomes) > MAX_RECENT_OUTCOMES:
             self._recent_outcomes.popitem(last=False)
--- a/reedspoke/booking/limits.py
+++ b/reedspoke/booking/limits.py
@@ -23,7 +23,7 @@
     horizon_s: int = 60 * 86_400  # how far ahead one may end
     max_length_s: int = 86_400
 
-    def refusal(self, command: BookingCommand, now_s: int) -> str:
+    def refusal_reason(self, command: BookingCommand, now_s: int) -> str:
         """Why it cannot be reserved; "": nothing is wrong with it."""
         if not isinstance(command, ReserveCommand):
             return ""
@@ -52,7 +52,7 @@
         )
 
 
-def limits_from(settings: Bookings) -> BookingLimits:
+def limits_from_settings(settings: Bookings) -> BookingLimits:
     """Return the limits that the operator file gives."""
     return BookingLimits(
         {zone.name: zone.cap for zone in settings.zones},
--- a/reedspoke/booking/messages.py
+++ b/reedspoke/booking/messages.py
@@ -119,11 +119,11 @@
     return data
 
 
-def name_of(command: BookingCommand) -> str:
+def booking_name(command: BookingCommand) -> str:
     """Return the reservation that a command is about; "" for a purge."""
     return "" if isinstance(command, PurgeCommand) else command.name
 
 
-def refused(command: BookingCommand, reason: str) -> BookingOutcome:
+def refused_outcome(command: BookingCommand, reason: str) -> BookingOutcome:
     """Return the outcome of a command that breaks a rule."""
-    return BookingOutcome(BookingStatus.REFUSED, name_of(command), (reason,))
+    return BookingOutcome(BookingStatus.REFUSED, booking_name(command), (reason,))
--- a/reedspoke/booking/metrics.py
+++ b/reedspoke/booking/metrics.py
@@ -32,5 +32,8 @@
         f"# TYPE scheduler_record_{name} gauge\nscheduler_record_{name} {value}\n"
         for name, value in gauges.items()
     )
-    torn = replicated_log.replica.unclean_recoveries
-    return text + f"# TYPE scheduler_record_torn_total counter\nscheduler_record_torn_total {torn}\n"
+    unclean_recoveries = replicated_log.replica.unclean_recoveries
+    return (
+        text
+        + f"# TYPE scheduler_record_torn_total counter\nscheduler_record_torn_total {unclean_recoveries}\n"
+    )
--- a/reedspoke/booking/recurrence.py
+++ b/reedspoke/booking/recurrence.py
@@ -37,28 +37,28 @@
     end: int
 
 
-def unix_time(wall: datetime, clock: ZoneInfo, *, late: bool) -> int:
+def unix_time(local_time: datetime, time_zone: ZoneInfo, *, fold: bool) -> int:
     """Return the s of Unix time of a wall clock's time. `late`: of two such moments the later one."""
-    at = int(wall.replace(tzinfo=clock, fold=late).timestamp())
-    if datetime.fromtimestamp(at, clock).replace(tzinfo=None) == wall:
+    at = int(local_time.replace(tzinfo=time_zone, fold=fold).timestamp())
+    if datetime.fromtimestamp(at, time_zone).replace(tzinfo=None) == local_time:
         return at
-    return _moment_of_jump(wall, clock)
+    return _end_of_skipped_time(local_time, time_zone)
 
 
-def _moment_of_jump(wall: datetime, clock: ZoneInfo) -> int:
+def _end_of_skipped_time(local_time: datetime, time_zone: ZoneInfo) -> int:
     """Find the jump over a wall time that does not exist: its two readings lie around it."""
-    low, high = sorted(int(wall.replace(tzinfo=clock, fold=fold).timestamp()) for fold in (0, 1))
-    offset_before = datetime.fromtimestamp(low, clock).utcoffset()
+    low, high = sorted(int(local_time.replace(tzinfo=time_zone, fold=fold).timestamp()) for fold in (0, 1))
+    offset_before = datetime.fromtimestamp(low, time_zone).utcoffset()
     while high - low > 1:
         middle = (low + high) // 2
-        if datetime.fromtimestamp(middle, clock).utcoffset() == offset_before:
+        if datetime.fromtimestamp(middle, time_zone).utcoffset() == offset_before:
             low = middle
         else:
             high = middle
     return high
 
 
-def occurrences(begin: datetime, end: datetime, rule: str, time_zone: str) -> list[Window]:
+def occurrences(begin: datetime, end: datetime, rule: str, time_zone_name: str) -> list[Window]:
     """Return the windows of a rule, the earliest first. Raises RecurrenceError.
 
     `begin` and `end` are wall clock times without an offset.
@@ -68,23 +68,23 @@
     length = end - begin
     if not timedelta(0) < length:
         raise RecurrenceError("it ends before it begins")
-    clock = _clock_of(time_zone)
+    time_zone = _time_zone_info(time_zone_name)
     starts = list(islice(_parse_rule(rule, begin), MAX_OCCURRENCES + 1))
     if len(starts) > MAX_OCCURRENCES:
         raise RecurrenceError(f"more than {MAX_OCCURRENCES} times: give it COUNT or UNTIL")
     if not starts:
         raise RecurrenceError("it never comes")
     return [
-        Window(unix_time(start, clock, late=False), unix_time(start + length, clock, late=True))
+        Window(unix_time(start, time_zone, fold=False), unix_time(start + length, time_zone, fold=True))
         for start in starts
     ]
 
 
-def _clock_of(time_zone: str) -> ZoneInfo:
+def _time_zone_info(time_zone_name: str) -> ZoneInfo:
     try:
-        return ZoneInfo(time_zone)
+        return ZoneInfo(time_zone_name)
     except (ZoneInfoNotFoundError, ValueError, OSError) as error:
-        raise RecurrenceError(f"no such clock: {time_zone!r}") from error
+        raise RecurrenceError(f"no such clock: {time_zone_name!r}") from error
 
 
 def _parse_rule(rule: str, begin: datetime) -> rrule:
--- a/reedspoke/booking/reservation_table.py
+++ b/reedspoke/booking/reservation_table.py
@@ -21,12 +21,12 @@
     PurgeCommand,
     ReserveCommand,
     decode_command,
-    refused,
+    refused_outcome,
 )
 from reedspoke.booking.slot_usage import SlotUsage
 
-MAX_CONFLICTS_SHOWN = 5  # names of reservations in a refusal
-MAX_WINDOWS_SHOWN = 3  # free windows in a refusal
+MAX_REPORTED_CONFLICTS = 5  # names of reservations in a refusal
+MAX_REPORTED_WINDOWS = 3  # free windows in a refusal
 SECONDS_PER_DAY = 86_400
 CANCELLATION_RETENTION_S = 30 * SECONDS_PER_DAY  # of the cancelled name of a reservation that never came
 
@@ -51,7 +51,7 @@
     outcome: BookingOutcome
 
 
-NOTHING_APPLIED = AppliedCommand(0, BookingOutcome(BookingStatus.ABSENT, ""))
+NO_COMMAND_APPLIED = AppliedCommand(0, BookingOutcome(BookingStatus.ABSENT, ""))
 
 
 class ReservationTable:
@@ -59,7 +59,7 @@
 
     def __init__(self) -> None:
         self.reservations: dict[str, Reservation] = {}
-        self.last_applied = NOTHING_APPLIED
+        self.last_applied = NO_COMMAND_APPLIED
         self._zone_usage: defaultdict[str, SlotUsage] = defaultdict(SlotUsage)
         self._tenant_usage: defaultdict[tuple[str, str], SlotUsage] = defaultdict(SlotUsage)  # zone, tenant
 
@@ -76,7 +76,7 @@
     def restore(self, snapshot: bytes) -> None:
         """Replace all reservations by those of a snapshot."""
         self.reservations = msgspec.msgpack.decode(snapshot, type=dict[str, Reservation])
-        self.last_applied = NOTHING_APPLIED
+        self.last_applied = NO_COMMAND_APPLIED
         self._zone_usage.clear()
         self._tenant_usage.clear()
         for reservation in self.reservations.values():
@@ -97,10 +97,10 @@
     def _reserve(self, command: ReserveCommand) -> BookingOutcome:
         existing = self.reservations.get(command.name)
         if existing is not None and command.version <= existing.version:
-            repeated = _is_repeated(command, existing)
+            repeated = _is_duplicate(command, existing)
             return self._outcome(BookingStatus.BOOKED if repeated else BookingStatus.STALE, command.name)
         if command.begin >= command.end:
-            return refused(command, "it ends before it begins")
+            return refused_outcome(command, "it ends before it begins")
         if existing is not None:
             self._release(existing)  # a change does not conflict with itself
         refusal = self._refusal(command)
@@ -124,7 +124,7 @@
             return BookingOutcome(BookingStatus.REFUSED, command.name, conflicts, windows)
         tenant_usage = self._tenant_usage.get((command.zone, command.tenant))
         if self._peak(tenant_usage, command.begin, command.end) + command.slots > command.tenant_limit:
-            return refused(command, f"over the {command.tenant_limit} slots of {command.tenant}")
+            return refused_outcome(command, f"over the {command.tenant_limit} slots of {command.tenant}")
         return None
 
     def _conflicts(self, command: ReserveCommand) -> tuple[str, ...]:
@@ -134,7 +134,7 @@
             for name, reservation in self.reservations.items()
             if name != command.name and _overlaps(reservation, command)
         ]
-        return tuple(name for _, name in sorted(found)[:MAX_CONFLICTS_SHOWN])
+        return tuple(name for _, name in sorted(found)[:MAX_REPORTED_CONFLICTS])
 
     def _free_windows(self, command: ReserveCommand) -> tuple[FreeWindow, ...]:
         """Return the next windows of that length in which there is room."""
@@ -144,7 +144,7 @@
         windows = usage.windows_below(
             command.begin, command.end - command.begin, command.zone_limit - command.slots
         )
-        return tuple(islice(windows, MAX_WINDOWS_SHOWN))
+        return tuple(islice(windows, MAX_REPORTED_WINDOWS))
 
     def _cancel(self, command: CancelCommand) -> BookingOutcome:
         existing = self.reservations.get(command.name)
@@ -161,7 +161,9 @@
         return self._outcome(BookingStatus.CANCELLED, command.name)
 
     def _purge(self, command: PurgeCommand) -> BookingOutcome:
-        ended = [name for name, one in self.reservations.items() if one.end < command.ended_before]
+        ended = [
+            name for name, reservation in self.reservations.items() if reservation.end < command.ended_before
+        ]
         for name in ended:
             self._release(self.reservations.pop(name))
         return BookingOutcome(BookingStatus.PURGED, "")
@@ -196,16 +198,25 @@
         return self._outcome(status, name)
 
     def _outcome(self, status: BookingStatus, name: str) -> BookingOutcome:
-        one = self.reservations.get(name)
-        if one is None:
+        reservation = self.reservations.get(name)
+        if reservation is None:
             return BookingOutcome(BookingStatus.ABSENT, name)
         return BookingOutcome(
-            status, name, (), (), one.tenant, one.zone, one.slots, one.begin, one.end, one.version
+            status,
+            name,
+            (),
+            (),
+            reservation.tenant,
+            reservation.zone,
+            reservation.slots,
+            reservation.begin,
+            reservation.end,
+            reservation.version,
         )
 
     def active_names(self) -> list[str]:
         """Return the names of the reservations that are not cancelled, sorted."""
-        return sorted(name for name, one in self.reservations.items() if not one.cancelled)
+        return sorted(name for name, reservation in self.reservations.items() if not reservation.cancelled)
 
     def slots_reserved(self, zone: str, at: int, tenant: str = "") -> int:
         """Return the slots of that zone reserved at that time, by that tenant alone where it is named."""
@@ -213,7 +224,7 @@
         return self._peak(usage, at, at + 1)
 
 
-def _is_repeated(command: ReserveCommand, existing: Reservation) -> bool:
+def _is_duplicate(command: ReserveCommand, existing: Reservation) -> bool:
     """Whether it asks for what is reserved already: a request may be sent again until it is answered."""
     requested = (command.version, command.tenant, command.zone, command.slots, command.begin, command.end)
     reserved = (
--- a/reedspoke/booking/subsystem.py
+++ b/reedspoke/booking/subsystem.py
@@ -13,7 +13,7 @@
 
 from reedspoke.booking.booking_node import BookingNode
 from reedspoke.booking.component import US_PER_SECOND, BookingComponent
-from reedspoke.booking.limits import limits_from
+from reedspoke.booking.limits import limits_from_settings
 from reedspoke.booking.log_writer import LogWriter
 from reedspoke.booking.metrics import metrics_text
 from reedspoke.booking.settings import Bookings
@@ -24,17 +24,21 @@
 from reedspoke.units import parse_seconds
 
 LOG_NAME = "bookings"  # of the files in the operator's folder
-INCARNATION_BITS = 0xFFFF_FFFF
+INCARNATION_MASK = 0xFFFF_FFFF
 US_PER_MS = 1000
 
 
 def build_bookings(runtime: Runtime, fleet_node: FleetNode, settings: Bookings) -> Subsystem:
     """Stands on the fleet's own subsystem. Raises ValueError for a role of the same name, LogStoreError."""
     now = runtime.clock.now()
-    incarnation = now // US_PER_MS & INCARNATION_BITS
+    incarnation = now // US_PER_MS & INCARNATION_MASK
     lease_ttl_us = int(parse_seconds(settings.term) * US_PER_SECOND)
     node = BookingNode(
-        fleet_node, limits_from(settings), lease_ttl_us, incarnation, lambda now: now // US_PER_SECOND
+        fleet_node,
+        limits_from_settings(settings),
+        lease_ttl_us,
+        incarnation,
+        lambda now: now // US_PER_SECOND,
     )
     component = BookingComponent(runtime.reducer.core, node)
     extensions = []
@@ -47,11 +51,11 @@
 
 
 def _calls(component: BookingComponent) -> tuple[Call, ...]:
-    one = (b"bookings", NAME)
+    booking_path = (b"bookings", NAME)
     return (
-        Call(b"POST", (*one, b"series"), component.on_reserve_series),
-        Call(b"POST", one, component.on_reserve),
-        Call(b"DELETE", one, component.on_cancel),
-        Call(b"GET", one, component.on_show),
+        Call(b"POST", (*booking_path, b"series"), component.on_reserve_series),
+        Call(b"POST", booking_path, component.on_reserve),
+        Call(b"DELETE", booking_path, component.on_cancel),
+        Call(b"GET", booking_path, component.on_get),
         Call(b"GET", (b"bookings",), component.on_list),
     )
--- a/tests/booking/test_booking_node.py
+++ b/tests/booking/test_booking_node.py
@@ -7,7 +7,7 @@
 from reedspoke.lab.virtual import SECOND, Play
 
 
-def test_a_leader_whose_disk_is_full_hands_its_role_on() -> None:
+def test_a_leader_whose_storage_fails_gives_up_its_role() -> None:
     """Guards the others: it kept its lease, committed nothing, and every command was unknown until its
     restart."""
     play = Play(3, 1, SECOND // 2, SECOND, booking_limits=BookingLimits({"north": 6}, {}, step_s=1))
--- a/tests/booking/test_http_api.py
+++ b/tests/booking/test_http_api.py
@@ -47,7 +47,7 @@
     return answer.status, json.loads(answer.body)["state"]
 
 
-def until_booked(node: Node, name: str, body: dict[str, object]) -> Message:
+def book_with_retries(node: Node, name: str, body: dict[str, object]) -> Message:
     """The log has a leader after a lease's time; until then nobody knows."""
     end = time.monotonic() + WAIT
     while (answer := call(node, "POST", f"bookings/{name}", body)).status == 202 and time.monotonic() < end:
@@ -55,9 +55,9 @@
     return answer
 
 
-def test_a_booking_through_any_scheduler_is_the_same_everywhere(pair: tuple[Node, Node]) -> None:
+def test_a_booking_through_any_scheduler_is_seen_by_all(pair: tuple[Node, Node]) -> None:
     voter, other = pair
-    assert result(until_booked(other, "first", booking_body(4, 2))) == (201, "booked")
+    assert result(book_with_retries(other, "first", booking_body(4, 2))) == (201, "booked")
     answer = call(voter, "POST", "bookings/second", booking_body(3, 3))
     assert result(answer) == (409, "refused")
     body = json.loads(answer.body)
@@ -79,7 +79,7 @@
     assert 'scheduler_bookings_told_total{what="refused"}' in metrics
 
 
-def test_a_scheduler_that_is_no_voter_says_who_is(pair: tuple[Node, Node]) -> None:
+def test_a_scheduler_that_is_not_a_voter_names_the_voters(pair: tuple[Node, Node]) -> None:
     for path in ("bookings", "bookings/first"):
         answer = call(pair[1], "GET", path)
         assert answer.status == 503
@@ -98,7 +98,7 @@
     ],
     ids=repr,
 )  # fmt: skip
-def test_an_invalid_booking_is_refused_with_a_problem(start: Start, body: object) -> None:
+def test_an_invalid_booking_gets_a_problem_document(start: Start, body: object) -> None:
     node = start(hosts=1, operator=operator(0, [f"127.0.0.1:{free_port()}"], [0]))
     answer = call(node, "POST", "bookings/first", body)
     assert answer.status == 400
@@ -107,7 +107,7 @@
     assert problem["remedy"]
 
 
-def test_without_a_majority_nobody_says_yes_or_no(start: Start) -> None:
+def test_without_a_majority_the_outcome_is_unknown(start: Start) -> None:
     members = [f"127.0.0.1:{free_port()}" for _ in range(3)]
     node = start(hosts=1, balancers=3, operator=operator(0, members, [0, 1, 2]))
     began = time.monotonic()
@@ -115,13 +115,13 @@
     assert 1.5 < time.monotonic() - began < 2.3
 
 
-def test_a_series_is_booked_by_its_rule_each_time_by_its_own_name(pair: tuple[Node, Node]) -> None:
+def test_a_series_books_each_occurrence_under_its_own_name(pair: tuple[Node, Node]) -> None:
     day = time.strftime("%Y-%m-%d", time.gmtime(time.time() + 2 * 86_400))
     body = {
         "tenant": "acme", "zone": "north", "slots": 4, "from": f"{day}T02:00:00", "to": f"{day}T04:00:00",
         "clock": "Europe/Vienna", "repeat": "FREQ=WEEKLY;COUNT=3",
     }  # fmt: skip
-    until_booked(pair[1], "first", booking_body(1, 20))
+    book_with_retries(pair[1], "first", booking_body(1, 20))
     answer = call(pair[1], "POST", "bookings/weekly/series", body)
     assert answer.status == 201
     found = json.loads(answer.body)["bookings"]
--- a/tests/booking/test_limits.py
+++ b/tests/booking/test_limits.py
@@ -19,10 +19,10 @@
     ],
     ids=str,
 )  # fmt: skip
-def test_what_cannot_be_booked_is_refused_where_it_is_requested(change: dict[str, int], reason: str) -> None:
+def test_a_reservation_beyond_the_limits_is_refused(change: dict[str, int], reason: str) -> None:
     limits = BookingLimits({"north": 6}, {"t": 2, "": 4})
     command = ReserveCommand("n", 0, "t", "north", 1, 600, 900, 1, 1)
-    refusal = limits.refusal(replace(command, **change), 500)
+    refusal = limits.refusal_reason(replace(command, **change), 500)
     assert (reason in refusal) if reason else refusal == ""
     complete = limits.fill_in(command)
     assert isinstance(complete, ReserveCommand)
--- a/tests/booking/test_messages.py
+++ b/tests/booking/test_messages.py
@@ -13,7 +13,7 @@
 )
 
 
-def test_messages_fit_a_frame() -> None:
+def test_encoded_commands_and_outcomes_fit_a_frame() -> None:
     longest = "n" * 24
     data = encode_command(
         ReserveCommand(longest, 65535, longest, longest, 65535, 2**32 - 1, 2**32 - 1, 65535, 65535)
--- a/tests/booking/test_recurrence.py
+++ b/tests/booking/test_recurrence.py
@@ -21,13 +21,13 @@
     return [(local(a, place), local(b, place)) for a, b in found]
 
 
-def test_hours_stay_those_of_the_clock_through_a_change() -> None:
+def test_local_hours_stay_the_same_through_a_change_of_offset() -> None:
     found = local_windows("2026-03-28T05:00", "2026-03-28T07:00", "FREQ=DAILY;COUNT=3")
     assert [begin for begin, _ in found] == ["28 05:00+0100", "29 05:00+0200", "30 05:00+0200"]
     assert [end for _, end in found] == ["28 07:00+0100", "29 07:00+0200", "30 07:00+0200"]
 
 
-def test_a_time_that_does_not_exist_is_the_moment_of_the_jump() -> None:
+def test_a_skipped_local_time_becomes_the_end_of_the_gap() -> None:
     assert local_windows("2026-03-29T02:30", "2026-03-29T04:00", "FREQ=DAILY;COUNT=1") == [
         ("29 03:00+0200", "29 04:00+0200")
     ]
@@ -36,7 +36,7 @@
     ]
 
 
-def test_an_hour_that_comes_twice_is_booked_whole() -> None:
+def test_both_passes_of_a_repeated_hour_are_booked() -> None:
     (only,) = occurrences(
         datetime(2026, 10, 25, 2, 0), datetime(2026, 10, 25, 2, 30), "FREQ=DAILY;COUNT=1", VIENNA
     )
@@ -45,7 +45,7 @@
 
 
 @pytest.mark.parametrize("place", ["Asia/Tokyo", "Australia/Lord_Howe", "America/St_Johns", "UTC"])
-def test_other_places(place: str) -> None:
+def test_other_time_zones(place: str) -> None:
     """A half hour's change, an offset of half an hour, no change at all."""
     found = occurrences(
         datetime(2026, 1, 31, 2, 0), datetime(2026, 1, 31, 4, 0), "FREQ=MONTHLY;BYMONTHDAY=-1;COUNT=12", place
@@ -55,8 +55,8 @@
     assert [local(a, place)[3:8] for a, _ in found] == ["02:00"] * 12 or place == "Australia/Lord_Howe"
 
 
-def test_a_jump_is_found_to_the_second() -> None:
-    at = unix_time(datetime(2026, 3, 29, 2, 59, 59), ZoneInfo(VIENNA), late=False)
+def test_the_end_of_the_gap_is_exact_to_the_second() -> None:
+    at = unix_time(datetime(2026, 3, 29, 2, 59, 59), ZoneInfo(VIENNA), fold=False)
     assert local(at) == "29 03:00+0200"
     assert local(at - 1) == "29 01:59+0100"
 
@@ -74,7 +74,7 @@
     ],
     ids=str,
 )  # fmt: skip
-def test_what_is_no_rule_is_refused(change: dict[str, str], why: str) -> None:
+def test_an_unusable_rule_raises_recurrence_error(change: dict[str, str], why: str) -> None:
     given = {
         "begin": "2026-01-01T02:00",
         "end": "2026-01-01T04:00",
--- a/tests/booking/test_reservation_table.py
+++ b/tests/booking/test_reservation_table.py
@@ -47,7 +47,7 @@
 
 @settings(max_examples=300, deadline=None)
 @given(st.lists(COMMAND, max_size=25))
-def test_commands_do_what_a_count_by_brute_force_does(commands: list[BookingCommand]) -> None:
+def test_outcomes_match_a_brute_force_model(commands: list[BookingCommand]) -> None:
     table, reserved, versions = ReservationTable(), dict[str, tuple[int, int, int]](), dict[str, int]()
     live: dict[str, ReserveCommand] = {}
     for command in commands:
@@ -96,7 +96,7 @@
     )
 
 
-def test_a_change_does_not_conflict_with_itself_and_a_refused_one_leaves_the_old() -> None:
+def test_a_change_does_not_conflict_with_itself_and_a_refused_change_keeps_the_old_version() -> None:
     table = ReservationTable()
     table.execute(reserve("one", 5, 0, 10))
     assert table.execute(reserve("one", 6, 0, 12, 1)).status == "booked"
@@ -105,7 +105,7 @@
     assert table.slots_reserved("north", 11) == 6
 
 
-def test_a_cancellation_that_overtakes_is_remembered() -> None:
+def test_a_cancellation_that_arrives_before_its_reservation_is_kept() -> None:
     table = ReservationTable()
     assert table.execute(CancelCommand("one", 1, 1000)).status == "cancelled"
     assert table.execute(reserve("one", 1, 0, 10)).status == "stale"
@@ -115,7 +115,7 @@
     assert table.slots_reserved("north", 5) == 0
 
 
-def test_a_hundred_thousand_bookings() -> None:
+def test_time_for_a_hundred_thousand_bookings() -> None:
     """Stated: under 10 s to book, 5 ms a look, 200 MB less by far."""
     table, began = ReservationTable(), time.process_time()
     for at in range(100_000):
