--- a/reedspoke/booking/booking_node.py
+++ b/reedspoke/booking/booking_node.py
@@ -1,8 +1,8 @@
-"""The reservations of one scheduler, joined to its part in the fleet. No I/O.
+"""Connects the reservations of one scheduler to its fleet node. Performs no I/O.
 
-`BookingNode` owns the replicated log where this scheduler is a voter, follows the singleton role that
-leads the log, and carries the messages of the log and of the booking service. `component.py` joins it to
-the rest of the program; the laboratory runs it as it is.
+`BookingNode` owns the replicated log if this scheduler is a voter, leads the log while the scheduler holds
+the singleton role for that, and dispatches the messages of the log and of the booking service.
+`component.py` connects it to the rest of the program; the test laboratory runs it directly in simulations.
 """
 
 from __future__ import annotations
@@ -23,13 +23,11 @@
 from reedspoke.fleet.roles.singleton_roles import SingletonRole
 from reedspoke.net.effects import FurtherEffect
 
-RETRANSMITS_PER_LEASE_TTL = (
-    4  # a lost message of the log is sent again that often within the lease of its leader
-)
+RETRANSMITS_PER_LEASE_TTL = 4  # An unanswered message of the log is resent this often per leader lease.
 
 
 class BookingNode:
-    """The handler of the role that leads the log: whoever holds its lease is told to lead."""
+    """Handler of the singleton role whose holder leads the replicated log."""
 
     def __init__(
         self,
@@ -39,7 +37,11 @@
         incarnation: int,
         unix_time: Callable[[int], int],
     ) -> None:
-        """`unix_time`: s of Unix time from our us. `incarnation` differs with each start."""
+        """Create the node and register it with the fleet node.
+
+        `unix_time` converts this process's time in microseconds to Unix time in seconds. `incarnation` must
+        differ at each start of the process.
+        """
         assert fleet_node.roles is not None
         self.fleet_node, self.roles = fleet_node, fleet_node.roles
         member, self.voters = fleet_node.channel.node_id, fleet_node.roles.configuration.voters
@@ -58,7 +60,7 @@
         self.service = BookingService(
             member, leader_queue, limits, self._leader_at, unix_time, first_number=incarnation
         )
-        self.stores_changes = False  # whether changes have to be on disk before messages leave
+        self.stores_changes = False  # Whether changes must be on disk before messages are sent.
         self._join_fleet(lease_ttl_us)
 
     def _join_fleet(self, lease_ttl_us: int) -> None:
@@ -85,10 +87,10 @@
         return changes if self.stores_changes else []
 
     def fail_storage(self, now: int) -> None:
-        """Be silent and give the role up: changes cannot be stored.
+        """Stop sending messages of the log and give up the leader role, because changes cannot be stored.
 
-        Guards the others against a leader whose disk is full: it would go on to renew its lease, and
-        nothing could be committed.
+        Otherwise a leader whose disk is full would keep renewing its lease although it cannot commit
+        anything, and no other voter could take over.
         """
         assert self.replicated_log is not None
         self.replicated_log.fail_storage()
@@ -97,23 +99,23 @@
     # ---- the role ----
 
     def lease_acquired(self, token: int, expires_at: int, now: int) -> list[FurtherEffect]:
-        """Lead the log, with the lease's fencing token as the term."""
+        """Start leading the log, with the lease's fencing token as the term."""
         assert self.replicated_log is not None
         self._send_log_messages(self.replicated_log.become_leader(token, now))
         return []
 
     def lease_renewed(self, expires_at: int, now: int) -> list[FurtherEffect]:
-        """Do nothing: the log needs no time, it is safe with any number of leaders."""
+        """Do nothing: the log's safety does not depend on lease times, even with several leaders."""
         return []
 
     def lease_ended(self, reason: str, now: int) -> list[FurtherEffect]:
-        """Lead the log no longer."""
+        """Stop leading the log."""
         if self.replicated_log is not None:
             self.replicated_log.step_down()
         return []
 
     def tick(self, now: int) -> list[FurtherEffect]:
-        """Do nothing: the node's own tick drives the log, at the followers as well."""
+        """Do nothing: the fleet node's tick drives the log, on followers as well as on the leader."""
         return []
 
     # ---- messages ----
@@ -140,7 +142,7 @@
 
 
 def _in_envelopes(outbox: Outbox) -> list[OutgoingMessage]:
-    """Messages of the log, as the fleet sends them."""
+    """Wrap messages of the log in envelopes that name the log, for sending over the fleet's channel."""
     return [
         OutgoingMessage(outgoing.recipient, LogEnvelope(name_hash(LEADER_ROLE), outgoing.message))
         for outgoing in outbox
--- a/reedspoke/booking/booking_service.py
+++ b/reedspoke/booking/booking_service.py
@@ -1,10 +1,10 @@
-"""Requests for reservations, taken at any scheduler and brought to the leader of the replicated log.
+"""Accepts reservation requests at any scheduler and forwards them to the leader of the replicated log.
 
-A request is sent to the leader again and again until it is answered or its time is up. Both a yes and a
-no are the outcome of a committed command, and names with versions make it harmless to ask twice. What is
-not known in time is reported as unknown: it may have been booked.
+A request is resent to the leader until it is answered or times out. Apart from requests that break the
+operator's limits, every result is the outcome of a committed command. Commands are idempotent by name and
+version, so retries are safe. A request that times out is reported as unknown: it may have been committed.
 
-`BookingService` owns the requests that were taken here. No I/O.
+`BookingService` owns the requests accepted by this scheduler. It performs no I/O.
 """
 
 from __future__ import annotations
@@ -32,12 +32,12 @@
 from reedspoke.fleet.replicated_log.messages import CommandReply, CommandRequest
 
 RETRY_INTERVAL_US = 250_000
-REQUEST_TIMEOUT_US = 1_800_000  # the HTTP API answers within 2 s
+REQUEST_TIMEOUT_US = 1_800_000  # Must leave time for the HTTP API to answer within 2 s.
 MAX_REQUEST_NUMBER = 0xFFFF_FFFF
 
 
 class CompletedRequest(NamedTuple):
-    """The number of a request that was taken here, and what became of it."""
+    """The number of a request accepted by this scheduler, and its outcome."""
 
     number: int
     outcome: BookingOutcome
@@ -45,7 +45,7 @@
 
 @dataclass(slots=True)
 class PendingRequest:
-    """A request that was taken here and is not answered. Times in us."""
+    """An unanswered request accepted by this scheduler. Times are in microseconds."""
 
     command: BookingCommand
     deadline: int
@@ -53,7 +53,10 @@
 
 
 class BookingService:
-    """`completed` and `outcome_counts` are read by the HTTP API; `completed` is emptied by it."""
+    """Tracks the requests of one scheduler until their outcome is known or they time out.
+
+    The caller consumes and clears `completed`; `outcome_counts` counts the outcomes by status for metrics.
+    """
 
     def __init__(
         self,
@@ -64,11 +67,12 @@
         unix_time: Callable[[int], int],
         first_number: int = 0,
     ) -> None:
-        """Serve one scheduler; `leader_queue` is None where it is no voter.
+        """Create the service of one scheduler; `leader_queue` is None if it is not a voter.
 
-        `leader_at`: the scheduler that leads the log at a time of ours, None where nobody is known to.
-        `unix_time`: s of Unix time from our us. `first_number` differs with each start: the leader would
-        take a later incarnation's requests for those of a former one.
+        `leader_at` returns the member that leads the log at the given time, or None if no leader is known.
+        `unix_time` converts this process's time in microseconds to Unix time in seconds. `first_number` must
+        differ at each start of the process, or the leader would mistake new requests for duplicates of
+        those sent before the restart.
         """
         self.member, self.limits = member, limits
         self.completed: list[CompletedRequest] = []
@@ -78,10 +82,13 @@
         self._pending: dict[int, PendingRequest] = {}
         self._last_number = first_number
 
-    # ---- requests taken here ----
+    # ---- requests accepted by this scheduler ----
 
     def submit(self, command: BookingCommand, now: int) -> tuple[int, list[OutgoingMessage]]:
-        """Take a request; returns its number and what to send. The outcome comes by `completed`."""
+        """Accept a request; return its number and the messages to send.
+
+        The outcome is appended to `completed` when it is known.
+        """
         number = self._last_number = (self._last_number + 1) & MAX_REQUEST_NUMBER
         if reason := self.limits.refusal_reason(command, self._unix_time(now)):
             self._complete(number, refused_outcome(command, reason))
@@ -111,7 +118,7 @@
         return self._route(self._leader_queue.submit(key, command, now))
 
     def _route(self, replies: list[Reply]) -> list[OutgoingMessage]:
-        """Complete what was requested here; the rest goes to the schedulers that took it."""
+        """Complete the requests of this scheduler; return messages with the replies to other schedulers."""
         messages: list[OutgoingMessage] = []
         for key, outcome in replies:
             if key.member != self.member:
@@ -123,12 +130,12 @@
     # ---- messages and time ----
 
     def on_reply(self, reply: CommandReply) -> None:
-        """Complete a request by the leader's answer; duplicates are dropped."""
+        """Complete a request with the leader's reply. Duplicate replies are ignored."""
         if reply.number in self._pending:
             self._complete(reply.number, decode_outcome(reply.outcome))
 
     def on_request(self, sender: int, request: CommandRequest, now: int) -> list[OutgoingMessage]:
-        """Queue the command of a scheduler that takes us for the leader; what is no command is dropped."""
+        """Queue a command that another scheduler sent to the leader. Malformed commands are ignored."""
         try:
             command = decode_command(request.command)
         except (msgspec.DecodeError, ValueError):
@@ -136,7 +143,7 @@
         return self._submit_to_queue(RequestKey(sender, request.number), command, now)
 
     def tick(self, now: int) -> list[OutgoingMessage]:
-        """Give up what is too late, send again what is not answered, and go on with the leader's queue."""
+        """Time out expired requests, resend unanswered ones, and advance the leader's queue."""
         if self._leader_queue is not None:
             self._leader_queue.clear_unless_serving()
         messages: list[OutgoingMessage] = []
@@ -151,5 +158,5 @@
 
 
 def _timed_out_outcome(command: BookingCommand) -> BookingOutcome:
-    reason = "nobody could say in time: ask again under this name"
+    reason = "the request timed out, its outcome is unknown: retry with the same name and version"
     return BookingOutcome(BookingStatus.UNKNOWN, booking_name(command), (reason,))
--- a/reedspoke/booking/component.py
+++ b/reedspoke/booking/component.py
@@ -1,4 +1,4 @@
-"""The reservations' component of the reducer: HTTP calls wait here until their outcome is known."""
+"""Reducer component for reservations: holds HTTP calls until the outcome of their commands is known."""
 
 from __future__ import annotations
 
@@ -25,14 +25,14 @@
 from reedspoke.net import effects as fx
 from reedspoke.net.core import Concern, Core, Reactions
 
-MAX_LISTED_BOOKINGS = 1000  # bookings in one answer
+MAX_LISTED_BOOKINGS = 1000  # Maximum number of bookings in one response.
 US_PER_SECOND = 1_000_000
 BAD_REQUEST, NOT_FOUND, SERVICE_UNAVAILABLE = 400, 404, 503
 
 
 @dataclass(slots=True)
 class PendingSeries:
-    """The bookings of one call, which are answered together."""
+    """The bookings requested by one call, which gets a single response for all of them."""
 
     caller: int
     count: int
@@ -40,7 +40,7 @@
 
 
 class BookingComponent(Concern):
-    """Owns the calls that wait, by the number of their request."""
+    """Owns the pending HTTP calls, indexed by the number of their request."""
 
     def __init__(self, core: Core, node: BookingNode) -> None:
         super().__init__(core)
@@ -51,7 +51,7 @@
     # ---- HTTP calls ----
 
     def on_reserve(self, event: fx.Called) -> fx.Reply | None:
-        """POST bookings/NAME."""
+        """Handle POST bookings/NAME: create or change a booking."""
         try:
             command = parse_booking(event.names[0], event.body)
         except InvalidBookingError as error:
@@ -60,7 +60,7 @@
         return None
 
     def on_reserve_series(self, event: fx.Called) -> fx.Reply | None:
-        """POST bookings/NAME/series."""
+        """Handle POST bookings/NAME/series: create the bookings of a recurrence rule."""
         try:
             commands = parse_series(event.names[0], event.body)
         except (InvalidBookingError, RecurrenceError) as error:
@@ -71,7 +71,7 @@
         return None
 
     def on_cancel(self, event: fx.Called) -> fx.Reply | None:
-        """DELETE bookings/NAME."""
+        """Handle DELETE bookings/NAME: cancel a booking."""
         try:
             command = parse_cancellation(event.names[0], event.body, self.core.now // US_PER_SECOND)
         except InvalidBookingError as error:
@@ -80,7 +80,7 @@
         return None
 
     def on_get(self, event: fx.Called) -> fx.Reply:
-        """GET bookings/NAME."""
+        """Handle GET bookings/NAME: return a booking as this voter has it."""
         if self.node.table is None:
             return self._not_a_voter(event.caller)
         outcome = self.node.table.lookup(event.names[0])
@@ -88,7 +88,7 @@
         return _json_reply(event.caller, outcome_as_json(outcome), status)
 
     def on_list(self, event: fx.Called) -> fx.Reply:
-        """GET bookings."""
+        """Handle GET bookings: return the bookings that this voter has, up to MAX_LISTED_BOOKINGS."""
         table = self.node.table
         if table is None:
             return self._not_a_voter(event.caller)
@@ -105,7 +105,9 @@
         return number
 
     def _not_a_voter(self, caller: int) -> fx.Reply:
-        error = NotAVoterError(f"known to the granters alone: {list(self.node.voters)}")
+        error = NotAVoterError(
+            f"this scheduler is not a voter; the reservations are stored by members {list(self.node.voters)}"
+        )
         return self._problem(caller, SERVICE_UNAVAILABLE, error)
 
     def _problem(self, caller: int, status: int, error: ReedspokeError) -> fx.Reply:
@@ -115,21 +117,27 @@
     # ---- events ----
 
     def reactions(self) -> Reactions:
-        """Return the handlers of the storage's events."""
+        """Return the handlers of storage events."""
         return {LogStoreFailed: self._on_storage_failed}
 
     def _on_storage_failed(self, _: LogStoreFailed) -> None:
-        """Nothing that follows from the changes was sent, and nothing will be: the outcomes are unknown."""
+        """Report the completed requests as unknown.
+
+        Messages that depend on the failed write have not been sent and never will be.
+        """
         self.node.fleet_node.pending_writes -= 1
         self.node.fail_storage(self.core.now)
-        reasons = ("what it would confirm cannot be kept",)
+        reasons = ("the replicated log could not be written to disk, so the outcome is unknown",)
         self.service.completed = [
             CompletedRequest(number, BookingOutcome(BookingStatus.UNKNOWN, outcome.name, reasons))
             for number, outcome in self.service.completed
         ]
 
     def after(self) -> None:
-        """Answer the calls whose outcome is known, unless it may follow from a change not on disk yet."""
+        """Answer the calls whose outcome is known, unless changes of the log are still being written to disk.
+
+        An outcome may depend on such a change.
+        """
         if self.node.fleet_node.pending_writes:
             return
         for number, outcome in self.service.completed:
@@ -146,7 +154,10 @@
             self.core.ask(_json_reply(caller, outcome_as_json(outcome), http_status(outcome)))
 
     def _answer_series(self, series: PendingSeries) -> None:
-        """All together, with the worst status of any: those that are booked stay so, each by its own name."""
+        """Answer with all outcomes and the highest HTTP status among them.
+
+        A series is not atomic: occurrences that were booked stay booked under their own names.
+        """
         outcomes = sorted(series.outcomes, key=lambda outcome: (outcome.begin, outcome.name))
         status = max(http_status(outcome) for outcome in outcomes)
         body = {"bookings": [outcome_as_json(outcome) for outcome in outcomes]}
@@ -159,5 +170,5 @@
 
 
 def _json_reply(caller: int, body: object, status: int = 0) -> fx.Reply:
-    """`status`: 0 for the usual one."""
+    """Return a JSON reply; a `status` of 0 stands for the default of a successful call."""
     return fx.Reply(caller, fx.Word.YES, text=json.dumps(body) + "\n", status=status, form=JSON_CONTENT_TYPE)
--- a/reedspoke/booking/http_api.py
+++ b/reedspoke/booking/http_api.py
@@ -1,4 +1,4 @@
-"""Bodies of the HTTP API for reservations: requests into commands, outcomes into JSON. No I/O.
+"""Converts request bodies of the reservation HTTP API to commands, and outcomes to JSON. Performs no I/O.
 
 `docs/calendar.md` describes the API for its users.
 """
@@ -34,25 +34,25 @@
     BookingStatus.ABSENT: 404,
     BookingStatus.UNKNOWN: 202,
 }
-LIMIT_PLACEHOLDER = 1  # of a command: the leader fills in the limits
+LIMIT_PLACEHOLDER = 1  # Value of the limit fields in a command until the leader fills them in.
 
 
 class InvalidBookingError(ReedspokeError):
-    """The body is no booking, and no cancellation."""
+    """The request body is not a valid booking, series or cancellation."""
 
     code = "no-booking"
-    remedy = "see docs/calendar.md for the body, and the detail for what is wrong with it"
+    remedy = "see docs/calendar.md for the format of the body; the detail says what is wrong with it"
 
 
 class NotAVoterError(ReedspokeError):
-    """The scheduler is no voter, so it does not keep the reservations."""
+    """The scheduler is not a voter, so it does not store the reservations."""
 
     code = "bookings-elsewhere"
-    remedy = "ask the door of a scheduler that the detail names"
+    remedy = "send the request to one of the schedulers that the detail lists"
 
 
 class SlotsBody(Struct, forbid_unknown_fields=True, frozen=True):
-    """What is to be reserved, and for whom."""
+    """The slots to reserve and their tenant: fields that a single booking and a series have in common."""
 
     tenant: Identifier
     zone: Identifier
@@ -60,7 +60,7 @@
 
 
 class BookingBody(SlotsBody, frozen=True):
-    """The body of a booking. Times are in RFC 3339, with their offset."""
+    """The body of a booking. Times are in RFC 3339 format with a UTC offset."""
 
     begin: Annotated[datetime, Meta(tz=True)] = msgspec.field(name="from")
     end: Annotated[datetime, Meta(tz=True)] = msgspec.field(name="to")
@@ -68,7 +68,11 @@
 
 
 class SeriesBody(SlotsBody, frozen=True):
-    """The body of a series of bookings: times of the wall clock at `clock`, a place, repeated by a rule."""
+    """The body of a series of bookings.
+
+    `begin` and `end` are the local times of the first occurrence, without a UTC offset, in the time zone
+    `clock`, a name of the IANA time zone database. `repeat` is an RFC 5545 recurrence rule.
+    """
 
     clock: str
     repeat: str
@@ -84,7 +88,7 @@
 
 
 def parse_booking(name: str, body: bytes) -> ReserveCommand:
-    """Return the command for one booking. Raises InvalidBookingError."""
+    """Return the command for one booking. Raises InvalidBookingError if the body is invalid."""
     try:
         booking = msgspec.json.decode(body, type=BookingBody)
         begin, end = int(booking.begin.timestamp()), int(booking.end.timestamp())
@@ -94,9 +98,9 @@
 
 
 def parse_series(name: str, body: bytes) -> list[ReserveCommand]:
-    """Return the commands for a series, each with a name of its own: NAME.1, NAME.2 and so on.
+    """Return the commands for the occurrences of a series, named NAME.1, NAME.2 and so on.
 
-    Raises InvalidBookingError, and RecurrenceError for the rule.
+    Raises InvalidBookingError if the body is invalid, RecurrenceError if its rule or time zone is unusable.
     """
     try:
         series = msgspec.json.decode(body, type=SeriesBody)
@@ -110,7 +114,7 @@
 
 
 def parse_cancellation(name: str, body: bytes, now_s: int) -> CancelCommand:
-    """Return the command for a cancellation. Raises InvalidBookingError."""
+    """Return the command for a cancellation. Raises InvalidBookingError if the body is invalid."""
     try:
         cancellation = msgspec.json.decode(body, type=CancellationBody)
         command = CancelCommand(name, cancellation.version, now_s)
@@ -129,20 +133,20 @@
 
 
 def _validate(command: BookingCommand) -> None:
-    """Check the bounds of the fields, as decoding does and constructing does not.
+    """Check the constraints of the fields, which msgspec enforces only when decoding.
 
-    Raises ValueError, ValidationError.
+    Raises msgspec.ValidationError, or ValueError if the encoded command is too long.
     """
     msgspec.msgpack.decode(encode_command(command), type=type(command))
 
 
 def rfc3339(at_s: int) -> str:
-    """Format s of Unix time, in UTC."""
+    """Format a Unix time in seconds as an RFC 3339 time in UTC."""
     return datetime.fromtimestamp(at_s, UTC).isoformat().replace("+00:00", "Z")
 
 
 def outcome_as_json(outcome: BookingOutcome) -> dict[str, Any]:
-    """Return the body that answers a request; what is empty is left out."""
+    """Return the JSON body of the response to a request; empty fields are omitted."""
     body: dict[str, Any] = {"name": outcome.name, "state": outcome.status, "version": outcome.version}
     if outcome.tenant:
         body |= {
@@ -162,5 +166,5 @@
 
 
 def http_status(outcome: BookingOutcome) -> int:
-    """Return the HTTP status that answers a request."""
+    """Return the HTTP status code for an outcome."""
     return HTTP_STATUS.get(outcome.status, 200)
--- a/reedspoke/booking/leader_queue.py
+++ b/reedspoke/booking/leader_queue.py
@@ -1,7 +1,7 @@
-"""The leader's queue of commands, which go into the replicated log one after another.
+"""The leader's queue of commands, which are appended to the replicated log one at a time.
 
-`LeaderQueue` owns the commands that wait, the one that is in the log but not committed, and the outcomes
-of the last ones, for requests that come again. No I/O.
+`LeaderQueue` owns the queued commands, including the one in flight (appended but not yet committed), and the
+outcomes of recent commands, with which it answers retried requests. It performs no I/O.
 """
 
 from __future__ import annotations
@@ -22,14 +22,14 @@
 
 
 class RequestKey(NamedTuple):
-    """A request: the scheduler that took it, and its number there."""
+    """Identifies a request by the scheduler that accepted it and its number there."""
 
     member: int
     number: int
 
 
 class Reply(NamedTuple):
-    """The encoded outcome of a request."""
+    """A request and its encoded outcome."""
 
     key: RequestKey
     outcome: bytes
@@ -37,7 +37,7 @@
 
 @dataclass(slots=True, frozen=True)
 class EntryInFlight:
-    """The command that is in the log and not committed yet."""
+    """The log entry of the command that is appended but not yet committed."""
 
     key: RequestKey
     index: int
@@ -45,7 +45,7 @@
 
 
 class LeaderQueue:
-    """One for each voter; it accepts commands only while the voter's log serves."""
+    """The command queue of one voter; it accepts commands only while that voter leads the log."""
 
     def __init__(
         self,
@@ -55,7 +55,7 @@
         unix_time: Callable[[int], int],
         send_log_messages: Callable[[Outbox], None],
     ) -> None:
-        """`unix_time`: s of Unix time from our us."""
+        """`unix_time` converts this process's time in microseconds to Unix time in seconds."""
         self.replicated_log, self.table, self.limits = replicated_log, table, limits
         self._unix_time, self._send_log_messages = unix_time, send_log_messages
         self._queue: OrderedDict[RequestKey, BookingCommand] = OrderedDict()
@@ -63,7 +63,11 @@
         self._recent_outcomes: OrderedDict[RequestKey, bytes] = OrderedDict()
 
     def submit(self, key: RequestKey, command: BookingCommand, now: int) -> list[Reply]:
-        """Queue a command, once however often it comes. Replies to this one and to those now committed."""
+        """Queue a command unless it is a duplicate; return the replies that are now due.
+
+        A command is dropped without a reply if this voter does not lead or the queue is full; the scheduler
+        that accepted the request sends it again.
+        """
         if not self.replicated_log.serving:
             return []
         if key in self._recent_outcomes:
@@ -75,13 +79,19 @@
         return self.advance(now)
 
     def clear_unless_serving(self) -> None:
-        """Drop all commands once the leadership is lost: who took them sends them to the next leader."""
+        """Drop all commands if this voter no longer leads the log.
+
+        The schedulers that accepted the requests send them to the next leader.
+        """
         if not self.replicated_log.serving:
             self._queue.clear()
             self._in_flight = None
 
     def advance(self, now: int) -> list[Reply]:
-        """One command at a time: its outcome is known before the next is put into the log."""
+        """Append queued commands one at a time and return the replies that are now due.
+
+        A command is appended only after the outcome of the previous one is known.
+        """
         replies: list[Reply] = []
         while self.replicated_log.serving:
             if self._in_flight is None:
@@ -105,8 +115,8 @@
         self._in_flight = None
         self._queue.pop(entry.key, None)
         applied = self.table.last_applied
-        # Guards a reply against a leadership that was lost and won again meanwhile: the entry there may be
-        # another leader's.
+        # If this voter lost the leadership and regained it in the meantime, the entry at this index may be
+        # another leader's command, so its outcome must not be sent as the reply.
         if (applied.index, self.replicated_log.leader_term) != (entry.index, entry.term):
             return []
         outcome = encode_outcome(applied.outcome)
--- a/reedspoke/booking/limits.py
+++ b/reedspoke/booking/limits.py
@@ -1,4 +1,4 @@
-"""The operator's limits on reservations: what is refused before it comes into the log."""
+"""The operator's limits on reservations, checked before a command is appended to the log."""
 
 from __future__ import annotations
 
@@ -10,39 +10,45 @@
 from reedspoke.booking.settings import Bookings
 from reedspoke.units import parse_seconds
 
-OTHER_TENANTS = ""  # the key of the limit for tenants that are not named
+OTHER_TENANTS = ""  # Key of the default limit, for tenants without an entry of their own.
 
 
 @dataclass(slots=True, frozen=True)
 class BookingLimits:
-    """`zones`: slots by zone; `tenants`: slots in one zone by tenant."""
+    """Limits on the slots, time and length of reservations.
+
+    `zones` maps each zone to its reservable slots, `tenants` maps a tenant to its maximum in any one zone.
+    """
 
     zones: dict[str, int]
     tenants: dict[str, int]
-    step_s: int = 300  # windows begin and end on this grid
-    horizon_s: int = 60 * 86_400  # how far ahead one may end
+    step_s: int = 300  # Reservations must begin and end at multiples of this.
+    horizon_s: int = 60 * 86_400  # Maximum time from now to the end of a reservation.
     max_length_s: int = 86_400
 
     def refusal_reason(self, command: BookingCommand, now_s: int) -> str:
-        """Why it cannot be reserved; "": nothing is wrong with it."""
+        """Return why the command breaks a limit, or "" if it breaks none."""
         if not isinstance(command, ReserveCommand):
             return ""
         if command.zone not in self.zones:
-            return f"no such zone: {command.zone}"
+            return f"unknown zone: {command.zone}"
         if command.begin % self.step_s or command.end % self.step_s:
-            return f"not on the grid of {self.step_s} s"
+            return f"begin and end must be multiples of {self.step_s} s"
         if not command.begin < command.end:
-            return "it ends before it begins"
+            return "the end must be later than the beginning"
         if command.end - command.begin > self.max_length_s:
-            return f"longer than {self.max_length_s} s"
+            return f"the reservation is longer than {self.max_length_s} s"
         if command.end <= now_s:
-            return "it is over already"
+            return "the end is in the past"
         if command.end > now_s + self.horizon_s:
-            return f"beyond the horizon of {self.horizon_s} s"
+            return f"the end is beyond the booking horizon of {self.horizon_s} s"
         return ""
 
     def fill_in(self, command: BookingCommand) -> BookingCommand:
-        """Return the command with the limits of this scheduler, which puts it into the log."""
+        """Return the command with this scheduler's limits filled in.
+
+        The leader does this before it appends the command, so that all voters apply the same limits.
+        """
         if not isinstance(command, ReserveCommand):
             return command
         zone_limit = max(1, self.zones.get(command.zone, 1))
@@ -53,7 +59,7 @@
 
 
 def limits_from_settings(settings: Bookings) -> BookingLimits:
-    """Return the limits that the operator file gives."""
+    """Return the limits configured in the operator file."""
     return BookingLimits(
         {zone.name: zone.cap for zone in settings.zones},
         {team.tenant: team.most for team in settings.teams},
--- a/reedspoke/booking/log_writer.py
+++ b/reedspoke/booking/log_writer.py
@@ -1,4 +1,4 @@
-"""The replicated log's storage in the running program: changes go to disk before messages leave."""
+"""Persists the replicated log of reservations: changes reach the disk before dependent messages are sent."""
 
 from __future__ import annotations
 
@@ -15,25 +15,28 @@
 
 
 class LogWriter:
-    """Owns the log's store. The write blocks the event loop: nothing may be sent before it is done anyway."""
+    """Runtime extension that owns the log's store.
+
+    A write blocks the event loop, since no message may be sent until it has completed anyway.
+    """
 
     def __init__(self, runtime: Runtime, store: LogStore, replicated_log: ReplicatedLog) -> None:
         self.runtime, self.store, self.replicated_log = runtime, store, replicated_log
 
     def effects(self) -> dict[type, Callable[[Any], None]]:
-        """Return the handlers of the effects that this extension carries out."""
+        """Return the handlers of the effects that this extension executes."""
         return {StoreLogChanges: self._save}
 
     def open(self) -> None:
-        """Restore what was stored."""
+        """Restore the replicated log from disk."""
         if summary := self.store.load(self.replicated_log):
             log.info("%s", summary)
 
     def reload(self) -> None:
-        """Do nothing: the directory is the one of the start."""
+        """Do nothing: the storage directory cannot change at run time."""
 
     def close(self) -> None:
-        """Close the files."""
+        """Close the files of the store."""
         self.store.close()
 
     def _save(self, effect: StoreLogChanges) -> None:
--- a/reedspoke/booking/messages.py
+++ b/reedspoke/booking/messages.py
@@ -1,6 +1,6 @@
-"""Commands of the reservation table and their outcomes, as they stand in the replicated log and on the wire.
+"""Commands of the reservation table and their outcomes, as encoded in the replicated log and on the wire.
 
-Tags and the order of fields are stored data. Times are s of Unix time.
+Tags and the order of fields are part of the encoding and must not change. Times are Unix times in seconds.
 """
 
 from __future__ import annotations
@@ -13,20 +13,22 @@
 
 from reedspoke.fleet.replicated_log.messages import MAX_ENTRY_BYTES
 
-MAX_OUTCOME_BYTES = 140  # of an outcome that goes to another scheduler: it has to fit a datagram
+MAX_OUTCOME_BYTES = 140  # An encoded outcome must fit in a datagram to another scheduler.
 
-Identifier = Annotated[str, Meta(pattern=r"^[a-z0-9][a-z0-9_.-]{0,23}$")]  # of a booking, a tenant, a zone
+# Name of a booking, tenant or zone.
+Identifier = Annotated[str, Meta(pattern=r"^[a-z0-9][a-z0-9_.-]{0,23}$")]
 UnixTime = Annotated[int, Meta(ge=0, le=0xFFFF_FFFF)]
 SlotCount = Annotated[int, Meta(ge=1, le=0xFFFF)]
 Version = Annotated[int, Meta(ge=0, le=0xFFFF)]
 
 
 class ReserveCommand(Struct, frozen=True, array_like=True, tag=0):
-    """Reserves slots of a zone from `begin` to before `end`, or changes the reservation of that name.
+    """Reserves slots of a zone from `begin` (inclusive) to `end` (exclusive), or changes a reservation.
 
-    The leader that appends it fills in the limits (slots of the zone, and of this tenant in it), so that
-    all that decides its outcome stands in the command. `version` rises with each change of one name; an
-    older one changes nothing.
+    The leader that appends the command fills in `zone_limit` and `tenant_limit` (the reservable slots of the
+    zone, and of this tenant in the zone), so that the outcome depends only on the command and the table.
+    `version` increases with each change to the reservation of a name; a command with an older version has
+    no effect.
     """
 
     name: Identifier
@@ -41,7 +43,11 @@
 
 
 class CancelCommand(Struct, frozen=True, array_like=True, tag=1):
-    """Cancels a reservation; one that overtakes its reservation is remembered from `requested_at` on."""
+    """Cancels a reservation.
+
+    If it arrives before its reservation does, the cancellation is stored for a retention time that starts at
+    `requested_at`.
+    """
 
     name: Identifier
     version: Version
@@ -49,7 +55,7 @@
 
 
 class PurgeCommand(Struct, frozen=True, array_like=True, tag=2):
-    """Removes what ended before that time."""
+    """Removes the reservations that ended before `ended_before`."""
 
     ended_before: UnixTime
 
@@ -58,30 +64,30 @@
 
 
 class BookingStatus(StrEnum):
-    """What became of a command; the values stand on the wire and in the HTTP API."""
+    """The result of a command or query. The values are used on the wire and in the HTTP API."""
 
     BOOKED = "booked"
     REFUSED = "refused"
     CANCELLED = "cancelled"
-    STALE = "stale"  # a later version is known
+    STALE = "stale"  # A newer version of the reservation exists.
     ABSENT = "absent"
-    UNKNOWN = "unknown"  # nobody could say in time: it may have been booked, ask again under the same name
+    # The request timed out or could not be stored. It may have been committed: retry it under the same name.
+    UNKNOWN = "unknown"
     PURGED = "forgotten"
 
 
 class FreeWindow(Struct, frozen=True, array_like=True):
-    """A time from `begin` to before `end` with enough free slots."""
+    """A time range from `begin` (inclusive) to `end` (exclusive) with enough free slots."""
 
     begin: int
     end: int
 
 
 class BookingOutcome(Struct, frozen=True, array_like=True):
-    """What became of a command. `status`: a value of `BookingStatus`.
-
-    `reasons`: names of conflicting reservations, a limit, or what is wrong.
+    """The outcome of a command. `status` is a value of `BookingStatus`.
 
-    `tenant` to `version` are those of the reservation as it stands.
+    `reasons` lists the names of conflicting reservations, or describes the limit or rule that was violated.
+    `tenant` to `version` describe the current state of the reservation.
     """
 
     status: str
@@ -102,15 +108,20 @@
 
 
 def encode_command(command: BookingCommand) -> bytes:
-    """Encode a command. Raises ValueError where it is too long for an entry of the log."""
+    """Encode a command. Raises ValueError if it is too long for a log entry."""
     data = _encode(command)
     if len(data) > MAX_ENTRY_BYTES:
-        raise ValueError(f"{len(data)} bytes, at most {MAX_ENTRY_BYTES}")
+        raise ValueError(
+            f"encoded command has {len(data)} bytes, but a log entry has at most {MAX_ENTRY_BYTES}"
+        )
     return data
 
 
 def encode_outcome(outcome: BookingOutcome) -> bytes:
-    """Encode an outcome, in MAX_OUTCOME_BYTES at most: reasons and windows are left out, the last first."""
+    """Encode an outcome in at most MAX_OUTCOME_BYTES.
+
+    Reasons and free windows are dropped from the end of their lists as far as necessary.
+    """
     while len(data := _encode(outcome)) > MAX_OUTCOME_BYTES:
         if outcome.free_windows and len(outcome.free_windows) >= len(outcome.reasons):
             outcome = msgspec.structs.replace(outcome, free_windows=outcome.free_windows[:-1])
@@ -120,10 +131,10 @@
 
 
 def booking_name(command: BookingCommand) -> str:
-    """Return the reservation that a command is about; "" for a purge."""
+    """Return the name of the reservation that a command refers to, or "" for a purge."""
     return "" if isinstance(command, PurgeCommand) else command.name
 
 
 def refused_outcome(command: BookingCommand, reason: str) -> BookingOutcome:
-    """Return the outcome of a command that breaks a rule."""
+    """Return the outcome of a command that is refused for the given reason."""
     return BookingOutcome(BookingStatus.REFUSED, booking_name(command), (reason,))
--- a/reedspoke/booking/metrics.py
+++ b/reedspoke/booking/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of the reservations, as Prometheus text. The names are kept: dashboards use them."""
+"""Metrics of the reservations in Prometheus text format. Dashboards depend on the metric names."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 def metrics_text(node: BookingNode) -> str:
-    """All metrics of this scheduler's part in the reservations."""
+    """Return all reservation metrics of this scheduler."""
     text = _outcomes_text(node)
     if node.replicated_log is not None:
         text += _replicated_log_text(node.replicated_log)
--- a/reedspoke/booking/recurrence.py
+++ b/reedspoke/booking/recurrence.py
@@ -1,10 +1,10 @@
-"""Recurring bookings: the windows of a rule, on the wall clock of a place. No I/O.
+"""Expands recurrence rules for bookings into time windows in a time zone. Performs no I/O.
 
-A rule is one of RFC 5545 (python-dateutil). Each of its times is one of that place's wall clock, so
-"every day from 02:00 to 04:00" keeps its hours through a change of clocks. Where the clock jumps ahead
-over a time, that time is the moment of the jump; where an hour comes twice, a begin in it takes the first
-and an end in it the second: a booking is never shorter than it was meant, but for the hour that does not
-exist.
+Rules are RFC 5545 recurrence rules, parsed by python-dateutil. They are evaluated in local time, so "every
+day from 02:00 to 04:00" keeps its local hours when daylight saving time begins or ends. A local time that is
+skipped when clocks go forward stands for the moment at which they do. Of a local time that is repeated when
+clocks go back, a window begins at the first occurrence or ends at the second. A window is therefore never
+shorter than requested, except by a skipped hour.
 """
 
 from __future__ import annotations
@@ -18,27 +18,31 @@
 
 from reedspoke.errors import ReedspokeError
 
-MAX_OCCURRENCES = 64  # of one rule
+MAX_OCCURRENCES = 64  # Maximum number of occurrences of one rule.
 
 
 class RecurrenceError(ReedspokeError):
-    """The rule or the clock is not usable; the text says why."""
+    """The recurrence rule, its times or its time zone are unusable; the text says why."""
 
     code = "rule-unusable"
     remedy = (
-        "see docs/calendar.md: a rule of RFC 5545 with COUNT or UNTIL, and a place of the time zone database"
+        "see docs/calendar.md: use an RFC 5545 rule with COUNT or UNTIL, and a name of the time zone database"
     )
 
 
 class Window(NamedTuple):
-    """From `begin` to before `end`, s of Unix time."""
+    """A time range from `begin` (inclusive) to `end` (exclusive), in seconds of Unix time."""
 
     begin: int
     end: int
 
 
 def unix_time(local_time: datetime, time_zone: ZoneInfo, *, fold: bool) -> int:
-    """Return the s of Unix time of a wall clock's time. `late`: of two such moments the later one."""
+    """Return the Unix time in seconds of a local time.
+
+    If the local time occurs twice because clocks go back, `fold` selects the second occurrence (PEP 495).
+    If it is skipped because clocks go forward, the result is the moment at which they do.
+    """
     at = int(local_time.replace(tzinfo=time_zone, fold=fold).timestamp())
     if datetime.fromtimestamp(at, time_zone).replace(tzinfo=None) == local_time:
         return at
@@ -46,7 +50,7 @@
 
 
 def _end_of_skipped_time(local_time: datetime, time_zone: ZoneInfo) -> int:
-    """Find the jump over a wall time that does not exist: its two readings lie around it."""
+    """Return the moment at which clocks skip a local time, by bisection between its values for both folds."""
     low, high = sorted(int(local_time.replace(tzinfo=time_zone, fold=fold).timestamp()) for fold in (0, 1))
     offset_before = datetime.fromtimestamp(low, time_zone).utcoffset()
     while high - low > 1:
@@ -61,19 +65,21 @@
 def occurrences(begin: datetime, end: datetime, rule: str, time_zone_name: str) -> list[Window]:
     """Return the windows of a rule, the earliest first. Raises RecurrenceError.
 
-    `begin` and `end` are wall clock times without an offset.
+    `begin` and `end` are the local times of the first window, without a UTC offset.
     """
     if begin.tzinfo is not None or end.tzinfo is not None:
-        raise RecurrenceError("times of a rule have no offset: the clock's place gives it")
+        raise RecurrenceError("times of a series must have no UTC offset: it follows from the time zone")
     length = end - begin
     if not timedelta(0) < length:
-        raise RecurrenceError("it ends before it begins")
+        raise RecurrenceError("the end must be later than the beginning")
     time_zone = _time_zone_info(time_zone_name)
     starts = list(islice(_parse_rule(rule, begin), MAX_OCCURRENCES + 1))
     if len(starts) > MAX_OCCURRENCES:
-        raise RecurrenceError(f"more than {MAX_OCCURRENCES} times: give it COUNT or UNTIL")
+        raise RecurrenceError(
+            f"the rule has more than {MAX_OCCURRENCES} occurrences: limit it by COUNT or UNTIL"
+        )
     if not starts:
-        raise RecurrenceError("it never comes")
+        raise RecurrenceError("the rule has no occurrences")
     return [
         Window(unix_time(start, time_zone, fold=False), unix_time(start + length, time_zone, fold=True))
         for start in starts
@@ -84,14 +90,14 @@
     try:
         return ZoneInfo(time_zone_name)
     except (ZoneInfoNotFoundError, ValueError, OSError) as error:
-        raise RecurrenceError(f"no such clock: {time_zone_name!r}") from error
+        raise RecurrenceError(f"unknown time zone: {time_zone_name!r}") from error
 
 
 def _parse_rule(rule: str, begin: datetime) -> rrule:
     try:
         parsed = rrulestr(rule, dtstart=begin)
     except (ValueError, TypeError, KeyError, AttributeError) as error:
-        raise RecurrenceError(f"no rule: {error}") from error
+        raise RecurrenceError(f"invalid recurrence rule: {error}") from error
     if not isinstance(parsed, rrule):
-        raise RecurrenceError("one rule alone, no set of them")
+        raise RecurrenceError("only a single RRULE is supported, not a set of rules or dates")
     return parsed
--- a/reedspoke/booking/reservation_table.py
+++ b/reedspoke/booking/reservation_table.py
@@ -1,7 +1,7 @@
-"""All reservations, as the state machine of a replicated log: the same at every voter. No I/O.
+"""The table of all reservations: a state machine replicated to every voter. Performs no I/O.
 
-`ReservationTable` owns the reservations by name, and the slot usage of each zone and of each tenant in
-it, which follows from them.
+`ReservationTable` owns the reservations by name. It also keeps the slot usage of each zone, and of each
+tenant in a zone, which is derived from the reservations.
 """
 
 from __future__ import annotations
@@ -25,14 +25,15 @@
 )
 from reedspoke.booking.slot_usage import SlotUsage
 
-MAX_REPORTED_CONFLICTS = 5  # names of reservations in a refusal
-MAX_REPORTED_WINDOWS = 3  # free windows in a refusal
+MAX_REPORTED_CONFLICTS = 5  # Maximum number of conflicting reservations in a refusal.
+MAX_REPORTED_WINDOWS = 3  # Maximum number of free windows in a refusal.
 SECONDS_PER_DAY = 86_400
-CANCELLATION_RETENTION_S = 30 * SECONDS_PER_DAY  # of the cancelled name of a reservation that never came
+# How long a cancellation is retained while its reservation has not arrived.
+CANCELLATION_RETENTION_S = 30 * SECONDS_PER_DAY
 
 
 class Reservation(msgspec.Struct, array_like=True):
-    """The last version of one name; the order of the fields is that of the stored snapshot."""
+    """The latest version of a reservation. The order of the fields is part of the snapshot format."""
 
     version: int
     tenant: str
@@ -45,7 +46,7 @@
 
 @dataclass(slots=True, frozen=True)
 class AppliedCommand:
-    """The entry that was applied last, and its outcome."""
+    """The index of the last applied log entry, and its outcome."""
 
     index: int
     outcome: BookingOutcome
@@ -55,26 +56,31 @@
 
 
 class ReservationTable:
-    """A `StateMachine`. Cancelled reservations stay until they are purged: their version still counts."""
+    """State machine (`StateMachine`) of the replicated log.
+
+    Cancelled reservations stay until they are purged, because stale commands are recognized by version.
+    """
 
     def __init__(self) -> None:
         self.reservations: dict[str, Reservation] = {}
         self.last_applied = NO_COMMAND_APPLIED
         self._zone_usage: defaultdict[str, SlotUsage] = defaultdict(SlotUsage)
-        self._tenant_usage: defaultdict[tuple[str, str], SlotUsage] = defaultdict(SlotUsage)  # zone, tenant
+        self._tenant_usage: defaultdict[tuple[str, str], SlotUsage] = defaultdict(
+            SlotUsage
+        )  # Key: (zone, tenant).
 
     # ---- state machine ----
 
     def apply(self, index: int, command: bytes) -> None:
-        """Execute a committed command and keep its outcome for the leader's reply."""
+        """Execute a committed command and store its outcome for the leader's reply."""
         self.last_applied = AppliedCommand(index, self.execute(decode_command(command)))
 
     def snapshot(self) -> bytes:
-        """Return all reservations; the usage follows from them."""
+        """Return all reservations, encoded. The slot usage is derived from them and not included."""
         return msgspec.msgpack.encode(self.reservations)
 
     def restore(self, snapshot: bytes) -> None:
-        """Replace all reservations by those of a snapshot."""
+        """Replace all reservations with those of a snapshot."""
         self.reservations = msgspec.msgpack.decode(snapshot, type=dict[str, Reservation])
         self.last_applied = NO_COMMAND_APPLIED
         self._zone_usage.clear()
@@ -85,7 +91,7 @@
     # ---- commands ----
 
     def execute(self, command: BookingCommand) -> BookingOutcome:
-        """Carry out a command: its outcome depends on the table and the command alone."""
+        """Execute a command. Its outcome depends only on the table and the command, so all voters agree."""
         match command:
             case ReserveCommand():
                 return self._reserve(command)
@@ -100,9 +106,9 @@
             repeated = _is_duplicate(command, existing)
             return self._outcome(BookingStatus.BOOKED if repeated else BookingStatus.STALE, command.name)
         if command.begin >= command.end:
-            return refused_outcome(command, "it ends before it begins")
+            return refused_outcome(command, "the end must be later than the beginning")
         if existing is not None:
-            self._release(existing)  # a change does not conflict with itself
+            self._release(existing)  # A change must not conflict with the version that it replaces.
         refusal = self._refusal(command)
         if refusal is not None:
             if existing is not None:
@@ -116,7 +122,7 @@
         return self._outcome(BookingStatus.BOOKED, command.name)
 
     def _refusal(self, command: ReserveCommand) -> BookingOutcome | None:
-        """Why the slots cannot be reserved; None: they can."""
+        """Return the refusal if the slots cannot be reserved, else None."""
         zone_peak = self._peak(self._zone_usage.get(command.zone), command.begin, command.end)
         if zone_peak + command.slots > command.zone_limit:
             conflicts = self._conflicts(command)
@@ -124,11 +130,13 @@
             return BookingOutcome(BookingStatus.REFUSED, command.name, conflicts, windows)
         tenant_usage = self._tenant_usage.get((command.zone, command.tenant))
         if self._peak(tenant_usage, command.begin, command.end) + command.slots > command.tenant_limit:
-            return refused_outcome(command, f"over the {command.tenant_limit} slots of {command.tenant}")
+            return refused_outcome(
+                command, f"exceeds the limit of {command.tenant_limit} slots of tenant {command.tenant}"
+            )
         return None
 
     def _conflicts(self, command: ReserveCommand) -> tuple[str, ...]:
-        """Names of reservations in that window, the largest first."""
+        """Return the names of the reservations that overlap the requested window, the largest first."""
         found = [
             (-reservation.slots, name)
             for name, reservation in self.reservations.items()
@@ -137,7 +145,7 @@
         return tuple(name for _, name in sorted(found)[:MAX_REPORTED_CONFLICTS])
 
     def _free_windows(self, command: ReserveCommand) -> tuple[FreeWindow, ...]:
-        """Return the next windows of that length in which there is room."""
+        """Return the next windows of the requested length with enough free slots."""
         if command.slots > command.zone_limit:
             return ()
         usage = self._zone_usage.get(command.zone, SlotUsage())
@@ -149,7 +157,7 @@
     def _cancel(self, command: CancelCommand) -> BookingOutcome:
         existing = self.reservations.get(command.name)
         if existing is None:
-            # It has overtaken its reservation: the version that is remembered makes that one stale.
+            # The cancellation arrived before its reservation, which its stored version then makes stale.
             self.reservations[command.name] = Reservation(
                 command.version, "", "", 0, 0, command.requested_at + CANCELLATION_RETENTION_S, True
             )
@@ -190,7 +198,7 @@
     # ---- queries ----
 
     def lookup(self, name: str) -> BookingOutcome:
-        """Return the reservation as it stands: booked, cancelled or absent."""
+        """Return the current state of a reservation: booked, cancelled or absent."""
         reservation = self.reservations.get(name)
         if reservation is None:
             return self._outcome(BookingStatus.ABSENT, name)
@@ -219,13 +227,13 @@
         return sorted(name for name, reservation in self.reservations.items() if not reservation.cancelled)
 
     def slots_reserved(self, zone: str, at: int, tenant: str = "") -> int:
-        """Return the slots of that zone reserved at that time, by that tenant alone where it is named."""
+        """Return the slots of a zone that are reserved at a time, by all tenants or by the given one."""
         usage = self._tenant_usage.get((zone, tenant)) if tenant else self._zone_usage.get(zone)
         return self._peak(usage, at, at + 1)
 
 
 def _is_duplicate(command: ReserveCommand, existing: Reservation) -> bool:
-    """Whether it asks for what is reserved already: a request may be sent again until it is answered."""
+    """Whether the command repeats the existing reservation, since requests are resent until answered."""
     requested = (command.version, command.tenant, command.zone, command.slots, command.begin, command.end)
     reserved = (
         existing.version,
--- a/reedspoke/booking/settings.py
+++ b/reedspoke/booking/settings.py
@@ -1,6 +1,7 @@
-"""The bookings' part of the operator file.
+"""The `bookings` section of the operator file.
 
-Names and docstrings of the classes are part of the published schema (`deploy/operator.schema.json`).
+Names and docstrings of the classes and descriptions of the fields are part of the published schema
+(`deploy/operator.schema.json`).
 """
 
 from __future__ import annotations
@@ -12,7 +13,7 @@
 from reedspoke.booking.messages import Identifier
 from reedspoke.units import Duration
 
-LEADER_ROLE = "bookings"  # the singleton role whose holder leads the replicated log of reservations
+LEADER_ROLE = "bookings"  # Singleton role whose holder leads the replicated log of reservations.
 
 
 class Zone(Struct, forbid_unknown_fields=True, frozen=True):
--- a/reedspoke/booking/slot_usage.py
+++ b/reedspoke/booking/slot_usage.py
@@ -1,4 +1,4 @@
-"""Reserved slots over time, as a step function: a query looks at its own window alone."""
+"""Reserved slots over time as a step function; a query reads only the steps in its own window."""
 
 from __future__ import annotations
 
@@ -10,16 +10,17 @@
 
 
 class SlotUsage:
-    """`steps[t]` slots are reserved from t up to the next step.
+    """The number of reserved slots as a function of time.
 
-    Ends are open: one window may begin as another ends.
+    `steps[t]` slots are reserved from time t up to the next key of `steps`. Ends are exclusive: one
+    reservation may begin at the time at which another ends.
     """
 
     def __init__(self) -> None:
         self.steps: SortedDict[int, int] = SortedDict({0: 0})
 
     def add(self, begin: int, end: int, slots: int) -> None:
-        """Reserve slots from `begin` to before `end`; a negative number frees them."""
+        """Reserve slots from `begin` (inclusive) to `end` (exclusive); a negative number frees them."""
         self._split_at(begin)
         self._split_at(end)
         for at in list(self.steps.irange(begin, end, inclusive=(True, False))):
@@ -28,24 +29,24 @@
             self._merge_at(at)
 
     def _split_at(self, at: int) -> None:
-        """Begin a step there, at the level that holds."""
+        """Insert a step at this time with the value of the step that covers it."""
         if at not in self.steps:
             self.steps[at] = self.steps.values()[self.steps.bisect_right(at) - 1]
 
     def _merge_at(self, at: int) -> None:
-        """Remove the step there if it is at the level of the one before."""
+        """Remove the step at this time if it has the same value as the preceding one."""
         position = self.steps.bisect_left(at)
         if position and self.steps.values()[position - 1] == self.steps[at]:
             del self.steps[at]
 
     def peak(self, begin: int, end: int) -> int:
-        """Return the most slots reserved at any moment from `begin` to before `end`."""
+        """Return the maximum number of reserved slots from `begin` (inclusive) to `end` (exclusive)."""
         position = self.steps.bisect_right(begin) - 1
         inside = self.steps.irange(begin, end, inclusive=(False, False))
         return max([self.steps.values()[position], *(self.steps[at] for at in inside)])
 
     def windows_below(self, begin: int, length: int, level: int) -> Iterator[FreeWindow]:
-        """Yield windows of that length from `begin` on with at most `level` slots reserved, in order."""
+        """Yield windows of a length with at most `level` reserved slots, in order, none before `begin`."""
         start, position = begin, self.steps.bisect_right(begin) - 1
         keys, levels = self.steps.keys(), self.steps.values()
         while position < len(keys):
--- a/reedspoke/booking/subsystem.py
+++ b/reedspoke/booking/subsystem.py
@@ -1,12 +1,12 @@
-"""The reservations as a subsystem of the program: component, storage, HTTP calls and metrics.
+"""Assembles the reservations into a subsystem of the program: component, storage, HTTP calls and metrics.
 
-    POST   /v1/bookings/NAME            201 booked, 409 rejected or stale, 202 not known yet
-    POST   /v1/bookings/NAME/series     the same by a rule: occurrences are named NAME.1 and so on
-    DELETE /v1/bookings/NAME            200 cancelled, 409 stale, 202 not known yet
-    GET    /v1/bookings/NAME            as it is known here: 200, 404; at a scheduler that is no voter 503
-    GET    /v1/bookings                 all of them, as they are known here
+    POST   /v1/bookings/NAME            201 booked, 409 refused or stale, 202 outcome unknown
+    POST   /v1/bookings/NAME/series     the same for each occurrence of a rule, named NAME.1 and so on
+    DELETE /v1/bookings/NAME            200 cancelled, 409 stale, 202 outcome unknown
+    GET    /v1/bookings/NAME            200 current state at this voter, 404 absent, 503 not a voter
+    GET    /v1/bookings                 200 all bookings at this voter, 503 not a voter
 
-`docs/calendar.md` has the bodies.
+`docs/calendar.md` describes the request and response bodies.
 """
 
 from __future__ import annotations
@@ -23,13 +23,16 @@
 from reedspoke.net.subsystem import NAME, Call, Subsystem
 from reedspoke.units import parse_seconds
 
-LOG_NAME = "bookings"  # of the files in the operator's folder
+LOG_NAME = "bookings"  # Base name of the log's files in the configured folder.
 INCARNATION_MASK = 0xFFFF_FFFF
 US_PER_MS = 1000
 
 
 def build_bookings(runtime: Runtime, fleet_node: FleetNode, settings: Bookings) -> Subsystem:
-    """Stands on the fleet's own subsystem. Raises ValueError for a role of the same name, LogStoreError."""
+    """Build the subsystem on top of the fleet subsystem's node.
+
+    Raises ValueError if a role of the same name exists, LogStoreError if the log's files are unusable.
+    """
     now = runtime.clock.now()
     incarnation = now // US_PER_MS & INCARNATION_MASK
     lease_ttl_us = int(parse_seconds(settings.term) * US_PER_SECOND)
--- a/tests/booking/test_booking_node.py
+++ b/tests/booking/test_booking_node.py
@@ -1,4 +1,4 @@
-"""One scheduler's part in the reservations, in a simulated fleet."""
+"""The booking node of a scheduler in a simulated fleet."""
 
 from __future__ import annotations
 
@@ -8,8 +8,10 @@
 
 
 def test_a_leader_whose_storage_fails_gives_up_its_role() -> None:
-    """Guards the others: it kept its lease, committed nothing, and every command was unknown until its
-    restart."""
+    """Guards against a leader that keeps its lease although it cannot store changes.
+
+    It committed nothing, so the outcome of every command was unknown until its restart.
+    """
     play = Play(3, 1, SECOND // 2, SECOND, booking_limits=BookingLimits({"north": 6}, {}, step_s=1))
     play.run(5 * SECOND)
 
--- a/tests/booking/test_http_api.py
+++ b/tests/booking/test_http_api.py
@@ -1,4 +1,4 @@
-"""Bookings over the HTTP API of the real program."""
+"""The HTTP API for bookings, tested against processes of the real program."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 @pytest.fixture
 def pair(start: Start) -> tuple[Node, Node]:
-    """Two schedulers, of which the first is a voter."""
+    """Two schedulers; only the first is a voter."""
     members = [f"127.0.0.1:{free_port()}" for _ in range(2)]
     nodes = [start(hosts=1, me=me, balancers=2, operator=operator(me, members, [0])) for me in range(2)]
     return nodes[0], nodes[1]
@@ -48,7 +48,7 @@
 
 
 def book_with_retries(node: Node, name: str, body: dict[str, object]) -> Message:
-    """The log has a leader after a lease's time; until then nobody knows."""
+    """Retry while the outcome is unknown: the log has no leader until its first lease is acquired."""
     end = time.monotonic() + WAIT
     while (answer := call(node, "POST", f"bookings/{name}", body)).status == 202 and time.monotonic() < end:
         pass
@@ -64,7 +64,7 @@
     assert body["because"] == ["first"]
     assert body["free"][0]["from"].endswith("T04:00:00Z")
     assert result(call(other, "POST", "bookings/first", booking_body(4, 2))) == (201, "booked"), (
-        "the same name again"
+        "a repeated request has the same outcome"
     )
     assert result(call(other, "POST", "bookings/small", booking_body(3, 10, "small"))) == (409, "refused")
     assert result(call(voter, "DELETE", "bookings/first", {"version": 1})) == (200, "cancelled")
--- a/tests/booking/test_limits.py
+++ b/tests/booking/test_limits.py
@@ -1,4 +1,4 @@
-"""The operator's limits: what is refused before it comes into the log."""
+"""The operator's limits, which are checked before a command is appended to the log."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 @pytest.mark.parametrize(
     ("change", "reason"),
     [
-        ({"zone": "nowhere"}, "no such zone"), ({"begin": 601}, "grid"),
-        ({"begin": 1200, "end": 600}, "before it"),
-        ({"end": 600 + 86_700}, "longer"), ({"begin": 0, "end": 300}, "over already"),
+        ({"zone": "nowhere"}, "unknown zone"), ({"begin": 601}, "multiples of 300 s"),
+        ({"begin": 1200, "end": 600}, "later than the beginning"),
+        ({"end": 600 + 86_700}, "longer"), ({"begin": 0, "end": 300}, "in the past"),
         ({"begin": 10**7 // 300 * 300, "end": 10**7 // 300 * 300 + 300}, "horizon"), ({}, ""),
     ],
     ids=str,
--- a/tests/booking/test_messages.py
+++ b/tests/booking/test_messages.py
@@ -1,4 +1,4 @@
-"""Commands and outcomes fit the frames between schedulers."""
+"""Encoded commands and outcomes fit in the frames between schedulers."""
 
 from __future__ import annotations
 
--- a/tests/booking/test_recurrence.py
+++ b/tests/booking/test_recurrence.py
@@ -1,4 +1,4 @@
-"""Repeated bookings on the clock of a place, through its changes."""
+"""Recurring bookings in a time zone, including its changes of UTC offset."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
 
 @pytest.mark.parametrize("place", ["Asia/Tokyo", "Australia/Lord_Howe", "America/St_Johns", "UTC"])
 def test_other_time_zones(place: str) -> None:
-    """A half hour's change, an offset of half an hour, no change at all."""
+    """Covers a change by half an hour, an offset of half hours, and zones without any change."""
     found = occurrences(
         datetime(2026, 1, 31, 2, 0), datetime(2026, 1, 31, 4, 0), "FREQ=MONTHLY;BYMONTHDAY=-1;COUNT=12", place
     )
@@ -64,13 +64,16 @@
 @pytest.mark.parametrize(
     ("change", "why"),
     [
-        ({"rule": "FREQ=SOMETIMES"}, "no rule"), ({"rule": "nonsense"}, "no rule"), ({"rule": ""}, "no rule"),
-        ({"rule": "FREQ=DAILY"}, f"more than {MAX_OCCURRENCES}"),
-        ({"place": "Mars/Olympus"}, "no such clock"),
-        ({"place": "../etc/passwd"}, "no such clock"), ({"end": "2026-01-01T01:00"}, "ends before"),
-        ({"begin": "2026-01-01T02:00+01:00"}, "no offset"),
-        ({"rule": "FREQ=DAILY;UNTIL=20200101T000000"}, "never comes"),
-        ({"rule": "RRULE:FREQ=DAILY;COUNT=2\nRDATE:20260105T020000"}, "one rule alone"),
+        ({"rule": "FREQ=SOMETIMES"}, "invalid recurrence rule"),
+        ({"rule": "nonsense"}, "invalid recurrence rule"),
+        ({"rule": ""}, "invalid recurrence rule"),
+        ({"rule": "FREQ=DAILY"}, f"more than {MAX_OCCURRENCES} occurrences"),
+        ({"place": "Mars/Olympus"}, "unknown time zone"),
+        ({"place": "../etc/passwd"}, "unknown time zone"),
+        ({"end": "2026-01-01T01:00"}, "end must be later"),
+        ({"begin": "2026-01-01T02:00+01:00"}, "no UTC offset"),
+        ({"rule": "FREQ=DAILY;UNTIL=20200101T000000"}, "no occurrences"),
+        ({"rule": "RRULE:FREQ=DAILY;COUNT=2\nRDATE:20260105T020000"}, "only a single RRULE"),
     ],
     ids=str,
 )  # fmt: skip
--- a/tests/booking/test_reservation_table.py
+++ b/tests/booking/test_reservation_table.py
@@ -1,4 +1,4 @@
-"""Reservations against a count by brute force; names, versions, and what a refusal says."""
+"""The reservation table against a brute-force model; names, versions, and the contents of a refusal."""
 
 from __future__ import annotations
 
@@ -92,7 +92,7 @@
     assert (outcome.status, outcome.reasons) == ("refused", ("big", "small"))
     assert outcome.free_windows[0] == FreeWindow(200, 300)
     assert table.execute(reserve("far", 2, 100, 120, tenant="u", tenant_limit=1)).reasons == (
-        "over the 1 slots of u",
+        "exceeds the limit of 1 slots of tenant u",
     )
 
 
@@ -116,7 +116,10 @@
 
 
 def test_time_for_a_hundred_thousand_bookings() -> None:
-    """Stated: under 10 s to book, 5 ms a look, 200 MB less by far."""
+    """The targets are 10 s for all bookings, 5 ms per query and far less than 200 MB of memory.
+
+    The test allows 20 s of CPU time for all bookings, and does not measure memory.
+    """
     table, began = ReservationTable(), time.process_time()
     for at in range(100_000):
         begin = at % 17_000 * 300
--- a/tests/booking/test_slot_usage.py
+++ b/tests/booking/test_slot_usage.py
@@ -1,4 +1,4 @@
-"""Reserved slots over time: the free windows that are found are free."""
+"""The free windows found in the slot usage are free, and the first is the earliest possible."""
 
 from __future__ import annotations
 
--- a/tests/golden/booking_examples.py
+++ b/tests/golden/booking_examples.py
@@ -1,6 +1,6 @@
-"""Bookings' orders and outcomes.
+"""Examples of booking commands and outcomes, with all fields set and with the default values.
 
-Each with all fields set and by its defaults; `data/messages.json` has the bytes.
+`data/messages.json` holds their expected encodings.
 """
 
 from __future__ import annotations
