--- a/tests/booking/test_booking_node.py
+++ b/tests/booking/test_booking_node.py
@@ -17,11 +17,11 @@
 
     def leaders() -> list[int]:
         return [
-            at
-            for at, one in play.processes.items()
-            if one.booking_node
-            and one.booking_node.replicated_log
-            and one.booking_node.replicated_log.serving
+            member
+            for member, simulated in play.processes.items()
+            if simulated.booking_node
+            and simulated.booking_node.replicated_log
+            and simulated.booking_node.replicated_log.serving
         ]
 
     (first,) = leaders()
--- a/tests/booking/test_http_api.py
+++ b/tests/booking/test_http_api.py
@@ -29,12 +29,12 @@
 
 def call(node: Node, method: str, path: str, body: object = None) -> Message:
     data = b"" if body is None else body if isinstance(body, bytes) else json.dumps(body).encode()
-    wire = node.caller(
+    connection = node.caller(
         f"{method} /v1/{path} HTTP/1.1\r\nHost: o\r\nContent-Length: {len(data)}\r\n\r\n".encode() + data
     )
-    answer = wire.message()
-    assert wire.ended()
-    return answer
+    response = connection.message()
+    assert connection.ended()
+    return response
 
 
 def booking_body(slots: int, hour: int, tenant: str = "acme", **more: object) -> dict[str, object]:
@@ -43,24 +43,24 @@
     return {"tenant": tenant, "zone": "north", "slots": slots, **times, **more}
 
 
-def result(answer: Message) -> tuple[int, str]:
-    return answer.status, json.loads(answer.body)["state"]
+def result(response: Message) -> tuple[int, str]:
+    return response.status, json.loads(response.body)["state"]
 
 
 def book_with_retries(node: Node, name: str, body: dict[str, object]) -> Message:
     """Retry while the outcome is unknown: the log has no leader until its first lease is acquired."""
     end = time.monotonic() + WAIT
-    while (answer := call(node, "POST", f"bookings/{name}", body)).status == 202 and time.monotonic() < end:
+    while (response := call(node, "POST", f"bookings/{name}", body)).status == 202 and time.monotonic() < end:
         pass
-    return answer
+    return response
 
 
 def test_a_booking_through_any_scheduler_is_seen_by_all(pair: tuple[Node, Node]) -> None:
     voter, other = pair
     assert result(book_with_retries(other, "first", booking_body(4, 2))) == (201, "booked")
-    answer = call(voter, "POST", "bookings/second", booking_body(3, 3))
-    assert result(answer) == (409, "refused")
-    body = json.loads(answer.body)
+    response = call(voter, "POST", "bookings/second", booking_body(3, 3))
+    assert result(response) == (409, "refused")
+    body = json.loads(response.body)
     assert body["because"] == ["first"]
     assert body["free"][0]["from"].endswith("T04:00:00Z")
     assert result(call(other, "POST", "bookings/first", booking_body(4, 2))) == (201, "booked"), (
@@ -81,12 +81,12 @@
 
 def test_a_scheduler_that_is_not_a_voter_names_the_voters(pair: tuple[Node, Node]) -> None:
     for path in ("bookings", "bookings/first"):
-        answer = call(pair[1], "GET", path)
-        assert answer.status == 503
-        problem = json.loads(answer.body)
+        response = call(pair[1], "GET", path)
+        assert response.status == 503
+        problem = json.loads(response.body)
         assert problem["type"] == "urn:reedspoke:bookings-elsewhere"
         assert "[0]" in problem["detail"]
-        assert answer.fields["content-type"] == "application/problem+json"
+        assert response.fields["content-type"] == "application/problem+json"
 
 
 @pytest.mark.parametrize(
@@ -100,9 +100,9 @@
 )  # fmt: skip
 def test_an_invalid_booking_gets_a_problem_document(start: Start, body: object) -> None:
     node = start(hosts=1, operator=operator(0, [f"127.0.0.1:{free_port()}"], [0]))
-    answer = call(node, "POST", "bookings/first", body)
-    assert answer.status == 400
-    problem = json.loads(answer.body)
+    response = call(node, "POST", "bookings/first", body)
+    assert response.status == 400
+    problem = json.loads(response.body)
     assert problem["type"] == "urn:reedspoke:no-booking"
     assert problem["remedy"]
 
@@ -122,15 +122,15 @@
         "clock": "Europe/Vienna", "repeat": "FREQ=WEEKLY;COUNT=3",
     }  # fmt: skip
     book_with_retries(pair[1], "first", booking_body(1, 20))
-    answer = call(pair[1], "POST", "bookings/weekly/series", body)
-    assert answer.status == 201
-    found = json.loads(answer.body)["bookings"]
-    assert [one["name"] for one in found] == ["weekly.1", "weekly.2", "weekly.3"]
-    assert {one["state"] for one in found} == {"booked"}
+    response = call(pair[1], "POST", "bookings/weekly/series", body)
+    assert response.status == 201
+    bookings = json.loads(response.body)["bookings"]
+    assert [one["name"] for one in bookings] == ["weekly.1", "weekly.2", "weekly.3"]
+    assert {one["state"] for one in bookings} == {"booked"}
     assert result(call(pair[0], "GET", "bookings/weekly.2")) == (200, "booked")
-    clash = call(pair[0], "POST", "bookings/other/series", {**body, "repeat": "FREQ=DAILY;COUNT=2"})
-    assert clash.status == 409
-    states = {one["name"]: one["state"] for one in json.loads(clash.body)["bookings"]}
+    conflicting = call(pair[0], "POST", "bookings/other/series", {**body, "repeat": "FREQ=DAILY;COUNT=2"})
+    assert conflicting.status == 409
+    states = {one["name"]: one["state"] for one in json.loads(conflicting.body)["bookings"]}
     assert states == {"other.1": "refused", "other.2": "booked"}
-    bad = call(pair[0], "POST", "bookings/other/series", {**body, "repeat": "FREQ=DAILY"})
-    assert (bad.status, json.loads(bad.body)["type"]) == (400, "urn:reedspoke:rule-unusable")
+    invalid = call(pair[0], "POST", "bookings/other/series", {**body, "repeat": "FREQ=DAILY"})
+    assert (invalid.status, json.loads(invalid.body)["type"]) == (400, "urn:reedspoke:rule-unusable")
--- a/tests/booking/test_reservation_table.py
+++ b/tests/booking/test_reservation_table.py
@@ -49,21 +49,21 @@
 @given(st.lists(COMMAND, max_size=25))
 def test_outcomes_match_a_brute_force_model(commands: list[BookingCommand]) -> None:
     table, reserved, versions = ReservationTable(), dict[str, tuple[int, int, int]](), dict[str, int]()
-    live: dict[str, ReserveCommand] = {}
+    active: dict[str, ReserveCommand] = {}
     for command in commands:
         outcome = table.execute(command)
         if isinstance(command, CancelCommand):
             if command.version >= versions.get(command.name, 0):
                 versions[command.name] = command.version
                 reserved.pop(command.name, None)
-                live.pop(command.name, None)
+                active.pop(command.name, None)
                 assert outcome.status == "cancelled"
             else:
                 assert outcome.status == "stale"
             continue
         assert isinstance(command, ReserveCommand)
         if command.name in versions and command.version <= versions[command.name]:
-            assert outcome.status == ("booked" if live.get(command.name) == command else "stale")
+            assert outcome.status == ("booked" if active.get(command.name) == command else "stale")
             continue
         if (
             command.begin >= command.end
@@ -73,13 +73,13 @@
             continue
         assert outcome.status == "booked"
         reserved[command.name] = command.slots, command.begin, command.end
-        versions[command.name], live[command.name] = command.version, command
+        versions[command.name], active[command.name] = command.version, command
     for at in range(14):
         assert table.slots_reserved("north", at) == peak(reserved, at, at + 1) if reserved else True
-    again = ReservationTable()
-    again.restore(table.snapshot())
-    assert again.snapshot() == table.snapshot()
-    assert [again.slots_reserved("north", at) for at in range(14)] == [
+    restored = ReservationTable()
+    restored.restore(table.snapshot())
+    assert restored.snapshot() == table.snapshot()
+    assert [restored.slots_reserved("north", at) for at in range(14)] == [
         table.slots_reserved("north", at) for at in range(14)
     ]
 
