--- a/reedspoke/booking/reservation_table.py
+++ b/reedspoke/booking/reservation_table.py
@@ -65,9 +65,8 @@
         self.reservations: dict[str, Reservation] = {}
         self.last_applied = NO_COMMAND_APPLIED
         self._zone_usage: defaultdict[str, SlotUsage] = defaultdict(SlotUsage)
-        self._tenant_usage: defaultdict[tuple[str, str], SlotUsage] = defaultdict(
-            SlotUsage
-        )  # Key: (zone, tenant).
+        # The keys are pairs of zone and tenant.
+        self._tenant_usage: defaultdict[tuple[str, str], SlotUsage] = defaultdict(SlotUsage)
 
     # ---- state machine ----
 
