--- a/reedspoke/booking/metrics.py
+++ b/reedspoke/booking/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of the reservations, as Prometheus text. The names are kept: dashboards use them."""
+"""Metrics of the reservations in Prometheus text format. Dashboards depend on the metric names."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 def metrics_text(node: BookingNode) -> str:
-    """All metrics of this scheduler's part in the reservations."""
+    """Return all reservation metrics of this scheduler."""
     text = _outcomes_text(node)
     if node.replicated_log is not None:
         text += _replicated_log_text(node.replicated_log)
@@ -32,5 +32,8 @@
         f"# TYPE scheduler_record_{name} gauge\nscheduler_record_{name} {value}\n"
         for name, value in gauges.items()
     )
-    torn = replicated_log.replica.unclean_recoveries
-    return text + f"# TYPE scheduler_record_torn_total counter\nscheduler_record_torn_total {torn}\n"
+    unclean_recoveries = replicated_log.replica.unclean_recoveries
+    return (
+        text
+        + f"# TYPE scheduler_record_torn_total counter\nscheduler_record_torn_total {unclean_recoveries}\n"
+    )
--- a/tests/booking/test_booking_node.py
+++ b/tests/booking/test_booking_node.py
@@ -1,4 +1,4 @@
-"""One scheduler's part in the reservations, in a simulated fleet."""
+"""The booking node of a scheduler in a simulated fleet."""
 
 from __future__ import annotations
 
@@ -7,19 +7,21 @@
 from reedspoke.lab.virtual import SECOND, Play
 
 
-def test_a_leader_whose_disk_is_full_hands_its_role_on() -> None:
-    """Guards the others: it kept its lease, committed nothing, and every command was unknown until its
-    restart."""
+def test_a_leader_whose_storage_fails_gives_up_its_role() -> None:
+    """Guards against a leader that keeps its lease although it cannot store changes.
+
+    It committed nothing, so the outcome of every command was unknown until its restart.
+    """
     play = Play(3, 1, SECOND // 2, SECOND, booking_limits=BookingLimits({"north": 6}, {}, step_s=1))
     play.run(5 * SECOND)
 
     def leaders() -> list[int]:
         return [
-            at
-            for at, one in play.processes.items()
-            if one.booking_node
-            and one.booking_node.replicated_log
-            and one.booking_node.replicated_log.serving
+            member
+            for member, simulated in play.processes.items()
+            if simulated.booking_node
+            and simulated.booking_node.replicated_log
+            and simulated.booking_node.replicated_log.serving
         ]
 
     (first,) = leaders()
--- a/tests/booking/test_reservation_table.py
+++ b/tests/booking/test_reservation_table.py
@@ -1,4 +1,4 @@
-"""Reservations against a count by brute force; names, versions, and what a refusal says."""
+"""The reservation table against a brute-force model; names, versions, and the contents of a refusal."""
 
 from __future__ import annotations
 
@@ -47,23 +47,23 @@
 
 @settings(max_examples=300, deadline=None)
 @given(st.lists(COMMAND, max_size=25))
-def test_commands_do_what_a_count_by_brute_force_does(commands: list[BookingCommand]) -> None:
+def test_outcomes_match_a_brute_force_model(commands: list[BookingCommand]) -> None:
     table, reserved, versions = ReservationTable(), dict[str, tuple[int, int, int]](), dict[str, int]()
-    live: dict[str, ReserveCommand] = {}
+    active: dict[str, ReserveCommand] = {}
     for command in commands:
         outcome = table.execute(command)
         if isinstance(command, CancelCommand):
             if command.version >= versions.get(command.name, 0):
                 versions[command.name] = command.version
                 reserved.pop(command.name, None)
-                live.pop(command.name, None)
+                active.pop(command.name, None)
                 assert outcome.status == "cancelled"
             else:
                 assert outcome.status == "stale"
             continue
         assert isinstance(command, ReserveCommand)
         if command.name in versions and command.version <= versions[command.name]:
-            assert outcome.status == ("booked" if live.get(command.name) == command else "stale")
+            assert outcome.status == ("booked" if active.get(command.name) == command else "stale")
             continue
         if (
             command.begin >= command.end
@@ -73,13 +73,13 @@
             continue
         assert outcome.status == "booked"
         reserved[command.name] = command.slots, command.begin, command.end
-        versions[command.name], live[command.name] = command.version, command
+        versions[command.name], active[command.name] = command.version, command
     for at in range(14):
         assert table.slots_reserved("north", at) == peak(reserved, at, at + 1) if reserved else True
-    again = ReservationTable()
-    again.restore(table.snapshot())
-    assert again.snapshot() == table.snapshot()
-    assert [again.slots_reserved("north", at) for at in range(14)] == [
+    restored = ReservationTable()
+    restored.restore(table.snapshot())
+    assert restored.snapshot() == table.snapshot()
+    assert [restored.slots_reserved("north", at) for at in range(14)] == [
         table.slots_reserved("north", at) for at in range(14)
     ]
 
@@ -92,11 +92,11 @@
     assert (outcome.status, outcome.reasons) == ("refused", ("big", "small"))
     assert outcome.free_windows[0] == FreeWindow(200, 300)
     assert table.execute(reserve("far", 2, 100, 120, tenant="u", tenant_limit=1)).reasons == (
-        "over the 1 slots of u",
+        "exceeds the limit of 1 slots of tenant u",
     )
 
 
-def test_a_change_does_not_conflict_with_itself_and_a_refused_one_leaves_the_old() -> None:
+def test_a_change_does_not_conflict_with_itself_and_a_refused_change_keeps_the_old_version() -> None:
     table = ReservationTable()
     table.execute(reserve("one", 5, 0, 10))
     assert table.execute(reserve("one", 6, 0, 12, 1)).status == "booked"
@@ -105,7 +105,7 @@
     assert table.slots_reserved("north", 11) == 6
 
 
-def test_a_cancellation_that_overtakes_is_remembered() -> None:
+def test_a_cancellation_that_arrives_before_its_reservation_is_kept() -> None:
     table = ReservationTable()
     assert table.execute(CancelCommand("one", 1, 1000)).status == "cancelled"
     assert table.execute(reserve("one", 1, 0, 10)).status == "stale"
@@ -115,8 +115,11 @@
     assert table.slots_reserved("north", 5) == 0
 
 
-def test_a_hundred_thousand_bookings() -> None:
-    """Stated: under 10 s to book, 5 ms a look, 200 MB less by far."""
+def test_time_for_a_hundred_thousand_bookings() -> None:
+    """The targets are 10 s for all bookings, 5 ms per query and far less than 200 MB of memory.
+
+    The test allows 20 s of CPU time for all bookings, and does not measure memory.
+    """
     table, began = ReservationTable(), time.process_time()
     for at in range(100_000):
         begin = at % 17_000 * 300
