--- a/reedspoke/booking/log_writer.py
+++ b/reedspoke/booking/log_writer.py
@@ -47,4 +47,4 @@
             )
             self.runtime.emit(LogStoreFailed())
         else:
-            self.runtime.emit(LogChangesStored(effect.then))
+            self.runtime.emit(LogChangesStored(effect.deferred_sends))
--- a/reedspoke/fleet/anti_entropy.py
+++ b/reedspoke/fleet/anti_entropy.py
@@ -53,7 +53,7 @@
 def entry_hash(entry: MemberEntry, alive: bool) -> int:
     """The hash of what is believed about one member."""
     content = (
-        entry.member, entry.born_s, entry.version, entry.zone_hash, entry.phase, entry.held_roles,
+        entry.member, entry.start_time_s, entry.version, entry.zone_hash, entry.phase, entry.held_roles,
         entry.missing, alive,
     )  # fmt: skip
     return int.from_bytes(blake2b(repr(content).encode(), digest_size=DIGEST_BYTES).digest())
@@ -66,7 +66,7 @@
     and all members have to retain the same one.
     """
     return (
-        entry.born_s, entry.version, entry.zone_hash, entry.phase, entry.held_roles, entry.missing,
+        entry.start_time_s, entry.version, entry.zone_hash, entry.phase, entry.held_roles, entry.missing,
     )  # fmt: skip
 
 
@@ -122,9 +122,9 @@
     """
 
     def __init__(
-        self, member: int, members: int, born_s: int, zone_hash: int, period_us: int, now: int
+        self, member: int, members: int, start_time_s: int, zone_hash: int, period_us: int, now: int
     ) -> None:
-        """`born_s` is the Unix time, in seconds, of the start of this process."""
+        """`start_time_s` is the Unix time, in seconds, of the start of this process."""
         self.member, self.members, self.period_us = member, members, period_us
         self.entries: dict[int, MemberEntry] = {}
         self.alive = {member}
@@ -141,7 +141,7 @@
         self._reply_budget = dict(REPLIES_PER_PERIOD)
         self._reply_budget_since = now
         self._nudged_at, self._nudges = now, member
-        self._put(MemberEntry(member, born_s & UINT32_MASK, 0, zone_hash))
+        self._put(MemberEntry(member, start_time_s & UINT32_MASK, 0, zone_hash))
         self._update_convergence(now)
 
     # ---- our own entry ----
@@ -159,15 +159,15 @@
         lacking = tuple(sorted(set(missing))[:MAX_LISTED_ROLES])
         if (phase, held, lacking) != (own.phase, own.held_roles, own.missing):
             changed = MemberEntry(
-                self.member, own.born_s, own.version + 1, own.zone_hash, phase, held, lacking
+                self.member, own.start_time_s, own.version + 1, own.zone_hash, phase, held, lacking
             )
             self._write_own(changed, now)
 
     def _write_own(self, entry: MemberEntry, now: int) -> None:
-        born_s, version = entry.born_s, entry.version
+        start_time_s, version = entry.start_time_s, entry.version
         if version > MAX_VERSION:
-            born_s, version = born_s + 1, 0
-        self._put(replace(entry, born_s=born_s & UINT32_MASK, version=version))
+            start_time_s, version = start_time_s + 1, 0
+        self._put(replace(entry, start_time_s=start_time_s & UINT32_MASK, version=version))
         self._update_convergence(now)
 
     # ---- what is believed ----
@@ -208,7 +208,9 @@
         if entry.member == self.member:
             # An earlier process of ours whose clock was ahead would otherwise have the last word for ever.
             own = self.own
-            self._write_own(replace(own, born_s=max(entry.born_s, own.born_s) + 1, version=0), now)
+            self._write_own(
+                replace(own, start_time_s=max(entry.start_time_s, own.start_time_s) + 1, version=0), now
+            )
         else:
             self._put(entry)
             self._update_convergence(now)
--- a/reedspoke/fleet/component.py
+++ b/reedspoke/fleet/component.py
@@ -121,7 +121,7 @@
 
     def _on_log_changes_stored(self, event: LogChangesStored) -> None:
         self.node.pending_writes -= 1
-        for send in event.then:
+        for send in event.deferred_sends:
             self.core.ask(send)
 
     def _on_role_call_finished(self, event: RoleCallFinished) -> None:
--- a/reedspoke/fleet/events.py
+++ b/reedspoke/fleet/events.py
@@ -37,7 +37,7 @@
 class LogChangesStored(FurtherEvent):
     """The changes of a `StoreLogChanges` are on disk: what follows from them may be sent now."""
 
-    then: tuple[SendDatagrams, ...]
+    deferred_sends: tuple[SendDatagrams, ...]
 
 
 class LogStoreFailed(FurtherEvent):
@@ -80,4 +80,4 @@
     """Bring the changes to disk, and answer with `LogChangesStored` or `LogStoreFailed`."""
 
     changes: tuple[LogChange, ...]
-    then: tuple[SendDatagrams, ...]
+    deferred_sends: tuple[SendDatagrams, ...]
--- a/reedspoke/fleet/messages/anti_entropy.py
+++ b/reedspoke/fleet/messages/anti_entropy.py
@@ -22,12 +22,12 @@
 class MemberEntry(Struct, frozen=True, array_like=True, tag=8):
     """What a member says about itself.
 
-    `born_s` is the Unix time, in seconds, of the start of its process, `version` rises with every change;
-    `zone_hash`, `held_roles` and `missing` are hashes of names (`name_hash`); `phase` is a `NodePhase`.
+    `start_time_s` is the Unix time, in seconds, at which its process started; `version` increases with every
+    change. `zone_hash`, `held_roles` and `missing` are hashes of names (`name_hash`); `phase` is a `NodePhase`.
     """
 
     member: UInt16
-    born_s: UInt32
+    start_time_s: UInt32
     version: UInt16
     zone_hash: UInt16
     phase: Annotated[int, Meta(ge=0, le=7)] = 0
--- a/reedspoke/fleet/service.py
+++ b/reedspoke/fleet/service.py
@@ -103,8 +103,8 @@
     node.failure_detector = FailureDetector(
         member, members, incarnation & FIELD_MASK, options.period_us, now, random
     )
-    born_s = now // SECOND_US
-    node.entries = MemberEntries(member, members, born_s, name_hash(zone), options.period_us, now)
+    start_time_s = now // SECOND_US
+    node.entries = MemberEntries(member, members, start_time_s, name_hash(zone), options.period_us, now)
     node.roles = SingletonRoles(
         member, options.voter_configuration, incarnation & UINT16_MASK, now, now, random
     )
--- a/reedspoke/fleet/status.py
+++ b/reedspoke/fleet/status.py
@@ -65,7 +65,7 @@
         "entries": [
             {
                 "member": entry.member,
-                "born": entry.born_s,
+                "born": entry.start_time_s,
                 "version": entry.version,
                 "phase": entry.phase,
                 "holds": list(entry.held_roles),
--- a/tests/fleet/test_anti_entropy.py
+++ b/tests/fleet/test_anti_entropy.py
@@ -33,8 +33,8 @@
 )
 
 
-def new_entries(member: int = 0, members: int = 6, born_s: int = 100) -> MemberEntries:
-    return MemberEntries(member, members, born_s, 7, SECOND, 0)
+def new_entries(member: int = 0, members: int = 6, start_time_s: int = 100) -> MemberEntries:
+    return MemberEntries(member, members, start_time_s, 7, SECOND, 0)
 
 
 def others(one: MemberEntries) -> dict[int, MemberEntry]:
@@ -70,9 +70,9 @@
 
 def test_an_entry_of_an_earlier_process_of_ours_begins_a_later_process() -> None:
     """An earlier process whose clock was ahead must not have the last word for ever."""
-    one = new_entries(member=2, born_s=100)
+    one = new_entries(member=2, start_time_s=100)
     assert one.merge(MemberEntry(2, 500, 9, 7, 0, (4,)), 0)
-    assert (one.own.born_s, one.own.version, one.own.held_roles) == (501, 0, ())
+    assert (one.own.start_time_s, one.own.version, one.own.held_roles) == (501, 0, ())
     assert not one.merge(MemberEntry(2, 500, 9, 7, 0, (4,)), 0)
     assert not one.merge(MemberEntry(6, 1, 1, 1), 0), "no member"
 
@@ -81,7 +81,7 @@
     one = new_entries()
     one._put(MemberEntry(0, 100, MAX_VERSION, 7))
     one.update_own(1, [], [], 0)
-    assert (one.own.born_s, one.own.version, one.own.phase) == (101, 0, 1)
+    assert (one.own.start_time_s, one.own.version, one.own.phase) == (101, 0, 1)
 
 
 def exchange(nodes: list[MemberEntries], seconds: range, loss: float = 0.0, seed: int = 1) -> int:
--- a/tests/golden/fleet_examples.py
+++ b/tests/golden/fleet_examples.py
@@ -53,7 +53,7 @@
     "7 by default": ConfigurationDigest(digest=1),
     "8": MemberEntry(
         member=1,
-        born_s=2,
+        start_time_s=2,
         version=3,
         zone_hash=4,
         phase=5,
@@ -66,7 +66,7 @@
             9,
         ),
     ),
-    "8 by default": MemberEntry(member=1, born_s=2, version=3, zone_hash=4),
+    "8 by default": MemberEntry(member=1, start_time_s=2, version=3, zone_hash=4),
     "9": RootDigest(digest=1, agreeing=b"bytes2"),
     "9 by default": RootDigest(digest=1),
     "10": RangeDigests(low=1, high=2, digests=b"bytes3"),
