--- a/reedspoke/fleet/anti_entropy.py
+++ b/reedspoke/fleet/anti_entropy.py
@@ -118,7 +118,7 @@
 class MemberEntries:
     """The entries of all members, as one member believes them.
 
-    `compared` counts ranges that were compared, `merged` entries that were new.
+    `compared_ranges` counts ranges that were compared, `merged_entries` entries that were new.
     """
 
     def __init__(
@@ -128,7 +128,7 @@
         self.member, self.members, self.period_us = member, members, period_us
         self.entries: dict[int, MemberEntry] = {}
         self.alive = {member}
-        self.compared = self.merged = 0
+        self.compared_ranges = self.merged_entries = 0
         self._hashes: dict[int, int] = {}
         self._digest = 0  # the sum of the hashes
         self._transmissions_left: dict[int, int] = {}  # by the member whose entry it is
@@ -140,7 +140,7 @@
         self._converged, self._converged_since = False, now
         self._reply_budget = dict(REPLIES_PER_PERIOD)
         self._reply_budget_since = now
-        self._nudged_at, self._nudges = now, member
+        self._last_push_at, self._push_count = now, member
         self._put(MemberEntry(member, start_time_s & UINT32_MASK, 0, zone_hash))
         self._update_convergence(now)
 
@@ -156,10 +156,10 @@
         own = self.own
         phase = int(phase)  # the digest covers its representation, which for an enumeration is another one
         held = tuple(sorted(set(held_roles))[:MAX_LISTED_ROLES])
-        lacking = tuple(sorted(set(missing))[:MAX_LISTED_ROLES])
-        if (phase, held, lacking) != (own.phase, own.held_roles, own.missing):
+        missing_hashes = tuple(sorted(set(missing))[:MAX_LISTED_ROLES])
+        if (phase, held, missing_hashes) != (own.phase, own.held_roles, own.missing):
             changed = MemberEntry(
-                self.member, own.start_time_s, own.version + 1, own.zone_hash, phase, held, lacking
+                self.member, own.start_time_s, own.version + 1, own.zone_hash, phase, held, missing_hashes
             )
             self._write_own(changed, now)
 
@@ -204,7 +204,7 @@
         known = self.entries.get(entry.member)
         if known is not None and precedence(entry) <= precedence(known):
             return False
-        self.merged += 1
+        self.merged_entries += 1
         if entry.member == self.member:
             # An earlier process of ours whose clock was ahead would otherwise have the last word for ever.
             own = self.own
@@ -310,7 +310,7 @@
             return
         for step in range(len(parts)):
             # From another part each time: the last ones get their share of the budget, too.
-            index = (step + self.compared) % len(parts)
+            index = (step + self.compared_ranges) % len(parts)
             low, high = parts[index]
             theirs = ranges.digests[index * DIGEST_BYTES : (index + 1) * DIGEST_BYTES]
             if int.from_bytes(theirs) == self._range_digest(low, high):
@@ -318,7 +318,7 @@
             is_leaf = high - low <= LEAF_MEMBERS
             if not self._spend_reply(ReplyKind.ENTRIES if is_leaf else ReplyKind.RANGES, now):
                 return
-            self.compared += 1
+            self.compared_ranges += 1
             if is_leaf:
                 self._send_entries(sender, low, high, outgoing)
                 outgoing.append(OutgoingMessage(sender, EntriesRequest(low, high)))
@@ -346,20 +346,20 @@
         self._sent_roots[recipient] = SentRoot(root, now)
         return root
 
-    def nudge(self, now: int) -> list[OutgoingMessage]:
+    def push_digest(self, now: int) -> list[OutgoingMessage]:
         """Once a period, until the fleet has converged: sends our digest to one of those that are behind.
 
         A member that only sends to all at once, load reports say, is not pinged because it is heard, so it
         would never receive a digest, nor send its own.
         """
-        if self._converged or now - self._nudged_at < self.period_us:
+        if self._converged or now - self._last_push_at < self.period_us:
             return []
-        self._nudged_at = now
+        self._last_push_at = now
         behind = [member for member in self.convergence().behind if member != self.member]
         if not behind:
             return []
-        self._nudges += 1
-        recipient = behind[self._nudges % len(behind)]
+        self._push_count += 1
+        recipient = behind[self._push_count % len(behind)]
         self._sent_roots.pop(recipient, None)
         root = self.root_digest(recipient, now)
         return [OutgoingMessage(recipient, root)] if root is not None else []
--- a/reedspoke/fleet/component.py
+++ b/reedspoke/fleet/component.py
@@ -37,7 +37,7 @@
 MAX_TICK_INTERVAL_US = 250 * MS  # where nothing but load reports is exchanged
 TICKS_PER_PERIOD = 8
 TICKS_PER_TTL = 40
-RELEASED_TTLS = 2  # for which a role that an operator has released is not wanted here again
+RELEASE_COOLDOWN_TTLS = 2  # for which a role that an operator has released is not wanted here again
 MAX_MEMBER_DIGITS = 5
 
 
@@ -139,7 +139,7 @@
 
     def on_release(self, event: fx.Called) -> fx.Reply:
         """Answers `POST /v1/fleet/ROLE/release` with an optional successor. Only the holder can release a
-        role, and it does not want it again for RELEASED_TTLS."""
+        role, and it does not want it again for RELEASE_COOLDOWN_TTLS."""
         roles, now = self.roles, self.core.now
         name, successor_text = event.names[0], event.names[1] if len(event.names) > 1 else ""
         if roles is None or name not in roles.leases:
@@ -153,7 +153,7 @@
             return fx.Reply(event.caller, fx.Word.NO, text=f"{held}\n")
         if successor is None:
             successor = self._choose_successor(name)
-        self._released_until[name] = now + RELEASED_TTLS * roles.leases[name].ttl_us
+        self._released_until[name] = now + RELEASE_COOLDOWN_TTLS * roles.leases[name].ttl_us
         self.node.set_candidacy(False, successor, now, [name])
         return fx.Reply(event.caller, fx.Word.YES)
 
--- a/reedspoke/fleet/failure_detector.py
+++ b/reedspoke/fleet/failure_detector.py
@@ -40,7 +40,7 @@
 STALL_SHARE = 0.5  # of a period without a tick: this process itself stood still
 UPDATE_TRANSMISSIONS = 3  # times log2 of the members that an update is sent
 MAX_UPDATES_PER_FRAME = 8
-EXTRA_UPDATE_OF_MISSING_CHANCE = 0.5
+SUSPECT_OR_GONE_UPDATE_PROBABILITY = 0.5
 
 UNKNOWN_INCARNATION = -1
 NEVER = -1
@@ -56,7 +56,7 @@
 
 
 LIVE_STATES = (MemberState.ALIVE, MemberState.SUSPECT)
-DOUBTED_STATES = (MemberState.SUSPECT, MemberState.GONE)
+SUSPECT_OR_GONE_STATES = (MemberState.SUSPECT, MemberState.GONE)
 
 
 @dataclass(slots=True)
@@ -67,22 +67,22 @@
     incarnation: int = UNKNOWN_INCARNATION
     refutation: int = 0
     since: int = 0  # of its state
-    heard_at: int = NEVER  # when it last sent something itself
-    heard_itself: bool = False  # this incarnation has sent something
+    last_received_at: int = NEVER  # when it last sent something itself
+    received_directly: bool = False  # this incarnation has sent something
     past_incarnations: list[int] = field(default_factory=list)
 
-    def enter_incarnation(self, incarnation: int, refutation: int, *, heard_itself: bool) -> None:
+    def enter_incarnation(self, incarnation: int, refutation: int, *, received_directly: bool) -> None:
         """Another incarnation begins, or the same one is heard itself for the first time."""
         if self.incarnation not in (UNKNOWN_INCARNATION, incarnation):
             retained = self.past_incarnations[1 - MAX_PAST_INCARNATIONS :]
             self.past_incarnations = [*retained, self.incarnation]
         if incarnation in self.past_incarnations:  # it has sent something, so it is not past
             self.past_incarnations.remove(incarnation)
-        self.incarnation, self.refutation, self.heard_itself = incarnation, refutation, heard_itself
+        self.incarnation, self.refutation, self.received_directly = incarnation, refutation, received_directly
 
-    def heard_within(self, now: int, duration_us: int) -> bool:
+    def received_within(self, now: int, duration_us: int) -> bool:
         """Whether it has sent something within that time."""
-        return self.heard_at >= 0 and now - self.heard_at < duration_us
+        return self.last_received_at >= 0 and now - self.last_received_at < duration_us
 
 
 @dataclass(slots=True)
@@ -144,7 +144,7 @@
         self._updates: dict[int, QueuedUpdate] = {}  # by the member they are about
         self._transmissions = UPDATE_TRANSMISSIONS * max(1, round(fleet_log2))
         self._probe_order: list[int] = []
-        self._missing_order: list[int] = []
+        self._not_alive_order: list[int] = []
         self._probe: Probe | None = None
         self._last_number = 0
         self._indirect_probes: dict[int, IndirectProbe] = {}  # by the number of our ping
@@ -183,7 +183,7 @@
     def tick(self, now: int) -> list[OutgoingMessage]:
         """Time has passed; due several times a period. Returns the messages to send."""
         outgoing: list[OutgoingMessage] = []
-        self._allow_for_stall(now)
+        self._compensate_for_stall(now)
         self._check_probe(now, outgoing)
         self._expire_suspicions(now)
         self._expire_indirect_probes(now)
@@ -193,7 +193,7 @@
                 self._start_probes(now, outgoing)
         return outgoing
 
-    def _allow_for_stall(self, now: int) -> None:
+    def _compensate_for_stall(self, now: int) -> None:
         """Where this process was stopped, answers lie unread, and refutations as well: others must not be
         taken for gone for that."""
         stall_us = now - self._ticked_at
@@ -218,7 +218,7 @@
         if probe is None:
             return
         record = self.members[probe.member]
-        if record.heard_within(now, self.period_us):
+        if record.received_within(now, self.period_us):
             self._probe_succeeded()
         elif now >= probe.fails_at:
             self._probe = None
@@ -253,10 +253,10 @@
                 timeout_us // (MAX_PING_RETRIES + 2),
             )  # fmt: skip
             record = self.members[member]
-            record.heard_at = min(record.heard_at, now - self.period_us)
+            record.last_received_at = min(record.last_received_at, now - self.period_us)
             self._ping(member, number, outgoing)
-        if (missing := self._next_missing()) is not None:
-            self._ping(missing, self._next_number(), outgoing)
+        if (not_alive := self._next_not_alive()) is not None:
+            self._ping(not_alive, self._next_number(), outgoing)
 
     def _next_number(self) -> int:
         self._last_number = self._last_number + 1 & UINT16_MASK
@@ -268,11 +268,13 @@
         but a few."""
         outgoing.append(OutgoingMessage(member, Ping(number)))
         known = [one for one, record in self.members.items() if record.incarnation >= 0]
-        doubted = [one for one in known if self.members[one].state in DOUBTED_STATES]
-        prefers_doubted = doubted and self.random.random() < EXTRA_UPDATE_OF_MISSING_CHANCE
-        candidates = doubted if prefers_doubted else known
+        suspect_or_gone = [one for one in known if self.members[one].state in SUSPECT_OR_GONE_STATES]
+        prefers_suspect_or_gone = (
+            suspect_or_gone and self.random.random() < SUSPECT_OR_GONE_UPDATE_PROBABILITY
+        )
+        candidates = suspect_or_gone if prefers_suspect_or_gone else known
         subjects = {self.random.choice(candidates)} if candidates else set()
-        if member in doubted:
+        if member in suspect_or_gone:
             subjects.add(member)
         outgoing.extend(OutgoingMessage(member, self._update_of(subject)) for subject in sorted(subjects))
 
@@ -284,18 +286,18 @@
                 self.random.shuffle(self._probe_order)
             member = self._probe_order.pop()
             record = self.members[member]
-            if record.state in LIVE_STATES and not record.heard_within(now, self.period_us):
+            if record.state in LIVE_STATES and not record.received_within(now, self.period_us):
                 return member
         return None
 
-    def _next_missing(self) -> int | None:
+    def _next_not_alive(self) -> int | None:
         """The next member of a shuffled list of those that are gone or were never heard of."""
-        if not self._missing_order:
-            self._missing_order = [
+        if not self._not_alive_order:
+            self._not_alive_order = [
                 member for member, record in self.members.items() if record.state not in LIVE_STATES
             ]
-            self.random.shuffle(self._missing_order)
-        return self._missing_order.pop() if self._missing_order else None
+            self.random.shuffle(self._not_alive_order)
+        return self._not_alive_order.pop() if self._not_alive_order else None
 
     # ---- messages of other members ----
 
@@ -322,11 +324,11 @@
     def _record_sign_of_life(self, sender: int, incarnation: int, now: int) -> None:
         record = self.members[sender]
         is_new = record.incarnation != incarnation
-        if is_new or not record.heard_itself:
-            record.enter_incarnation(incarnation, 0 if is_new else record.refutation, heard_itself=True)
+        if is_new or not record.received_directly:
+            record.enter_incarnation(incarnation, 0 if is_new else record.refutation, received_directly=True)
             if is_new or record.state is MemberState.UNSEEN:
                 self._set_state(sender, MemberState.ALIVE, now)
-        record.heard_at = now
+        record.last_received_at = now
 
     def _receive_ping_request(
         self, sender: int, number: int, target: int, now: int, outgoing: list[OutgoingMessage]
@@ -362,7 +364,7 @@
             return
         if (update.refutation, update.state) <= (record.refutation, record.state):
             return
-        if update.state != MemberState.ALIVE and record.heard_within(now, self.period_us):
+        if update.state != MemberState.ALIVE and record.received_within(now, self.period_us):
             outgoing.append(OutgoingMessage(update.member, update))  # so that it can refute the suspicion
             return
         record.refutation = update.refutation
@@ -379,9 +381,9 @@
 
     def _receive_other_incarnation(self, update: MemberUpdate, record: MemberRecord, now: int) -> None:
         is_back = record.state is MemberState.GONE and update.state == MemberState.ALIVE
-        if update.incarnation in record.past_incarnations or record.heard_itself and not is_back:
+        if update.incarnation in record.past_incarnations or record.received_directly and not is_back:
             return  # a past incarnation, or a new one that will be heard itself
-        record.enter_incarnation(update.incarnation, update.refutation, heard_itself=False)
+        record.enter_incarnation(update.incarnation, update.refutation, received_directly=False)
         self._set_state(update.member, MemberState(update.state), now)
 
     # ---- gossip ----
--- a/reedspoke/fleet/lease/participant.py
+++ b/reedspoke/fleet/lease/participant.py
@@ -146,12 +146,12 @@
         lease has expired meanwhile."""
         return self.token != NO_TOKEN and now < self.expires_at
 
-    def yield_to(self, token: int) -> None:
+    def mark_superseded(self, token: int) -> None:
         """A later holder is known: the lease is not ours, whatever our clock says."""
         self.token, self._proposal = NO_TOKEN, None
         self._highest_round = max(self._highest_round, round_of(token))
 
-    def wait_until(self, expires_at: int) -> None:
+    def defer_proposals(self, expires_at: int) -> None:
         """Another member is known to hold the lease until then at the latest. Without this, hundreds of
         candidates would keep asking the voters."""
         if not self.token and self._proposal is None:
@@ -281,11 +281,11 @@
         if member_of(message.proposal) != sender:
             return  # nobody proposes in another member's name
         if isinstance(message, LeaseReleased) and message.successor != NO_MEMBER:
-            self._give_way_to(message.successor, now)
+            self._defer_to_successor(message.successor, now)
         if self.member in self.voters and (answer := self.voter.receive(message, now)) is not None:
             self._effects.append(SendMessage(sender, answer))
 
-    def _give_way_to(self, successor: int, now: int) -> None:
+    def _defer_to_successor(self, successor: int, now: int) -> None:
         """The named successor proposes at once; the others leave it the time of a proposal or two."""
         if successor == self.member:
             self._proposal, self._backoff_doublings, self._retry_at = None, 0, now
--- a/reedspoke/fleet/load_sharing.py
+++ b/reedspoke/fleet/load_sharing.py
@@ -73,7 +73,7 @@
     """The reports of one incarnation of a peer, by the hash of the worker's name."""
 
     incarnation: int
-    heard_at: int
+    last_received_at: int
     by_worker: dict[int, ReceivedReport] = field(default_factory=dict)
 
 
@@ -163,7 +163,7 @@
         if peer is None or frame.incarnation != peer.incarnation:
             self._forget_peer(frame.sender)
             peer = self._peers[frame.sender] = PeerReports(frame.incarnation, now)
-        peer.heard_at = now
+        peer.last_received_at = now
         return peer
 
     def _add(self, worker_hash: int, slots: int, work_us: float) -> None:
@@ -192,7 +192,7 @@
         changed = False
         for member, peer in list(self._peers.items()):
             changed |= self._expire_reports(now, peer)
-            if now - peer.heard_at >= PEER_IDLE_TIMEOUT_US:
+            if now - peer.last_received_at >= PEER_IDLE_TIMEOUT_US:
                 self._forget_peer(member)
         return changed
 
--- a/reedspoke/fleet/metrics.py
+++ b/reedspoke/fleet/metrics.py
@@ -35,14 +35,14 @@
 def _message_metrics(channel: FrameChannel, load_sharing: LoadSharing | None, sent: SocketCounters) -> str:
     received = channel.counters
     counts = {
-        "words_heard": received["heard"],
+        "words_heard": received["accepted"],
         "words_malformed": received["malformed"],
         "words_stale": received["stale"] + (load_sharing.stale if load_sharing is not None else 0),
-        "words_of_strangers": received["strangers"] + sent.strangers,
+        "words_of_strangers": received["unknown_sender"] + sent.unknown_senders,
         "datagrams_sent": sent.datagrams,
         "bytes_sent": sent.bytes,
         "sends_failed": sent.failed,
-        "words_unsealed": received["unsealed"],
+        "words_unsealed": received["unauthenticated"],
         "words_waited": load_sharing.deferred if load_sharing is not None else 0,
     }
     return "".join(_counter(f"scheduler_peer_{name}_total", count) for name, count in counts.items())
@@ -59,8 +59,8 @@
     return (
         _gauge("scheduler_fleet_settled", int(convergence.converged))
         + _gauge("scheduler_fleet_behind", len(convergence.behind))
-        + _counter("scheduler_fleet_compared_total", entries.compared)
-        + _counter("scheduler_fleet_merged_total", entries.merged)
+        + _counter("scheduler_fleet_compared_total", entries.compared_ranges)
+        + _counter("scheduler_fleet_merged_total", entries.merged_entries)
     )
 
 
--- a/reedspoke/fleet/node.py
+++ b/reedspoke/fleet/node.py
@@ -35,8 +35,8 @@
     DRAINED = 2
 
 
-Addressed = Iterable[tuple[int, Any]]  # recipients and messages
-MessageHandler = Callable[[int, Any, int], Addressed]  # (sender, message, now)
+AddressedMessages = Iterable[tuple[int, Any]]  # recipients and messages
+MessageHandler = Callable[[int, Any, int], AddressedMessages]  # (sender, message, now)
 
 
 @dataclass(slots=True, frozen=True)
@@ -48,7 +48,7 @@
     """
 
     message_handlers: Mapping[type, MessageHandler]
-    on_tick: Callable[[int], Addressed]
+    on_tick: Callable[[int], AddressedMessages]
     take_log_changes: Callable[[], list[LogChange]]
 
 
@@ -117,7 +117,7 @@
         if self.entries is not None and self.failure_detector is not None:
             self.entries.set_alive(self.failure_detector.alive(), now)
             self.entries.update_own(self.phase, self._held_roles(now), (), now)
-            self.enqueue(self.entries.nudge(now))
+            self.enqueue(self.entries.push_digest(now))
 
     def _held_roles(self, now: int) -> list[int]:
         if self.roles is None:
@@ -137,7 +137,7 @@
 
     # ---- what is sent ----
 
-    def enqueue(self, messages: Addressed) -> None:
+    def enqueue(self, messages: AddressedMessages) -> None:
         """Queues messages for their recipients until the next `flush`."""
         for recipient, message in messages:
             self._queues[recipient].append(message)
--- a/reedspoke/fleet/roles/singleton_roles.py
+++ b/reedspoke/fleet/roles/singleton_roles.py
@@ -205,7 +205,7 @@
         if lease is None:
             return
         had_lease = lease.token
-        lease.yield_to(token)
+        lease.mark_superseded(token)
         if had_lease:
             self._lease_ended(name, LeaseEndReason.SUPERSEDED, now)
 
@@ -235,7 +235,7 @@
             # Clocks may differ by more than the configured drift, so that our lease has not expired yet.
             self._supersede(name, message.token, now)
         expires_at = now + min(message.remaining_ms * US_PER_MS, lease.ttl_us)
-        lease.wait_until(expires_at)
+        lease.defer_proposals(expires_at)
         self._record_holder(name, LeaseHolder(sender, message.token, expires_at))
 
     # ---- what is known ----
--- a/reedspoke/fleet/transport/channel.py
+++ b/reedspoke/fleet/transport/channel.py
@@ -44,7 +44,7 @@
         """The frame of a datagram, or None where it is ignored. `sender`: the member by its address."""
         body = self.keys.verify(datagram) if self.keys is not None else datagram
         if body is None:
-            self.counters["unsealed"] += 1
+            self.counters["unauthenticated"] += 1
             return None
         try:
             frame = decode_frame(body)
@@ -52,12 +52,12 @@
             self.counters["malformed"] += 1
             return None
         if not self._is_from_peer(frame, sender):
-            self.counters["strangers"] += 1
+            self.counters["unknown_sender"] += 1
             return None
         if not self._update_incarnation(frame):
             self.counters["stale"] += 1
             return None
-        self.counters["heard"] += 1
+        self.counters["accepted"] += 1
         return frame
 
     def _is_from_peer(self, frame: Frame, sender: int) -> bool:
--- a/reedspoke/fleet/transport/udp_socket.py
+++ b/reedspoke/fleet/transport/udp_socket.py
@@ -28,9 +28,9 @@
 
 @dataclass(slots=True)
 class SocketCounters:
-    """What the socket has counted. `strangers`: datagrams from an address that is no peer's."""
+    """What the socket has counted. `unknown_senders`: datagrams from an address that is no peer's."""
 
-    strangers: int = 0
+    unknown_senders: int = 0
     datagrams: int = 0
     bytes: int = 0
     failed: int = 0
@@ -101,7 +101,7 @@
                 return
             member = self._member_by_address.get(address)
             if member is None:
-                self.counters.strangers += 1
+                self.counters.unknown_senders += 1
             else:
                 self.runtime.emit(DatagramReceived(datagram, member))
 
--- a/tests/fleet/test_anti_entropy.py
+++ b/tests/fleet/test_anti_entropy.py
@@ -217,10 +217,10 @@
         one.set_alive([0, 1, 2], 0)
     for second in range(1, 12):
         now = second * SECOND
-        queue = [(one, nodes[to], message) for one in nodes for to, message in one.nudge(now)]
+        queue = [(one, nodes[to], message) for one in nodes for to, message in one.push_digest(now)]
         while queue:
             sender, recipient, message = queue.pop(0)
             answers = recipient.receive(sender.member, [message], now)
             queue += [(recipient, nodes[to], answer) for to, answer in answers]
     assert all(one.convergence().converged for one in nodes)
-    assert all(one.nudge(20 * SECOND) == [] for one in nodes), "and then it is idle"
+    assert all(one.push_digest(20 * SECOND) == [] for one in nodes), "and then it is idle"
--- a/tests/fleet/transport/test_authentication.py
+++ b/tests/fleet/transport/test_authentication.py
@@ -21,7 +21,7 @@
         body = body[:corrupt_at] + bytes([body[corrupt_at] ^ 1]) + body[corrupt_at + 1 :]
     channel = FrameChannel(0, 3, 1, receiver)
     accepted = channel.receive(body, 1) is not None
-    assert channel.counters["unsealed"] == (not accepted)
+    assert channel.counters["unauthenticated"] == (not accepted)
     return accepted
 
 
--- a/tests/fleet/transport/test_channel.py
+++ b/tests/fleet/transport/test_channel.py
@@ -41,4 +41,4 @@
 def test_frames_of_strangers_and_of_this_member_are_ignored(sender: int, by_address: int) -> None:
     channel = FrameChannel(1, 3, 5)
     assert channel.receive(encode_frames(sender, 1, 1, [Ping(1)])[0], by_address) is None
-    assert channel.counters["strangers"] == 1
+    assert channel.counters["unknown_sender"] == 1
