--- a/reedspoke/fleet/anti_entropy.py
+++ b/reedspoke/fleet/anti_entropy.py
@@ -1,21 +1,23 @@
 """The entries that members write about themselves, replicated to all of them by gossip and anti-entropy.
 
-This is belief: it converges in time and is never asked where something must be safe. What a majority has
-agreed on is another thing, the replicated log (`fleet.replicated_log`).
+The entries are eventually consistent and are not used for any decision that safety depends on. State that a
+majority has agreed on is in the replicated log (`fleet.replicated_log`).
 
-Each member writes one entry, its own. Of two entries of a member the later process's counts, and of one
-process the later version: a join of a semilattice, so order, loss and repetition of messages do not matter.
-A member that hears of an entry of its own that it has not written has started after it, or its clock has
-gone back: it begins a later process than that entry's.
+Each member writes only its own entry. Of two entries of a member, the one of the later process wins, and
+within a process the one of the later version. This is a join of a semilattice, so order, loss and duplication
+of messages do not matter. A member may receive an entry of its own that the running process has not written:
+an earlier process wrote it, and its clock may have been ahead. The member then writes its entry again with a
+start time later than that of the received one.
 
-Entries travel on frames that are sent anyway, each a bounded number of times. What was lost is found by
-anti-entropy: the digest of all entries goes with each ping and its answer; where two digests differ,
-digests of ranges of members are compared, then of parts of the ranges that differ, and at last the entries
-are exchanged. Digests are sums of hashes, so a change of one entry costs a subtraction and an addition.
+Entries are piggybacked on frames that are sent anyway, each a bounded number of times. Lost entries are
+found by anti-entropy: each ping and each ack carries the digest of all entries. If two digests differ,
+digests of ranges of members are compared, then of parts of the ranges that differ, and finally the entries
+are exchanged. Digests are sums of hashes, so a change of one entry costs one subtraction and one addition.
 
-The fleet has converged when all members that are believed to be alive have sent the digest that we have. The
-set of members heard to have sent it travels with the digest and only grows while the digest stays, so this is
-known after some rounds of gossip and does not take a message from each member.
+The fleet has converged when all members that are assumed to be alive have sent the same digest as this one.
+The set of members that are known to have sent it is transmitted with the digest and only grows while the
+digest stays the same. So convergence is known after a few rounds of gossip, without a message from each
+member.
 
 `MemberEntries` is the sole owner of this state. It performs no I/O; times are microseconds, `now`.
 """
@@ -41,9 +43,9 @@
 from reedspoke.fleet.messages.fields import UINT16_MASK, UINT32_MASK
 from reedspoke.fleet.messages.frame import Message, OutgoingMessage
 
-RANGE_PARTS = 16  # that a range is compared by
-LEAF_MEMBERS = 3  # a range of that many is sent as entries and not divided further
-ENTRY_TRANSMISSIONS = 3  # times log2 of the members that an entry is sent
+RANGE_PARTS = 16  # number of parts that a range is divided into for comparison
+LEAF_MEMBERS = 3  # a range of at most that many members is sent as entries and not divided further
+ENTRY_TRANSMISSIONS = 3  # an entry is sent that many times log2 of the number of members
 MAX_ENTRIES_PER_FRAME = 3
 MAX_VERSION = UINT16_MASK
 DIGEST_BYTES = 8
@@ -51,7 +53,7 @@
 
 
 def entry_hash(entry: MemberEntry, alive: bool) -> int:
-    """The hash of what is believed about one member."""
+    """Returns the hash of a member's entry and of whether the member is assumed to be alive."""
     content = (
         entry.member, entry.start_time_s, entry.version, entry.zone_hash, entry.phase, entry.held_roles,
         entry.missing, alive,
@@ -60,10 +62,10 @@
 
 
 def precedence(entry: MemberEntry) -> tuple[object, ...]:
-    """Of two entries of a member the one with the higher precedence counts.
+    """Returns the sort key of an entry: of two entries of a member, the one with the higher key wins.
 
-    The content stands behind process and version: two processes of one member could write the same version,
-    and all members have to retain the same one.
+    The content is part of the key, after start time and version: two processes of one member could write the
+    same version, and all members have to keep the same one of the two.
     """
     return (
         entry.start_time_s, entry.version, entry.zone_hash, entry.phase, entry.held_roles, entry.missing,
@@ -71,22 +73,23 @@
 
 
 def members_to_bits(members: Iterable[int]) -> bytes:
-    """A set of members as bits, the first member lowest."""
+    """Encodes a set of members as a bit set, with the first member in the lowest bit."""
     bits = sum(1 << member for member in set(members))
     return bits.to_bytes((bits.bit_length() + 7) // 8, "little")
 
 
 def members_from_bits(encoded: bytes) -> set[int]:
-    """The set of members that the bits stand for."""
+    """Decodes a set of members that was encoded by `members_to_bits`."""
     bits = int.from_bytes(encoded, "little")
     return {member for member in range(bits.bit_length()) if bits >> member & 1}
 
 
 @dataclass(slots=True, frozen=True)
 class Convergence:
-    """Whether all members that are believed to be alive have sent one digest.
+    """Whether all members that are assumed to be alive have sent the same digest.
 
-    `since` is when that last changed, `behind` are the live members that have not sent it.
+    `since` is the time of the last change of `converged`. `behind` lists the live members that have not sent
+    the digest.
     """
 
     converged: bool
@@ -96,17 +99,18 @@
 
 
 class ReplyKind(Enum):
-    """What an answer to another digest consists of."""
+    """The kind of reply to a digest that differs from that of this member."""
 
     RANGES = "ranges"
     ENTRIES = "entries"
 
 
-REPLIES_PER_PERIOD = {ReplyKind.RANGES: 6, ReplyKind.ENTRIES: 12}  # so that they do not crowd out the rest
+# Limits the share of replies among all messages.
+REPLIES_PER_PERIOD = {ReplyKind.RANGES: 6, ReplyKind.ENTRIES: 12}
 
 
 class SentRoot(NamedTuple):
-    """The root digest that a member was sent last, and when."""
+    """The root digest that was last sent to a member, and the time of sending."""
 
     message: RootDigest | None
     sent_at: int
@@ -116,26 +120,27 @@
 
 
 class MemberEntries:
-    """The entries of all members, as one member believes them.
+    """One member's copy of the entries of all members.
 
-    `compared_ranges` counts ranges that were compared, `merged_entries` entries that were new.
+    `compared_ranges` counts the ranges found to differ, `merged_entries` the received entries that were
+    newer.
     """
 
     def __init__(
         self, member: int, members: int, start_time_s: int, zone_hash: int, period_us: int, now: int
     ) -> None:
-        """`start_time_s` is the Unix time, in seconds, of the start of this process."""
+        """`start_time_s` is the Unix time, in seconds, at which this process started."""
         self.member, self.members, self.period_us = member, members, period_us
         self.entries: dict[int, MemberEntry] = {}
         self.alive = {member}
         self.compared_ranges = self.merged_entries = 0
         self._hashes: dict[int, int] = {}
         self._digest = 0  # the sum of the hashes
-        self._transmissions_left: dict[int, int] = {}  # by the member whose entry it is
+        self._transmissions_left: dict[int, int] = {}  # by the member that the entry describes
         self._transmissions = ENTRY_TRANSMISSIONS * max(1, round(log2(max(2, members))))
-        self._agreeing: set[int] = {member}  # members known to have sent our digest
-        self._sent_digests: dict[int, int] = {}  # the digest that each member has sent last
-        self._unconverged: set[int] = set()  # members that said last that they have not converged
+        self._agreeing: set[int] = {member}  # members known to have sent the same digest as this one
+        self._sent_digests: dict[int, int] = {}  # the last digest received from each member
+        self._unconverged: set[int] = set()  # members that had not converged at their last digest
         self._sent_roots: dict[int, SentRoot] = {}
         self._converged, self._converged_since = False, now
         self._reply_budget = dict(REPLIES_PER_PERIOD)
@@ -144,7 +149,7 @@
         self._put(MemberEntry(member, start_time_s & UINT32_MASK, 0, zone_hash))
         self._update_convergence(now)
 
-    # ---- our own entry ----
+    # ---- the entry of this member ----
 
     @property
     def own(self) -> MemberEntry:
@@ -152,9 +157,9 @@
         return self.entries[self.member]
 
     def update_own(self, phase: int, held_roles: Iterable[int], missing: Iterable[int], now: int) -> None:
-        """Writes a new version of our entry, where it differs from the last one."""
+        """Writes a new version of this member's entry if the content has changed."""
         own = self.own
-        phase = int(phase)  # the digest covers its representation, which for an enumeration is another one
+        phase = int(phase)  # the digest covers the repr, which differs between an IntEnum member and an int
         held = tuple(sorted(set(held_roles))[:MAX_LISTED_ROLES])
         missing_hashes = tuple(sorted(set(missing))[:MAX_LISTED_ROLES])
         if (phase, held, missing_hashes) != (own.phase, own.held_roles, own.missing):
@@ -170,10 +175,10 @@
         self._put(replace(entry, start_time_s=start_time_s & UINT32_MASK, version=version))
         self._update_convergence(now)
 
-    # ---- what is believed ----
+    # ---- entries and member states ----
 
     def set_alive(self, alive: Iterable[int], now: int) -> None:
-        """The members that the failure detector believes to be alive. A dead member's entry is retained."""
+        """Sets the members that the failure detector reports as alive. A dead member's entry is retained."""
         believed = set(alive) | {self.member}
         for member in believed ^ self.alive:
             if member in believed:
@@ -192,13 +197,13 @@
         self._transmissions_left[entry.member] = self._transmissions
 
     def _rehash(self, member: int) -> None:
-        """Brings the digest up to date after a change of a member's entry or life."""
+        """Updates the digest after a change of a member's entry or of whether it is alive."""
         previous = self._hashes.get(member, 0)
         self._hashes[member] = entry_hash(self.entries[member], member in self.alive)
         self._digest = (self._digest - previous + self._hashes[member]) % DIGEST_MODULUS
 
     def merge(self, entry: MemberEntry, now: int) -> bool:
-        """Takes in an entry; whether it was new."""
+        """Merges a received entry. Returns whether it was newer than the known one."""
         if not 0 <= entry.member < self.members:
             return False
         known = self.entries.get(entry.member)
@@ -206,7 +211,7 @@
             return False
         self.merged_entries += 1
         if entry.member == self.member:
-            # An earlier process of ours whose clock was ahead would otherwise have the last word for ever.
+            # Otherwise the entry of an earlier process of this member whose clock was ahead would always win.
             own = self.own
             self._write_own(
                 replace(own, start_time_s=max(entry.start_time_s, own.start_time_s) + 1, version=0), now
@@ -220,11 +225,11 @@
 
     @property
     def digest(self) -> int:
-        """The digest of everything that is believed."""
+        """The digest of all entries and of the members that are assumed to be alive."""
         return self._digest
 
     def _update_convergence(self, now: int) -> None:
-        """To be called after each change of what is believed or was received."""
+        """Recomputes convergence after a change of the entries, the live members or the received digests."""
         if self._sent_digests.get(self.member) != self._digest:
             self._sent_digests[self.member] = self._digest
             self._agreeing = {
@@ -233,18 +238,18 @@
         converged = self.alive <= self._agreeing and self.alive <= self.entries.keys()
         if converged != self._converged:
             self._converged, self._converged_since = converged, now
-            if converged:  # everybody has what is still to be sent
+            if converged:  # all live members have all entries, so none has to be sent again
                 self._transmissions_left.clear()
 
     def convergence(self) -> Convergence:
-        """Whether the fleet has converged, as far as is known here."""
+        """Returns whether the fleet has converged, as far as this member knows."""
         behind = (self.alive - self._agreeing) | (self.alive - self.entries.keys())
         return Convergence(self._converged, self._converged_since, self._digest, tuple(sorted(behind)))
 
     # ---- messages of other members ----
 
     def receive(self, sender: int, messages: Iterable[Message], now: int) -> list[OutgoingMessage]:
-        """Takes in messages of another member. Returns the messages to send."""
+        """Handles messages of another member. Returns the messages to send."""
         outgoing: list[OutgoingMessage] = []
         for message in messages:
             match message:
@@ -257,7 +262,7 @@
                 case EntriesRequest(low, high):
                     self._send_entries(sender, low, high, outgoing)
                 case _:
-                    pass  # another protocol's
+                    pass  # belongs to another protocol
         return outgoing
 
     def _receive_root(self, sender: int, root: RootDigest, now: int, outgoing: list[OutgoingMessage]) -> None:
@@ -265,7 +270,7 @@
         agreeing = members_from_bits(root.agreeing)
         if root.agreeing:
             self._unconverged.add(sender)
-            # It has missed our digest, and may get no other message that is for it alone.
+            # The sender lacks the digest of this member, and may get no other frame addressed to it alone.
             if self.member not in agreeing and (own_root := self.root_digest(sender, now)) is not None:
                 outgoing.append(OutgoingMessage(sender, own_root))
         else:
@@ -279,8 +284,11 @@
         self._update_convergence(now)
 
     def _spend_reply(self, kind: ReplyKind, now: int) -> bool:
-        """Whether another reply of that kind may be sent in this period. Ranges and entries have budgets of
-        their own: when they shared one, ranges took all of it and no entry was ever sent."""
+        """Takes one reply from the budget of that kind for this period. Returns whether it may be sent.
+
+        Ranges and entries have separate budgets: with a shared one, ranges used all of it and no entry was
+        ever sent.
+        """
         if now - self._reply_budget_since >= self.period_us:
             self._reply_budget = dict(REPLIES_PER_PERIOD)
             self._reply_budget_since = now
@@ -288,7 +296,7 @@
         return self._reply_budget[kind] >= 0
 
     def _parts(self, low: int, high: int) -> list[tuple[int, int]]:
-        """The parts, from and to, that a range of members is compared by."""
+        """Returns the bounds (inclusive, exclusive) of the parts in which a range of members is compared."""
         size = high - low
         step = max(LEAF_MEMBERS, -(-size // RANGE_PARTS))  # rounded up
         return [(start, min(start + step, high)) for start in range(low, high, step)]
@@ -309,7 +317,7 @@
         if len(ranges.digests) != DIGEST_BYTES * len(parts):
             return
         for step in range(len(parts)):
-            # From another part each time: the last ones get their share of the budget, too.
+            # The comparison starts at a different part each time, so that the last parts get replies, too.
             index = (step + self.compared_ranges) % len(parts)
             low, high = parts[index]
             theirs = ranges.digests[index * DIGEST_BYTES : (index + 1) * DIGEST_BYTES]
@@ -333,9 +341,9 @@
     # ---- gossip ----
 
     def root_digest(self, recipient: int, now: int) -> RootDigest | None:
-        """The root digest for a frame to a member, or None where it was sent the same one within a period.
+        """Returns the root digest for a frame to a member, or None if the same one was sent within a period.
 
-        Between two members that have converged the set of agreeing members is left out.
+        The set of agreeing members is left out if both members have converged.
         """
         recipient_agrees = self._sent_digests.get(recipient) == self._digest
         both_converged = self._converged and recipient not in self._unconverged and recipient_agrees
@@ -347,10 +355,10 @@
         return root
 
     def push_digest(self, now: int) -> list[OutgoingMessage]:
-        """Once a period, until the fleet has converged: sends our digest to one of those that are behind.
+        """Sends the root digest to one of the members that are behind, once a period until convergence.
 
-        A member that only sends to all at once, load reports say, is not pinged because it is heard, so it
-        would never receive a digest, nor send its own.
+        A member that sends only to all peers at once, such as load reports, is not pinged because its frames
+        show that it is alive. It would neither receive a digest nor send its own.
         """
         if self._converged or now - self._last_push_at < self.period_us:
             return []
@@ -365,7 +373,7 @@
         return [OutgoingMessage(recipient, root)] if root is not None else []
 
     def take_updates(self) -> list[MemberEntry]:
-        """The entries for a frame that is sent now: those first that were sent least."""
+        """Returns the entries to add to a frame, those that have been sent least often first."""
         by_priority = sorted(self._transmissions_left.items(), key=lambda item: (-item[1], item[0]))
         chosen = by_priority[:MAX_ENTRIES_PER_FRAME]
         for member, left in chosen:
--- a/reedspoke/fleet/component.py
+++ b/reedspoke/fleet/component.py
@@ -1,9 +1,9 @@
 """The fleet's component of the reducer.
 
-It passes the reducer's events on to the node (`node`), the loads of the others to the decision module, the
-node's log lines to the log, and answers the operators' calls. While this process drains, it gives up its
-roles, each to another live member. The component owns which roles are wanted here at the moment; all other
-state is the node's.
+It passes the reducer's events to the node (`node`), the loads of other schedulers to the decision module and
+the node's log lines to the log, and answers the operators' calls. While this process drains, it releases its
+roles, each to another live member. The component owns the candidacy of this member for each role; all other
+state belongs to the node.
 """
 
 from __future__ import annotations
@@ -34,24 +34,24 @@
 from reedspoke.net.core import MS, Concern, Core, Reactions, Rings
 from reedspoke.net.state import Life
 
-MAX_TICK_INTERVAL_US = 250 * MS  # where nothing but load reports is exchanged
+MAX_TICK_INTERVAL_US = 250 * MS  # applies if only load reports are exchanged
 TICKS_PER_PERIOD = 8
 TICKS_PER_TTL = 40
-RELEASE_COOLDOWN_TTLS = 2  # for which a role that an operator has released is not wanted here again
+RELEASE_COOLDOWN_TTLS = 2  # times to live without candidacy here after an operator has released a role
 MAX_MEMBER_DIGITS = 5
 
 
 class FleetComponent(Concern):
-    """The reducer's side of a fleet node. `load_sharing` is None where no load reports are exchanged."""
+    """Connects a fleet node to the reducer. `load_sharing` is None if no load reports are exchanged."""
 
     def __init__(self, core: Core, node: FleetNode, load_sharing: LoadSharing | None) -> None:
-        """Ticks begin with `SocketOpened`."""
+        """The first tick is triggered by `SocketOpened`."""
         super().__init__(core)
         self.node, self.load_sharing = node, load_sharing
         self.roles, self.failure_detector = node.roles, node.failure_detector
         self.tick_interval_us = self._tick_interval()
         self._is_candidate = False
-        self._released_until: dict[str, int] = {}  # by role, where an operator has released it here
+        self._released_until: dict[str, int] = {}  # by role, for the roles that an operator has released here
         self._had_majority = True
 
     def _tick_interval(self) -> int:
@@ -63,7 +63,7 @@
         return min(intervals)
 
     def reactions(self) -> Reactions:
-        """The events that the component handles."""
+        """Returns the handlers of the events, by event type."""
         return {
             DatagramReceived: self._on_datagram,
             SocketOpened: lambda _: self._on_tick(0),
@@ -72,7 +72,7 @@
         }
 
     def rings(self) -> Rings:
-        """The timers that the component handles."""
+        """Returns the handlers of the timers, by timer name."""
         return {"peers": self._on_tick}
 
     # ---- events ----
@@ -138,18 +138,22 @@
         return fx.Reply(event.caller, fx.Word.YES, text=status_json(self.node, self.core.now))
 
     def on_release(self, event: fx.Called) -> fx.Reply:
-        """Answers `POST /v1/fleet/ROLE/release` with an optional successor. Only the holder can release a
-        role, and it does not want it again for RELEASE_COOLDOWN_TTLS."""
+        """Answers `POST /v1/fleet/ROLE/release` with an optional successor.
+
+        Only the holder can release a role. It is no candidate for it again for RELEASE_COOLDOWN_TTLS.
+        """
         roles, now = self.roles, self.core.now
         name, successor_text = event.names[0], event.names[1] if len(event.names) > 1 else ""
         if roles is None or name not in roles.leases:
             return fx.Reply(event.caller, fx.Word.ABSENT, text="no such duty\n")
         successor = self._parse_member(successor_text)
         if successor_text and successor is None:
-            return fx.Reply(event.caller, fx.Word.ABSENT, text=f"no other scheduler {successor_text}\n")
+            return fx.Reply(
+                event.caller, fx.Word.ABSENT, text=f"no other scheduler is numbered {successor_text}\n"
+            )
         if not roles.holds(name, now):
             holder = roles.holder(name, now)
-            held = f"held by scheduler {holder.member}" if holder else "held by nobody that is known here"
+            held = f"held by scheduler {holder.member}" if holder else "no holder is known here"
             return fx.Reply(event.caller, fx.Word.NO, text=f"{held}\n")
         if successor is None:
             successor = self._choose_successor(name)
@@ -158,7 +162,7 @@
         return fx.Reply(event.caller, fx.Word.YES)
 
     def _parse_member(self, text: str) -> int | None:
-        """The other member that an operator has named, or None."""
+        """Parses the number of another member. Returns None if there is no such member."""
         if not (text.isascii() and text.isdigit() and len(text) <= MAX_MEMBER_DIGITS):
             return None
         member = int(text)
@@ -166,7 +170,7 @@
         return member if is_known else None
 
     def _choose_successor(self, name: str) -> int:
-        """A live member, another one for each role, or NO_MEMBER where none is known to be alive."""
+        """Chooses a live member by rendezvous hashing, or NO_MEMBER if none is known to be alive."""
         if self.failure_detector is None:
             return NO_MEMBER
         members = self.failure_detector.members.items()
@@ -179,7 +183,7 @@
         self.core.tell(api.PeerLoads(load_sharing.loads_of_others(self.state.hosts)))
 
     def after(self) -> None:
-        """Called behind each event of the reducer: turns what the node has collected into effects."""
+        """Turns the output of the node into effects; called after each event of the reducer."""
         if self.roles is not None:
             self._update_candidacy(self.roles)
             for effect in self.roles.effects:
@@ -193,7 +197,7 @@
         self._send()
 
     def _send(self) -> None:
-        """Sends what is queued, behind the log changes that it may follow from."""
+        """Sends the queued messages, after the log changes that they may depend on have been stored."""
         sends = [
             SendDatagrams(tuple(bodies), recipient) for recipient, bodies in self.node.flush(self.core.now)
         ]
@@ -205,7 +209,7 @@
             self.core.ask(send)
 
     def _update_candidacy(self, roles: SingletonRoles) -> None:
-        """A process that is about to end hands its roles over; else their leases would have to expire."""
+        """Releases the roles of a draining process, which spares successors the wait for expiry."""
         candidate = self.state.life is Life.SERVING and not self.state.leaving()
         if candidate:
             self.node.phase = NodePhase.SERVING
--- a/reedspoke/fleet/events.py
+++ b/reedspoke/fleet/events.py
@@ -1,6 +1,6 @@
-"""What the fleet's component of the reducer is told (events) and what it asks for (effects).
+"""Events that the fleet's component of the reducer handles, and effects that it requests.
 
-`recipient` is a member or EVERY_PEER; `expires_at` is microseconds of this process's monotonic clock.
+`recipient` is a member or EVERY_PEER; `expires_at` is in microseconds of this process's monotonic clock.
 """
 
 from __future__ import annotations
@@ -13,20 +13,21 @@
 
 
 class SocketOpened(FurtherEvent):
-    """Messages between schedulers can be exchanged from now on."""
+    """The socket is open: messages between schedulers can be exchanged."""
 
 
 class DatagramReceived(FurtherEvent):
-    """A datagram has come, which may hold anything; `sender` is the member by its address."""
+    """A datagram with unchecked content has been received; `sender` is the member with its source address."""
 
     body: bytes
     sender: int
 
 
 class RoleCallFinished(FurtherEvent):
-    """A call of a role has ended.
+    """An HTTP call for a role has ended.
 
-    `status` is that of the answer, 0 for none; `later_token` the one that the target knows, 0 for none.
+    `status` is the HTTP status, 0 without a response. `later_token` is the higher fencing token that the
+    target knows, 0 if there is none.
     """
 
     role: str
@@ -35,20 +36,20 @@
 
 
 class LogChangesStored(FurtherEvent):
-    """The changes of a `StoreLogChanges` are on disk: what follows from them may be sent now."""
+    """The changes of a `StoreLogChanges` are on disk: the messages that depend on them may be sent."""
 
     deferred_sends: tuple[SendDatagrams, ...]
 
 
 class LogStoreFailed(FurtherEvent):
-    """The changes of a `StoreLogChanges` are not on disk, and will never be taken to be."""
+    """The changes of a `StoreLogChanges` could not be stored, and the write is not retried."""
 
 
 # ---- effects ----
 
 
 class SendDatagrams(FurtherEffect):
-    """Send datagrams to one scheduler or to every other one; they may be lost."""
+    """Send datagrams to one scheduler or to every other one, without a delivery guarantee."""
 
     bodies: tuple[bytes, ...]
     recipient: int = EVERY_PEER
@@ -63,7 +64,7 @@
 
 
 class RoleAcquired(FurtherEffect):
-    """A delegated role is this scheduler's until `expires_at`; sent again whenever that is later."""
+    """This scheduler holds a delegated role until `expires_at`; repeated with each renewal of the lease."""
 
     role: str
     token: int
@@ -71,13 +72,13 @@
 
 
 class RoleLost(FurtherEffect):
-    """A delegated role is this scheduler's no longer."""
+    """This scheduler no longer holds a delegated role."""
 
     role: str
 
 
 class StoreLogChanges(FurtherEffect):
-    """Bring the changes to disk, and answer with `LogChangesStored` or `LogStoreFailed`."""
+    """Write the changes to disk, and answer with `LogChangesStored` or `LogStoreFailed`."""
 
     changes: tuple[LogChange, ...]
     deferred_sends: tuple[SendDatagrams, ...]
--- a/reedspoke/fleet/failure_detector.py
+++ b/reedspoke/fleet/failure_detector.py
@@ -1,21 +1,22 @@
 """The failure detector: which of the configured members are alive, after SWIM (Das, Gupta, Motivala, 2002).
 
-In each period a member probes one other member, the next one of a shuffled list. Without an answer in time it
-asks some others to ping that member for it (an answer lost on one link is no death). Without any answer it
-suspects the member, spreads that, and takes it for gone unless it refutes the suspicion in time: a suspected
-member alone raises its own `refutation`. Updates travel on frames that are sent anyway, each a bounded number
-of times. Any frame from a member is a sign of its life, so a member that sends is not probed.
-
-Against flapping, after Lifeguard (Dadgar, Phillips, Currey, 2017) and beyond: a member whose own probes
-fail, or whose process was stopped, gives the others more time; a suspicion of a member that was itself
-heard within the last period is not believed but passed on to it, so that it can refute it. A member that
-restarts has a new incarnation; an update about an incarnation replaces nothing that was heard from the
-member itself.
-
-Nothing that must be safe depends on what is believed here: that is decided by leases (`fleet.lease`).
-
-`FailureDetector` is the sole owner of this state. It performs no I/O; times are microseconds of the monotonic
-clock, `now`.
+In each period a member probes one other member, the next one of a shuffled list. Without an ack in time it
+asks some others to ping that member on its behalf, because a loss on one link is no failure of the member.
+Without any ack it suspects the member, spreads the suspicion, and declares the member gone unless the member
+refutes the suspicion in time. Only a suspected member itself increases its `refutation`. Updates are
+piggybacked on frames that are sent anyway, each a bounded number of times. Any frame from a member shows that
+it is alive, so a member that sends is not probed.
+
+Flapping is limited as in Lifeguard (Dadgar, Phillips, Currey, 2017): a member whose own probes fail, or whose
+process was stopped, allows the others more time. In addition, a suspicion of a member that has sent something
+within the last period is not adopted but forwarded to that member, so that it can refute it. A member that
+restarts has a new incarnation, and an update about another incarnation does not replace what was received
+from the member itself, unless the member is gone and the update reports it alive.
+
+No decision that safety depends on uses these states: such decisions are made by leases (`fleet.lease`).
+
+`FailureDetector` is the sole owner of this state. It performs no I/O. Times, such as `now`, are microseconds
+of the monotonic clock.
 """
 
 from __future__ import annotations
@@ -31,14 +32,14 @@
 from reedspoke.fleet.messages.frame import Message, OutgoingMessage
 from reedspoke.fleet.transport.channel import MAX_PAST_INCARNATIONS
 
-DIRECT_PROBE_SHARE = 0.3  # of the probe's time, until others are asked to ping
-MAX_PING_RETRIES = 2  # within a probe: one loss on a link is no ground for a suspicion
+DIRECT_PROBE_SHARE = 0.3  # share of the probe time-out after which others are asked to ping
+MAX_PING_RETRIES = 2  # per probe, so that a single lost datagram does not cause a suspicion
 INDIRECT_PROBERS = 3
-MAX_INDIRECT_PROBES = 32  # that we make for others at once: each sends a datagram to a third member
-INDIRECT_PROBE_PERIODS = 2  # until one is given up
-MAX_LOCAL_FAULTS = 4  # Lifeguard's local health: periods added to a probe's time where our own probes fail
-STALL_SHARE = 0.5  # of a period without a tick: this process itself stood still
-UPDATE_TRANSMISSIONS = 3  # times log2 of the members that an update is sent
+MAX_INDIRECT_PROBES = 32  # made for others at the same time: each sends a datagram to a third member
+INDIRECT_PROBE_PERIODS = 2  # time-out of an indirect probe, in periods
+MAX_LOCAL_FAULTS = 4  # Lifeguard's local health: periods added to the probe time-out while own probes fail
+STALL_SHARE = 0.5  # share of a period without a tick after which this process is known to have been stopped
+UPDATE_TRANSMISSIONS = 3  # an update is sent that many times log2 of the number of members
 MAX_UPDATES_PER_FRAME = 8
 SUSPECT_OR_GONE_UPDATE_PROBABILITY = 0.5
 
@@ -47,12 +48,12 @@
 
 
 class MemberState(IntEnum):
-    """What is believed about a member. Names and values are on the wire, in the status and in metrics."""
+    """The state of a member as seen by another one. Names and values are used on the wire and in metrics."""
 
     ALIVE = 0
     SUSPECT = 1
     GONE = 2
-    UNSEEN = 3  # never heard of; never sent
+    UNSEEN = 3  # nothing was received from or about the member; this value is never sent
 
 
 LIVE_STATES = (MemberState.ALIVE, MemberState.SUSPECT)
@@ -61,33 +62,33 @@
 
 @dataclass(slots=True)
 class MemberRecord:
-    """What is known about one other member."""
+    """The state of one other member, as known to this one."""
 
     state: MemberState = MemberState.UNSEEN
     incarnation: int = UNKNOWN_INCARNATION
     refutation: int = 0
-    since: int = 0  # of its state
-    last_received_at: int = NEVER  # when it last sent something itself
-    received_directly: bool = False  # this incarnation has sent something
+    since: int = 0  # time of the last change of `state`
+    last_received_at: int = NEVER  # time of the last frame from the member itself
+    received_directly: bool = False  # whether a frame of this incarnation has been received
     past_incarnations: list[int] = field(default_factory=list)
 
     def enter_incarnation(self, incarnation: int, refutation: int, *, received_directly: bool) -> None:
-        """Another incarnation begins, or the same one is heard itself for the first time."""
+        """Records a new incarnation, or the first frame that comes directly from a known one."""
         if self.incarnation not in (UNKNOWN_INCARNATION, incarnation):
             retained = self.past_incarnations[1 - MAX_PAST_INCARNATIONS :]
             self.past_incarnations = [*retained, self.incarnation]
-        if incarnation in self.past_incarnations:  # it has sent something, so it is not past
+        if incarnation in self.past_incarnations:  # a frame shows that it is running
             self.past_incarnations.remove(incarnation)
         self.incarnation, self.refutation, self.received_directly = incarnation, refutation, received_directly
 
     def received_within(self, now: int, duration_us: int) -> bool:
-        """Whether it has sent something within that time."""
+        """Returns whether a frame of the member was received within that duration."""
         return self.last_received_at >= 0 and now - self.last_received_at < duration_us
 
 
 @dataclass(slots=True)
 class Probe:
-    """Our probe of one member."""
+    """A probe of one member by this one."""
 
     member: int
     number: int
@@ -101,7 +102,7 @@
 
 @dataclass(slots=True, frozen=True)
 class IndirectProbe:
-    """A probe of `target` that we make for another member."""
+    """A probe of `target` on behalf of another member."""
 
     requester: int
     requester_number: int
@@ -111,7 +112,7 @@
 
 @dataclass(slots=True)
 class QueuedUpdate:
-    """An update, and how often it is still to be sent."""
+    """An update and its number of remaining transmissions."""
 
     update: MemberUpdate
     transmissions: int
@@ -119,7 +120,7 @@
 
 @dataclass(slots=True, frozen=True)
 class MemberStateChange:
-    """What is believed about a member has changed."""
+    """A change of the state of one member."""
 
     member: int
     before: MemberState
@@ -127,12 +128,12 @@
 
 
 class FailureDetector:
-    """One member's beliefs about the others. `changes` collects changes of them until they are taken."""
+    """One member's view of the states of the others; `changes` collects changes until they are taken."""
 
     def __init__(
         self, member: int, members: int, incarnation: int, period_us: int, now: int, random: Random
     ) -> None:
-        """`member` is this one, `members` the size of the fleet."""
+        """`member` is the number of this member, `members` the size of the fleet."""
         self.member, self.incarnation, self.refutation = member, incarnation, 0
         self.members = {number: MemberRecord() for number in range(members) if number != member}
         self.period_us, self.random = period_us, random
@@ -141,26 +142,26 @@
         self.changes: list[MemberStateChange] = []
         self.local_faults = 0  # Lifeguard's local health multiplier, less one
         self._suspects: set[int] = set()
-        self._updates: dict[int, QueuedUpdate] = {}  # by the member they are about
+        self._updates: dict[int, QueuedUpdate] = {}  # by the member that the update describes
         self._transmissions = UPDATE_TRANSMISSIONS * max(1, round(fleet_log2))
         self._probe_order: list[int] = []
         self._not_alive_order: list[int] = []
         self._probe: Probe | None = None
         self._last_number = 0
-        self._indirect_probes: dict[int, IndirectProbe] = {}  # by the number of our ping
+        self._indirect_probes: dict[int, IndirectProbe] = {}  # by the number of this member's ping
         self._next_probe_at = now + int(period_us * random.random())
         self._ticked_at = now
         self._queue_update(MemberUpdate(member, incarnation, 0, MemberState.ALIVE))
 
-    # ---- what is believed ----
+    # ---- member states ----
 
     def alive(self) -> list[int]:
-        """All members that are not taken for gone, this one included; suspects live until their time-out."""
+        """Returns all live members, including this one and those that are suspected."""
         others = (number for number, record in self.members.items() if record.state in LIVE_STATES)
         return sorted([self.member, *others])
 
     def state(self, member: int) -> MemberState:
-        """What is believed about a member, who may be this one."""
+        """Returns the state of a member, which may be this one."""
         return MemberState.ALIVE if member == self.member else self.members[member].state
 
     def _set_state(self, member: int, state: MemberState, now: int) -> None:
@@ -178,10 +179,10 @@
         record = self.members[member]
         return MemberUpdate(member, record.incarnation, record.refutation, record.state)
 
-    # ---- time ----
+    # ---- timers ----
 
     def tick(self, now: int) -> list[OutgoingMessage]:
-        """Time has passed; due several times a period. Returns the messages to send."""
+        """Runs the timers; to be called several times a period. Returns the messages to send."""
         outgoing: list[OutgoingMessage] = []
         self._compensate_for_stall(now)
         self._check_probe(now, outgoing)
@@ -194,8 +195,10 @@
         return outgoing
 
     def _compensate_for_stall(self, now: int) -> None:
-        """Where this process was stopped, answers lie unread, and refutations as well: others must not be
-        taken for gone for that."""
+        """Extends the suspicion time-outs after this process was stopped.
+
+        Acks and refutations may be unread in the socket buffer; the members must not be declared gone for it.
+        """
         stall_us = now - self._ticked_at
         self._ticked_at = now
         if stall_us > self.period_us * STALL_SHARE:
@@ -244,7 +247,7 @@
                 outgoing.append(OutgoingMessage(other, PingRequest(probe.number, probe.member)))
 
     def _start_probes(self, now: int, outgoing: list[OutgoingMessage]) -> None:
-        """Probes a live member, and pings one that is not alive as far as is known here: it may be back."""
+        """Probes a live member, and pings one that is not known to be alive, because it may have returned."""
         if (member := self._next_to_probe(now)) is not None:
             number = self._next_number()
             timeout_us = self.period_us * (1 + self.local_faults)
@@ -263,9 +266,12 @@
         return self._last_number
 
     def _ping(self, member: int, number: int, outgoing: list[OutgoingMessage]) -> None:
-        """Pings a member and adds updates. One that is suspected is told so and can refute at once. The state
-        of one other member goes along: an update that is sent a bounded number of times may have reached all
-        but a few."""
+        """Pings a member and adds updates.
+
+        If the pinged member is suspect or gone, the ping carries that state, so that the member can refute it
+        at once. The state of one other member is added at random, because an update that is sent a bounded
+        number of times may have missed a few members.
+        """
         outgoing.append(OutgoingMessage(member, Ping(number)))
         known = [one for one, record in self.members.items() if record.incarnation >= 0]
         suspect_or_gone = [one for one in known if self.members[one].state in SUSPECT_OR_GONE_STATES]
@@ -279,7 +285,7 @@
         outgoing.extend(OutgoingMessage(member, self._update_of(subject)) for subject in sorted(subjects))
 
     def _next_to_probe(self, now: int) -> int | None:
-        """The next live member of a shuffled list: all are probed within as many periods as members."""
+        """Returns the next live member of a shuffled list, which covers all members before it repeats."""
         for _ in range(len(self.members) + len(self._probe_order)):
             if not self._probe_order:
                 self._probe_order = sorted(self.members)
@@ -291,7 +297,7 @@
         return None
 
     def _next_not_alive(self) -> int | None:
-        """The next member of a shuffled list of those that are gone or were never heard of."""
+        """Returns the next member of a shuffled list of those that are gone or unseen."""
         if not self._not_alive_order:
             self._not_alive_order = [
                 member for member, record in self.members.items() if record.state not in LIVE_STATES
@@ -304,7 +310,7 @@
     def receive(
         self, sender: int, incarnation: int, messages: Iterable[Message], now: int
     ) -> list[OutgoingMessage]:
-        """A frame of `sender` has come, whatever it holds. Returns the messages to send."""
+        """Handles a frame, which also shows that `sender` is alive. Returns the messages to send."""
         outgoing: list[OutgoingMessage] = []
         self._record_sign_of_life(sender, incarnation, now)
         for message in messages:
@@ -318,7 +324,7 @@
                 case MemberUpdate():
                     self._receive_update(message, now, outgoing)
                 case _:
-                    pass  # another protocol's
+                    pass  # belongs to another protocol
         return outgoing
 
     def _record_sign_of_life(self, sender: int, incarnation: int, now: int) -> None:
@@ -350,7 +356,7 @@
             outgoing.append(OutgoingMessage(indirect.requester, alive))
             outgoing.append(OutgoingMessage(indirect.requester, Ack(indirect.requester_number)))
         elif self._probe is not None and self._probe.number == number and sender != self._probe.member:
-            self._probe_succeeded()  # by way of a member that we asked to ping
+            self._probe_succeeded()  # by an indirect probe
 
     def _receive_update(self, update: MemberUpdate, now: int, outgoing: list[OutgoingMessage]) -> None:
         if update.member == self.member:
@@ -365,14 +371,16 @@
         if (update.refutation, update.state) <= (record.refutation, record.state):
             return
         if update.state != MemberState.ALIVE and record.received_within(now, self.period_us):
-            outgoing.append(OutgoingMessage(update.member, update))  # so that it can refute the suspicion
+            outgoing.append(OutgoingMessage(update.member, update))  # lets the member refute it
             return
         record.refutation = update.refutation
         self._set_state(update.member, MemberState(update.state), now)
 
     def _refute(self, update: MemberUpdate) -> None:
-        """Refutes a suspicion of this process; also an old one, because its sender may have been deaf when we
-        refuted it before."""
+        """Refutes a suspicion of this process.
+
+        An old suspicion is refuted again: its sender may not have received the earlier refutation.
+        """
         if update.incarnation != self.incarnation or update.state == MemberState.ALIVE:
             return
         if update.refutation >= self.refutation:
@@ -382,7 +390,7 @@
     def _receive_other_incarnation(self, update: MemberUpdate, record: MemberRecord, now: int) -> None:
         is_back = record.state is MemberState.GONE and update.state == MemberState.ALIVE
         if update.incarnation in record.past_incarnations or record.received_directly and not is_back:
-            return  # a past incarnation, or a new one that will be heard itself
+            return  # a past incarnation, or a new one whose own frames will follow
         record.enter_incarnation(update.incarnation, update.refutation, received_directly=False)
         self._set_state(update.member, MemberState(update.state), now)
 
@@ -392,7 +400,7 @@
         self._updates[update.member] = QueuedUpdate(update, self._transmissions)
 
     def take_updates(self) -> list[MemberUpdate]:
-        """The updates for a frame that is sent now: those first that were sent least."""
+        """Returns the updates to add to a frame, those that have been sent least often first."""
         by_priority = sorted(
             self._updates.values(), key=lambda queued: (-queued.transmissions, queued.update.member)
         )
--- a/reedspoke/fleet/lease/events.py
+++ b/reedspoke/fleet/lease/events.py
@@ -1,4 +1,4 @@
-"""What happens to a lease participant (events) and what it asks its owner to do (effects)."""
+"""Events that a lease participant handles, and effects that its owner carries out."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class LeaseEndReason(StrEnum):
-    """Why this member's lease ended. The values are labels of a metric and stand in the status."""
+    """The reason why this member's lease ended. The values are metric labels and appear in the status."""
 
     EXPIRED = "ran out"
     RELEASED = "released"
@@ -22,7 +22,7 @@
 
 @dataclass(slots=True, frozen=True)
 class MessageReceived:
-    """A message about this lease has come from another member."""
+    """A message about this lease has been received from another member."""
 
     sender: int
     message: LeaseProtocolMessage
@@ -30,12 +30,12 @@
 
 @dataclass(slots=True, frozen=True)
 class TimePassed:
-    """Due often in comparison with the time to live (every fiftieth of it, say)."""
+    """A timer tick; due many times within the time to live, for example every fiftieth of it."""
 
 
 @dataclass(slots=True, frozen=True)
 class CandidacyChanged:
-    """Whether this member wants the lease; if not, it is released, to `successor` if that member wants it."""
+    """Sets whether this member is a candidate; if not, it releases the lease in favor of `successor`."""
 
     candidate: bool
     successor: int = NO_MEMBER
@@ -57,7 +57,7 @@
 
 @dataclass(slots=True, frozen=True)
 class LeaseAcquired:
-    """The lease is ours until `expires_at` by our clock; `token` goes with each act of the role."""
+    """This member holds the lease until `expires_at` by its clock; actions of the role carry `token`."""
 
     token: int
     expires_at: int
@@ -65,14 +65,14 @@
 
 @dataclass(slots=True, frozen=True)
 class LeaseRenewed:
-    """Our lease lasts until `expires_at` now."""
+    """The lease of this member was extended until `expires_at`."""
 
     expires_at: int
 
 
 @dataclass(slots=True, frozen=True)
 class LeaseEnded:
-    """The lease is ours no longer."""
+    """This member no longer holds the lease."""
 
     reason: LeaseEndReason
 
--- a/reedspoke/fleet/lease/voter.py
+++ b/reedspoke/fleet/lease/voter.py
@@ -1,7 +1,7 @@
-"""The voter of PaxosLease: what one member has prepared for and granted, for one role.
+"""The voter of PaxosLease: the proposals that one member has prepared for and granted, for one role.
 
-It remembers nothing across a restart. So it does not answer until every lease that an earlier process of this
-member may have granted has expired.
+Its state is lost in a restart. So it does not answer until every lease that an earlier process of this member
+may have granted has expired.
 """
 
 from __future__ import annotations
@@ -22,19 +22,19 @@
 
 
 class LeaseVoter:
-    """One member's vote on one lease. Times are microseconds of this member's monotonic clock."""
+    """One member's voter for one lease. Times are microseconds of this member's monotonic clock."""
 
     def __init__(self, started_at: int, ttl_us: int) -> None:
-        """`started_at` is the start of this process."""
+        """`started_at` is the time at which this process started."""
         self.ttl_us = ttl_us
         self.answers_from = started_at + ttl_us
         self.prepared = self.granted = NO_PROPOSAL
         self.granted_until = 0
 
     def receive(self, message: ProposerMessage, now: int) -> VoterMessage | None:
-        """The answer to a proposer's message, or None where there is none."""
+        """Handles a proposer's message. Returns the answer, or None if there is none."""
         if now < self.answers_from:
-            return None  # an earlier process may have granted what this one does not know
+            return None  # a lease granted by an earlier process of this member may still be valid
         if isinstance(message, LeaseReleased):
             if message.proposal == self.granted:
                 self.granted = NO_PROPOSAL
@@ -53,6 +53,6 @@
     def _prepare(self, proposal: int, running: int) -> PrepareResponse:
         is_held_by_another = running != NO_PROPOSAL and proposer_of(running) != proposer_of(proposal)
         if not is_held_by_another:
-            # Otherwise nothing is prepared: the holder can renew, however many others propose meanwhile.
+            # A proposal during another proposer's lease is not prepared for, so it cannot block the renewal.
             self.prepared = proposal
         return PrepareResponse(proposal, running)
--- a/reedspoke/fleet/load_sharing.py
+++ b/reedspoke/fleet/load_sharing.py
@@ -1,12 +1,13 @@
 """Load sharing: schedulers report to each other which worker slots their attempts have reserved.
 
-A change is reported at once, in one frame to all peers, and what is still reserved is reported again every
-REFRESH_US, so that a lost report is made good by then. The bytes sent follow the traffic: each attempt earns
-BYTES_PER_ATTEMPT over all receivers, and while the credit is spent, changes wait and travel together.
+A change is reported at once, in one frame to all peers, and existing reservations are reported again every
+REFRESH_US, which compensates for lost reports. The number of bytes sent is bounded by the traffic: each
+attempt earns a credit of BYTES_PER_ATTEMPT over all receivers, and while the credit is exhausted, changes are
+deferred and then sent together.
 
-What a peer has reported counts until its next report on that worker, until it restarts (its incarnation
-changes), or until it has not been repeated for EXPIRY_US, so that a peer that dies takes no worker with it.
-Reports that arrive out of order are told by their sequence numbers.
+A reported load is valid until the peer's next report on that worker, until the peer restarts (its incarnation
+changes), or until it has not been repeated for EXPIRY_US, so that the reservations of a failed peer do not
+block a worker. Reports that arrive out of order are detected by their sequence numbers.
 
 `LoadSharing` is the sole owner of this state. It performs no I/O; times are microseconds.
 """
@@ -30,21 +31,21 @@
 from reedspoke.logic import Dispatcher
 
 SECOND_US = 1_000_000
-REFRESH_US = 1_000_000  # between reports on a worker where nothing changes
-EXPIRY_US = 2_500_000  # two reports in a row may be lost
-EXPIRY_CHECKS = 10  # within EXPIRY_US
+REFRESH_US = 1_000_000  # between reports on a worker whose load does not change
+EXPIRY_US = 2_500_000  # allows for the loss of two consecutive reports
+EXPIRY_CHECKS = 10  # number of checks within EXPIRY_US
 BYTES_PER_ATTEMPT = 384  # over all receivers; the platform prices 256 in full
-BYTES_PER_SECOND = 64  # for each receiver: reservations are repeated also where there are no attempts
-MAX_CREDIT_ATTEMPTS = 32  # attempts' worth of credit that can be saved
+BYTES_PER_SECOND = 64  # for each receiver: reservations are also repeated while there are no attempts
+MAX_CREDIT_ATTEMPTS = 32  # upper bound of the saved credit, in attempts
 MAX_CREDIT_SECONDS = 2.0
-PEER_IDLE_TIMEOUT_US = 20_000_000  # a peer that has sent nothing for that long is forgotten altogether
+PEER_IDLE_TIMEOUT_US = 20_000_000  # the state of a peer that has sent nothing for that long is removed
 
 WorkerLoads = dict[str, tuple[int, float]]  # by worker: slots, and work in microseconds
 NO_LOAD = (0, 0.0)
 
 
 def reserved_by(module: Dispatcher) -> WorkerLoads:
-    """What the attempts of this scheduler have reserved now."""
+    """Returns the loads that the attempts of this scheduler currently reserve."""
     loads: WorkerLoads = {}
     for attempt in module.in_flight.values():
         if not attempt.lost_at:
@@ -54,14 +55,14 @@
 
 
 class SentReport(NamedTuple):
-    """What was last reported of one of our workers, and when."""
+    """The load that was last reported to the peers for one worker, and the time of the report."""
 
     load: tuple[int, float]
     sent_at: int
 
 
 class ReceivedReport(NamedTuple):
-    """What a peer last reported of one worker."""
+    """The last report of a peer on one worker."""
 
     sequence: int
     received_at: int
@@ -78,9 +79,10 @@
 
 
 class LoadSharing:
-    """What is reported to the peers, and what they have reported.
+    """The load reports to the peers and those received from them.
 
-    `stale` counts reports that were older than what is known, `deferred` how often the byte credit was spent.
+    `stale` counts the received loads that were older than the known ones, `deferred` how often reports were
+    deferred because the byte credit was exhausted.
     """
 
     def __init__(self, schedulers: int) -> None:
@@ -94,10 +96,10 @@
         self._credit_bytes = float(BYTES_PER_ATTEMPT * MAX_CREDIT_ATTEMPTS)
         self._credited_attempts = self._credited_at = 0
 
-    # ---- what we report ----
+    # ---- reports to the peers ----
 
     def due_reports(self, now: int, reserved: WorkerLoads, attempts: int) -> list[LoadReport]:
-        """The reports to send to every peer now; `attempts` is the number of attempts made so far."""
+        """Returns the reports to send to every peer; `attempts` is the number of attempts made so far."""
         due = self._due_loads(now, reserved)
         if not due or not self._spend_credit(now, attempts, len(due)):
             return []
@@ -120,8 +122,10 @@
         return due
 
     def _spend_credit(self, now: int, attempts: int, loads: int) -> bool:
-        """Whether that many loads may be sent. Without the credit, hundreds of receivers would be sent every
-        change of every peer at once."""
+        """Pays for that many loads from the credit. Returns whether they may be sent.
+
+        Without the credit, every change of every peer would be sent to hundreds of receivers at once.
+        """
         elapsed_s = min(now - self._credited_at, REFRESH_US) / SECOND_US
         earned_by_attempts = (attempts - self._credited_attempts) * BYTES_PER_ATTEMPT
         earned_by_time = elapsed_s * BYTES_PER_SECOND * self.receivers
@@ -136,13 +140,13 @@
         self._credit_bytes -= self.receivers * (MAX_HEADER_BYTES + loads * WORKER_LOAD_STRUCT.size)
         return True
 
-    # ---- what the peers report ----
+    # ---- reports from the peers ----
 
     def receive(self, now: int, frame: Frame, report: LoadReport) -> bool:
-        """Takes in one report of a frame; whether anything in it is not stale. Raises FrameError.
+        """Applies one report of a frame. Returns whether any load in it is not stale. Raises FrameError.
 
-        A repeated load counts as well: placement then looks at all loads anew (measured: heeding changes
-        alone cost 0.03 of G on a rough day).
+        A repeated load counts as an update as well, so that placement considers all loads again: reacting to
+        changes alone cost 0.03 of the score G on a day with many faults.
         """
         peer = self._peer(now, frame)
         updated = False
@@ -158,7 +162,7 @@
         return updated
 
     def _peer(self, now: int, frame: Frame) -> PeerReports:
-        """The reports of the frame's sender; what its earlier incarnation reported is dropped."""
+        """Returns the reports of the frame's sender, after dropping those of its earlier incarnation."""
         peer = self._peers.get(frame.sender)
         if peer is None or frame.incarnation != peer.incarnation:
             self._forget_peer(frame.sender)
@@ -167,8 +171,10 @@
         return peer
 
     def _add(self, worker_hash: int, slots: int, work_us: float) -> None:
-        """Adds to the totals, which are kept so that a report costs what it says, however many peers and
-        workers there are."""
+        """Adds to the totals over all peers.
+
+        With the totals, the cost of a report depends on its size and not on the number of peers and workers.
+        """
         total_slots, total_work_us = self._totals.get(worker_hash, NO_LOAD)
         if total_slots + slots > 0:
             self._totals[worker_hash] = total_slots + slots, total_work_us + work_us
@@ -185,7 +191,7 @@
         self._add(load.worker_hash, -load.slots, -load.work_us)
 
     def expire(self, now: int) -> bool:
-        """Drops what no peer has confirmed in time; whether the loads of the others have changed by it."""
+        """Drops expired reports and idle peers. Returns whether a load of the others has changed."""
         if now < self._next_expiry_check_at:
             return False
         self._next_expiry_check_at = now + EXPIRY_US // EXPIRY_CHECKS
@@ -204,7 +210,7 @@
         return any(report.load.slots > 0 for report in expired)
 
     def loads_of_others(self, workers: Iterable[str]) -> WorkerLoads:
-        """What the peers have reported for these workers; workers without reservations are left out."""
+        """Returns the total load that the peers have reported for each of these workers, if there is any."""
         if not self._totals:
             return {}
         worker_by_hash = {name_hash(worker): worker for worker in workers}
--- a/reedspoke/fleet/messages/errors.py
+++ b/reedspoke/fleet/messages/errors.py
@@ -6,7 +6,7 @@
 
 
 class FrameError(ReedspokeError, ValueError):
-    """The bytes received are no frame of this protocol; the text says why."""
+    """The received bytes are not a frame of this protocol; the text names the reason."""
 
     code = "frame-malformed"
-    remedy = "see who sends to the fleet's address, and that all members run one version"
+    remedy = "check which hosts send to the fleet's address, and that all members run the same version"
--- a/reedspoke/fleet/messages/failure_detector.py
+++ b/reedspoke/fleet/messages/failure_detector.py
@@ -1,11 +1,11 @@
 """Messages of the failure detector, after SWIM (Das, Gupta, Motivala, 2002).
 
-A member probes another one with `Ping`, which is answered by `Ack`. Without an answer in time it sends
-`PingRequest` to some others, which ping the target in its place and pass the answer on. What a member
-believes about others is spread by `MemberUpdate` on frames that are sent anyway (gossip by piggybacking).
+A member probes another one with `Ping`, which is answered by `Ack`. Without an ack in time it sends
+`PingRequest` to some others, which ping the target on its behalf and forward the ack. The states of members
+are spread by `MemberUpdate` on frames that are sent anyway (gossip by piggybacking).
 
 SWIM's incarnation number has two parts here: `incarnation` identifies one process of the member, and
-`refutation` is raised by that process alone, each time that it refutes a suspicion.
+`refutation` is increased only by that process, each time that it refutes a suspicion.
 """
 
 from __future__ import annotations
@@ -30,14 +30,14 @@
 
 
 class PingRequest(Struct, frozen=True, array_like=True, tag=3):
-    """Asks the receiver to ping `target` and to pass its answer on (SWIM's ping-req)."""
+    """Asks the receiver to ping `target` and to forward its ack (SWIM's ping-req)."""
 
     probe_number: UInt16
     target: UInt16
 
 
 class MemberUpdate(Struct, frozen=True, array_like=True, tag=4):
-    """What the sender believes about one member; `state` is a `MemberState` up to GONE."""
+    """The state of one member as known to the sender; `state` is a `MemberState` other than UNSEEN."""
 
     member: UInt16
     incarnation: UInt16
--- a/reedspoke/fleet/messages/fields.py
+++ b/reedspoke/fleet/messages/fields.py
@@ -1,6 +1,6 @@
-"""Bounded integers that the messages of the fleet are made of, and the hash that stands for a name.
+"""Bounded integer types for the fields of the fleet's messages, and the hash that represents a name.
 
-A value beyond its bound makes the whole frame malformed, so no handler has to check ranges again.
+A value out of bounds makes the whole frame malformed, so no handler has to check ranges again.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 UINT16_MASK = 0xFFFF
 UINT32_MASK = 0xFFFF_FFFF
 
-UInt16 = Annotated[int, Meta(ge=0, le=UINT16_MASK)]  # a member, an incarnation, a number, a name's hash
+UInt16 = Annotated[int, Meta(ge=0, le=UINT16_MASK)]  # a member, an incarnation, a probe number, a hash
 UInt32 = Annotated[int, Meta(ge=0, le=UINT32_MASK)]
 ProposalNumber = Annotated[int, Meta(ge=0)]  # 64 bits; also the fencing token of the lease it obtained
 
@@ -21,5 +21,5 @@
 
 
 def name_hash(name: str) -> int:
-    """The 16 bits that stand for the name of a worker, a zone or a role in a message."""
+    """Returns the 16-bit hash that represents the name of a worker, a zone or a role in a message."""
     return crc32(name.encode()) & UINT16_MASK
--- a/reedspoke/fleet/messages/frame.py
+++ b/reedspoke/fleet/messages/frame.py
@@ -1,11 +1,12 @@
-"""Frames: the bytes of a datagram between schedulers, which holds several messages.
+"""Frames: the encoding of several messages as one datagram between schedulers.
 
     version  sender  incarnation  sequence   messages
     4        12      12           12 bits    a msgpack array
 
-A message is an array that begins with its tag; load reports are bare bytes. A frame holds MAX_FRAME_BYTES so
-that it also fits a datagram as base 85 text, which the simulator carries. A receiver that does not know a tag
-drops the whole frame and counts it; PROTOCOL_VERSION rises with every change. This module performs no I/O.
+A message is an array that starts with its tag; load reports are plain bytes. A frame has at most
+MAX_FRAME_BYTES, so that it also fits a datagram as base 85 text, which the simulator carries. A receiver
+that does not know a tag drops and counts the whole frame; PROTOCOL_VERSION increases with every change. This
+module performs no I/O.
 """
 
 from __future__ import annotations
@@ -31,8 +32,8 @@
 from reedspoke.fleet.replicated_log.messages import CommandReply, CommandRequest, LogEnvelope
 
 PROTOCOL_VERSION = 3
-EVERY_PEER = -1  # as a recipient
-FIELD_BITS = 12  # of a sender, an incarnation and a sequence number
+EVERY_PEER = -1  # recipient of a message to all peers
+FIELD_BITS = 12  # width of the sender, the incarnation and the sequence number
 FIELD_MASK = (1 << FIELD_BITS) - 1
 VERSION_SHIFT = 3 * FIELD_BITS
 
@@ -47,7 +48,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Frame:
-    """A decoded frame. `incarnation` tells a restarted sender from its earlier process; `sequence` wraps."""
+    """A decoded frame. `incarnation` identifies a process of the sender; `sequence` wraps around."""
 
     sender: int
     incarnation: int
@@ -63,9 +64,9 @@
 
 
 def encode_frames(sender: int, incarnation: int, sequence: int, messages: Iterable[Message]) -> list[bytes]:
-    """Packs the messages, in order, into as few frames as hold them; `sequence` is the first frame's.
+    """Packs the messages, in order, into as few frames as possible; `sequence` is that of the first frame.
 
-    Raises ValueError where a single message is too large for a frame.
+    Raises ValueError if a single message is too large for a frame.
     """
     bodies: list[bytes] = []
     pending: list[msgspec.Raw] = []
@@ -79,7 +80,7 @@
     for message in messages:
         encoded = encode_message(message)
         if MAX_HEADER_BYTES + len(encoded) > MAX_FRAME_BYTES:
-            raise ValueError(f"{type(message).__name__} of {len(encoded)} bytes")
+            raise ValueError(f"{type(message).__name__} message of {len(encoded)} bytes does not fit a frame")
         if used_bytes + len(encoded) > MAX_FRAME_BYTES:
             close_frame()
             used_bytes = MAX_HEADER_BYTES
@@ -100,15 +101,15 @@
 def decode_frame(body: bytes) -> Frame:
     """Decodes a datagram. Raises FrameError."""
     if not HEADER_BYTES < len(body) <= MAX_DATAGRAM_BYTES:
-        raise FrameError(f"{len(body)} bytes")
+        raise FrameError(f"frame has a size of {len(body)} bytes, which is out of range")
     header = int.from_bytes(body[:HEADER_BYTES])
     version = header >> VERSION_SHIFT
     if version != PROTOCOL_VERSION:
-        raise FrameError(f"version {version}")
+        raise FrameError(f"frame has protocol version {version}, not {PROTOCOL_VERSION}")
     try:
         messages = decode_messages(body[HEADER_BYTES:])
     except (msgspec.DecodeError, ValueError) as error:  # ValueError: a string that is not UTF-8
-        raise FrameError(f"no frame: {error}") from error
+        raise FrameError(f"messages of the frame cannot be decoded: {error}") from error
     return Frame(
         sender=header >> 2 * FIELD_BITS & FIELD_MASK,
         incarnation=header >> FIELD_BITS & FIELD_MASK,
@@ -118,18 +119,18 @@
 
 
 def is_newer_sequence(sequence: int, than: int) -> bool:
-    """Whether a wrapping sequence number comes after another one: at most half of the range ahead."""
+    """Returns whether a sequence number that wraps around is newer: at most half of the range ahead."""
     return 0 < (sequence - than) & FIELD_MASK <= FIELD_MASK // 2
 
 
 def frame_to_text(body: bytes) -> str:
-    """The frame as base 85 text, for the simulator."""
+    """Encodes a frame as base 85 text, for the simulator."""
     return b85encode(body).decode()
 
 
 def frame_from_text(text: str) -> bytes:
-    """The bytes of a frame that was sent as base 85 text. Raises FrameError."""
+    """Decodes a frame that was sent as base 85 text. Raises FrameError."""
     try:
         return b85decode(text)
     except ValueError as error:
-        raise FrameError("not base 85") from error
+        raise FrameError("frame text is not valid base 85") from error
--- a/reedspoke/fleet/messages/lease.py
+++ b/reedspoke/fleet/messages/lease.py
@@ -1,18 +1,19 @@
 """Messages by which voters grant leases, after PaxosLease (Trencseni, Gazso, Reinhardt, 2012).
 
-PaxosLease is Paxos without disks: a value is chosen for a limited time, so a voter that restarts only has
-to stay silent until everything that it may have granted has expired. A proposer runs two phases, each
+PaxosLease is Paxos without disks: a value is chosen for a limited time, so a voter that restarts only has to
+refrain from answering until everything that it may have granted has expired. A proposer runs two phases, each
 answered by a majority of the voters:
 
-1. `PrepareRequest` asks the voters to ignore older proposals. `PrepareResponse` names the lease that the
-   voter knows to be running, if there is one.
+1. `PrepareRequest` asks the voters to ignore older proposals. `PrepareResponse` names the unexpired lease
+that the voter has granted, if there is one.
 2. `AcceptRequest` asks for the lease itself; `AcceptResponse` grants it for the voter's time to live.
 
 `ProposalRejected` answers a proposal that is older than one the voter has prepared for. `LeaseReleased`
-ends a lease early. Each of these travels inside a `LeaseMessage`, which names the singleton role and the
-time to live. The holder announces itself to everybody by `LeaseHeld`.
+ends a lease early. Each of these is sent inside a `LeaseMessage`, which names the singleton role and the time
+to live. The holder announces itself to all members by `LeaseHeld`.
 
-Voters that are configured differently could form two majorities, so members compare a `ConfigurationDigest`.
+Members with different voters in their configurations could find two majorities, so they compare a
+`ConfigurationDigest`.
 """
 
 from __future__ import annotations
@@ -31,7 +32,7 @@
 
 
 class PrepareResponse(Struct, frozen=True, array_like=True, tag=1):
-    """The voter's answer to phase 1; `granted` is the proposal of the running lease that it knows, or 0."""
+    """The voter's answer to phase 1; `granted` is the proposal of the unexpired lease, or 0 without one."""
 
     proposal: ProposalNumber
     granted: ProposalNumber
@@ -87,6 +88,6 @@
 
 
 class ConfigurationDigest(Struct, frozen=True, array_like=True, tag=7):
-    """Digest of the configuration that must be equal on all members before one may hold or grant a lease."""
+    """Digest of the configuration; no lease is held or granted while the digests of members differ."""
 
     digest: UInt32
--- a/reedspoke/fleet/messages/worker_load.py
+++ b/reedspoke/fleet/messages/worker_load.py
@@ -1,8 +1,7 @@
-"""Load reports: what one scheduler has reserved at workers, as bytes.
+"""Load reports: the encoding of one scheduler's reservations at workers.
 
-A `LoadReport` is by far the most frequent message, so it is bare bytes, four for each worker: the hash of
-the worker's name (16 bits), slots (8 bits) and work in units of 20 ms (8 bits). Values that do not fit are
-capped.
+A `LoadReport` is by far the most frequent message, so it is encoded in four bytes for each worker: the hash
+of the worker's name (16 bits), slots (8 bits) and work in units of 20 ms (8 bits). Larger values are capped.
 """
 
 from __future__ import annotations
@@ -25,7 +24,7 @@
 
 @dataclass(slots=True, frozen=True)
 class WorkerLoad:
-    """Reserved at the worker with that hash: slots, and work in microseconds."""
+    """The reserved slots and work (in microseconds) at the worker with that name hash."""
 
     worker_hash: int
     slots: int
@@ -33,16 +32,16 @@
 
 
 def encode_loads(loads: Iterable[WorkerLoad]) -> Iterator[LoadReport]:
-    """Packs the loads into as few reports as hold them."""
+    """Packs the loads into as few reports as possible."""
     packed = [_pack(load) for load in loads]
     for start in range(0, len(packed), MAX_LOADS_PER_REPORT):
         yield b"".join(packed[start : start + MAX_LOADS_PER_REPORT])
 
 
 def decode_loads(report: LoadReport) -> list[WorkerLoad]:
-    """The loads of a report. Raises FrameError."""
+    """Decodes the loads of a report. Raises FrameError."""
     if len(report) % WORKER_LOAD_STRUCT.size:
-        raise FrameError("half a worker")
+        raise FrameError("load report ends in the middle of a load")
     return [
         WorkerLoad(worker_hash, slots, float(work * WORK_UNIT_US))
         for worker_hash, slots, work in WORKER_LOAD_STRUCT.iter_unpack(report)
--- a/reedspoke/fleet/metrics.py
+++ b/reedspoke/fleet/metrics.py
@@ -1,8 +1,8 @@
-"""The fleet's metrics in Prometheus' text format.
+"""The fleet's metrics in the Prometheus text format.
 
-The names and labels are an interface: they keep the words *duty*, *words* (load reports) and *settled*
-(converged), which this module maps. Load reports keep the prefix `scheduler_peer_` that they had before there
-was a fleet.
+Names and labels are a public interface and use older terms: *duty* for a singleton role, *words* for
+received frames, *strangers* for unknown senders, *unsealed* for unauthenticated and *settled* for converged.
+The prefix of the message metrics is `scheduler_peer_`.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 def metrics_text(node: FleetNode, load_sharing: LoadSharing | None, sent: SocketCounters, now: int) -> str:
-    """All metrics of the fleet; those of protocols that are not in use are left out."""
+    """Returns the metrics of all protocols that are in use."""
     text = _message_metrics(node.channel, load_sharing, sent)
     if node.failure_detector is not None:
         text += _member_metrics(node.failure_detector)
--- a/reedspoke/fleet/node.py
+++ b/reedspoke/fleet/node.py
@@ -1,10 +1,11 @@
-"""One scheduler's node in the fleet, without sockets and without the rest of the program.
-
-It joins the protocols: each received frame goes to the failure detector, the singleton roles, the entries and
-the extensions; what they want to send is queued by recipient until `flush`, which adds as many updates of the
-failure detector and of the entries as are due. The node owns that queue and the phase that its entry reports;
-every other state belongs to the protocol. It performs no I/O: `component` joins it to the reducer, and the
-laboratory simulates hundreds of nodes in virtual time. Times are microseconds of the monotonic clock, `now`.
+"""One scheduler's node in the fleet, independent of sockets and of the rest of the program.
+
+The node combines the protocols: each received frame is passed to the failure detector, the singleton roles,
+the entries and the extensions. Their outgoing messages are queued by recipient until `flush`, which adds the
+updates of the failure detector and of the entries that are due. The node owns this queue and the phase that
+its entry reports; all other state belongs to the protocols. It performs no I/O: `component` connects it to
+the reducer, and `reedspoke.lab` simulates hundreds of nodes in virtual time. Times, such as `now`, are
+microseconds of the monotonic clock.
 """
 
 from __future__ import annotations
@@ -28,23 +29,23 @@
 
 
 class NodePhase(IntEnum):
-    """What a scheduler's entry says that it is doing. The values are on the wire and in the status."""
+    """The phase that a scheduler's entry reports. The values are used on the wire and in the status."""
 
     SERVING = 0
     DRAINING = 1
     DRAINED = 2
 
 
-AddressedMessages = Iterable[tuple[int, Any]]  # recipients and messages
-MessageHandler = Callable[[int, Any, int], AddressedMessages]  # (sender, message, now)
+AddressedMessages = Iterable[tuple[int, Any]]  # pairs of recipient and message
+MessageHandler = Callable[[int, Any, int], AddressedMessages]  # called with sender, message and now
 
 
 @dataclass(slots=True, frozen=True)
 class FleetExtension:
-    """A further protocol of the node, such as the replicated log.
+    """An additional protocol of the node, such as the replicated log.
 
-    `message_handlers` are by the type of the message, `on_tick` is called with each tick of the node.
-    `take_log_changes` returns what must be on disk before anything else is sent, and forgets it.
+    `message_handlers` is keyed by message type; `on_tick` is called with each tick of the node.
+    `take_log_changes` removes and returns the changes that must be on disk before anything else is sent.
     """
 
     message_handlers: Mapping[type, MessageHandler]
@@ -53,9 +54,9 @@
 
 
 class FleetNode:
-    """The protocols of one scheduler; those that are None are not in use. `entries` need a failure detector.
+    """The protocols of one scheduler; those that are None are disabled. `entries` needs a failure detector.
 
-    `pending_writes` counts the effects `StoreLogChanges` that have not been answered.
+    `pending_writes` is the number of `StoreLogChanges` effects that have not been answered.
     """
 
     def __init__(
@@ -72,14 +73,14 @@
         self._queues: defaultdict[int, list[Message]] = defaultdict(list)
 
     def add_extension(self, extension: FleetExtension) -> None:
-        """Adds a further protocol."""
+        """Adds an additional protocol."""
         self._extensions.append(extension)
         self._message_handlers |= extension.message_handlers
 
     # ---- events ----
 
     def receive(self, datagram: bytes, now: int, sender: int = UNKNOWN_SENDER) -> Frame | None:
-        """Takes in a datagram; its frame, or None where it is ignored. `sender`: the member, by address."""
+        """Handles a datagram from the member `sender`. Returns its frame, or None if it is ignored."""
         frame = self.channel.receive(datagram, sender)
         if frame is None:
             return None
@@ -107,7 +108,7 @@
                 pass
 
     def tick(self, now: int) -> None:
-        """Time has passed; due several times within a probe period and a time to live."""
+        """Runs the timers; to be called several times within a probe period and within a time to live."""
         if self.failure_detector is not None:
             self.enqueue(self.failure_detector.tick(now))
         if self.roles is not None:
@@ -127,15 +128,15 @@
     def set_candidacy(
         self, candidate: bool, successor: int, now: int, names: Iterable[str] | None = None
     ) -> None:
-        """Whether this member wants these roles (all without `names`); if not, their leases are released."""
+        """Sets whether this member is a candidate for these roles (default: all), else releases them."""
         if self.roles is not None:
             self.enqueue(self.roles.set_candidacy(candidate, successor, now, names))
 
     def take_log_changes(self) -> list[LogChange]:
-        """What must be on disk before the datagrams of the next `flush` are sent."""
+        """Removes and returns the changes that must be on disk before the datagrams of `flush` are sent."""
         return [change for extension in self._extensions for change in extension.take_log_changes()]
 
-    # ---- what is sent ----
+    # ---- sending ----
 
     def enqueue(self, messages: AddressedMessages) -> None:
         """Queues messages for their recipients until the next `flush`."""
@@ -143,7 +144,7 @@
             self._queues[recipient].append(message)
 
     def flush(self, now: int) -> list[tuple[int, list[bytes]]]:
-        """The datagrams to send, by recipient, a member or EVERY_PEER."""
+        """Empties the queues. Returns the datagrams to send, by recipient (a member or EVERY_PEER)."""
         datagrams = []
         for recipient, messages in self._queues.items():
             if messages:
@@ -153,23 +154,24 @@
         return datagrams
 
     def _piggyback(self, recipient: int, messages: list[Message], now: int) -> list[Message]:
-        """What goes along with messages that are sent anyway."""
+        """Returns the messages to add to a frame that is sent anyway."""
         extra: list[Message] = []
         if self.roles is not None and any(isinstance(message, Ping) for message in messages):
             extra.append(self.roles.digest)
         if self.failure_detector is not None:
             extra += self.failure_detector.take_updates()
         if self.entries is not None:
-            # With whatever is sent: a member that sends is not pinged, and would never receive our digest.
+            # Added to any message, not only to pings: a member that sends frames itself is not pinged, so it
+            # would never receive the digest.
             if recipient >= 0 and (root := self.entries.root_digest(recipient, now)) is not None:
                 extra.append(root)
             extra += self.entries.take_updates()
         return extra
 
-    # ---- what is known ----
+    # ---- queries ----
 
     def has_majority(self) -> bool:
-        """Whether enough voters are believed to be alive for any lease to be granted."""
+        """Returns whether the majority of voters that a lease needs is assumed to be alive."""
         if self.roles is None or self.failure_detector is None:
             return False
         voters = self.roles.configuration.voters
@@ -178,8 +180,10 @@
 
 
 def _member_states_of(detector: FailureDetector, answers: Iterable[OutgoingMessage]) -> list[OutgoingMessage]:
-    """Updates of the members whose entries are among the answers: what is believed about their lives is
-    part of the digests that are compared, so it is exchanged with the entries."""
+    """Returns the state updates of the members whose entries are among the answers.
+
+    The digests that are compared cover the member states, so these are exchanged together with the entries.
+    """
     updates = []
     for recipient, message in answers:
         if not isinstance(message, MemberEntry):
--- a/reedspoke/fleet/replicated_log/follower.py
+++ b/reedspoke/fleet/replicated_log/follower.py
@@ -1,4 +1,4 @@
-"""A replica as a follower: it answers the messages of the leader, and those of a new one that takes over."""
+"""A replica as a follower: it handles the messages of the leader and of a new leader that takes over."""
 
 from __future__ import annotations
 
@@ -17,27 +17,27 @@
 from reedspoke.fleet.replicated_log.replica import Replica
 from reedspoke.fleet.replicated_log.snapshot_transfer import TransferResult, snapshot_message
 
-MAX_ENTRIES_IN_FLIGHT = 4  # to one replica
+MAX_ENTRIES_IN_FLIGHT = 4  # per replica
 
 
 class Follower:
-    """Has no state of its own; `ReplicatedLog` has checked the term of each message before."""
+    """The stateless handlers of a follower; `ReplicatedLog` has already checked the term of each message."""
 
     def __init__(self, replica: Replica, recovery: Recovery) -> None:
         self.replica, self.recovery = replica, recovery
 
     def on_log_state_request(self, sender: int, message: LogStateRequest) -> Outbox:
-        """Tell a new leader where our log ends: it reads a majority before it serves."""
+        """Report the end of this log to a new leader, which reads a majority before it serves."""
         return [Outgoing(sender, self.replica.log_state_reply(message.term))]
 
     def on_recover_empty(self, message: RecoverEmpty) -> Outbox:
-        """Go on without state, if it was this incarnation that the leader found without."""
+        """Finish recovery without state, if the leader's message is for this incarnation."""
         if message.incarnation == self.replica.incarnation:
             self.replica.state.finish_recovery()
         return []
 
     def on_append(self, sender: int, message: Append) -> Outbox:
-        """Add the entry if the one before it is the leader's, and commit what the leader has committed."""
+        """Add the entry if the preceding entries match, and commit up to the leader's commit index."""
         state = self.replica.state
         previous_index = message.index - 1
         if previous_index > state.snapshot_index and state.term_at(previous_index) != message.previous_term:
@@ -53,14 +53,14 @@
 
     def _store_entry(self, message: Append) -> None:
         state = self.replica.state
-        # Only on a conflict: a late duplicate must not remove entries that are acknowledged already.
+        # Entries are removed only on a conflict: a late duplicate must not remove acknowledged entries.
         if message.index <= state.last_index and state.term_at(message.index) != message.entry_term:
             state.truncate_after(message.index - 1)
         if message.index == state.last_index + 1:
             state.append(message.entry_term, message.data)
 
     def on_install_snapshot(self, sender: int, message: InstallSnapshot) -> Outbox:
-        """Collect the chunks of a snapshot, and acknowledge all that it includes once it is installed."""
+        """Collect the chunks of a snapshot; once it is installed, acknowledge the entries that it covers."""
         replica = self.replica
         if message.last_included_index <= replica.state.snapshot_index:
             return self._acknowledge(sender, message.term, replica.state.snapshot_index)
@@ -73,7 +73,7 @@
                 return []
 
     def on_fetch_request(self, sender: int, message: FetchRequest) -> Outbox:
-        """Send a new leader that takes over our log the next entries, or a chunk of the snapshot."""
+        """Send the next entries, or a chunk of the snapshot, to a new leader that fetches this log."""
         state = self.replica.state
         if state.recovering or message.term != state.current_term:
             return []
@@ -88,7 +88,7 @@
         ]
 
     def _acknowledge(self, sender: int, term: int, index: int) -> Outbox:
-        # Committed entries are in the log of each leader that serves, so all of them match.
+        # Every serving leader has all committed entries, so they match.
         match_index = max(index, self.replica.state.commit_index)
         if not self.recovery.finish_if_caught_up(term, match_index):
             return self._reject(sender, term, match_index)
--- a/reedspoke/fleet/replicated_log/leader.py
+++ b/reedspoke/fleet/replicated_log/leader.py
@@ -1,4 +1,4 @@
-"""A leader that serves: it appends commands, replicates them and decides what is committed."""
+"""A serving leader: it appends commands, replicates them and advances the commit index."""
 
 from __future__ import annotations
 
@@ -20,22 +20,22 @@
 
 @dataclass(slots=True)
 class FollowerProgress:
-    """A follower as its leader sees it. `match_index` alone counts for a quorum; the rest is a guess."""
+    """The leader's view of a follower. Only `match_index` counts for a quorum; the rest is an estimate."""
 
-    match_index: int = 0  # up to there its log equals ours, by its own word
-    probe_index: int | None = None  # after a rejection: up to there its log may equal ours
+    match_index: int = 0  # last index up to which the follower has confirmed that the logs are equal
+    probe_index: int | None = None  # last index up to which the logs may be equal; None: confirmed
     sent_index: int = 0
-    sent_at: int = 0  # us
+    sent_at: int = 0  # microseconds
     incarnation: int | None = None
-    snapshot_offset: int = 0  # byte of the snapshot that it is to get next
+    snapshot_offset: int = 0  # start of the next snapshot chunk, in bytes
 
     def rewind(self) -> None:
-        """Send again all that is not acknowledged."""
+        """Start sending again after the last acknowledged entry."""
         self.sent_index = max(self.match_index, self.probe_index or 0)
 
 
 class Leader:
-    """Owns the progress of the followers."""
+    """The role of a serving leader; owns the progress of the followers."""
 
     def __init__(self, replica: Replica, takeover: Takeover) -> None:
         self.replica, self.term = replica, takeover.term
@@ -45,7 +45,7 @@
             self.followers[voter] = self._first_progress(takeover.replies.get(voter))
 
     def _first_progress(self, reply: LogStateReply | None) -> FollowerProgress:
-        """Where its log ends is a guess at where it equals ours: one that differs rejects the entry."""
+        """Take the end of the follower's log as the first estimate; if it is wrong, the follower rejects."""
         last_index = self.replica.state.last_index
         if reply is None:
             return FollowerProgress(probe_index=last_index)
@@ -53,7 +53,7 @@
         return FollowerProgress(probe_index=probe_index, incarnation=reply.incarnation)
 
     def start(self, now: int) -> Outbox:
-        """Append an empty entry of this term: what stands before it is committed with it."""
+        """Append an empty entry of this term: all preceding entries are committed with it."""
         self.replica.state.finish_recovery()
         self.replica.state.append(self.term, b"")
         return self.advance_commit_index(now)
@@ -64,9 +64,9 @@
         return self.advance_commit_index(now)
 
     def advance_commit_index(self, now: int) -> Outbox:
-        """Commit what a majority has, if the last of it is of this term; then send what the followers lack.
+        """Commit the entries that a majority has, if the last of them is of this term; then replicate.
 
-        An entry of a former term at a majority may still give way to another leader's (Raft, figure 8).
+        An entry of a former term may still be replaced although a majority has it (Raft, figure 8).
         """
         state = self.replica.state
         match_indexes = [state.last_index, *(progress.match_index for progress in self.followers.values())]
@@ -79,9 +79,9 @@
         return messages
 
     def tick(self, now: int) -> Outbox:
-        """Send again what was not acknowledged in time; where nothing is missing, the commit index.
+        """Retransmit entries that were not acknowledged in time, or send the commit index if none is missing.
 
-        A recovering voter answers that as well, which tells its new incarnation.
+        A recovering voter answers this message, too, and its answer has its new incarnation.
         """
         state = self.replica.state
         messages: Outbox = []
@@ -96,12 +96,12 @@
         return messages
 
     def on_recovery_request(self, sender: int, incarnation: int) -> None:
-        """Forget what the former incarnation acknowledged: this one does not have it."""
+        """Discard the acknowledgements of a former incarnation, whose entries the new one has lost."""
         if self.followers[sender].incarnation != incarnation:
             self._reset(sender, incarnation)
 
     def on_accepted(self, sender: int, message: AppendAccepted, now: int) -> Outbox:
-        """Count the follower for all entries up to that index."""
+        """Record that the follower has all entries up to the index of the message."""
         progress = self._progress_of(sender, message.incarnation)
         progress.match_index = max(progress.match_index, message.match_index)
         progress.probe_index, progress.snapshot_offset = None, 0
@@ -109,14 +109,15 @@
         return self.advance_commit_index(now)
 
     def on_rejected(self, sender: int, message: AppendRejected, now: int) -> Outbox:
-        """Go back to where the follower's log may equal ours, or on with its snapshot."""
+        """Continue where the follower's log may be equal, or with the next chunk of its snapshot."""
         progress = self._progress_of(sender, message.incarnation)
         messages: Outbox = []
         if message.recovering and self._empty_incarnations.get(sender) == message.incarnation:
             messages.append(Outgoing(sender, RecoverEmpty(self.term, message.incarnation)))
         if message.snapshot_offset:
             return messages + self._continue_snapshot(sender, progress, message.snapshot_offset, now)
-        # Once for each new limit: a rejection for each of several entries in flight would multiply them.
+        # Sent only for a new limit: several entries in flight cause as many rejections, and answering each of
+        # them would multiply the entries.
         if message.match_limit != progress.probe_index:
             progress.probe_index = progress.sent_index = message.match_limit
             progress.snapshot_offset = 0
@@ -131,7 +132,7 @@
         return []
 
     def _replicate(self, voter: int, progress: FollowerProgress, now: int) -> Outbox:
-        """Send the next entries, a few at once and a single one while its log is probed."""
+        """Send the next entries: several at once, or a single one while the matching index is unknown."""
         state = self.replica.state
         if progress.probe_index is None:
             limit = progress.match_index + MAX_ENTRIES_IN_FLIGHT
@@ -152,7 +153,7 @@
         return Outgoing(voter, snapshot_message(self.replica.state, self.term, progress.snapshot_offset))
 
     def _progress_of(self, voter: int, incarnation: int) -> FollowerProgress:
-        """Guards a quorum against acknowledgements of an incarnation that has lost them."""
+        """Return the follower's progress, which is reset for a new incarnation that has lost its entries."""
         progress = self.followers[voter]
         if progress.incarnation not in (None, incarnation):
             return self._reset(voter, incarnation)
--- a/reedspoke/fleet/replicated_log/log_state.py
+++ b/reedspoke/fleet/replicated_log/log_state.py
@@ -1,7 +1,7 @@
-"""One replica's copy of the log: the snapshot, the entries behind it, the term and the commit index.
+"""One replica's copy of the log: the snapshot, the entries after it, the term and the commit index.
 
-`LogState` owns all of it and records each change that has to be on disk before a message that follows from
-it may leave (`unsaved_changes`). No I/O.
+`LogState` owns this state and records each change that has to be on disk before a message that depends on it
+may be sent (`unsaved_changes`). It performs no I/O.
 """
 
 from __future__ import annotations
@@ -14,12 +14,12 @@
 from reedspoke.fleet.replicated_log.messages import Append
 from reedspoke.fleet.replicated_log.state_machine import StateMachine
 
-COMPACTION_THRESHOLD = 128  # committed entries behind the snapshot at which a new snapshot is taken
+COMPACTION_THRESHOLD = 128  # number of committed entries after the snapshot that triggers a new one
 UNKNOWN_TERM = -1
 
 
 class ChangeKind(Enum):
-    """Kinds of change; the values are stored on disk."""
+    """Kinds of changes to the log. The values are stored on disk."""
 
     TERM = "promise"
     APPEND = "append"
@@ -31,7 +31,7 @@
 class LogChange:
     """A change that has to be stored.
 
-    `number`: the term (TERM, APPEND), or the last index that stays (TRUNCATE).
+    `number` is the term (TERM, APPEND) or the last index that is kept (TRUNCATE).
     """
 
     kind: ChangeKind
@@ -40,7 +40,7 @@
 
 
 class LogEntry(Struct, frozen=True, array_like=True):
-    """A command, empty for a new leader's own entry, and the term of the leader that appended it."""
+    """A command (empty in a new leader's first entry) and the term of the leader that appended it."""
 
     term: int
     data: bytes
@@ -48,7 +48,7 @@
 
 @dataclass(slots=True, frozen=True)
 class PersistentState:
-    """What has to outlive the process: all that a replica has acknowledged."""
+    """The state that must survive a restart: everything that a replica has acknowledged."""
 
     snapshot_index: int
     snapshot_term: int
@@ -58,9 +58,9 @@
 
 
 class LogState:
-    """Indexes begin at 1; `snapshot_index` is the last one that the snapshot includes.
+    """The log of one replica. Indexes start at 1; `snapshot_index` is the last one in the snapshot.
 
-    `recovering`: the replica has lost its state; what it has counts for nothing until recovery is over.
+    `recovering` is set while a replica that has lost its state must not count for a quorum.
     """
 
     def __init__(self, state_machine: StateMachine) -> None:
@@ -85,7 +85,7 @@
         return self.term_at(self.last_index)
 
     def term_at(self, index: int) -> int:
-        """Return the term of that entry; UNKNOWN_TERM behind the log's end and within the snapshot."""
+        """Return the term of that entry, or UNKNOWN_TERM after the end of the log or inside the snapshot."""
         if index == self.snapshot_index:
             return self.snapshot_term
         if self.snapshot_index < index <= self.last_index:
@@ -97,33 +97,33 @@
         return self.entries[index - self.snapshot_index - 1]
 
     def append_message(self, term: int, index: int) -> Append:
-        """Return that entry, as a leader or the source of a takeover sends it."""
+        """Return the message with that entry, for a follower or for a leader that fetches the log."""
         entry = self.entry_at(index)
         return Append(term, index, self.term_at(index - 1), entry.term, self.commit_index, entry.data)
 
     def commit_message(self, term: int) -> Append:
-        """Return a message without entry: the log ends here, and how much of it is committed."""
+        """Return a message without an entry, which reports the end of the log and the commit index."""
         return Append(term, self.last_index + 1, self.last_term, 0, self.commit_index, b"")
 
     def adopt_term(self, term: int) -> None:
-        """Accept no lower term from now on."""
+        """Raise the current term; lower terms are rejected from now on."""
         if term > self.current_term:
             self.current_term = term
             self._record_change(ChangeKind.TERM, term)
 
     def append(self, term: int, data: bytes) -> None:
-        """Add an entry at the end."""
+        """Append an entry."""
         self.entries.append(LogEntry(term, data))
         self._record_change(ChangeKind.APPEND, term, data)
 
     def truncate_after(self, index: int) -> None:
-        """Remove the entries behind that index; they were never committed."""
+        """Remove the entries after that index, which are not committed."""
         if index < self.last_index:
             self.entries = self.entries[: index - self.snapshot_index]
             self._record_change(ChangeKind.TRUNCATE, index)
 
     def commit_through(self, index: int) -> None:
-        """Apply the entries up to that index that are here, and compact the log where it has grown."""
+        """Apply the existing entries up to that index, and compact the log if it is too long."""
         for committed in range(self.commit_index + 1, min(index, self.last_index) + 1):
             self.commit_index = committed
             if command := self.entry_at(committed).data:
@@ -143,7 +143,7 @@
     def install_snapshot(self, index: int, term: int, snapshot: bytes) -> None:
         """Replace all entries up to that index by a snapshot from another replica."""
         self.state_machine.restore(snapshot)
-        # Entries behind it stay if they continue the same log: this replica may have acknowledged them.
+        # Later entries are kept if they continue the same log: this replica may have acknowledged them.
         continues = self.term_at(index) == term
         self.entries = self.entries[index - self.snapshot_index :] if continues else []
         self.snapshot_index, self.snapshot_term, self.snapshot = index, term, snapshot
@@ -151,19 +151,19 @@
         self._record_change(ChangeKind.REWRITE)
 
     def finish_recovery(self) -> None:
-        """Let the replica count for quorums from now on."""
+        """End recovery: the replica counts for quorums from now on."""
         if self.recovering:
             self.recovering = False
             self._record_change(ChangeKind.REWRITE)
 
     def persistent_state(self) -> PersistentState:
-        """Return what `restore` takes."""
+        """Return the state to store, as `restore` accepts it."""
         return PersistentState(
             self.snapshot_index, self.snapshot_term, self.snapshot, self.current_term, tuple(self.entries)
         )
 
     def restore(self, state: PersistentState) -> None:
-        """Take over what was stored: it is all that this replica has acknowledged, so it need not recover."""
+        """Load the stored state. It has everything that was acknowledged, so no recovery is necessary."""
         self.state_machine.restore(state.snapshot)
         self.snapshot_index = self.commit_index = state.snapshot_index
         self.snapshot_term, self.snapshot = state.snapshot_term, state.snapshot
@@ -172,11 +172,11 @@
         self.recovering = False
 
     def take_unsaved_changes(self) -> list[LogChange]:
-        """Return the changes that have to be stored, and forget them."""
+        """Remove and return the changes that have to be stored."""
         changes, self.unsaved_changes = self.unsaved_changes, []
         return changes
 
     def _record_change(self, kind: ChangeKind, number: int = 0, data: bytes = b"") -> None:
-        """Note a change; while recovering nothing is acknowledged, and `finish_recovery` stores it all."""
+        """Record a change, except during recovery: `finish_recovery` stores the complete state."""
         if not self.recovering:
             self.unsaved_changes.append(LogChange(kind, number, data))
--- a/reedspoke/fleet/replicated_log/log_store.py
+++ b/reedspoke/fleet/replicated_log/log_store.py
@@ -1,16 +1,16 @@
-"""A replicated log on disk: what a replica has acknowledged outlives its process.
+"""The storage of a replicated log on disk, so that acknowledged entries survive a restart.
 
 Two files for each log, in a directory that `LogStore` owns:
 
-    NAME.whole   the complete state as of some moment: sealed (kind, format number, digest), zstandard
-    NAME.log     the changes since: length, checksum and body of each; the first item names the
-                 generation of the state that they follow
+    NAME.whole   the complete state at one time: header (kind, format number, digest), compressed body
+    NAME.log     the changes since then: length, checksum and body of each; the first item is the
+                 generation of the state file that they follow
 
-Changes are on disk before any message that follows from them leaves. The log is read up to its first torn
-item: nothing behind it was acknowledged. A state file that is torn, foreign or of another format is
-reported, and the replica starts without state, as one that has to recover. A write or fsync that fails
-ends the replica's part until a restart: what was not stored must not be acknowledged, and a second fsync
-could only seem to succeed.
+Changes are on disk before any message that depends on them is sent. The log is read up to its first
+incomplete item, because nothing after it was acknowledged. A state file that is incomplete, of another kind
+or of another format is reported, and the replica starts without state and has to recover. After a failed
+write or fsync the replica does not take part until a restart: changes that were not stored must not be
+acknowledged, and a second fsync could report success although the data is lost.
 """
 
 from __future__ import annotations
@@ -32,21 +32,22 @@
 STATE_KIND, STATE_FORMAT = b"reedspoke-record", 1  # in the first line of the state file
 ITEM_HEADER_BYTES = 8  # length and checksum
 MAX_ITEM_BYTES = 4096
-MAX_LOG_BYTES = 1 << 20  # of changes; then the complete state is written anew
+MAX_LOG_BYTES = 1 << 20  # size of the changes after which the complete state is written again
 ZSTANDARD_LEVEL = 3
 
 
 class LogStoreError(ReedspokeError):
-    """The directory cannot be used as configured; the text names it."""
+    """The directory of the log cannot be used; the text names it and the reason."""
 
     code = "record-not-kept"
     remedy = (
-        "mend the folder (owner, mode 0700, space) and restart: until then this scheduler confirms nothing"
+        "correct the directory's owner, mode (0700) or free space and restart: until then this scheduler "
+        "acknowledges no entries"
     )
 
 
 class StoredState(msgspec.Struct, array_like=True):
-    """Body of the state file; the order of the fields is its format."""
+    """The body of the state file; the order of the fields defines the format."""
 
     generation: int
     snapshot_index: int
@@ -57,7 +58,7 @@
 
 
 class StoredChange(msgspec.Struct, frozen=True, array_like=True):
-    """An item of the log file; the order of the fields is its format. `kind`: a value of `ChangeKind`."""
+    """An item of the log file; the order of the fields defines the format. `kind` is a `ChangeKind` value."""
 
     kind: str
     number: int
@@ -72,7 +73,7 @@
     change_count: int = 0
 
     def apply(self, change: StoredChange) -> None:
-        """Repeat what `LogState` did."""
+        """Apply a stored change in the same way as `LogState` did."""
         stored = self.stored
         self.change_count += 1
         match ChangeKind(change.kind):
@@ -83,10 +84,10 @@
             case ChangeKind.TRUNCATE:
                 del stored.entries[change.number - stored.snapshot_index :]
             case ChangeKind.REWRITE:
-                pass  # it was written as the state file
+                pass  # the state file already includes it
 
     def state(self) -> PersistentState:
-        """Return what the replica is to go on with."""
+        """Return the state with all changes applied."""
         stored = self.stored
         return PersistentState(
             stored.snapshot_index,
@@ -98,13 +99,13 @@
 
 
 def encode_item(body: object) -> bytes:
-    """Return an item of the log file."""
+    """Encode an item of the log file."""
     data = msgspec.msgpack.encode(body)
     return len(data).to_bytes(4) + crc32(data).to_bytes(4) + data
 
 
 def decode_items(raw: bytes) -> list[bytes]:
-    """Return the items up to the first one that is torn."""
+    """Decode the items up to the first one that is incomplete or corrupt."""
     bodies: list[bytes] = []
     offset = 0
     while offset + ITEM_HEADER_BYTES <= len(raw):
@@ -120,9 +121,9 @@
 
 
 class LogStore:
-    """Owns the two files of one log, and the open descriptor of the log file.
+    """The two files of one log, and the open descriptor of the log file.
 
-    Raises LogStoreError where the directory cannot be made, or where others could write to it.
+    Raises LogStoreError if the directory cannot be created or other users can write to it.
     """
 
     def __init__(self, directory: str, name: str) -> None:
@@ -135,12 +136,12 @@
         try:
             self.directory.mkdir(mode=0o700, parents=True, exist_ok=True)
             if self.directory.stat().st_mode & 0o022:
-                raise LogStoreError(f"{directory}: others may write there")
+                raise LogStoreError(f"{directory}: other users can write to the directory")
         except OSError as error:
             raise LogStoreError(f"{directory}: {error.strerror}") from error
 
     def load(self, replicated_log: ReplicatedLog) -> str:
-        """Restore the log where there is a state. Returns a line to log, "" where there is nothing."""
+        """Restore the stored state, if there is one. Returns a line to log, or "" without stored state."""
         try:
             raw = unseal(STATE_KIND, STATE_FORMAT, self._state_path.read_bytes())
             body = zstandard.ZstdDecompressor().decompress(raw)
@@ -162,10 +163,10 @@
         )
 
     def _unreadable(self, reason: object) -> str:
-        return f"replicated log: {self._state_path.name}: {reason}: starting without state"
+        return f"replicated log: {self._state_path.name} cannot be read: {reason}; starting without state"
 
     def _read_changes(self, generation: int) -> list[StoredChange]:
-        """Read the changes to the state of that generation: a crash may leave the log of the one before."""
+        """Read the changes that follow that generation; after a crash the log may follow an earlier one."""
         try:
             bodies = decode_items(self._log_path.read_bytes())
         except OSError:
@@ -175,7 +176,7 @@
         return [msgspec.msgpack.decode(body, type=StoredChange) for body in bodies[1:]]
 
     def save(self, changes: list[LogChange], replicated_log: ReplicatedLog) -> None:
-        """Bring changes to disk. Raises LogStoreError; then nothing that follows from them may be sent."""
+        """Write changes to disk. After a LogStoreError no message that depends on them may be sent."""
         rewrite = any(change.kind is ChangeKind.REWRITE for change in changes)
         try:
             if self._descriptor is None or self._log_bytes > MAX_LOG_BYTES or rewrite:
@@ -194,9 +195,9 @@
         self._log_bytes += len(data)
 
     def _rewrite(self, state: PersistentState) -> None:
-        """Write the complete state, and an empty log that follows it.
+        """Write the complete state and an empty log that follows it.
 
-        Until the rename the old files stay valid.
+        The old files are valid until the rename.
         """
         self._generation += 1
         temporary = self._write_temporary(state)
@@ -229,7 +230,7 @@
         return temporary
 
     def _sync_directory(self) -> None:
-        """Sync the directory: a rename is on disk only once its directory is."""
+        """Sync the directory, because a rename is durable only after that."""
         descriptor = os.open(self.directory, os.O_RDONLY)
         try:
             os.fsync(descriptor)
@@ -237,13 +238,13 @@
             os.close(descriptor)
 
     def close(self) -> None:
-        """Close the log file; the next `save` writes the complete state anew."""
+        """Close the log file; the next `save` writes the complete state again."""
         if self._descriptor is not None:
             os.close(self._descriptor)
             self._descriptor = None
 
 
 def _write_all(descriptor: int, data: bytes) -> None:
-    """Write all, or raise OSError: the disk is full."""
+    """Write all data, or raise OSError: a short write means that the disk is full."""
     if os.write(descriptor, data) != len(data):
         raise OSError(errno.ENOSPC, "short write")
--- a/reedspoke/fleet/replicated_log/messages.py
+++ b/reedspoke/fleet/replicated_log/messages.py
@@ -1,7 +1,7 @@
-"""Messages of the replicated log, as they stand on the wire.
+"""Messages of the replicated log, in their wire format.
 
-Tags, order and bounds of the fields are the wire format: a message that breaks a bound is rejected by the
-decoder. `term` is always the term of the leader that the message comes from or goes to.
+Tags and the order and bounds of the fields define the wire format; the decoder rejects a message with a field
+out of bounds. `term` is the term of the leader that sends or receives the message.
 """
 
 from __future__ import annotations
@@ -10,22 +10,22 @@
 
 from msgspec import Meta, Struct
 
-MAX_ENTRY_BYTES = 150  # of one entry's data: a message has to fit a datagram
+MAX_ENTRY_BYTES = 150  # size limit of an entry's data, because a message has to fit a datagram
 
 Unsigned16 = Annotated[int, Meta(ge=0, le=0xFFFF)]
 Unsigned32 = Annotated[int, Meta(ge=0, le=0xFFFF_FFFF)]
-Term = Annotated[int, Meta(ge=0)]  # of a leader: the fencing token of its lease
+Term = Annotated[int, Meta(ge=0)]  # the term of a leader is the fencing token of its lease
 EntryData = Annotated[bytes, Meta(max_length=MAX_ENTRY_BYTES)]
 
 
 class LogStateRequest(Struct, frozen=True, array_like=True, tag=0):
-    """A new leader asks how far a voter's log goes; the voter accepts no lower term from now on."""
+    """A new leader asks for the end of a voter's log; the voter rejects lower terms from now on."""
 
     term: Term
 
 
 class LogStateReply(Struct, frozen=True, array_like=True, tag=1):
-    """Where the log of this voter ends. `recovering`: it has lost its state, so this counts for nothing."""
+    """The end of this voter's log. If `recovering`, it has lost its state and counts for no quorum."""
 
     term: Term
     incarnation: Unsigned32
@@ -35,7 +35,7 @@
 
 
 class FetchRequest(Struct, frozen=True, array_like=True, tag=2):
-    """A new leader asks for the entries from `index` on, or the snapshot from byte `snapshot_offset` on."""
+    """A new leader asks for the entries from `index`, or for the snapshot from `snapshot_offset` (bytes)."""
 
     term: Term
     index: Unsigned32
@@ -43,9 +43,9 @@
 
 
 class Append(Struct, frozen=True, array_like=True, tag=3):
-    """One entry, to go behind an entry of `previous_term`.
+    """One entry, which follows an entry of `previous_term`.
 
-    Without an `entry_term` it carries no entry: it tells that all up to `commit_index` is committed.
+    If `entry_term` is 0, the message has no entry and only reports the commit index.
     """
 
     term: Term
@@ -65,9 +65,10 @@
 
 
 class AppendRejected(Struct, frozen=True, array_like=True, tag=5):
-    """The voter's log equals the leader's up to `match_limit` at most, or the leader is deposed.
+    """The voter's log equals the leader's up to `match_limit` at most, or there is a later leader.
 
-    A `term` above the leader's own names the later leader. `snapshot_offset`: bytes of the snapshot received.
+    A `term` above the leader's own is that of the later leader. `snapshot_offset` is the number of snapshot
+    bytes received.
     """
 
     term: Term
@@ -80,7 +81,7 @@
 class InstallSnapshot(Struct, frozen=True, array_like=True, tag=6):
     """A chunk of the snapshot that replaces all entries up to `last_included_index`.
 
-    `size` and `checksum` (CRC-32) are of the complete snapshot, `offset` is where this chunk begins in it.
+    `size` and `checksum` (CRC-32) describe the complete snapshot, `offset` is the start of this chunk.
     """
 
     term: Term
@@ -93,20 +94,20 @@
 
 
 class RecoverEmpty(Struct, frozen=True, array_like=True, tag=7):
-    """All voters have answered and too few have state: that incarnation goes on without any."""
+    """All voters have answered and less than a majority has state: the incarnation continues without."""
 
     term: Term
     incarnation: Unsigned32
 
 
 class RecoveryRequest(Struct, frozen=True, array_like=True, tag=8):
-    """A restarted voter without state asks the others for what it needs to know before it may vote again."""
+    """A restarted voter without state asks the others for the state that it needs to vote again."""
 
     incarnation: Unsigned32
 
 
 class RecoveryReply(Struct, frozen=True, array_like=True, tag=9):
-    """The answer to one incarnation. `leader_term`: the sender's own where it leads, else 0."""
+    """The answer to one incarnation; `leader_term` is the sender's term if it leads, else 0."""
 
     incarnation: Unsigned32
     current_term: Term
@@ -129,28 +130,28 @@
 
 
 class LogEnvelope(Struct, frozen=True, array_like=True, tag=12):
-    """A message of one replicated log, which is named by the hash of its name."""
+    """A message of one replicated log, which is identified by the hash of its name."""
 
     log_name_hash: Unsigned16
     message: LogMessage
 
 
 class CommandRequest(Struct, frozen=True, array_like=True, tag=13):
-    """Asks the leader to put a command into the log. `number`: the sender's own, repeated in the reply."""
+    """Asks the leader to append a command. `number` is chosen by the sender and repeated in the reply."""
 
     number: Unsigned32
     command: EntryData
 
 
 class CommandReply(Struct, frozen=True, array_like=True, tag=14):
-    """What became of the command of that number."""
+    """The outcome of the command with that number."""
 
     number: Unsigned32
     outcome: EntryData
 
 
 class Outgoing(NamedTuple):
-    """A message of the log and the voter that it is sent to."""
+    """A message of the log and the voter to which it is sent."""
 
     recipient: int
     message: LogMessage
--- a/reedspoke/fleet/replicated_log/recovery.py
+++ b/reedspoke/fleet/replicated_log/recovery.py
@@ -1,8 +1,9 @@
-"""Recovery of a replica that has lost its state: when it may vote again.
+"""Recovery of a replica that has lost its state, until it may vote again.
 
-Viewstamped Replication Revisited, section 4.3. What the former incarnation acknowledged is gone here, so
-this one must not count for a quorum before it has all of that again. The entries come as to any follower;
-this module knows the term and the index that have to be reached.
+The protocol is that of Viewstamped Replication Revisited, section 4.3. The entries that the former
+incarnation acknowledged are lost here, so this one must not count for a quorum before it has all of them
+again. It receives the entries like any follower; this module determines the term and the index that it has
+to reach.
 """
 
 from __future__ import annotations
@@ -21,7 +22,7 @@
 
 
 class Recovery:
-    """Owns the replies of the other voters to this incarnation, and the target that follows from them."""
+    """The replies of the other voters to this incarnation, and the recovery target derived from them."""
 
     def __init__(self, replica: Replica) -> None:
         self.replica = replica
@@ -30,7 +31,7 @@
         self._requested_at = -replica.retransmit_interval_us
 
     def tick(self, now: int) -> Outbox:
-        """Ask all other voters, again and again until the replica has recovered."""
+        """Send requests to all other voters periodically until the replica has recovered."""
         replica = self.replica
         if not replica.state.recovering or now - self._requested_at < replica.retransmit_interval_us:
             return []
@@ -38,18 +39,18 @@
         return [Outgoing(voter, RecoveryRequest(replica.incarnation)) for voter in replica.other_voters]
 
     def reply_to(self, request: RecoveryRequest, leader_term: int) -> RecoveryReply | None:
-        """Return the answer to another voter that recovers; None: this one has nothing to tell."""
+        """Return the answer to a recovering voter, or None if this replica has no state either."""
         state = self.replica.state
         if state.recovering:
             return None
         return RecoveryReply(request.incarnation, state.current_term, leader_term, state.last_index)
 
     def receive_reply(self, sender: int, reply: RecoveryReply) -> None:
-        """Set the target once a majority has answered, the leader of the highest term among them.
+        """Set the target once a majority has answered, including the leader of the highest term.
 
-        Any committed entry is at a majority, and the former incarnation may have made it one. The others
-        need not have it yet, but the leader has: so its own answer is needed, and not only its term from
-        others.
+        The former incarnation may have been needed for the majority that committed an entry. The other
+        voters that answered may not have that entry, but the leader has it. So the leader's own answer is
+        needed, not only its term as reported by others.
         """
         state = self.replica.state
         if not state.recovering or reply.incarnation != self.replica.incarnation:
@@ -64,12 +65,12 @@
             self.target = RecoveryTarget(highest_term, max(reply.last_index for reply in of_leader))
 
     def finish_if_caught_up(self, term: int, match_index: int) -> bool:
-        """Return whether the replica may acknowledge that leader's entries, which it has up to that index."""
+        """Return whether the replica may acknowledge the leader's entries, which it has up to the index."""
         if not self.replica.state.recovering:
             return True
         if self.target is None or self.target.term != term or match_index < self.target.last_index:
             return False
         self.target = None
         self.replica.state.finish_recovery()
-        self.replica.log_lines.append("replicated log: recovered, this voter has all committed entries again")
+        self.replica.log_lines.append("replicated log: recovered: this voter has all committed entries again")
         return True
--- a/reedspoke/fleet/replicated_log/replicated_log.py
+++ b/reedspoke/fleet/replicated_log/replicated_log.py
@@ -1,42 +1,42 @@
-"""A replicated log: commands that a majority of the voters agrees on, in one order, without need of a disk.
+"""A replicated log: commands in one order on which a majority of the voters agrees; a disk is optional.
 
 The protocol is Viewstamped Replication (Oki, Liskov 1988; Liskov, Cowling, "Viewstamped Replication
 Revisited", 2012) with the rules for entries, commits and snapshots, and their names, as in Raft (Ongaro,
-Ousterhout, "In Search of an Understandable Consensus Algorithm", 2014). It differs from both in one
-thing: leaders are not elected here. Whoever holds a lease (`reedspoke.fleet`) is told to lead, and the
-lease's fencing token is its term. Clocks may be wrong and two replicas may believe to lead at once; the
+Ousterhout, "In Search of an Understandable Consensus Algorithm", 2014). It differs from both in that
+leaders are not elected here: the holder of a lease (`reedspoke.fleet`) becomes the leader, and the
+lease's fencing token is its term. Even if clocks are wrong and two replicas lead at the same time, the
 log stays safe, for these reasons:
 
-1. A voter accepts no term below the highest that it has heard (`LogState.adopt_term`). Prevents: an
-   earlier leader that was paused goes on and commits beside the later one.
+1. A voter rejects terms below the highest one that it has received (`LogState.adopt_term`). Prevents: an
+   earlier leader that was paused resumes and commits entries concurrently with the later one.
 2. A new leader reads a majority before it serves (`Takeover`), and takes the log whose last entry has the
    highest term, then the highest index. Any committed entry is at a majority and any two majorities share
-   a voter, so that log has it. Prevents: a leader that was cut off overwrites what was committed
-   meanwhile.
+   a voter, so that log has it. Prevents: a leader that was partitioned overwrites entries that were
+   committed in the meantime.
 3. It then appends an empty entry of its own term, and commits by counting only entries of its own term
-   (`Leader.advance_commit_index`). Prevents: an entry of a former term, at a majority, counts as
-   committed, and a replica with a higher last term takes over and removes it (Raft, section 5.4.2 and
-   figure 8).
-4. A follower adds an entry only behind one of the same index and term, and removes entries only where
-   they conflict (`Follower.on_append`). Prevents: gaps; and that a late duplicate removes entries that
-   were acknowledged since.
-5. A voter that restarts without its state is `recovering`: it acknowledges nothing until a majority has
-   told it the highest term, the leader of that term among them, and it has all that this leader had then
-   (`Recovery`; VR Revisited, section 4.3). Prevents: an entry is committed by an acknowledgement that the
-   voter has lost.
-6. Each start has an incarnation of its own, which answers carry, and a leader forgets what a former
-   incarnation had acknowledged (`Leader._progress_of`). Prevents: late answers count for a voter that has
-   lost what they say.
-7. Where a majority has lost its state, nothing is safe any more. The leader goes on with the best log
-   that is left only when *all* voters have answered, counts it (`unclean_recoveries`) and reports it
-   (`Takeover`). While one does not answer, that one may have the entries: the log waits.
-8. Where there is a disk, each change is on it before a message that follows from it leaves
-   (`unsaved_changes`, `LogStore`), and a voter whose disk has failed is silent (`fail_storage`).
-   Prevents: an acknowledgement that does not outlive a restart.
-9. A snapshot replaces the entries that it includes; entries behind it stay if they continue the same log
+   (`Leader.advance_commit_index`). Prevents: an entry of a former term counts as committed because a
+   majority has it, and a replica with a higher last term takes over and removes it (Raft, section 5.4.2
+   and figure 8).
+4. A follower adds an entry only after one of the same index and term as in the leader's log, and removes
+   entries only on a conflict (`Follower.on_append`). Prevents: gaps, and that a late duplicate removes
+   entries that were acknowledged since.
+5. A voter that restarts without its state is `recovering`: it acknowledges nothing until a majority,
+   including the leader of the highest term, has answered, and it has all entries that this leader had
+   then (`Recovery`; VR Revisited, section 4.3). Prevents: an entry counts as committed because of an
+   acknowledgement whose entry the voter has lost.
+6. Each start has a new incarnation, which is part of the answers, and a leader discards the
+   acknowledgements of a former incarnation (`Leader._progress_of`). Prevents: late answers count for a
+   voter that has lost the acknowledged entries.
+7. If a majority has lost its state, committed entries may be lost. The leader continues with the best
+   remaining log only after *all* voters have answered, counts this (`unclean_recoveries`) and reports it
+   (`Takeover`). While a voter does not answer, it may have the entries, so the log waits.
+8. With a disk, each change is stored before a message that depends on it is sent (`unsaved_changes`,
+   `LogStore`), and a voter whose disk has failed sends no messages (`fail_storage`). Prevents: an
+   acknowledged entry is lost in a restart.
+9. A snapshot replaces the entries that it includes; later entries are kept if they continue the same log
    (`LogState.install_snapshot`). Prevents: a late snapshot removes entries that were acknowledged.
 
-Time is an argument, in us. No I/O.
+Times are arguments, in microseconds. This module performs no I/O.
 """
 
 from __future__ import annotations
@@ -69,7 +69,7 @@
 
 
 class ReplicatedLog:
-    """One voter's replica. It owns the role (`leadership`: None for a follower) and hands messages to it."""
+    """One voter's replica: owns its role (`leadership`, None for a follower) and dispatches messages."""
 
     takeover_type: type[Takeover] = Takeover
     leader_type: type[Leader] = Leader
@@ -89,37 +89,37 @@
         self.storage_failed = False
         self._follower = Follower(self.replica, self.recovery)
 
-    # ---- what is known ----
+    # ---- queries ----
 
     @property
     def leader(self) -> Leader | None:
-        """The leader's role, where this replica serves."""
+        """The role of a serving leader, or None."""
         return self.leadership if isinstance(self.leadership, Leader) else None
 
     @property
     def serving(self) -> bool:
-        """Whether this replica leads and accepts commands."""
+        """Whether this replica is a leader that accepts commands."""
         return self.leader is not None
 
     @property
     def leader_term(self) -> int:
-        """Our term as a leader that serves, else 0."""
+        """The term of this replica if it is a serving leader, else 0."""
         return self.leader.term if self.leader is not None else 0
 
     @property
     def recovering(self) -> bool:
-        """Whether this replica has lost its state and not recovered yet."""
+        """Whether this replica has lost its state and has not yet recovered."""
         return self.state.recovering
 
     @property
     def commit_index(self) -> int:
-        """Index of the last entry that is known here to be committed; it is applied."""
+        """Index of the last entry known here to be committed; it has been applied."""
         return self.state.commit_index
 
-    # ---- the lease, commands, storage ----
+    # ---- lease, commands, storage ----
 
     def become_leader(self, term: int, now: int) -> Outbox:
-        """Take over as the leader of that term, the fencing token of the lease that was acquired."""
+        """Start to take over as a leader; the term is the fencing token of the acquired lease."""
         if self.storage_failed:
             return []
         takeover = self.leadership = self.takeover_type(self.replica, term, now)
@@ -127,34 +127,33 @@
         return self._serve_if_complete(takeover, takeover.start(), now)
 
     def step_down(self) -> None:
-        """Lead no longer: the lease is lost, or a later leader is known."""
+        """Stop leading, because the lease has ended or a later leader is known."""
         self.leadership = None
 
     def propose(self, command: bytes, now: int) -> tuple[int, Outbox]:
-        """Append a command; returns the index of its entry, and what to send.
+        """Append a command. Returns the index of its entry and the messages to send.
 
         The command is committed once `commit_index` has reached that index while `leader_term` is still
-        the same. Raises ValueError where this replica does not serve, or for a command that is empty or
-        too long.
+        the same. Raises ValueError if this replica is not serving or the command is empty or too long.
         """
         if self.leader is None:
-            raise ValueError("not serving")
+            raise ValueError(f"replica {self.replica.replica_id} is not serving as the leader")
         if not 0 < len(command) <= MAX_ENTRY_BYTES:
-            raise ValueError(f"{len(command)} bytes")
+            raise ValueError(f"command has {len(command)} bytes, not 1 to {MAX_ENTRY_BYTES}")
         index = self.state.last_index + 1
         return index, self.leader.propose(command, now)
 
     def restore(self, state: PersistentState) -> None:
-        """Take over the state that was stored on disk, at the start."""
+        """Load the state that was stored on disk; called at the start."""
         self.state.restore(state)
 
     def fail_storage(self) -> None:
-        """Be silent from now on, as if the process were down: changes cannot be stored."""
+        """Send nothing from now on, like a stopped process, because changes cannot be stored."""
         self.storage_failed = True
         self.step_down()
 
     def tick(self, now: int) -> Outbox:
-        """Send again what may be lost; to be called several times per `retransmit_interval_us`."""
+        """Retransmit unanswered messages; to be called several times per `retransmit_interval_us`."""
         if self.storage_failed:
             return []
         match self.leadership:
@@ -166,14 +165,14 @@
                 return leader.tick(now)
 
     def take_log_lines(self) -> list[str]:
-        """Return what happened since the last call, for the program's log."""
+        """Remove and return the collected lines for the program's log."""
         lines, self.replica.log_lines = self.replica.log_lines, []
         return lines
 
     # ---- messages ----
 
     def receive(self, sender: int, message: LogMessage, now: int) -> Outbox:
-        """Handle a message of another voter; returns what to send."""
+        """Handle a message of another voter. Returns the messages to send."""
         if sender not in self.replica.other_voters or self.storage_failed:
             return []
         match message:
@@ -197,7 +196,7 @@
     def _on_voter_reply(
         self, sender: int, message: LogStateReply | AppendAccepted | AppendRejected, now: int
     ) -> Outbox:
-        """Handle an answer to us as the leader, or as one that takes over."""
+        """Handle an answer to this replica as a leader, serving or taking over."""
         role = self.leadership
         if role is None:
             return []
--- a/reedspoke/fleet/replicated_log/snapshot_transfer.py
+++ b/reedspoke/fleet/replicated_log/snapshot_transfer.py
@@ -1,4 +1,4 @@
-"""Snapshots in chunks: the sender's message for one chunk, and the receiver that puts them together."""
+"""The transfer of snapshots in chunks: the message for one chunk, and the receiver that joins them."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def snapshot_message(state: LogState, term: int, offset: int) -> InstallSnapshot:
-    """Return the chunk of our snapshot that begins at that byte."""
+    """Return the message with the chunk of the snapshot that starts at that byte."""
     snapshot = state.snapshot
     return InstallSnapshot(
         term,
@@ -26,7 +26,7 @@
 
 
 class TransferResult(Enum):
-    """What a chunk has led to."""
+    """The state of a transfer after a chunk was received."""
 
     INCOMPLETE = auto()
     INSTALLED = auto()
@@ -34,7 +34,7 @@
 
 
 class SnapshotReceiver:
-    """Owns the chunks of one snapshot at a time; the first chunk of another one discards them."""
+    """Collects the chunks of one snapshot; a chunk of another one discards the previous chunks."""
 
     def __init__(self) -> None:
         self._received = bytearray()
@@ -42,15 +42,15 @@
 
     @property
     def offset(self) -> int:
-        """Bytes received so far: where the next chunk has to begin."""
+        """Number of bytes received so far, which is the offset of the next chunk."""
         return len(self._received)
 
     def receive(self, chunk: InstallSnapshot, state: LogState) -> TransferResult:
-        """Add a chunk, and install the snapshot once it is complete and its checksum is right."""
+        """Add a chunk, and install the snapshot once it is complete and its checksum is correct."""
         transfer = (chunk.term, chunk.last_included_index, chunk.checksum)
         if self._transfer != transfer:
             self._transfer, self._received = transfer, bytearray()
-        if chunk.offset == len(self._received):  # else a duplicate, or one before it was lost
+        if chunk.offset == len(self._received):  # otherwise a duplicate, or an earlier chunk was lost
             self._received += chunk.data
         if len(self._received) < chunk.size:
             return TransferResult.INCOMPLETE
--- a/reedspoke/fleet/replicated_log/state_machine.py
+++ b/reedspoke/fleet/replicated_log/state_machine.py
@@ -1,4 +1,4 @@
-"""What a replicated log is applied to."""
+"""The interface of a state machine to which a replicated log is applied."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 
 
 class StateMachine(Protocol):
-    """Deterministic: the same commands give the same state everywhere, so no clock and no random choice."""
+    """Must be deterministic: the same commands lead to the same state, without clocks or random numbers."""
 
     def apply(self, index: int, command: bytes) -> None:
-        """Carry out a committed command; called once for each, in the order of the log."""
+        """Apply a committed command; called once for each, in the order of the log."""
 
     def snapshot(self) -> bytes:
-        """Return the complete state, as `restore` takes it."""
+        """Return the complete state, as `restore` accepts it."""
 
     def restore(self, snapshot: bytes) -> None:
-        """Replace the state by that of a snapshot."""
+        """Replace the state by the state in a snapshot."""
--- a/reedspoke/fleet/replicated_log/takeover.py
+++ b/reedspoke/fleet/replicated_log/takeover.py
@@ -1,4 +1,4 @@
-"""The takeover of a new leader: it reads a majority and fetches the best log before it serves."""
+"""The takeover by a new leader, which reads a majority and fetches the most recent log before it serves."""
 
 from __future__ import annotations
 
@@ -18,24 +18,24 @@
 
 
 class Takeover:
-    """Owns the voters' answers. Once `complete`, the log here is the one to lead with."""
+    """Collects the voters' answers. Once `complete`, this replica has the log and can serve."""
 
     def __init__(self, replica: Replica, term: int, now: int) -> None:
         self.replica, self.term = replica, term
         self.replies: dict[int, LogStateReply] = {}
         self.complete = False
-        self.empty_incarnations: dict[int, int] = {}  # of voters that were told to go on without state
-        self._source: int | None = None  # whose log is fetched
+        self.empty_incarnations: dict[int, int] = {}  # of voters that continue without state
+        self._source: int | None = None  # the voter whose log is fetched
         self._next_index = 0
         self._requested_through = 0
         self._requested_at = now
 
     def start(self) -> Outbox:
-        """Ask all voters; alone, the takeover is complete at once."""
+        """Send requests to all voters; a takeover with a single voter completes at once."""
         return [*self._request_log_states(), *self.choose_log()]
 
     def tick(self, now: int) -> Outbox:
-        """Ask again for what has not come."""
+        """Repeat requests that were not answered in time."""
         if now - self._requested_at < self.replica.retransmit_interval_us:
             return []
         self._requested_at = now
@@ -45,12 +45,12 @@
         return [*messages, *self.choose_log()]
 
     def on_log_state_reply(self, sender: int, reply: LogStateReply) -> Outbox:
-        """Count the answer; later ones do not change a choice that was made."""
+        """Record an answer; it has no effect on a log that was already chosen."""
         self.replies[sender] = reply
         return self.choose_log() if self._source is None else []
 
     def choose_log(self) -> Outbox:
-        """Once a majority with state has answered: lead with the best log, fetched from whoever has it."""
+        """Choose the most recent log once a majority with state has answered, and fetch it if necessary."""
         replica = self.replica
         own = replica.log_state_reply(self.term)
         replies = {**self.replies, replica.replica_id: own}
@@ -75,7 +75,7 @@
         return [*messages, self._fetch(best)]
 
     def _recover_unclean(self, with_state: int) -> Outbox:
-        """All voters have answered and a majority has lost its state: go on with what is left, and say so."""
+        """Continue with the remaining state after all voters have answered and no majority has state."""
         replica = self.replica
         replica.unclean_recoveries += 1
         replica.log_lines.append(
@@ -93,16 +93,16 @@
         ]
 
     def on_append(self, sender: int, message: Append) -> Outbox:
-        """Store an entry of the log that is taken over; what stands in its place was never committed."""
+        """Store an entry of the fetched log; a different entry in its place was never committed."""
         if sender != self._source or message.term != self.term:
             return []
         state = self.replica.state
         if message.entry_term and message.index > state.commit_index:
             if state.term_at(message.index - 1) != message.previous_term:
-                return []  # out of order: it is asked for again
+                return []  # out of order: requested again later
             if state.term_at(message.index) != message.entry_term:
-                # Only what differs is removed: this replica may have acknowledged the rest, and the takeover
-                # may be cut short before it comes again.
+                # Only entries that differ are removed: this replica may have acknowledged the others, and the
+                # takeover may end before they are received again.
                 state.truncate_after(message.index - 1)
                 state.append(message.entry_term, message.data)
         end = self.replies[sender]
@@ -114,7 +114,7 @@
         return [self._fetch(sender)] if self._next_index > self._requested_through else []
 
     def on_install_snapshot(self, message: InstallSnapshot) -> Outbox:
-        """Collect a chunk of the snapshot that the fetched entries stand behind."""
+        """Collect a chunk of the snapshot that precedes the fetched entries."""
         if message.last_included_index <= self.replica.state.snapshot_index:
             return []
         match self.replica.receive_snapshot_chunk(message):
--- a/reedspoke/fleet/roles/call_client.py
+++ b/reedspoke/fleet/roles/call_client.py
@@ -1,5 +1,7 @@
-"""The HTTP client of periodic calls: a POST with the fencing token, by which the target rejects an older
-one."""
+"""The HTTP client of periodic calls.
+
+Each call is a POST with the fencing token, so that the target can reject calls of earlier holders.
+"""
 
 from __future__ import annotations
 
@@ -14,7 +16,7 @@
 from reedspoke.net.runtime import Runtime
 
 SECOND_US = 1_000_000
-CONNECTION_ERROR = 599  # tornado's status where there was no answer
+CONNECTION_ERROR = 599  # tornado's status without an HTTP response
 MAX_TOKEN = (1 << 63) - 1
 
 log = logging.getLogger("reedspoke")
@@ -22,29 +24,29 @@
 
 @dataclass(slots=True, frozen=True)
 class CallTarget:
-    """Where a role's calls go, and how long one may take."""
+    """The URL of a role's calls, and the time-out of a call."""
 
     url: str
     timeout_us: int
 
 
 class RoleCallClient:
-    """Carries out `CallRoleTarget` and reports the end of each call by `RoleCallFinished`."""
+    """Carries out `CallRoleTarget` effects and emits `RoleCallFinished` at the end of each call."""
 
     def __init__(self, runtime: Runtime, scheduler: str, targets: Mapping[str, CallTarget]) -> None:
-        """`scheduler` is the name that the target is told; `targets` are by role."""
+        """`scheduler` is sent to the target in `X-Holder`; `targets` is keyed by role."""
         self.runtime, self.scheduler, self.targets = runtime, scheduler, targets
         self._tasks: set[asyncio.Task[None]] = set()
 
     def effects(self) -> dict[type, Callable[[Any], None]]:
-        """The effects that the client carries out."""
+        """Returns the handlers of the effects that the client carries out."""
         return {CallRoleTarget: self._start_call}
 
     def open(self) -> None:
-        """Nothing: each call has its own connection."""
+        """Does nothing: each call opens its own connection."""
 
     def reload(self) -> None:
-        """Nothing: the roles stay those of the start."""
+        """Does nothing: the roles are read only at the start."""
 
     def close(self) -> None:
         """Cancels the open calls."""
@@ -53,18 +55,18 @@
 
     def _start_call(self, effect: CallRoleTarget) -> None:
         task = asyncio.ensure_future(self._call(effect))
-        self._tasks.add(task)  # the event loop itself keeps no reference to it
+        self._tasks.add(task)  # the event loop keeps only weak references to tasks
         task.add_done_callback(self._tasks.discard)
 
     async def _call(self, effect: CallRoleTarget) -> None:
         status, later_token = 0, 0
-        # The process may have stood still since the decision, so the clock is read once more before the act.
+        # The process may have been stopped since the decision, so the lease is checked again before the call.
         if self.runtime.clock.now() < effect.expires_at:
             status, later_token = await self._fetch(effect)
         self.runtime.emit(RoleCallFinished(effect.role, status, min(later_token, MAX_TOKEN)))
 
     async def _fetch(self, effect: CallRoleTarget) -> tuple[int, int]:
-        """The status of the answer, 0 for none, and the later token that the target knows, 0 for none."""
+        """Returns the HTTP status (0 without a response) and the higher token known to the target (or 0)."""
         from tornado.httpclient import AsyncHTTPClient, HTTPClientError, HTTPRequest
 
         target = self.targets[effect.role]
--- a/reedspoke/fleet/roles/delegated.py
+++ b/reedspoke/fleet/roles/delegated.py
@@ -1,4 +1,4 @@
-"""A role handler that delegates the role to a part with I/O of its own, which is told of each change."""
+"""A role handler that delegates the role to a subsystem with I/O of its own, by effects."""
 
 from __future__ import annotations
 
@@ -8,25 +8,25 @@
 
 
 class DelegatedRole:
-    """A `RoleHandler`. Before each act the part compares its clock with `expires_at` and sends the token."""
+    """A `RoleHandler`. The subsystem must check `expires_at` before each action and send the token."""
 
     def __init__(self, role: str) -> None:
         """`role` is the name of the role."""
         self.role, self._token = role, NO_TOKEN
 
     def lease_acquired(self, token: int, expires_at: int, now: int) -> list[FurtherEffect]:
-        """Reports the role to the part."""
+        """Notifies the subsystem that the role was acquired."""
         self._token = token
         return [RoleAcquired(self.role, token, expires_at)]
 
     def lease_renewed(self, expires_at: int, now: int) -> list[FurtherEffect]:
-        """Reports the later end to the part."""
+        """Notifies the subsystem of the new end of the lease."""
         return [RoleAcquired(self.role, self._token, expires_at)]
 
     def lease_ended(self, reason: str, now: int) -> list[FurtherEffect]:
-        """Reports the loss to the part."""
+        """Notifies the subsystem that the role was lost."""
         return [RoleLost(self.role)]
 
     def tick(self, now: int) -> list[FurtherEffect]:
-        """Nothing: the part has timers of its own."""
+        """Does nothing: the subsystem has its own timers."""
         return []
--- a/reedspoke/fleet/roles/handler.py
+++ b/reedspoke/fleet/roles/handler.py
@@ -1,4 +1,4 @@
-"""The interface between a singleton role's lease and what is done with the role."""
+"""The interface between a singleton role's lease and the code that carries out the role."""
 
 from __future__ import annotations
 
@@ -8,23 +8,22 @@
 
 
 class RoleHandler(Protocol):
-    """What the holder of a role does with it. It performs no I/O: each method returns effects for the
-    reducer.
+    """Carries out a role for its holder. It performs no I/O: each method returns effects for the reducer.
 
-    Before each act ask `SingletonRoles.holds`, and send `token` along, so that whoever carries out the act
-    can reject an older one. Times are microseconds of the monotonic clock.
+    Before each action, `SingletonRoles.holds` has to be checked, and the action has to carry `token`, so that
+    its target can reject older ones. Times are microseconds of the monotonic clock.
     """
 
     def lease_acquired(self, token: int, expires_at: int, now: int) -> list[FurtherEffect]:
-        """The role is this member's, until `expires_at` at the latest unless the lease is renewed."""
+        """This member holds the role, until `expires_at` unless the lease is renewed."""
         ...
 
     def lease_renewed(self, expires_at: int, now: int) -> list[FurtherEffect]:
-        """The role stays this member's until `expires_at`."""
+        """This member holds the role until `expires_at`, after a renewal."""
         ...
 
     def lease_ended(self, reason: str, now: int) -> list[FurtherEffect]:
-        """The role is this member's no longer."""
+        """This member no longer holds the role."""
         ...
 
     def tick(self, now: int) -> list[FurtherEffect]:
--- a/reedspoke/fleet/roles/periodic_call.py
+++ b/reedspoke/fleet/roles/periodic_call.py
@@ -1,7 +1,7 @@
 """A role handler that calls an operator's HTTP address periodically while its lease is held.
 
-One call is open at a time, and the next one is due one interval after the last one was due. Where calls take
-longer, or another member had the role meanwhile, missed calls are not made up for.
+At most one call is in flight, and the next one is due one interval after the last one was due. Calls that
+were missed, because a call took longer or another member held the role, are not made later.
 """
 
 from __future__ import annotations
@@ -14,32 +14,32 @@
 
 
 class PeriodicCall:
-    """A `RoleHandler`. `succeeded` and `failed` count calls by whether their status was a 2xx."""
+    """A `RoleHandler`. `succeeded` counts the calls with a 2xx status, `failed` all others."""
 
     def __init__(self, role: str, interval_us: int) -> None:
-        """`interval_us` is the time between the beginnings of two calls."""
+        """`interval_us` is the time between the starts of two calls."""
         self.role, self.interval_us = role, interval_us
         self.token, self.expires_at = NO_TOKEN, 0
         self.succeeded = self.failed = 0
         self._due_at, self._is_open = 0, False
 
     def lease_acquired(self, token: int, expires_at: int, now: int) -> list[FurtherEffect]:
-        """The first call is due at once."""
+        """Makes the first call at once."""
         self.token, self.expires_at, self._due_at = token, expires_at, now
         return self.tick(now)
 
     def lease_renewed(self, expires_at: int, now: int) -> list[FurtherEffect]:
-        """Later calls may end later."""
+        """Extends the time in which calls are made."""
         self.expires_at = expires_at
         return []
 
     def lease_ended(self, reason: str, now: int) -> list[FurtherEffect]:
-        """No further call is made; one that is open goes on, and its token fences it."""
+        """Stops further calls. A call in flight is not cancelled; its token fences it."""
         self.token = NO_TOKEN
         return []
 
     def tick(self, now: int) -> list[FurtherEffect]:
-        """The next call, where it is due and none is open."""
+        """Makes the next call if it is due and none is in flight."""
         if not self.token or self._is_open or now < self._due_at or now >= self.expires_at:
             return []
         self._is_open = True
@@ -47,7 +47,7 @@
         return [CallRoleTarget(self.role, self.token, self.expires_at)]
 
     def call_finished(self, status: int) -> None:
-        """The open call has ended; `status` is 0 where there was no answer."""
+        """Records the end of the call in flight; `status` is 0 without a response."""
         self._is_open = False
         if FIRST_SUCCESS_STATUS <= status < FIRST_REDIRECT_STATUS:
             self.succeeded += 1
--- a/reedspoke/fleet/roles/singleton_roles.py
+++ b/reedspoke/fleet/roles/singleton_roles.py
@@ -1,18 +1,16 @@
-"""The singleton roles of a fleet: a lease for each, who is known to hold it, and the fencing of older
-holders.
+"""The singleton roles of a fleet: the lease of each, its known holder, and the fencing of earlier holders.
 
-A member that acquires or renews a role's lease announces it to all members (`LeaseHeld`). Each member keeps
-the highest token that it has heard of for each role. One that hears a higher token for a role that it
-believes to hold itself ends its lease at once: with clocks that differ by more than the configured drift,
-the lease alone would not end in time.
+A member that acquires or renews a role's lease announces it to all members (`LeaseHeld`). Each member stores
+the highest token that it has received for each role. A holder that receives a higher token ends its lease at
+once: if clocks differ by more than the configured drift, its lease may not have expired yet.
 
-Members whose voters are configured differently could each find a majority, so each sends a digest of its
-configuration (`ConfigurationDigest`) with its pings. A member that receives another digest neither holds,
-wants nor grants a lease until CONFLICT_TTLS after the last such message. The time to live may differ for a
-single role: lease messages with another one are ignored.
+Members whose configurations have different voters could each find a majority, so each member sends a digest
+of its configuration (`ConfigurationDigest`) with its pings. A member that receives a different digest
+neither holds, requests nor grants a lease until CONFLICT_TTLS after the last such message. If the time to
+live of a single role differs, only the lease messages of that role are ignored.
 
-`SingletonRoles` is the sole owner of this state. It performs no I/O; times are microseconds of the monotonic
-clock, `now`, unless a name says otherwise.
+`SingletonRoles` is the sole owner of this state. It performs no I/O. Times, such as `now`, are microseconds
+of the monotonic clock, unless a name says otherwise.
 """
 
 from __future__ import annotations
@@ -43,17 +41,18 @@
 from reedspoke.fleet.roles.handler import RoleHandler
 from reedspoke.net.effects import FurtherEffect
 
-DEFAULT_VOTERS = 5  # the first members, where the configuration names no voters
+DEFAULT_VOTERS = 5  # number of first members that vote if the configuration names no voters
 US_PER_MS = 1000
-CONFLICT_TTLS = 3  # of the longest time to live, after the last message of a member configured differently
-TTL_MISMATCH = "other term"  # label of a metric: lease messages with another time to live
+CONFLICT_TTLS = 3  # in longest times to live, since the last message with a different configuration
+TTL_MISMATCH = "other term"  # metric label for lease messages with a different time to live
 
 
 @dataclass(slots=True, frozen=True)
 class SingletonRole:
     """A role that one member holds at a time.
 
-    `preferred_here`: this member is in the zone where the holder should be; `eligible`: it may hold the role.
+    `preferred_here` is set if this member is in the preferred zone of the role, `eligible` if this member may
+    hold the role.
     """
 
     name: str
@@ -64,21 +63,21 @@
 
 @dataclass(slots=True, frozen=True)
 class VoterConfiguration:
-    """What must be equal on all members: their number, who votes, and by how much clock rates may differ."""
+    """The settings that must be equal on all members: number of members, voters and clock drift."""
 
     members: int
     voters: tuple[int, ...]
     clock_drift: float
 
     def digest(self) -> ConfigurationDigest:
-        """What members compare."""
+        """Returns the digest that members compare."""
         compared = (self.members, self.voters, round(self.clock_drift, 6))
         return ConfigurationDigest(crc32(repr(compared).encode()))
 
 
 @dataclass(slots=True, frozen=True)
 class LeaseHolder:
-    """The holder of a role as far as it is known here; `expires_at` is the latest end, by our clock."""
+    """The known holder of a role; `expires_at` is the latest end of its lease by this member's clock."""
 
     member: int
     token: int
@@ -88,17 +87,17 @@
 class SingletonRoles:
     """The roles of one member.
 
-    `log_lines` collects lines for the log and `effects` those of the handlers, until they are taken.
-    `lease_ends` counts ends of our leases by role and reason, and lease messages with another time to live;
-    `last_end_reason` is by role. `conflicting_members` has the members that are configured differently, and
-    until when that counts.
+    `log_lines` collects lines for the log and `effects` the effects of the handlers, until they are taken.
+    `lease_ends` counts the ends of this member's leases by role and reason, and lease messages with a
+    different time to live. `last_end_reason` is keyed by role. `conflicting_members` maps each member with a
+    different configuration to the time until which the conflict lasts.
     """
 
     def __init__(
         self, member: int, configuration: VoterConfiguration, incarnation: int, now: int,
         wall_clock_us: int, random: Random,
     ) -> None:  # fmt: skip
-        """`wall_clock_us` is the wall clock at `now`."""
+        """`wall_clock_us` is the wall clock time at `now`."""
         self.member, self.configuration, self.random = member, configuration, random
         self.digest = configuration.digest()
         self._incarnation, self._started_at, self._wall_clock_us = incarnation, now, wall_clock_us
@@ -117,11 +116,11 @@
         self._outgoing: list[OutgoingMessage] = []
 
     def add(self, role: SingletonRole, handler: RoleHandler | None = None) -> None:
-        """Adds a role. Raises ValueError where another role has the same name, or a name of the same hash."""
+        """Adds a role. Raises ValueError if another role has the same name or name hash."""
         role_hash = name_hash(role.name)
         if role_hash in self._name_by_hash:
             raise ValueError(
-                f"duty {role.name!r}: too like {self._name_by_hash[role_hash]!r}, choose another name"
+                f"duty {role.name!r}: same hash as {self._name_by_hash[role_hash]!r}, choose another name"
             )
         self._name_by_hash[role_hash] = role.name
         configuration = self.configuration
@@ -136,7 +135,7 @@
             self._ineligible.add(role.name)
 
     def disable(self, name: str, now: int) -> list[OutgoingMessage]:
-        """This member can no longer do the role: it releases the lease, and wants it no more."""
+        """Releases the lease of a role that this member can no longer carry out, and ends its candidacy."""
         outgoing = self.set_candidacy(False, NO_MEMBER, now, [name])
         self._ineligible.add(name)
         return outgoing
@@ -146,7 +145,7 @@
     def set_candidacy(
         self, candidate: bool, successor: int, now: int, names: Iterable[str] | None = None
     ) -> list[OutgoingMessage]:
-        """Whether this member wants these roles (all without `names`).
+        """Sets whether this member is a candidate for these roles (default: all).
 
         `successor` is the member that may propose first for a role that is released, or NO_MEMBER.
         """
@@ -159,14 +158,14 @@
         return self._take_outgoing()
 
     def receive_digest(self, sender: int, digest: ConfigurationDigest, now: int) -> list[OutgoingMessage]:
-        """The digest of another member has come: where it differs from ours, all leases are released."""
+        """Handles the digest of another member: if it differs, all leases are released."""
         if digest == self.digest:
             self.conflicting_members.pop(sender, None)
             return []
         if sender not in self.conflicting_members:
             self.log_lines.append(
                 f"fleet: scheduler {sender} is configured with another number of members, other voters "
-                "(granters) or another clock drift: no lease is held or granted here meanwhile"
+                "(granters) or another clock drift: no lease is held or granted here until this ends"
             )
         if not self.conflicting_members:
             for name in self.leases:
@@ -176,7 +175,7 @@
         return self._take_outgoing()
 
     def tick(self, now: int) -> list[OutgoingMessage]:
-        """Time has passed; due several times within the shortest time to live."""
+        """Runs the timers; to be called several times within the shortest time to live."""
         self._expire_conflicts(now)
         for name in self.leases:
             self._handle(name, TimePassed(), now)
@@ -189,18 +188,22 @@
         for member in expired:
             del self.conflicting_members[member]
         if expired and not self.conflicting_members:
-            self.log_lines.append("fleet: all members heard from have the same voter configuration again")
+            self.log_lines.append(
+                "fleet: no conflicting voter configuration remains: leases are requested again"
+            )
             for name, candidate in self._candidacies.items():
                 self._handle(name, CandidacyChanged(candidate), now)
 
     def call_rejected(self, name: str, token: int, now: int) -> list[OutgoingMessage]:
-        """The target of a role's calls knows a later token than ours."""
+        """Handles a call that was rejected because its target knows a higher token."""
         self._supersede(name, token, now)
         return self._take_outgoing()
 
     def _supersede(self, name: str, token: int, now: int) -> None:
-        """A later token than ours is known: the role is not ours, whatever our lease says. Our next proposal
-        has a number above that token."""
+        """Ends the lease of this member because a higher token is known, even if it has not expired yet.
+
+        The next proposal of this member has a number above that token.
+        """
         lease = self.leases.get(name)
         if lease is None:
             return
@@ -210,7 +213,7 @@
             self._lease_ended(name, LeaseEndReason.SUPERSEDED, now)
 
     def receive(self, sender: int, message: LeaseMessage | LeaseHeld, now: int) -> list[OutgoingMessage]:
-        """A message about a role's lease has come from another member."""
+        """Handles a message of another member about a role's lease."""
         name = self._name_by_hash.get(message.role_hash)
         if name is None:
             return []
@@ -232,20 +235,20 @@
             return
         lease = self.leases[name]
         if lease.token and message.token > lease.token:
-            # Clocks may differ by more than the configured drift, so that our lease has not expired yet.
+            # If clocks differ by more than the configured drift, the lease here may not have expired yet.
             self._supersede(name, message.token, now)
         expires_at = now + min(message.remaining_ms * US_PER_MS, lease.ttl_us)
         lease.defer_proposals(expires_at)
         self._record_holder(name, LeaseHolder(sender, message.token, expires_at))
 
-    # ---- what is known ----
+    # ---- queries ----
 
     def holds(self, name: str, now: int) -> bool:
-        """Whether this member holds the role."""
+        """Returns whether this member holds the role."""
         return self.leases[name].holds(now)
 
     def holder(self, name: str, now: int) -> LeaseHolder | None:
-        """The holder by our own lease, or by its announcement; None where none is known."""
+        """Returns the holder by this member's lease or by an announcement, or None if none is known."""
         lease = self.leases[name]
         if lease.holds(now):
             return LeaseHolder(self.member, lease.token, lease.expires_at)
--- a/reedspoke/fleet/service.py
+++ b/reedspoke/fleet/service.py
@@ -1,4 +1,4 @@
-"""Builds the fleet's part of a scheduler: the node with its protocols, its component, socket and calls."""
+"""Builds the fleet subsystem of a scheduler: the node, its component, the socket and the operator calls."""
 
 from __future__ import annotations
 
@@ -27,12 +27,12 @@
 from reedspoke.net.subsystem import NAME, Call, Subsystem
 
 SECOND_US = 1_000_000
-US_PER_INCARNATION = 1000  # a process has the millisecond of its start as its incarnation
+US_PER_INCARNATION = 1000  # the incarnation of a process is its start time in milliseconds
 
 
 @dataclass(slots=True, frozen=True)
 class PeriodicCallOptions:
-    """What the holder of a role calls, and the time between the beginnings of two calls."""
+    """The HTTP target that the holder of a role calls, and the time between the starts of two calls."""
 
     target: CallTarget
     interval_us: int
@@ -40,10 +40,10 @@
 
 @dataclass(slots=True, frozen=True)
 class FleetOptions:
-    """What an operator asks of the fleet beyond load reports.
+    """The options of all protocols other than load sharing, from the operator file.
 
-    `period_us` is that of the failure detector; `calls` are by role; `delegated_roles` are done by a part
-    with I/O of its own; frames are authenticated where `key_file` is not empty.
+    `period_us` is the period of the failure detector, `calls` is keyed by role. `delegated_roles` are carried
+    out by a subsystem with I/O of its own. Frames are authenticated if `key_file` is not empty.
     """
 
     voter_configuration: VoterConfiguration
@@ -54,7 +54,7 @@
     key_file: str = ""
 
     def handler(self, role: str) -> RoleHandler | None:
-        """What is done with a role, or None where nothing general is."""
+        """Returns the handler of a role, or None if the role has no general handler."""
         if role in self.calls:
             return PeriodicCall(role, self.calls[role].interval_us)
         return DelegatedRole(role) if role in self.delegated_roles else None
@@ -68,10 +68,10 @@
     scheduler: str = "",
     zone: str = "",
 ) -> tuple[FleetNode, Subsystem]:
-    """The fleet's part of a scheduler, and its node for the extensions that stand on it.
+    """Returns the node, to which extensions can be added, and the subsystem that runs it.
 
     `node_id` is this scheduler's position among the peers, `scheduler` its name. Load reports are exchanged
-    where the settings allow it, everything else where there are `options`. Raises FrameKeysError.
+    if the settings allow it, all other messages if `options` is given. Raises FrameKeysError.
     """
     settings, now = runtime.reducer.settings, runtime.clock.now()
     members = max(len(peers.each), settings.scheduler_count if settings.limits.peer_messages else 0)
@@ -97,7 +97,7 @@
 
 
 def _add_protocols(node: FleetNode, options: FleetOptions, members: int, zone: str, now: int) -> None:
-    """Adds what an operator asks for to the node."""
+    """Adds the protocols that the options configure to the node."""
     member, incarnation = node.channel.node_id, now // US_PER_INCARNATION
     random = Random(now ^ member)
     node.failure_detector = FailureDetector(
--- a/reedspoke/fleet/settings.py
+++ b/reedspoke/fleet/settings.py
@@ -1,7 +1,7 @@
 """The object `fleet` of the operator file.
 
 Keys, class names and docstrings are part of the published schema (`reedspoke config schema`) and keep its
-words: a `duty` is a singleton role, its `term` the time to live of the lease, a `granter` a voter.
+terms: a `duty` is a singleton role, its `term` is the time to live of the lease, and a `granter` is a voter.
 """
 
 from __future__ import annotations
--- a/reedspoke/fleet/simulator_transport.py
+++ b/reedspoke/fleet/simulator_transport.py
@@ -1,6 +1,6 @@
-"""Load reports between schedulers on the simulator, which carries text messages in place of datagrams.
+"""Load reports between schedulers on the simulator, which carries text messages instead of datagrams.
 
-The simulator does not say which process of a scheduler sent a message; the frame itself does.
+The simulator does not identify the process that sent a message; the incarnation in the frame does.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class SimulatorTransport:
-    """One scheduler's load sharing and channel; times are microseconds of simulated time."""
+    """One scheduler's load sharing and channel. Times are microseconds of virtual time."""
 
     def __init__(self, node_id: int, schedulers: int, incarnation: int) -> None:
         """`incarnation` differs for each process of a scheduler."""
@@ -26,11 +26,11 @@
         self._attempts = 0
 
     def count_attempts(self, actions: Iterable[Action]) -> None:
-        """Counts the attempts among the actions: they earn the bytes of load reports."""
+        """Counts the attempts among the actions; each earns credit for load reports."""
         self._attempts += sum(isinstance(action, Send) for action in actions)
 
     def receive(self, now: int, text: str) -> bool:
-        """Takes in a message; whether the loads of the others have changed by it."""
+        """Handles a message. Returns whether the loads of the others were updated."""
         try:
             frame = self.channel.receive(frame_from_text(text))
             if frame is None:
@@ -45,6 +45,6 @@
             return False
 
     def messages(self, now: int, module: Dispatcher) -> list[str]:
-        """The messages to send to every peer now."""
+        """Returns the messages to send to every peer."""
         reports = self.load_sharing.due_reports(now, reserved_by(module), self._attempts)
         return [frame_to_text(body) for body in self.channel.encode(reports)]
--- a/reedspoke/fleet/status.py
+++ b/reedspoke/fleet/status.py
@@ -1,6 +1,6 @@
-"""The fleet as one scheduler sees it, as the JSON of `GET /v1/fleet`, which `reedspoke fleet status` prints.
+"""The fleet as seen by one scheduler: the JSON of `GET /v1/fleet`, printed by `reedspoke fleet status`.
 
-The keys keep the words of the operator file, `duty` for a singleton role say; this module maps them.
+The keys use the terms of the operator file, such as `duty` for a singleton role.
 """
 
 from __future__ import annotations
@@ -17,8 +17,11 @@
 
 
 def status_json(node: FleetNode, now: int) -> str:
-    """The status as one line: this member, the members by state, and the holder of each role, its fencing
-    token and how long its lease lasts at most."""
+    """Returns the status as one line of JSON.
+
+    It lists the members with their states, and each role with its holder, fencing token and the longest time
+    until the lease expires.
+    """
     detector, roles, entries = node.failure_detector, node.roles, node.entries
     status = {
         "me": node.channel.node_id,
@@ -55,7 +58,7 @@
 
 
 def _view(entries: MemberEntries, now: int) -> dict[str, Any]:
-    """The entries as they are believed here, and whether the fleet has converged on them."""
+    """Returns this member's copy of the entries, and whether the fleet has converged."""
     convergence = entries.convergence()
     return {
         "settled": convergence.converged,
--- a/reedspoke/fleet/transport/__init__.py
+++ b/reedspoke/fleet/transport/__init__.py
@@ -1,5 +1,5 @@
-"""How frames get from one scheduler to another: authentication, replay of old incarnations, the UDP socket.
+"""The transport of frames: authentication, rejection of frames of past incarnations, and the UDP socket.
 
-Owns: the sequence number of sent frames, the incarnation last heard of each peer, the shared keys and the
-socket. Imports `fleet.messages` and `fleet.events`; `udp_socket` alone also imports `reedspoke.net`.
+Owns: the sequence number of sent frames, the last known incarnation of each peer, the shared keys and the
+socket. Imports `fleet.messages` and `fleet.events`; only `udp_socket` also imports `reedspoke.net`.
 """
--- a/reedspoke/fleet/transport/authentication.py
+++ b/reedspoke/fleet/transport/authentication.py
@@ -1,12 +1,12 @@
-"""Authentication of frames with shared keys, where an operator configures them.
+"""Authentication of frames with shared keys, if an operator configures them.
 
-Whoever has none of the keys cannot speak for a member, whatever address it sends from. The key file has one
-key a line, hexadecimal, 16 to 64 bytes; blank lines and lines that begin with `#` are skipped. The first
-key signs, and each of them is accepted. To rotate keys without downtime: append the new key on every
-member, then move it to the first line on every member, then remove the old one.
+A sender without a key cannot impersonate a member, even with a forged source address. The key file has one
+key per line, hexadecimal, 16 to 64 bytes; blank lines and lines that start with `#` are skipped. The first
+key signs, and all keys are accepted for verification. To rotate keys without downtime, append the new key on
+every member, then move it to the first line on every member, then remove the old one.
 
-The code is keyed BLAKE2b (RFC 7693), truncated to 8 bytes: a frame is of use for seconds only, and each wrong
-guess costs an attacker a datagram. Only `load_keys` performs I/O.
+The authentication code is keyed BLAKE2b (RFC 7693), truncated to 8 bytes: a frame is valid for seconds only,
+and each wrong guess costs an attacker a datagram. Only `load_keys` performs I/O.
 """
 
 from __future__ import annotations
@@ -28,14 +28,14 @@
 
 
 class FrameKeysError(ReedspokeError, ValueError):
-    """The key file is unusable; the text says why."""
+    """The key file is unusable; the text names the reason."""
 
     code = "fleet-keys-unusable"
-    remedy = "mend the file of fleet.key_file; the old keys stay in force"
+    remedy = "correct the file that fleet.key_file names; the old keys stay in use"
 
 
 class FrameKeys:
-    """The keys of a key file, by which frames are authenticated."""
+    """The keys of a key file, which authenticate frames."""
 
     def __init__(self, text: str) -> None:
         """Parses the text of a key file. Raises FrameKeysError."""
@@ -44,7 +44,7 @@
             if line and not line.startswith("#"):
                 self._add(line, number)
         if not 1 <= len(self._keys) <= MAX_KEYS:
-            raise FrameKeysError(f"it has {len(self._keys)} keys, not 1 to {MAX_KEYS}")
+            raise FrameKeysError(f"the file has {len(self._keys)} keys, not 1 to {MAX_KEYS}")
 
     def _add(self, line: str, number: int) -> None:
         try:
@@ -55,21 +55,21 @@
             allowed = f"{MIN_KEY_BYTES} to {MAX_KEY_BYTES}"
             raise FrameKeysError(f"line {number} has {len(key)} bytes, not {allowed}")
         if key in self._keys:
-            raise FrameKeysError(f"line {number} is there twice")
+            raise FrameKeysError(f"line {number} is a duplicate of an earlier key")
         self._keys.append(key)
 
     def __repr__(self) -> str:
-        """The number of keys only: keys must not get into a log or a traceback."""
+        """Shows only the number of keys, so that no key gets into a log or a traceback."""
         return f"<FrameKeys {len(self._keys)}>"
 
     def sign(self, body: bytes) -> bytes:
-        """The body behind its authentication code."""
+        """Returns the body, preceded by its authentication code."""
         return _authentication_code(self._keys[0], body) + body
 
     def verify(self, data: bytes) -> bytes | None:
-        """The body of a signed frame, or None where no key fits."""
+        """Returns the body of a signed frame, or None if no key matches."""
         code, body = data[:CODE_BYTES], data[CODE_BYTES:]
-        # Every key is tried, also behind one that fits, so that the time taken does not tell which one fits.
+        # All keys are tried even after a match, so that the time taken does not reveal which key matches.
         matches = [hmac.compare_digest(_authentication_code(key, body), code) for key in self._keys]
         return body if any(matches) else None
 
@@ -79,32 +79,32 @@
 
 
 def load_keys(path: str | Path) -> FrameKeys:
-    """Reads a key file. Raises FrameKeysError, also for a file that other users can read."""
+    """Reads a key file. Raises FrameKeysError, also if other users can read the file."""
     raw = _read_private_file(path)
     if len(raw) > MAX_FILE_BYTES:
-        raise FrameKeysError(f"{path}: it is too large")
+        raise FrameKeysError(f"{path}: the file is larger than {MAX_FILE_BYTES} bytes")
     try:
         return FrameKeys(raw.decode("ascii"))
     except UnicodeDecodeError as error:
-        raise FrameKeysError(f"{path}: it is no text of ASCII") from error
+        raise FrameKeysError(f"{path}: the file is not ASCII text") from error
     except FrameKeysError as error:
         raise FrameKeysError(f"{path}: {error}") from error
 
 
 def _read_private_file(path: str | Path) -> bytes:
-    """At most one byte more than MAX_FILE_BYTES of a regular file of mode 0600."""
+    """Reads at most MAX_FILE_BYTES and one byte of a regular file that only its owner can access."""
     try:
         descriptor = os.open(path, os.O_RDONLY | os.O_NONBLOCK)
     except OSError as error:
-        raise FrameKeysError(f"{path}: cannot be read: {error.strerror}") from error
+        raise FrameKeysError(f"{path}: the file cannot be read: {error.strerror}") from error
     try:
-        # The open file is examined, not its path: another one could be put there in between.
+        # The descriptor is checked instead of the path, whose file could be replaced before the read.
         status = os.fstat(descriptor)
         if not stat.S_ISREG(status.st_mode):
-            raise FrameKeysError(f"{path}: it is no plain file")
+            raise FrameKeysError(f"{path}: not a regular file")
         if status.st_mode & PERMISSIONS_OF_OTHERS:
             mode = status.st_mode & 0o777
-            raise FrameKeysError(f"{path}: others can read it: its mode is {mode:04o}, not 0600")
+            raise FrameKeysError(f"{path}: other users can read the file: its mode is {mode:04o}, not 0600")
         return os.read(descriptor, MAX_FILE_BYTES + 1)
     finally:
         os.close(descriptor)
--- a/reedspoke/fleet/transport/channel.py
+++ b/reedspoke/fleet/transport/channel.py
@@ -1,8 +1,8 @@
-"""One scheduler's end of the exchange of frames: what it sends, and which received frames it accepts.
+"""One scheduler's channel for frames: it encodes sent frames and decides which received frames are accepted.
 
-The channel owns the sequence number of sent frames and the incarnation that was last heard of each peer. An
-incarnation that a peer has left is remembered, because its last frames may arrive behind the first ones of
-its successor and must not undo them. This module performs no I/O.
+The channel owns the sequence number of sent frames and the last known incarnation of each peer. It also
+stores the past incarnations of a peer, because their last frames may arrive after the first ones of the next
+incarnation and must not overwrite newer state. This module performs no I/O.
 """
 
 from __future__ import annotations
@@ -14,19 +14,19 @@
 from reedspoke.fleet.messages.frame import FIELD_MASK, Frame, Message, decode_frame, encode_frames
 from reedspoke.fleet.transport.authentication import FrameKeys
 
-MAX_PAST_INCARNATIONS = 8  # remembered for each peer
+MAX_PAST_INCARNATIONS = 8  # stored for each peer
 UNKNOWN_SENDER = -1
 
 
 class FrameChannel:
     """Encodes messages as frames and decodes the frames of peers.
 
-    `counters` has the number of received frames by their fate: `heard`, `unsealed` (not authenticated),
-    `malformed`, `strangers` (the sender is not who it claims to be) and `stale` (of a past incarnation).
+    `counters` has the number of received frames by result: `accepted`, `unauthenticated`, `malformed`,
+    `unknown_sender` (not a peer, or not the one with the source address) and `stale` (a past incarnation).
     """
 
     def __init__(self, node_id: int, members: int, incarnation: int, keys: FrameKeys | None = None) -> None:
-        """With `keys`, frames are signed and only signed ones are accepted."""
+        """If `keys` is given, frames are signed and only signed frames are accepted."""
         self.keys = keys
         self.node_id, self.members, self.incarnation = node_id, members, incarnation & FIELD_MASK
         self.counters: Counter[str] = Counter()
@@ -35,13 +35,13 @@
         self._sequence = 0
 
     def encode(self, messages: Iterable[Message]) -> list[bytes]:
-        """The datagrams that carry the messages."""
+        """Returns the datagrams that carry the messages."""
         bodies = encode_frames(self.node_id, self.incarnation, self._sequence + 1, messages)
         self._sequence = self._sequence + len(bodies) & FIELD_MASK
         return [self.keys.sign(body) for body in bodies] if self.keys is not None else bodies
 
     def receive(self, datagram: bytes, sender: int = UNKNOWN_SENDER) -> Frame | None:
-        """The frame of a datagram, or None where it is ignored. `sender`: the member by its address."""
+        """Returns the frame of a datagram from the member `sender`, or None if the frame is not accepted."""
         body = self.keys.verify(datagram) if self.keys is not None else datagram
         if body is None:
             self.counters["unauthenticated"] += 1
@@ -65,7 +65,7 @@
         return is_peer and sender in (UNKNOWN_SENDER, frame.sender)
 
     def _update_incarnation(self, frame: Frame) -> bool:
-        """Remembers the sender's incarnation; False where it is one that the sender has left."""
+        """Stores the sender's incarnation. Returns False for a past incarnation of the sender."""
         past = self._past_incarnations.setdefault(frame.sender, [])
         if frame.incarnation in past:
             return False
--- a/reedspoke/fleet/transport/udp_socket.py
+++ b/reedspoke/fleet/transport/udp_socket.py
@@ -1,8 +1,8 @@
-"""The UDP socket of a fleet's scheduler.
+"""The UDP socket for messages between the schedulers of a fleet.
 
-Datagrams may be lost, late, duplicated or forged: one that does not come from the address of a peer is
-counted and dropped, and no datagram ends anything. Where the socket cannot be opened, the log says so, and
-the scheduler serves without it, as it does when no peer ever sends anything.
+Datagrams may be lost, late, duplicated or forged. A datagram that does not come from the address of a peer
+is counted and dropped, and no datagram makes the process fail. If the socket cannot be opened, this is
+logged and the scheduler serves without it, as if no peer ever sent a message.
 """
 
 from __future__ import annotations
@@ -21,14 +21,14 @@
 from reedspoke.net.config import Peers
 from reedspoke.net.runtime import Runtime
 
-MAX_READS_PER_WAKEUP = 64  # so that a flood of datagrams leaves time for everything else
+MAX_READS_PER_WAKEUP = 64  # a flood of datagrams must not block other work of the event loop
 
 log = logging.getLogger("reedspoke")
 
 
 @dataclass(slots=True)
 class SocketCounters:
-    """What the socket has counted. `unknown_senders`: datagrams from an address that is no peer's."""
+    """The counters of the socket; `unknown_senders` are datagrams from an address that is not a peer's."""
 
     unknown_senders: int = 0
     datagrams: int = 0
@@ -37,7 +37,7 @@
 
 
 class PeerSocket:
-    """One non-blocking socket for all peers; a datagram that cannot be sent at once is lost."""
+    """One non-blocking socket for all peers; a datagram that cannot be sent at once is dropped."""
 
     def __init__(
         self, runtime: Runtime, peers: Peers, node_id: int, channel: FrameChannel, key_file: str = ""
@@ -51,15 +51,15 @@
         self._socket: socket.socket | None = None
 
     def effects(self) -> dict[type, Callable[[Any], None]]:
-        """The effects that the socket carries out."""
+        """Returns the handlers of the effects that the socket carries out."""
         return {SendDatagrams: self._send}
 
     def open(self) -> None:
-        """Opens the socket and reports it by `SocketOpened`; a failure is logged."""
+        """Opens the socket and emits `SocketOpened`; a failure is logged."""
         try:
             self._socket = opened = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
             opened.setblocking(False)
-            # A process that replaces this one opens the same address beside it.
+            # During an upgrade, the new process binds the same address while this one is still running.
             opened.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
             opened.bind(self.peers.listen)
         except OSError as error:
@@ -74,17 +74,17 @@
         self.runtime.emit(SocketOpened())
 
     def reload(self) -> None:
-        """Reads the key file again; the peers stay those of the start."""
+        """Reads the key file again; the peers are read only at the start."""
         if not self.key_file:
             return
         try:
             self.channel.keys = load_keys(self.key_file)
-            log.info("reload: fleet: %r", self.channel.keys)
+            log.info("reload: fleet.key_file: new keys are in use: %r", self.channel.keys)
         except FrameKeysError as error:
-            log.error("reload: fleet.key_file: the old keys stay in force: %s", error)
+            log.error("reload: fleet.key_file: the old keys stay in use: %s", error)
 
     def close(self) -> None:
-        """Closes the socket; it may be closed already."""
+        """Closes the socket, if it is open."""
         if self._socket is not None:
             asyncio.get_running_loop().remove_reader(self._socket.fileno())
             self._socket.close()
@@ -95,9 +95,9 @@
             if self._socket is None:
                 return
             try:
-                # One byte more than allowed, so that a longer datagram is seen to be too long.
+                # One byte more than the limit is read, to detect a datagram that is too long.
                 datagram, address = self._socket.recvfrom(MAX_DATAGRAM_BYTES + 1)
-            except OSError:  # nothing more to read, or an ICMP error for a datagram sent earlier
+            except OSError:  # no more datagrams, or an ICMP error for a datagram sent earlier
                 return
             member = self._member_by_address.get(address)
             if member is None:
@@ -115,5 +115,5 @@
                 try:
                     self.counters.bytes += self._socket.sendto(body, address)
                     self.counters.datagrams += 1
-                except OSError:  # the buffer is full, or nobody listens: every protocol repeats itself
+                except OSError:  # the buffer is full or the port is closed; the protocols tolerate the loss
                     self.counters.failed += 1
--- a/tests/fleet/replicated_log/test_log_store.py
+++ b/tests/fleet/replicated_log/test_log_store.py
@@ -136,5 +136,5 @@
 def test_a_folder_that_others_may_write_is_refused(tmp_path: Path) -> None:
     (tmp_path / "open").mkdir(mode=0o777)
     (tmp_path / "open").chmod(0o777)
-    with pytest.raises(LogStoreError, match="others may write"):
+    with pytest.raises(LogStoreError, match="other users can write"):
         LogStore(str(tmp_path / "open"), "it")
--- a/tests/fleet/transport/test_authentication.py
+++ b/tests/fleet/transport/test_authentication.py
@@ -54,7 +54,7 @@
     with pytest.raises(FrameKeysError, match=why):
         load_keys(file)
     file.chmod(0o644)
-    with pytest.raises(FrameKeysError, match="others can read it"):
+    with pytest.raises(FrameKeysError, match="other users can read the file"):
         load_keys(file)
-    with pytest.raises(FrameKeysError, match="no plain file"):
+    with pytest.raises(FrameKeysError, match="not a regular file"):
         load_keys(tmp_path)
