--- a/reedspoke/fleet/anti_entropy.py
+++ b/reedspoke/fleet/anti_entropy.py
@@ -179,9 +179,9 @@
 
     def set_alive(self, alive: Iterable[int], now: int) -> None:
         """Sets the members that the failure detector reports as alive. A dead member's entry is retained."""
-        believed = set(alive) | {self.member}
-        for member in believed ^ self.alive:
-            if member in believed:
+        alive_members = set(alive) | {self.member}
+        for member in alive_members ^ self.alive:
+            if member in alive_members:
                 self.alive.add(member)
             else:
                 self.alive.discard(member)
--- a/reedspoke/fleet/component.py
+++ b/reedspoke/fleet/component.py
@@ -149,7 +149,7 @@
         successor = self._parse_member(successor_text)
         if successor_text and successor is None:
             return fx.Reply(
-                event.caller, fx.Word.ABSENT, text=f"no other scheduler is numbered {successor_text}\n"
+                event.caller, fx.Word.ABSENT, text=f"no other scheduler has the number {successor_text}\n"
             )
         if not roles.holds(name, now):
             holder = roles.holder(name, now)
--- a/tests/fleet/lease/test_participant.py
+++ b/tests/fleet/lease/test_participant.py
@@ -1,4 +1,4 @@
-"""Lease participants under faults, as `reedspoke.lab.leaseplay` simulates them; mutations must be caught."""
+"""Lease participants under faults, simulated by `reedspoke.lab.leaseplay`, and mutations to be caught."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 
 
 @pytest.mark.parametrize("size", [1, 2, 3, 10, 50])
-def test_a_fleet_of_any_size_has_one_holder_soon_and_keeps_it(size: int) -> None:
+def test_a_fleet_of_any_size_soon_has_one_holder_that_keeps_the_lease(size: int) -> None:
     fleet = Fleet(size, 2)
     fleet.calm(4 * TERM)
     assert len(fleet.holders()) == 1
     fleet.calm(8 * TERM)
-    assert (len(fleet.tokens), fleet.ended) == (1, []), "it keeps it"
+    assert (len(fleet.tokens), fleet.ended) == (1, []), "the first holder keeps the lease"
 
 
-def test_a_holder_that_dies_has_a_successor_within_two_times_to_live() -> None:
+def test_a_failed_holder_has_a_successor_within_two_times_to_live() -> None:
     fleet = Fleet(5, 3)
     fleet.calm(3 * TERM)
     (first,) = fleet.holders()
@@ -34,8 +34,8 @@
     assert fleet.gaps[-1] <= 2 * TERM
 
 
-def test_a_holder_that_was_stopped_for_longer_than_its_lease_does_not_act() -> None:
-    """SIGSTOP in the middle of an act: its next act is stopped by its clock and by the fencing guard."""
+def test_a_holder_stopped_for_longer_than_its_lease_cannot_act() -> None:
+    """After a SIGSTOP during an action, the next action is rejected by its clock and by the fencing guard."""
     fleet, guard = Fleet(3, 4), FencingGuard()
     fleet.calm(3 * TERM)
     (first,) = fleet.holders()
@@ -66,7 +66,7 @@
     assert second != first
 
 
-def test_two_partitions_of_equal_size_have_no_holder_until_they_meet() -> None:
+def test_two_partitions_of_equal_size_have_no_holder_until_they_are_reconnected() -> None:
     fleet = Fleet(4, 6)
     fleet.calm(3 * TERM)
     fleet.cuts = {(a, b) for a in range(4) for b in range(4) if (a < 2) != (b < 2)}
@@ -90,7 +90,7 @@
 
 
 @pytest.mark.parametrize("jump", [-3_600_000_000, 3_600_000_000])
-def test_a_wall_clock_that_jumps_an_hour_lowers_no_token(jump: int) -> None:
+def test_a_wall_clock_that_jumps_by_an_hour_lowers_no_token(jump: int) -> None:
     fleet = Fleet(3, 11, rates=EVEN)
     fleet.calm(3 * TERM)
     (first,) = fleet.holders()
@@ -100,7 +100,7 @@
         fleet.calm(2 * TERM)
     fleet.stopped.add(first)
     fleet.calm(4 * TERM)
-    assert len(fleet.tokens) == 2, "a lower one would have ended the play"
+    assert len(fleet.tokens) == 2, "a lower token would have failed in the simulation"
 
 
 @pytest.mark.parametrize(
@@ -111,9 +111,9 @@
         MessageReceived(0, PrepareResponse(1, 0)),
         MessageReceived(1, LeaseReleased(5)),
     ],
-    ids=["stranger", "nobody", "itself", "in another's name"],
+    ids=["unknown member", "negative member", "itself", "not the proposer"],
 )
-def test_an_impossible_message_changes_nothing(event: LeaseEvent) -> None:
+def test_an_invalid_message_changes_nothing(event: LeaseEvent) -> None:
     fleet = Fleet(3, 10)
     fleet.calm(3 * TERM)
     before = fleet.holders()
@@ -123,8 +123,8 @@
 
 @pytest.mark.parametrize("rates", [RATES, EVEN], ids=["drift", "even"])
 @pytest.mark.parametrize("size", [2, 3, 4, 5])
-def test_never_two_holders_whatever_happens(size: int, rates: tuple[float, ...]) -> None:
-    """Random orders of everything at once; a fleet with faults must have holders, or it shows nothing."""
+def test_there_are_never_two_holders_under_random_faults(size: int, rates: tuple[float, ...]) -> None:
+    """Random orders of all events and faults; without holders the test would prove nothing."""
     begun = 0
     for seed in range(150):
         fleet = Fleet(size, seed, rates=rates)
@@ -148,8 +148,8 @@
 
 
 @pytest.mark.parametrize("left", [2, 3])
-def test_a_fleet_that_grows_and_shrinks_has_the_voters_of_its_configuration(left: int) -> None:
-    """Three of fifty have started, then all, then few are left: a minority never holds."""
+def test_the_voters_do_not_depend_on_the_number_of_live_members(left: int) -> None:
+    """Three of fifty members run, then all, then two or three: a minority of the voters never holds."""
     fleet = Fleet(50, 13, granters=(0, 1, 2, 3, 4))
     fleet.stopped = set(range(3, 50))
     fleet.calm(4 * TERM)
@@ -162,7 +162,7 @@
     assert len(fleet.holders()) == (1 if left == 3 else 0)
 
 
-def test_the_named_successor_comes_first() -> None:
+def test_the_named_successor_acquires_the_lease_first() -> None:
     fleet = Fleet(5, 14)
     fleet.calm(3 * TERM)
     (first,) = fleet.holders()
@@ -173,8 +173,8 @@
     assert fleet.holders() == [successor]
 
 
-def test_the_lease_is_held_soon_after_a_partition_of_all() -> None:
-    """Proposals that nobody answered were spaced up to two times to live apart."""
+def test_the_lease_is_acquired_soon_after_a_partition_of_all_members() -> None:
+    """Guards against a backoff of up to two times to live after proposals that were not answered."""
     fleet = Fleet(5, 15, lot=Random(3))
     fleet.calm(3 * TERM)
     fleet.cuts = {(a, b) for a in range(5) for b in range(5) if a != b}
--- a/tests/fleet/messages/test_frame.py
+++ b/tests/fleet/messages/test_frame.py
@@ -1,4 +1,4 @@
-"""Frames: what is written is read again, within the limits of a datagram."""
+"""Frames: encoded messages are decoded unchanged, within the size limit of a datagram."""
 
 from __future__ import annotations
 
@@ -36,14 +36,14 @@
 ]
 
 
-def test_a_frame_is_read_as_it_was_written_also_as_text() -> None:
+def test_a_frame_is_decoded_unchanged_from_bytes_and_from_text() -> None:
     (body,) = encode_frames(199, 4095, 4095, MESSAGES)
     assert decode_frame(frame_from_text(frame_to_text(body))).messages == MESSAGES
     assert decode_frame(body) == Frame(sender=199, incarnation=4095, sequence=4095, messages=MESSAGES)
 
 
-def test_no_frame_is_larger_than_a_datagram_may_be() -> None:
-    """The platform voids a run in which a longer datagram is sent."""
+def test_no_frame_exceeds_the_size_of_a_datagram() -> None:
+    """The platform invalidates a run in which a longer datagram is sent."""
     loads = [WorkerLoad(worker, 255, 1e12) for worker in range(MAX_LOADS_PER_REPORT * 3)]
     bodies = encode_frames(1, 2, 4095, [*MESSAGES * 9, *encode_loads(loads)])
     assert all(len(body) <= MAX_FRAME_BYTES for body in bodies)
--- a/tests/fleet/replicated_log/simulated_voters.py
+++ b/tests/fleet/replicated_log/simulated_voters.py
@@ -1,6 +1,8 @@
-"""Random runs of a replicated log: voters that crash and lose their state, messages that are lost, late and
-doubled, several leaders at once. What was acknowledged must never be gone, and no two voters may commit
-different entries."""
+"""Random runs of a replicated log, which check that it is safe.
+
+Voters crash and lose their state, messages are lost, delayed and duplicated, and there are several leaders at
+the same time. No acknowledged entry may be lost, and no two voters may commit different entries.
+"""
 
 from __future__ import annotations
 
@@ -20,14 +22,14 @@
 
 
 class LostEntryError(ReedspokeError, AssertionError):
-    """Something that was acknowledged is gone, or two voters commit different entries."""
+    """An acknowledged entry was lost, or two voters have committed different entries."""
 
     code = "lab-entry-lost"
     remedy = "a defect in fleet/replicated_log: keep the seed that the message names"
 
 
 class CommandList:
-    """A state machine that keeps all commands."""
+    """A state machine that stores all commands."""
 
     def __init__(self) -> None:
         self.commands: dict[int, bytes] = {}
@@ -50,7 +52,7 @@
 
 @dataclass(slots=True)
 class FaultRates:
-    """Chances of each at a step."""
+    """The probability of each event per step."""
 
     loss: float = 0.1
     duplicate: float = 0.05
@@ -65,6 +67,8 @@
 
 @dataclass(slots=True, frozen=True)
 class MessageInFlight:
+    """A message that has not arrived yet."""
+
     arrives_at: int
     sender: int
     recipient: int
@@ -73,6 +77,8 @@
 
 @dataclass(slots=True, frozen=True)
 class PendingCommand:
+    """A proposed command that has not been committed yet, by voter and index."""
+
     voter: int
     index: int
     entry: LogEntry
@@ -80,8 +86,10 @@
 
 @dataclass
 class SimulatedVoters:
-    """`size` voters; `log_type` may be a mutation of `ReplicatedLog`. `max_recovering`: how many at once,
-    -1: fewer than half."""
+    """Simulates `size` voters on one random schedule; `log_type` may be a mutation of `ReplicatedLog`.
+
+    `max_recovering` is the maximum number of voters that recover at the same time; -1 stands for a minority.
+    """
 
     size: int
     seed: int
@@ -97,10 +105,10 @@
         self.logs: dict[int, ReplicatedLog] = {}
         self.in_flight: list[MessageInFlight] = []
         self.partitioned: set[int] = set()
-        self.committed: dict[int, LogEntry] = {}  # by index, as first committed by anybody
+        self.committed: dict[int, LogEntry] = {}  # by index, as first committed by any voter
         self.acknowledged: dict[bytes, int] = {}
         self.pending: list[PendingCommand] = []
-        self.checked: dict[int, int] = {}  # by voter, the commit index that was compared
+        self.checked: dict[int, int] = {}  # by voter, the commit index up to which entries were compared
         self.command_count = 0
         minority = (self.size - 1) // 2
         self.max_recovering = minority if self.max_recovering < 0 else self.max_recovering
@@ -158,13 +166,13 @@
         self.check_commits(voter)
 
     def propose_somewhere(self) -> None:
-        able = [
+        serving_voters = [
             voter
             for voter, one in self.logs.items()
             if one.serving and one.state.last_index < one.commit_index + 20
         ]
-        if able:
-            voter = self.random.choice(able)
+        if serving_voters:
+            voter = self.random.choice(serving_voters)
             self.command_count += 1
             command = b"n%d" % self.command_count
             index, outbox = self.logs[voter].propose(command, self.now)
@@ -174,12 +182,14 @@
             self.check_commits(voter)
 
     def check_commits(self, voter: int) -> None:
-        """What this one holds for committed, against what anybody did before."""
+        """Compares the entries that a voter has committed with those that any voter has committed before."""
         state = self.logs[voter].state
         for index in range(max(self.checked[voter], state.snapshot_index) + 1, state.commit_index + 1):
             entry = state.entry_at(index)
             if self.committed.setdefault(index, entry) != entry:
-                raise LostEntryError(f"{voter} commits {entry} at {index}, another {self.committed[index]}")
+                raise LostEntryError(
+                    f"voter {voter} committed {entry} at {index}, another voter {self.committed[index]}"
+                )
         self.checked[voter] = max(self.checked[voter], state.commit_index)
         for one in list(self.pending):
             if one.voter == voter and state.commit_index >= one.index:
@@ -188,16 +198,16 @@
                     self.acknowledged[one.entry.data] = one.index
 
     def check(self) -> None:
-        """At the end: what was acknowledged is committed, and applied nowhere otherwise."""
+        """Checks at the end that acknowledged commands are committed and that no voter has applied others."""
         for command, index in self.acknowledged.items():
             if index not in self.committed or self.committed[index].data != command:
-                raise LostEntryError(f"{command!r} was acknowledged as {index} and is gone")
+                raise LostEntryError(f"command {command!r} was acknowledged at {index} and is lost")
         for voter, replicated_log in self.logs.items():
             machine = replicated_log.state.state_machine
             assert isinstance(machine, CommandList)
             for index, command in machine.commands.items():
                 if index in self.committed and self.committed[index].data != command:
-                    raise LostEntryError(f"{voter} has applied {command!r} at {index}")
+                    raise LostEntryError(f"voter {voter} has applied {command!r} at {index} uncommitted")
 
     def run(self, steps: int) -> SimulatedVoters:
         for _ in range(steps):
@@ -206,7 +216,7 @@
         return self
 
     def converges(self, steps: int = 1500) -> bool:
-        """Whether a last leader serves, with nobody recovering, once nothing fails any longer."""
+        """Returns whether, after the end of all faults, a new leader serves and no voter is recovering."""
         self.rates, self.partitioned = NO_FAULTS, set()
         self.term += 1
         leader = self.random.randrange(self.size)
@@ -222,35 +232,39 @@
         )
 
 
-# ---- logs that each lack one of the reasons by which nothing is lost ----
+# ---- mutations that each remove one of the reasons why the log is safe ----
 
 
 class CommitsBeforeMajorityLeader(Leader):
+    """Commits all of its entries at once."""
+
     def advance_commit_index(self, now: int) -> Outbox:
         self.replica.state.commit_through(self.replica.state.last_index)
         return super().advance_commit_index(now)
 
 
 class CommitsBeforeMajority(ReplicatedLog):
-    """Acknowledges before a majority has the entry."""
+    """Acknowledges an entry before a majority has it."""
 
     leader_type = CommitsBeforeMajorityLeader
 
 
 class ReadsNoMajorityTakeover(Takeover):
+    """Completes without any answers."""
+
     def choose_log(self) -> Outbox:
         self.complete = True
         return []
 
 
 class ReadsNoMajority(ReplicatedLog):
-    """A leader that does not read a majority first."""
+    """Leads without reading a majority first."""
 
     takeover_type = ReadsNoMajorityTakeover
 
 
 class VotesWithoutState(ReplicatedLog):
-    """It votes at once in an incarnation that has lost its state."""
+    """Votes at once in an incarnation that has lost its state."""
 
     def __init__(self, *arguments: object) -> None:
         super().__init__(*arguments)  # type: ignore[arg-type]
@@ -258,7 +272,7 @@
 
 
 class FollowsLowerTerms(ReplicatedLog):
-    """It follows a leader of a lower term."""
+    """Follows a leader of a lower term."""
 
     def receive(self, sender: int, message: LogMessage, now: int) -> Outbox:
         self.state.current_term = 0
@@ -266,6 +280,8 @@
 
 
 class CountsFormerTermsLeader(Leader):
+    """Commits any entry that a majority has."""
+
     def advance_commit_index(self, now: int) -> Outbox:
         state = self.replica.state
         match_indexes = [state.last_index, *(one.match_index for one in self.followers.values())]
@@ -274,13 +290,17 @@
 
 
 class CountsFormerTerms(ReplicatedLog):
-    """It commits entries of former leaders by counting who has them. Random runs do not come by what that
-    breaks: a test of its own does."""
+    """Commits entries of former terms by counting the voters that have them.
+
+    Random runs do not reach the failure that this causes, so it has a test of its own.
+    """
 
     leader_type = CountsFormerTermsLeader
 
 
 class TakesFirstLogTakeover(Takeover):
+    """Completes with its own log once a majority has answered."""
+
     def choose_log(self) -> Outbox:
         with_state = [reply for reply in self.replies.values() if not reply.recovering]
         if len(with_state) + (not self.replica.state.recovering) < self.replica.majority:
@@ -290,7 +310,7 @@
 
 
 class TakesFirstLog(ReplicatedLog):
-    """It takes the log of whoever answers first."""
+    """Leads with its own log, although another voter may have a more recent one."""
 
     takeover_type = TakesFirstLogTakeover
 
@@ -302,7 +322,7 @@
     FollowsLowerTerms,
     TakesFirstLog,
 )
-HUNT_RATES = (
+MUTATION_FAULT_RATES = (
     FaultRates(),
     FaultRates(new_leader=0.05, partition=0.05, loss=0.2),
     FaultRates(new_leader=0.1, loss=0.4, propose=0.6),
@@ -310,11 +330,13 @@
 
 
 def caught_after(log_type: type[ReplicatedLog], max_runs: int = 400, steps: int = 1500) -> int:
-    """After how many runs the mutation is found out; 0: it is not."""
+    """Returns the number of runs after which the mutation is caught, or 0 if it is not."""
     for seed in range(1, max_runs + 1):
         size = 3 if seed % 2 else 5
         try:
-            SimulatedVoters(size, seed, log_type, HUNT_RATES[seed % len(HUNT_RATES)]).run(steps)
+            SimulatedVoters(size, seed, log_type, MUTATION_FAULT_RATES[seed % len(MUTATION_FAULT_RATES)]).run(
+                steps
+            )
         except (LostEntryError, AssertionError, IndexError, ValueError):
             return seed
     return 0
--- a/tests/fleet/replicated_log/test_imports.py
+++ b/tests/fleet/replicated_log/test_imports.py
@@ -1,4 +1,4 @@
-"""The replicated log stands alone, as its package says: it knows nothing of leases, frames or sockets."""
+"""The replicated log is independent of the rest of the program, such as leases, frames and sockets."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 @pytest.mark.parametrize("path", MODULES, ids=lambda path: path.stem)
-def test_a_module_imports_nothing_of_the_rest_of_the_program(path: Path) -> None:
+def test_a_module_imports_nothing_from_the_rest_of_the_program(path: Path) -> None:
     imported = {
         node.module
         for node in ast.walk(ast.parse(path.read_text()))
@@ -23,4 +23,4 @@
     }
     own = {name for name in imported if name.startswith("reedspoke.")}
     assert {name for name in own if not name.startswith(PACKAGE)} <= ALLOWED
-    assert not (own & ALLOWED) or path.stem == "log_store", "files are the log store's alone"
+    assert not (own & ALLOWED) or path.stem == "log_store", "only the log store accesses files"
--- a/tests/fleet/replicated_log/test_log_store.py
+++ b/tests/fleet/replicated_log/test_log_store.py
@@ -1,4 +1,4 @@
-"""A replicated log on disk: what was acknowledged is there again, whatever tears, fills up or fails."""
+"""The log store: acknowledged entries survive restarts, incomplete files, a full disk and failed writes."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
     return ReplicatedLog(1, (0, 1, 2), 5, CommandList(), RETRANSMIT_INTERVAL_US)
 
 
-def grown_log(
+def log_with_entries(
     store: LogStore, seed: int, count: int = 60, states: list[list[LogEntry]] | None = None
 ) -> ReplicatedLog:
-    """A voter that has followed a leader, and another one whose log goes on otherwise now and then."""
+    """Returns a voter that has followed a leader, which sometimes changed and replaced entries."""
     random, replicated_log = Random(seed), new_log()
     state = replicated_log.state
     state.recovering = False
@@ -52,75 +52,75 @@
 
 
 @pytest.mark.parametrize("count", [1, 60, 2 * COMPACTION_THRESHOLD])
-def test_what_was_acknowledged_is_there_again(tmp_path: Path, count: int) -> None:
+def test_acknowledged_entries_are_restored(tmp_path: Path, count: int) -> None:
     for seed in range(5):
         folder = tmp_path / str(seed)
         store = LogStore(str(folder), "it")
-        replicated_log = grown_log(store, seed, count)
-        again, line = load(folder)
-        assert not again.recovering
+        replicated_log = log_with_entries(store, seed, count)
+        restored, line = load(folder)
+        assert not restored.recovering
         assert "from it.whole" in line
-        assert again.state.persistent_state() == replicated_log.state.persistent_state()
-        assert again.commit_index == replicated_log.state.snapshot_index
+        assert restored.state.persistent_state() == replicated_log.state.persistent_state()
+        assert restored.commit_index == replicated_log.state.snapshot_index
         store.close()
 
 
-def test_a_log_torn_at_any_byte_loses_its_last_item_alone(tmp_path: Path) -> None:
+def test_a_log_truncated_at_any_byte_loses_only_its_last_item(tmp_path: Path) -> None:
     store, states = LogStore(str(tmp_path), "it"), list[list[LogEntry]]()
-    replicated_log = grown_log(store, 3, 12, states)
+    replicated_log = log_with_entries(store, 3, 12, states)
     store.close()
     raw, last = (tmp_path / "it.log").read_bytes(), -1
     for end in range(len(raw)):
         (tmp_path / "it.log").write_bytes(raw[:end])
-        again, _ = load(tmp_path)
-        entries = again.state.entries
+        restored, _ = load(tmp_path)
+        entries = restored.state.entries
         at = max(at for at, state in enumerate(states) if state[: len(entries)] == entries)
-        assert at >= last, "never an older state than a shorter log gives"
+        assert at >= last, "a longer log never restores an older state"
         last = at if entries == states[at] else last
     (tmp_path / "it.log").write_bytes(raw)
     assert load(tmp_path)[0].state.persistent_state() == replicated_log.state.persistent_state()
 
 
-@pytest.mark.parametrize("what", ["torn", "foreign", "other form", "garbled", "none"])
-def test_a_state_that_cannot_be_read_is_reported_and_the_log_recovers(tmp_path: Path, what: str) -> None:
+@pytest.mark.parametrize("damage", ["torn", "foreign", "other format", "corrupt", "none"])
+def test_an_unreadable_state_is_reported_and_the_replica_recovers(tmp_path: Path, damage: str) -> None:
     store = LogStore(str(tmp_path), "it")
-    grown_log(store, 1)
+    log_with_entries(store, 1)
     store.close()
     file = tmp_path / "it.whole"
     raw = file.read_bytes()
-    if what == "none":
+    if damage == "none":
         file.unlink()
     else:
         file.write_bytes({
-            "torn": raw[:-3], "foreign": b"#!/bin/sh\n", "other form": raw.replace(b" 1 ", b" 9 ", 1),
-            "garbled": raw[:80] + b"\x00" + raw[81:],
-        }[what])  # fmt: skip
-    again, line = load(tmp_path)
-    assert again.recovering
-    assert ("starting without state" in line) == (what != "none")
+            "torn": raw[:-3], "foreign": b"#!/bin/sh\n", "other format": raw.replace(b" 1 ", b" 9 ", 1),
+            "corrupt": raw[:80] + b"\x00" + raw[81:],
+        }[damage])  # fmt: skip
+    restored, line = load(tmp_path)
+    assert restored.recovering
+    assert ("starting without state" in line) == (damage != "none")
 
 
-def test_a_log_of_another_state_is_not_added_to_it(tmp_path: Path) -> None:
+def test_a_log_of_another_generation_is_not_applied(tmp_path: Path) -> None:
     store = LogStore(str(tmp_path), "it")
-    grown_log(store, 2, 10)
+    log_with_entries(store, 2, 10)
     old = (tmp_path / "it.log").read_bytes()
-    replicated_log = grown_log(store, 2, 2 * COMPACTION_THRESHOLD)
+    replicated_log = log_with_entries(store, 2, 2 * COMPACTION_THRESHOLD)
     store.close()
     (tmp_path / "it.log").write_bytes(old)
-    again, line = load(tmp_path)
-    assert again.state.snapshot_index == replicated_log.state.snapshot_index
+    restored, line = load(tmp_path)
+    assert restored.state.snapshot_index == replicated_log.state.snapshot_index
     assert line.endswith(" 0 changes")
 
 
 @pytest.mark.parametrize("fails", ["fsync", "write"])
-def test_a_failed_write_is_reported_and_the_voter_is_silent(
+def test_a_failed_write_is_reported_and_the_voter_sends_nothing(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, fails: str
 ) -> None:
     store, replicated_log = LogStore(str(tmp_path), "it"), new_log()
     replicated_log.state.recovering = False
     store.save([], replicated_log)
     (answer,) = replicated_log.receive(0, Append(1, 1, 0, 1, 0, b"x"), 0)
-    assert isinstance(answer.message, AppendAccepted), "it goes out once it is stored, and not before"
+    assert isinstance(answer.message, AppendAccepted), "it is sent only after the change is stored"
 
     def no_space(*_: object) -> int:
         raise OSError(28, "No space left on device")
@@ -133,7 +133,7 @@
     assert replicated_log.tick(RETRANSMIT_INTERVAL_US * 9) == []
 
 
-def test_a_folder_that_others_may_write_is_refused(tmp_path: Path) -> None:
+def test_a_directory_that_other_users_can_write_to_is_rejected(tmp_path: Path) -> None:
     (tmp_path / "open").mkdir(mode=0o777)
     (tmp_path / "open").chmod(0o777)
     with pytest.raises(LogStoreError, match="other users can write"):
--- a/tests/fleet/replicated_log/test_replicated_log.py
+++ b/tests/fleet/replicated_log/test_replicated_log.py
@@ -1,5 +1,7 @@
-"""What a majority keeps without disk: random runs with crashes and several leaders, and the reasons for
-safety one by one."""
+"""The replicated log without a disk.
+
+Random runs with crashes and several leaders, and a test for each of the reasons why the log is safe.
+"""
 
 from __future__ import annotations
 
@@ -30,7 +32,7 @@
 
 
 def voters_with_leader(size: int = 3, log_type: type[ReplicatedLog] = ReplicatedLog) -> SimulatedVoters:
-    """Without faults: voter 0 leads with term 1."""
+    """Returns voters without faults, of which voter 0 leads with term 1."""
     voters = SimulatedVoters(size, 1, log_type, NO_FAULTS)
     voters.term = 1
     voters.make_leader(0, 1)
@@ -61,7 +63,7 @@
 
 
 @pytest.mark.parametrize("size", [1, 2, 3, 4, 5])
-def test_nothing_acknowledged_is_lost_whatever_fails(size: int) -> None:
+def test_no_acknowledged_entry_is_lost_under_random_faults(size: int) -> None:
     for seed in range(12):
         voters = SimulatedVoters(size, seed).run(800)
         assert voters.converges(2500), [
@@ -75,12 +77,12 @@
 
 
 @pytest.mark.parametrize(
-    ("log_type", "commit_index"), [(ReplicatedLog, 0), (CountsFormerTerms, 1)], ids=["as it is", "mutation"]
+    ("log_type", "commit_index"), [(ReplicatedLog, 0), (CountsFormerTerms, 1)], ids=["unchanged", "mutation"]
 )
-def test_an_entry_of_a_former_leader_is_committed_by_one_of_the_present_leader_alone(
+def test_an_entry_of_a_former_term_is_committed_only_with_one_of_the_current_term(
     log_type: type[ReplicatedLog], commit_index: int
 ) -> None:
-    """Raft's figure 8: an entry that a majority has may still give way to another of a higher term."""
+    """Raft's figure 8: an entry that a majority has may still be replaced by one of a higher term."""
     logs = [
         log_type(voter, (0, 1, 2, 3, 4), voter + 1, CommandList(), RETRANSMIT_INTERVAL_US)
         for voter in range(5)
@@ -99,13 +101,13 @@
     leader = logs[0].leader
     assert leader is not None
     assert logs[0].state.entries == [LogEntry(2, b"old"), LogEntry(4, b"")]
-    for voter in (1, 2):  # both acknowledge the old entry, and neither has the one behind it as yet
+    for voter in (1, 2):  # both acknowledge the old entry but do not have the next one yet
         leader.followers[voter].match_index = 1
     leader.advance_commit_index(0)
     assert logs[0].commit_index == commit_index
 
 
-def test_what_is_committed_is_applied_by_all_in_order() -> None:
+def test_committed_commands_are_applied_by_all_voters_in_order() -> None:
     voters = voters_with_leader()
     for number in range(20):
         propose(voters, b"n%d" % number)
@@ -114,7 +116,7 @@
     assert [applied(voters, voter) for voter in range(3)] == [expected] * 3
 
 
-def test_one_far_behind_gets_a_snapshot_in_chunks() -> None:
+def test_a_voter_far_behind_receives_a_snapshot_in_chunks() -> None:
     voters = voters_with_leader()
     voters.partitioned = {2}
     count = 5 * COMPACTION_THRESHOLD // 2
@@ -130,7 +132,7 @@
     assert len(applied(voters, 2)) == count
 
 
-def test_an_incarnation_without_state_votes_for_nothing_until_it_has_caught_up() -> None:
+def test_an_incarnation_without_state_acknowledges_nothing_until_it_has_caught_up() -> None:
     voters = voters_with_leader()
     propose(voters, b"first")
     run_steps(voters, 100)
@@ -151,16 +153,16 @@
 
 
 def test_a_recovering_voter_needs_the_leader_s_own_reply() -> None:
-    """Guards what its former incarnation has acknowledged and the others do not have as yet."""
+    """Its former incarnation may have acknowledged entries that only the leader has, not the other voters."""
     recovering = restarted_log(4, (0, 1, 2, 3, 4), 9)
     for sender in (1, 2, 3):
         recovering.receive(sender, RecoveryReply(9, 5, 0, 3), 0)
-    assert recovering.recovery.target is None, "none of them leads"
+    assert recovering.recovery.target is None, "none of these voters is the leader"
     recovering.receive(0, RecoveryReply(9, 5, 5, 7), 0)
     assert recovering.recovery.target == RecoveryTarget(5, 7)
 
 
-def test_all_that_lost_their_state_start_empty_and_say_so_and_some_that_did_wait() -> None:
+def test_voters_start_empty_only_after_all_have_lost_their_state() -> None:
     voters = voters_with_leader()
     propose(voters, b"lost")
     run_steps(voters, 100)
@@ -172,7 +174,7 @@
     voters.partitioned = {2}
     voters.send(0, voters.logs[0].become_leader(2, voters.now))
     run_steps(voters, 300)
-    assert not voters.logs[0].serving, "one does not answer: it may have state"
+    assert not voters.logs[0].serving, "the voter that does not answer may have state"
     voters.partitioned = set()
     run_steps(voters, 300)
     assert voters.logs[0].serving
@@ -183,7 +185,7 @@
     assert [applied(voters, voter) for voter in range(3)] == [[b"again"]] * 3
 
 
-def test_where_a_majority_lost_its_state_the_log_goes_on_with_what_is_left() -> None:
+def test_after_a_majority_lost_its_state_the_log_continues_with_the_rest() -> None:
     voters = voters_with_leader()
     propose(voters, b"kept")
     run_steps(voters, 100)
@@ -195,7 +197,7 @@
     assert [applied(voters, voter) for voter in range(3)] == [[b"kept"]] * 3
 
 
-def test_a_leader_of_a_lower_term_hears_so_and_steps_down() -> None:
+def test_a_leader_of_a_lower_term_steps_down() -> None:
     voters = voters_with_leader()
     voters.send(1, voters.logs[1].become_leader(7, voters.now))
     run_steps(voters, 200)
@@ -206,7 +208,7 @@
 
 
 @pytest.mark.parametrize("command", [b"", b"x" * (MAX_ENTRY_BYTES + 1)])
-def test_commands_have_bounds(command: bytes) -> None:
+def test_a_command_of_invalid_size_is_rejected(command: bytes) -> None:
     with pytest.raises(ValueError, match="bytes"):
         voters_with_leader().logs[0].propose(command, 0)
 
--- a/tests/fleet/roles/test_periodic_call.py
+++ b/tests/fleet/roles/test_periodic_call.py
@@ -9,10 +9,10 @@
 SECOND = 1_000_000
 
 
-def test_one_call_is_open_at_a_time_and_only_while_the_lease_is_held() -> None:
+def test_one_call_is_in_flight_at_a_time_and_only_while_the_lease_is_held() -> None:
     calls = PeriodicCall(ROLE, SECOND)
     assert calls.lease_acquired(5, 10 * SECOND, 0) == [CallRoleTarget(ROLE, 5, 10 * SECOND)]
-    assert calls.tick(2 * SECOND) == [], "the last one is still open"
+    assert calls.tick(2 * SECOND) == [], "the last call is still in flight"
     calls.call_finished(200)
     assert len(calls.tick(2 * SECOND)) == 1
     calls.call_finished(0)
--- a/tests/fleet/roles/test_singleton_roles.py
+++ b/tests/fleet/roles/test_singleton_roles.py
@@ -1,4 +1,4 @@
-"""Singleton roles in a simulated fleet: one holder each, what its handler is told, and fencing."""
+"""Singleton roles in a simulated fleet: one holder each, calls of the handler, and fencing."""
 
 from __future__ import annotations
 
@@ -30,40 +30,40 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_any_faults_leave_one_holder_and_rising_tokens(seed: int) -> None:
-    """Restarts, stops, partitions and a bad network at random, clocks half a percent apart."""
+def test_there_is_one_holder_and_tokens_increase_under_random_faults(seed: int) -> None:
+    """Random restarts, stops, partitions and network faults, with clock rates half a percent apart."""
     play, rng = Play(5, seed), Random(seed)
     play.run(2 * TTL)
     for _ in range(60):
-        dice, one = rng.random(), rng.randrange(5)
-        if dice < 0.2 and one in play.processes:
+        draw, one = rng.random(), rng.randrange(5)
+        if draw < 0.2 and one in play.processes:
             play.kill(one)
-        elif dice < 0.5 and one not in play.processes:
+        elif draw < 0.5 and one not in play.processes:
             play.start(one)
-        elif dice < 0.6 and one in play.processes:
+        elif draw < 0.6 and one in play.processes:
             play.processes[one].stopped = True
-        elif dice < 0.7:
+        elif draw < 0.7:
             play.weather.cuts |= {(one, at) for at in range(5) if at != one}
-        elif dice < 0.8:
+        elif draw < 0.8:
             play.weather.loss, play.weather.delay = 0.2, (200, 200_000)
         else:
-            heal(play)
+            end_faults(play)
         play.run(rng.randrange(TTL))
     assert play.two_holders == play.token_fell == 0
-    heal(play)
+    end_faults(play)
     play.run(4 * TTL)
     assert play.holder() is not None
     assert len(play.begun) > 1
 
 
-def heal(play: Play) -> None:
+def end_faults(play: Play) -> None:
     play.weather = Weather()
     for one in play.processes.values():
         one.stopped = False
 
 
-def test_members_with_different_voters_hold_nothing_until_they_agree() -> None:
-    """While other voters are rolled out, {0, 1, 2} and {3, 4, 5} have a majority each."""
+def test_members_with_different_voters_hold_no_role_until_they_agree() -> None:
+    """While new voters are rolled out, both {0, 1, 2} and {3, 4, 5} have a majority."""
     play = Play(6, 3, granters=(0, 1, 2))
     play.run(3 * TTL)
     assert play.holder() is not None
@@ -91,8 +91,8 @@
     assert roles.lease_ends["x", "other term"] == 1
 
 
-def test_a_fleet_without_faults_sends_little() -> None:
-    """Hundreds of candidates would overload the voters if those that know the holder kept proposing."""
+def test_a_fleet_without_faults_sends_few_bytes() -> None:
+    """Hundreds of candidates would overload the voters if they kept proposing while the role is held."""
     play = Play(50, 2)
     play.run(10 * TTL)
     before = play.bytes
@@ -101,7 +101,7 @@
 
 
 def sole_voter() -> tuple[SingletonRoles, int]:
-    """A member that is the only voter and holds the role "x", and the time."""
+    """Returns a member that is the only voter and holds the role "x", and the current time."""
     roles = SingletonRoles(0, VoterConfiguration(2, (0,), 0.01), 1, 0, 10**15, Random(1))
     roles.add(SingletonRole("x", TTL), DelegatedRole("x"))
     roles.set_candidacy(True, -1, 0)
@@ -113,12 +113,12 @@
 
 
 def token_after(roles: SingletonRoles, rounds: int, member: int = 1) -> int:
-    """A token that the member could have got that many rounds after ours."""
+    """Returns a token that the member could have obtained that many rounds after the current one."""
     later_round = round_of(roles.leases["x"].token) + rounds
     return proposal_number(later_round, proposer_id(member, 0))
 
 
-def test_a_handler_hears_of_its_lease_and_its_effects_are_collected() -> None:
+def test_a_handler_is_notified_of_its_lease_and_its_effects_are_collected() -> None:
     roles, now = sole_voter()
     token, expires_at = roles.leases["x"].token, roles.leases["x"].expires_at
     for _ in range(40):
@@ -134,8 +134,8 @@
 
 
 @pytest.mark.parametrize("by", ["announcement", "call"])
-def test_a_later_token_ends_a_lease_that_our_clock_would_go_on_with(by: str) -> None:
-    """Clocks may differ by more than configured; our next token must be above the later one, too."""
+def test_a_higher_token_ends_a_lease_that_has_not_expired(by: str) -> None:
+    """Clocks may differ by more than configured. The next token of this member must also be higher."""
     roles, now = sole_voter()
     later = token_after(roles, 50)
     if by == "announcement":
@@ -151,7 +151,9 @@
     assert roles.leases["x"].token > later
 
 
-@pytest.mark.parametrize(("sender", "token_of"), [(1, 0), (0, 1)], ids=["in another's name", "of a stranger"])
+@pytest.mark.parametrize(
+    ("sender", "token_of"), [(1, 0), (0, 1)], ids=["token of the receiver", "sent by the receiver"]
+)
 def test_an_announcement_counts_only_from_the_member_of_its_token(sender: int, token_of: int) -> None:
     roles, now = sole_voter()
     later = token_after(roles, 50, token_of)
@@ -160,7 +162,7 @@
     assert roles.holds("x", now)
 
 
-def test_two_roles_with_the_same_hash_are_refused() -> None:
+def test_a_role_with_the_hash_of_another_one_is_rejected() -> None:
     roles, _ = sole_voter()
     with pytest.raises(ValueError, match="choose another name"):
         roles.add(SingletonRole("x", TTL))
--- a/tests/fleet/test_anti_entropy.py
+++ b/tests/fleet/test_anti_entropy.py
@@ -1,4 +1,4 @@
-"""Entries of members: a join of semilattices, repaired by anti-entropy, and known to have converged."""
+"""Member entries: merging is a semilattice join, anti-entropy repairs losses, and convergence is detected."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from reedspoke.fleet import anti_entropy as parts
+from reedspoke.fleet import anti_entropy
 from reedspoke.fleet.anti_entropy import (
     LEAF_MEMBERS,
     MAX_VERSION,
@@ -47,14 +47,16 @@
     first, second = new_entries(), new_entries()
     for entry in received:
         first.merge(entry, 0)
-    again = received + [entry for entry in received if random.random() < 0.5]
-    random.shuffle(again)
-    for entry in again:
+    duplicated = received + [entry for entry in received if random.random() < 0.5]
+    random.shuffle(duplicated)
+    for entry in duplicated:
         second.merge(entry, 0)
     assert others(first) == others(second)
     assert first.digest == second.digest
     for entry in received:
-        assert parts.precedence(first.entries[entry.member]) >= parts.precedence(entry), "nothing is lost"
+        assert anti_entropy.precedence(first.entries[entry.member]) >= anti_entropy.precedence(entry), (
+            "the entry with the highest precedence is kept"
+        )
 
 
 @settings(max_examples=100, deadline=None)
@@ -64,20 +66,20 @@
     for entry in received:
         one.merge(entry, 0)
         one.set_alive(alive, 0)
-    total = sum(parts.entry_hash(entry, number in one.alive) for number, entry in one.entries.items())
-    assert one.digest == total % parts.DIGEST_MODULUS
+    total = sum(anti_entropy.entry_hash(entry, number in one.alive) for number, entry in one.entries.items())
+    assert one.digest == total % anti_entropy.DIGEST_MODULUS
 
 
-def test_an_entry_of_an_earlier_process_of_ours_begins_a_later_process() -> None:
-    """An earlier process whose clock was ahead must not have the last word for ever."""
+def test_an_entry_of_an_earlier_process_of_this_member_is_superseded() -> None:
+    """Otherwise the entry of an earlier process whose clock was ahead would replace each new one."""
     one = new_entries(member=2, start_time_s=100)
     assert one.merge(MemberEntry(2, 500, 9, 7, 0, (4,)), 0)
     assert (one.own.start_time_s, one.own.version, one.own.held_roles) == (501, 0, ())
     assert not one.merge(MemberEntry(2, 500, 9, 7, 0, (4,)), 0)
-    assert not one.merge(MemberEntry(6, 1, 1, 1), 0), "no member"
+    assert not one.merge(MemberEntry(6, 1, 1, 1), 0), "the member number is out of range"
 
 
-def test_versions_that_are_used_up_begin_another_process() -> None:
+def test_an_exhausted_version_increases_the_start_time() -> None:
     one = new_entries()
     one._put(MemberEntry(0, 100, MAX_VERSION, 7))
     one.update_own(1, [], [], 0)
@@ -85,7 +87,7 @@
 
 
 def exchange(nodes: list[MemberEntries], seconds: range, loss: float = 0.0, seed: int = 1) -> int:
-    """Exchanges root digests and what follows from them, as real frames, until all have converged.
+    """Exchanges root digests and the replies to them, as real frames, until all have converged.
 
     Returns the number of frames sent.
     """
@@ -111,7 +113,7 @@
 
 @pytest.mark.parametrize("loss", [0.0, 0.3])
 @pytest.mark.parametrize("lost", [0, 1, 7, 150])
-def test_anti_entropy_finds_what_gossip_lost(lost: int, loss: float) -> None:
+def test_anti_entropy_transfers_entries_that_gossip_lost(lost: int, loss: float) -> None:
     size = 200
     one, other = new_entries(0, size), new_entries(1, size)
     for number in range(2, size):
@@ -126,10 +128,10 @@
     assert one.digest == other.digest
     assert others(one).keys() - {1} == others(other).keys() - {0}
     if not loss:
-        assert frames_sent < 60 + 10 * lost, "it is not all sent again"
+        assert frames_sent < 60 + 10 * lost, "only the parts that differ are sent"
 
 
-def test_convergence_names_who_is_behind_and_since_when() -> None:
+def test_convergence_reports_the_members_behind_and_the_time_of_change() -> None:
     one, other = new_entries(0, 3), new_entries(1, 3)
     for each in (one, other):
         each.set_alive([0, 1, 2], 0)
@@ -142,7 +144,7 @@
     assert one.convergence().converged
     assert 30 * SECOND <= one.convergence().since <= 33 * SECOND
     one.update_own(1, [4], [], 50 * SECOND)
-    assert not one.convergence().converged, "a change of our own has to be sent first"
+    assert not one.convergence().converged, "the new version has not been sent yet"
 
 
 @pytest.mark.parametrize(
@@ -157,7 +159,7 @@
     ],
     ids=repr,
 )
-def test_a_message_that_makes_no_sense_changes_nothing(message: Message) -> None:
+def test_an_invalid_message_changes_nothing(message: Message) -> None:
     one = new_entries()
     before = one.digest
     answers = one.receive(3, [message], 0)
@@ -188,10 +190,13 @@
     assert_converged(play)
 
 
-def test_a_digest_without_the_members_states_would_converge_on_different_beliefs(
+def test_the_digest_covers_the_member_states(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A mutation: two that differ on who is alive would both report convergence."""
+    """Without the states, two members that disagree on who is alive would both report convergence.
+
+    The second half shows this with a mutated hash that ignores the states.
+    """
     one, other = new_entries(0, 3), new_entries(1, 3)
     for each in (one, other):
         each.merge(MemberEntry(2, 1, 1, 1), 0)
@@ -200,18 +205,21 @@
     one.set_alive([0, 1, 2], 0)
     other.set_alive([0, 1], 0)
     assert one.digest != other.digest
-    monkeypatch.setattr(parts, "entry_hash", lambda entry, alive: hash((entry.member, entry.version)))
-    blind = [new_entries(0, 3), new_entries(1, 3)]
-    for each in blind:
+    monkeypatch.setattr(anti_entropy, "entry_hash", lambda entry, alive: hash((entry.member, entry.version)))
+    without_states = [new_entries(0, 3), new_entries(1, 3)]
+    for each in without_states:
         for entry in one.entries.values():
             each.merge(entry, 0)
-    blind[0].set_alive([0, 1, 2], 0)
-    blind[1].set_alive([0, 1], 0)
-    assert blind[0].digest == blind[1].digest
+    without_states[0].set_alive([0, 1, 2], 0)
+    without_states[1].set_alive([0, 1], 0)
+    assert without_states[0].digest == without_states[1].digest
 
 
-def test_a_member_that_sends_to_all_at_once_receives_the_digest() -> None:
-    """Nobody pings a member that sends, load reports say: a real fleet of five never converged for that."""
+def test_a_member_that_sends_only_to_all_peers_receives_the_digest() -> None:
+    """A member that sends frames to all peers, such as load reports, is not pinged.
+
+    Without a digest that is sent regularly, a real fleet of five never converged for this reason.
+    """
     nodes = [new_entries(member, 3) for member in range(3)]
     for one in nodes:
         one.set_alive([0, 1, 2], 0)
@@ -223,4 +231,4 @@
             answers = recipient.receive(sender.member, [message], now)
             queue += [(recipient, nodes[to], answer) for to, answer in answers]
     assert all(one.convergence().converged for one in nodes)
-    assert all(one.push_digest(20 * SECOND) == [] for one in nodes), "and then it is idle"
+    assert all(one.push_digest(20 * SECOND) == [] for one in nodes), "no digest is sent after convergence"
--- a/tests/fleet/test_failure_detector.py
+++ b/tests/fleet/test_failure_detector.py
@@ -1,4 +1,4 @@
-"""The failure detector in a simulated fleet, with the real frames, and alone."""
+"""The failure detector in a simulated fleet that exchanges real frames, and a single detector."""
 
 from __future__ import annotations
 
@@ -14,100 +14,100 @@
 PERIOD = SECOND
 
 
-def fleet(size: int, seed: int = 1, span: int = 8 * SECOND) -> Play:
+def simulated_fleet(size: int, seed: int = 1, span: int = 8 * SECOND) -> Play:
     play = Play(size, seed)
     play.run(span)
     return play
 
 
-def believed(play: Play, of: int) -> set[MemberState]:
+def states_of(play: Play, of: int) -> set[MemberState]:
     return {one.membership.state(of) for at, one in play.processes.items() if at != of}
 
 
-def patience(play: Play) -> int:
+def detection_time(play: Play) -> int:
     return 3 * play.processes[min(play.processes)].membership.suspicion_timeout_us + 4 * PERIOD
 
 
 @pytest.mark.parametrize("size", [2, 3, 10, 50])
-def test_all_find_each_other_and_nobody_is_taken_for_gone(size: int) -> None:
-    play = fleet(size, span=20 * SECOND)
+def test_all_members_discover_each_other_and_none_is_declared_gone(size: int) -> None:
+    play = simulated_fleet(size, span=20 * SECOND)
     for number in range(size):
-        assert believed(play, number) == {MemberState.ALIVE}
+        assert states_of(play, number) == {MemberState.ALIVE}
     assert play.said_gone == []
     assert play.largest <= 204
 
 
 @pytest.mark.parametrize("size", [3, 10, 50])
-def test_a_death_is_known_to_all_and_a_return_as_well(size: int) -> None:
-    play = fleet(size)
+def test_all_members_detect_a_crash_and_a_restart(size: int) -> None:
+    play = simulated_fleet(size)
     play.kill(size - 1)
-    play.run(patience(play))
-    assert believed(play, size - 1) == {MemberState.GONE}
+    play.run(detection_time(play))
+    assert states_of(play, size - 1) == {MemberState.GONE}
     assert {whom for _, _, whom in play.said_gone} == {size - 1}
     play.start(size - 1)
     play.run(8 * SECOND)
-    assert believed(play, size - 1) == {MemberState.ALIVE}
+    assert states_of(play, size - 1) == {MemberState.ALIVE}
 
 
-@pytest.mark.parametrize("deaf", [True, False], ids=["deaf", "dumb"])
-def test_a_member_partitioned_one_way_does_not_make_the_fleet_flap(deaf: bool) -> None:
-    """A member that is not heard, or cannot hear that it is suspected, is gone, and that once."""
-    play = fleet(6)
-    ways = {(at, 5) if deaf else (5, at) for at in range(5)}
-    play.weather.cuts |= ways
+@pytest.mark.parametrize("receives_nothing", [True, False], ids=["receives nothing", "sends nothing"])
+def test_a_partition_in_one_direction_causes_no_flapping(receives_nothing: bool) -> None:
+    """A member that cannot send, or cannot receive the suspicion, is declared gone at most once by each."""
+    play = simulated_fleet(6)
+    cut_links = {(at, 5) if receives_nothing else (5, at) for at in range(5)}
+    play.weather.cuts |= cut_links
     play.run(60 * SECOND)
     reported = [whom for _, by, whom in play.said_gone if by != 5]
     assert set(reported) <= {5}
-    assert len(reported) <= 5, "each reports it once at the most"
+    assert len(reported) <= 5, "each member declares it gone at most once"
 
 
 @pytest.mark.parametrize("span", [2, 4])
-def test_a_slow_process_is_suspected_and_refutes(span: int) -> None:
-    """A process that was stopped neither stays gone nor takes all the others for gone."""
-    play = fleet(10)
+def test_a_stopped_process_refutes_its_suspicion(span: int) -> None:
+    """A process that was stopped neither remains gone nor declares the others gone."""
+    play = simulated_fleet(10)
     play.processes[4].stopped = True
     play.run(span * SECOND)
     play.processes[4].stopped = False
     play.run(20 * SECOND)
-    assert all(believed(play, number) == {MemberState.ALIVE} for number in range(10))
+    assert all(states_of(play, number) == {MemberState.ALIVE} for number in range(10))
     assert [whom for _, by, whom in play.said_gone if by == 4] == []
 
 
 @pytest.mark.parametrize(
     "weather", [Weather(0.2, (200, 200_000), 0.05), Weather(cuts={(0, 1), (1, 0)})], ids=["rough", "one link"]
 )
-def test_loss_jitter_and_one_link_make_nobody_gone(weather: Weather) -> None:
-    """A fifth is lost, delays are up to a fifth of a second, some come twice; or two cannot hear."""
-    play = fleet(10, seed=3)
+def test_loss_jitter_or_one_cut_link_causes_no_false_detection(weather: Weather) -> None:
+    """Either 20% loss, delays of up to 0.2 s and duplicates, or no connection between two members."""
+    play = simulated_fleet(10, seed=3)
     play.weather = weather
     play.run(60 * SECOND)
     assert play.said_gone == []
 
 
-def test_two_partitions_take_each_other_for_gone_and_meet_again() -> None:
-    play = fleet(6)
+def test_two_partitions_declare_each_other_gone_and_recover() -> None:
+    play = simulated_fleet(6)
     play.weather.cuts |= {(a, b) for a in range(6) for b in range(6) if (a < 3) != (b < 3)}
     play.run(40 * SECOND)
-    assert believed(play, 0) == {MemberState.ALIVE, MemberState.GONE}
+    assert states_of(play, 0) == {MemberState.ALIVE, MemberState.GONE}
     play.weather.cuts.clear()
     play.run(30 * SECOND)
-    assert believed(play, 0) == {MemberState.ALIVE}
+    assert states_of(play, 0) == {MemberState.ALIVE}
 
 
-def lone_detector() -> FailureDetector:
+def new_detector() -> FailureDetector:
     return FailureDetector(0, 4, 7, PERIOD, 0, Random(1))
 
 
 def test_an_update_about_a_past_incarnation_is_ignored() -> None:
-    one = lone_detector()
+    one = new_detector()
     one.receive(1, 20, [], 0)
     one.receive(1, 21, [], 10)
     one.receive(2, 5, [MemberUpdate(1, 20, 9, MemberState.GONE)], 5 * PERIOD)
     assert one.state(1) is MemberState.ALIVE
 
 
-def test_a_suspicion_of_a_member_just_heard_is_passed_on_to_it_and_not_believed() -> None:
-    one = lone_detector()
+def test_a_suspicion_of_a_recently_active_member_is_forwarded_and_not_adopted() -> None:
+    one = new_detector()
     one.receive(1, 20, [], 0)
     suspicion = MemberUpdate(1, 20, 0, MemberState.SUSPECT)
     assert (1, suspicion) in one.receive(2, 5, [suspicion], PERIOD // 2)
@@ -116,16 +116,16 @@
     assert one.state(1) is MemberState.SUSPECT
 
 
-def test_only_the_suspected_one_refutes() -> None:
-    one = lone_detector()
+def test_only_the_suspected_member_refutes() -> None:
+    one = new_detector()
     one.receive(2, 5, [MemberUpdate(0, 7, 0, MemberState.SUSPECT)], 0)
     assert MemberUpdate(0, 7, 1, MemberState.ALIVE) in one.take_updates()
     one.receive(2, 5, [MemberUpdate(0, 6, 9, MemberState.GONE)], 0)
-    assert one.refutation == 1, "of another incarnation"
+    assert one.refutation == 1, "an update about another incarnation is not refuted"
 
 
-def test_an_impossible_message_does_no_harm() -> None:
-    one = lone_detector()
+def test_unexpected_messages_are_tolerated() -> None:
+    one = new_detector()
     messages: list[Message] = [Ack(9), Ping(3), MemberUpdate(3999, 1, 1, 2), MemberUpdate(3, 1, 1, 1)]
     assert (1, Ack(3)) in one.receive(1, 1, messages, 0)
     assert one.state(3) is MemberState.SUSPECT
@@ -136,7 +136,7 @@
 
 
 def test_an_ack_ends_a_probe_and_indirect_probes_are_bounded() -> None:
-    one, sent = lone_detector(), 0
+    one, sent = new_detector(), 0
     one.receive(1, 20, [], 0)
     pings: list[Ping] = []
     for now in range(2 * PERIOD, 6 * PERIOD, PERIOD // 8):
@@ -152,13 +152,13 @@
 
 
 def test_an_old_suspicion_is_refuted_again() -> None:
-    """A member that was deaf while another one refuted took it for gone until the update came by chance."""
-    me = FailureDetector(1, 3, 7, SECOND, 0, Random(1))
-    me.receive(2, 5, [MemberUpdate(1, 7, 0, MemberState.SUSPECT)], 0)
-    assert me.refutation == 1
+    """A member that had missed a refutation considered the sender gone until it got the update by chance."""
+    detector = FailureDetector(1, 3, 7, SECOND, 0, Random(1))
+    detector.receive(2, 5, [MemberUpdate(1, 7, 0, MemberState.SUSPECT)], 0)
+    assert detector.refutation == 1
     for _ in range(50):
-        me.take_updates()
-    assert not me.take_updates()
-    me.receive(0, 5, [MemberUpdate(1, 7, 0, MemberState.GONE)], SECOND)
-    assert me.refutation == 1
-    assert MemberUpdate(1, 7, 1, MemberState.ALIVE) in me.take_updates()
+        detector.take_updates()
+    assert not detector.take_updates()
+    detector.receive(0, 5, [MemberUpdate(1, 7, 0, MemberState.GONE)], SECOND)
+    assert detector.refutation == 1
+    assert MemberUpdate(1, 7, 1, MemberState.ALIVE) in detector.take_updates()
--- a/tests/fleet/test_fleet_processes.py
+++ b/tests/fleet/test_fleet_processes.py
@@ -1,4 +1,4 @@
-"""Faults with several real processes of the program, and the lab's relay and stand-ins between them."""
+"""Faults in a fleet of real processes, connected by the lab's relay and test doubles."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from reedspoke.cli.fleet import fleet
 from reedspoke.lab.rig import DUTY, Rig, Scheduler
 
-TIMEOUT_S = 15.0  # far more than anything here takes
+TIMEOUT_S = 15.0  # much longer than any step takes
 
 
 async def until(condition: Callable[[], Any]) -> Any:
@@ -25,13 +25,15 @@
         return found
 
 
-def played(folder: Path, play: Callable[[Rig], Coroutine[Any, Any, None]], held: bool = False) -> Rig:
+def run_scenario(
+    folder: Path, scenario: Callable[[Rig], Coroutine[Any, Any, None]], held: bool = False
+) -> Rig:
     rig = Rig(folder, 5, 3, held=held)
 
     async def run() -> None:
         await rig.open()
         try:
-            await play(rig)
+            await scenario(rig)
         finally:
             rig.statuses = await rig.close()  # type: ignore[attr-defined]
 
@@ -48,11 +50,11 @@
     return sorted({act.token for act in rig.registry.acts})
 
 
-def test_a_holder_stopped_mid_act_for_longer_than_its_lease_is_refused(tmp_path: Path) -> None:
-    async def play(rig: Rig) -> None:
+def test_calls_of_a_holder_stopped_for_longer_than_its_lease_are_rejected(tmp_path: Path) -> None:
+    async def scenario(rig: Rig) -> None:
         first = await until(rig.holder)
         await until(lambda: rig.registry.acts)
-        first.registry.stall()  # what it sends from here on lies on the way
+        first.registry.stall()  # delays its calls from here on
         await asyncio.sleep(0.3)
         rig.stop(first)
         await until(lambda: len(tokens(rig)) > 1)
@@ -60,11 +62,11 @@
         first.registry.resume()
         await until(rig.registry.stale_refused)
 
-    assert len(tokens(played(tmp_path, play))) >= 2
+    assert len(tokens(run_scenario(tmp_path, scenario))) >= 2
 
 
-def test_a_planned_restart_hands_the_role_over_at_once(tmp_path: Path) -> None:
-    async def play(rig: Rig) -> None:
+def test_a_planned_restart_transfers_the_role_at_once(tmp_path: Path) -> None:
+    async def scenario(rig: Rig) -> None:
         first = await until(rig.holder)
         await until(lambda: rig.registry.acts)
         assert await rig.replace(first) == 0
@@ -72,15 +74,18 @@
         last = max(act.when for act in acts if act.holder == f"n{first.number}")
         following = [act.when for act in acts if act.holder != f"n{first.number}" and act.when > last]
         assert following
-        assert min(following) - last < 0.8 * rig.term, "the lease was released and did not expire"
+        assert min(following) - last < 0.8 * rig.term, "the lease was released before its expiry"
 
-    played(tmp_path, play)
+    run_scenario(tmp_path, scenario)
 
 
-def test_an_upgrade_beside_the_holder_leaves_one_holder(tmp_path: Path) -> None:
-    """For a while two processes have one number and one address: the new one must not pass for the holder."""
+def test_an_upgrade_of_the_holder_leaves_one_holder(tmp_path: Path) -> None:
+    """During an upgrade two processes share a member number and an address.
 
-    async def play(rig: Rig) -> None:
+    The new one must not be taken for the holder.
+    """
+
+    async def scenario(rig: Rig) -> None:
         first = await until(rig.holder)
         await until(lambda: rig.registry.acts)
         before = tokens(rig)[-1]
@@ -89,14 +94,14 @@
         await until(lambda: tokens(rig)[-1] > before)
         assert not rig.registry.stale_refused()
 
-    played(tmp_path, play, held=True)
+    run_scenario(tmp_path, scenario, held=True)
 
 
-def test_a_minority_holds_nothing_and_reports_it_to_operators(tmp_path: Path) -> None:
-    async def play(rig: Rig) -> None:
+def test_a_minority_holds_no_role_and_reports_it_to_operators(tmp_path: Path) -> None:
+    async def scenario(rig: Rig) -> None:
         first = await until(rig.holder)
-        ways = {(a, b) for a in range(3) for b in range(3) if a != b and first.number in (a, b)}
-        rig.relay.cuts |= ways
+        cut_links = {(a, b) for a in range(3) for b in range(3) if a != b and first.number in (a, b)}
+        rig.relay.cuts |= cut_links
         await until(lambda: rig.holder() not in (None, first))
         door = f"127.0.0.1:{first.program.door}"
 
@@ -105,8 +110,10 @@
 
         while (await asyncio.to_thread(status)).return_value == 0:
             await asyncio.sleep(0.2)
-        words = [word for one in rig.schedulers for word in ("--door", f"127.0.0.1:{one.program.door}")]
-        views = await asyncio.to_thread(CliRunner().invoke, fleet, ["compare", *words], standalone_mode=False)
+        arguments = [word for one in rig.schedulers for word in ("--door", f"127.0.0.1:{one.program.door}")]
+        views = await asyncio.to_thread(
+            CliRunner().invoke, fleet, ["compare", *arguments], standalone_mode=False
+        )
         assert views.return_value == 1
         assert f"{door}: no majority" in views.output
         assert "held by" not in views.output
@@ -115,18 +122,18 @@
         assert (await first.program.call("GET", "/v1/metrics"))[1].count("scheduler_fleet_majority 0") == 1
         assert "no majority of the lease voters is reachable" in first.program.log.read_text()
 
-    played(tmp_path, play)
+    run_scenario(tmp_path, scenario)
 
 
-def test_an_operator_hands_a_role_over(tmp_path: Path) -> None:
-    async def play(rig: Rig) -> None:
+def test_an_operator_transfers_a_role(tmp_path: Path) -> None:
+    async def scenario(rig: Rig) -> None:
         first = await until(rig.holder)
         await until(lambda: rig.registry.acts)
         other, third = rig.schedulers[(first.number + 1) % 3], rig.schedulers[(first.number + 2) % 3]
 
         def release(one: Scheduler, to: int) -> Any:
-            words = ["release", DUTY, "--door", f"127.0.0.1:{one.program.door}", "--to", str(to)]
-            return CliRunner().invoke(fleet, words)
+            arguments = ["release", DUTY, "--door", f"127.0.0.1:{one.program.door}", "--to", str(to)]
+            return CliRunner().invoke(fleet, arguments)
 
         assert (await asyncio.to_thread(release, other, third.number)).exit_code == 1
         assert (await asyncio.to_thread(release, first, 77)).exit_code == 1
@@ -135,16 +142,16 @@
         assert rig.registry.acts[-1].holder == f"n{third.number}"
         assert (await first.program.call("POST", "/v1/fleet/unheard-of/release"))[0] == 404
 
-    played(tmp_path, play)
+    run_scenario(tmp_path, scenario)
 
 
-@pytest.mark.parametrize("mood", ["silent", "gone", "old"])
-def test_an_agent_that_fails_takes_no_job_with_it(mood: str, tmp_path: Path) -> None:
-    """Gone or silent also at a start: the list in the configuration serves."""
+@pytest.mark.parametrize("fault", ["silent", "gone", "old"])
+def test_a_failing_agent_causes_no_lost_job(fault: str, tmp_path: Path) -> None:
+    """If the agent is also unavailable at a start, the worker list of the configuration is used."""
 
-    async def play(rig: Rig) -> None:
+    async def scenario(rig: Rig) -> None:
         one = rig.schedulers[0]
-        one.agent.turn(mood)
+        one.agent.turn(fault)
         await asyncio.sleep(1.0)
         rig.kill(one)
         await rig.restart(one, 0.1)
@@ -152,8 +159,8 @@
         await until(lambda: rig.fleet.ledger.legs > legs + 30)
         one.agent.turn("serving")
         watches = one.agent.watches
-        if mood != "old":
+        if fault != "old":
             await until(lambda: one.agent.watches > watches)
 
-    rig = played(tmp_path, play)
+    rig = run_scenario(tmp_path, scenario)
     assert rig.tally.served > 30
--- a/tests/fleet/test_load_sharing.py
+++ b/tests/fleet/test_load_sharing.py
@@ -32,8 +32,8 @@
         self.others, self.expire = self.sharing.loads_of_others, self.sharing.expire
         self.attempts = 0
 
-    def due_frames(self, now: int, held: WorkerLoads) -> list[bytes]:
-        return self.channel.encode(self.sharing.due_reports(now, held, self.attempts))
+    def due_frames(self, now: int, reserved: WorkerLoads) -> list[bytes]:
+        return self.channel.encode(self.sharing.due_reports(now, reserved, self.attempts))
 
     def receive(self, now: int, body: bytes) -> bool:
         frame = self.channel.receive(body)
@@ -44,19 +44,19 @@
         return any(updated)
 
 
-def pair() -> tuple[Scheduler, Scheduler]:
+def scheduler_pair() -> tuple[Scheduler, Scheduler]:
     return Scheduler(0, 3, 11), Scheduler(1, 3, 12)
 
 
-def send(sender: Scheduler, receiver: Scheduler, now: int, held: WorkerLoads) -> list[bytes]:
-    bodies = sender.due_frames(now, held)
+def send(sender: Scheduler, receiver: Scheduler, now: int, reserved: WorkerLoads) -> list[bytes]:
+    bodies = sender.due_frames(now, reserved)
     for body in bodies:
         receiver.receive(now, body)
     return bodies
 
 
-def test_a_change_is_reported_at_once_and_nothing_else() -> None:
-    one, two = pair()
+def test_only_a_change_is_reported_and_at_once() -> None:
+    one, two = scheduler_pair()
     assert len(send(one, two, 0, {"a": (1, 500_000.0)})) == 1
     assert two.others(["a", "b"]) == {"a": (1, 500_000.0)}
     assert send(one, two, 5 * MS, {"a": (1, 500_000.0)}) == []
@@ -67,12 +67,12 @@
 
 
 def test_bytes_follow_traffic_and_deferred_changes_are_reported_later() -> None:
-    """With hundreds of receivers, a report of each change to all of them costs more than the job is worth."""
+    """With hundreds of receivers, reporting each change to all of them costs more than the job earns."""
     one, sent = Scheduler(0, 200, 1), 0
-    for turn in range(2000):
-        one.attempts = turn // 2
+    for step in range(2000):
+        one.attempts = step // 2
         sent += (
-            sum(len(body) for body in one.due_frames(turn * MS, {f"h{turn % 7}": (1 + turn % 3, 0.0)})) * 199
+            sum(len(body) for body in one.due_frames(step * MS, {f"h{step % 7}": (1 + step % 3, 0.0)})) * 199
         )
     assert (
         sent
@@ -82,22 +82,22 @@
         + 199 * MAX_FRAME_BYTES
     )
     assert one.sharing.deferred > 100
-    assert one.due_frames(9_000 * MS, {"h1": (1, 0.0)}), "in the end it is reported"
+    assert one.due_frames(9_000 * MS, {"h1": (1, 0.0)}), "the deferred change is reported later"
 
 
-def test_a_lost_report_is_made_good_within_a_refresh() -> None:
-    one, two = pair()
+def test_a_lost_report_is_repeated_after_the_refresh_interval() -> None:
+    one, two = scheduler_pair()
     one.due_frames(0, {"a": (1, 0.0)})  # lost
     assert two.others(["a"]) == {}
     send(one, two, REFRESH_US, {"a": (1, 0.0)})
     assert two.others(["a"]) == {"a": (1, 0.0)}
-    one.due_frames(REFRESH_US + 1, {})  # the end is lost: nothing reports it again
+    one.due_frames(REFRESH_US + 1, {})  # the report of the end is lost and not repeated
     two.expire(REFRESH_US + EXPIRY_US)
-    assert two.others(["a"]) == {}, "it expires"
+    assert two.others(["a"]) == {}, "the reservation expires"
 
 
-def test_reports_out_of_order_do_not_bring_back_what_has_ended() -> None:
-    one, two = pair()
+def test_a_late_report_does_not_restore_an_ended_reservation() -> None:
+    one, two = scheduler_pair()
     first, second = one.due_frames(0, {"a": (1, 0.0)}), one.due_frames(5 * MS, {})
     assert two.receive(9 * MS, second[0])
     two.receive(10 * MS, first[0])
@@ -106,8 +106,8 @@
 
 
 def test_a_peer_that_restarts_has_nothing_reserved() -> None:
-    """A killed scheduler's last reports may come behind the first ones of its successor."""
-    one, two = pair()
+    """The last reports of a killed scheduler may arrive after the first ones of the restarted process."""
+    one, two = scheduler_pair()
     send(one, two, 0, {"a": (2, 0.0)})
     late = one.due_frames(MS, {"a": (2, 0.0), "b": (1, 0.0)})
     restarted = Scheduler(0, 3, 99)
@@ -116,19 +116,19 @@
     assert two.others(["a", "b"]) == {"b": (1, 0.0)}
 
 
-def test_an_idle_peer_is_forgotten_altogether() -> None:
-    one, two = pair()
+def test_the_state_of_an_idle_peer_is_removed() -> None:
+    one, two = scheduler_pair()
     send(one, two, 0, {"a": (1, 0.0)})
     two.expire(PEER_IDLE_TIMEOUT_US)
     assert not two.sharing._peers
 
 
 @pytest.mark.parametrize("loss", [0.0, 0.2, 0.5])
-def test_loads_agree_again_whatever_is_lost_or_late(loss: float) -> None:
-    """Six schedulers over a network that loses, delays by up to 29 ms, and so reorders and doubles."""
+def test_loads_converge_after_losses_and_delays(loss: float) -> None:
+    """Six schedulers on a network that loses, duplicates, reorders, and delays messages by up to 29 ms."""
     rng = Random(17)
     fleet = [Scheduler(number, 6, number + 1) for number in range(6)]
-    held: list[WorkerLoads] = [{} for _ in fleet]
+    reserved: list[WorkerLoads] = [{} for _ in fleet]
     in_flight: list[tuple[int, int, bytes]] = []
     attempts = sent = now = 0
     while now < 20_000 * MS:
@@ -137,11 +137,11 @@
             if now < 15_000 * MS and rng.random() < 0.05:
                 attempts += 1
                 host = rng.choice(HOSTS)
-                held[number][host] = (rng.randrange(1, 3), rng.randrange(1, 50) * float(WORK_UNIT_US))
-            if held[number] and rng.random() < 0.05:
-                del held[number][rng.choice(sorted(held[number]))]
+                reserved[number][host] = (rng.randrange(1, 3), rng.randrange(1, 50) * float(WORK_UNIT_US))
+            if reserved[number] and rng.random() < 0.05:
+                del reserved[number][rng.choice(sorted(reserved[number]))]
             one.attempts = attempts
-            for body in one.due_frames(now, held[number]):
+            for body in one.due_frames(now, reserved[number]):
                 for to in range(6):
                     sent += len(body) if to != number else 0
                     for _ in range(1 + (rng.random() < 0.05)):
@@ -153,9 +153,11 @@
             fleet[item[1]].receive(item[0], item[2])
     for number, one in enumerate(fleet):
         truth: WorkerLoads = {}
-        for other, loads in enumerate(held):
+        for other, loads in enumerate(reserved):
             for host, (slots, work) in loads.items() if other != number else ():
                 before = truth.get(host, (0, 0.0))
                 truth[host] = before[0] + slots, before[1] + work
         assert one.others(HOSTS) == truth
-    assert sent / attempts < 256, "bytes for each job, over all receivers: a quarter of a full price at most"
+    assert sent / attempts < 256, (
+        "bytes for each job, over all receivers: at most a quarter of the full price"
+    )
--- a/tests/fleet/test_load_sharing_processes.py
+++ b/tests/fleet/test_load_sharing_processes.py
@@ -1,4 +1,4 @@
-"""Several real processes that share their loads, with the lab's relay between them."""
+"""Load sharing between real processes, connected by the lab's relay, and its use in placement."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class RelayThread:
-    """The lab's relay on an event loop of its own, beside the processes that a test starts."""
+    """Runs the lab's relay on an event loop in a thread of its own."""
 
     def __init__(self, count: int) -> None:
         self.listen = [free_port() for _ in range(count)]
@@ -48,7 +48,7 @@
 
 
 def schedulers(start: Start, relay: RelayThread) -> list[Node]:
-    """Two that share two hosts of one slot each, as far as they know."""
+    """Two schedulers that share two hosts, each known to have one slot."""
     first = start(hosts=2, me=0, balancers=2, more=peer_settings(relay, 0), peer_messages=True)
     second = start(hosts_of=first, me=1, balancers=2, more=peer_settings(relay, 1), peer_messages=True)
     return [first, second]
@@ -59,12 +59,12 @@
 
 
 def start_job(node: Node, name: str) -> tuple[Wire, int]:
-    """A job that goes on running: the connection of its attempt, and the port of its worker."""
+    """Starts a job that keeps running. Returns the connection of its attempt and the port of its worker."""
     node.client(ask(name))
     leg = node.leg()
-    told = leg.message()
+    message = leg.message()
     leg.begin()
-    leg.state(told, "started")
+    leg.state(message, "started")
     return leg, leg.sock.getsockname()[1]
 
 
@@ -75,8 +75,8 @@
         time.sleep(0.02)
 
 
-def test_a_job_goes_where_no_other_scheduler_has_one(start: Start, relay: RelayThread) -> None:
-    """Both idle workers look alike until their own reports come, a second later."""
+def test_a_job_avoids_a_worker_that_another_scheduler_has_reserved(start: Start, relay: RelayThread) -> None:
+    """Both workers seem idle until they send their own reports a second later."""
     one, two = schedulers(start, relay)
     first, port = start_job(one, "a")
     wait_for_a_report(two)
@@ -95,28 +95,28 @@
         ({"peers": ["127.0.0.1:8"]}, "peer_listen"),
     ],
 )
-def test_a_bad_address_is_reported_by_its_key(
+def test_an_invalid_address_is_reported_with_its_key(
     start: Start, tmp_path: Path, more: dict[str, Any], key: str
 ) -> None:
     node = start(hosts=1)
-    told = {**node.told, **more}
-    told["settings"] = {
-        **told["settings"],
-        "ceilings": {**told["settings"]["ceilings"], "peer_messages": True},
+    configuration = {**node.told, **more}
+    configuration["settings"] = {
+        **configuration["settings"],
+        "ceilings": {**configuration["settings"]["ceilings"], "peer_messages": True},
     }
     file = tmp_path / "bad.json"
-    file.write_text(json.dumps(told))
+    file.write_text(json.dumps(configuration))
     with pytest.raises(ConfigError, match=key.replace("[", r"\[")):
         load({"PROXY_CONFIG": str(file)})
-    told["settings"]["ceilings"]["peer_messages"] = False
-    file.write_text(json.dumps(told))
-    assert load({"PROXY_CONFIG": str(file)}).peers is None, "where messages are forbidden nobody looks"
+    configuration["settings"]["ceilings"]["peer_messages"] = False
+    file.write_text(json.dumps(configuration))
+    assert load({"PROXY_CONFIG": str(file)}).peers is None, "without peer messages the addresses are not read"
 
 
 # ---- the decision module ----
 
 
-def test_placement_heeds_the_reservations_of_others() -> None:
+def test_placement_considers_the_reservations_of_others() -> None:
     world = World(settings(scheduler_count=2), [entry("a"), entry("b")])
     for worker in world.dispatcher.workers.values():
         worker.peak_slots = 2
@@ -130,9 +130,13 @@
     )
 
 
-def test_a_job_that_would_start_late_behind_the_others_waits_until_a_slot_is_free() -> None:
-    """Seen in overload at the second deployment: four to six schedulers with a position at each of twelve
-    hosts queued three deep in two slots; a fifth of all answers came too late, the short class got 0.41."""
+def test_a_job_waits_if_the_queues_of_others_would_delay_it() -> None:
+    """Without this, the queues of several schedulers add up at the same worker.
+
+    Seen in overload at the second deployment: four to six schedulers, each with a reservation at each of
+    twelve hosts, queued three deep in two slots. A fifth of all answers was late, and the short class scored
+    0.41.
+    """
     world = World(settings(scheduler_count=2), [entry("a")])
     world.dispatcher.workers["a"].peak_slots = 2
     world.request(1, hint=200 * MS)
--- a/tests/fleet/test_simulator_transport.py
+++ b/tests/fleet/test_simulator_transport.py
@@ -13,9 +13,9 @@
 from tests.test_adapter import INFO, accept, batch, members, replies, run
 
 
-def hello(who: str, *, me: int, talk: bool) -> list[dict[str, Any]]:
+def hello(who: str, *, me: int, peer_messages_allowed: bool) -> list[dict[str, Any]]:
     info = copy.deepcopy(INFO)
-    info["me"], info["ceilings"]["peer_messages"] = me, talk
+    info["me"], info["ceilings"]["peer_messages"] = me, peer_messages_allowed
     return [{"HELLO": {"who": who, "nonce64": 77 + me, "info": info}}, members(who)]
 
 
@@ -30,9 +30,9 @@
 
 
 @pytest.mark.parametrize("hash_seed", ["0", "1"])
-def test_a_reservation_of_one_scheduler_keeps_another_away(hash_seed: str) -> None:
-    """Otherwise short jobs wait in queues that others made. The order of hashes decides nothing."""
-    start = batch(1_000_000, *hello("scheduler/1", me=1, talk=True))
+def test_a_job_avoids_a_worker_that_another_scheduler_has_reserved(hash_seed: str) -> None:
+    """Otherwise short jobs wait in queues of other schedulers. The order of hashes has no effect."""
+    start = batch(1_000_000, *hello("scheduler/1", me=1, peer_messages_allowed=True))
 
     def choice(body: str) -> str:
         note = [{"NOTE_FROM": {"who": "scheduler/1", "from": 0, "body": body}}]
@@ -44,18 +44,22 @@
     assert choice(frame_to_text(body)) != first
 
 
-@pytest.mark.parametrize("talk", [True, False])
-def test_an_attempt_is_reported_in_one_message_where_messages_are_allowed(talk: bool) -> None:
-    start = batch(1_000_000, *hello("scheduler/0", me=0, talk=talk))
+@pytest.mark.parametrize("peer_messages_allowed", [True, False])
+def test_an_attempt_is_reported_in_one_message_where_messages_are_allowed(
+    peer_messages_allowed: bool,
+) -> None:
+    start = batch(1_000_000, *hello("scheduler/0", me=0, peer_messages_allowed=peer_messages_allowed))
     _, sent = replies(run([*start, *batch(1_000_000, accept("scheduler/0", 7, work=60_000))]))
     messages = [one for body in bodies(sent) for one in decode_frame(frame_from_text(body)).messages]
     reported = [decode_loads(one) for one in messages if isinstance(one, bytes)]
-    assert reported == ([[WorkerLoad(name_hash(worker(sent)), 1, 60_000.0)]] if talk else [])
+    assert reported == ([[WorkerLoad(name_hash(worker(sent)), 1, 60_000.0)]] if peer_messages_allowed else [])
 
 
-def test_a_killed_scheduler_s_successor_has_received_nothing() -> None:
-    start = batch(1_000_000, *hello("scheduler/0", me=0, talk=True))
-    again = batch(1_100_000, {"KILLED": {"who": "scheduler/0"}}, *hello("scheduler/0", me=0, talk=True))
-    out = run([*start, *batch(1_000_000, accept("scheduler/0", 7)), *again, *batch(1_200_000)])
+def test_a_restarted_scheduler_reports_no_earlier_attempts() -> None:
+    start = batch(1_000_000, *hello("scheduler/0", me=0, peer_messages_allowed=True))
+    restart = batch(
+        1_100_000, {"KILLED": {"who": "scheduler/0"}}, *hello("scheduler/0", me=0, peer_messages_allowed=True)
+    )
+    out = run([*start, *batch(1_000_000, accept("scheduler/0", 7)), *restart, *batch(1_200_000)])
     assert out.returncode == 0
     assert bodies(replies(out)[2]) == []
--- a/tests/fleet/transport/test_channel.py
+++ b/tests/fleet/transport/test_channel.py
@@ -1,4 +1,4 @@
-"""The channel: frames that are ignored are counted by the reason."""
+"""The channel: frames that are not accepted are counted by reason."""
 
 from __future__ import annotations
 
@@ -36,9 +36,11 @@
 
 
 @pytest.mark.parametrize(
-    ("sender", "by_address"), [(1, 1), (3, 3), (700, -1), (2, 0)], ids=["itself", "4th", "700th", "forged"]
+    ("sender", "by_address"),
+    [(1, 1), (3, 3), (700, -1), (2, 0)],
+    ids=["itself", "member 3", "member 700", "forged address"],
 )
-def test_frames_of_strangers_and_of_this_member_are_ignored(sender: int, by_address: int) -> None:
+def test_frames_of_unknown_senders_and_of_this_member_are_ignored(sender: int, by_address: int) -> None:
     channel = FrameChannel(1, 3, 5)
     assert channel.receive(encode_frames(sender, 1, 1, [Ping(1)])[0], by_address) is None
     assert channel.counters["unknown_sender"] == 1
