--- a/reedspoke/fleet/anti_entropy.py
+++ b/reedspoke/fleet/anti_entropy.py
@@ -4,22 +4,24 @@
 majority has agreed on is in the replicated log (`fleet.replicated_log`).
 
 Each member writes only its own entry. Of two entries of a member, the one of the later process wins, and
-within a process the one of the later version. This is a join of a semilattice, so order, loss and duplication
-of messages do not matter. A member may receive an entry of its own that the running process has not written:
-an earlier process wrote it, and its clock may have been ahead. The member then writes its entry again with a
-start time later than that of the received one.
+within a process the one of the later version. This is a join of a semilattice, so order, loss and
+duplication of messages do not matter. A member may receive an entry of its own that the running process has
+not written: an earlier process wrote it, whose clock was ahead or has been set back since. The member then
+writes its entry again with a start time later than that of the received one.
 
 Entries are piggybacked on frames that are sent anyway, each a bounded number of times. Lost entries are
-found by anti-entropy: each ping and each ack carries the digest of all entries. If two digests differ,
-digests of ranges of members are compared, then of parts of the ranges that differ, and finally the entries
-are exchanged. Digests are sums of hashes, so a change of one entry costs one subtraction and one addition.
+found by anti-entropy: frames to a single member, such as pings and acks, carry the digest of all entries. If
+two digests differ, digests of ranges of members are compared, then of parts of the ranges that differ, and
+finally the entries are exchanged. Digests are sums of hashes, so a change of one entry costs one subtraction
+and one addition.
 
 The fleet has converged when all members that are assumed to be alive have sent the same digest as this one.
 The set of members that are known to have sent it is transmitted with the digest and only grows while the
 digest stays the same. So convergence is known after a few rounds of gossip, without a message from each
 member.
 
-`MemberEntries` is the sole owner of this state. It performs no I/O; times are microseconds, `now`.
+`MemberEntries` is the sole owner of this state. It performs no I/O. Times, such as `now`, are in
+microseconds.
 """
 
 from __future__ import annotations
--- a/reedspoke/fleet/metrics.py
+++ b/reedspoke/fleet/metrics.py
@@ -1,8 +1,8 @@
 """The fleet's metrics in the Prometheus text format.
 
-Names and labels are a public interface and use older terms: *duty* for a singleton role, *words* for
-received frames, *strangers* for unknown senders, *unsealed* for unauthenticated and *settled* for converged.
-The prefix of the message metrics is `scheduler_peer_`.
+Names and labels are a public interface and use older terms: *duty* for a singleton role, *words* for frames
+and load reports, *strangers* for unknown senders, *unsealed* for unauthenticated and *settled* for converged.
+The message metrics have the prefix `scheduler_peer_`, because load reports are older than the fleet.
 """
 
 from __future__ import annotations
--- a/tests/fleet/replicated_log/simulated_voters.py
+++ b/tests/fleet/replicated_log/simulated_voters.py
@@ -207,7 +207,9 @@
             assert isinstance(machine, CommandList)
             for index, command in machine.commands.items():
                 if index in self.committed and self.committed[index].data != command:
-                    raise LostEntryError(f"voter {voter} has applied {command!r} at {index} uncommitted")
+                    raise LostEntryError(
+                        f"voter {voter} has applied {command!r} at {index} instead of another"
+                    )
 
     def run(self, steps: int) -> SimulatedVoters:
         for _ in range(steps):
