--- a/reedspoke/booking/log_writer.py
+++ b/reedspoke/booking/log_writer.py
@@ -50,4 +50,4 @@
             )
             self.runtime.emit(LogStoreFailed())
         else:
-            self.runtime.emit(LogChangesStored(effect.then))
+            self.runtime.emit(LogChangesStored(effect.deferred_sends))
--- a/reedspoke/fleet/metrics.py
+++ b/reedspoke/fleet/metrics.py
@@ -1,8 +1,8 @@
-"""The fleet's metrics in Prometheus' text format.
+"""The fleet's metrics in the Prometheus text format.
 
-The names and labels are an interface: they keep the words *duty*, *words* (load reports) and *settled*
-(converged), which this module maps. Load reports keep the prefix `scheduler_peer_` that they had before there
-was a fleet.
+Names and labels are a public interface and use older terms: *duty* for a singleton role, *words* for frames
+and load reports, *strangers* for unknown senders, *unsealed* for unauthenticated and *settled* for converged.
+The message metrics have the prefix `scheduler_peer_`, because load reports are older than the fleet.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 def metrics_text(node: FleetNode, load_sharing: LoadSharing | None, sent: SocketCounters, now: int) -> str:
-    """All metrics of the fleet; those of protocols that are not in use are left out."""
+    """Returns the metrics of all protocols that are in use."""
     text = _message_metrics(node.channel, load_sharing, sent)
     if node.failure_detector is not None:
         text += _member_metrics(node.failure_detector)
@@ -35,14 +35,14 @@
 def _message_metrics(channel: FrameChannel, load_sharing: LoadSharing | None, sent: SocketCounters) -> str:
     received = channel.counters
     counts = {
-        "words_heard": received["heard"],
+        "words_heard": received["accepted"],
         "words_malformed": received["malformed"],
         "words_stale": received["stale"] + (load_sharing.stale if load_sharing is not None else 0),
-        "words_of_strangers": received["strangers"] + sent.strangers,
+        "words_of_strangers": received["unknown_sender"] + sent.unknown_senders,
         "datagrams_sent": sent.datagrams,
         "bytes_sent": sent.bytes,
         "sends_failed": sent.failed,
-        "words_unsealed": received["unsealed"],
+        "words_unsealed": received["unauthenticated"],
         "words_waited": load_sharing.deferred if load_sharing is not None else 0,
     }
     return "".join(_counter(f"scheduler_peer_{name}_total", count) for name, count in counts.items())
@@ -59,8 +59,8 @@
     return (
         _gauge("scheduler_fleet_settled", int(convergence.converged))
         + _gauge("scheduler_fleet_behind", len(convergence.behind))
-        + _counter("scheduler_fleet_compared_total", entries.compared)
-        + _counter("scheduler_fleet_merged_total", entries.merged)
+        + _counter("scheduler_fleet_compared_total", entries.compared_ranges)
+        + _counter("scheduler_fleet_merged_total", entries.merged_entries)
     )
 
 
