--- a/reedspoke/net/administration.py
+++ b/reedspoke/net/administration.py
@@ -50,6 +50,7 @@
         ] = {}  # calls of extensions
 
     def event_handlers(self) -> EventHandlers:
+        """Return the handlers of its events."""
         return {
             fx.OperatorConnected: self._on_operator_connected,
             fx.OperatorCall: self._on_operator_call,
@@ -60,11 +61,12 @@
         }
 
     def timer_handlers(self) -> TimerHandlers:
+        """Return the handlers of its timers."""
         return {
             "caller": self._on_caller_timer,
-            "away": self._on_away_timer,
+            "drain": self._on_drain_timer,
             "record": self._on_record_timer,
-            "look": self._on_look_timer,
+            "look": self._on_shared_state_timer,
         }
 
     # ---- operator connections ----
@@ -76,11 +78,11 @@
         callers = self.state.operator_calls
         while len(callers) >= MAX_OPERATOR_CALLS:
             waiting = (caller for caller, called in callers.items() if not called)
-            self._dismiss(next(waiting, next(iter(callers))))
+            self._disconnect_operator(next(waiting, next(iter(callers))))
         callers[event.caller] = False
         self.core.set_timer(("caller", event.caller), self.core.now + CALL_TIMEOUT)
 
-    def _dismiss(self, caller: int) -> None:
+    def _disconnect_operator(self, caller: int) -> None:
         del self.state.operator_calls[caller]
         self.core.cancel_timer(("caller", caller))
         self.core.count("callers dismissed")
@@ -92,7 +94,7 @@
 
     def _on_caller_timer(self, caller: int) -> None:
         if caller in self.state.operator_calls:
-            self._dismiss(caller)
+            self._disconnect_operator(caller)
 
     def _on_operator_call(self, event: fx.OperatorCall) -> None:
         state = self.state
@@ -159,7 +161,7 @@
 
     # ---- the sibling process during a handover ----
 
-    def _on_look_timer(self, _: int) -> None:
+    def _on_shared_state_timer(self, _: int) -> None:
         """Read the shared state, and publish this process's resources whenever they changed.
 
         The sibling process subtracts them from its limits."""
@@ -170,15 +172,17 @@
             for request in state.requests.values():
                 for attempt in request.in_flight.values():
                     slots[attempt.worker_id] = slots.get(attempt.worker_id, 0) + request.slots
-        clients, door = len(state.clients), len(state.operator_calls) + 2
-        descriptors = OWN_DESCRIPTORS + door + clients + max(clients + SPARE_ATTEMPTS, len(state.connections))
+        clients, for_operators = len(state.clients), len(state.operator_calls) + 2
+        descriptors = (
+            OWN_DESCRIPTORS + for_operators + clients + max(clients + SPARE_ATTEMPTS, len(state.connections))
+        )
         learned = self.core.module.learned_state() if state.siblings else api.LearnedState()
-        held = fx.PublishUsage(
+        usage = fx.PublishUsage(
             state.phase is not ProcessPhase.SERVING, descriptors if state.siblings else 0, slots, learned
         )
-        if held != state.published_usage:
-            state.published_usage = held
-            self.core.request_effect(held)
+        if usage != state.published_usage:
+            state.published_usage = usage
+            self.core.request_effect(usage)
         self.core.set_timer(("look", 0), self.core.now + SHARED_STATE_INTERVAL)
 
     def _on_siblings_reported(self, event: fx.SiblingsReported) -> None:
@@ -187,19 +191,19 @@
         While a sibling accepts clients, this process gets at most half; once the sibling leaves, this process
         gets all that the sibling does not still use."""
         self.state.siblings, whole = event.partners, self.core.full_budget
-        left = whole.sockets - sum(partner.descriptors for partner in event.partners)
-        if any(not partner.leaving for partner in event.partners):
+        left = whole.sockets - sum(sibling.descriptors for sibling in event.partners)
+        if any(not sibling.leaving for sibling in event.partners):
             left = min(left, whole.sockets // 2)
         memory = whole.memory_mb / (1 + len(event.partners))
         self.core.budget = (
             Budget.of(left, memory, whole.operator_descriptors, whole.extensions) if event.partners else whole
         )
         slots: dict[str, int] = {}
-        for partner in event.partners:
-            for uid, count in partner.slots.items():
+        for sibling in event.partners:
+            for uid, count in sibling.slots.items():
                 slots[uid] = slots.get(uid, 0) + count
         learned = event.partners[0].learned if event.partners else self.core.module.siblings.learned
-        staying = sum(not partner.leaving for partner in event.partners)
+        staying = sum(not sibling.leaving for sibling in event.partners)
         self.core.notify_module(api.SiblingProcesses(staying, slots, learned))
         self.clients.make_room()
 
@@ -211,11 +215,11 @@
         self.state.drained = on
         self.core.request_effect(fx.WriteLog(f"operators: {'drained' if on else 'active'}"))
         if on:
-            self.core.set_timer(("away", 0), self.core.now + DRAIN_DELAY)
+            self.core.set_timer(("drain", 0), self.core.now + DRAIN_DELAY)
         else:
-            self.core.cancel_timer(("away", 0))
+            self.core.cancel_timer(("drain", 0))
 
-    def _on_away_timer(self, _: int) -> None:
+    def _on_drain_timer(self, _: int) -> None:
         """Disconnect idle clients; a client that has just connected may be about to send a request."""
         state = self.state
         if not state.drained:
@@ -227,4 +231,4 @@
                     or self.core.now >= state.clients[number].connected_at + DRAIN_DELAY
                 ):
                     self.core.request_effect(fx.CloseClient(number))
-        self.core.set_timer(("away", 0), self.core.now + DRAIN_INTERVAL)
+        self.core.set_timer(("drain", 0), self.core.now + DRAIN_INTERVAL)
--- a/reedspoke/net/attempts.py
+++ b/reedspoke/net/attempts.py
@@ -33,13 +33,14 @@
         super().__init__(core)
         self.clients = clients
         self.conn_idle = int(conn_idle * IDLE_SHARE) or DEFAULT_IDLE_TIMEOUT
-        self.windows = {  # us in which a keyed job that may have run may be retried
+        self.dedup_windows = {  # us in which a keyed job that may have run may be retried
             cls.name: cls.dedup_window
             for cls in core.settings.classes
             if cls.idempotency is api.Idempotency.KEYED
         }
 
     def event_handlers(self) -> EventHandlers:
+        """Return the handlers of its events."""
         return {
             fx.WorkerConnected: self._on_worker_connected,
             fx.AttemptWritten: self._on_attempt_written,
@@ -52,6 +53,7 @@
         }
 
     def timer_handlers(self) -> TimerHandlers:
+        """Return the handlers of its timers."""
         return {
             "attempt": self._on_attempt_timer,
             "idle": self._on_idle_timer,
@@ -68,8 +70,8 @@
             min(request.deadline, self.core.now + action.timeout) if action.timeout > 0 else request.deadline
         )
         attempt = Attempt(request, request.attempts, action.worker, self.core.now, until)
-        if request.first_run_at and self.windows.get(request.cls):
-            attempt.start_before = request.first_run_at + self.windows[request.cls]
+        if request.first_run_at and self.dedup_windows.get(request.cls):
+            attempt.start_before = request.first_run_at + self.dedup_windows[request.cls]
         request.attempts += 1
         request.in_flight[attempt.number] = attempt
         self.core.count("legs")
--- a/reedspoke/net/client_server.py
+++ b/reedspoke/net/client_server.py
@@ -332,9 +332,11 @@
 
     answer: asyncio.Future[fx.SendResponse] | None
 
-    def gone(self) -> bool: ...
+    def gone(self) -> bool:
+        """Whether the client has disconnected."""
 
-    def drop(self, mode: fx.CloseMode) -> None: ...
+    def drop(self, mode: fx.CloseMode) -> None:
+        """Close the connection in the given mode."""
 
 
 class ClientServer:
--- a/reedspoke/net/clients.py
+++ b/reedspoke/net/clients.py
@@ -41,6 +41,7 @@
     """Client connections and their requests."""
 
     def event_handlers(self) -> EventHandlers:
+        """Return the handlers of its events."""
         return {
             fx.ClientConnected: self._on_client_connected,
             fx.RequestStarted: self._on_request_started,
@@ -54,6 +55,7 @@
         }
 
     def timer_handlers(self) -> TimerHandlers:
+        """Return the handlers of its timers."""
         return {
             "client": self._on_client_timer,
             "deadline": self._on_deadline_timer,
--- a/reedspoke/net/lifecycle.py
+++ b/reedspoke/net/lifecycle.py
@@ -30,6 +30,7 @@
         self.attempts, self.workers = attempts, workers
 
     def event_handlers(self) -> EventHandlers:
+        """Return the handlers of its events."""
         return {
             fx.ListenerOpened: self._on_listener_opened,
             fx.ShutdownRequested: self._on_shutdown_requested,
@@ -39,6 +40,7 @@
         }
 
     def timer_handlers(self) -> TimerHandlers:
+        """Return the handlers of its timers."""
         return {
             "leave": self._on_leave_timer,
             "last call": self._on_last_call_timer,
@@ -106,6 +108,7 @@
         self._end_process()
 
     def after_event(self) -> None:
+        """End the process once the last client has disconnected."""
         if self.state.phase is ProcessPhase.LISTENER_CLOSED and not self.state.clients:
             self._end_process()
 
--- a/reedspoke/net/workers.py
+++ b/reedspoke/net/workers.py
@@ -47,6 +47,7 @@
         self.clients, self.attempts = clients, attempts
 
     def event_handlers(self) -> EventHandlers:
+        """Return the handlers of its events."""
         return {
             fx.WorkersListed: self._on_workers_listed,
             fx.DirectoryHeartbeat: self._on_directory_heartbeat,
@@ -54,6 +55,7 @@
         }
 
     def timer_handlers(self) -> TimerHandlers:
+        """Return the handlers of its timers."""
         return {
             "watch timeout": self._on_watch_timer,
             "start accepting": lambda _: self.start_accepting(),
--- a/tests/test_client_server.py
+++ b/tests/test_client_server.py
@@ -74,9 +74,9 @@
     answer = client.message()
     assert answer.status == status
     assert answer.fields["connection"] == "close" or status in (404, 405)
-    told = json.loads(answer.body)
+    problem = json.loads(answer.body)
     assert answer.fields["content-type"] == "application/problem+json"
-    assert (told["status"], told["type"].startswith("urn:reedspoke:problem:")) == (status, True)
+    assert (problem["status"], problem["type"].startswith("urn:reedspoke:problem:")) == (status, True)
     assert ("allow" in answer.fields) == (status == 405)
     assert node.quiet(0.02), "no attempt is sent"
     other = node.client(ask())
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -198,7 +198,7 @@
 
 @pytest.mark.parametrize("cls", ["quote", "book"])
 @pytest.mark.parametrize(
-    "said",
+    "sent",
     [
         b"HTTP/1.1 20",
         b"HTTP/1.1 200 OK\r\nTransfer-Enc",
@@ -209,7 +209,7 @@
     ids=["status", "head", "result", "refusal", "nothing"],
 )
 @pytest.mark.parametrize("ends", ["fin", "reset"])
-def test_partial_line_before_a_worker_closes(start: Start, cls: str, said: bytes, ends: str) -> None:
+def test_partial_line_before_a_worker_closes(start: Start, cls: str, sent: bytes, ends: str) -> None:
     """A partial response must not be taken for a complete one: the job may have run, and is only retried if
     that is safe."""
     node = start(hosts=2)
@@ -217,7 +217,7 @@
     wire = node.next_wire()
     wire.message()
     with node.stopped():
-        wire.send(said)
+        wire.send(sent)
         wire.reset() if ends == "reset" else wire.close()
     if cls == "quote":
         node.next_wire().serve()
@@ -308,12 +308,12 @@
             0
         ]
     ):
-        other, told = node.attempt(*others)
+        other, message = node.attempt(*others)
         others = [other]
-        if told.first.startswith("GET "):
+        if message.first.startswith("GET "):
             other.send(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
         else:
-            other.serve(told)
+            other.serve(message)
     assert client.message().status in (200, 503), "503 if this machine was too slow"
     assert not select.select([draining.sock], [], [], 0)[0], "it gets no further connection"
     if stage == "probe":
--- a/tests/test_interleavings.py
+++ b/tests/test_interleavings.py
@@ -308,9 +308,9 @@
         assert state.clients.keys() == self.clients.keys()
         owed = {c.waiting for c in self.clients.values() if c.waiting and not c.answered and not c.gone}
         assert state.open_request_ids == owed
-        kept = {number for host in state.workers.values() for number in host.idle}
-        assert kept == set(state.idle_connections)
-        assert all(not self.wires[number].busy for number in kept)
+        idle = {number for host in state.workers.values() for number in host.idle}
+        assert idle == set(state.idle_connections)
+        assert all(not self.wires[number].busy for number in idle)
         assert len(state.connections) <= self.play.reducer.budget.attempts
 
     def teardown(self) -> None:
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -37,11 +37,11 @@
     """Thousands of short connections outrun the garbage collector."""
     port, door, directory, host = free_port(), free_port(), Peer(), Peer("s-0")
     known = {"rev": 1, "all": True, "targets": [host.entry()]}
-    told = {
+    config = {
         "name": "n0", "seed": "1", "listen": f"127.0.0.1:{port}", "ops": f"127.0.0.1:{door}",
         "discovery": directory.endpoint, "known": known, "settings": SETTINGS,
     }  # fmt: skip
-    (tmp_path / "config.json").write_text(json.dumps(told))
+    (tmp_path / "config.json").write_text(json.dumps(config))
 
     async def connect_and_close(times: int) -> None:
         for _ in range(times):
--- a/tests/test_outages.py
+++ b/tests/test_outages.py
@@ -70,11 +70,11 @@
         client = node.client(ask(f"{number}"))
         while True:  # with many schedulers each probes before it sends
             wires = [node.next_wire(*wires)]
-            told = wires[0].message()
-            if told.first.startswith("POST"):
+            message = wires[0].message()
+            if message.first.startswith("POST"):
                 break
             wires[0].send(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-        wires[0].serve(told)
+        wires[0].serve(message)
         assert client.message().status == 200
     left.sock.settimeout(0.05)
     with pytest.raises(TimeoutError):
@@ -185,8 +185,8 @@
     time.sleep(1.0)  # several retries
     assert processor_time(node) - before < 0.5
     assert node.log().count("tried again in") < 15
-    for wire, leg, client in zip(wires, attempts, busy_ones, strict=True):
-        wire.serve(leg)
+    for wire, attempt, client in zip(wires, attempts, busy_ones, strict=True):
+        wire.serve(attempt)
         assert client.message().status == 200
         client.sock.shutdown(socket.SHUT_RDWR)
     wire = node.next_wire(*wires)
--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -295,8 +295,10 @@
     assert any(isinstance(effect, fx.SendAttempt) for effect in play.tell(fx.WorkerConnected(other)))
 
 
-@pytest.mark.parametrize(("heard", "told"), [(False, True), (True, False)])
-def test_unacknowledged_attempt_is_reported(monkeypatch: pytest.MonkeyPatch, heard: bool, told: bool) -> None:
+@pytest.mark.parametrize(("acknowledged", "reported"), [(False, True), (True, False)])
+def test_unacknowledged_attempt_is_reported(
+    monkeypatch: pytest.MonkeyPatch, acknowledged: bool, reported: bool
+) -> None:
     play = ReducerHarness()
     events = list[api.Event]()
 
@@ -308,11 +310,13 @@
     play.tell(listed("a"), fx.ClientConnected(1))
     conn = conn_of(play.tell(arrived(1)))
     play.tell(
-        fx.WorkerConnected(conn), fx.AttemptWritten(conn), *([fx.ResponseStarted(conn)] if heard else [])
+        fx.WorkerConnected(conn),
+        fx.AttemptWritten(conn),
+        *([fx.ResponseStarted(conn)] if acknowledged else []),
     )
     play.advance(ACKNOWLEDGE_TIMEOUT + 5 * MS)
     notes = [event.kind for event in events if isinstance(event, api.AttemptUpdate)]
-    assert notes == ([api.UpdateKind.UNACKNOWLEDGED] if told else [])
+    assert notes == ([api.UpdateKind.UNACKNOWLEDGED] if reported else [])
 
 
 def test_revocation_only_rejects_requests_without_attempts() -> None:
@@ -321,10 +325,10 @@
     play.tell(fx.CredentialRevoked(1))
     assert play.answers() == [fx.Outcome.REVOKED]
     play.tell(fx.ResponseSent(1), listed("a"))
-    dialled = conn_of(play.tell(arrived(1, name="again")) + play.advance(100 * MS))
+    connecting = conn_of(play.tell(arrived(1, name="again")) + play.advance(100 * MS))
     play.tell(
-        fx.WorkerConnected(dialled),
-        fx.AttemptWritten(dialled),
+        fx.WorkerConnected(connecting),
+        fx.AttemptWritten(connecting),
         fx.CredentialRevoked(1),
         fx.CredentialRevoked(9),
     )
@@ -376,17 +380,17 @@
 
 
 def test_module_only_receives_pushed_lists(monkeypatch: pytest.MonkeyPatch) -> None:
-    play, told = pushed(), list[api.Event]()
+    play, received = pushed(), list[api.Event]()
     handle = play.reducer.module.handle
 
-    def hear(now: int, event: api.Event) -> list[api.Action]:
-        told.append(event)
+    def record(now: int, event: api.Event) -> list[api.Action]:
+        received.append(event)
         return handle(now, event)
 
-    monkeypatch.setattr(play.reducer.module, "handle", hear)
+    monkeypatch.setattr(play.reducer.module, "handle", record)
     play.tell(fx.WatchLost("it ended"), listed("a", "b"), fx.WatchLost("it ended"))
     play.advance(SECOND)
-    kinds = [event.kind for event in told if isinstance(event, api.WorkerListUpdate)]
+    kinds = [event.kind for event in received if isinstance(event, api.WorkerListUpdate)]
     assert kinds == [api.ListKind.FULL]
 
 
@@ -422,17 +426,17 @@
     assert play.reducer.state.revision == 45
 
 
-def heard(play: ReducerHarness, monkeypatch: pytest.MonkeyPatch) -> list[api.WorkerListUpdate]:
+def record_lists(play: ReducerHarness, monkeypatch: pytest.MonkeyPatch) -> list[api.WorkerListUpdate]:
     """Record the lists that the module receives from now on."""
-    told, handle = list[api.WorkerListUpdate](), play.reducer.module.handle
+    received, handle = list[api.WorkerListUpdate](), play.reducer.module.handle
 
-    def hear(now: int, event: api.Event) -> list[api.Action]:
+    def record(now: int, event: api.Event) -> list[api.Action]:
         if isinstance(event, api.WorkerListUpdate):
-            told.append(event)
+            received.append(event)
         return handle(now, event)
 
-    monkeypatch.setattr(play.reducer.module, "handle", hear)
-    return told
+    monkeypatch.setattr(play.reducer.module, "handle", record)
+    return received
 
 
 @pytest.mark.parametrize(
@@ -452,24 +456,24 @@
     """The agent's updates count as delivered at once, and the configured list may name a draining worker. An
     agent without messages delays the start by 2 s."""
     play = ReducerHarness(config=settings(list_on_request=False))
-    told = heard(play, monkeypatch)
+    received = record_lists(play, monkeypatch)
     play.tell(KNOWN, fx.ListenerOpened(), fx.ClientConnected(1), arrived(1))
     assert not [effect for effect in play.asked if isinstance(effect, fx.ConnectWorker)]
     assert not play.reducer.state.ready()
     if word is None:
         play.advance(AGENT_START_TIMEOUT - 10 * MS)
-        assert not told
+        assert not received
         play.advance(20 * MS)
         play.tell(fx.ClientConnected(2), arrived(2))
     else:
         play.tell(word)
     assert play.reducer.state.ready()
-    assert [event.kind for event in told] == [api.ListKind.FULL], (
+    assert [event.kind for event in received] == [api.ListKind.FULL], (
         "one merged list, never the outdated one first"
     )
-    dials = [effect for effect in play.asked if isinstance(effect, fx.ConnectWorker)]
-    assert len(dials) == 1
-    assert play.reducer.state.connections[dials[0].conn].worker_id in sent
+    connects = [effect for effect in play.asked if isinstance(effect, fx.ConnectWorker)]
+    assert len(connects) == 1
+    assert play.reducer.state.connections[connects[0].conn].worker_id in sent
 
 
 FLEETS = pytest.mark.parametrize("schedulers", [1, 5, 40, 200])
