--- a/reedspoke/net/client_server.py
+++ b/reedspoke/net/client_server.py
@@ -334,9 +334,11 @@
 
     def gone(self) -> bool:
         """Whether the client has disconnected."""
+        ...
 
     def drop(self, mode: fx.CloseMode) -> None:
         """Close the connection in the given mode."""
+        ...
 
 
 class ClientServer:
