--- a/reedspoke/net/attempts.py
+++ b/reedspoke/net/attempts.py
@@ -229,8 +229,8 @@
             self.core.request_effect(
                 fx.WriteLog(f"idle connections fail: none is reused for {NO_REUSE_PERIOD // SECOND} s")
             )
-            for kept in list(state.idle_connections):
-                self.disconnect(state.connections[kept])
+            for number in list(state.idle_connections):
+                self.disconnect(state.connections[number])
         self.core.count("kept failed")
         state.no_reuse_until = self.core.now + NO_REUSE_PERIOD
 
--- a/reedspoke/net/effects.py
+++ b/reedspoke/net/effects.py
@@ -23,7 +23,7 @@
     """The final outcome of a client request."""
 
     SERVED = "served"
-    REJECTED = "declined"  # it was not executed, so a retry is safe
+    REJECTED = "declined"  # a retry by the client is safe
     FAILED = "failed"
     TIMED_OUT = "late"  # the deadline timer of `clients` answered it
     INVALID = "invalid"  # the request itself is invalid
--- a/reedspoke/net/state.py
+++ b/reedspoke/net/state.py
@@ -132,7 +132,7 @@
     clients: dict[int, Client] = field(default_factory=dict)
     idle_clients: dict[IdleState, dict[int, None]] = (
         field(  # clients that are owed no response, the longest idle first
-            default_factory=lambda: {standing: {} for standing in IdleState}
+            default_factory=lambda: {idle_state: {} for idle_state in IdleState}
         )
     )
     closing_clients: set[int] = field(default_factory=set)  # ids of clients whose connection is to be closed
