--- a/tests/test_subsystem.py
+++ b/tests/test_subsystem.py
@@ -82,6 +82,6 @@
     node.add_subsystem(Subsystem("first", (Echo(play.reducer.core),), (), (SHOW,)))
     with pytest.raises(ValueError, match="two subsystems have the call GET /notes"):
         node.add_subsystem(Subsystem("second", (), (), (SHOW,)))
-    with pytest.raises(ValueError, match="two concerns"):
+    with pytest.raises(ValueError, match="two components"):
         node.add_subsystem(Subsystem("third", (Echo(play.reducer.core),)))
     assert isinstance(play.reducer.core, Core)
